--- a/src/main/java/stileferry/coordination/Admin.java
+++ b/src/main/java/stileferry/coordination/Admin.java
@@ -16,8 +16,6 @@
 
 /** The administration API at the leader: the operators' settings, and views of what the leader knows. */
 final class Admin {
-    static final String KEY = Leadership.PREFIX + "options";
-
     /** Answers stay well below the limit of a body. */
     private static final int MAX_BYTES = MessageCodec.MAX_BODY / 2;
 
@@ -40,7 +38,7 @@
         this.cluster = cluster;
         this.placement = placement;
         this.ledger = ledger;
-        this.entry = new Ledger.Entry(KEY, revision, () -> pending.write());
+        this.entry = new Ledger.Entry(Leadership.OPTIONS_KEY, revision, () -> pending.write());
         this.leader = leader;
         this.taken = taken;
         this.pending = cluster.options;
@@ -59,14 +57,14 @@
         switch (path) {
             case "settings" -> {
                 if (get) {
-                    reply.accept(Users.ok(200, cluster.options.describe()));
+                    reply.accept(Answers.ok(200, cluster.options.describe()));
                 } else {
                     change(bytes, false, reply);
                 }
             }
             case "settings/reset" -> {
                 if (get) {
-                    reply.accept(Users.refusal(405, "only POST here"));
+                    reply.accept(Answers.refusal(405, "only POST here"));
                 } else {
                     change(bytes, true, reply);
                 }
@@ -75,35 +73,35 @@
             case "machines" -> view(get, () -> machines(from, now), reply);
             case "queue" -> view(get, () -> queue(from, now, timeOfDay), reply);
             case "teams" -> view(get, this::teams, reply);
-            default -> reply.accept(Users.refusal(404, "no such path"));
+            default -> reply.accept(Answers.refusal(404, "no such path"));
         }
     }
 
     static void view(boolean get, Supplier<ObjectNode> view, Consumer<PeerRecord.Answer> reply) {
-        reply.accept(get ? Users.ok(200, view.get()) : Users.refusal(405, "only GET here"));
+        reply.accept(get ? Answers.ok(200, view.get()) : Answers.refusal(405, "only GET here"));
     }
 
     private void change(byte[] bytes, boolean reset, Consumer<PeerRecord.Answer> reply) {
         JsonNode body = MessageCodec.decode(bytes);
         if (body == null || !body.isObject() || !body.path("revision").isIntegralNumber()) {
-            reply.accept(Users.refusal(400, "revision: missing or not a whole number"));
+            reply.accept(Answers.refusal(400, "revision: missing or not a whole number"));
             return;
         }
         if (body.path("revision").asLong() != pending.revision()) {
-            reply.accept(Users.refusal(409, "revision: now at " + pending.revision()));
+            reply.accept(Answers.refusal(409, "revision: now at " + pending.revision()));
             return;
         }
         Options next;
         try {
             next = reset ? pending.reset(body.path("names")) : pending.with(body.path("change"));
         } catch (Options.Invalid e) {
-            reply.accept(Users.refusal(400, e.getMessage()));
+            reply.accept(Answers.refusal(400, e.getMessage()));
             return;
         }
         pending = next;
         ledger.put(entry, () -> {
             taken.accept(next);
-            reply.accept(Users.ok(200, next.describe()));
+            reply.accept(Answers.ok(200, next.describe()));
         });
     }
 
--- a/src/main/java/stileferry/coordination/BatchReply.java
+++ b/src/main/java/stileferry/coordination/BatchReply.java
@@ -55,7 +55,7 @@
 
     private void giveUp() {
         for (int i = 0; i < answers.length; i++) {
-            answer(i, Users.unavailable());
+            answer(i, Answers.unavailable());
         }
     }
 
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -55,7 +55,7 @@
     public Coordinator(Settings settings, Features features, Environment plain) {
         this.settings = settings;
         this.ended = new EndedJobCache(settings.maxSockets());
-        this.links = features.partialCuts() ? new PartialCuts(settings, plain) : LinkAwareness.NONE;
+        this.links = features.partialCuts() ? new PartialCuts(settings, plain, Leadership.lifeMs(settings)) : LinkAwareness.NONE;
         this.environment = links.environment(plain);
         this.state = new StateClient(environment, settings);
         this.admission =
@@ -163,13 +163,13 @@
         if (path.equals("links")) {
             ObjectNode view = links.describe();
             if (view == null) {
-                reply.accept(Users.refusal(404, "links: partial_cuts is off"));
+                reply.accept(Answers.refusal(404, "links: partial_cuts is off"));
             } else {
                 Admin.view(method.equals("GET"), () -> view, reply);
             }
         } else if (path.equals("admission") && method.equals("GET")) {
             if (!admission.describe(reply)) {
-                reply.accept(Users.refusal(404, "admission: fair_admission is off"));
+                reply.accept(Answers.refusal(404, "admission: fair_admission is off"));
             }
         } else if (path.equals("counters")) {
             Admin.view(
@@ -193,7 +193,7 @@
         }
         Settings.Peer peer = leadership.leaderPeer();
         if (peer == null || links.unreachable(peer.node())) {
-            reply.accept(Users.unavailable());
+            reply.accept(Answers.unavailable());
             return;
         }
         if (ask == PeerRecord.Ask.SUBMIT) {
@@ -209,7 +209,7 @@
         long patience = ask == PeerRecord.Ask.STATUS ? 1500 : 4000;
         PeerRecord.Forward request = new PeerRecord.Forward(ask, id, body);
         Consumer<PeerRecord> answered =
-                answer -> reply.accept(answer instanceof PeerRecord.Answer a ? a : Users.unavailable());
+                answer -> reply.accept(answer instanceof PeerRecord.Answer a ? a : Answers.unavailable());
         if (ask != PeerRecord.Ask.ADMIN && admission.batches(peer)) {
             admission.forward(peer, request, patience, answered);
         } else {
@@ -236,7 +236,7 @@
             case REPORT -> {
                 Report report = Report.read(body, leader::lastReport);
                 if (report == null) {
-                    reply.accept(Users.refusal(400, "not a report"));
+                    reply.accept(Answers.refusal(400, "not a report"));
                 } else {
                     answerReport(
                             report, true, (status, answer) -> reply.accept(new PeerRecord.Answer(status, 0, answer)));
@@ -294,19 +294,19 @@
             BatchReply.to(b.requests(), environment, this::leadOrRefuse, reply);
         } else if (record instanceof PeerRecord.Admission a) {
             PeerRecord answer = admission.exchange(a);
-            reply.accept(answer == null ? Users.unavailable() : answer);
+            reply.accept(answer == null ? Answers.unavailable() : answer);
         } else if (record instanceof PeerRecord.Links l) {
             PeerRecord answer = links.exchange(l);
-            reply.accept(answer == null ? Users.unavailable() : answer);
+            reply.accept(answer == null ? Answers.unavailable() : answer);
         } else {
             LOG.debug("a record that nobody asked for: {}", record);
-            reply.accept(Users.unavailable());
+            reply.accept(Answers.unavailable());
         }
     }
 
     private void leadOrRefuse(PeerRecord.Forward request, Consumer<PeerRecord.Answer> reply) {
         if (leader == null) {
-            reply.accept(Users.unavailable());
+            reply.accept(Answers.unavailable());
         } else {
             lead(request.ask(), request.id(), request.body(), reply);
         }
--- a/src/main/java/stileferry/coordination/FailureDetector.java
+++ b/src/main/java/stileferry/coordination/FailureDetector.java
@@ -44,7 +44,7 @@
     private final Environment environment;
     private final Leadership leadership;
     private final long term;
-    private final Fleet.Events events;
+    private final TaskObserver events;
     private final SilenceRecords silences;
     private final long reportMs;
     private final long leaseMs;
@@ -55,7 +55,7 @@
             Environment environment,
             Leadership leadership,
             long term,
-            Fleet.Events events,
+            TaskObserver events,
             SilenceRecords silences) {
         this.cluster = cluster;
         this.environment = environment;
--- a/src/main/java/stileferry/coordination/FairAdmission.java
+++ b/src/main/java/stileferry/coordination/FairAdmission.java
@@ -316,7 +316,7 @@
                 ObjectNode view = MessageCodec.map();
                 view.set("totals", AdmissionTotalsReader.describe(read));
                 view.set("here", describeHere());
-                reply.accept(Users.ok(200, view));
+                reply.accept(Answers.ok(200, view));
             }
         });
         return true;
--- a/src/main/java/stileferry/coordination/Fleet.java
+++ b/src/main/java/stileferry/coordination/Fleet.java
@@ -25,7 +25,7 @@
     private final Environment environment;
     private final Leadership leadership;
     private final long term;
-    private final Events events;
+    private final TaskObserver events;
     private final SilenceRecords silences;
     private final EventLoopLag eventLoopLag;
     private final long leaseMs;
@@ -33,33 +33,12 @@
     private final FailureDetector failures;
     private final CommandSender commands;
 
-    /** What becomes known of claimed tasks. */
-    interface Events {
-        /** The task has exited; its claim is to be settled. */
-        void exited(Machine machine, Claim claim, Report.TaskState state);
-
-        /** It is proven that the task is not on its machine and can't come there any more. */
-        void gone(Claim claim, String proof);
-
-        /** A task is at another stage than before. */
-        void progressed(Claim claim);
-
-        /** All tasks of a gang run. */
-        void gangRuns(Job job);
-
-        /** A task has to leave its machine; a gang's others have to stop with it. */
-        void stopWhole(Claim claim, double graceS);
-
-        /** Something changed that a pass may use. */
-        void changed();
-    }
-
     Fleet(
             ClusterState cluster,
             Environment environment,
             Leadership leadership,
             long term,
-            Events events,
+            TaskObserver events,
             SilenceRecords silences,
             EventLoopLag eventLoopLag) {
         this.silences = silences;
--- a/src/main/java/stileferry/coordination/JobEnds.java
+++ b/src/main/java/stileferry/coordination/JobEnds.java
@@ -10,22 +10,31 @@
     private final Ledger ledger;
     private final EndedJobCache ended;
     private final Leadership leadership;
-    private final Users users;
+    private final Listener listener;
     private final Consumer<Claim> stop;
 
+    /** Told of what users may hear. */
+    interface Listener {
+        /** A job's end is durable. */
+        void ended(Job job, EndedJobCache.Ended end);
+
+        /** A job's cancellation may be confirmed. */
+        void cancelConfirmed(Job job);
+    }
+
     /** The consumer stops a claimed task at once. */
     JobEnds(
             ClusterState cluster,
             Ledger ledger,
             EndedJobCache ended,
             Leadership leadership,
-            Users users,
+            Listener listener,
             Consumer<Claim> stop) {
         this.cluster = cluster;
         this.ledger = ledger;
         this.ended = ended;
         this.leadership = leadership;
-        this.users = users;
+        this.listener = listener;
         this.stop = stop;
     }
 
@@ -63,7 +72,7 @@
             leadership.cancellations().over(job.spec.id());
             cluster.jobs.remove(job.spec.id());
             ended.put(job.spec.id(), record);
-            users.answer(job, Users.ok(200, record.answer(job.spec.id())));
+            listener.ended(job, record);
             if (onDurable != null) {
                 onDurable.run();
             }
@@ -107,7 +116,7 @@
     void confirm(Job job) {
         if (job.cancelKnown && !job.cancelTold && !job.ending && !job.mayBegin()) {
             job.cancelTold = true;
-            users.answer(job, users.state(job, 200));
+            listener.cancelConfirmed(job);
         }
     }
 }
--- a/src/main/java/stileferry/coordination/Leadership.java
+++ b/src/main/java/stileferry/coordination/Leadership.java
@@ -21,6 +21,9 @@
     static final String LEADER_KEY = "a/lead";
     static final String TERM_KEY = "a/term";
 
+    /** Holds the operators' settings. */
+    static final String OPTIONS_KEY = "a/options";
+
     private static final Logger LOG = LoggerFactory.getLogger("leadership");
 
     /** Clocks drift apart by 0.05% at most; this is twice that, and a little for the timers. */
@@ -294,7 +297,7 @@
             for (StateClient.Row row : rows.rows()) {
                 if (row.key().equals(LEADER_KEY)) {
                     holder = row.value();
-                } else if (row.key().equals(Admin.KEY)) {
+                } else if (row.key().equals(OPTIONS_KEY)) {
                     listener.options(row.value());
                 } else if (row.key().equals(TERM_KEY)) {
                     stored = TermRecord.read(row.value(), row.revision());
--- a/src/main/java/stileferry/coordination/Machine.java
+++ b/src/main/java/stileferry/coordination/Machine.java
@@ -47,7 +47,7 @@
     long answeredAt;
 
     /** Its silence as it is noted in the state service; null: not noted. */
-    SilenceRecords.Silence silence;
+    Silence silence;
 
     /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
     long answeredBefore = -1;
--- a/src/main/java/stileferry/coordination/PartialCuts.java
+++ b/src/main/java/stileferry/coordination/PartialCuts.java
@@ -54,7 +54,7 @@
     private long storeSeenAt = Long.MIN_VALUE / 2;
     private Advice lastAdvice;
 
-    PartialCuts(Settings settings, Environment environment) {
+    PartialCuts(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
         Settings.Workers workers = settings.workers();
@@ -63,7 +63,7 @@
                 settings.peers().stream().map(Settings.Peer::node).toList(),
                 Math.round(workers.reportS() * 1000),
                 Math.round(workers.leaseS() * 1000),
-                Leadership.lifeMs(settings));
+                leaderLeaseMs);
         this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
         this.tickMs = config.exchangeMs(true);
         long patienceMs = Math.max(LEAST_PATIENCE_MS, tickMs);
--- a/src/main/java/stileferry/coordination/SilenceRecords.java
+++ b/src/main/java/stileferry/coordination/SilenceRecords.java
@@ -49,35 +49,6 @@
 
     private record Waiting(long since, Runnable answer, Runnable refuse) {}
 
-    /** One machine's silence. */
-    static final class Silence {
-        final String machine;
-        final long session;
-        final long answeredAt;
-        final long term;
-
-        /** The number of the stored record that holds it. */
-        private long record;
-
-        /** It need not be stored any more. */
-        boolean over;
-
-        Silence(String machine, long session, long answeredAt, long term) {
-            this.machine = machine;
-            this.session = session;
-            this.answeredAt = answeredAt;
-            this.term = term;
-        }
-
-        static Silence read(JsonNode e) {
-            return new Silence(
-                    e.path(1).asText(),
-                    e.path(2).asLong(),
-                    e.path(3).asLong(),
-                    e.path(4).asLong());
-        }
-    }
-
     private record Silent(Silence silence) implements Ledger.Event {
         @Override
         public void write(ArrayNode into) {
@@ -95,12 +66,12 @@
 
         @Override
         public void recorded(long record) {
-            silence.record = record;
+            silence.stored(record);
         }
 
         @Override
         public Ledger.Event kept(long record) {
-            return silence.record == record && !silence.over ? this : null;
+            return silence.storedIn(record) && !silence.over ? this : null;
         }
 
         @Override
--- a/src/main/java/stileferry/coordination/StateLoader.java
+++ b/src/main/java/stileferry/coordination/StateLoader.java
@@ -47,7 +47,7 @@
     record Loaded(
             long optionsRevision,
             int claims,
-            Iterable<SilenceRecords.Silence> silences,
+            Iterable<Silence> silences,
             List<StateClient.Row> admissionShards) {}
 
     /** {@code countsAdmissions}: whether the count of admissions is read too. */
@@ -114,7 +114,7 @@
     }
 
     private void readOptions(List<List<StateClient.Row>> rows) {
-        state.get(Admin.KEY, (status, body) -> {
+        state.get(Leadership.OPTIONS_KEY, (status, body) -> {
             if (closed) {
                 return;
             }
--- a/src/main/java/stileferry/coordination/TaskEvents.java
+++ b/src/main/java/stileferry/coordination/TaskEvents.java
@@ -133,7 +133,7 @@
     static final class Reader {
         private final Map<String, Job> jobs;
         private final Map<Job, Map<Integer, Claim>> claims = new LinkedHashMap<>(); // so that seeds repeat
-        private final Map<String, SilenceRecords.Silence> silences = new HashMap<>();
+        private final Map<String, Silence> silences = new HashMap<>();
 
         Reader(Map<String, Job> jobs) {
             this.jobs = jobs;
@@ -145,7 +145,7 @@
             for (JsonNode e : record.path("e")) {
                 int kind = e.path(0).asInt(-1);
                 if (kind == SilenceRecords.SILENT) {
-                    silences.put(e.path(1).asText(), SilenceRecords.Silence.read(e));
+                    silences.put(e.path(1).asText(), Silence.read(e));
                     continue;
                 }
                 if (kind == SilenceRecords.HEARD) {
@@ -232,7 +232,7 @@
         }
 
         /** The silences of machines that stand after all records. */
-        Iterable<SilenceRecords.Silence> silences() {
+        Iterable<Silence> silences() {
             return silences.values();
         }
 
--- a/src/main/java/stileferry/coordination/TaskLifecycle.java
+++ b/src/main/java/stileferry/coordination/TaskLifecycle.java
@@ -14,7 +14,7 @@
  * The life of tasks in one term, from their claim over start and stop to the proof that they are gone. A gang's tasks
  * live and end together.
  */
-final class TaskLifecycle implements Fleet.Events {
+final class TaskLifecycle implements TaskObserver {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
     private static final double SLOWDOWN_THRESHOLD_S = 60;
@@ -39,7 +39,7 @@
             Environment environment,
             Ledger ledger,
             TermNumbers numbers,
-            Function<Fleet.Events, Fleet> createFleet,
+            Function<TaskObserver, Fleet> createFleet,
             Function<TaskLifecycle, JobEnds> createJobEnds,
             Runnable changed) {
         this.cluster = cluster;
--- a/src/main/java/stileferry/coordination/Users.java
+++ b/src/main/java/stileferry/coordination/Users.java
@@ -17,7 +17,7 @@
 import stileferry.storage.StateClient;
 
 /** Dealings with users in one term: they hear accepted, cancelled or done only when it is durable. */
-final class Users {
+final class Users implements JobEnds.Listener {
     /** The share of the value limit that a job's record may take; the rest is for what is added later. */
     private static final double FILL = 0.9;
 
@@ -79,22 +79,10 @@
     /** Tells all who wait that nothing more will be known here. */
     void close() {
         for (Job job : cluster.jobs.values()) {
-            answer(job, unavailable());
+            answer(job, Answers.unavailable());
         }
     }
 
-    static PeerRecord.Answer ok(int status, ObjectNode body) {
-        return new PeerRecord.Answer(status, 0, MessageCodec.encode(body));
-    }
-
-    static PeerRecord.Answer unavailable() {
-        return new PeerRecord.Answer(503, 1, MessageCodec.encode(Messages.error("not available, try again")));
-    }
-
-    static PeerRecord.Answer refusal(int status, String reason) {
-        return new PeerRecord.Answer(status, 0, MessageCodec.encode(Messages.error(reason)));
-    }
-
     /** Answers all who wait for this job. */
     void answer(Job job, PeerRecord.Answer answer) {
         List<Consumer<PeerRecord.Answer>> waiting = job.waiting;
@@ -104,6 +92,16 @@
         waiting.forEach(w -> w.accept(answer));
     }
 
+    @Override
+    public void ended(Job job, EndedJobCache.Ended end) {
+        answer(job, Answers.ok(200, end.answer(job.spec.id())));
+    }
+
+    @Override
+    public void cancelConfirmed(Job job) {
+        answer(job, state(job, 200));
+    }
+
     private void await(Job job, Consumer<PeerRecord.Answer> reply) {
         job.waiting.add(reply);
         if (job.waitingSince == 0) {
@@ -118,7 +116,7 @@
         boolean sure = lead.serving();
         for (Job job : List.copyOf(awaited)) {
             if (!sure || now - job.waitingSince > DURABLE_MS) {
-                answer(job, unavailable());
+                answer(job, Answers.unavailable());
             }
         }
     }
@@ -126,17 +124,17 @@
     /** Where a job stands, as its user may hear it. */
     PeerRecord.Answer state(Job job, int status) {
         if (!job.accepted || job.cancelled && !job.cancelTold) {
-            return unavailable(); // the outcome of what would change the answer is not known yet
+            return Answers.unavailable(); // the outcome of what would change the answer is not known yet
         }
         int running = job.cancelled ? 0 : job.runningCount();
         String tide = job.cancelled ? "cancelled" : running > 0 ? "running" : "pending";
         int done = job.ending ? Math.max(0, job.doneCount() - 1) : job.doneCount();
-        return ok(status, Messages.jobState(job.spec.id(), tide, done, running));
+        return Answers.ok(status, Messages.jobState(job.spec.id(), tide, done, running));
     }
 
     /** A job that was accepted and whose record nobody can read: known, and not over. */
     private static PeerRecord.Answer unreadable(String id) {
-        return ok(200, Messages.jobState(id, "pending", 0, 0));
+        return Answers.ok(200, Messages.jobState(id, "pending", 0, 0));
     }
 
     /** Looks an id up among the ended jobs; the status is 0 when that can't be told now. */
@@ -161,13 +159,13 @@
 
     void submit(byte[] bytes, Consumer<PeerRecord.Answer> reply) {
         if (!lead.promising()) {
-            reply.accept(unavailable());
+            reply.accept(Answers.unavailable());
             return;
         }
         JsonNode body = MessageCodec.decode(bytes);
         String id = body == null ? "" : body.path("name_id").asText("");
         if (!JobSpec.validId(id)) {
-            reply.accept(refusal(400, "not a map with a valid job id"));
+            reply.accept(Answers.refusal(400, "not a map with a valid job id"));
             return;
         }
         Job job = cluster.jobs.get(id);
@@ -188,18 +186,18 @@
         }
         lookUp(
                 id,
-                e -> reply.accept(ok(200, e.answer(id))),
+                e -> reply.accept(Answers.ok(200, e.answer(id))),
                 () -> {
                     Job meanwhile = cluster.jobs.get(id);
                     if (meanwhile != null) {
                         join(meanwhile, reply);
                     } else if (ended.get(id) != null) {
-                        reply.accept(ok(200, ended.get(id).answer(id)));
+                        reply.accept(Answers.ok(200, ended.get(id).answer(id)));
                     } else {
                         accept(body, first, reply);
                     }
                 },
-                () -> reply.accept(unavailable()));
+                () -> reply.accept(Answers.unavailable()));
     }
 
     /** Whether a job's end was looked up or came up lately. */
@@ -233,35 +231,35 @@
         try {
             spec = JobSpec.read(body);
         } catch (JobSpec.Malformed e) {
-            reply.accept(refusal(400, e.getMessage()));
+            reply.accept(Answers.refusal(400, e.getMessage()));
             return;
         }
         Settings.Team team = cluster.settings.team(spec.team());
         if (team == null) {
-            reply.accept(refusal(422, "unknown team"));
+            reply.accept(Answers.refusal(422, "unknown team"));
             return;
         }
         if (cluster.types.isEmpty()) {
-            reply.accept(unavailable());
+            reply.accept(Answers.unavailable());
             return;
         }
         if (cluster.types.stream().noneMatch(spec::fitsType)) {
-            reply.accept(refusal(422, "a task fits no allowed machine type"));
+            reply.accept(Answers.refusal(422, "a task fits no allowed machine type"));
             return;
         }
         if (!spec.canRunTogether(cluster.types)) {
-            reply.accept(refusal(422, "its tasks can't all run at the same time"));
+            reply.accept(Answers.refusal(422, "its tasks can't all run at the same time"));
             return;
         }
         double tasks = spec.kind() == JobSpec.Kind.ARRAY ? 1 : spec.tasks();
         if (team.cpusMax() > 0 && tasks * spec.cpus() > team.cpusMax()
                 || team.gpusMax() > 0 && tasks * spec.gpus() > team.gpusMax()) {
-            reply.accept(refusal(422, "more than the team's limit"));
+            reply.accept(Answers.refusal(422, "more than the team's limit"));
             return;
         }
         Job job = new Job(spec, lead.number(), environment.timeOfDay(), 0);
         if (job.record.value().toString().length() > cluster.settings.state().valueKb() * 1024 * FILL) {
-            reply.accept(refusal(422, "its description is larger than can be kept"));
+            reply.accept(Answers.refusal(422, "its description is larger than can be kept"));
             return;
         }
         await(job, reply);
@@ -269,7 +267,7 @@
         lead.accepting(job);
         Runnable onDurable = () -> {
             job.accepted = true;
-            answer(job, ok(201, Messages.jobState(spec.id(), "pending", 0, 0)));
+            answer(job, Answers.ok(201, Messages.jobState(spec.id(), "pending", 0, 0)));
             lead.changed();
         };
         if (first) {
@@ -281,7 +279,7 @@
 
     void status(String id, Consumer<PeerRecord.Answer> reply) {
         if (!lead.serving()) {
-            reply.accept(unavailable());
+            reply.accept(Answers.unavailable());
             return;
         }
         Job job = cluster.jobs.get(id);
@@ -295,36 +293,36 @@
         }
         lookUp(
                 id,
-                e -> reply.accept(ok(200, e.answer(id))),
+                e -> reply.accept(Answers.ok(200, e.answer(id))),
                 () -> {
                     Job meanwhile = cluster.jobs.get(id);
                     reply.accept(meanwhile != null ? state(meanwhile, 200) : endedMeanwhile(id));
                 },
-                () -> reply.accept(unavailable()));
+                () -> reply.accept(Answers.unavailable()));
     }
 
     /** The answer about a job that is not alive and had not ended when that was asked: it may have lived in between. */
     private PeerRecord.Answer endedMeanwhile(String id) {
         EndedJobCache.Ended now = ended.get(id);
-        return now == null ? refusal(404, "no such job") : ok(200, now.answer(id));
+        return now == null ? Answers.refusal(404, "no such job") : Answers.ok(200, now.answer(id));
     }
 
     void withdraw(String id, Consumer<PeerRecord.Answer> reply) {
         if (!lead.promising()) {
-            reply.accept(unavailable());
+            reply.accept(Answers.unavailable());
             return;
         }
         Job job = cluster.jobs.get(id);
         if (job == null && cluster.unreadable.contains(id)) {
-            reply.accept(unavailable());
+            reply.accept(Answers.unavailable());
         } else if (job == null) {
             lookUp(
                     id,
-                    e -> reply.accept(ok(200, e.answer(id))),
-                    () -> reply.accept(cluster.jobs.containsKey(id) ? unavailable() : endedMeanwhile(id)),
-                    () -> reply.accept(unavailable()));
+                    e -> reply.accept(Answers.ok(200, e.answer(id))),
+                    () -> reply.accept(cluster.jobs.containsKey(id) ? Answers.unavailable() : endedMeanwhile(id)),
+                    () -> reply.accept(Answers.unavailable()));
         } else if (!job.accepted) {
-            reply.accept(unavailable());
+            reply.accept(Answers.unavailable());
         } else if (job.cancelTold) {
             reply.accept(state(job, 200));
         } else {
