--- a/src/main/java/stileferry/coordination/AdmissionControl.java
+++ b/src/main/java/stileferry/admissioncontrol/AdmissionControl.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.admissioncontrol;
 
 import java.util.function.Consumer;
 import stileferry.protocol.PeerRecord;
@@ -8,7 +8,7 @@
  * What a controller does differently where admissions are divided under overload. Without that, as {@link #NONE} says,
  * everything is passed on and nothing is counted.
  */
-interface AdmissionControl {
+public interface AdmissionControl {
     /** Nobody divides admissions. */
     AdmissionControl NONE = new AdmissionControl() {};
 
--- a/src/main/java/stileferry/coordination/AdmissionRecords.java
+++ b/src/main/java/stileferry/admissioncontrol/AdmissionRecords.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.admissioncontrol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -18,9 +18,9 @@
  * those of all transactions, so a count is carried out exactly when its jobs are. A shard costs one change for each
  * transaction with acceptances, however many it holds.
  */
-final class AdmissionRecords implements Ledger.Counter {
+public final class AdmissionRecords implements Ledger.Counter {
     /** The prefix of the shards' keys; no version before this one reads or writes it. */
-    static final String PREFIX = "n/";
+    public static final String PREFIX = "n/";
 
     private static final String RUN = "run";
     private static final String COMPLETE_UNTIL = "complete_until";
@@ -63,7 +63,7 @@
      * @param rows all shards
      * @param run the first term of the unbroken run of counting leaders that this one is of
      */
-    AdmissionRecords(List<StateClient.Row> rows, long run, double valueKb) {
+    public AdmissionRecords(List<StateClient.Row> rows, long run, double valueKb) {
         this.run = run;
         this.mostBytes = (int) (valueKb * 1024 * FILL);
         this.completeUntil = AdmissionTotals.completeUntil(read(rows), run);
@@ -75,7 +75,7 @@
     }
 
     /** Has a job counted in the transaction that makes it durable. */
-    void count(Ledger.Entry job, AdmissionCounts.Cell cell) {
+    public void count(Ledger.Entry job, AdmissionCounts.Cell cell) {
         uncounted.put(job, cell);
     }
 
@@ -119,7 +119,7 @@
     }
 
     /** The shards as they are stored. */
-    static List<AdmissionTotals.Shard> read(List<StateClient.Row> rows) {
+    public static List<AdmissionTotals.Shard> read(List<StateClient.Row> rows) {
         return rows.stream().map(AdmissionRecords::readShard).toList();
     }
 
--- a/src/main/java/stileferry/coordination/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/admissioncontrol/AdmissionTotalsReader.java
@@ -1,10 +1,12 @@
-package stileferry.coordination;
+package stileferry.admissioncontrol;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.Consumer;
 import stileferry.admission.AdmissionTotals;
+import stileferry.leadership.Leadership;
+import stileferry.leadership.TermRecord;
 import stileferry.protocol.MessageCodec;
 import stileferry.storage.StateClient;
 
--- a/src/main/java/stileferry/coordination/FairAdmission.java
+++ b/src/main/java/stileferry/admissioncontrol/FairAdmission.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.admissioncontrol;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -26,11 +26,14 @@
 import stileferry.protocol.PeerRecord;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SubmissionHead;
+import stileferry.requests.Admin;
+import stileferry.requests.Answers;
+import stileferry.requests.Users;
 import stileferry.storage.StateClient;
 import stileferry.validation.InvalidInputException;
 
 /** Divides admissions while this node leads, and refuses by the leader's word while it does not (docs/admission.md). */
-final class FairAdmission implements AdmissionControl {
+public final class FairAdmission implements AdmissionControl {
     private static final Logger LOG = LoggerFactory.getLogger("admission");
 
     /** The share of the state service's changes that controllers allow themselves. */
@@ -76,7 +79,7 @@
     /** The leader's name whose table this node has; others are not sent batches. */
     private String tableOf = "";
 
-    FairAdmission(Settings settings, Environment environment, StateClient state) {
+    public FairAdmission(Settings settings, Environment environment, StateClient state) {
         this.environment = environment;
         this.config = config(settings);
         this.door = new AdmissionDoor(config, REMEMBERED_EACH_SOCKET * settings.maxSockets());
@@ -86,7 +89,7 @@
     }
 
     /** Weights are the teams' guarantees; who has none counts like the average of those who have one. */
-    static AdmissionConfig config(Settings settings) {
+    public static AdmissionConfig config(Settings settings) {
         double average = settings.teams().stream()
                 .mapToDouble(Settings.Team::cpus)
                 .filter(cpus -> cpus > 0)
@@ -111,7 +114,7 @@
      * Where a job's admission is counted: classes that the settings don't name are one, or users could make up any
      * number.
      */
-    static AdmissionCounts.Cell cell(Settings settings, JobSpec spec) {
+    public static AdmissionCounts.Cell cell(Settings settings, JobSpec spec) {
         boolean named = classes(settings).contains(spec.jobClass());
         return new AdmissionCounts.Cell(spec.team(), named ? spec.jobClass() : AdmissionConfig.OTHER_CLASSES);
     }
--- a/src/main/java/stileferry/coordination/ForwardLane.java
+++ b/src/main/java/stileferry/admissioncontrol/ForwardLane.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.admissioncontrol;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/stileferry/coordination/CloudClient.java
+++ b/src/main/java/stileferry/autoscaling/CloudClient.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.autoscaling;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import stileferry.protocol.Environment;
--- a/src/main/java/stileferry/coordination/MachineList.java
+++ b/src/main/java/stileferry/autoscaling/MachineList.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.autoscaling;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,6 +6,8 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Messages;
 
--- a/src/main/java/stileferry/coordination/RentalBin.java
+++ b/src/main/java/stileferry/autoscaling/RentalBin.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.autoscaling;
 
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
--- a/src/main/java/stileferry/coordination/Rentals.java
+++ b/src/main/java/stileferry/autoscaling/Rentals.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.autoscaling;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.google.common.collect.Lists;
@@ -10,6 +10,10 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.heartbeat.Fleet;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
--- a/src/main/java/stileferry/coordination/Claim.java
+++ b/src/main/java/stileferry/cluster/Claim.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.cluster;
 
 import stileferry.protocol.Report;
 
@@ -6,46 +6,46 @@
  * A task that may be on a machine. It is made durable before the machine hears of it, and stands until there is
  * proof that the task is not there.
  */
-final class Claim {
-    final Job job;
-    final int index;
-    final long attempt;
-    final String machine;
-    final long session;
-    final String name;
+public final class Claim {
+    public final Job job;
+    public final int index;
+    public final long attempt;
+    public final String machine;
+    public final long session;
+    public final String name;
 
     /** What tells this start of this task from all others. */
-    final String key;
+    public final String key;
 
     /** When this leader decided; 0 for a claim read from the state service. */
-    final long orderedAt;
+    public final long orderedAt;
 
-    boolean durable;
+    public boolean durable;
 
     /** The start of its gang that it belongs to; null for other jobs, and for claims read from the state service. */
-    GangAttempt gangAttempt;
+    public GangAttempt gangAttempt;
 
     /** The number of the stored record that holds this claim. */
-    long record;
+    public long record;
 
     /** Commands to start that were sent in any way, so that the machine may know the attempt. */
-    int runsSent;
+    public int runsSent;
 
     /** Where the machine last said the task stands; null: not seen there yet. */
-    Report.Stage stage;
+    public Report.Stage stage;
 
     /** When it was first reported running, by this leader's clock; 0: not yet. */
-    long runningAt;
+    public long runningAt;
 
     /** Started as the first task of a job that had waited too long: not to be stopped for others at once. */
-    boolean overdue;
+    public boolean overdue;
 
     /** Set when the task is to stop; the time in seconds that it may take to save, or -1. */
-    double stopGraceS = -1;
+    public double stopGraceS = -1;
 
-    long stopAskedAt;
+    public long stopAskedAt;
 
-    Claim(Job job, int index, long attempt, String machine, long session, long orderedAt) {
+    public Claim(Job job, int index, long attempt, String machine, long session, long orderedAt) {
         this.job = job;
         this.index = index;
         this.attempt = attempt;
@@ -57,11 +57,11 @@
     }
 
     /** Whether the machine may hear of it: it is durable, and so are all claims of its gang's attempt. */
-    boolean startable() {
+    public boolean startable() {
         return durable && (gangAttempt == null || gangAttempt.startable());
     }
 
-    boolean stopping() {
+    public boolean stopping() {
         return stopGraceS >= 0;
     }
 
@@ -81,12 +81,12 @@
     }
 
     /** What a stop costs in all, in milliseconds: a gang stops whole, and each stop costs something. */
-    long stopCostMs(long now) {
+    public long stopCostMs(long now) {
         return (1 + lossMs(now)) * (job.spec.gang() ? job.claims.size() : 1);
     }
 
     /** How long it has been seen running, in milliseconds. */
-    long ranMs(long now) {
+    public long ranMs(long now) {
         return runningAt == 0 ? 0 : now - runningAt;
     }
 }
--- a/src/main/java/stileferry/coordination/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.cluster;
 
 import java.util.Collections;
 import java.util.HashMap;
@@ -9,38 +9,39 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import stileferry.links.LinkAwareness;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Options;
 import stileferry.protocol.Settings;
 
 /** What the leader knows in one term: the jobs that are not over, the machines, and the teams' use. */
-final class ClusterState {
+public final class ClusterState {
     private static final double EPSILON = 1e-6;
     private static final int LEAST_DELETED_REMEMBERED = 4096;
 
     /** Deleted machines that are remembered for each that is there: lists and reports of them come late. */
     private static final int DELETED_REMEMBERED_EACH = 4;
 
-    final Settings settings;
-    final Map<String, Job> jobs = new LinkedHashMap<>();
-    final Map<String, Machine> machines = new TreeMap<>();
-    final FreeCapacityIndex rooms = new FreeCapacityIndex();
-    final Reservations reservations = new Reservations();
+    public final Settings settings;
+    public final Map<String, Job> jobs = new LinkedHashMap<>();
+    public final Map<String, Machine> machines = new TreeMap<>();
+    public final FreeCapacityIndex rooms = new FreeCapacityIndex();
+    public final Reservations reservations = new Reservations();
 
     /** Accepted jobs whose records can't be read. */
-    final Set<String> unreadable = new HashSet<>();
+    public final Set<String> unreadable = new HashSet<>();
 
     /** Claims whose tasks were told to stop. */
-    final Set<Claim> stopping = new LinkedHashSet<>();
+    public final Set<Claim> stopping = new LinkedHashSet<>();
 
-    List<MachineType> types = List.of();
+    public List<MachineType> types = List.of();
 
     /** The operators' settings in force. */
-    Options options = Options.defaults();
+    public Options options = Options.defaults();
 
     /** Machines whose deletion was confirmed: late lists and late reports still name them, but they are gone. */
-    final Set<String> deleted = Collections.newSetFromMap(new LinkedHashMap<>() {
+    public final Set<String> deleted = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
             return size() > Math.max(LEAST_DELETED_REMEMBERED, DELETED_REMEMBERED_EACH * machines.size());
@@ -51,11 +52,11 @@
     private final Map<String, double[]> use = new HashMap<>();
     private final int[] claimsOf = new int[JobSpec.Priority.values().length];
 
-    ClusterState(Settings settings) {
+    public ClusterState(Settings settings) {
         this(settings, LinkAwareness.NONE);
     }
 
-    ClusterState(Settings settings, LinkAwareness links) {
+    public ClusterState(Settings settings, LinkAwareness links) {
         this.settings = settings;
         this.links = links;
         for (Settings.Team team : settings.teams()) {
@@ -63,7 +64,7 @@
         }
     }
 
-    MachineType type(String name) {
+    public MachineType type(String name) {
         for (MachineType type : types) {
             if (type.name().equals(name)) {
                 return type;
@@ -72,12 +73,12 @@
         return null;
     }
 
-    Machine machine(String name) {
+    public Machine machine(String name) {
         return machines.computeIfAbsent(name, Machine::new);
     }
 
     /** Counts a task that may be on a machine from now on. */
-    void add(Claim claim) {
+    public void add(Claim claim) {
         claim.job.claims.put(claim.index, claim);
         claim.job.taken.set(claim.index);
         Machine machine = machine(claim.machine);
@@ -89,7 +90,7 @@
     }
 
     /** Ends a claim after proof that its task is not on its machine. */
-    void remove(Claim claim, boolean done) {
+    public void remove(Claim claim, boolean done) {
         claim.job.claims.remove(claim.index, claim);
         stopping.remove(claim);
         if (done) {
@@ -106,14 +107,14 @@
     }
 
     /** Wants a claimed task to stop; a shorter time to save replaces a longer one. */
-    void stop(Claim claim, double graceS, long now) {
+    public void stop(Claim claim, double graceS, long now) {
         claim.stop(graceS, now);
         machine(claim.machine).asWanted = false;
         stopping.add(claim);
     }
 
     /** Forgets a machine that is gone. */
-    void forget(Machine machine) {
+    public void forget(Machine machine) {
         rooms.remove(machine);
         if (machine.silence != null) {
             machine.silence.over = true;
@@ -125,7 +126,7 @@
     }
 
     /** Takes in a machine's zone when it becomes known after claims on it were read. */
-    void setZone(Machine machine, String zone) {
+    public void setZone(Machine machine, String zone) {
         if (!machine.zone.equals(zone)) {
             for (Claim claim : machine.claims.values()) {
                 claim.job.tasksInZone.merge(machine.zone, -1, (a, b) -> a + b == 0 ? null : a + b);
@@ -147,7 +148,7 @@
     }
 
     /** Whether any task of a lower priority may be on a machine. */
-    boolean anyBelow(JobSpec.Priority priority) {
+    public boolean anyBelow(JobSpec.Priority priority) {
         for (int i = priority.ordinal() + 1; i < claimsOf.length; i++) {
             if (claimsOf[i] > 0) {
                 return true;
@@ -156,18 +157,18 @@
         return false;
     }
 
-    double cpusOf(String team) {
+    public double cpusOf(String team) {
         double[] sums = use.get(team);
         return sums == null ? 0 : sums[0];
     }
 
-    double gpusOf(String team) {
+    public double gpusOf(String team) {
         double[] sums = use.get(team);
         return sums == null ? 0 : sums[1];
     }
 
     /** Whether one more task of the job keeps its team within its limit. */
-    boolean withinLimit(Job job) {
+    public boolean withinLimit(Job job) {
         Settings.Team team = settings.team(job.spec.team());
         return team == null
                 || (team.cpusMax() == 0 || cpusOf(team.name()) + job.spec.cpus() <= team.cpusMax() + EPSILON)
@@ -175,7 +176,7 @@
     }
 
     /** Whether the team runs more than its guarantee, even after giving back so much. */
-    boolean beyondGuarantee(String name, double givenBackCpus, double givenBackGpus) {
+    public boolean beyondGuarantee(String name, double givenBackCpus, double givenBackGpus) {
         Settings.Team team = settings.team(name);
         return team != null
                 && (cpusOf(name) - givenBackCpus > team.cpus() + EPSILON
--- a/src/main/java/stileferry/coordination/FreeCapacityIndex.java
+++ b/src/main/java/stileferry/cluster/FreeCapacityIndex.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.cluster;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  * Machines by the CPUs that are free on them, so that a search looks only at machines with room. It holds every
  * machine that was heard and whose type is known; whoever searches checks everything else.
  */
-final class FreeCapacityIndex {
+public final class FreeCapacityIndex {
     private static final double EPSILON = 1e-6;
 
     /** Machines with at least so many whole CPUs free, and less than one more. */
@@ -19,7 +19,7 @@
     private long looks;
 
     /** Takes in that a machine's claims, type or standing have changed. */
-    void update(Machine m) {
+    public void update(Machine m) {
         int slot = m.heard && m.type != null && !m.deleting ? slot(m.type.cpus() - m.usedCpus()) : -1;
         if (slot == m.roomSlot) {
             return;
@@ -47,7 +47,7 @@
     }
 
     /** Shows every machine that may have so many CPUs free, the fullest first. */
-    void atLeast(double cpus, Consumer<Machine> look) {
+    public void atLeast(double cpus, Consumer<Machine> look) {
         for (int slot = slot(cpus); slot < byFree.size(); slot++) {
             Set<Machine> set = byFree.get(slot);
             looks += set.size();
@@ -56,7 +56,7 @@
     }
 
     /** Machines shown since the start, the measure of a search's work. */
-    long looks() {
+    public long looks() {
         return looks;
     }
 }
--- a/src/main/java/stileferry/coordination/GangAttempt.java
+++ b/src/main/java/stileferry/cluster/GangAttempt.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.cluster;
 
 /**
  * One start of a gang, under the attempt number that all of its tasks carry. No task may hear of it before the claims
@@ -7,15 +7,15 @@
  * <p>Each attempt counts its own claims: those of an attempt that was given up become durable later, and counted for
  * the next attempt they would let it start too early.
  */
-final class GangAttempt {
+public final class GangAttempt {
     private int claimsNotDurable;
 
-    GangAttempt(int tasks) {
+    public GangAttempt(int tasks) {
         this.claimsNotDurable = tasks;
     }
 
     /** Takes in that one more claim is durable; true when it was the last one. */
-    boolean claimDurable() {
+    public boolean claimDurable() {
         return --claimsNotDurable == 0;
     }
 
--- a/src/main/java/stileferry/coordination/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -17,87 +17,87 @@
 import stileferry.storage.Ledger;
 
 /** An accepted job that is not over, and what is known of its tasks. */
-final class Job {
-    static final String PREFIX = "j/";
+public final class Job {
+    public static final String PREFIX = "j/";
 
-    final JobSpec spec;
-    final long order;
-    final long acceptedAt;
-    final BitSet done = new BitSet();
+    public final JobSpec spec;
+    public final long order;
+    public final long acceptedAt;
+    public final BitSet done = new BitSet();
 
     /** Tasks that are done or claimed. */
-    final BitSet taken = new BitSet();
+    public final BitSet taken = new BitSet();
 
-    final Map<Integer, Claim> claims = new HashMap<>();
-    final Map<Integer, Retry> retries = new HashMap<>();
-    final Map<String, Integer> tasksInZone = new HashMap<>();
+    public final Map<Integer, Claim> claims = new HashMap<>();
+    public final Map<Integer, Retry> retries = new HashMap<>();
+    public final Map<String, Integer> tasksInZone = new HashMap<>();
 
     /** Machines that failed a task of this job. */
-    final Set<String> failedOn = new HashSet<>();
+    public final Set<String> failedOn = new HashSet<>();
 
     /** Users waiting for the acceptance, or for the cancellation, to be durable. */
-    List<Consumer<PeerRecord.Answer>> waiting = new ArrayList<>();
+    public List<Consumer<PeerRecord.Answer>> waiting = new ArrayList<>();
 
     /** Since when the first of them waits; 0: nobody does. */
-    long waitingSince;
+    public long waitingSince;
 
-    final Ledger.Entry record;
+    public final Ledger.Entry record;
 
     /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
-    int chunkTasks = 1;
+    public int chunkTasks = 1;
 
     /** A task of it was seen running, or is done. */
-    boolean begun;
+    public boolean begun;
 
-    boolean accepted;
-    boolean cancelled;
-    boolean cancelDurable;
+    public boolean accepted;
+    public boolean cancelled;
+    public boolean cancelDurable;
 
     /** Enough controllers know that it is cancelled. */
-    boolean cancelKnown;
+    public boolean cancelKnown;
 
     /** Users may hear that it is cancelled. */
-    boolean cancelTold;
+    public boolean cancelTold;
 
-    boolean ending;
+    public boolean ending;
 
     /** Its end is durable. */
-    boolean over;
+    public boolean over;
 
     /** The highest attempt of a gang of which a task has ended without being done; 0: none. */
-    long endedAttempt;
+    public long endedAttempt;
 
-    boolean withinGuarantee;
+    public boolean withinGuarantee;
 
     /** Since when room is being made for it where its image is; 0: not so. */
-    long keptBackAt;
+    public long keptBackAt;
 
-    int successes;
+    public int successes;
     private int doneCount;
     private int[] doneRecords;
 
     /** Pauses between the starts of a failing task. */
-    static final class Retry {
-        int failures;
-        long notBefore;
+    public static final class Retry {
+        public int failures;
+        public long notBefore;
     }
 
-    Job(JobSpec spec, long order, long acceptedAt, long revision) {
+    public Job(JobSpec spec, long order, long acceptedAt, long revision) {
         this.spec = spec;
         this.order = order;
         this.acceptedAt = acceptedAt;
         this.record = new Ledger.Entry(key(spec.id()), revision, this::write).excludes(endedKey(spec.id()));
     }
 
-    static String key(String id) {
+    public static String key(String id) {
         return PREFIX + id;
     }
 
-    static String endedKey(String id) {
+    public static String endedKey(String id) {
         return "e/" + id;
     }
 
-    static Job read(JsonNode v, long revision) throws JobSpec.Malformed {
+    public static Job read(JsonNode v, long revision) throws JobSpec.Malformed {
         Job job = new Job(
                 JobSpec.read(v.path("spec")),
                 v.path("order").asLong(),
@@ -121,7 +121,7 @@
     }
 
     /** Takes in that a task is done. */
-    void finish(int index) {
+    public void finish(int index) {
         taken.set(index);
         begun = true;
         if (!done.get(index)) {
@@ -130,16 +130,16 @@
         }
     }
 
-    int doneCount() {
+    public int doneCount() {
         return doneCount;
     }
 
     /** The number of the record that says that a task is done. */
-    int doneRecord(int index) {
+    public int doneRecord(int index) {
         return doneRecords == null ? 0 : doneRecords[index];
     }
 
-    void doneRecord(int from, int to, int number) {
+    public void doneRecord(int from, int to, int number) {
         if (doneRecords == null) {
             doneRecords = new int[spec.tasks()];
         }
@@ -147,7 +147,7 @@
     }
 
     /** The next task that waits and may start now; -1 when there is none. */
-    int nextWaiting(long now) {
+    public int nextWaiting(long now) {
         if (cancelled || ending || !accepted || spec.gang() && !gangReady(now)) {
             return -1;
         }
@@ -174,7 +174,7 @@
     }
 
     /** Whether all tasks are claimed under one attempt number. */
-    boolean claimsFormOneAttempt() {
+    public boolean claimsFormOneAttempt() {
         return claims.size() == spec.tasks()
                 && claims.values().stream()
                                 .mapToLong(claim -> claim.attempt)
@@ -183,15 +183,15 @@
                         == 1;
     }
 
-    int waitingCount() {
+    public int waitingCount() {
         return cancelled || ending || !accepted ? 0 : spec.tasks() - taken.cardinality();
     }
 
-    int unfinished() {
+    public int unfinished() {
         return spec.tasks() - doneCount;
     }
 
-    int runningCount() {
+    public int runningCount() {
         int running = 0;
         for (Claim claim : claims.values()) {
             if (claim.runningAt != 0) {
@@ -202,7 +202,7 @@
     }
 
     /** Whether a task that was sent to a machine may begin there without another word. */
-    boolean mayBegin() {
+    public boolean mayBegin() {
         for (Claim claim : claims.values()) {
             if (claim.stage == null || claim.stage == Report.Stage.FETCHING) {
                 return true;
--- a/src/main/java/stileferry/coordination/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.cluster;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,89 +10,89 @@
 import stileferry.protocol.Report;
 
 /** A machine and everything that may be on it. */
-final class Machine implements Comparable<Machine> {
+public final class Machine implements Comparable<Machine> {
     /** Sums of amounts may be off by this much. */
     private static final double ROUNDING = 1e-6;
 
-    final String name;
-    String addr = "";
-    String typeName = "";
-    MachineType type;
-    String zone = "";
-    boolean spot;
+    public final String name;
+    public String addr = "";
+    public String typeName = "";
+    public MachineType type;
+    public String zone = "";
+    public boolean spot;
 
     /** Heard from in this term. */
-    boolean heard;
+    public boolean heard;
 
-    long session;
+    public long session;
     /** When this session was first seen, which must have begun by then. */
-    long sessionSeenAt;
+    public long sessionSeenAt;
 
-    long seq;
-    long token;
-    long heardAt;
+    public long seq;
+    public long token;
+    public long heardAt;
 
     /** The newest report, without the answers to commands: what is not newer than that is a copy. */
-    long reportSession;
+    public long reportSession;
 
-    long reportSeq;
+    public long reportSeq;
 
     /** The starts in the last answer to a report. */
-    Set<String> answeredRuns = Set.of();
+    public Set<String> answeredRuns = Set.of();
 
     /** Since when nothing proves that this machine hears us; 0: it does, as far as we know. */
-    long unreachedSince;
+    public long unreachedSince;
 
     /** When a report of this machine was last answered in this term; 0: never. */
-    long answeredAt;
+    public long answeredAt;
 
     /** Its silence as it is noted in the state service; null: not noted. */
-    Silence silence;
+    public Silence silence;
 
     /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
-    long answeredBefore = -1;
+    public long answeredBefore = -1;
 
     /** The session of which that is known. */
-    long answeredBeforeSession;
+    public long answeredBeforeSession;
 
     /** The highest session that is proven to be over, or will be as soon as the machine is heard again. */
-    long lapsedSession;
+    public long lapsedSession;
 
     /** Seconds until the cloud takes the machine, or -1. */
-    double noticeS = -1;
+    public double noticeS = -1;
 
-    long rentedAt;
+    public long rentedAt;
 
     /** Known to be coming up, since this leader rented it or the list said so. */
-    boolean booting;
+    public boolean booting;
 
-    boolean listed;
-    long missingSince;
-    boolean draining;
-    boolean faulty;
-    boolean deleting;
-    long idleSince;
-    long placeAfter;
+    public boolean listed;
+    public long missingSince;
+    public boolean draining;
+    public boolean faulty;
+    public boolean deleting;
+    public long idleSince;
+    public long placeAfter;
 
     /** The newest that was heard from it, in a report or in an answer; null: nothing. */
-    Report last;
+    public Report last;
 
     /**
      * The last report told of every claim, all of them as they should be, and of nothing else. As long as reports tell
      * the same there is nothing to take in and nothing to say.
      */
-    boolean asWanted;
+    public boolean asWanted;
 
-    final Map<String, Claim> claims = new LinkedHashMap<>();
+    public final Map<String, Claim> claims = new LinkedHashMap<>();
 
     /** Reported tasks that no claim stands for: they are killed, and nothing starts here before they are gone. */
-    boolean strays;
+    public boolean strays;
 
     /** Starts whose outcome is not durable yet, so that they may not be cleared. */
-    final Set<String> settling = new HashSet<>();
+    public final Set<String> settling = new HashSet<>();
 
     /** Direct start commands without an answer: such a command may be carried out at any time. */
-    final Map<String, Integer> openRuns = new HashMap<>();
+    public final Map<String, Integer> openRuns = new HashMap<>();
 
     /** Images that tasks here were seen with, the latest last, with their sizes. */
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
@@ -101,7 +101,7 @@
     private final Map<String, Integer> fetches = new HashMap<>();
 
     /** Jobs that failed here since a task last succeeded here. */
-    final Map<String, Integer> failures = new HashMap<>();
+    public final Map<String, Integer> failures = new HashMap<>();
 
     /** Where the index of rooms holds this machine; kept by the index. */
     int roomSlot = -1;
@@ -117,11 +117,11 @@
     }
 
     /** True when the worker has taken this leader's term, so that no older leader is obeyed or renews its lease. */
-    boolean accepted(long term) {
+    public boolean accepted(long term) {
         return token >= term;
     }
 
-    boolean usable() {
+    public boolean usable() {
         return heard
                 && type != null
                 && !draining
@@ -133,12 +133,12 @@
     }
 
     /** The tasks that it was last said to have. */
-    List<Report.TaskState> lastTasks() {
+    public List<Report.TaskState> lastTasks() {
         return last == null ? List.of() : last.tasks();
     }
 
     /** Whether a report tells nothing but that the machine is still there as it was. */
-    boolean sameAsBefore(Report r) {
+    public boolean sameAsBefore(Report r) {
         return asWanted
                 && r.tasks() == last.tasks()
                 && r.session() == session
@@ -154,7 +154,7 @@
     }
 
     /** CPUs of all tasks that may be here. */
-    double usedCpus() {
+    public double usedCpus() {
         return cpusUsed;
     }
 
@@ -169,7 +169,7 @@
     }
 
     /** Whether a task of this job fits beside all that may be here. */
-    boolean hasRoom(Job job) {
+    public boolean hasRoom(Job job) {
         return hasRoom(job.spec.cpus(), job.spec.gpus(), job.spec.memoryGb());
     }
 
@@ -181,7 +181,7 @@
     }
 
     /** How many tasks of this job would fit beside the tasks of its priority and above. */
-    int tasksFittingWithoutLess(Job job) {
+    public int tasksFittingWithoutLess(Job job) {
         double cpus = type.cpus() - cpusUsed;
         double gpus = type.gpus() - gpusUsed;
         double memory = type.memoryGb() - memoryUsed;
@@ -201,17 +201,17 @@
         return wanted == 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + ROUNDING) / wanted);
     }
 
-    void finished(double runS, double waitS, double thresholdS) {
+    public void finished(double runS, double waitS, double thresholdS) {
         slowdownSum += Math.max(1, (runS + waitS) / Math.max(runS, thresholdS));
         slowdownCount++;
     }
 
     /** Average bounded slowdown of the tasks finished here; 1 without history. */
-    double slowdown() {
+    public double slowdown() {
         return slowdownCount == 0 ? 1 : slowdownSum / slowdownCount;
     }
 
-    void holds(String image, double gb) {
+    public void holds(String image, double gb) {
         images.put(image, gb);
         double sum = 0;
         for (double size : images.values()) {
@@ -223,12 +223,12 @@
         }
     }
 
-    boolean hasImage(String image) {
+    public boolean hasImage(String image) {
         return images.containsKey(image);
     }
 
     /** Images that tasks which may be here still wait for. */
-    int fetching() {
+    public int fetching() {
         int fetching = 0;
         for (String image : fetches.keySet()) {
             fetching += images.containsKey(image) ? 0 : 1;
@@ -237,7 +237,7 @@
     }
 
     /** How near an image is: 2, it is here; 1, a task that may be here fetches it; 0, neither. */
-    int nearness(String image) {
+    public int nearness(String image) {
         return images.containsKey(image) ? 2 : fetches.containsKey(image) ? 1 : 0;
     }
 }
--- a/src/main/java/stileferry/coordination/Reservations.java
+++ b/src/main/java/stileferry/cluster/Reservations.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.cluster;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,7 +9,7 @@
  * Room on machines that is being made for waiting jobs by stopping other work. Until those jobs start, less urgent
  * work may not take it: it would be stopped again at once, and each such start costs writes in the state service.
  */
-final class Reservations {
+public final class Reservations {
     /** Amounts on one machine that are reserved for one job. */
     private static final class Amounts {
         double cpus;
@@ -20,13 +20,13 @@
     private final Map<String, Map<Job, Amounts>> byMachine = new HashMap<>();
     private final Map<Job, Set<String>> machinesOf = new HashMap<>();
 
-    void clear() {
+    public void clear() {
         byMachine.clear();
         machinesOf.clear();
     }
 
     /** Reserves room for one more task of a job. */
-    void add(Job job, Machine machine) {
+    public void add(Job job, Machine machine) {
         Amounts amounts = byMachine
                 .computeIfAbsent(machine.name, name -> new HashMap<>())
                 .computeIfAbsent(job, j -> new Amounts());
@@ -37,7 +37,7 @@
     }
 
     /** The job has started, or its room is decided on anew. */
-    void remove(Job job) {
+    public void remove(Job job) {
         Set<String> machines = machinesOf.remove(job);
         if (machines != null) {
             machines.forEach(machine -> byMachine.get(machine).remove(job));
@@ -45,7 +45,7 @@
     }
 
     /** Whether a task of this job fits on a machine beside the room that is reserved there for more urgent jobs. */
-    boolean leaveRoom(Machine machine, Job job) {
+    public boolean leaveRoom(Machine machine, Job job) {
         Map<Job, Amounts> reserved = byMachine.get(machine.name);
         if (reserved == null) {
             return true;
--- a/src/main/java/stileferry/coordination/Silence.java
+++ b/src/main/java/stileferry/cluster/Silence.java
@@ -1,21 +1,21 @@
-package stileferry.coordination;
+package stileferry.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** One machine's silence: when a report of it was last answered, and by which leader. */
-final class Silence {
-    final String machine;
-    final long session;
-    final long answeredAt;
-    final long term;
+public final class Silence {
+    public final String machine;
+    public final long session;
+    public final long answeredAt;
+    public final long term;
 
     /** The number of the stored record that holds it. */
     private long record;
 
     /** It need not be stored any more. */
-    boolean over;
+    public boolean over;
 
-    Silence(String machine, long session, long answeredAt, long term) {
+    public Silence(String machine, long session, long answeredAt, long term) {
         this.machine = machine;
         this.session = session;
         this.answeredAt = answeredAt;
@@ -23,16 +23,16 @@
     }
 
     /** Notes the number of the stored record that holds it now. */
-    void stored(long number) {
+    public void stored(long number) {
         record = number;
     }
 
     /** Whether the stored record of this number holds it. */
-    boolean storedIn(long number) {
+    public boolean storedIn(long number) {
         return record == number;
     }
 
-    static Silence read(JsonNode e) {
+    public static Silence read(JsonNode e) {
         return new Silence(
                 e.path(1).asText(),
                 e.path(2).asLong(),
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -7,6 +7,14 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.admissioncontrol.AdmissionControl;
+import stileferry.admissioncontrol.FairAdmission;
+import stileferry.heartbeat.EventLoopLag;
+import stileferry.heartbeat.FollowerReports;
+import stileferry.leadership.Leadership;
+import stileferry.lifecycle.EndedJobCache;
+import stileferry.links.LinkAwareness;
+import stileferry.links.PartialCuts;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Features;
 import stileferry.protocol.MachineType;
@@ -16,6 +24,10 @@
 import stileferry.protocol.PeerRecord;
 import stileferry.protocol.Report;
 import stileferry.protocol.Settings;
+import stileferry.requests.Admin;
+import stileferry.requests.Answers;
+import stileferry.requests.BatchReply;
+import stileferry.requests.Counters;
 import stileferry.storage.StateClient;
 
 /**
@@ -55,7 +67,9 @@
     public Coordinator(Settings settings, Features features, Environment plain) {
         this.settings = settings;
         this.ended = new EndedJobCache(settings.maxSockets());
-        this.links = features.partialCuts() ? new PartialCuts(settings, plain, Leadership.lifeMs(settings)) : LinkAwareness.NONE;
+        this.links = features.partialCuts()
+                ? new PartialCuts(settings, plain, Leadership.lifeMs(settings))
+                : LinkAwareness.NONE;
         this.environment = links.environment(plain);
         this.state = new StateClient(environment, settings);
         this.admission =
--- a/src/main/java/stileferry/coordination/StateLoader.java
+++ b/src/main/java/stileferry/coordination/StateLoader.java
@@ -5,6 +5,13 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.admissioncontrol.AdmissionRecords;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Silence;
+import stileferry.leadership.Leadership;
+import stileferry.lifecycle.TaskEvents;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Options;
@@ -45,10 +52,7 @@
 
     /** What was read beside jobs and claims. */
     record Loaded(
-            long optionsRevision,
-            int claims,
-            Iterable<Silence> silences,
-            List<StateClient.Row> admissionShards) {}
+            long optionsRevision, int claims, Iterable<Silence> silences, List<StateClient.Row> admissionShards) {}
 
     /** {@code countsAdmissions}: whether the count of admissions is read too. */
     StateLoader(
--- a/src/main/java/stileferry/coordination/CommandSender.java
+++ b/src/main/java/stileferry/heartbeat/CommandSender.java
@@ -1,10 +1,14 @@
-package stileferry.coordination;
+package stileferry.heartbeat;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
+import stileferry.leadership.Leadership;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Messages;
@@ -12,7 +16,7 @@
 import stileferry.protocol.Report;
 
 /** Decides what workers shall do, and sends it to them without waiting for their reports where that is worth it. */
-final class CommandSender {
+public final class CommandSender {
     private static final long ANNOUNCE_MS = 100;
 
     /** A question without a task in it waits for so many report intervals: many may be asked that can't answer. */
@@ -138,12 +142,12 @@
     }
 
     /** Wants commands to go out to this machine without waiting for its next report. */
-    void sendSoon(Machine m) {
+    public void sendSoon(Machine m) {
         wanted.add(m);
     }
 
     /** Tells every machine that was not heard yet this term, a few at a time: most will have reported before. */
-    void announceTerm() {
+    public void announceTerm() {
         cluster.machines.values().forEach(m -> {
             if (!m.heard) {
                 toAnnounceTo.add(m);
@@ -175,7 +179,7 @@
     }
 
     /** Notes machines in doubt, to be asked whether they hear us, and silent ones, whether they are there. */
-    void probe() {
+    public void probe() {
         long now = environment.now();
         for (Machine m : cluster.machines.values()) {
             boolean doubtful = m.unreachedSince != 0 && now - m.unreachedSince > reportMs / 2;
@@ -188,7 +192,7 @@
     }
 
     /** Sends what was wanted since the last turn; machines not heard lately get it in answer to their reports. */
-    void send() {
+    public void send() {
         if (closed) {
             return;
         }
--- a/src/main/java/stileferry/coordination/EventLoopLag.java
+++ b/src/main/java/stileferry/heartbeat/EventLoopLag.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.heartbeat;
 
 import stileferry.protocol.Environment;
 
@@ -6,7 +6,7 @@
  * How far a controller is behind with its work, as its own timers tell: a process that is given less processor time
  * than it asks for carries them out late. What can be done in a cheaper way, if somewhat later, then is.
  */
-final class EventLoopLag {
+public final class EventLoopLag {
     /** Beats in a report interval. */
     private static final int BEATS = 10;
 
@@ -28,14 +28,14 @@
     private double lateMs;
     private long most;
 
-    EventLoopLag(Environment environment, double reportS) {
+    public EventLoopLag(Environment environment, double reportS) {
         this.environment = environment;
         this.beatMs = Math.max(1, Math.round(1000 * reportS / BEATS));
         this.behindMs = 1000 * reportS * BEHIND_SHARE;
     }
 
     /** Begins to measure. */
-    void start() {
+    public void start() {
         long due = environment.now() + beatMs;
         environment.after(beatMs, () -> {
             long late = Math.max(0, environment.now() - due);
@@ -46,22 +46,22 @@
     }
 
     /** Whether there is more to do than this process can do in time. */
-    boolean behind() {
+    public boolean behind() {
         return lateMs > behindMs;
     }
 
     /** Whether there is about as much to do as this process can do in time. */
-    boolean strained() {
+    public boolean strained() {
         return lateMs > behindMs * STRAINED_PART;
     }
 
     /** By how much the last timers were late, in milliseconds. */
-    long lateMs() {
+    public long lateMs() {
         return Math.round(lateMs);
     }
 
     /** By how much any timer was late since the start, in milliseconds. */
-    long mostLateMs() {
+    public long mostLateMs() {
         return most;
     }
 }
--- a/src/main/java/stileferry/coordination/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.heartbeat;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,13 +8,17 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
+import stileferry.leadership.Leadership;
 import stileferry.protocol.Environment;
 
 /**
  * Judges machines that are silent: whose lease has lapsed for certain, which are most likely lost, and which zones the
  * network keeps apart. Silence proves nothing by itself; only a lapsed lease does.
  */
-final class FailureDetector {
+public final class FailureDetector {
     /** After so many report intervals a machine is silent: reports come a quarter late at most. */
     static final double SILENT_AFTER_REPORTS = 1.4;
 
@@ -82,7 +86,7 @@
     }
 
     /** Looks for leases that have lapsed for certain. */
-    void checkLeases() {
+    public void checkLeases() {
         long now = environment.now();
         long acked = leadership.allAckedAt();
         for (Machine m : cluster.machines.values()) {
@@ -111,7 +115,7 @@
     }
 
     /** Zones of which so many machines are silent that the network must be at fault, rather than each of them. */
-    Set<String> unreachableZones(long activeSince) {
+    public Set<String> unreachableZones(long activeSince) {
         long before = environment.now() - Math.round(SILENT_AFTER_REPORTS * reportMs);
         Map<String, int[]> zones = new HashMap<>();
         for (Machine m : cluster.machines.values()) {
@@ -137,7 +141,7 @@
     }
 
     /** Machines with work that are most likely gone or hang: they neither report nor answer, though their zone does. */
-    List<Machine> lost(long activeSince) {
+    public List<Machine> lost(long activeSince) {
         long forSpot = environment.now() - Math.round(LOST_AFTER_LEASES * leaseMs);
         long forOthers =
                 Math.min(forSpot, environment.now() - Math.round(LATE_REPORT * reportMs) - DETOURS * DETOUR_MS);
@@ -161,7 +165,7 @@
     /**
      * Whether a command that is sent now can be expected to arrive: the machine reports in time, and heard us before.
      */
-    boolean hears(Machine m) {
+    public boolean hears(Machine m) {
         return m.heard
                 && !m.deleting
                 && m.unreachedSince == 0
@@ -169,7 +173,7 @@
     }
 
     /** True when nothing was heard for longer than reports can take. */
-    boolean silent(Machine m) {
+    public boolean silent(Machine m) {
         return m.heard && environment.now() - m.heardAt > 2 * reportMs;
     }
 }
--- a/src/main/java/stileferry/coordination/Fleet.java
+++ b/src/main/java/stileferry/heartbeat/Fleet.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.heartbeat;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -8,6 +8,10 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
+import stileferry.leadership.Leadership;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
@@ -18,7 +22,7 @@
  * The workers in one term: takes their reports, decides what is proven by them, and answers with what they shall do.
  * Silence proves nothing; only an exit, a higher session, a lapsed lease or a deleted machine does.
  */
-final class Fleet {
+public final class Fleet {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
     private final ClusterState cluster;
@@ -33,7 +37,7 @@
     private final FailureDetector failures;
     private final CommandSender commands;
 
-    Fleet(
+    public Fleet(
             ClusterState cluster,
             Environment environment,
             Leadership leadership,
@@ -60,22 +64,22 @@
                 (machine, report) -> take(machine, report, false));
     }
 
-    void close() {
+    public void close() {
         commands.close();
     }
 
     /** What silent machines are judged by. */
-    FailureDetector failures() {
+    public FailureDetector failures() {
         return failures;
     }
 
     /** What is sent to machines without waiting for their reports. */
-    CommandSender commands() {
+    public CommandSender commands() {
         return commands;
     }
 
     /** Takes a report and replies with the answer's body; null when this report must not be answered with 200. */
-    void report(Report r, Consumer<byte[]> reply) {
+    public void report(Report r, Consumer<byte[]> reply) {
         Machine m = mayAnswer(r) ? cluster.machine(r.machine()) : null;
         if (m == null) {
             reply.accept(null);
@@ -167,7 +171,7 @@
     }
 
     /** Answers a report before the claims have been read: the lease is renewed, and cancelled jobs are stopped. */
-    byte[] hold(Report r) {
+    public byte[] hold(Report r) {
         Machine m = cluster.machine(r.machine());
         m.addr = r.addr();
         m.answeredAt = environment.now();
@@ -333,7 +337,7 @@
     }
 
     /** The cloud has confirmed that a machine is gone with all that was on it. */
-    void deleted(Machine m) {
+    public void deleted(Machine m) {
         for (Claim c : List.copyOf(m.claims.values())) {
             events.gone(c, "machine deleted");
         }
--- a/src/main/java/stileferry/coordination/FollowerReports.java
+++ b/src/main/java/stileferry/heartbeat/FollowerReports.java
@@ -1,6 +1,9 @@
-package stileferry.coordination;
+package stileferry.heartbeat;
 
 import java.util.function.BiConsumer;
+import stileferry.leadership.LeaderlessRenewal;
+import stileferry.leadership.Leadership;
+import stileferry.links.LinkAwareness;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
@@ -9,7 +12,7 @@
 import stileferry.protocol.Settings;
 
 /** What becomes of a worker's report at a controller that does not lead. */
-final class FollowerReports {
+public final class FollowerReports {
     /** A report waits this long at most for a new leader that is about to be known: half of its worker's patience. */
     private static final long NEW_LEADER_MS = 2000;
 
@@ -29,7 +32,7 @@
     private final long startedAt;
 
     /** The last argument answers a report when this node has come to lead meanwhile. */
-    FollowerReports(
+    public FollowerReports(
             Settings settings,
             Environment environment,
             Leadership leadership,
@@ -47,7 +50,7 @@
     }
 
     /** Sends a worker to the leader, or passes its report on. */
-    void take(Report report, byte[] body, BiConsumer<Integer, byte[]> reply) {
+    public void take(Report report, byte[] body, BiConsumer<Integer, byte[]> reply) {
         redirectOrWait(report, body, environment.now() + NEW_LEADER_MS, reply);
     }
 
--- a/src/main/java/stileferry/coordination/SilenceRecords.java
+++ b/src/main/java/stileferry/heartbeat/SilenceRecords.java
@@ -1,6 +1,5 @@
-package stileferry.coordination;
+package stileferry.heartbeat;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,6 +7,10 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
+import stileferry.cluster.Silence;
+import stileferry.leadership.Leadership;
 import stileferry.protocol.Environment;
 import stileferry.storage.Ledger;
 
@@ -21,13 +24,13 @@
  * answers without a look at notes, but only with the consent of every controller's process, so a process remembers when
  * it last consented, or that it did not live yet.
  */
-final class SilenceRecords {
+public final class SilenceRecords {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
     /** Kinds of events in the records, beside those of tasks. */
-    static final int SILENT = 3;
+    public static final int SILENT = 3;
 
-    static final int HEARD = 4;
+    public static final int HEARD = 4;
 
     /** Reports come a quarter late at most, and one may get lost. */
     private static final double NOTE_AFTER_REPORTS = 1.5;
@@ -106,7 +109,8 @@
         }
     }
 
-    SilenceRecords(ClusterState cluster, Environment environment, Ledger ledger, Leadership leadership, long term) {
+    public SilenceRecords(
+            ClusterState cluster, Environment environment, Ledger ledger, Leadership leadership, long term) {
         this.cluster = cluster;
         this.environment = environment;
         this.ledger = ledger;
@@ -117,7 +121,7 @@
     }
 
     /** Takes in what the former leader noted, once the claims are known. */
-    void takeOver(Iterable<Silence> notes) {
+    public void takeOver(Iterable<Silence> notes) {
         if (clockOffMs < 0) {
             return; // clocks of which nothing is said can't be compared
         }
@@ -163,7 +167,7 @@
     }
 
     /** Refuses what has waited for too long; its worker asks again. */
-    void giveUp() {
+    public void giveUp() {
         long before = environment.now() - DURABLE_MS;
         for (List<Waiting> reports : waiting.values()) {
             reports.removeIf(w -> {
@@ -176,7 +180,7 @@
     }
 
     /** Refuses all that waits. */
-    void close() {
+    public void close() {
         waiting.values().forEach(reports -> reports.forEach(w -> w.refuse.run()));
         waiting.clear();
     }
--- a/src/main/java/stileferry/coordination/TaskObserver.java
+++ b/src/main/java/stileferry/heartbeat/TaskObserver.java
@@ -1,9 +1,12 @@
-package stileferry.coordination;
+package stileferry.heartbeat;
 
+import stileferry.cluster.Claim;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
 import stileferry.protocol.Report;
 
 /** What becomes known of claimed tasks. */
-interface TaskObserver {
+public interface TaskObserver {
     /** The task has exited; its claim is to be settled. */
     void exited(Machine machine, Claim claim, Report.TaskState state);
 
--- a/src/main/java/stileferry/coordination/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -1,7 +1,8 @@
-package stileferry.coordination;
+package stileferry.heartbeat;
 
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
+import stileferry.links.LinkAwareness;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Settings;
 
--- a/src/main/java/stileferry/coordination/Cancellations.java
+++ b/src/main/java/stileferry/leadership/Cancellations.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.leadership;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -23,7 +23,7 @@
  * does not know a cancellation only if it was not among those told; so n - n/2 informed processes together know all
  * of them (docs/design.md, "Cancellations"). Only processes that say that they keep this count.
  */
-final class Cancellations {
+public final class Cancellations {
     /** Jobs are remembered for so many times as long as their tasks may last after the last that was heard of them. */
     private static final int REMEMBERED = 2;
 
@@ -87,13 +87,13 @@
     // ---- what is known
 
     /** Takes in that a job's cancellation is durable. */
-    void add(String id) {
+    public void add(String id) {
         known.remove(id);
         known.put(id, environment.now());
     }
 
     /** Stops for the tasks of cancelled jobs that a report tells of. */
-    List<Signal> stops(Report report) {
+    public List<Signal> stops(Report report) {
         List<Signal> stops = new ArrayList<>();
         for (Report.TaskState t : report.tasks()) {
             int slash = t.task().indexOf('/');
@@ -107,7 +107,7 @@
     }
 
     /** Whether this process and what others said in this node's term hold every cancellation before this term. */
-    boolean knowsWhatWasBefore() {
+    public boolean knowsWhatWasBefore() {
         int count = informed ? 1 : 0;
         for (Peer peer : peers) {
             count += peer.answered && peer.informed ? 1 : 0;
@@ -150,7 +150,7 @@
     }
 
     /** All cancelled jobs have been read and were handed over by {@link #confirm}. */
-    void allRead() {
+    public void allRead() {
         informed = true;
         complete = true;
     }
@@ -169,7 +169,7 @@
     }
 
     /** No task of this job is on a machine any more. */
-    void over(String id) {
+    public void over(String id) {
         standing.remove(id);
     }
 
--- a/src/main/java/stileferry/coordination/LeaderlessRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessRenewal.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.leadership;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
  * since nobody resumes a term and later terms are higher; so nobody counts on that lease lapsing. A later leader
  * counts a lapse only from when the worker accepted its term, or every controller acknowledged it.
  */
-final class LeaderlessRenewal {
+public final class LeaderlessRenewal {
     private static final Logger LOG = LoggerFactory.getLogger("renewal");
     private static final long ANSWER_MS = 800;
 
@@ -34,14 +34,14 @@
 
     private record Waiting(Report report, BiConsumer<Integer, byte[]> reply) {}
 
-    LeaderlessRenewal(Environment environment, Leadership leadership, List<Settings.Peer> peers) {
+    public LeaderlessRenewal(Environment environment, Leadership leadership, List<Settings.Peer> peers) {
         this.environment = environment;
         this.leadership = leadership;
         this.peers = peers;
     }
 
     /** Takes a report that no leader can be found for. */
-    void take(Report report, BiConsumer<Integer, byte[]> reply) {
+    public void take(Report report, BiConsumer<Integer, byte[]> reply) {
         waiting.add(new Waiting(report, reply));
         ask();
     }
--- a/src/main/java/stileferry/coordination/Leadership.java
+++ b/src/main/java/stileferry/leadership/Leadership.java
@@ -1,10 +1,11 @@
-package stileferry.coordination;
+package stileferry.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.links.LinkAwareness;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerRecord;
@@ -16,13 +17,13 @@
  * that never decreases. This class follows the key, runs for it when it is gone, keeps it when it is won, and
  * remembers the highest term that anybody told.
  */
-final class Leadership {
+public final class Leadership {
     static final String PREFIX = "a/";
-    static final String LEADER_KEY = "a/lead";
-    static final String TERM_KEY = "a/term";
+    public static final String LEADER_KEY = "a/lead";
+    public static final String TERM_KEY = "a/term";
 
     /** Holds the operators' settings. */
-    static final String OPTIONS_KEY = "a/options";
+    public static final String OPTIONS_KEY = "a/options";
 
     private static final Logger LOG = LoggerFactory.getLogger("leadership");
 
@@ -74,7 +75,7 @@
     private long consentedAt;
 
     /** What the coordinator wants to know. */
-    interface Listener {
+    public interface Listener {
         /** This node leads from now on. */
         void elected(long term, long leaderRevision);
 
@@ -86,7 +87,7 @@
     }
 
     /** {@code countsAdmissions}: whether this controller counts what it accepts while it leads. */
-    Leadership(
+    public Leadership(
             Environment environment,
             StateClient state,
             Settings settings,
@@ -112,7 +113,7 @@
      * busy lost its lease, and the next one had so much to read and to ask that it lost it too: on one day 31 terms
      * began in five minutes.
      */
-    static long lifeMs(Settings settings) {
+    public static long lifeMs(Settings settings) {
         double ample = Math.max(1000, Math.min(1500, settings.workers().reportS() * LIFE_IN_REPORTS * 1000));
         double most = Math.max(ample, settings.workers().leaseS() * 1000 * LIFE_IN_LEASES);
         return Math.round(Math.min(most, ample * settings.slowness()));
@@ -128,26 +129,26 @@
         return Math.round(cancelMs - leaseMs - DRIFT * (cancelMs + leaseMs)) - RENEW_SLACK_MS;
     }
 
-    void start() {
+    public void start() {
         look(++round);
         ping();
     }
 
-    long term() {
+    public long term() {
         return term;
     }
 
-    boolean leading() {
+    public boolean leading() {
         return leading;
     }
 
     /** The first term of the unbroken run of leaders that count admissions, up to this node's term; 0: it does not. */
-    long countingSince() {
+    public long countingSince() {
         return countingSince;
     }
 
     /** True while this node's lease cannot have ended, counted from when its renewal was sent. */
-    boolean sure() {
+    public boolean sure() {
         return leading && environment.now() < sureUntil;
     }
 
@@ -157,29 +158,29 @@
      * while enough other controllers say that there is no other leader, and for as long as what it renews will still
      * lapse in time.
      */
-    boolean mayRenew() {
+    public boolean mayRenew() {
         return sure()
                 || leading && environment.now() < Math.max(sureUntil, cancellations.nothingMissedUntil()) + renewMs;
     }
 
     /** What this process knows of cancelled jobs. */
-    Cancellations cancellations() {
+    public Cancellations cancellations() {
         return cancellations;
     }
 
     /** Tells the other controllers at once that a job's cancellation is durable; the action runs when enough know. */
-    void tellCancelled(String id, Runnable then) {
+    public void tellCancelled(String id, Runnable then) {
         cancellations.confirm(id, then);
         tell();
     }
 
     /** The leader's name; empty when nobody is known to lead. */
-    String leader() {
+    public String leader() {
         return leading ? settings.node() : leader;
     }
 
     /** The leader as a peer; null when it is this node or unknown. */
-    Settings.Peer leaderPeer() {
+    public Settings.Peer leaderPeer() {
         if (!leading) {
             for (Settings.Peer peer : settings.peers()) {
                 if (peer.node().equals(leader)) {
@@ -190,12 +191,12 @@
         return null;
     }
 
-    long leaderHeardAt() {
+    public long leaderHeardAt() {
         return leaderHeardAt;
     }
 
     /** When the last controller acknowledged this term, after which none speaks for an older one; -1: not yet. */
-    long allAckedAt() {
+    public long allAckedAt() {
         long last = ledSince;
         for (long at : ackedAt) {
             if (at < 0) {
@@ -207,7 +208,7 @@
     }
 
     /** Takes what another controller says and answers with what this one knows. */
-    PeerRecord.Term hear(PeerRecord.Term heard) {
+    public PeerRecord.Term hear(PeerRecord.Term heard) {
         learn(heard);
         cancellations.heard(heard, heard.term() >= term);
         if (!heard.leading() && !leading) {
@@ -222,7 +223,7 @@
     }
 
     /** When this process last let another one answer reports without a leader; it has not done so since. */
-    long consentedAt() {
+    public long consentedAt() {
         return consentedAt;
     }
 
@@ -237,7 +238,7 @@
     }
 
     /** Takes a term seen anywhere: in another controller's words or in a worker's report. */
-    void learn(long heardTerm, String heardLeader) {
+    public void learn(long heardTerm, String heardLeader) {
         if (heardTerm < term) {
             return;
         }
@@ -256,7 +257,7 @@
     }
 
     /** Gives the leadership up, for example after a transaction has failed its comparison. */
-    void resign() {
+    public void resign() {
         if (leading) {
             LOG.info("giving up term {}", term);
             String old = lease;
--- a/src/main/java/stileferry/coordination/TermNumbers.java
+++ b/src/main/java/stileferry/leadership/TermNumbers.java
@@ -1,18 +1,18 @@
-package stileferry.coordination;
+package stileferry.leadership;
 
 /** Numbers that no other term gives out: those of a later term are always higher. */
-final class TermNumbers {
+public final class TermNumbers {
     private static final long NUMBERS_PER_TERM = 1L << 32;
 
     private final long first;
     private long given;
 
-    TermNumbers(long term) {
+    public TermNumbers(long term) {
         this.first = term * NUMBERS_PER_TERM;
     }
 
     /** The next number, higher than all before. */
-    long next() {
+    public long next() {
         return first + ++given;
     }
 }
--- a/src/main/java/stileferry/coordination/TermRecord.java
+++ b/src/main/java/stileferry/leadership/TermRecord.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,13 +14,13 @@
  *     not
  * @param revision of the key; 0: it does not exist
  */
-record TermRecord(long term, long countingSince, long revision) {
+public record TermRecord(long term, long countingSince, long revision) {
     /** Nothing is stored. */
     static final TermRecord NONE = new TermRecord(0, 0, 0);
 
     private static final String COUNTING_SINCE = "counting_since";
 
-    static TermRecord read(JsonNode value, long revision) {
+    public static TermRecord read(JsonNode value, long revision) {
         return new TermRecord(
                 value.path("term").asLong(), value.path(COUNTING_SINCE).asLong(), revision);
     }
--- a/src/main/java/stileferry/coordination/EndedJobCache.java
+++ b/src/main/java/stileferry/lifecycle/EndedJobCache.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.lifecycle;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -8,13 +8,13 @@
 import stileferry.protocol.Messages;
 
 /** Jobs that are over, as far as they were asked for lately. An ended job never changes, so nothing here is stale. */
-final class EndedJobCache {
+public final class EndedJobCache {
     /** Jobs for each socket: users ask again over some of these connections at a time. */
     private static final int MOST_EACH_SOCKET = 2;
 
     private final Cache<String, Ended> cache;
 
-    EndedJobCache(int maxSockets) {
+    public EndedJobCache(int maxSockets) {
         cache = CacheBuilder.newBuilder()
                 .maximumSize((long) MOST_EACH_SOCKET * maxSockets)
                 .concurrencyLevel(1)
@@ -22,8 +22,8 @@
     }
 
     /** How a job ended. */
-    record Ended(String how, int tasksDone) {
-        static Ended read(JsonNode v) {
+    public record Ended(String how, int tasksDone) {
+        public static Ended read(JsonNode v) {
             return new Ended(v.path("how").asText(), v.path("done").asInt());
         }
 
@@ -31,16 +31,16 @@
             return MessageCodec.map().put("how", how).put("done", tasksDone);
         }
 
-        ObjectNode answer(String id) {
+        public ObjectNode answer(String id) {
             return Messages.jobState(id, how, tasksDone, 0);
         }
     }
 
-    Ended get(String id) {
+    public Ended get(String id) {
         return cache.getIfPresent(id);
     }
 
-    void put(String id, Ended ended) {
+    public void put(String id, Ended ended) {
         cache.put(id, ended);
     }
 }
--- a/src/main/java/stileferry/coordination/GangCounters.java
+++ b/src/main/java/stileferry/lifecycle/GangCounters.java
@@ -1,11 +1,12 @@
-package stileferry.coordination;
+package stileferry.lifecycle;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import stileferry.cluster.Claim;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Report;
 
 /** Counts what became of the attempts of gangs in one term, each attempt once, by the first task that ended. */
-final class GangCounters {
+public final class GangCounters {
     private long attempts;
     private long started;
     private long saved;
@@ -47,7 +48,7 @@
         return first;
     }
 
-    ObjectNode describe() {
+    public ObjectNode describe() {
         return MessageCodec.map()
                 .put("attempts", attempts)
                 .put("started", started)
--- a/src/main/java/stileferry/coordination/JobEnds.java
+++ b/src/main/java/stileferry/lifecycle/JobEnds.java
@@ -1,11 +1,15 @@
-package stileferry.coordination;
+package stileferry.lifecycle;
 
 import java.util.List;
 import java.util.function.Consumer;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.leadership.Leadership;
 import stileferry.storage.Ledger;
 
 /** Ends of jobs, done or cancelled. Users hear of them when they are durable, of cancellations when enough know. */
-final class JobEnds {
+public final class JobEnds {
     private final ClusterState cluster;
     private final Ledger ledger;
     private final EndedJobCache ended;
@@ -14,7 +18,7 @@
     private final Consumer<Claim> stop;
 
     /** Told of what users may hear. */
-    interface Listener {
+    public interface Listener {
         /** A job's end is durable. */
         void ended(Job job, EndedJobCache.Ended end);
 
@@ -23,7 +27,7 @@
     }
 
     /** The consumer stops a claimed task at once. */
-    JobEnds(
+    public JobEnds(
             ClusterState cluster,
             Ledger ledger,
             EndedJobCache ended,
@@ -39,7 +43,7 @@
     }
 
     /** Ends the jobs that were over when a term began, and goes on with what was cancelled. */
-    void endWhatIsOver() {
+    public void endWhatIsOver() {
         for (Job job : List.copyOf(cluster.jobs.values())) {
             if (job.cancelled) {
                 cancelDurable(job);
@@ -79,7 +83,7 @@
         });
     }
 
-    void cancel(Job job) {
+    public void cancel(Job job) {
         job.cancelled = true;
         for (Claim claim : List.copyOf(job.claims.values())) {
             if (claim.runsSent == 0) {
--- a/src/main/java/stileferry/coordination/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.lifecycle;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -7,10 +7,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import stileferry.cluster.Claim;
+import stileferry.cluster.Job;
+import stileferry.cluster.Silence;
+import stileferry.heartbeat.SilenceRecords;
 import stileferry.storage.Ledger;
 
 /** What is stored of tasks: claims, their ends, and tasks that are done; and how all events are read again. */
-final class TaskEvents {
+public final class TaskEvents {
     private static final int CLAIMED = 0;
     private static final int FREED = 1;
     private static final int DONE = 2;
@@ -130,17 +134,17 @@
     }
 
     /** Reads stored records, in the order in which they were written. */
-    static final class Reader {
+    public static final class Reader {
         private final Map<String, Job> jobs;
         private final Map<Job, Map<Integer, Claim>> claims = new LinkedHashMap<>(); // so that seeds repeat
         private final Map<String, Silence> silences = new HashMap<>();
 
-        Reader(Map<String, Job> jobs) {
+        public Reader(Map<String, Job> jobs) {
             this.jobs = jobs;
         }
 
         /** Takes one record in and returns its events. */
-        List<Ledger.Event> read(JsonNode record, long number) {
+        public List<Ledger.Event> read(JsonNode record, long number) {
             List<Ledger.Event> events = new ArrayList<>();
             for (JsonNode e : record.path("e")) {
                 int kind = e.path(0).asInt(-1);
@@ -182,7 +186,7 @@
         }
 
         /** Reads the older form: one part of a job's tasks, a bitmap of those done and the claims. */
-        List<Ledger.Event> readChunk(Job job, int chunk, JsonNode v, long number) {
+        public List<Ledger.Event> readChunk(Job job, int chunk, JsonNode v, long number) {
             List<Ledger.Event> events = new ArrayList<>();
             int from = chunk * job.chunkTasks;
             String hex = v.path("done").asText();
@@ -232,12 +236,12 @@
         }
 
         /** The silences of machines that stand after all records. */
-        Iterable<Silence> silences() {
+        public Iterable<Silence> silences() {
             return silences.values();
         }
 
         /** The claims that stand after all records. */
-        List<Claim> claims() {
+        public List<Claim> claims() {
             List<Claim> all = new ArrayList<>();
             claims.values().forEach(of -> of.values().forEach(c -> {
                 if (!c.job.done.get(c.index)) {
--- a/src/main/java/stileferry/coordination/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -1,10 +1,18 @@
-package stileferry.coordination;
+package stileferry.lifecycle;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.GangAttempt;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.heartbeat.Fleet;
+import stileferry.heartbeat.TaskObserver;
+import stileferry.leadership.TermNumbers;
 import stileferry.protocol.Environment;
 import stileferry.protocol.ExitReason;
 import stileferry.protocol.Report;
@@ -14,7 +22,7 @@
  * The life of tasks in one term, from their claim over start and stop to the proof that they are gone. A gang's tasks
  * live and end together.
  */
-final class TaskLifecycle implements TaskObserver {
+public final class TaskLifecycle implements TaskObserver {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
     private static final double SLOWDOWN_THRESHOLD_S = 60;
@@ -34,7 +42,7 @@
      * @param createJobEnds makes the ends of jobs, which stop their tasks here
      * @param changed run when something changed that a pass may use
      */
-    TaskLifecycle(
+    public TaskLifecycle(
             ClusterState cluster,
             Environment environment,
             Ledger ledger,
@@ -52,15 +60,15 @@
         this.roundMs = cluster.settings.workers().reportRoundMs();
     }
 
-    Fleet fleet() {
+    public Fleet fleet() {
         return fleet;
     }
 
-    JobEnds jobEnds() {
+    public JobEnds jobEnds() {
         return jobEnds;
     }
 
-    GangCounters gangCounters() {
+    public GangCounters gangCounters() {
         return gangCounters;
     }
 
@@ -70,12 +78,12 @@
     }
 
     /** Stops a task whose job was cancelled. */
-    void stopCancelled(Claim claim) {
+    public void stopCancelled(Claim claim) {
         stopOne(claim, 0);
     }
 
     /** Starts the next waiting task of a job, or all tasks of a gang, on these machines. */
-    void start(Job job, List<Machine> machines, boolean overdue) {
+    public void start(Job job, List<Machine> machines, boolean overdue) {
         long now = environment.now();
         int index = job.nextWaiting(now);
         // The tasks of a gang find each other by their attempt, so it is the same for all of them.
@@ -122,7 +130,7 @@
      * Stops a claimed task. A gang is stopped whole: its tasks can save only together, and one that is left alone loses
      * what it did.
      */
-    void stop(Claim claim, double graceS) {
+    public void stop(Claim claim, double graceS) {
         if (claim.job.spec.gang()) {
             double together = graceS > 0 && !allHear(claim.job) ? 0 : graceS;
             stopOne(claim, together);
@@ -263,7 +271,7 @@
      * Their end is stored at once, in the record of the job's end, so that no leader starts a part of the gang again.
      * Returns the claims that have ended so, which their machines may not clear before that is durable.
      */
-    List<Claim> finishGang(Job job, Claim first) {
+    public List<Claim> finishGang(Job job, Claim first) {
         List<Claim> others = new ArrayList<>(job.claims.values());
         others.remove(first);
         for (Claim claim : others) {
@@ -301,7 +309,7 @@
      * version may have left claims of different attempts, whose tasks would wait for each other in vain. Neither can be
      * completed, nor can its tasks save, so they stop at once and the gang starts again whole.
      */
-    void stopBrokenAttempt(Job job) {
+    public void stopBrokenAttempt(Job job) {
         if (job.spec.gang() && !job.claims.isEmpty() && !job.claimsFormOneAttempt()) {
             List.copyOf(job.claims.values()).forEach(claim -> cluster.stop(claim, 0, environment.now()));
         }
--- a/src/main/java/stileferry/coordination/LinkAwareness.java
+++ b/src/main/java/stileferry/links/LinkAwareness.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.links;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
@@ -11,7 +11,7 @@
  * What a controller does differently where it watches its links. Without that, as {@link #NONE} says, it sees nothing
  * and permits everything.
  */
-interface LinkAwareness {
+public interface LinkAwareness {
     /** Links are not watched. */
     LinkAwareness NONE = new LinkAwareness() {};
 
--- a/src/main/java/stileferry/coordination/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.links;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
--- a/src/main/java/stileferry/coordination/LinkViews.java
+++ b/src/main/java/stileferry/links/LinkViews.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.links;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/stileferry/coordination/PartialCuts.java
+++ b/src/main/java/stileferry/links/PartialCuts.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.links;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.BiMap;
@@ -24,7 +24,7 @@
  * Lets {@link Connectivity} watch the links of one controller: hands it what happens, carries its views and probes, and
  * does what it advises. It starts nothing and proves nothing; it only releases the leadership or leaves it to others.
  */
-final class PartialCuts implements LinkAwareness, LinkObservingEnvironment.Observer {
+public final class PartialCuts implements LinkAwareness, LinkObservingEnvironment.Observer {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
     private static final long LEAST_PATIENCE_MS = 500;
@@ -54,7 +54,7 @@
     private long storeSeenAt = Long.MIN_VALUE / 2;
     private Advice lastAdvice;
 
-    PartialCuts(Settings settings, Environment environment, long leaderLeaseMs) {
+    public PartialCuts(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
         Settings.Workers workers = settings.workers();
--- a/src/main/java/stileferry/coordination/Prober.java
+++ b/src/main/java/stileferry/links/Prober.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.links;
 
 import java.util.HashSet;
 import java.util.Set;
--- a/src/main/java/stileferry/coordination/Admin.java
+++ b/src/main/java/stileferry/requests/Admin.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.requests;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -6,16 +6,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.leadership.Leadership;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
 import stileferry.protocol.Options;
 import stileferry.protocol.PeerRecord;
 import stileferry.protocol.Settings;
+import stileferry.scheduling.Placement;
 import stileferry.storage.Ledger;
 
 /** The administration API at the leader: the operators' settings, and views of what the leader knows. */
-final class Admin {
+public final class Admin {
     /** Answers stay well below the limit of a body. */
     private static final int MAX_BYTES = MessageCodec.MAX_BODY / 2;
 
@@ -28,7 +33,7 @@
     private Options pending;
 
     /** The row is what the state service holds; the consumer takes up settings once they are durable. */
-    Admin(
+    public Admin(
             ClusterState cluster,
             Placement placement,
             Ledger ledger,
@@ -45,7 +50,7 @@
     }
 
     /** Answers a request; the path has no prefix, the method is GET or POST. */
-    void request(
+    public void request(
             String method,
             String path,
             String from,
@@ -77,7 +82,7 @@
         }
     }
 
-    static void view(boolean get, Supplier<ObjectNode> view, Consumer<PeerRecord.Answer> reply) {
+    public static void view(boolean get, Supplier<ObjectNode> view, Consumer<PeerRecord.Answer> reply) {
         reply.accept(get ? Answers.ok(200, view.get()) : Answers.refusal(405, "only GET here"));
     }
 
@@ -201,7 +206,7 @@
     }
 
     /** What a request that can't be answered now gets. */
-    static PeerRecord.Answer unavailable() {
+    public static PeerRecord.Answer unavailable() {
         return new PeerRecord.Answer(503, 1, MessageCodec.encode(Messages.error("no leader, or not sure of it")));
     }
 }
--- a/src/main/java/stileferry/coordination/Answers.java
+++ b/src/main/java/stileferry/requests/Answers.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.requests;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import stileferry.protocol.MessageCodec;
@@ -6,18 +6,18 @@
 import stileferry.protocol.PeerRecord;
 
 /** The answers to users and operators that several parts give. */
-final class Answers {
+public final class Answers {
     private Answers() {}
 
-    static PeerRecord.Answer ok(int status, ObjectNode body) {
+    public static PeerRecord.Answer ok(int status, ObjectNode body) {
         return new PeerRecord.Answer(status, 0, MessageCodec.encode(body));
     }
 
-    static PeerRecord.Answer unavailable() {
+    public static PeerRecord.Answer unavailable() {
         return new PeerRecord.Answer(503, 1, MessageCodec.encode(Messages.error("not available, try again")));
     }
 
-    static PeerRecord.Answer refusal(int status, String reason) {
+    public static PeerRecord.Answer refusal(int status, String reason) {
         return new PeerRecord.Answer(status, 0, MessageCodec.encode(Messages.error(reason)));
     }
 }
--- a/src/main/java/stileferry/coordination/BatchReply.java
+++ b/src/main/java/stileferry/requests/BatchReply.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.requests;
 
 import java.util.Arrays;
 import java.util.List;
@@ -10,7 +10,7 @@
 /**
  * Gathers the leader's answers to a batch. Questions that take long are answered 503, so that the others don't wait.
  */
-final class BatchReply {
+public final class BatchReply {
     /** Most questions are answered at once; one about an ended job may need a read. */
     private static final long LONGEST_QUESTION_MS = 500;
 
@@ -20,7 +20,7 @@
     private boolean sent;
 
     /** Has each request of a batch answered, and replies as soon as all of them are. */
-    static void to(
+    public static void to(
             List<PeerRecord.Forward> requests,
             Environment environment,
             BiConsumer<PeerRecord.Forward, Consumer<PeerRecord.Answer>> handler,
--- a/src/main/java/stileferry/coordination/Counters.java
+++ b/src/main/java/stileferry/requests/Counters.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.requests;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.EnumMap;
@@ -9,19 +9,19 @@
 import stileferry.protocol.PeerRecord;
 
 /** What one controller has answered since its start, and how long that took. */
-final class Counters {
+public final class Counters {
     private static final long LONGEST_MS = 60_000;
 
     private final Map<PeerRecord.Ask, Histogram> times = new EnumMap<>(PeerRecord.Ask.class);
     private final Map<String, Long> answers = new TreeMap<>();
 
-    void count(PeerRecord.Ask ask, int status, long tookMs) {
+    public void count(PeerRecord.Ask ask, int status, long tookMs) {
         times.computeIfAbsent(ask, a -> new Histogram(LONGEST_MS, 2))
                 .recordValue(Math.min(LONGEST_MS, Math.max(0, tookMs)));
         answers.merge(name(ask) + " " + status, 1L, Long::sum);
     }
 
-    ObjectNode describe() {
+    public ObjectNode describe() {
         ObjectNode n = MessageCodec.map();
         ObjectNode counts = n.putObject("answers");
         answers.forEach(counts::put);
--- a/src/main/java/stileferry/coordination/Users.java
+++ b/src/main/java/stileferry/requests/Users.java
@@ -1,12 +1,15 @@
-package stileferry.coordination;
+package stileferry.requests;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.lifecycle.EndedJobCache;
+import stileferry.lifecycle.JobEnds;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
@@ -17,12 +20,12 @@
 import stileferry.storage.StateClient;
 
 /** Dealings with users in one term: they hear accepted, cancelled or done only when it is durable. */
-final class Users implements JobEnds.Listener {
+public final class Users implements JobEnds.Listener {
     /** The share of the value limit that a job's record may take; the rest is for what is added later. */
     private static final double FILL = 0.9;
 
     /** Seconds of the state service's rates that may wait before submissions are refused. */
-    static final double BEHIND_S = 2;
+    public static final double BEHIND_S = 2;
 
     /** Users wait this long for a change to be durable: less than their own patience of 5 s. */
     private static final long DURABLE_MS = 3000;
@@ -38,7 +41,7 @@
     private final Set<Job> awaited = new LinkedHashSet<>();
 
     /** What the leader does for its users. */
-    interface Lead {
+    public interface Lead {
         /** Whether anything may be told or promised now. */
         boolean serving();
 
@@ -61,7 +64,7 @@
         void cancel(Job job);
     }
 
-    Users(
+    public Users(
             ClusterState cluster,
             Environment environment,
             StateClient state,
@@ -77,7 +80,7 @@
     }
 
     /** Tells all who wait that nothing more will be known here. */
-    void close() {
+    public void close() {
         for (Job job : cluster.jobs.values()) {
             answer(job, Answers.unavailable());
         }
@@ -111,7 +114,7 @@
     }
 
     /** Users whose change is not durable in time hear at once that it isn't known yet, and when to come back. */
-    void giveUpWaiting() {
+    public void giveUpWaiting() {
         long now = environment.now();
         boolean sure = lead.serving();
         for (Job job : List.copyOf(awaited)) {
@@ -157,7 +160,7 @@
         });
     }
 
-    void submit(byte[] bytes, Consumer<PeerRecord.Answer> reply) {
+    public void submit(byte[] bytes, Consumer<PeerRecord.Answer> reply) {
         if (!lead.promising()) {
             reply.accept(Answers.unavailable());
             return;
@@ -201,7 +204,7 @@
     }
 
     /** Whether a job's end was looked up or came up lately. */
-    boolean knowsEnded(String id) {
+    public boolean knowsEnded(String id) {
         return ended.get(id) != null;
     }
 
@@ -212,7 +215,7 @@
     }
 
     /** Seconds of the state service's rates that wait. */
-    double backlogS() {
+    public double backlogS() {
         return Math.max(
                 ledger.backlog() / cluster.settings.state().writeRps(),
                 state.waiting() / cluster.settings.state().rps());
@@ -277,7 +280,7 @@
         }
     }
 
-    void status(String id, Consumer<PeerRecord.Answer> reply) {
+    public void status(String id, Consumer<PeerRecord.Answer> reply) {
         if (!lead.serving()) {
             reply.accept(Answers.unavailable());
             return;
@@ -307,7 +310,7 @@
         return now == null ? Answers.refusal(404, "no such job") : Answers.ok(200, now.answer(id));
     }
 
-    void withdraw(String id, Consumer<PeerRecord.Answer> reply) {
+    public void withdraw(String id, Consumer<PeerRecord.Answer> reply) {
         if (!lead.promising()) {
             reply.accept(Answers.unavailable());
             return;
--- a/src/main/java/stileferry/coordination/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,6 +6,10 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
 import stileferry.protocol.Options;
 
 /**
--- a/src/main/java/stileferry/coordination/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,6 +7,10 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Options;
@@ -16,7 +20,7 @@
  * Decides what runs where: JR-backfilling orders the jobs, the lowest average bounded slowdown chooses the machine
  * (Rodero, Guim, Corbalan: "Performance-driven Coordinated Grid Scheduling", section III).
  */
-final class Placement {
+public final class Placement {
     /**
      * Averages are compared in steps of this size. Finer differences say which machine happened to fetch an image
      * for its last few tasks, and following them sends tasks away from the machines that hold their images.
@@ -69,7 +73,7 @@
         }
     }
 
-    Placement(ClusterState cluster) {
+    public Placement(ClusterState cluster) {
         this.cluster = cluster;
     }
 
@@ -97,7 +101,7 @@
     }
 
     /** Jobs with a task that waits, in queue order. */
-    List<Job> queue(long now, long timeOfDay) {
+    public List<Job> queue(long now, long timeOfDay) {
         List<Job> queue = new ArrayList<>();
         for (Job job : cluster.jobs.values()) {
             if (job.nextWaiting(now) >= 0) {
@@ -192,12 +196,12 @@
     }
 
     /** Whether the last pass stopped before everything that fits was started. */
-    boolean cutShort() {
+    public boolean cutShort() {
         return cutShort;
     }
 
     /** Requested CPUs, GPUs and memory over the largest machine's, summed. */
-    double rank(Job job) {
+    public double rank(Job job) {
         double cpus = 1;
         double gpus = 1;
         double memory = 1;
@@ -390,7 +394,7 @@
     }
 
     /** Why the next task of this job has not started, in words for operators. */
-    String whyWaiting(Job job, long now) {
+    public String whyWaiting(Job job, long now) {
         if (!cluster.withinLimit(job)) {
             return "its team is at its limit";
         }
--- a/src/main/java/stileferry/coordination/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -9,6 +9,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Settings;
 
--- a/src/main/java/stileferry/coordination/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -1,13 +1,19 @@
-package stileferry.coordination;
+package stileferry.scheduling;
 
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.autoscaling.Provisioning;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.lifecycle.TaskLifecycle;
+import stileferry.links.LinkAwareness;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Options;
 
 /** One pass over the queue: what fits is started, room is made, machines are rented and emptied. */
-final class SchedulingPass {
+public final class SchedulingPass {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
     private final ClusterState cluster;
@@ -19,7 +25,7 @@
     private final Consolidation consolidation;
     private final TaskLifecycle tasks;
 
-    SchedulingPass(
+    public SchedulingPass(
             ClusterState cluster,
             Environment environment,
             LinkAwareness links,
@@ -42,7 +48,7 @@
      * @param regular whether machines may be rented and emptied too, which is done once an interval
      * @param settled whether all workers that can report have reported in this term
      */
-    void pass(boolean regular, boolean settled) {
+    public void pass(boolean regular, boolean settled) {
         if (cluster.types.isEmpty() || !links.permitsStarting()) {
             return;
         }
--- a/src/test/java/stileferry/coordination/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,7 +6,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import stileferry.cluster.ClusterState;
+import stileferry.coordination.World;
 import stileferry.protocol.MessageCodec;
+import stileferry.scheduling.ScaleTest;
 
 /** What a fleet of 4,000 machines needs of limits that smaller ones never met. */
 class LargeFleetTest {
--- a/src/test/java/stileferry/coordination/ProvisioningTest.java
+++ b/src/test/java/stileferry/autoscaling/ProvisioningTest.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,6 +6,14 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.coordination.World;
+import stileferry.heartbeat.EventLoopLag;
+import stileferry.heartbeat.Fleet;
+import stileferry.links.LinkAwareness;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 
--- a/src/test/java/stileferry/coordination/World.java
+++ b/src/test/java/stileferry/coordination/World.java
@@ -30,9 +30,9 @@
  * A simulated world around real coordinators: one clock, seeded chance, stand-ins for all outside systems, and the
  * rules checked whenever something happens that could break one.
  */
-final class World {
+public final class World {
     static final String STATE = "10.9.0.1:1";
-    static final String CLOUD = "10.9.0.2:1";
+    public static final String CLOUD = "10.9.0.2:1";
     static final double CANCEL_S = 20;
     static final double FORGOTTEN_S = 75;
     private static final double LEFT_S = 90;
@@ -47,16 +47,16 @@
     /** Users come back after so many seconds at most, whatever they are told. */
     private static final int LONGEST_WAIT_S = 30;
 
-    final SplittableRandom random;
-    final List<String> violations = new ArrayList<>();
-    final Map<String, Node> nodes = new LinkedHashMap<>();
+    public final SplittableRandom random;
+    public final List<String> violations = new ArrayList<>();
+    public final Map<String, Node> nodes = new LinkedHashMap<>();
     final Map<String, Worker> workers = new HashMap<>();
-    final Map<String, User> users = new LinkedHashMap<>();
-    final StateService state = new StateService(12, 8);
-    final Cloud cloud;
+    public final Map<String, User> users = new LinkedHashMap<>();
+    public final StateService state = new StateService(12, 8);
+    public final Cloud cloud;
     final Gangs gangs = new Gangs(8, 3);
     private final StoredClaims stored = new StoredClaims(state, id -> users.get(id).spec);
-    long now = 1_000_000;
+    public long now = 1_000_000;
     boolean stateDown;
     double lostAnswers;
 
@@ -116,13 +116,13 @@
     double lateCopies;
 
     /** Told of every call to a worker, none of which is answered then; null: workers answer. */
-    LongConsumer hangingCalls;
+    public LongConsumer hangingCalls;
 
     /** Answers the cloud's calls in its place, by their paths; null: the stand-in answers. */
-    Function<String, JsonNode> cloudCalls;
+    public Function<String, JsonNode> cloudCalls;
 
     /** Since when the troubles are over; 0: they are not. From then on every job must be answered for. */
-    long quietSince;
+    public long quietSince;
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long eventIds;
@@ -134,7 +134,7 @@
     private final Settings template;
     private final long reportMs;
     private final long leaseMs;
-    int starts;
+    public int starts;
 
     /** Direct commands that reached a worker and ask for something. */
     int commandsSent;
@@ -150,11 +150,11 @@
     }
 
     /** One user's job, and what its user has been told. */
-    final class User {
-        final JobSpec spec;
-        boolean accepted;
+    public final class User {
+        public final JobSpec spec;
+        public boolean accepted;
         boolean told;
-        String end;
+        public String end;
         boolean wantsCancel;
         long cancelledAt;
         final Set<Integer> tasksDone = new TreeSet<>();
@@ -178,23 +178,23 @@
     }
 
     /** One controller's machine, with a process that comes and goes. */
-    final class Node {
-        final Settings settings;
+    public final class Node {
+        public final Settings settings;
         Coordinator coordinator;
-        SimulatedEnvironment environment;
+        public SimulatedEnvironment environment;
 
         Node(Settings settings) {
             this.settings = settings;
         }
 
-        void start() {
+        public void start() {
             environment = new SimulatedEnvironment(this);
             coordinator = new Coordinator(
                     settings, withoutFeatures.contains(settings.node()) ? Features.NONE : features, environment);
             environment.turn(coordinator::start);
         }
 
-        void crash() {
+        public void crash() {
             environment.dead = true;
             coordinator = null;
         }
@@ -204,12 +204,12 @@
         }
     }
 
-    World(long seed) {
+    public World(long seed) {
         this(seed, 5, REPORT_S, 40);
     }
 
     /** A world with so many machines of each kind in each of two zones, and a limit for the team that has one. */
-    World(long seed, int machines, double reportS, double redMax) {
+    public World(long seed, int machines, double reportS, double redMax) {
         this(seed, machines, reportS, redMax, WRITES_PER_S);
     }
 
@@ -271,12 +271,12 @@
 
     // ---- time
 
-    void after(long ms, Runnable task) {
+    public void after(long ms, Runnable task) {
         events.add(new Event(now + Math.max(0, ms), eventIds++, task));
     }
 
     /** Plays so many seconds and stops at the first broken rule. */
-    void play(double seconds) {
+    public void play(double seconds) {
         long end = now + Math.round(seconds * 1000);
         while (violations.isEmpty() && !events.isEmpty() && events.peek().at <= end) {
             Event e = events.poll();
@@ -381,7 +381,7 @@
     }
 
     /** Cuts all machines of a zone off; the nodes are elsewhere. */
-    void cutZone(String zone, long ms) {
+    public void cutZone(String zone, long ms) {
         workers.values().stream().filter(x -> x.zone().equals(zone)).forEach(x -> cut(x.addr(), ms));
     }
 
@@ -390,7 +390,7 @@
     }
 
     /** What one controller sees of the simulated world. */
-    final class SimulatedEnvironment implements Environment {
+    public final class SimulatedEnvironment implements Environment {
         final Node node;
         final long shift = random.nextLong(1_000_000);
         final long clockOff = random.nextLong(-20, 21);
@@ -737,7 +737,7 @@
 
     // ---- users
 
-    User submit(JobSpec spec) {
+    public User submit(JobSpec spec) {
         User user = new User(spec);
         users.put(spec.id(), user);
         ask(user, PeerRecord.Ask.SUBMIT, now + 60_000);
@@ -866,7 +866,7 @@
     }
 
     /** Tasks of this job that are on machines. */
-    long running(User user) {
+    public long running(User user) {
         return onMachines.getOrDefault(user.spec.id(), 0);
     }
 
@@ -888,7 +888,7 @@
         return on.substring(0, on.indexOf('|'));
     }
 
-    Node leader() {
+    public Node leader() {
         for (Node n : nodes.values()) {
             if (n.up() && n.coordinator.ready() && n.coordinator.leads()) {
                 return n;
--- a/src/test/java/stileferry/coordination/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,6 +17,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import stileferry.cluster.Claim;
+import stileferry.cluster.Job;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.storage.EventLog;
--- a/src/test/java/stileferry/coordination/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,6 +8,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
--- a/src/test/java/stileferry/coordination/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -1,4 +1,4 @@
-package stileferry.coordination;
+package stileferry.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -10,15 +10,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import stileferry.cluster.Claim;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.coordination.World;
+import stileferry.heartbeat.EventLoopLag;
+import stileferry.heartbeat.Fleet;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
 /** The size of the largest deployments: what is counted is work, not time. */
-class ScaleTest {
+public class ScaleTest {
     private static final long NOW = 100_000;
 
-    static ClusterState cluster(int machines, SplittableRandom r) {
+    public static ClusterState cluster(int machines, SplittableRandom r) {
         Settings settings = new Settings(
                 "n0",
                 "za",
