--- a/src/main/java/stileferry/autoscaling/MachineList.java
+++ b/src/main/java/stileferry/autoscaling/MachineList.java
@@ -48,10 +48,10 @@
     /** Reads the list again when it is time. */
     void list() {
         long now = environment.now();
-        long pagesMs = Math.round(pages * 1000 / (cluster.settings.cloud().rps() * MOST_OF_RATE));
+        long pagesMs = Math.round(pages * 1000 / (cluster.settings().cloud().rps() * MOST_OF_RATE));
         long every = Math.max(
                 LEAST_PAUSE_MS,
-                Math.max(pagesMs, Math.round(cluster.settings.cloud().listLagS() * 500)));
+                Math.max(pagesMs, Math.round(cluster.settings().cloud().listLagS() * 500)));
         if (!listing && (listedAt < 0 || now - listedAt > every) && cloud.mayCall()) {
             listing = true;
             pages = 0;
@@ -94,35 +94,35 @@
         long now = environment.now();
         Set<String> names = new HashSet<>();
         for (Messages.Listed l : list) {
-            if (cluster.deleted.contains(l.name())) {
+            if (cluster.deleted().contains(l.name())) {
                 continue; // the list lags behind the deletion
             }
             names.add(l.name());
             Machine m = cluster.machine(l.name());
-            m.listed = true;
-            m.missingSince = 0;
-            if (m.type == null || m.addr.isEmpty()) {
-                m.addr = m.addr.isEmpty() ? l.addr() : m.addr;
-                m.typeName = l.type();
-                m.type = cluster.type(l.type());
-                m.spot = l.spot();
+            m.setListed(true);
+            m.setMissingSince(0);
+            if (m.type() == null || m.addr().isEmpty()) {
+                m.setAddr(m.addr().isEmpty() ? l.addr() : m.addr());
+                m.setTypeName(l.type());
+                m.setType(cluster.type(l.type()));
+                m.setSpot(l.spot());
                 cluster.setZone(m, l.zone());
             }
-            if (m.rentedAt == 0) {
-                m.rentedAt = now - Math.round(l.ageS() * 1000);
+            if (m.rentedAt() == 0) {
+                m.setRentedAt(now - Math.round(l.ageS() * 1000));
             }
-            if (!m.heard) {
-                m.booting = l.state().equals("booting");
+            if (!m.heard()) {
+                m.setBooting(l.state().equals("booting"));
             }
-            if (l.state().equals("failed") && !m.deleting) {
-                LOG.info("machine {} has failed", m.name);
-                m.deleting = true;
-                cluster.rooms.update(m);
+            if (l.state().equals("failed") && !m.deleting()) {
+                LOG.info("machine {} has failed", m.name());
+                m.setDeleting(true);
+                cluster.rooms().update(m);
             }
         }
-        for (Machine m : cluster.machines.values()) {
-            if (m.listed && !names.contains(m.name) && m.missingSince == 0) {
-                m.missingSince = now;
+        for (Machine m : cluster.machines().values()) {
+            if (m.listed() && !names.contains(m.name()) && m.missingSince() == 0) {
+                m.setMissingSince(now);
             }
         }
         if (!listedOnce) {
--- a/src/main/java/stileferry/autoscaling/MachineReturns.java
+++ b/src/main/java/stileferry/autoscaling/MachineReturns.java
@@ -60,10 +60,10 @@
         this.cloud = cloud;
         this.list = list;
         this.since = environment.now();
-        this.listLagMs = Math.round(cluster.settings.cloud().listLagS() * 1000);
-        this.leaseMs = Math.round(cluster.settings.workers().leaseS() * 1000);
+        this.listLagMs = Math.round(cluster.settings().cloud().listLagS() * 1000);
+        this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
         this.cancelPatienceMs =
-                Math.round(1000 * CANCEL_PATIENCE * cluster.settings.workers().cancelS());
+                Math.round(1000 * CANCEL_PATIENCE * cluster.settings().workers().cancelS());
     }
 
     /** Marks what shall be deleted, and deletes it. */
@@ -71,24 +71,31 @@
         double spare = settled ? spareCpus() : 0;
         boolean mayReturnIdle = settled && links.permitsReturning();
         Set<Machine> lost = settled ? new HashSet<>(fleet.failures().lost(since)) : Set.of();
-        for (Machine m : cluster.machines.values()) {
-            if (m.deleting) {
+        for (Machine m : cluster.machines().values()) {
+            if (m.deleting()) {
                 continue;
             }
             String why = whyLost(m, settled, lost);
             if (why == null && mayReturnIdle && shallNotBeUsed(m)) {
                 why = "it is empty and shall not be used";
-            } else if (why == null && mayReturnIdle && idle(m) && (m.spot || spare >= m.type.cpus())) {
+            } else if (why == null
+                    && mayReturnIdle
+                    && idle(m)
+                    && (m.spot() || spare >= m.type().cpus())) {
                 why = "it is idle";
-                spare -= m.spot ? 0 : m.type.cpus();
+                spare -= m.spot() ? 0 : m.type().cpus();
             }
             if (keepsCancelledTask(m)) {
                 why = "a cancelled task on it can't be stopped";
             }
             if (why != null) {
-                LOG.info("returning machine {} with {} tasks: {}", m.name, m.claims.size(), why);
-                m.deleting = true;
-                cluster.rooms.update(m);
+                LOG.info(
+                        "returning machine {} with {} tasks: {}",
+                        m.name(),
+                        m.claims().size(),
+                        why);
+                m.setDeleting(true);
+                cluster.rooms().update(m);
             }
         }
         delete();
@@ -97,61 +104,65 @@
     /** Why a machine is taken for lost; null: it is not. */
     private String whyLost(Machine m, boolean settled, Set<Machine> lost) {
         long now = environment.now();
-        long quiet = now - Math.max(since, m.rentedAt); // a new leader has not been there to hear it before
-        boolean missing = m.missingSince != 0 && now - m.missingSince > listLagMs / 2;
-        if (missing && (fleet.failures().silent(m) || !m.heard)) {
+        long quiet = now - Math.max(since, m.rentedAt()); // a new leader has not been there to hear it before
+        boolean missing = m.missingSince() != 0 && now - m.missingSince() > listLagMs / 2;
+        if (missing && (fleet.failures().silent(m) || !m.heard())) {
             // Listed before and not listed now: it is gone. Deleting it is free and makes that certain.
             return "it is not listed any more";
         }
         if (settled && neverCameUp(m, now)) {
             return "it never came up";
         }
-        boolean unknown = !m.heard && !m.listed && !m.claims.isEmpty() && list.known();
+        boolean unknown = !m.heard() && !m.listed() && !m.claims().isEmpty() && list.known();
         if (settled && unknown && quiet > 2 * listLagMs + leaseMs) {
             return "nobody knows it";
         }
-        if (lost.contains(m) && links.permitsGivingUp(m.name)) {
+        if (lost.contains(m) && links.permitsGivingUp(m.name())) {
             // the deletion proves sooner than the lease that its tasks are gone
-            return m.spot ? "it was taken without a word" : "it is silent, though its zone is not";
+            return m.spot() ? "it was taken without a word" : "it is silent, though its zone is not";
         }
-        boolean lapsed = m.lapsedSession >= m.session && m.claims.isEmpty() && !m.booting;
-        if (lapsed && Math.min(quiet, now - m.heardAt) > SILENT_LEASES * leaseMs && links.permitsGivingUp(m.name)) {
+        boolean lapsed = m.lapsedSession() >= m.session() && m.claims().isEmpty() && !m.booting();
+        if (lapsed && Math.min(quiet, now - m.heardAt()) > SILENT_LEASES * leaseMs && links.permitsGivingUp(m.name())) {
             return "it is silent";
         }
         if (settled
-                && m.unreachedSince != 0
-                && now - m.unreachedSince > SILENT_LEASES * leaseMs
-                && links.permitsGivingUp(m.name)) {
+                && m.unreachedSince() != 0
+                && now - m.unreachedSince() > SILENT_LEASES * leaseMs
+                && links.permitsGivingUp(m.name())) {
             return "it reports, but nothing that it is told reaches it";
         }
         return null;
     }
 
     private static boolean neverCameUp(Machine m, long now) {
-        return !m.heard
-                && m.booting
-                && m.type != null
-                && m.claims.isEmpty()
-                && m.rentedAt != 0
-                && now - m.rentedAt > BOOT_PATIENCE * 1000 * m.type.bootS();
+        return !m.heard()
+                && m.booting()
+                && m.type() != null
+                && m.claims().isEmpty()
+                && m.rentedAt() != 0
+                && now - m.rentedAt() > BOOT_PATIENCE * 1000 * m.type().bootS();
     }
 
     private static boolean empty(Machine m) {
-        return m.heard && m.claims.isEmpty();
+        return m.heard() && m.claims().isEmpty();
     }
 
     private boolean shallNotBeUsed(Machine m) {
-        return empty(m) && !fleet.failures().silent(m) && (m.noticeS >= 0 || m.faulty || m.draining);
+        return empty(m) && !fleet.failures().silent(m) && (m.noticeS() >= 0 || m.faulty() || m.draining());
     }
 
     private boolean idle(Machine m) {
         long now = environment.now();
-        return empty(m) && m.type != null && !m.strays && now - m.idleSince > idleMs(m) && now - m.rentedAt > PAID_MS;
+        return empty(m)
+                && m.type() != null
+                && !m.strays()
+                && now - m.idleSince() > idleMs(m)
+                && now - m.rentedAt() > PAID_MS;
     }
 
     private boolean keepsCancelledTask(Machine m) {
-        for (Claim c : m.claims.values()) {
-            if (c.job.cancelled && c.stopAskedAt > 0 && environment.now() - c.stopAskedAt > cancelPatienceMs) {
+        for (Claim c : m.claims().values()) {
+            if (c.job().cancelled() && c.stopAskedAt() > 0 && environment.now() - c.stopAskedAt() > cancelPatienceMs) {
                 return true;
             }
         }
@@ -160,14 +171,15 @@
 
     /** A machine is kept for a while: renting another takes its boot time. */
     private long idleMs(Machine m) {
-        return Math.round(1000 * cluster.options.number(Options.IDLE_BOOTS) * m.type.bootS());
+        return Math.round(
+                1000 * cluster.options().number(Options.IDLE_BOOTS) * m.type().bootS());
     }
 
     private void delete() {
         List<String> names = new ArrayList<>();
-        for (Machine m : cluster.machines.values()) {
-            if (m.deleting && names.size() < MAX_DELETE) {
-                names.add(m.name);
+        for (Machine m : cluster.machines().values()) {
+            if (m.deleting() && names.size() < MAX_DELETE) {
+                names.add(m.name());
             }
         }
         if (deleting || names.isEmpty() || !cloud.mayCall()) {
@@ -178,7 +190,7 @@
             deleting = false;
             if (status == 200) {
                 for (String name : names) {
-                    Machine m = cluster.machines.get(name);
+                    Machine m = cluster.machines().get(name);
                     if (m != null) {
                         fleet.deleted(m);
                     }
@@ -192,17 +204,17 @@
         double free = 0;
         double critical = 0;
         double largest = 0;
-        for (Machine m : cluster.machines.values()) {
-            if (m.usable() && !m.spot) {
-                free += m.type.cpus() - m.usedCpus();
+        for (Machine m : cluster.machines().values()) {
+            if (m.usable() && !m.spot()) {
+                free += m.type().cpus() - m.usedCpus();
             }
-            for (Claim c : m.claims.values()) {
-                if (c.job.spec.priority() == JobSpec.Priority.CRITICAL) {
-                    critical += c.job.spec.cpus();
-                    largest = Math.max(largest, c.job.spec.cpus());
+            for (Claim c : m.claims().values()) {
+                if (c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
+                    critical += c.job().spec().cpus();
+                    largest = Math.max(largest, c.job().spec().cpus());
                 }
             }
         }
-        return free - Math.max(largest, critical * cluster.options.number(Options.SPARE_SHARE));
+        return free - Math.max(largest, critical * cluster.options().number(Options.SPARE_SHARE));
     }
 }
--- a/src/main/java/stileferry/autoscaling/Provisioning.java
+++ b/src/main/java/stileferry/autoscaling/Provisioning.java
@@ -16,7 +16,7 @@
     private final Rentals rentals;
 
     public Provisioning(ClusterState cluster, Environment environment, Fleet fleet, long term, LinkAwareness links) {
-        Settings settings = cluster.settings;
+        Settings settings = cluster.settings();
         this.cloud = new CloudClient(
                 environment, settings.cloudAddr(), settings.cloud().rps());
         this.list = new MachineList(cluster, environment, cloud, fleet.commands()::announceTerm);
--- a/src/main/java/stileferry/autoscaling/RentalBin.java
+++ b/src/main/java/stileferry/autoscaling/RentalBin.java
@@ -7,10 +7,10 @@
 final class RentalBin {
     private static final double ROUNDING = 1e-6;
 
-    final MachineType type;
-    final String zone;
-    final boolean spot;
-    double cpus;
+    private final MachineType type;
+    private final String zone;
+    private final boolean spot;
+    private double cpus;
     double gpus;
     double memory;
 
@@ -43,4 +43,20 @@
         }
         return taken;
     }
+
+    public MachineType type() {
+        return type;
+    }
+
+    public String zone() {
+        return zone;
+    }
+
+    public boolean spot() {
+        return spot;
+    }
+
+    public double cpus() {
+        return cpus;
+    }
 }
--- a/src/main/java/stileferry/autoscaling/Rentals.java
+++ b/src/main/java/stileferry/autoscaling/Rentals.java
@@ -50,7 +50,7 @@
         this.cloud = cloud;
         this.since = environment.now();
         // No other leader has this term, so no name of a rental request is ever used twice.
-        this.requestPrefix = "r-" + cluster.settings.node() + "-" + term + "-";
+        this.requestPrefix = "r-" + cluster.settings().node() + "-" + term + "-";
     }
 
     private static final class Refusal {
@@ -84,15 +84,15 @@
         Map<String, Integer> perZone = new HashMap<>();
         spotMachines = 0;
         allMachines = 0;
-        for (Machine m : cluster.machines.values()) {
-            if (m.deleting || m.type == null) {
+        for (Machine m : cluster.machines().values()) {
+            if (m.deleting() || m.type() == null) {
                 continue;
             }
             allMachines++;
-            spotMachines += m.spot ? 1 : 0;
-            perZone.merge(m.zone, 1, Integer::sum);
-            if (m.booting) { // what is said to run but does not report is no room to count on
-                coming.add(new RentalBin(m.type, m.zone, m.spot));
+            spotMachines += m.spot() ? 1 : 0;
+            perZone.merge(m.zone(), 1, Integer::sum);
+            if (m.booting()) { // what is said to run but does not report is no room to count on
+                coming.add(new RentalBin(m.type(), m.zone(), m.spot()));
             }
         }
         for (Rental r : rentals) {
@@ -107,23 +107,23 @@
         Map<String, Double> teamCpus = new HashMap<>();
         for (Job job : waiting) {
             int n = withinLimit(job, teamCpus);
-            String zone = job.spec.gang() && job.spec.oneZone() ? zoneFor(job.spec, n, coming, perZone) : null;
-            n -= fill(job.spec, n, coming, zone);
+            String zone = job.spec().gang() && job.spec().oneZone() ? zoneFor(job.spec(), n, coming, perZone) : null;
+            n -= fill(job.spec(), n, coming, zone);
             while (n > 0) {
-                RentalBin bin = cheapest(job.spec, perZone, zone);
+                RentalBin bin = cheapest(job.spec(), perZone, zone);
                 if (bin == null) {
                     break;
                 }
-                perZone.merge(bin.zone, 1, Integer::sum);
+                perZone.merge(bin.zone(), 1, Integer::sum);
                 allMachines++;
-                spotMachines += bin.spot ? 1 : 0;
+                spotMachines += bin.spot() ? 1 : 0;
                 coming.add(bin);
-                n -= bin.take(job.spec, n);
+                n -= bin.take(job.spec(), n);
             }
         }
         Map<String, List<RentalBin>> groups = new HashMap<>();
         for (RentalBin bin : coming.subList(known, coming.size())) {
-            groups.computeIfAbsent(group(bin.type, bin.zone, bin.spot), g -> new ArrayList<>())
+            groups.computeIfAbsent(group(bin.type(), bin.zone(), bin.spot()), g -> new ArrayList<>())
                     .add(bin);
         }
         List<List<RentalBin>> parts = new ArrayList<>();
@@ -134,8 +134,8 @@
                 return;
             }
             RentalBin b = bins.get(0);
-            Rental rental =
-                    new Rental(requestPrefix + ++requests, b.type, b.zone, b.spot, bins.size(), environment.now());
+            Rental rental = new Rental(
+                    requestPrefix + ++requests, b.type(), b.zone(), b.spot(), bins.size(), environment.now());
             rentals.add(rental);
             send(rental);
         }
@@ -143,14 +143,15 @@
 
     /** How many of a job's waiting tasks its team may still run, after what earlier jobs were promised. */
     private int withinLimit(Job job, Map<String, Double> teamCpus) {
-        Settings.Team team = cluster.settings.team(job.spec.team());
+        Settings.Team team = cluster.settings().team(job.spec().team());
         int tasks = job.waitingCount();
-        if (team == null || team.cpusMax() == 0 || job.spec.cpus() == 0) {
+        if (team == null || team.cpusMax() == 0 || job.spec().cpus() == 0) {
             return tasks;
         }
         double used = teamCpus.getOrDefault(team.name(), cluster.cpusOf(team.name()));
-        int most = (int) Math.max(0, Math.min(tasks, (team.cpusMax() - used + 1e-6) / job.spec.cpus()));
-        teamCpus.put(team.name(), used + most * job.spec.cpus());
+        int most = (int) Math.max(
+                0, Math.min(tasks, (team.cpusMax() - used + 1e-6) / job.spec().cpus()));
+        teamCpus.put(team.name(), used + most * job.spec().cpus());
         return most;
     }
 
@@ -161,7 +162,7 @@
             if (taken == tasks) {
                 break;
             }
-            taken += zone == null || zone.equals(bin.zone) ? bin.take(spec, tasks - taken) : 0;
+            taken += zone == null || zone.equals(bin.zone()) ? bin.take(spec, tasks - taken) : 0;
         }
         return taken;
     }
@@ -173,8 +174,8 @@
         Map<String, Integer> room = new HashMap<>();
         for (RentalBin bin : coming) {
             if (bin.fits(spec)) {
-                int more = spec.cpus() > 0 ? (int) Math.max(1, bin.cpus / spec.cpus()) : 1;
-                room.merge(bin.zone, more, Integer::sum);
+                int more = spec.cpus() > 0 ? (int) Math.max(1, bin.cpus() / spec.cpus()) : 1;
+                room.merge(bin.zone(), more, Integer::sum);
             }
         }
         String best = null;
@@ -190,14 +191,14 @@
             return best;
         }
         RentalBin bin = cheapest(spec, perZone, null);
-        return bin == null ? null : bin.zone;
+        return bin == null ? null : bin.zone();
     }
 
     /** The machine to rent next for a job that nothing that is coming has room for. */
     private RentalBin cheapest(JobSpec spec, Map<String, Integer> perZone, String onlyZone) {
         RentalBin best = null;
-        boolean moreSpot = spotMachines + 1 <= cluster.options.number(Options.SPOT_SHARE) * (allMachines + 1);
-        for (MachineType type : cluster.types) {
+        boolean moreSpot = spotMachines + 1 <= cluster.options().number(Options.SPOT_SHARE) * (allMachines + 1);
+        for (MachineType type : cluster.types()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     RentalBin bin = new RentalBin(type, zone, spot);
@@ -217,12 +218,12 @@
     }
 
     private static boolean cheaper(RentalBin bin, RentalBin than, Map<String, Integer> perZone) {
-        double price = bin.spot ? bin.type.spotPrice() : bin.type.price();
-        double other = than.spot ? than.type.spotPrice() : than.type.price();
+        double price = bin.spot() ? bin.type().spotPrice() : bin.type().price();
+        double other = than.spot() ? than.type().spotPrice() : than.type().price();
         if (price != other) {
             return price < other;
         }
-        return perZone.getOrDefault(bin.zone, 0) < perZone.getOrDefault(than.zone, 0);
+        return perZone.getOrDefault(bin.zone(), 0) < perZone.getOrDefault(than.zone(), 0);
     }
 
     private static String group(MachineType type, String zone, boolean spot) {
@@ -262,11 +263,11 @@
                     r.zone);
             for (String name : names) {
                 Machine m = cluster.machine(name);
-                m.type = r.type;
-                m.typeName = r.type.name();
-                m.spot = r.spot;
-                m.rentedAt = r.sentAt;
-                m.booting = !m.heard;
+                m.setType(r.type);
+                m.setTypeName(r.type.name());
+                m.setSpot(r.spot);
+                m.setRentedAt(r.sentAt);
+                m.setBooting(!m.heard());
                 cluster.setZone(m, r.zone);
             }
             if (names.size() < r.count) {
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -23,25 +23,25 @@
     /** Deleted machines that are remembered for each that is there: lists and reports of them come late. */
     private static final int DELETED_REMEMBERED_EACH = 4;
 
-    public final Settings settings;
-    public final Map<String, Job> jobs = new LinkedHashMap<>();
-    public final Map<String, Machine> machines = new TreeMap<>();
-    public final FreeCapacityIndex rooms = new FreeCapacityIndex();
-    public final Reservations reservations = new Reservations();
+    private final Settings settings;
+    private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Machine> machines = new TreeMap<>();
+    private final FreeCapacityIndex rooms = new FreeCapacityIndex();
+    private final Reservations reservations = new Reservations();
 
     /** Accepted jobs whose records can't be read. */
-    public final Set<String> unreadable = new HashSet<>();
+    private final Set<String> unreadable = new HashSet<>();
 
     /** Claims whose tasks were told to stop. */
-    public final Set<Claim> stopping = new LinkedHashSet<>();
+    private final Set<Claim> stopping = new LinkedHashSet<>();
 
-    public List<MachineType> types = List.of();
+    private List<MachineType> types = List.of();
 
     /** The operators' settings in force. */
-    public Options options = Options.defaults();
+    private Options options = Options.defaults();
 
     /** Machines whose deletion was confirmed: late lists and late reports still name them, but they are gone. */
-    public final Set<String> deleted = Collections.newSetFromMap(new LinkedHashMap<>() {
+    private final Set<String> deleted = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
             return size() > Math.max(LEAST_DELETED_REMEMBERED, DELETED_REMEMBERED_EACH * machines.size());
@@ -79,72 +79,72 @@
 
     /** Counts a task that may be on a machine from now on. */
     public void add(Claim claim) {
-        claim.job.claims.put(claim.index, claim);
-        claim.job.taken.set(claim.index);
-        Machine machine = machine(claim.machine);
-        machine.claims.put(claim.name, claim);
+        claim.job().claims().put(claim.index(), claim);
+        claim.job().taken().set(claim.index());
+        Machine machine = machine(claim.machine());
+        machine.claims().put(claim.name(), claim);
         machine.count(claim, 1);
         rooms.update(machine);
-        claim.job.tasksInZone.merge(machine.zone, 1, Integer::sum);
+        claim.job().tasksInZone().merge(machine.zone(), 1, Integer::sum);
         count(claim, 1);
     }
 
     /** Ends a claim after proof that its task is not on its machine. */
     public void remove(Claim claim, boolean done) {
-        claim.job.claims.remove(claim.index, claim);
+        claim.job().claims().remove(claim.index(), claim);
         stopping.remove(claim);
         if (done) {
-            claim.job.finish(claim.index);
+            claim.job().finish(claim.index());
         } else {
-            claim.job.taken.clear(claim.index);
+            claim.job().taken().clear(claim.index());
         }
-        Machine machine = machine(claim.machine);
-        machine.claims.remove(claim.name, claim);
+        Machine machine = machine(claim.machine());
+        machine.claims().remove(claim.name(), claim);
         machine.count(claim, -1);
         rooms.update(machine);
-        claim.job.tasksInZone.merge(machine.zone, -1, (a, b) -> a + b == 0 ? null : a + b);
+        claim.job().tasksInZone().merge(machine.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
         count(claim, -1);
     }
 
     /** Wants a claimed task to stop; a shorter time to save replaces a longer one. */
     public void stop(Claim claim, double graceS, long now) {
         claim.stop(graceS, now);
-        machine(claim.machine).asWanted = false;
+        machine(claim.machine()).setAsWanted(false);
         stopping.add(claim);
     }
 
     /** Forgets a machine that is gone. */
     public void forget(Machine machine) {
         rooms.remove(machine);
-        if (machine.silence != null) {
-            machine.silence.over = true;
-            machine.silence = null;
+        if (machine.silence() != null) {
+            machine.silence().setOver(true);
+            machine.setSilence(null);
         }
-        machines.remove(machine.name);
-        deleted.add(machine.name);
-        links.gone(machine.name);
+        machines.remove(machine.name());
+        deleted.add(machine.name());
+        links.gone(machine.name());
     }
 
     /** Takes in a machine's zone when it becomes known after claims on it were read. */
     public void setZone(Machine machine, String zone) {
-        if (!machine.zone.equals(zone)) {
-            for (Claim claim : machine.claims.values()) {
-                claim.job.tasksInZone.merge(machine.zone, -1, (a, b) -> a + b == 0 ? null : a + b);
-                claim.job.tasksInZone.merge(zone, 1, Integer::sum);
+        if (!machine.zone().equals(zone)) {
+            for (Claim claim : machine.claims().values()) {
+                claim.job().tasksInZone().merge(machine.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
+                claim.job().tasksInZone().merge(zone, 1, Integer::sum);
             }
-            machine.zone = zone;
+            machine.setZone(zone);
         }
     }
 
     private void count(Claim claim, int sign) {
-        claimsOf[claim.job.spec.priority().ordinal()] += sign;
-        double[] sums = use.get(claim.job.spec.team());
+        claimsOf[claim.job().spec().priority().ordinal()] += sign;
+        double[] sums = use.get(claim.job().spec().team());
         if (sums == null) {
             return; // a team that the settings no longer name has no limit to keep
         }
         sums[2] += sign;
-        sums[0] = sums[2] == 0 ? 0 : sums[0] + sign * claim.job.spec.cpus();
-        sums[1] = sums[2] == 0 ? 0 : sums[1] + sign * claim.job.spec.gpus();
+        sums[0] = sums[2] == 0 ? 0 : sums[0] + sign * claim.job().spec().cpus();
+        sums[1] = sums[2] == 0 ? 0 : sums[1] + sign * claim.job().spec().gpus();
     }
 
     /** Whether any task of a lower priority may be on a machine. */
@@ -169,10 +169,11 @@
 
     /** Whether one more task of the job keeps its team within its limit. */
     public boolean withinLimit(Job job) {
-        Settings.Team team = settings.team(job.spec.team());
+        Settings.Team team = settings.team(job.spec().team());
         return team == null
-                || (team.cpusMax() == 0 || cpusOf(team.name()) + job.spec.cpus() <= team.cpusMax() + EPSILON)
-                        && (team.gpusMax() == 0 || gpusOf(team.name()) + job.spec.gpus() <= team.gpusMax() + EPSILON);
+                || (team.cpusMax() == 0 || cpusOf(team.name()) + job.spec().cpus() <= team.cpusMax() + EPSILON)
+                        && (team.gpusMax() == 0
+                                || gpusOf(team.name()) + job.spec().gpus() <= team.gpusMax() + EPSILON);
     }
 
     /** Whether the team runs more than its guarantee, even after giving back so much. */
@@ -182,4 +183,56 @@
                 && (cpusOf(name) - givenBackCpus > team.cpus() + EPSILON
                         || gpusOf(name) - givenBackGpus > team.gpus() + EPSILON);
     }
+
+    public Settings settings() {
+        return settings;
+    }
+
+    public Map<String, Job> jobs() {
+        return jobs;
+    }
+
+    public Map<String, Machine> machines() {
+        return machines;
+    }
+
+    public FreeCapacityIndex rooms() {
+        return rooms;
+    }
+
+    public Reservations reservations() {
+        return reservations;
+    }
+
+    /** Accepted jobs whose records can't be read. */
+    public Set<String> unreadable() {
+        return unreadable;
+    }
+
+    /** Claims whose tasks were told to stop. */
+    public Set<Claim> stopping() {
+        return stopping;
+    }
+
+    public List<MachineType> types() {
+        return types;
+    }
+
+    public void setTypes(List<MachineType> types) {
+        this.types = types;
+    }
+
+    /** The operators' settings in force. */
+    public Options options() {
+        return options;
+    }
+
+    public void setOptions(Options options) {
+        this.options = options;
+    }
+
+    /** Machines whose deletion was confirmed: late lists and late reports still name them, but they are gone. */
+    public Set<String> deleted() {
+        return deleted;
+    }
 }
--- a/src/main/java/stileferry/cluster/FreeCapacityIndex.java
+++ b/src/main/java/stileferry/cluster/FreeCapacityIndex.java
@@ -20,8 +20,9 @@
 
     /** Takes in that a machine's claims, type or standing have changed. */
     public void update(Machine m) {
-        int slot = m.heard && m.type != null && !m.deleting ? slot(m.type.cpus() - m.usedCpus()) : -1;
-        if (slot == m.roomSlot) {
+        int slot =
+                m.heard() && m.type() != null && !m.deleting() ? slot(m.type().cpus() - m.usedCpus()) : -1;
+        if (slot == m.roomSlot()) {
             return;
         }
         remove(m);
@@ -30,15 +31,15 @@
                 byFree.add(new TreeSet<>());
             }
             byFree.get(slot).add(m);
-            m.roomSlot = slot;
+            m.setRoomSlot(slot);
         }
     }
 
     /** Forgets a machine. */
     void remove(Machine m) {
-        if (m.roomSlot >= 0) {
-            byFree.get(m.roomSlot).remove(m);
-            m.roomSlot = -1;
+        if (m.roomSlot() >= 0) {
+            byFree.get(m.roomSlot()).remove(m);
+            m.setRoomSlot(-1);
         }
     }
 
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -20,66 +20,79 @@
 public final class Job {
     public static final String PREFIX = "j/";
 
-    public final JobSpec spec;
-    public final long order;
-    public final long acceptedAt;
-    public final BitSet done = new BitSet();
+    private final JobSpec spec;
+    private final long order;
+    private final long acceptedAt;
+    private final BitSet done = new BitSet();
 
     /** Tasks that are done or claimed. */
-    public final BitSet taken = new BitSet();
+    private final BitSet taken = new BitSet();
 
-    public final Map<Integer, Claim> claims = new HashMap<>();
-    public final Map<Integer, Retry> retries = new HashMap<>();
-    public final Map<String, Integer> tasksInZone = new HashMap<>();
+    private final Map<Integer, Claim> claims = new HashMap<>();
+    private final Map<Integer, Retry> retries = new HashMap<>();
+    private final Map<String, Integer> tasksInZone = new HashMap<>();
 
     /** Machines that failed a task of this job. */
-    public final Set<String> failedOn = new HashSet<>();
+    private final Set<String> failedOn = new HashSet<>();
 
     /** Users waiting for the acceptance, or for the cancellation, to be durable. */
-    public List<Consumer<PeerRecord.Answer>> waiting = new ArrayList<>();
+    private List<Consumer<PeerRecord.Answer>> waiting = new ArrayList<>();
 
     /** Since when the first of them waits; 0: nobody does. */
-    public long waitingSince;
+    private long waitingSince;
 
-    public final Ledger.Entry record;
+    private final Ledger.Entry record;
 
     /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
-    public int chunkTasks = 1;
+    private int chunkTasks = 1;
 
     /** A task of it was seen running, or is done. */
-    public boolean begun;
+    private boolean begun;
 
-    public boolean accepted;
-    public boolean cancelled;
-    public boolean cancelDurable;
+    private boolean accepted;
+    private boolean cancelled;
+    private boolean cancelDurable;
 
     /** Enough controllers know that it is cancelled. */
-    public boolean cancelKnown;
+    private boolean cancelKnown;
 
     /** Users may hear that it is cancelled. */
-    public boolean cancelTold;
+    private boolean cancelTold;
 
-    public boolean ending;
+    private boolean ending;
 
     /** Its end is durable. */
-    public boolean over;
+    private boolean over;
 
     /** The highest attempt of a gang of which a task has ended without being done; 0: none. */
-    public long endedAttempt;
+    private long endedAttempt;
 
-    public boolean withinGuarantee;
+    private boolean withinGuarantee;
 
     /** Since when room is being made for it where its image is; 0: not so. */
-    public long keptBackAt;
+    private long keptBackAt;
 
-    public int successes;
+    private int successes;
     private int doneCount;
     private int[] doneRecords;
 
     /** Pauses between the starts of a failing task. */
     public static final class Retry {
-        public int failures;
-        public long notBefore;
+        private static final long MAX_PAUSE_MS = 60_000;
+
+        private int failures;
+        private long notBefore;
+
+        /**
+         * Notes a failure and postpones the next start.
+         *
+         * @param now the controller's steady clock in milliseconds
+         * @param firstPauseMs the pause after the first failure; it doubles with each further one
+         * @param mostDoublings how often it doubles at most
+         */
+        public void backOff(long now, long firstPauseMs, int mostDoublings) {
+            notBefore = now + Math.min(MAX_PAUSE_MS, firstPauseMs << Math.min(mostDoublings, failures++));
+        }
     }
 
     public Job(JobSpec spec, long order, long acceptedAt, long revision) {
@@ -177,7 +190,7 @@
     public boolean claimsFormOneAttempt() {
         return claims.size() == spec.tasks()
                 && claims.values().stream()
-                                .mapToLong(claim -> claim.attempt)
+                                .mapToLong(claim -> claim.attempt())
                                 .distinct()
                                 .count()
                         == 1;
@@ -194,7 +207,7 @@
     public int runningCount() {
         int running = 0;
         for (Claim claim : claims.values()) {
-            if (claim.runningAt != 0) {
+            if (claim.runningAt() != 0) {
                 running++;
             }
         }
@@ -204,10 +217,182 @@
     /** Whether a task that was sent to a machine may begin there without another word. */
     public boolean mayBegin() {
         for (Claim claim : claims.values()) {
-            if (claim.stage == null || claim.stage == Report.Stage.FETCHING) {
+            if (claim.stage() == null || claim.stage() == Report.Stage.FETCHING) {
                 return true;
             }
         }
         return false;
     }
+
+    public JobSpec spec() {
+        return spec;
+    }
+
+    public long order() {
+        return order;
+    }
+
+    public long acceptedAt() {
+        return acceptedAt;
+    }
+
+    public BitSet done() {
+        return done;
+    }
+
+    /** Tasks that are done or claimed. */
+    public BitSet taken() {
+        return taken;
+    }
+
+    public Map<Integer, Claim> claims() {
+        return claims;
+    }
+
+    public Map<Integer, Retry> retries() {
+        return retries;
+    }
+
+    public Map<String, Integer> tasksInZone() {
+        return tasksInZone;
+    }
+
+    /** Machines that failed a task of this job. */
+    public Set<String> failedOn() {
+        return failedOn;
+    }
+
+    /** Users waiting for the acceptance, or for the cancellation, to be durable. */
+    public List<Consumer<PeerRecord.Answer>> waiting() {
+        return waiting;
+    }
+
+    public void setWaiting(List<Consumer<PeerRecord.Answer>> waiting) {
+        this.waiting = waiting;
+    }
+
+    /** Since when the first of them waits; 0: nobody does. */
+    public long waitingSince() {
+        return waitingSince;
+    }
+
+    public void setWaitingSince(long waitingSince) {
+        this.waitingSince = waitingSince;
+    }
+
+    public Ledger.Entry record() {
+        return record;
+    }
+
+    /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
+    public int chunkTasks() {
+        return chunkTasks;
+    }
+
+    public void setChunkTasks(int chunkTasks) {
+        this.chunkTasks = chunkTasks;
+    }
+
+    /** A task of it was seen running, or is done. */
+    public boolean begun() {
+        return begun;
+    }
+
+    public void setBegun(boolean begun) {
+        this.begun = begun;
+    }
+
+    public boolean accepted() {
+        return accepted;
+    }
+
+    public void setAccepted(boolean accepted) {
+        this.accepted = accepted;
+    }
+
+    public boolean cancelled() {
+        return cancelled;
+    }
+
+    public void setCancelled(boolean cancelled) {
+        this.cancelled = cancelled;
+    }
+
+    public boolean cancelDurable() {
+        return cancelDurable;
+    }
+
+    public void setCancelDurable(boolean cancelDurable) {
+        this.cancelDurable = cancelDurable;
+    }
+
+    /** Enough controllers know that it is cancelled. */
+    public boolean cancelKnown() {
+        return cancelKnown;
+    }
+
+    public void setCancelKnown(boolean cancelKnown) {
+        this.cancelKnown = cancelKnown;
+    }
+
+    /** Users may hear that it is cancelled. */
+    public boolean cancelTold() {
+        return cancelTold;
+    }
+
+    public void setCancelTold(boolean cancelTold) {
+        this.cancelTold = cancelTold;
+    }
+
+    public boolean ending() {
+        return ending;
+    }
+
+    public void setEnding(boolean ending) {
+        this.ending = ending;
+    }
+
+    /** Its end is durable. */
+    public boolean over() {
+        return over;
+    }
+
+    public void setOver(boolean over) {
+        this.over = over;
+    }
+
+    /** The highest attempt of a gang of which a task has ended without being done; 0: none. */
+    public long endedAttempt() {
+        return endedAttempt;
+    }
+
+    public void setEndedAttempt(long endedAttempt) {
+        this.endedAttempt = endedAttempt;
+    }
+
+    public boolean withinGuarantee() {
+        return withinGuarantee;
+    }
+
+    public void setWithinGuarantee(boolean withinGuarantee) {
+        this.withinGuarantee = withinGuarantee;
+    }
+
+    /** Since when room is being made for it where its image is; 0: not so. */
+    public long keptBackAt() {
+        return keptBackAt;
+    }
+
+    public void setKeptBackAt(long keptBackAt) {
+        this.keptBackAt = keptBackAt;
+    }
+
+    public int successes() {
+        return successes;
+    }
+
+    /** Counts a task that completed. */
+    public void countSuccess() {
+        successes++;
+    }
 }
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -14,85 +14,85 @@
     /** Sums of amounts may be off by this much. */
     private static final double ROUNDING = 1e-6;
 
-    public final String name;
-    public String addr = "";
-    public String typeName = "";
-    public MachineType type;
-    public String zone = "";
-    public boolean spot;
+    private final String name;
+    private String addr = "";
+    private String typeName = "";
+    private MachineType type;
+    private String zone = "";
+    private boolean spot;
 
     /** Heard from in this term. */
-    public boolean heard;
+    private boolean heard;
 
-    public long session;
+    private long session;
     /** When this session was first seen, which must have begun by then. */
-    public long sessionSeenAt;
+    private long sessionSeenAt;
 
-    public long seq;
-    public long token;
-    public long heardAt;
+    private long seq;
+    private long token;
+    private long heardAt;
 
     /** The newest report, without the answers to commands: what is not newer than that is a copy. */
-    public long reportSession;
+    private long reportSession;
 
-    public long reportSeq;
+    private long reportSeq;
 
     /** The starts in the last answer to a report. */
-    public Set<String> answeredRuns = Set.of();
+    private Set<String> answeredRuns = Set.of();
 
     /** Since when nothing proves that this machine hears us; 0: it does, as far as we know. */
-    public long unreachedSince;
+    private long unreachedSince;
 
     /** When a report of this machine was last answered in this term; 0: never. */
-    public long answeredAt;
+    private long answeredAt;
 
     /** Its silence as it is noted in the state service; null: not noted. */
-    public Silence silence;
+    private Silence silence;
 
     /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
-    public long answeredBefore = -1;
+    private long answeredBefore = -1;
 
     /** The session of which that is known. */
-    public long answeredBeforeSession;
+    private long answeredBeforeSession;
 
     /** The highest session that is proven to be over, or will be as soon as the machine is heard again. */
-    public long lapsedSession;
+    private long lapsedSession;
 
     /** Seconds until the cloud takes the machine, or -1. */
-    public double noticeS = -1;
+    private double noticeS = -1;
 
-    public long rentedAt;
+    private long rentedAt;
 
     /** Known to be coming up, since this leader rented it or the list said so. */
-    public boolean booting;
+    private boolean booting;
 
-    public boolean listed;
-    public long missingSince;
-    public boolean draining;
-    public boolean faulty;
-    public boolean deleting;
-    public long idleSince;
-    public long placeAfter;
+    private boolean listed;
+    private long missingSince;
+    private boolean draining;
+    private boolean faulty;
+    private boolean deleting;
+    private long idleSince;
+    private long placeAfter;
 
     /** The newest that was heard from it, in a report or in an answer; null: nothing. */
-    public Report last;
+    private Report last;
 
     /**
      * The last report told of every claim, all of them as they should be, and of nothing else. As long as reports tell
      * the same there is nothing to take in and nothing to say.
      */
-    public boolean asWanted;
+    private boolean asWanted;
 
-    public final Map<String, Claim> claims = new LinkedHashMap<>();
+    private final Map<String, Claim> claims = new LinkedHashMap<>();
 
     /** Reported tasks that no claim stands for: they are killed, and nothing starts here before they are gone. */
-    public boolean strays;
+    private boolean strays;
 
     /** Starts whose outcome is not durable yet, so that they may not be cleared. */
-    public final Set<String> settling = new HashSet<>();
+    private final Set<String> settling = new HashSet<>();
 
     /** Direct start commands without an answer: such a command may be carried out at any time. */
-    public final Map<String, Integer> openRuns = new HashMap<>();
+    private final Map<String, Integer> openRuns = new HashMap<>();
 
     /** Images that tasks here were seen with, the latest last, with their sizes. */
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
@@ -101,10 +101,10 @@
     private final Map<String, Integer> fetches = new HashMap<>();
 
     /** Jobs that failed here since a task last succeeded here. */
-    public final Map<String, Integer> failures = new HashMap<>();
+    private final Map<String, Integer> failures = new HashMap<>();
 
     /** Where the index of rooms holds this machine; kept by the index. */
-    int roomSlot = -1;
+    private int roomSlot = -1;
 
     private double cpusUsed;
     private double gpusUsed;
@@ -162,15 +162,15 @@
     void count(Claim claim, int sign) {
         asWanted = false;
         boolean empty = claims.isEmpty();
-        cpusUsed = empty ? 0 : cpusUsed + sign * claim.job.spec.cpus();
-        gpusUsed = empty ? 0 : gpusUsed + sign * claim.job.spec.gpus();
-        memoryUsed = empty ? 0 : memoryUsed + sign * claim.job.spec.memoryGb();
-        fetches.merge(claim.job.spec.image(), sign, (a, b) -> a + b <= 0 ? null : a + b);
+        cpusUsed = empty ? 0 : cpusUsed + sign * claim.job().spec().cpus();
+        gpusUsed = empty ? 0 : gpusUsed + sign * claim.job().spec().gpus();
+        memoryUsed = empty ? 0 : memoryUsed + sign * claim.job().spec().memoryGb();
+        fetches.merge(claim.job().spec().image(), sign, (a, b) -> a + b <= 0 ? null : a + b);
     }
 
     /** Whether a task of this job fits beside all that may be here. */
     public boolean hasRoom(Job job) {
-        return hasRoom(job.spec.cpus(), job.spec.gpus(), job.spec.memoryGb());
+        return hasRoom(job.spec().cpus(), job.spec().gpus(), job.spec().memoryGb());
     }
 
     /** Whether so much fits beside all that may be here. */
@@ -186,15 +186,17 @@
         double gpus = type.gpus() - gpusUsed;
         double memory = type.memoryGb() - memoryUsed;
         for (Claim c : claims.values()) {
-            if (c.job.spec.priority().compareTo(job.spec.priority()) > 0) {
-                cpus += c.job.spec.cpus();
-                gpus += c.job.spec.gpus();
-                memory += c.job.spec.memoryGb();
+            if (c.job().spec().priority().compareTo(job.spec().priority()) > 0) {
+                cpus += c.job().spec().cpus();
+                gpus += c.job().spec().gpus();
+                memory += c.job().spec().memoryGb();
             }
         }
         return Math.min(
-                fitting(cpus, job.spec.cpus()),
-                Math.min(fitting(gpus, job.spec.gpus()), fitting(memory, job.spec.memoryGb())));
+                fitting(cpus, job.spec().cpus()),
+                Math.min(
+                        fitting(gpus, job.spec().gpus()),
+                        fitting(memory, job.spec().memoryGb())));
     }
 
     private static int fitting(double free, double wanted) {
@@ -240,4 +242,315 @@
     public int nearness(String image) {
         return images.containsKey(image) ? 2 : fetches.containsKey(image) ? 1 : 0;
     }
+
+    public String name() {
+        return name;
+    }
+
+    public String addr() {
+        return addr;
+    }
+
+    public void setAddr(String addr) {
+        this.addr = addr;
+    }
+
+    public String typeName() {
+        return typeName;
+    }
+
+    public void setTypeName(String typeName) {
+        this.typeName = typeName;
+    }
+
+    public MachineType type() {
+        return type;
+    }
+
+    public void setType(MachineType type) {
+        this.type = type;
+    }
+
+    public String zone() {
+        return zone;
+    }
+
+    public void setZone(String zone) {
+        this.zone = zone;
+    }
+
+    public boolean spot() {
+        return spot;
+    }
+
+    public void setSpot(boolean spot) {
+        this.spot = spot;
+    }
+
+    /** Heard from in this term. */
+    public boolean heard() {
+        return heard;
+    }
+
+    public void setHeard(boolean heard) {
+        this.heard = heard;
+    }
+
+    public long session() {
+        return session;
+    }
+
+    public void setSession(long session) {
+        this.session = session;
+    }
+
+    /** When this session was first seen, which must have begun by then. */
+    public long sessionSeenAt() {
+        return sessionSeenAt;
+    }
+
+    public void setSessionSeenAt(long sessionSeenAt) {
+        this.sessionSeenAt = sessionSeenAt;
+    }
+
+    public long seq() {
+        return seq;
+    }
+
+    public void setSeq(long seq) {
+        this.seq = seq;
+    }
+
+    public long token() {
+        return token;
+    }
+
+    public void setToken(long token) {
+        this.token = token;
+    }
+
+    public long heardAt() {
+        return heardAt;
+    }
+
+    public void setHeardAt(long heardAt) {
+        this.heardAt = heardAt;
+    }
+
+    /** The newest report, without the answers to commands: what is not newer than that is a copy. */
+    public long reportSession() {
+        return reportSession;
+    }
+
+    public void setReportSession(long reportSession) {
+        this.reportSession = reportSession;
+    }
+
+    public long reportSeq() {
+        return reportSeq;
+    }
+
+    public void setReportSeq(long reportSeq) {
+        this.reportSeq = reportSeq;
+    }
+
+    /** The starts in the last answer to a report. */
+    public Set<String> answeredRuns() {
+        return answeredRuns;
+    }
+
+    public void setAnsweredRuns(Set<String> answeredRuns) {
+        this.answeredRuns = answeredRuns;
+    }
+
+    /** Since when nothing proves that this machine hears us; 0: it does, as far as we know. */
+    public long unreachedSince() {
+        return unreachedSince;
+    }
+
+    public void setUnreachedSince(long unreachedSince) {
+        this.unreachedSince = unreachedSince;
+    }
+
+    /** When a report of this machine was last answered in this term; 0: never. */
+    public long answeredAt() {
+        return answeredAt;
+    }
+
+    public void setAnsweredAt(long answeredAt) {
+        this.answeredAt = answeredAt;
+    }
+
+    /** Its silence as it is noted in the state service; null: not noted. */
+    public Silence silence() {
+        return silence;
+    }
+
+    public void setSilence(Silence silence) {
+        this.silence = silence;
+    }
+
+    /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
+    public long answeredBefore() {
+        return answeredBefore;
+    }
+
+    public void setAnsweredBefore(long answeredBefore) {
+        this.answeredBefore = answeredBefore;
+    }
+
+    /** The session of which that is known. */
+    public long answeredBeforeSession() {
+        return answeredBeforeSession;
+    }
+
+    public void setAnsweredBeforeSession(long answeredBeforeSession) {
+        this.answeredBeforeSession = answeredBeforeSession;
+    }
+
+    /** The highest session that is proven to be over, or will be as soon as the machine is heard again. */
+    public long lapsedSession() {
+        return lapsedSession;
+    }
+
+    public void setLapsedSession(long lapsedSession) {
+        this.lapsedSession = lapsedSession;
+    }
+
+    /** Seconds until the cloud takes the machine, or -1. */
+    public double noticeS() {
+        return noticeS;
+    }
+
+    public void setNoticeS(double noticeS) {
+        this.noticeS = noticeS;
+    }
+
+    public long rentedAt() {
+        return rentedAt;
+    }
+
+    public void setRentedAt(long rentedAt) {
+        this.rentedAt = rentedAt;
+    }
+
+    /** Known to be coming up, since this leader rented it or the list said so. */
+    public boolean booting() {
+        return booting;
+    }
+
+    public void setBooting(boolean booting) {
+        this.booting = booting;
+    }
+
+    public boolean listed() {
+        return listed;
+    }
+
+    public void setListed(boolean listed) {
+        this.listed = listed;
+    }
+
+    public long missingSince() {
+        return missingSince;
+    }
+
+    public void setMissingSince(long missingSince) {
+        this.missingSince = missingSince;
+    }
+
+    public boolean draining() {
+        return draining;
+    }
+
+    public void setDraining(boolean draining) {
+        this.draining = draining;
+    }
+
+    public boolean faulty() {
+        return faulty;
+    }
+
+    public void setFaulty(boolean faulty) {
+        this.faulty = faulty;
+    }
+
+    public boolean deleting() {
+        return deleting;
+    }
+
+    public void setDeleting(boolean deleting) {
+        this.deleting = deleting;
+    }
+
+    public long idleSince() {
+        return idleSince;
+    }
+
+    public void setIdleSince(long idleSince) {
+        this.idleSince = idleSince;
+    }
+
+    public long placeAfter() {
+        return placeAfter;
+    }
+
+    public void setPlaceAfter(long placeAfter) {
+        this.placeAfter = placeAfter;
+    }
+
+    /** The newest that was heard from it, in a report or in an answer; null: nothing. */
+    public Report last() {
+        return last;
+    }
+
+    public void setLast(Report last) {
+        this.last = last;
+    }
+
+    /** The last report told of every claim, all of them as they should be, and of nothing else. As long as reports tell the same there is nothing to take in and nothing to say. */
+    public boolean asWanted() {
+        return asWanted;
+    }
+
+    public void setAsWanted(boolean asWanted) {
+        this.asWanted = asWanted;
+    }
+
+    public Map<String, Claim> claims() {
+        return claims;
+    }
+
+    /** Reported tasks that no claim stands for: they are killed, and nothing starts here before they are gone. */
+    public boolean strays() {
+        return strays;
+    }
+
+    public void setStrays(boolean strays) {
+        this.strays = strays;
+    }
+
+    /** Starts whose outcome is not durable yet, so that they may not be cleared. */
+    public Set<String> settling() {
+        return settling;
+    }
+
+    /** Direct start commands without an answer: such a command may be carried out at any time. */
+    public Map<String, Integer> openRuns() {
+        return openRuns;
+    }
+
+    /** Jobs that failed here since a task last succeeded here. */
+    public Map<String, Integer> failures() {
+        return failures;
+    }
+
+    /** Where the index of rooms holds this machine; kept by the index. */
+    public int roomSlot() {
+        return roomSlot;
+    }
+
+    public void setRoomSlot(int roomSlot) {
+        this.roomSlot = roomSlot;
+    }
 }
--- a/src/main/java/stileferry/cluster/Reservations.java
+++ b/src/main/java/stileferry/cluster/Reservations.java
@@ -28,12 +28,12 @@
     /** Reserves room for one more task of a job. */
     public void add(Job job, Machine machine) {
         Amounts amounts = byMachine
-                .computeIfAbsent(machine.name, name -> new HashMap<>())
+                .computeIfAbsent(machine.name(), name -> new HashMap<>())
                 .computeIfAbsent(job, j -> new Amounts());
-        amounts.cpus += job.spec.cpus();
-        amounts.gpus += job.spec.gpus();
-        amounts.memoryGb += job.spec.memoryGb();
-        machinesOf.computeIfAbsent(job, j -> new HashSet<>()).add(machine.name);
+        amounts.cpus += job.spec().cpus();
+        amounts.gpus += job.spec().gpus();
+        amounts.memoryGb += job.spec().memoryGb();
+        machinesOf.computeIfAbsent(job, j -> new HashSet<>()).add(machine.name());
     }
 
     /** The job has started, or its room is decided on anew. */
@@ -46,15 +46,15 @@
 
     /** Whether a task of this job fits on a machine beside the room that is reserved there for more urgent jobs. */
     public boolean leaveRoom(Machine machine, Job job) {
-        Map<Job, Amounts> reserved = byMachine.get(machine.name);
+        Map<Job, Amounts> reserved = byMachine.get(machine.name());
         if (reserved == null) {
             return true;
         }
-        double cpus = job.spec.cpus();
-        double gpus = job.spec.gpus();
-        double memoryGb = job.spec.memoryGb();
+        double cpus = job.spec().cpus();
+        double gpus = job.spec().gpus();
+        double memoryGb = job.spec().memoryGb();
         for (Map.Entry<Job, Amounts> entry : reserved.entrySet()) {
-            if (entry.getKey().spec.priority().compareTo(job.spec.priority()) < 0) {
+            if (entry.getKey().spec().priority().compareTo(job.spec().priority()) < 0) {
                 cpus += entry.getValue().cpus;
                 gpus += entry.getValue().gpus;
                 memoryGb += entry.getValue().memoryGb;
--- a/src/main/java/stileferry/cluster/Silence.java
+++ b/src/main/java/stileferry/cluster/Silence.java
@@ -4,16 +4,16 @@
 
 /** One machine's silence: when a report of it was last answered, and by which leader. */
 public final class Silence {
-    public final String machine;
-    public final long session;
-    public final long answeredAt;
-    public final long term;
+    private final String machine;
+    private final long session;
+    private final long answeredAt;
+    private final long term;
 
     /** The number of the stored record that holds it. */
     private long record;
 
     /** It need not be stored any more. */
-    public boolean over;
+    private boolean over;
 
     public Silence(String machine, long session, long answeredAt, long term) {
         this.machine = machine;
@@ -39,4 +39,29 @@
                 e.path(3).asLong(),
                 e.path(4).asLong());
     }
+
+    public String machine() {
+        return machine;
+    }
+
+    public long session() {
+        return session;
+    }
+
+    public long answeredAt() {
+        return answeredAt;
+    }
+
+    public long term() {
+        return term;
+    }
+
+    /** It need not be stored any more. */
+    public boolean over() {
+        return over;
+    }
+
+    public void setOver(boolean over) {
+        this.over = over;
+    }
 }
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.admissioncontrol.AdmissionControl;
-import stileferry.admissioncontrol.FairAdmission;
+import stileferry.overload.AdmissionControl;
+import stileferry.overload.FairAdmission;
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.FollowerReports;
 import stileferry.leadership.Leadership;
@@ -53,6 +53,7 @@
     private final EventLoopLag eventLoopLag;
 
     private final FollowerReports followerReports;
+    private final LocalAdministration localAdministration;
 
     private List<MachineType> types = List.of();
     private Leader leader;
@@ -78,6 +79,8 @@
         this.eventLoopLag = new EventLoopLag(environment, settings.workers().reportS());
         this.followerReports = new FollowerReports(
                 settings, environment, leadership, links, (report, reply) -> answerReport(report, false, reply));
+        this.localAdministration =
+                new LocalAdministration(settings.node(), leadership, links, admission, counters, eventLoopLag);
     }
 
     /** Begins to follow or run for the leadership. */
@@ -174,28 +177,7 @@
 
     /** Takes an operator's request; the path is what follows the prefix, with its query. */
     public void admin(String method, String path, byte[] body, Consumer<PeerRecord.Answer> reply) {
-        if (path.equals("links")) {
-            ObjectNode view = links.describe();
-            if (view == null) {
-                reply.accept(Answers.refusal(404, "links: partial_cuts is off"));
-            } else {
-                Admin.view(method.equals("GET"), () -> view, reply);
-            }
-        } else if (path.equals("admission") && method.equals("GET")) {
-            if (!admission.describe(reply)) {
-                reply.accept(Answers.refusal(404, "admission: fair_admission is off"));
-            }
-        } else if (path.equals("counters")) {
-            Admin.view(
-                    method.equals("GET"),
-                    () -> counters.describe()
-                            .put("node", settings.node())
-                            .put("leader", leadership.leader())
-                            .put("term", leadership.term())
-                            .put("late_ms", eventLoopLag.lateMs())
-                            .put("most_late_ms", eventLoopLag.mostLateMs()),
-                    reply);
-        } else {
+        if (!localAdministration.answers(method, path, reply)) {
             user(PeerRecord.Ask.ADMIN, method + " " + path, body, reply);
         }
     }
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.admissioncontrol.AdmissionRecords;
-import stileferry.admissioncontrol.FairAdmission;
+import stileferry.overload.AdmissionRecords;
+import stileferry.overload.FairAdmission;
 import stileferry.autoscaling.Provisioning;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
@@ -98,7 +98,7 @@
         this.term = term;
         this.ledger = new Ledger(environment, state, Leadership.LEADER_KEY, leaderRevision, term, leadership::resign);
         this.cluster = new ClusterState(settings, links);
-        this.cluster.types = types;
+        this.cluster.setTypes(types);
         this.silences = new SilenceRecords(cluster, environment, ledger, leadership, term);
         TermNumbers numbers = new TermNumbers(term);
         this.users = new Users(cluster, environment, state, ledger, ended, forUsers(numbers));
@@ -140,7 +140,7 @@
             @Override
             public void accepting(Job job) {
                 if (admissions != null) {
-                    admissions.count(job.record, FairAdmission.cell(settings, job.spec));
+                    admissions.count(job.record(), FairAdmission.cell(settings, job.spec()));
                 }
             }
 
@@ -196,10 +196,10 @@
 
     /** The machine types are known from now on, or have changed. */
     void types(List<MachineType> types) {
-        cluster.types = types;
-        for (Machine m : cluster.machines.values()) {
-            m.type = cluster.type(m.typeName);
-            cluster.rooms.update(m);
+        cluster.setTypes(types);
+        for (Machine m : cluster.machines().values()) {
+            m.setType(cluster.type(m.typeName()));
+            cluster.rooms().update(m);
         }
         changed();
     }
@@ -216,12 +216,12 @@
     private void begin(StateLoader.Loaded loaded) {
         admin = new Admin(cluster, placement, ledger, loaded.optionsRevision(), this::describe, this::takeOptions);
         // an older version stored that one task of a gang was done, and might have started the others again
-        cluster.jobs.values().stream()
-                .filter(job -> job.spec.gang() && job.doneCount() > 0)
+        cluster.jobs().values().stream()
+                .filter(job -> job.spec().gang() && job.doneCount() > 0)
                 .forEach(job -> tasks.finishGang(job, null));
-        cluster.jobs.values().forEach(tasks::stopBrokenAttempt);
+        cluster.jobs().values().forEach(tasks::stopBrokenAttempt);
         silences.takeOver(loaded.silences());
-        cluster.machines.values().forEach(machine -> links.expected(machine.name, machine.addr));
+        cluster.machines().values().forEach(machine -> links.expected(machine.name(), machine.addr()));
         if (leadership.countingSince() > 0) {
             admissions = new AdmissionRecords(
                     loaded.admissionShards(),
@@ -231,7 +231,11 @@
         }
         active = true;
         activeAt = environment.now();
-        LOG.info("term {}: {} live jobs, {} tasks may be on machines", term, cluster.jobs.size(), loaded.claims());
+        LOG.info(
+                "term {}: {} live jobs, {} tasks may be on machines",
+                term,
+                cluster.jobs().size(),
+                loaded.claims());
         tasks.jobEnds().endWhatIsOver();
         leadership.cancellations().allRead();
         provisioning.list();
@@ -239,7 +243,7 @@
     }
 
     private void takeOptions(Options options) {
-        cluster.options = options;
+        cluster.setOptions(options);
         environment.logLevel(options.text(Options.LOG_LEVEL));
     }
 
@@ -247,7 +251,7 @@
         if (closed) {
             return;
         }
-        environment.after(Math.round(1000 * cluster.options.number(Options.PASS_INTERVAL_S)), this::tick);
+        environment.after(Math.round(1000 * cluster.options().number(Options.PASS_INTERVAL_S)), this::tick);
         fleet.failures().checkLeases();
         fleet.commands().probe();
         users.giveUpWaiting();
@@ -264,11 +268,11 @@
     }
 
     private void checkSockets() {
-        if (!socketsAreFew && settings.sockets().full(cluster.machines.size())) {
+        if (!socketsAreFew && settings.sockets().full(cluster.machines().size())) {
             socketsAreFew = true;
             LOG.warn(
                     "{} machines: max_sockets ({}) leaves {} connections for them and all users, so they are not kept",
-                    cluster.machines.size(),
+                    cluster.machines().size(),
                     settings.maxSockets(),
                     settings.sockets().incoming());
         }
@@ -333,8 +337,8 @@
 
     /** The last that was heard from a machine; null: nothing. */
     Report lastReport(String name) {
-        Machine m = cluster.machines.get(name);
-        return m == null ? null : m.last;
+        Machine m = cluster.machines().get(name);
+        return m == null ? null : m.last();
     }
 
     /** Everything that piled up in a turn goes out together. */
@@ -361,7 +365,9 @@
 
     /** Whether a job is known: accepted, about to be, or over and asked for lately. */
     boolean knows(String id) {
-        return cluster.jobs.containsKey(id) || users.knowsEnded(id) || cluster.unreadable.contains(id);
+        return cluster.jobs().containsKey(id)
+                || users.knowsEnded(id)
+                || cluster.unreadable().contains(id);
     }
 
     /** Dealings with users; what is asked before the claims have been read is refused there. */
@@ -382,8 +388,8 @@
                 .put("leader", settings.node())
                 .put("term", term)
                 .put("active_s", (environment.now() - activeAt) / 1000.0)
-                .put("live_jobs", cluster.jobs.size())
-                .put("machines", cluster.machines.size())
+                .put("live_jobs", cluster.jobs().size())
+                .put("machines", cluster.machines().size())
                 .put("changes_waiting", ledger.backlog())
                 .set("gangs", tasks.gangCounters().describe());
     }
--- /dev/null
+++ b/src/main/java/stileferry/coordination/LocalAdministration.java
@@ -0,0 +1,76 @@
+package stileferry.coordination;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.function.Consumer;
+import stileferry.heartbeat.EventLoopLag;
+import stileferry.leadership.Leadership;
+import stileferry.links.LinkAwareness;
+import stileferry.overload.AdmissionControl;
+import stileferry.protocol.PeerRecord;
+import stileferry.requests.Admin;
+import stileferry.requests.Answers;
+import stileferry.requests.Counters;
+
+/** The administration views that every controller answers from its own state, whether or not it leads. */
+final class LocalAdministration {
+    private final String node;
+    private final Leadership leadership;
+    private final LinkAwareness links;
+    private final AdmissionControl admission;
+    private final Counters counters;
+    private final EventLoopLag eventLoopLag;
+
+    LocalAdministration(
+            String node,
+            Leadership leadership,
+            LinkAwareness links,
+            AdmissionControl admission,
+            Counters counters,
+            EventLoopLag eventLoopLag) {
+        this.node = node;
+        this.leadership = leadership;
+        this.links = links;
+        this.admission = admission;
+        this.counters = counters;
+        this.eventLoopLag = eventLoopLag;
+    }
+
+    /** Answers a request that needs no leader; false, and no answer, if only the leader can. */
+    boolean answers(String method, String path, Consumer<PeerRecord.Answer> reply) {
+        boolean get = method.equals("GET");
+        if (path.equals("links")) {
+            links(get, reply);
+        } else if (path.equals("admission") && get) {
+            admission(reply);
+        } else if (path.equals("counters")) {
+            Admin.view(get, this::counters, reply);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    private void links(boolean get, Consumer<PeerRecord.Answer> reply) {
+        ObjectNode view = links.describe();
+        if (view == null) {
+            reply.accept(Answers.refusal(404, "links: partial_cuts is off"));
+        } else {
+            Admin.view(get, () -> view, reply);
+        }
+    }
+
+    private void admission(Consumer<PeerRecord.Answer> reply) {
+        if (!admission.describe(reply)) {
+            reply.accept(Answers.refusal(404, "admission: fair_admission is off"));
+        }
+    }
+
+    private ObjectNode counters() {
+        return counters.describe()
+                .put("node", node)
+                .put("leader", leadership.leader())
+                .put("term", leadership.term())
+                .put("late_ms", eventLoopLag.lateMs())
+                .put("most_late_ms", eventLoopLag.mostLateMs());
+    }
+}
--- a/src/main/java/stileferry/coordination/StateLoader.java
+++ b/src/main/java/stileferry/coordination/StateLoader.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.admissioncontrol.AdmissionRecords;
+import stileferry.overload.AdmissionRecords;
 import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
@@ -130,7 +130,7 @@
             }
             long revision = status == 200 ? body.path("entry_rev").asLong() : 0;
             buildJobs(rows.get(0));
-            TaskEvents.Reader reader = new TaskEvents.Reader(cluster.jobs);
+            TaskEvents.Reader reader = new TaskEvents.Reader(cluster.jobs());
             buildFromOldParts(rows.get(2), reader);
             buildFromRecords(rows.get(1), reader);
             List<Claim> claims = reader.claims();
@@ -148,18 +148,18 @@
             } catch (JobSpec.Malformed e) {
                 // its user was told that it is accepted, so nobody may hear that it is unknown
                 LOG.error("the record {} can't be read, its job can't run: {}", row.key(), e.getMessage());
-                cluster.unreadable.add(id(row));
+                cluster.unreadable().add(id(row));
             }
         }
-        jobs.sort(Comparator.comparingLong(j -> j.order));
-        jobs.forEach(job -> cluster.jobs.put(job.spec.id(), job));
+        jobs.sort(Comparator.comparingLong(j -> j.order()));
+        jobs.forEach(job -> cluster.jobs().put(job.spec().id(), job));
     }
 
     private void buildFromOldParts(List<StateClient.Row> rows, TaskEvents.Reader reader) {
         long number = 0;
         for (StateClient.Row row : rows) {
             String[] key = row.key().split("/");
-            Job job = key.length == 3 ? cluster.jobs.get(key[1]) : null;
+            Job job = key.length == 3 ? cluster.jobs().get(key[1]) : null;
             // what is left of a job that ended is deleted like the others, with nothing kept of it
             List<Ledger.Event> events =
                     job == null ? List.of() : reader.readChunk(job, Integer.parseInt(key[2]), row.value(), --number);
--- a/src/main/java/stileferry/heartbeat/CommandSender.java
+++ b/src/main/java/stileferry/heartbeat/CommandSender.java
@@ -66,10 +66,10 @@
         this.term = term;
         this.eventLoopLag = eventLoopLag;
         this.answers = answers;
-        this.reportMs = Math.round(cluster.settings.workers().reportS() * 1000);
-        this.cancelMs = Math.round(cluster.settings.workers().cancelS() * 1000);
+        this.reportMs = Math.round(cluster.settings().workers().reportS() * 1000);
+        this.cancelMs = Math.round(cluster.settings().workers().cancelS() * 1000);
         this.askMs = Math.max(LEAST_ASK_MS, Math.round(reportMs * ASK_REPORTS));
-        this.maxInFlight = cluster.settings.sockets().commands();
+        this.maxInFlight = cluster.settings().sockets().commands();
     }
 
     void close() {
@@ -85,8 +85,8 @@
         }
         long now = environment.now();
         for (Report.TaskState t : m.lastTasks()) {
-            Claim c = m.claims.get(t.task());
-            boolean claimed = c != null && c.attempt == t.attempt();
+            Claim c = m.claims().get(t.task());
+            boolean claimed = c != null && c.attempt() == t.attempt();
             if (claimed) {
                 continue;
             }
@@ -94,44 +94,47 @@
                 signals.add(new Signal(Signal.Kind.KILL, t.task(), t.attempt(), 0));
             } else if (inAnswer
                     && m.accepted(term)
-                    && !m.settling.contains(t.key())
-                    && !m.openRuns.containsKey(t.key())) {
+                    && !m.settling().contains(t.key())
+                    && !m.openRuns().containsKey(t.key())) {
                 // Only in answers to reports: a direct one could overtake an answer that repeats the start, and
                 // after a clear a repeated start runs the task once more.
                 signals.add(new Signal(Signal.Kind.CLEAR, t.task(), t.attempt(), 0));
             }
         }
-        for (Claim c : m.claims.values()) {
-            if (!c.startable() || c.session != m.session) {
+        for (Claim c : m.claims().values()) {
+            if (!c.startable() || c.session() != m.session()) {
                 continue;
             }
-            boolean lateCancel = c.job.cancelled && now - c.stopAskedAt > cancelMs / 2;
-            if (c.stage == null && (!c.stopping() || m.openRuns.containsKey(c.key) && inAnswer && !lateCancel)) {
+            boolean lateCancel = c.job().cancelled() && now - c.stopAskedAt() > cancelMs / 2;
+            if (c.stage() == null && (!c.stopping() || m.openRuns().containsKey(c.key()) && inAnswer && !lateCancel)) {
                 // For a stopped task an unanswered start is made harmless by letting the worker know the attempt.
-                signals.add(new Signal(Signal.Kind.RUN, c.name, c.attempt, 0));
-                c.runsSent++;
+                signals.add(new Signal(Signal.Kind.RUN, c.name(), c.attempt(), 0));
+                c.setRunsSent(c.runsSent() + 1);
                 if (!inAnswer) {
-                    m.openRuns.merge(c.key, 1, Integer::sum);
+                    m.openRuns().merge(c.key(), 1, Integer::sum);
                 }
             }
             if (c.stopping()
-                    && c.stage != Report.Stage.EXITED
-                    && !(c.stage == Report.Stage.SAVING && c.stopGraceS > 0)) {
-                signals.add(new Signal(Signal.Kind.KILL, c.name, c.attempt, c.stopGraceS));
+                    && c.stage() != Report.Stage.EXITED
+                    && !(c.stage() == Report.Stage.SAVING && c.stopGraceS() > 0)) {
+                signals.add(new Signal(Signal.Kind.KILL, c.name(), c.attempt(), c.stopGraceS()));
             }
         }
         return signals;
     }
 
     private static boolean hasCancelled(Machine m) {
-        return m.claims.values().stream().anyMatch(c -> c.job.cancelDurable);
+        return m.claims().values().stream().anyMatch(c -> c.job().cancelDurable());
     }
 
     /** Whoever leads, a job whose cancellation is durable stays cancelled, and its tasks have to go. */
     private static void stopCancelled(Machine m, List<Signal> signals) {
-        for (Claim c : m.claims.values()) {
-            if (c.job.cancelDurable && c.stopping() && c.session == m.session && c.stage != Report.Stage.EXITED) {
-                signals.add(new Signal(Signal.Kind.KILL, c.name, c.attempt, 0));
+        for (Claim c : m.claims().values()) {
+            if (c.job().cancelDurable()
+                    && c.stopping()
+                    && c.session() == m.session()
+                    && c.stage() != Report.Stage.EXITED) {
+                signals.add(new Signal(Signal.Kind.KILL, c.name(), c.attempt(), 0));
             }
         }
     }
@@ -148,8 +151,8 @@
 
     /** Tells every machine that was not heard yet this term, a few at a time: most will have reported before. */
     public void announceTerm() {
-        cluster.machines.values().forEach(m -> {
-            if (!m.heard) {
+        cluster.machines().values().forEach(m -> {
+            if (!m.heard()) {
                 toAnnounceTo.add(m);
             }
         });
@@ -157,13 +160,13 @@
     }
 
     private void announceToSome() {
-        int some = LEAST_ANNOUNCEMENTS + (int) (cluster.machines.size() * ANNOUNCE_MS / (2 * reportMs));
+        int some = LEAST_ANNOUNCEMENTS + (int) (cluster.machines().size() * ANNOUNCE_MS / (2 * reportMs));
         if (eventLoopLag.behind()) {
             some = Math.max(1, some / FEWER_WHEN_BEHIND); // most will come by themselves
         }
         while (!closed && some > 0 && !toAnnounceTo.isEmpty() && mayAsk()) {
             Machine m = toAnnounceTo.poll();
-            if (!m.heard && !m.deleting) {
+            if (!m.heard() && !m.deleting()) {
                 some--;
                 announceTo(m);
             }
@@ -181,11 +184,12 @@
     /** Notes machines in doubt, to be asked whether they hear us, and silent ones, whether they are there. */
     public void probe() {
         long now = environment.now();
-        for (Machine m : cluster.machines.values()) {
-            boolean doubtful = m.unreachedSince != 0 && now - m.unreachedSince > reportMs / 2;
-            boolean silent =
-                    m.heard && !m.claims.isEmpty() && now - m.heardAt > FailureDetector.SILENT_AFTER_REPORTS * reportMs;
-            if ((doubtful || silent) && !m.deleting && !m.addr.isEmpty() && !inFlight.contains(m)) {
+        for (Machine m : cluster.machines().values()) {
+            boolean doubtful = m.unreachedSince() != 0 && now - m.unreachedSince() > reportMs / 2;
+            boolean silent = m.heard()
+                    && !m.claims().isEmpty()
+                    && now - m.heardAt() > FailureDetector.SILENT_AFTER_REPORTS * reportMs;
+            if ((doubtful || silent) && !m.deleting() && !m.addr().isEmpty() && !inFlight.contains(m)) {
                 toAsk.add(m);
             }
         }
@@ -214,16 +218,16 @@
                 continue; // all else waits until this node is sure again
             }
             wanted.remove(m);
-            if (!m.heard
-                    || m.deleting
-                    || m.addr.isEmpty()
-                    || environment.now() - m.heardAt > 2 * reportMs
+            if (!m.heard()
+                    || m.deleting()
+                    || m.addr().isEmpty()
+                    || environment.now() - m.heardAt() > 2 * reportMs
                     || eventLoopLag.behind() && !hurry(m)) {
                 continue;
             }
             List<Signal> signals = signals(m, false);
             if (!signals.isEmpty()) {
-                command(m, m.session, signals, 1, reportMs);
+                command(m, m.session(), signals, 1, reportMs);
             }
         }
     }
@@ -233,8 +237,8 @@
      * its next report will be answered with it: critical tasks wait to start there, or a task has to make room.
      */
     private static boolean hurry(Machine m) {
-        for (Claim c : m.claims.values()) {
-            if (c.stopping() || c.stage == null && c.job.spec.priority() == JobSpec.Priority.CRITICAL) {
+        for (Claim c : m.claims().values()) {
+            if (c.stopping() || c.stage() == null && c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
                 return true;
             }
         }
@@ -246,18 +250,18 @@
         while (!toAsk.isEmpty() && mayAsk()) {
             Machine m = toAsk.iterator().next();
             toAsk.remove(m);
-            if (!m.deleting && !inFlight.contains(m)) {
-                command(m, m.session, List.of(), 1, askMs);
+            if (!m.deleting() && !inFlight.contains(m)) {
+                command(m, m.session(), List.of(), 1, askMs);
             }
         }
     }
 
     /** Makes this term known to a worker at once, so that it tells where it stands and ignores older leaders. */
     void announceTo(Machine m) {
-        if (!m.addr.isEmpty() && !m.heard && !m.deleting) {
-            long session = Math.max(1, m.session);
-            for (Claim c : m.claims.values()) {
-                session = Math.max(session, c.session);
+        if (!m.addr().isEmpty() && !m.heard() && !m.deleting()) {
+            long session = Math.max(1, m.session());
+            for (Claim c : m.claims().values()) {
+                session = Math.max(session, c.session());
             }
             command(m, session, List.of(), 2, askMs);
         }
@@ -266,7 +270,7 @@
     private void command(Machine m, long session, List<Signal> signals, int tries, long timeoutMs) {
         inFlight.add(m);
         environment.call(
-                m.addr, "POST", "/commands", Messages.commands(term, session, signals), timeoutMs, (status, body) -> {
+                m.addr(), "POST", "/commands", Messages.commands(term, session, signals), timeoutMs, (status, body) -> {
                     inFlight.remove(m);
                     if (closed) {
                         return;
@@ -274,19 +278,19 @@
                     if (status == 200 || status == 409 || status == Environment.NOT_SENT) {
                         for (Signal s : signals) {
                             if (s.kind() == Signal.Kind.RUN) {
-                                m.openRuns.computeIfPresent(s.key(), (a, n) -> n == 1 ? null : n - 1);
+                                m.openRuns().computeIfPresent(s.key(), (a, n) -> n == 1 ? null : n - 1);
                             }
                         }
                     }
                     Report r = status == 200 || status == 409 ? Report.read(body) : null;
-                    if (r == null || !r.machine().equals(m.name)) {
+                    if (r == null || !r.machine().equals(m.name())) {
                         return; // no answer, or another machine that has the address now
                     }
                     if (r.token() > term) {
                         leadership.learn(r.token(), "");
                         return;
                     }
-                    m.unreachedSince = 0; // it has heard this
+                    m.setUnreachedSince(0); // it has heard this
                     answers.answered(m, r);
                     if (status == 409 && tries > 1 && r.session() != session) {
                         command(m, r.session(), List.of(), tries - 1, timeoutMs);
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -67,8 +67,8 @@
         this.term = term;
         this.events = events;
         this.silences = silences;
-        this.reportMs = Math.round(cluster.settings.workers().reportS() * 1000);
-        this.leaseMs = Math.round(cluster.settings.workers().leaseS() * 1000);
+        this.reportMs = Math.round(cluster.settings().workers().reportS() * 1000);
+        this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
     }
 
     /**
@@ -76,37 +76,40 @@
      * only seen in answers to commands has a lease of its own, which no answer to a report has begun.
      */
     private long lastAnswered(Machine m, long session, long acked) {
-        if (m.answeredAt > 0 && m.accepted(term)) {
-            return Math.max(m.answeredAt, m.sessionSeenAt);
+        if (m.answeredAt() > 0 && m.accepted(term)) {
+            return Math.max(m.answeredAt(), m.sessionSeenAt());
         }
-        if (m.answeredBefore >= 0 && !m.heard && session <= m.answeredBeforeSession) {
-            return Math.max(m.answeredBefore, m.answeredAt);
+        if (m.answeredBefore() >= 0 && !m.heard() && session <= m.answeredBeforeSession()) {
+            return Math.max(m.answeredBefore(), m.answeredAt());
         }
-        return acked >= 0 ? Math.max(acked, Math.max(m.answeredAt, m.sessionSeenAt)) : -1;
+        return acked >= 0 ? Math.max(acked, Math.max(m.answeredAt(), m.sessionSeenAt())) : -1;
     }
 
     /** Looks for leases that have lapsed for certain. */
     public void checkLeases() {
         long now = environment.now();
         long acked = leadership.allAckedAt();
-        for (Machine m : cluster.machines.values()) {
-            long over = m.session;
-            for (Claim c : m.claims.values()) {
-                over = Math.max(over, c.session);
+        for (Machine m : cluster.machines().values()) {
+            long over = m.session();
+            for (Claim c : m.claims().values()) {
+                over = Math.max(over, c.session());
             }
             long since = lastAnswered(m, over, acked);
-            if (since >= 0 && over > m.lapsedSession) {
+            if (since >= 0 && over > m.lapsedSession()) {
                 silences.note(m, over, since);
             }
             if (since < 0 || now < since + Math.round(leaseMs * (1 + DRIFT)) + LAPSE_SLACK_MS) {
                 continue;
             }
-            if (over > m.lapsedSession) {
-                m.lapsedSession = over;
-                if (m.heard || !m.claims.isEmpty()) {
-                    LOG.info("machine {} is silent, its lease has lapsed with {} tasks", m.name, m.claims.size());
+            if (over > m.lapsedSession()) {
+                m.setLapsedSession(over);
+                if (m.heard() || !m.claims().isEmpty()) {
+                    LOG.info(
+                            "machine {} is silent, its lease has lapsed with {} tasks",
+                            m.name(),
+                            m.claims().size());
                 }
-                for (Claim c : List.copyOf(m.claims.values())) {
+                for (Claim c : List.copyOf(m.claims().values())) {
                     events.gone(c, "lease");
                 }
                 events.changed();
@@ -118,9 +121,9 @@
     public Set<String> unreachableZones(long activeSince) {
         long before = environment.now() - Math.round(SILENT_AFTER_REPORTS * reportMs);
         Map<String, int[]> zones = new HashMap<>();
-        for (Machine m : cluster.machines.values()) {
-            if (m.type != null && !m.deleting && !m.booting) {
-                int[] counts = zones.computeIfAbsent(m.zone, z -> new int[2]);
+        for (Machine m : cluster.machines().values()) {
+            if (m.type() != null && !m.deleting() && !m.booting()) {
+                int[] counts = zones.computeIfAbsent(m.zone(), z -> new int[2]);
                 counts[0]++;
                 counts[1] += lastSeen(m, activeSince) < before ? 1 : 0;
             }
@@ -137,7 +140,7 @@
 
     /** A new leader has heard nobody; who does not come in time was taken before or while it took over. */
     private static long lastSeen(Machine m, long activeSince) {
-        return Math.max(m.heardAt, activeSince);
+        return Math.max(m.heardAt(), activeSince);
     }
 
     /** Machines with work that are most likely gone or hang: they neither report nor answer, though their zone does. */
@@ -146,19 +149,19 @@
         long forOthers =
                 Math.min(forSpot, environment.now() - Math.round(LATE_REPORT * reportMs) - DETOURS * DETOUR_MS);
         List<Machine> silent = new ArrayList<>();
-        for (Machine m : cluster.machines.values()) {
-            if (m.type != null
-                    && !m.deleting
-                    && !m.booting
-                    && !m.claims.isEmpty()
-                    && lastSeen(m, activeSince) < (m.spot ? forSpot : forOthers)) {
+        for (Machine m : cluster.machines().values()) {
+            if (m.type() != null
+                    && !m.deleting()
+                    && !m.booting()
+                    && !m.claims().isEmpty()
+                    && lastSeen(m, activeSince) < (m.spot() ? forSpot : forOthers)) {
                 silent.add(m);
             }
         }
         unreachableZones(activeSince);
         // for a lease's time machines may still be on their way back, some of them by way of the other controllers
-        silent.removeIf(
-                m -> lastUnreachable.containsKey(m.zone) && environment.now() - lastUnreachable.get(m.zone) < leaseMs);
+        silent.removeIf(m ->
+                lastUnreachable.containsKey(m.zone()) && environment.now() - lastUnreachable.get(m.zone()) < leaseMs);
         return silent;
     }
 
@@ -166,14 +169,14 @@
      * Whether a command that is sent now can be expected to arrive: the machine reports in time, and heard us before.
      */
     public boolean hears(Machine m) {
-        return m.heard
-                && !m.deleting
-                && m.unreachedSince == 0
-                && environment.now() - m.heardAt <= SILENT_AFTER_REPORTS * reportMs;
+        return m.heard()
+                && !m.deleting()
+                && m.unreachedSince() == 0
+                && environment.now() - m.heardAt() <= SILENT_AFTER_REPORTS * reportMs;
     }
 
     /** True when nothing was heard for longer than reports can take. */
     public boolean silent(Machine m) {
-        return m.heard && environment.now() - m.heardAt > 2 * reportMs;
+        return m.heard() && environment.now() - m.heardAt() > 2 * reportMs;
     }
 }
--- a/src/main/java/stileferry/heartbeat/Fleet.java
+++ b/src/main/java/stileferry/heartbeat/Fleet.java
@@ -52,7 +52,7 @@
         this.leadership = leadership;
         this.term = term;
         this.events = events;
-        this.leaseMs = Math.round(cluster.settings.workers().leaseS() * 1000);
+        this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
         this.nothing = MessageCodec.encode(Messages.signals(term, List.of()));
         this.failures = new FailureDetector(cluster, environment, leadership, term, events, silences);
         this.commands = new CommandSender(
@@ -83,8 +83,8 @@
         Machine m = mayAnswer(r) ? cluster.machine(r.machine()) : null;
         if (m == null) {
             reply.accept(null);
-        } else if (m.silence != null) {
-            m.heardAt = environment.now(); // it is there, so it is not given up, however long this takes
+        } else if (m.silence() != null) {
+            m.setHeardAt(environment.now()); // it is there, so it is not given up, however long this takes
             silences.heard(m, () -> reply.accept(mayAnswer(r) ? answer(m, r) : null), () -> reply.accept(null));
         } else {
             reply.accept(answer(m, r));
@@ -95,33 +95,33 @@
         if (!leadership.mayRenew()) {
             return false; // another leader may have confirmed cancellations that are unknown here
         }
-        if (cluster.deleted.contains(r.machine())) {
+        if (cluster.deleted().contains(r.machine())) {
             return false; // sent before the machine was deleted
         }
         Machine m = cluster.machine(r.machine());
-        if (m.deleting || r.session() <= m.lapsedSession) {
+        if (m.deleting() || r.session() <= m.lapsedSession()) {
             return false; // its lease may not be renewed: what was on it is counted as gone, or about to be
         }
         // a late copy otherwise: a worker has one report in flight, so nobody waits for the answer
-        return r.session() >= m.session && (r.session() != m.reportSession || r.seq() > m.reportSeq);
+        return r.session() >= m.session() && (r.session() != m.reportSession() || r.seq() > m.reportSeq());
     }
 
     private byte[] answer(Machine m, Report r) {
-        m.reportSession = r.session();
-        m.reportSeq = r.seq();
-        if (m.sameAsBefore(r) && r.seq() > m.seq) {
-            m.seq = r.seq();
-            m.last = r;
-            m.heardAt = environment.now();
-            m.answeredAt = m.heardAt;
-            m.answeredRuns = Set.of();
+        m.setReportSession(r.session());
+        m.setReportSeq(r.seq());
+        if (m.sameAsBefore(r) && r.seq() > m.seq()) {
+            m.setSeq(r.seq());
+            m.setLast(r);
+            m.setHeardAt(environment.now());
+            m.setAnsweredAt(m.heardAt());
+            m.setAnsweredRuns(Set.of());
             return nothing;
         }
         doubt(m, r);
         boolean fresh = take(m, r, true);
-        m.answeredAt = environment.now();
+        m.setAnsweredAt(environment.now());
         List<Signal> signals = fresh ? commands.signals(m, true) : List.of();
-        m.answeredRuns = keys(signals);
+        m.setAnsweredRuns(keys(signals));
         return signals.isEmpty() ? nothing : MessageCodec.encode(Messages.signals(term, signals));
     }
 
@@ -131,28 +131,31 @@
      * until it has answered something that we sent.
      */
     private void doubt(Machine m, Report r) {
-        if (!m.accepted(term) || m.unreachedSince != 0) {
+        if (!m.accepted(term) || m.unreachedSince() != 0) {
             return;
         }
-        boolean lapsedUnderAnswers = r.session() > m.session
-                && m.session > 0
-                && m.answeredAt != 0
-                && environment.now() - m.answeredAt < leaseMs;
-        boolean unheeded = r.session() == m.session && r.seq() > m.seq && !m.answeredRuns.isEmpty() && unheeded(m, r);
+        boolean lapsedUnderAnswers = r.session() > m.session()
+                && m.session() > 0
+                && m.answeredAt() != 0
+                && environment.now() - m.answeredAt() < leaseMs;
+        boolean unheeded = r.session() == m.session()
+                && r.seq() > m.seq()
+                && !m.answeredRuns().isEmpty()
+                && unheeded(m, r);
         if (lapsedUnderAnswers || unheeded) {
             LOG.info(
                     "machine {} reports but seems not to hear: {}",
-                    m.name,
+                    m.name(),
                     lapsedUnderAnswers ? "its lease lapsed while it was answered" : "it left starts alone");
-            m.unreachedSince = environment.now();
+            m.setUnreachedSince(environment.now());
         }
     }
 
     private static boolean unheeded(Machine m, Report r) {
         Set<String> told = new HashSet<>();
         r.tasks().forEach(t -> told.add(t.key()));
-        for (Claim c : m.claims.values()) {
-            if (c.stage == null && m.answeredRuns.contains(c.key) && !told.contains(c.key)) {
+        for (Claim c : m.claims().values()) {
+            if (c.stage() == null && m.answeredRuns().contains(c.key()) && !told.contains(c.key())) {
                 return true;
             }
         }
@@ -173,24 +176,26 @@
     /** Answers a report before the claims have been read: the lease is renewed, and cancelled jobs are stopped. */
     public byte[] hold(Report r) {
         Machine m = cluster.machine(r.machine());
-        m.addr = r.addr();
-        m.answeredAt = environment.now();
+        m.setAddr(r.addr());
+        m.setAnsweredAt(environment.now());
         List<Signal> stops = leadership.cancellations().stops(r);
         return stops.isEmpty() ? nothing : MessageCodec.encode(Messages.signals(term, stops));
     }
 
     /** Takes in what a worker says. False when something newer was heard before. */
     private boolean take(Machine m, Report r, boolean inOrder) {
-        if (r.session() < m.session || r.session() == m.session && r.seq() <= m.seq || r.session() <= m.lapsedSession) {
+        if (r.session() < m.session()
+                || r.session() == m.session() && r.seq() <= m.seq()
+                || r.session() <= m.lapsedSession()) {
             return false;
         }
         long now = environment.now();
         takeSession(m, r, now);
         takeTerm(m, r, now);
         takeProperties(m, r, now);
-        if (r.noticeS() >= 0 && m.noticeS < 0) {
-            LOG.info("machine {} will be taken in {} s", m.name, r.noticeS());
-            m.noticeS = r.noticeS();
+        if (r.noticeS() >= 0 && m.noticeS() < 0) {
+            LOG.info("machine {} will be taken in {} s", m.name(), r.noticeS());
+            m.setNoticeS(r.noticeS());
             leave(m, now);
         }
         takeTasks(m, r, inOrder, now);
@@ -198,59 +203,60 @@
     }
 
     private void takeSession(Machine m, Report r, long now) {
-        boolean newSession = r.session() > m.session;
-        if (!m.heard || newSession) {
-            m.idleSince = now;
+        boolean newSession = r.session() > m.session();
+        if (!m.heard() || newSession) {
+            m.setIdleSince(now);
             events.changed();
         }
-        if (!m.heard && m.booting) {
-            LOG.info("machine {} is up in {} after {} s", m.name, r.zone(), (now - m.rentedAt) / 1000);
+        if (!m.heard() && m.booting()) {
+            LOG.info("machine {} is up in {} after {} s", m.name(), r.zone(), (now - m.rentedAt()) / 1000);
         }
         if (newSession) {
-            m.sessionSeenAt = now;
-            m.openRuns.clear();
-            m.settling.clear();
+            m.setSessionSeenAt(now);
+            m.openRuns().clear();
+            m.settling().clear();
         }
     }
 
     private void takeTerm(Machine m, Report r, long now) {
-        if (!m.heard && r.token() < term) {
+        if (!m.heard() && r.token() < term) {
             // until it shows our term: this may be a late copy of what a dead machine said
-            m.unreachedSince = now;
+            m.setUnreachedSince(now);
             if (!eventLoopLag.behind()) {
                 commands.ask(m); // its next report will show it too, but work may be waiting
             }
-        } else if (m.token < term && r.token() >= term) {
-            m.unreachedSince = 0;
+        } else if (m.token() < term && r.token() >= term) {
+            m.setUnreachedSince(0);
             events.changed();
         }
     }
 
     private void takeProperties(Machine m, Report r, long now) {
-        m.heard = true;
-        m.booting = false;
-        m.heardAt = now;
-        m.session = r.session();
-        m.seq = r.seq();
-        m.token = r.token();
-        m.addr = r.addr();
-        m.typeName = r.type();
-        m.type = cluster.type(r.type());
-        m.spot = r.spot();
+        m.setHeard(true);
+        m.setBooting(false);
+        m.setHeardAt(now);
+        m.setSession(r.session());
+        m.setSeq(r.seq());
+        m.setToken(r.token());
+        m.setAddr(r.addr());
+        m.setTypeName(r.type());
+        m.setType(cluster.type(r.type()));
+        m.setSpot(r.spot());
         cluster.setZone(m, r.zone());
-        cluster.rooms.update(m);
+        cluster.rooms().update(m);
     }
 
     private void takeTasks(Machine m, Report r, boolean inOrder, long now) {
-        m.last = r;
+        m.setLast(r);
         Map<String, Report.TaskState> reported = claimedTasks(m, r);
-        m.asWanted = r.tasks().size() == m.claims.size() && reported.size() == m.claims.size();
-        for (Claim c : List.copyOf(m.claims.values())) {
-            Report.TaskState t = reported.get(c.name);
-            if (c.session < r.session()) {
+        m.setAsWanted(r.tasks().size() == m.claims().size()
+                && reported.size() == m.claims().size());
+        for (Claim c : List.copyOf(m.claims().values())) {
+            Report.TaskState t = reported.get(c.name());
+            if (c.session() < r.session()) {
                 events.gone(c, "session");
             } else if (t != null) {
-                m.asWanted &= t.stage() != Report.Stage.EXITED && !c.stopping();
+                m.setAsWanted(m.asWanted() & (t.stage() != Report.Stage.EXITED && !c.stopping()));
                 see(m, c, t, now);
             } else if (inOrder && certainlyNotStarted(m, c)) {
                 events.gone(c, "never started");
@@ -260,14 +266,14 @@
 
     /** The reported tasks that claims stand for, by name; all others that have not exited are strays, to be stopped. */
     private Map<String, Report.TaskState> claimedTasks(Machine m, Report r) {
-        m.strays = false;
+        m.setStrays(false);
         Map<String, Report.TaskState> claimed = new HashMap<>();
         for (Report.TaskState t : r.tasks()) {
-            Claim c = m.claims.get(t.task());
-            if (c != null && c.durable && c.attempt == t.attempt() && c.session == r.session()) {
+            Claim c = m.claims().get(t.task());
+            if (c != null && c.durable() && c.attempt() == t.attempt() && c.session() == r.session()) {
                 claimed.put(t.task(), t);
             } else if (t.stage() != Report.Stage.EXITED) {
-                m.strays = true;
+                m.setStrays(true);
                 commands.sendSoon(m);
             }
         }
@@ -280,14 +286,18 @@
      * not obeyed any more.
      */
     private boolean certainlyNotStarted(Machine m, Claim c) {
-        return c.stopping() && c.durable && c.stage == null && m.accepted(term) && !m.openRuns.containsKey(c.key);
+        return c.stopping()
+                && c.durable()
+                && c.stage() == null
+                && m.accepted(term)
+                && !m.openRuns().containsKey(c.key());
     }
 
     private void see(Machine m, Claim c, Report.TaskState t, long now) {
-        if (c.stage != t.stage()) {
-            c.stage = t.stage();
+        if (c.stage() != t.stage()) {
+            c.setStage(t.stage());
             switch (t.stage()) {
-                case WAITING -> m.holds(c.job.spec.image(), c.job.spec.imageGb());
+                case WAITING -> m.holds(c.job().spec().image(), c.job().spec().imageGb());
                 case RUNNING, SAVING -> running(m, c, now);
                 default -> {}
             }
@@ -299,36 +309,40 @@
     }
 
     private void running(Machine m, Claim c, long now) {
-        if (c.runningAt != 0) {
+        if (c.runningAt() != 0) {
             return;
         }
-        c.runningAt = now;
+        c.setRunningAt(now);
         LOG.debug(
                 "{} of {} runs on {} in {}, ordered {} ms ago",
-                c.name,
-                c.job.spec.jobClass(),
-                m.name,
-                m.zone,
-                c.orderedAt == 0 ? -1 : now - c.orderedAt);
-        c.job.begun = true;
-        m.holds(c.job.spec.image(), c.job.spec.imageGb());
-        if (c.job.spec.gang() && c.job.runningCount() == c.job.spec.tasks()) {
-            events.gangRuns(c.job);
+                c.name(),
+                c.job().spec().jobClass(),
+                m.name(),
+                m.zone(),
+                c.orderedAt() == 0 ? -1 : now - c.orderedAt());
+        c.job().setBegun(true);
+        m.holds(c.job().spec().image(), c.job().spec().imageGb());
+        if (c.job().spec().gang() && c.job().runningCount() == c.job().spec().tasks()) {
+            events.gangRuns(c.job());
         }
     }
 
     /** What a notice asks for: save what can be saved, and move what has to run elsewhere. */
     private void leave(Machine m, long now) {
-        for (Claim c : List.copyOf(m.claims.values())) {
-            if (c.job.spec.gang()) {
-                if (c.job.spec.estimateS() - c.ranMs(now) / 1000.0 > m.noticeS) {
-                    events.stopWhole(c, c.job.spec.saveS() <= m.noticeS ? c.job.spec.saveS() : 0);
+        for (Claim c : List.copyOf(m.claims().values())) {
+            if (c.job().spec().gang()) {
+                if (c.job().spec().estimateS() - c.ranMs(now) / 1000.0 > m.noticeS()) {
+                    events.stopWhole(
+                            c,
+                            c.job().spec().saveS() <= m.noticeS()
+                                    ? c.job().spec().saveS()
+                                    : 0);
                 }
-            } else if (c.job.spec.service()) {
+            } else if (c.job().spec().service()) {
                 cluster.stop(c, 0, now);
-            } else if (c.job.spec.checkpointS() > 0) {
-                cluster.stop(c, c.job.spec.saveS(), now);
-            } else if (c.job.spec.estimateS() - c.ranMs(now) / 1000.0 > m.noticeS) {
+            } else if (c.job().spec().checkpointS() > 0) {
+                cluster.stop(c, c.job().spec().saveS(), now);
+            } else if (c.job().spec().estimateS() - c.ranMs(now) / 1000.0 > m.noticeS()) {
                 cluster.stop(c, 0, now); // it would be lost all the same, only later
             }
         }
@@ -338,7 +352,7 @@
 
     /** The cloud has confirmed that a machine is gone with all that was on it. */
     public void deleted(Machine m) {
-        for (Claim c : List.copyOf(m.claims.values())) {
+        for (Claim c : List.copyOf(m.claims().values())) {
             events.gone(c, "machine deleted");
         }
         cluster.forget(m);
--- a/src/main/java/stileferry/heartbeat/SilenceRecords.java
+++ b/src/main/java/stileferry/heartbeat/SilenceRecords.java
@@ -56,15 +56,15 @@
         @Override
         public void write(ArrayNode into) {
             into.add(SILENT)
-                    .add(silence.machine)
-                    .add(silence.session)
-                    .add(silence.answeredAt)
-                    .add(silence.term);
+                    .add(silence.machine())
+                    .add(silence.session())
+                    .add(silence.answeredAt())
+                    .add(silence.term());
         }
 
         @Override
         public int bytes() {
-            return BYTES + silence.machine.length();
+            return BYTES + silence.machine().length();
         }
 
         @Override
@@ -74,7 +74,7 @@
 
         @Override
         public Ledger.Event kept(long record) {
-            return silence.storedIn(record) && !silence.over ? this : null;
+            return silence.storedIn(record) && !silence.over() ? this : null;
         }
 
         @Override
@@ -116,8 +116,8 @@
         this.ledger = ledger;
         this.leadership = leadership;
         this.term = term;
-        this.reportMs = Math.round(cluster.settings.workers().reportS() * 1000);
-        this.clockOffMs = cluster.settings.clockOffMs();
+        this.reportMs = Math.round(cluster.settings().workers().reportS() * 1000);
+        this.clockOffMs = cluster.settings().clockOffMs();
     }
 
     /** Takes in what the former leader noted, once the claims are known. */
@@ -127,13 +127,13 @@
         }
         int taken = 0;
         for (Silence s : notes) {
-            Machine m = cluster.machines.get(s.machine);
-            if (m == null || s.term != term - 1) {
+            Machine m = cluster.machines().get(s.machine());
+            if (m == null || s.term() != term - 1) {
                 continue;
             }
-            long ago = environment.timeOfDay() - s.answeredAt - (long) Math.ceil(2 * clockOffMs);
-            m.answeredBefore = Math.max(environment.now() - ago, leadership.consentedAt());
-            m.answeredBeforeSession = s.session;
+            long ago = environment.timeOfDay() - s.answeredAt() - (long) Math.ceil(2 * clockOffMs);
+            m.setAnsweredBefore(Math.max(environment.now() - ago, leadership.consentedAt()));
+            m.setAnsweredBeforeSession(s.session());
             taken++;
         }
         if (taken > 0) {
@@ -144,9 +144,9 @@
     /** Notes a machine whose last report, of this session, was answered then, if it is silent for long enough. */
     void note(Machine m, long session, long answeredAt) {
         long ago = environment.now() - answeredAt;
-        if (m.silence == null && !m.claims.isEmpty() && ago > NOTE_AFTER_REPORTS * reportMs && leadership.sure()) {
-            m.silence = new Silence(m.name, session, environment.timeOfDay() - ago, term);
-            ledger.log(new Silent(m.silence), null);
+        if (m.silence() == null && !m.claims().isEmpty() && ago > NOTE_AFTER_REPORTS * reportMs && leadership.sure()) {
+            m.setSilence(new Silence(m.name(), session, environment.timeOfDay() - ago, term));
+            ledger.log(new Silent(m.silence()), null);
         }
     }
 
@@ -158,10 +158,10 @@
             return;
         }
         waiting.put(m, new ArrayList<>(List.of(new Waiting(environment.now(), answer, refuse))));
-        Silence silence = m.silence;
-        ledger.log(new Heard(m.name), () -> {
-            silence.over = true;
-            m.silence = null;
+        Silence silence = m.silence();
+        ledger.log(new Heard(m.name()), () -> {
+            silence.setOver(true);
+            m.setSilence(null);
             waiting.remove(m).forEach(w -> w.answer.run());
         });
     }
--- a/src/main/java/stileferry/lifecycle/GangCounters.java
+++ b/src/main/java/stileferry/lifecycle/GangCounters.java
@@ -43,8 +43,8 @@
     }
 
     private static boolean isFirstOfItsAttempt(Claim claim) {
-        boolean first = claim.job.endedAttempt != claim.attempt;
-        claim.job.endedAttempt = claim.attempt;
+        boolean first = claim.job().endedAttempt() != claim.attempt();
+        claim.job().setEndedAttempt(claim.attempt());
         return first;
     }
 
--- a/src/main/java/stileferry/lifecycle/JobEnds.java
+++ b/src/main/java/stileferry/lifecycle/JobEnds.java
@@ -44,8 +44,8 @@
 
     /** Ends the jobs that were over when a term began, and goes on with what was cancelled. */
     public void endWhatIsOver() {
-        for (Job job : List.copyOf(cluster.jobs.values())) {
-            if (job.cancelled) {
+        for (Job job : List.copyOf(cluster.jobs().values())) {
+            if (job.cancelled()) {
                 cancelDurable(job);
             } else if (job.unfinished() == 0) {
                 end(job, "done");
@@ -54,7 +54,7 @@
     }
 
     private void stopAll(Job job) {
-        for (Claim claim : List.copyOf(job.claims.values())) {
+        for (Claim claim : List.copyOf(job.claims().values())) {
             stop.accept(claim);
         }
     }
@@ -65,17 +65,17 @@
 
     /** Moves a job among the ended ones; what else is stored of it goes afterwards. */
     void end(Job job, String how, Runnable onDurable) {
-        if (job.ending) {
+        if (job.ending()) {
             return;
         }
-        job.ending = true;
+        job.setEnding(true);
         EndedJobCache.Ended record = new EndedJobCache.Ended(how, job.doneCount());
-        Ledger.Entry entry = new Ledger.Entry(Job.endedKey(job.spec.id()), 0, record::write);
-        ledger.move(entry, job.record, () -> {
-            job.over = true;
-            leadership.cancellations().over(job.spec.id());
-            cluster.jobs.remove(job.spec.id());
-            ended.put(job.spec.id(), record);
+        Ledger.Entry entry = new Ledger.Entry(Job.endedKey(job.spec().id()), 0, record::write);
+        ledger.move(entry, job.record(), () -> {
+            job.setOver(true);
+            leadership.cancellations().over(job.spec().id());
+            cluster.jobs().remove(job.spec().id());
+            ended.put(job.spec().id(), record);
             listener.ended(job, record);
             if (onDurable != null) {
                 onDurable.run();
@@ -84,30 +84,30 @@
     }
 
     public void cancel(Job job) {
-        job.cancelled = true;
-        for (Claim claim : List.copyOf(job.claims.values())) {
-            if (claim.runsSent == 0) {
+        job.setCancelled(true);
+        for (Claim claim : List.copyOf(job.claims().values())) {
+            if (claim.runsSent() == 0) {
                 cluster.remove(claim, false); // no machine has heard of it
                 ledger.log(TaskEvents.freed(claim), null);
             }
         }
-        if (job.claims.isEmpty()) {
+        if (job.claims().isEmpty()) {
             end(job, "cancelled");
             return;
         }
-        ledger.put(job.record, () -> cancelDurable(job));
+        ledger.put(job.record(), () -> cancelDurable(job));
     }
 
     /** A cancellation is durable: the tasks are stopped, and the user hears of it when that is allowed. */
     void cancelDurable(Job job) {
-        job.cancelDurable = true;
+        job.setCancelDurable(true);
         stopAll(job);
-        if (job.claims.isEmpty()) {
+        if (job.claims().isEmpty()) {
             end(job, "cancelled");
             return;
         }
-        leadership.tellCancelled(job.spec.id(), () -> {
-            job.cancelKnown = true;
+        leadership.tellCancelled(job.spec().id(), () -> {
+            job.setCancelKnown(true);
             confirm(job);
         });
     }
@@ -118,8 +118,8 @@
      * that did not arrive let a task begin whose image came after its user had been told.
      */
     void confirm(Job job) {
-        if (job.cancelKnown && !job.cancelTold && !job.ending && !job.mayBegin()) {
-            job.cancelTold = true;
+        if (job.cancelKnown() && !job.cancelTold() && !job.ending() && !job.mayBegin()) {
+            job.setCancelTold(true);
             listener.cancelConfirmed(job);
         }
     }
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -31,7 +31,7 @@
 
     /** A claim has ended, and its task waits again. */
     static Ledger.Event freed(Claim claim) {
-        return new Freed(claim.job, claim.index, claim.attempt);
+        return new Freed(claim.job(), claim.index(), claim.attempt());
     }
 
     /** A task is done. */
@@ -43,26 +43,26 @@
         @Override
         public void write(ArrayNode into) {
             into.add(CLAIMED)
-                    .add(claim.job.spec.id())
-                    .add(claim.index)
-                    .add(claim.attempt)
-                    .add(claim.machine)
-                    .add(claim.session);
+                    .add(claim.job().spec().id())
+                    .add(claim.index())
+                    .add(claim.attempt())
+                    .add(claim.machine())
+                    .add(claim.session());
         }
 
         @Override
         public int bytes() {
-            return BYTES + claim.job.spec.id().length() + claim.machine.length();
+            return BYTES + claim.job().spec().id().length() + claim.machine().length();
         }
 
         @Override
         public void recorded(long record) {
-            claim.record = record;
+            claim.setRecord(record);
         }
 
         @Override
         public Ledger.Event kept(long record) {
-            return claim.record == record && claim.job.claims.get(claim.index) == claim ? this : null;
+            return claim.record() == record && claim.job().claims().get(claim.index()) == claim ? this : null;
         }
 
         @Override
@@ -75,12 +75,12 @@
     private record Freed(Job job, int index, long attempt) implements Ledger.Event {
         @Override
         public void write(ArrayNode into) {
-            into.add(FREED).add(job.spec.id()).add(index).add(attempt);
+            into.add(FREED).add(job.spec().id()).add(index).add(attempt);
         }
 
         @Override
         public int bytes() {
-            return BYTES + job.spec.id().length();
+            return BYTES + job.spec().id().length();
         }
 
         @Override
@@ -100,12 +100,12 @@
     private record Done(Job job, int from, int to) implements Ledger.Event {
         @Override
         public void write(ArrayNode into) {
-            into.add(DONE).add(job.spec.id()).add(from).add(to);
+            into.add(DONE).add(job.spec().id()).add(from).add(to);
         }
 
         @Override
         public int bytes() {
-            return BYTES + job.spec.id().length();
+            return BYTES + job.spec().id().length();
         }
 
         @Override
@@ -121,12 +121,15 @@
         /** Together with its neighbours that are done by now, so that a long job takes ever fewer events. */
         @Override
         public Ledger.Event kept(long record) {
-            if (job.over) {
+            if (job.over()) {
                 return null;
             }
             for (int i = from; i <= to; i++) {
                 if (job.doneRecord(i) == (int) record) {
-                    return new Done(job, job.done.previousClearBit(from) + 1, job.done.nextClearBit(to) - 1);
+                    return new Done(
+                            job,
+                            job.done().previousClearBit(from) + 1,
+                            job.done().nextClearBit(to) - 1);
                 }
             }
             return null;
@@ -158,7 +161,7 @@
                 }
                 Job job = jobs.get(e.path(1).asText());
                 int index = e.path(2).asInt(-1);
-                if (job == null || index < 0 || index >= job.spec.tasks()) {
+                if (job == null || index < 0 || index >= job.spec().tasks()) {
                     continue; // the job is over
                 }
                 switch (kind) {
@@ -172,13 +175,17 @@
                                 number));
                     case FREED -> {
                         Claim claim = of(job).get(index);
-                        if (claim != null && claim.attempt == e.path(3).asLong()) {
+                        if (claim != null && claim.attempt() == e.path(3).asLong()) {
                             of(job).remove(index);
                         }
                         events.add(new Freed(job, index, e.path(3).asLong()));
                     }
                     case DONE ->
-                        events.add(done(job, index, Math.min(e.path(3).asInt(), job.spec.tasks() - 1), number));
+                        events.add(done(
+                                job,
+                                index,
+                                Math.min(e.path(3).asInt(), job.spec().tasks() - 1),
+                                number));
                     default -> {}
                 }
             }
@@ -188,9 +195,9 @@
         /** Reads the older form: one part of a job's tasks, a bitmap of those done and the claims. */
         public List<Ledger.Event> readChunk(Job job, int chunk, JsonNode v, long number) {
             List<Ledger.Event> events = new ArrayList<>();
-            int from = chunk * job.chunkTasks;
+            int from = chunk * job.chunkTasks();
             String hex = v.path("done").asText();
-            for (int i = 0; i < 4 * hex.length() && from + i < job.spec.tasks(); i++) {
+            for (int i = 0; i < 4 * hex.length() && from + i < job.spec().tasks(); i++) {
                 // two digits a byte, the lowest bit first
                 int digit = Character.digit(hex.charAt(i / 8 * 2 + (i % 8 < 4 ? 1 : 0)), 16);
                 if ((digit >> i % 4 & 1) != 0) {
@@ -199,7 +206,7 @@
             }
             for (JsonNode c : v.path("claims")) {
                 int index = c.path(0).asInt(-1);
-                if (index >= 0 && index < job.spec.tasks()) {
+                if (index >= 0 && index < job.spec().tasks()) {
                     events.add(claim(
                             job,
                             index,
@@ -214,9 +221,9 @@
 
         private Ledger.Event claim(Job job, int index, long attempt, String machine, long session, long number) {
             Claim claim = new Claim(job, index, attempt, machine, session, 0);
-            claim.durable = true;
-            claim.runsSent = 1;
-            claim.record = number;
+            claim.setDurable(true);
+            claim.setRunsSent(1);
+            claim.setRecord(number);
             of(job).put(index, claim);
             return new Claimed(claim);
         }
@@ -244,7 +251,7 @@
         public List<Claim> claims() {
             List<Claim> all = new ArrayList<>();
             claims.values().forEach(of -> of.values().forEach(c -> {
-                if (!c.job.done.get(c.index)) {
+                if (!c.job().done().get(c.index())) {
                     all.add(c);
                 }
             }));
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -57,7 +57,7 @@
         this.fleet = createFleet.apply(this);
         this.jobEnds = createJobEnds.apply(this);
         this.changed = changed;
-        this.roundMs = cluster.settings.workers().reportRoundMs();
+        this.roundMs = cluster.settings().workers().reportRoundMs();
     }
 
     public Fleet fleet() {
@@ -89,25 +89,25 @@
         // The tasks of a gang find each other by their attempt, so it is the same for all of them.
         long attempt = numbers.next();
         GangAttempt gangAttempt = null;
-        if (job.spec.gang()) {
+        if (job.spec().gang()) {
             gangAttempt = new GangAttempt(machines.size());
             gangCounters.attempted();
         }
         for (Machine machine : machines) {
-            Claim claim = new Claim(job, index, attempt, machine.name, machine.session, now);
-            claim.overdue = overdue;
-            claim.gangAttempt = gangAttempt;
+            Claim claim = new Claim(job, index, attempt, machine.name(), machine.session(), now);
+            claim.setOverdue(overdue);
+            claim.setGangAttempt(gangAttempt);
             cluster.add(claim);
             ledger.log(TaskEvents.claimed(claim), () -> claimDurable(claim, machine));
-            index = job.taken.nextClearBit(index);
+            index = job.taken().nextClearBit(index);
         }
     }
 
     private void claimDurable(Claim claim, Machine machine) {
-        claim.durable = true;
-        if (claim.gangAttempt != null) {
-            if (claim.gangAttempt.claimDurable()) {
-                startWhole(claim.job, claim.gangAttempt);
+        claim.setDurable(true);
+        if (claim.gangAttempt() != null) {
+            if (claim.gangAttempt().claimDurable()) {
+                startWhole(claim.job(), claim.gangAttempt());
             }
         } else if (mayStart(claim)) {
             fleet.commands().sendSoon(machine);
@@ -115,15 +115,17 @@
     }
 
     private void startWhole(Job job, GangAttempt attempt) {
-        for (Claim claim : job.claims.values()) {
-            if (claim.gangAttempt == attempt && mayStart(claim)) {
-                fleet.commands().sendSoon(cluster.machine(claim.machine));
+        for (Claim claim : job.claims().values()) {
+            if (claim.gangAttempt() == attempt && mayStart(claim)) {
+                fleet.commands().sendSoon(cluster.machine(claim.machine()));
             }
         }
     }
 
     private static boolean mayStart(Claim claim) {
-        return claim.job.claims.get(claim.index) == claim && !claim.stopping() && !claim.job.cancelled;
+        return claim.job().claims().get(claim.index()) == claim
+                && !claim.stopping()
+                && !claim.job().cancelled();
     }
 
     /**
@@ -131,8 +133,8 @@
      * what it did.
      */
     public void stop(Claim claim, double graceS) {
-        if (claim.job.spec.gang()) {
-            double together = graceS > 0 && !allHear(claim.job) ? 0 : graceS;
+        if (claim.job().spec().gang()) {
+            double together = graceS > 0 && !allHear(claim.job()) ? 0 : graceS;
             stopOne(claim, together);
             stopOthers(claim, together);
         } else {
@@ -145,9 +147,12 @@
      * told to, they would only wait for it, and what they did since their last checkpoint is lost all the same.
      */
     private boolean allHear(Job gang) {
-        for (Claim claim : gang.claims.values()) {
-            if (!fleet.failures().hears(cluster.machine(claim.machine))) {
-                LOG.info("gang {} is stopped without saving: {} may not hear it", gang.spec.id(), claim.machine);
+        for (Claim claim : gang.claims().values()) {
+            if (!fleet.failures().hears(cluster.machine(claim.machine()))) {
+                LOG.info(
+                        "gang {} is stopped without saving: {} may not hear it",
+                        gang.spec().id(),
+                        claim.machine());
                 return false;
             }
         }
@@ -156,29 +161,29 @@
 
     /** One that its machine has never heard of is simply not there. */
     private void stopOne(Claim claim, double graceS) {
-        if (claim.job.claims.get(claim.index) != claim) {
+        if (claim.job().claims().get(claim.index()) != claim) {
             return; // ended with its gang; counted out twice it would let its team beyond its limit
         }
-        if (claim.runsSent == 0) {
-            LOG.debug("{} is not on {}: it was never sent", claim.name, claim.machine);
+        if (claim.runsSent() == 0) {
+            LOG.debug("{} is not on {}: it was never sent", claim.name(), claim.machine());
             settle(claim, false, null);
             return;
         }
         cluster.stop(claim, graceS, environment.now());
-        fleet.commands().sendSoon(cluster.machine(claim.machine));
+        fleet.commands().sendSoon(cluster.machine(claim.machine()));
     }
 
     @Override
     public void exited(Machine machine, Claim claim, Report.TaskState t) {
-        Job job = claim.job;
-        if (job.claims.get(claim.index) != claim) {
+        Job job = claim.job();
+        if (job.claims().get(claim.index()) != claim) {
             return; // ended with its gang
         }
         long now = environment.now();
-        boolean done = t.reason() == ExitReason.DONE && !job.spec.service();
-        List<Claim> others = done && job.spec.gang() ? finishGang(job, claim) : List.of();
-        machine.settling.add(t.key());
-        job.begun |= done || t.reason() == ExitReason.ERROR;
+        boolean done = t.reason() == ExitReason.DONE && !job.spec().service();
+        List<Claim> others = done && job.spec().gang() ? finishGang(job, claim) : List.of();
+        machine.settling().add(t.key());
+        job.setBegun(job.begun() | (done || t.reason() == ExitReason.ERROR));
         logExit(machine, claim, t, now);
         if (done) {
             succeeded(machine, claim, now);
@@ -186,63 +191,66 @@
             failed(machine, claim, t, now);
         }
         settle(claim, done, () -> {
-            machine.settling.remove(t.key());
+            machine.settling().remove(t.key());
             others.forEach(this::mayClear);
         });
     }
 
     private void logExit(Machine machine, Claim claim, Report.TaskState t, long now) {
-        if (claim.orderedAt > 0 && claim.runningAt > 0) {
+        if (claim.orderedAt() > 0 && claim.runningAt() > 0) {
             LOG.debug(
                     "{} of {} exited on {}: {}, ordered {} ms after its job, running {} ms later, for {} ms",
-                    claim.name,
-                    claim.job.spec.jobClass(),
-                    machine.name,
+                    claim.name(),
+                    claim.job().spec().jobClass(),
+                    machine.name(),
                     t.reason(),
-                    claim.orderedAt - now + environment.timeOfDay() - claim.job.acceptedAt,
-                    claim.runningAt - claim.orderedAt,
-                    now - claim.runningAt);
+                    claim.orderedAt()
+                            - now
+                            + environment.timeOfDay()
+                            - claim.job().acceptedAt(),
+                    claim.runningAt() - claim.orderedAt(),
+                    now - claim.runningAt());
         }
     }
 
     private static void succeeded(Machine machine, Claim claim, long now) {
-        if (claim.orderedAt > 0 && claim.runningAt > 0) {
+        if (claim.orderedAt() > 0 && claim.runningAt() > 0) {
             machine.finished(
-                    (now - claim.runningAt) / 1000.0,
-                    (claim.runningAt - claim.orderedAt) / 1000.0,
+                    (now - claim.runningAt()) / 1000.0,
+                    (claim.runningAt() - claim.orderedAt()) / 1000.0,
                     SLOWDOWN_THRESHOLD_S);
         }
-        claim.job.successes++;
-        claim.job.retries.remove(claim.index);
-        machine.failures.clear();
+        claim.job().countSuccess();
+        claim.job().retries().remove(claim.index());
+        machine.failures().clear();
     }
 
     /** The outcome of a task that ended with its gang is durable. */
     private void mayClear(Claim claim) {
-        Machine machine = cluster.machines.get(claim.machine);
+        Machine machine = cluster.machines().get(claim.machine());
         if (machine != null) {
-            machine.settling.remove(claim.key);
+            machine.settling().remove(claim.key());
         }
     }
 
     private void failed(Machine machine, Claim claim, Report.TaskState t, long now) {
-        Job job = claim.job;
+        Job job = claim.job();
         switch (t.reason()) {
             case ERROR -> {
-                Job.Retry retry = job.retries.computeIfAbsent(claim.index, i -> new Job.Retry());
-                retry.notBefore = now + Math.min(60_000, 1000L << Math.min(6, retry.failures++));
-                job.failedOn.add(machine.name);
-                machine.failures.merge(job.spec.id(), 1, Integer::sum);
+                Job.Retry retry = job.retries().computeIfAbsent(claim.index(), i -> new Job.Retry());
+                retry.backOff(now, 1000, 6);
+                job.failedOn().add(machine.name());
+                machine.failures().merge(job.spec().id(), 1, Integer::sum);
                 judge(machine);
             }
-            case NO_ROOM, ANOTHER_ATTEMPT -> machine.placeAfter = now + roundMs;
+            case NO_ROOM, ANOTHER_ATTEMPT -> machine.setPlaceAfter(now + roundMs);
             case UNKNOWN_JOB -> {
-                Job.Retry retry = job.retries.computeIfAbsent(claim.index, i -> new Job.Retry());
-                retry.notBefore = now + Math.min(60_000, 500L << Math.min(7, retry.failures++));
+                Job.Retry retry = job.retries().computeIfAbsent(claim.index(), i -> new Job.Retry());
+                retry.backOff(now, 500, 7);
             }
             default -> {}
         }
-        if (job.spec.gang()) {
+        if (job.spec().gang()) {
             gangCounters.exited(claim, t);
         }
         stopGang(claim, t.saved());
@@ -253,14 +261,14 @@
      * them can: told to save they would only wait for the missing one, and hold their machines until they give up.
      */
     private void stopGang(Claim claim, boolean saved) {
-        if (claim.job.spec.gang()) {
-            stopOthers(claim, saved ? claim.job.spec.saveS() : 0);
+        if (claim.job().spec().gang()) {
+            stopOthers(claim, saved ? claim.job().spec().saveS() : 0);
         }
     }
 
     private void stopOthers(Claim claim, double graceS) {
-        for (Claim other : List.copyOf(claim.job.claims.values())) {
-            if (other != claim && (!other.stopping() || graceS < other.stopGraceS)) {
+        for (Claim other : List.copyOf(claim.job().claims().values())) {
+            if (other != claim && (!other.stopping() || graceS < other.stopGraceS())) {
                 stopOne(other, graceS);
             }
         }
@@ -272,16 +280,16 @@
      * Returns the claims that have ended so, which their machines may not clear before that is durable.
      */
     public List<Claim> finishGang(Job job, Claim first) {
-        List<Claim> others = new ArrayList<>(job.claims.values());
+        List<Claim> others = new ArrayList<>(job.claims().values());
         others.remove(first);
         for (Claim claim : others) {
             cluster.remove(claim, true);
-            Machine machine = cluster.machine(claim.machine);
-            machine.settling.add(claim.key);
-            machine.idleSince = machine.claims.isEmpty() ? environment.now() : machine.idleSince;
+            Machine machine = cluster.machine(claim.machine());
+            machine.settling().add(claim.key());
+            machine.setIdleSince(machine.claims().isEmpty() ? environment.now() : machine.idleSince());
         }
-        for (int i = 0; i < job.spec.tasks(); i++) {
-            if (first == null || i != first.index) {
+        for (int i = 0; i < job.spec().tasks(); i++) {
+            if (first == null || i != first.index()) {
                 job.finish(i);
             }
         }
@@ -290,13 +298,17 @@
 
     @Override
     public void progressed(Claim claim) {
-        jobEnds.confirm(claim.job);
+        jobEnds.confirm(claim.job());
     }
 
     @Override
     public void gangRuns(Job job) {
         gangCounters.started();
-        LOG.debug("all {} tasks of {} of {} run", job.spec.tasks(), job.spec.id(), job.spec.jobClass());
+        LOG.debug(
+                "all {} tasks of {} of {} run",
+                job.spec().tasks(),
+                job.spec().id(),
+                job.spec().jobClass());
     }
 
     @Override
@@ -310,8 +322,8 @@
      * completed, nor can its tasks save, so they stop at once and the gang starts again whole.
      */
     public void stopBrokenAttempt(Job job) {
-        if (job.spec.gang() && !job.claims.isEmpty() && !job.claimsFormOneAttempt()) {
-            List.copyOf(job.claims.values()).forEach(claim -> cluster.stop(claim, 0, environment.now()));
+        if (job.spec().gang() && !job.claims().isEmpty() && !job.claimsFormOneAttempt()) {
+            List.copyOf(job.claims().values()).forEach(claim -> cluster.stop(claim, 0, environment.now()));
         }
     }
 
@@ -321,27 +333,27 @@
      */
     private void judge(Machine machine) {
         int weight = 0;
-        for (var failure : machine.failures.entrySet()) {
-            Job job = cluster.jobs.get(failure.getKey());
-            if (job == null || job.failedOn.size() < 3) {
-                weight += job != null && job.successes > 0 ? Math.min(2, failure.getValue()) : 1;
+        for (var failure : machine.failures().entrySet()) {
+            Job job = cluster.jobs().get(failure.getKey());
+            if (job == null || job.failedOn().size() < 3) {
+                weight += job != null && job.successes() > 0 ? Math.min(2, failure.getValue()) : 1;
             }
         }
-        if (weight >= 2 && !machine.faulty) {
-            LOG.info("machine {} fails its tasks and is taken out of use", machine.name);
-            machine.faulty = true;
-            for (Claim claim : List.copyOf(machine.claims.values())) {
-                stop(claim, claim.job.spec.saveS());
+        if (weight >= 2 && !machine.faulty()) {
+            LOG.info("machine {} fails its tasks and is taken out of use", machine.name());
+            machine.setFaulty(true);
+            for (Claim claim : List.copyOf(machine.claims().values())) {
+                stop(claim, claim.job().spec().saveS());
             }
         }
     }
 
     @Override
     public void gone(Claim claim, String proof) {
-        if (claim.job.claims.get(claim.index) == claim) {
-            LOG.debug("{} is not on {} any more: {}", claim.name, claim.machine, proof);
+        if (claim.job().claims().get(claim.index()) == claim) {
+            LOG.debug("{} is not on {} any more: {}", claim.name(), claim.machine(), proof);
             settle(claim, false, null);
-            if (claim.job.spec.gang()) {
+            if (claim.job().spec().gang()) {
                 gangCounters.gone(claim);
             }
             stopGang(claim, false);
@@ -349,18 +361,18 @@
     }
 
     private void settle(Claim claim, boolean done, Runnable onDurable) {
-        Job job = claim.job;
-        Machine machine = cluster.machine(claim.machine);
+        Job job = claim.job();
+        Machine machine = cluster.machine(claim.machine());
         cluster.remove(claim, done);
-        if (machine.claims.isEmpty()) {
-            machine.idleSince = environment.now();
+        if (machine.claims().isEmpty()) {
+            machine.setIdleSince(environment.now());
         }
-        if (job.unfinished() == 0 && !job.cancelled) {
+        if (job.unfinished() == 0 && !job.cancelled()) {
             jobEnds.end(job, "done", onDurable);
-        } else if (job.cancelled && job.claims.isEmpty()) {
+        } else if (job.cancelled() && job.claims().isEmpty()) {
             jobEnds.end(job, "cancelled", onDurable);
         } else {
-            ledger.log(done ? TaskEvents.done(job, claim.index) : TaskEvents.freed(claim), onDurable);
+            ledger.log(done ? TaskEvents.done(job, claim.index()) : TaskEvents.freed(claim), onDurable);
             jobEnds.confirm(job);
         }
         changed.run();
--- a/src/main/java/stileferry/admissioncontrol/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -1,4 +1,4 @@
-package stileferry.admissioncontrol;
+package stileferry.overload;
 
 import java.util.function.Consumer;
 import stileferry.protocol.PeerRecord;
--- a/src/main/java/stileferry/admissioncontrol/AdmissionRecords.java
+++ b/src/main/java/stileferry/overload/AdmissionRecords.java
@@ -1,4 +1,4 @@
-package stileferry.admissioncontrol;
+package stileferry.overload;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/stileferry/admissioncontrol/ForwardLane.java
+++ b/src/main/java/stileferry/overload/ForwardLane.java
@@ -1,4 +1,4 @@
-package stileferry.admissioncontrol;
+package stileferry.overload;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/stileferry/requests/Admin.java
+++ b/src/main/java/stileferry/requests/Admin.java
@@ -46,7 +46,7 @@
         this.entry = new Ledger.Entry(Leadership.OPTIONS_KEY, revision, () -> pending.write());
         this.leader = leader;
         this.taken = taken;
-        this.pending = cluster.options;
+        this.pending = cluster.options();
     }
 
     /** Answers a request; the path has no prefix, the method is GET or POST. */
@@ -62,7 +62,7 @@
         switch (path) {
             case "settings" -> {
                 if (get) {
-                    reply.accept(Answers.ok(200, cluster.options.describe()));
+                    reply.accept(Answers.ok(200, cluster.options().describe()));
                 } else {
                     change(bytes, false, reply);
                 }
@@ -115,35 +115,35 @@
         ArrayNode list = answer.putArray("machines");
         int bytes = 0;
         boolean more = false;
-        for (Machine m : cluster.machines.values()) {
-            if (m.name.compareTo(from) <= 0) {
+        for (Machine m : cluster.machines().values()) {
+            if (m.name().compareTo(from) <= 0) {
                 continue;
             }
             if (bytes > MAX_BYTES) {
                 more = true;
                 break;
             }
-            String state = m.deleting
+            String state = m.deleting()
                     ? "returning"
-                    : !m.heard
+                    : !m.heard()
                             ? "not heard"
-                            : m.faulty
+                            : m.faulty()
                                     ? "faulty"
-                                    : m.noticeS >= 0
+                                    : m.noticeS() >= 0
                                             ? "leaving"
-                                            : m.draining ? "emptying" : m.strays ? "killing strays" : "in use";
+                                            : m.draining() ? "emptying" : m.strays() ? "killing strays" : "in use";
             ObjectNode o = list.addObject()
-                    .put("name", m.name)
-                    .put("type", m.typeName)
-                    .put("zone", m.zone)
-                    .put("spot", m.spot)
+                    .put("name", m.name())
+                    .put("type", m.typeName())
+                    .put("zone", m.zone())
+                    .put("spot", m.spot())
                     .put("state", state)
-                    .put("session", m.session)
-                    .put("heard_s", m.heard ? (now - m.heardAt) / 1000.0 : -1)
+                    .put("session", m.session())
+                    .put("heard_s", m.heard() ? (now - m.heardAt()) / 1000.0 : -1)
                     .put("slowdown", m.slowdown())
                     .put("cpus_in_use", m.usedCpus());
             ArrayNode tasks = o.putArray("tasks");
-            m.claims.values().forEach(c -> tasks.add(c.name));
+            m.claims().values().forEach(c -> tasks.add(c.name()));
             bytes += o.toString().length();
         }
         return answer.put("more", more);
@@ -167,11 +167,11 @@
             }
             ObjectNode o = list.addObject()
                     .put("position", position)
-                    .put("id", job.spec.id())
-                    .put("class", job.spec.jobClass())
-                    .put("team", job.spec.team())
-                    .put("priority", job.spec.priority().name().toLowerCase(java.util.Locale.ROOT))
-                    .put("within_guarantee", job.withinGuarantee)
+                    .put("id", job.spec().id())
+                    .put("class", job.spec().jobClass())
+                    .put("team", job.spec().team())
+                    .put("priority", job.spec().priority().name().toLowerCase(java.util.Locale.ROOT))
+                    .put("within_guarantee", job.withinGuarantee())
                     .put("rank", placement.rank(job))
                     .put("waiting", job.waitingCount())
                     .put("why", placement.whyWaiting(job, now));
@@ -184,7 +184,7 @@
         ObjectNode answer = MessageCodec.map();
         ArrayNode list = answer.putArray("teams");
         List<JobSpec.Priority> priorities = List.of(JobSpec.Priority.values());
-        for (Settings.Team team : cluster.settings.teams()) {
+        for (Settings.Team team : cluster.settings().teams()) {
             ObjectNode o = list.addObject()
                     .put("name", team.name())
                     .put("cpus", team.cpus())
@@ -194,9 +194,9 @@
                     .put("gpus_max", team.gpusMax())
                     .put("gpus_in_use", cluster.gpusOf(team.name()));
             int[] waiting = new int[priorities.size()];
-            for (Job job : cluster.jobs.values()) {
-                if (job.spec.team().equals(team.name())) {
-                    waiting[job.spec.priority().ordinal()] += job.waitingCount();
+            for (Job job : cluster.jobs().values()) {
+                if (job.spec().team().equals(team.name())) {
+                    waiting[job.spec().priority().ordinal()] += job.waitingCount();
                 }
             }
             ObjectNode w = o.putObject("waiting");
--- a/src/main/java/stileferry/requests/Users.java
+++ b/src/main/java/stileferry/requests/Users.java
@@ -81,23 +81,23 @@
 
     /** Tells all who wait that nothing more will be known here. */
     public void close() {
-        for (Job job : cluster.jobs.values()) {
+        for (Job job : cluster.jobs().values()) {
             answer(job, Answers.unavailable());
         }
     }
 
     /** Answers all who wait for this job. */
     void answer(Job job, PeerRecord.Answer answer) {
-        List<Consumer<PeerRecord.Answer>> waiting = job.waiting;
-        job.waiting = new ArrayList<>();
-        job.waitingSince = 0;
+        List<Consumer<PeerRecord.Answer>> waiting = job.waiting();
+        job.setWaiting(new ArrayList<>());
+        job.setWaitingSince(0);
         awaited.remove(job);
         waiting.forEach(w -> w.accept(answer));
     }
 
     @Override
     public void ended(Job job, EndedJobCache.Ended end) {
-        answer(job, Answers.ok(200, end.answer(job.spec.id())));
+        answer(job, Answers.ok(200, end.answer(job.spec().id())));
     }
 
     @Override
@@ -106,9 +106,9 @@
     }
 
     private void await(Job job, Consumer<PeerRecord.Answer> reply) {
-        job.waiting.add(reply);
-        if (job.waitingSince == 0) {
-            job.waitingSince = environment.now();
+        job.waiting().add(reply);
+        if (job.waitingSince() == 0) {
+            job.setWaitingSince(environment.now());
             awaited.add(job);
         }
     }
@@ -118,7 +118,7 @@
         long now = environment.now();
         boolean sure = lead.serving();
         for (Job job : List.copyOf(awaited)) {
-            if (!sure || now - job.waitingSince > DURABLE_MS) {
+            if (!sure || now - job.waitingSince() > DURABLE_MS) {
                 answer(job, Answers.unavailable());
             }
         }
@@ -126,13 +126,13 @@
 
     /** Where a job stands, as its user may hear it. */
     PeerRecord.Answer state(Job job, int status) {
-        if (!job.accepted || job.cancelled && !job.cancelTold) {
+        if (!job.accepted() || job.cancelled() && !job.cancelTold()) {
             return Answers.unavailable(); // the outcome of what would change the answer is not known yet
         }
-        int running = job.cancelled ? 0 : job.runningCount();
-        String tide = job.cancelled ? "cancelled" : running > 0 ? "running" : "pending";
-        int done = job.ending ? Math.max(0, job.doneCount() - 1) : job.doneCount();
-        return Answers.ok(status, Messages.jobState(job.spec.id(), tide, done, running));
+        int running = job.cancelled() ? 0 : job.runningCount();
+        String tide = job.cancelled() ? "cancelled" : running > 0 ? "running" : "pending";
+        int done = job.ending() ? Math.max(0, job.doneCount() - 1) : job.doneCount();
+        return Answers.ok(status, Messages.jobState(job.spec().id(), tide, done, running));
     }
 
     /** A job that was accepted and whose record nobody can read: known, and not over. */
@@ -171,12 +171,12 @@
             reply.accept(Answers.refusal(400, "not a map with a valid job id"));
             return;
         }
-        Job job = cluster.jobs.get(id);
+        Job job = cluster.jobs().get(id);
         if (job != null) {
             join(job, reply);
             return;
         }
-        if (cluster.unreadable.contains(id)) {
+        if (cluster.unreadable().contains(id)) {
             reply.accept(unreadable(id));
             return;
         }
@@ -191,7 +191,7 @@
                 id,
                 e -> reply.accept(Answers.ok(200, e.answer(id))),
                 () -> {
-                    Job meanwhile = cluster.jobs.get(id);
+                    Job meanwhile = cluster.jobs().get(id);
                     if (meanwhile != null) {
                         join(meanwhile, reply);
                     } else if (ended.get(id) != null) {
@@ -217,12 +217,12 @@
     /** Seconds of the state service's rates that wait. */
     public double backlogS() {
         return Math.max(
-                ledger.backlog() / cluster.settings.state().writeRps(),
-                state.waiting() / cluster.settings.state().rps());
+                ledger.backlog() / cluster.settings().state().writeRps(),
+                state.waiting() / cluster.settings().state().rps());
     }
 
     private void join(Job job, Consumer<PeerRecord.Answer> reply) {
-        if (job.accepted) {
+        if (job.accepted()) {
             reply.accept(state(job, 200));
         } else {
             await(job, reply);
@@ -237,20 +237,20 @@
             reply.accept(Answers.refusal(400, e.getMessage()));
             return;
         }
-        Settings.Team team = cluster.settings.team(spec.team());
+        Settings.Team team = cluster.settings().team(spec.team());
         if (team == null) {
             reply.accept(Answers.refusal(422, "unknown team"));
             return;
         }
-        if (cluster.types.isEmpty()) {
+        if (cluster.types().isEmpty()) {
             reply.accept(Answers.unavailable());
             return;
         }
-        if (cluster.types.stream().noneMatch(spec::fitsType)) {
+        if (cluster.types().stream().noneMatch(spec::fitsType)) {
             reply.accept(Answers.refusal(422, "a task fits no allowed machine type"));
             return;
         }
-        if (!spec.canRunTogether(cluster.types)) {
+        if (!spec.canRunTogether(cluster.types())) {
             reply.accept(Answers.refusal(422, "its tasks can't all run at the same time"));
             return;
         }
@@ -261,22 +261,23 @@
             return;
         }
         Job job = new Job(spec, lead.number(), environment.timeOfDay(), 0);
-        if (job.record.value().toString().length() > cluster.settings.state().valueKb() * 1024 * FILL) {
+        if (job.record().value().toString().length()
+                > cluster.settings().state().valueKb() * 1024 * FILL) {
             reply.accept(Answers.refusal(422, "its description is larger than can be kept"));
             return;
         }
         await(job, reply);
-        cluster.jobs.put(spec.id(), job);
+        cluster.jobs().put(spec.id(), job);
         lead.accepting(job);
         Runnable onDurable = () -> {
-            job.accepted = true;
+            job.setAccepted(true);
             answer(job, Answers.ok(201, Messages.jobState(spec.id(), "pending", 0, 0)));
             lead.changed();
         };
         if (first) {
-            ledger.putFirst(job.record, onDurable);
+            ledger.putFirst(job.record(), onDurable);
         } else {
-            ledger.put(job.record, onDurable);
+            ledger.put(job.record(), onDurable);
         }
     }
 
@@ -285,12 +286,12 @@
             reply.accept(Answers.unavailable());
             return;
         }
-        Job job = cluster.jobs.get(id);
+        Job job = cluster.jobs().get(id);
         if (job != null) {
             reply.accept(state(job, 200));
             return;
         }
-        if (cluster.unreadable.contains(id)) {
+        if (cluster.unreadable().contains(id)) {
             reply.accept(unreadable(id));
             return;
         }
@@ -298,7 +299,7 @@
                 id,
                 e -> reply.accept(Answers.ok(200, e.answer(id))),
                 () -> {
-                    Job meanwhile = cluster.jobs.get(id);
+                    Job meanwhile = cluster.jobs().get(id);
                     reply.accept(meanwhile != null ? state(meanwhile, 200) : endedMeanwhile(id));
                 },
                 () -> reply.accept(Answers.unavailable()));
@@ -315,22 +316,22 @@
             reply.accept(Answers.unavailable());
             return;
         }
-        Job job = cluster.jobs.get(id);
-        if (job == null && cluster.unreadable.contains(id)) {
+        Job job = cluster.jobs().get(id);
+        if (job == null && cluster.unreadable().contains(id)) {
             reply.accept(Answers.unavailable());
         } else if (job == null) {
             lookUp(
                     id,
                     e -> reply.accept(Answers.ok(200, e.answer(id))),
-                    () -> reply.accept(cluster.jobs.containsKey(id) ? Answers.unavailable() : endedMeanwhile(id)),
+                    () -> reply.accept(cluster.jobs().containsKey(id) ? Answers.unavailable() : endedMeanwhile(id)),
                     () -> reply.accept(Answers.unavailable()));
-        } else if (!job.accepted) {
+        } else if (!job.accepted()) {
             reply.accept(Answers.unavailable());
-        } else if (job.cancelTold) {
+        } else if (job.cancelTold()) {
             reply.accept(state(job, 200));
         } else {
             await(job, reply); // answered when the job's end, or the cancellation, is durable
-            if (!job.ending && !job.cancelled) {
+            if (!job.ending() && !job.cancelled()) {
                 lead.cancel(job);
             }
         }
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -52,19 +52,19 @@
         double wanted = 0;
         for (Job job : waiting) {
             if (cluster.withinLimit(job)) {
-                wanted += job.waitingCount() * job.spec.cpus();
+                wanted += job.waitingCount() * job.spec().cpus();
             }
         }
         List<Machine> emptying = new ArrayList<>();
         List<Machine> others = new ArrayList<>();
         double all = 0;
         double free = 0;
-        for (Machine m : cluster.machines.values()) {
-            if (m.draining && !m.deleting) {
+        for (Machine m : cluster.machines().values()) {
+            if (m.draining() && !m.deleting()) {
                 emptying.add(m);
-            } else if (m.usable() && !m.claims.isEmpty()) {
-                all += m.type.cpus();
-                if (!m.spot) {
+            } else if (m.usable() && !m.claims().isEmpty()) {
+                all += m.type().cpus();
+                if (!m.spot()) {
                     others.add(m);
                     free += free(m);
                 }
@@ -77,12 +77,12 @@
             giveBack(emptying, wanted);
         } else {
             move(emptying, now);
-            choose(others, 1 + (int) (cluster.machines.size() * EMPTYING_SHARE) - emptying.size(), free, all, now);
+            choose(others, 1 + (int) (cluster.machines().size() * EMPTYING_SHARE) - emptying.size(), free, all, now);
         }
     }
 
     private static double free(Machine m) {
-        return m.type.cpus() - m.usedCpus();
+        return m.type().cpus() - m.usedCpus();
     }
 
     /** Lets machines be used again, those with most work first, until they have room for what waits. */
@@ -93,7 +93,7 @@
             if (room >= wanted) {
                 return;
             }
-            m.draining = false;
+            m.setDraining(false);
             room += free(m);
         }
     }
@@ -103,24 +103,24 @@
         machines.sort(Comparator.comparingDouble(Machine::usedCpus).thenComparing(m -> m));
         double free = freeNow;
         for (Machine m : machines.subList(0, Math.max(0, Math.min(most, machines.size())))) {
-            double keep = Math.max(m.type.cpus(), all * cluster.options.number(Options.EMPTY_SHARE));
+            double keep = Math.max(m.type().cpus(), all * cluster.options().number(Options.EMPTY_SHARE));
             double elsewhere = free - free(m);
-            if (now - calmSince < CALM_BOOTS * 1000 * m.type.bootS() || elsewhere < m.usedCpus() + keep) {
+            if (now - calmSince < CALM_BOOTS * 1000 * m.type().bootS() || elsewhere < m.usedCpus() + keep) {
                 return;
             }
             LOG.info(
                     "emptying machine {} with {} tasks, {} CPUs are free elsewhere",
-                    m.name,
-                    m.claims.size(),
+                    m.name(),
+                    m.claims().size(),
                     elsewhere);
-            m.draining = true;
+            m.setDraining(true);
             free = elsewhere - m.usedCpus();
         }
     }
 
     /** Moves one service task of a machine at a time, once only services are left there. */
     private void move(List<Machine> emptying, long now) {
-        int moves = 1 + (int) (cluster.machines.size() * MOVING_SHARE);
+        int moves = 1 + (int) (cluster.machines().size() * MOVING_SHARE);
         for (Machine from : emptying) {
             Claim next = moves == 0 ? null : next(from, now);
             if (next != null && elsewhere(next, from, now)) {
@@ -132,8 +132,8 @@
 
     private static Claim next(Machine from, long now) {
         Claim next = null;
-        for (Claim c : from.claims.values()) {
-            if (!c.job.spec.service() || c.stopping() || c.runningAt == 0 || now - c.runningAt < MIN_RUN_MS) {
+        for (Claim c : from.claims().values()) {
+            if (!c.job().spec().service() || c.stopping() || c.runningAt() == 0 || now - c.runningAt() < MIN_RUN_MS) {
                 return null;
             }
             next = c;
@@ -143,12 +143,13 @@
 
     private boolean elsewhere(Claim claim, Machine from, long now) {
         boolean[] found = new boolean[1];
-        cluster.rooms.atLeast(
-                claim.job.spec.cpus(),
-                m -> found[0] |= m != from
-                        && m.hasImage(claim.job.spec.image())
-                        && m.hasRoom(claim.job)
-                        && placement.allowed(claim.job, m, now));
+        cluster.rooms()
+                .atLeast(
+                        claim.job().spec().cpus(),
+                        m -> found[0] |= m != from
+                                && m.hasImage(claim.job().spec().image())
+                                && m.hasRoom(claim.job())
+                                && placement.allowed(claim.job(), m, now));
         return found[0];
     }
 }
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -49,8 +49,11 @@
 
         /** Takes in a job without room; false when that says nothing about others. */
         boolean add(Job job) {
-            JobSpec spec = job.spec;
-            if (spec.gang() || spec.oneZone() || spec.spread() || !job.failedOn.isEmpty()) {
+            JobSpec spec = job.spec();
+            if (spec.gang()
+                    || spec.oneZone()
+                    || spec.spread()
+                    || !job.failedOn().isEmpty()) {
                 return false; // it may have been kept away by what concerns no other job
             }
             specs.add(spec);
@@ -58,7 +61,7 @@
         }
 
         boolean cover(Job job) {
-            JobSpec s = job.spec;
+            JobSpec s = job.spec();
             for (JobSpec m : specs) {
                 if (m.cpus() <= s.cpus()
                         && m.gpus() <= s.gpus()
@@ -80,38 +83,38 @@
     /** Marks the jobs that fit into their team's guarantee together with the team's earlier jobs. */
     void markGuaranteed() {
         Map<String, double[]> sums = new HashMap<>();
-        for (Job job : cluster.jobs.values()) { // kept in order of submission
-            Settings.Team team = cluster.settings.team(job.spec.team());
-            if (team == null || job.cancelled || !job.accepted) {
-                job.withinGuarantee = false;
+        for (Job job : cluster.jobs().values()) { // kept in order of submission
+            Settings.Team team = cluster.settings().team(job.spec().team());
+            if (team == null || job.cancelled() || !job.accepted()) {
+                job.setWithinGuarantee(false);
                 continue;
             }
             double[] sum = sums.computeIfAbsent(team.name(), n -> new double[2]);
-            sum[0] += job.unfinished() * job.spec.cpus();
-            sum[1] += job.unfinished() * job.spec.gpus();
-            job.withinGuarantee = sum[0] <= team.cpus() && sum[1] <= Math.max(team.gpus(), 0);
+            sum[0] += job.unfinished() * job.spec().cpus();
+            sum[1] += job.unfinished() * job.spec().gpus();
+            job.setWithinGuarantee(sum[0] <= team.cpus() && sum[1] <= Math.max(team.gpus(), 0));
         }
     }
 
     /** True for a job that waits too long for its first task: it goes before all others, with that task only. */
     boolean overdue(Job job, long timeOfDay) {
-        return !job.begun
-                && job.claims.isEmpty()
-                && timeOfDay - job.acceptedAt > 1000 * cluster.options.number(Options.BEGIN_WITHIN_S);
+        return !job.begun()
+                && job.claims().isEmpty()
+                && timeOfDay - job.acceptedAt() > 1000 * cluster.options().number(Options.BEGIN_WITHIN_S);
     }
 
     /** Jobs with a task that waits, in queue order. */
     public List<Job> queue(long now, long timeOfDay) {
         List<Job> queue = new ArrayList<>();
-        for (Job job : cluster.jobs.values()) {
+        for (Job job : cluster.jobs().values()) {
             if (job.nextWaiting(now) >= 0) {
                 queue.add(job);
             }
         }
         queue.sort(Comparator.<Job, Boolean>comparing(j -> !overdue(j, timeOfDay))
-                .thenComparing(j -> j.spec.priority())
-                .thenComparing(j -> !j.withinGuarantee)
-                .thenComparingLong(j -> j.order));
+                .thenComparing(j -> j.spec().priority())
+                .thenComparing(j -> !j.withinGuarantee())
+                .thenComparingLong(j -> j.order()));
         return queue;
     }
 
@@ -122,7 +125,7 @@
      */
     List<Job> pass(long now, long timeOfDay, boolean preempts, BiConsumer<Job, List<Machine>> start) {
         markGuaranteed();
-        double protectAfterMs = 1000 * cluster.options.number(Options.HEAD_PROTECTION_S);
+        double protectAfterMs = 1000 * cluster.options().number(Options.HEAD_PROTECTION_S);
         List<Job> queue = queue(now, timeOfDay);
         List<Job> open = new ArrayList<>(queue); // the same, with null for jobs that are stuck
         double[] ranks = new double[queue.size()];
@@ -150,8 +153,8 @@
             Job pick = open.get(at);
             Job head = queue.get(0);
             Predicate<Machine> usable = m -> true;
-            if (pick != head && timeOfDay - head.acceptedAt > protectAfterMs) {
-                usable = m -> !head.spec.fitsType(m.type);
+            if (pick != head && timeOfDay - head.acceptedAt() > protectAfterMs) {
+                usable = m -> !head.spec().fitsType(m.type());
             } else if (pick != head && overdue(head, timeOfDay)) {
                 if (keptFor != head) {
                     keptFor = head;
@@ -161,7 +164,7 @@
                 usable = m -> m != room;
             }
             keptBack = false;
-            List<Machine> machines = pick.spec.gang() ? chooseAll(pick, usable, now) : chooseOne(pick, usable, now);
+            List<Machine> machines = pick.spec().gang() ? chooseAll(pick, usable, now) : chooseOne(pick, usable, now);
             if (preempts && !machines.isEmpty() && betterMakeRoom(pick, machines, now)) {
                 keptBack = true;
                 machines = List.of();
@@ -205,21 +208,22 @@
         double cpus = 1;
         double gpus = 1;
         double memory = 1;
-        for (MachineType type : cluster.types) {
+        for (MachineType type : cluster.types()) {
             cpus = Math.max(cpus, type.cpus());
             gpus = Math.max(gpus, type.gpus());
             memory = Math.max(memory, type.memoryGb());
         }
-        return job.spec.cpus() / cpus + job.spec.gpus() / gpus + job.spec.memoryGb() / memory;
+        return job.spec().cpus() / cpus + job.spec().gpus() / gpus + job.spec().memoryGb() / memory;
     }
 
     /** The machine that is nearest to having room for a task of this job. */
     private Machine roomiest(Job job, long now) {
         Machine best = null;
-        for (Machine m : cluster.machines.values()) {
-            if (m.heard
+        for (Machine m : cluster.machines().values()) {
+            if (m.heard()
                     && allowed(job, m, now)
-                    && (best == null || m.type.cpus() - m.usedCpus() > best.type.cpus() - best.usedCpus())) {
+                    && (best == null
+                            || m.type().cpus() - m.usedCpus() > best.type().cpus() - best.usedCpus())) {
                 best = m;
             }
         }
@@ -237,17 +241,19 @@
      * start.
      */
     private boolean betterMakeRoom(Job job, List<Machine> chosen, long now) {
-        boolean mayAskForRoom = job.spec.priority() == JobSpec.Priority.CRITICAL
-                || job.spec.gang() && job.spec.priority() == JobSpec.Priority.URGENT;
-        double fetchTimes = job.spec.gang() ? SLOW_FETCH : 1;
-        if (!mayAskForRoom || fetches(job, chosen) == 0 || !fetchMissesAim(job, chosen.get(0).type, fetchTimes)) {
+        boolean mayAskForRoom = job.spec().priority() == JobSpec.Priority.CRITICAL
+                || job.spec().gang() && job.spec().priority() == JobSpec.Priority.URGENT;
+        double fetchTimes = job.spec().gang() ? SLOW_FETCH : 1;
+        if (!mayAskForRoom
+                || fetches(job, chosen) == 0
+                || !fetchMissesAim(job, chosen.get(0).type(), fetchTimes)) {
             return false;
         }
         long patience = Math.round(500 * startAim(job));
-        if (now - job.keptBackAt > KEPT_BACK_AGAIN * patience) {
-            job.keptBackAt = now; // another task, or the same lost once more
+        if (now - job.keptBackAt() > KEPT_BACK_AGAIN * patience) {
+            job.setKeptBackAt(now); // another task, or the same lost once more
         }
-        return now - job.keptBackAt <= patience && roomCanBeMadeAtImage(job, now);
+        return now - job.keptBackAt() <= patience && roomCanBeMadeAtImage(job, now);
     }
 
     /**
@@ -255,11 +261,11 @@
      * stopped.
      */
     private boolean roomCanBeMadeAtImage(Job job, long now) {
-        int wanted = job.spec.gang() ? job.spec.tasks() : 1;
+        int wanted = job.spec().gang() ? job.spec().tasks() : 1;
         Map<String, Integer> fitting = new HashMap<>();
-        for (Machine m : cluster.machines.values()) {
-            if (m.heard && m.hasImage(job.spec.image()) && allowed(job, m, now)) {
-                String together = job.spec.oneZone() ? m.zone : "";
+        for (Machine m : cluster.machines().values()) {
+            if (m.heard() && m.hasImage(job.spec().image()) && allowed(job, m, now)) {
+                String together = job.spec().oneZone() ? m.zone() : "";
                 if (fitting.merge(together, m.tasksFittingWithoutLess(job), Integer::sum) >= wanted) {
                     return true;
                 }
@@ -270,7 +276,7 @@
 
     /** Whether room is being made for this job, so that nothing has to be rented for it. */
     boolean keptBack(Job job, long now) {
-        return job.keptBackAt != 0 && now - job.keptBackAt <= 500 * startAim(job);
+        return job.keptBackAt() != 0 && now - job.keptBackAt() <= 500 * startAim(job);
     }
 
     /**
@@ -280,14 +286,15 @@
      */
     private List<Machine> chooseAll(Job job, Predicate<Machine> usable, long now) {
         List<Machine> best = tryAll(job, usable, now);
-        if (!job.spec.oneZone()) {
+        if (!job.spec().oneZone()) {
             return best;
         }
-        for (String zone : cluster.settings.zones()) {
-            if (!best.isEmpty() && (fetches(job, best) == 0 || !needsImage(job, best.get(0).type))) {
+        for (String zone : cluster.settings().zones()) {
+            if (!best.isEmpty()
+                    && (fetches(job, best) == 0 || !needsImage(job, best.get(0).type()))) {
                 return best;
             }
-            List<Machine> here = tryAll(job, usable.and(m -> m.zone.equals(zone)), now);
+            List<Machine> here = tryAll(job, usable.and(m -> m.zone().equals(zone)), now);
             if (best.isEmpty() || !here.isEmpty() && fetches(job, here) < fetches(job, best)) {
                 best = here;
             }
@@ -299,7 +306,7 @@
     private static int fetches(Job job, List<Machine> machines) {
         int fetches = 0;
         for (Machine m : machines) {
-            fetches += m.hasImage(job.spec.image()) ? 0 : 1;
+            fetches += m.hasImage(job.spec().image()) ? 0 : 1;
         }
         return fetches;
     }
@@ -308,18 +315,18 @@
     private List<Machine> tryAll(Job job, Predicate<Machine> usable, long now) {
         List<Machine> machines = new ArrayList<>();
         List<Claim> tried = new ArrayList<>();
-        int index = job.taken.nextClearBit(0);
-        while (index < job.spec.tasks()) {
+        int index = job.taken().nextClearBit(0);
+        while (index < job.spec().tasks()) {
             Machine machine = choose(job, usable, now);
             if (machine == null) {
                 machines.clear();
                 break;
             }
             machines.add(machine);
-            Claim claim = new Claim(job, index, 0, machine.name, machine.session, now);
+            Claim claim = new Claim(job, index, 0, machine.name(), machine.session(), now);
             cluster.add(claim);
             tried.add(claim);
-            index = job.taken.nextClearBit(index);
+            index = job.taken().nextClearBit(index);
         }
         tried.forEach(c -> cluster.remove(c, false));
         return machines;
@@ -330,9 +337,9 @@
             return null;
         }
         Machine[] best = new Machine[1];
-        cluster.rooms.atLeast(job.spec.cpus(), m -> {
+        cluster.rooms().atLeast(job.spec().cpus(), m -> {
             if (m.hasRoom(job)
-                    && cluster.reservations.leaveRoom(m, job)
+                    && cluster.reservations().leaveRoom(m, job)
                     && allowed(job, m, now)
                     && usable.test(m)
                     && (best[0] == null || better(job, m, best[0]))) {
@@ -344,9 +351,9 @@
 
     /** Whether a machine is the better one of two; a total order, so that the search's order does not matter. */
     boolean better(Job job, Machine m, Machine than) {
-        int byImage = m.nearness(job.spec.image()) - than.nearness(job.spec.image());
-        int byFetches = m.nearness(job.spec.image()) == 0 ? m.fetching() - than.fetching() : 0;
-        if ((byImage != 0 || byFetches != 0) && needsImage(job, m.type)) {
+        int byImage = m.nearness(job.spec().image()) - than.nearness(job.spec().image());
+        int byFetches = m.nearness(job.spec().image()) == 0 ? m.fetching() - than.fetching() : 0;
+        if ((byImage != 0 || byFetches != 0) && needsImage(job, m.type())) {
             return byImage != 0 ? byImage > 0 : byFetches < 0;
         }
         long bySlowdown = Math.round(m.slowdown() / SLOWDOWN_STEP) - Math.round(than.slowdown() / SLOWDOWN_STEP);
@@ -359,34 +366,35 @@
         if (byFetches != 0) {
             return byFetches < 0; // images that are fetched at the same time share a machine's rate
         }
-        if (job.spec.spot() && m.spot != than.spot) {
-            return m.spot; // leaves room on ordinary machines for work that may not go elsewhere
+        if (job.spec().spot() && m.spot() != than.spot()) {
+            return m.spot(); // leaves room on ordinary machines for work that may not go elsewhere
         }
-        if (job.spec.service()) {
+        if (job.spec().service()) {
             int byZone = Integer.compare(
-                    job.tasksInZone.getOrDefault(m.zone, 0), job.tasksInZone.getOrDefault(than.zone, 0));
+                    job.tasksInZone().getOrDefault(m.zone(), 0),
+                    job.tasksInZone().getOrDefault(than.zone(), 0));
             if (byZone != 0) {
                 return byZone < 0;
             }
         }
-        int byRoom = Double.compare(m.type.cpus() - m.usedCpus(), than.type.cpus() - than.usedCpus());
+        int byRoom = Double.compare(m.type().cpus() - m.usedCpus(), than.type().cpus() - than.usedCpus());
         return byRoom != 0 ? byRoom < 0 : m.compareTo(than) < 0;
     }
 
     /** True when the job is expected to start sooner than its image can be fetched. */
     boolean needsImage(Job job, MachineType type) {
-        return fetchMissesAim(job, type, job.spec.gang() ? SHARED_FETCH : 1);
+        return fetchMissesAim(job, type, job.spec().gang() ? SHARED_FETCH : 1);
     }
 
     /** Whether a fetch that takes so many times its nominal time ends after the job is expected to start. */
     private boolean fetchMissesAim(Job job, MachineType type, double times) {
-        return startAim(job) < times * job.spec.imageGb() / type.fetchGbPerS();
+        return startAim(job) < times * job.spec().imageGb() / type.fetchGbPerS();
     }
 
     /** Seconds within which tasks of this job shall start; without end when nothing is said of that. */
     double startAim(Job job) {
-        for (Settings.Objective aim : cluster.settings.objectives()) {
-            if (aim.kind().equals("wait") && aim.jobClass().equals(job.spec.jobClass())) {
+        for (Settings.Objective aim : cluster.settings().objectives()) {
+            if (aim.kind().equals("wait") && aim.jobClass().equals(job.spec().jobClass())) {
                 return aim.withinS();
             }
         }
@@ -399,8 +407,8 @@
             return "its team is at its limit";
         }
         int allowed = 0;
-        for (Machine m : cluster.machines.values()) {
-            allowed += m.type != null && allowed(job, m, now) ? 1 : 0;
+        for (Machine m : cluster.machines().values()) {
+            allowed += m.type() != null && allowed(job, m, now) ? 1 : 0;
         }
         return allowed == 0
                 ? "no machine that it may use is up"
@@ -409,29 +417,29 @@
 
     /** Everything but room: type, zone, kind of machine, the job's other tasks, and the machine's health. */
     boolean allowed(Job job, Machine m, long now) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         return m.usable()
-                && m.silence == null
-                && now >= m.placeAfter
-                && now - m.heardAt < 3000 * cluster.settings.workers().reportS()
-                && spec.fitsType(m.type)
-                && (spec.zone() == null || spec.zone().equals(m.zone))
-                && (spec.spot() || !m.spot)
-                && zoneAllowed(job, m.zone)
-                && (!job.failedOn.contains(m.name) || job.failedOn.size() >= 3);
+                && m.silence() == null
+                && now >= m.placeAfter()
+                && now - m.heardAt() < 3000 * cluster.settings().workers().reportS()
+                && spec.fitsType(m.type())
+                && (spec.zone() == null || spec.zone().equals(m.zone()))
+                && (spec.spot() || !m.spot())
+                && zoneAllowed(job, m.zone())
+                && (!job.failedOn().contains(m.name()) || job.failedOn().size() >= 3);
     }
 
     /** Zone rules against all tasks of the job that may be on machines. */
     static boolean zoneAllowed(Job job, String zone) {
-        if (job.spec.oneZone()) {
-            for (String used : job.tasksInZone.keySet()) {
+        if (job.spec().oneZone()) {
+            for (String used : job.tasksInZone().keySet()) {
                 if (!used.equals(zone)) {
                     return false;
                 }
             }
         }
         // tasks on machines whose zone is not known yet (after a change of leader) may be in this one
-        int here = job.tasksInZone.getOrDefault(zone, 0) + job.tasksInZone.getOrDefault("", 0);
-        return !job.spec.spread() || here < (job.spec.tasks() + 1) / 2;
+        int here = job.tasksInZone().getOrDefault(zone, 0) + job.tasksInZone().getOrDefault("", 0);
+        return !job.spec().spread() || here < (job.spec().tasks() + 1) / 2;
     }
 }
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -86,8 +86,8 @@
 
         /** Takes in that a claimed task is stopped, and with it the rest of its gang. */
         void stop(Claim victim) {
-            if (victim.job.spec.gang()) {
-                victim.job.claims.values().stream()
+            if (victim.job().spec().gang()) {
+                victim.job().claims().values().stream()
                         .filter(c -> !going.contains(c))
                         .forEach(this::give);
             } else {
@@ -97,16 +97,16 @@
 
         void give(Claim claim) {
             going.add(claim);
-            double[] sum = givenBack.computeIfAbsent(claim.job.spec.team(), n -> new double[2]);
-            sum[0] += claim.job.spec.cpus();
-            sum[1] += claim.job.spec.gpus();
+            double[] sum = givenBack.computeIfAbsent(claim.job().spec().team(), n -> new double[2]);
+            sum[0] += claim.job().spec().cpus();
+            sum[1] += claim.job().spec().gpus();
         }
 
         void promise(Machine machine, Job job) {
-            double[] kept = promised.computeIfAbsent(machine.name, n -> new double[3]);
-            kept[0] += job.spec.cpus();
-            kept[1] += job.spec.gpus();
-            kept[2] += job.spec.memoryGb();
+            double[] kept = promised.computeIfAbsent(machine.name(), n -> new double[3]);
+            kept[0] += job.spec().cpus();
+            kept[1] += job.spec().gpus();
+            kept[2] += job.spec().memoryGb();
             placed.add(Map.entry(job, machine));
         }
 
@@ -118,9 +118,9 @@
     /** Decides for the waiting jobs, in queue order; room already being made is kept for the first that fit it. */
     List<Stop> decide(List<Job> waiting, long now, long urgentAfterMs, long timeOfDay) {
         Plan plan = new Plan();
-        cluster.stopping.forEach(plan::give);
+        cluster.stopping().forEach(plan::give);
         Map<List<Object>, Placement.UnplaceableRequests> unplaceable = new HashMap<>();
-        looksLeft = LOOKS_PER_MACHINE * cluster.machines.size() + LEAST_LOOKS;
+        looksLeft = LOOKS_PER_MACHINE * cluster.machines().size() + LEAST_LOOKS;
         for (Job job : waiting) {
             if (looksLeft <= 0) {
                 break; // the rest in a later turn
@@ -128,30 +128,33 @@
             if (!mayPreempt(job, timeOfDay, urgentAfterMs) || !cluster.withinLimit(job) || !anyToStop(job)) {
                 continue;
             }
-            if (job.spec.gang()) {
+            if (job.spec().gang()) {
                 plan = makeRoomForAll(job, now, plan);
                 continue;
             }
             Placement.UnplaceableRequests same = unplaceable.computeIfAbsent(
-                    List.of(job.spec.priority(), job.withinGuarantee, job.spec.team()),
+                    List.of(
+                            job.spec().priority(),
+                            job.withinGuarantee(),
+                            job.spec().team()),
                     k -> new Placement.UnplaceableRequests());
             if (!same.cover(job) && makeRoom(job, null, now, plan) == 0) {
                 same.add(job);
             }
         }
-        cluster.reservations.clear();
-        plan.placed.forEach(task -> cluster.reservations.add(task.getKey(), task.getValue()));
+        cluster.reservations().clear();
+        plan.placed.forEach(task -> cluster.reservations().add(task.getKey(), task.getValue()));
         return plan.stops;
     }
 
     /** Whether anything runs that might be stopped for this job; spares looking at every machine. */
     private boolean anyToStop(Job job) {
-        if (cluster.anyBelow(job.spec.priority())) {
+        if (cluster.anyBelow(job.spec().priority())) {
             return true;
         }
-        if (job.withinGuarantee) {
-            for (Settings.Team team : cluster.settings.teams()) {
-                if (!team.name().equals(job.spec.team()) && cluster.beyondGuarantee(team.name(), 0, 0)) {
+        if (job.withinGuarantee()) {
+            for (Settings.Team team : cluster.settings().teams()) {
+                if (!team.name().equals(job.spec().team()) && cluster.beyondGuarantee(team.name(), 0, 0)) {
                     return true;
                 }
             }
@@ -160,15 +163,15 @@
     }
 
     private boolean mayPreempt(Job job, long timeOfDay, long urgentAfterMs) {
-        if (job.withinGuarantee || job.spec.priority().compareTo(JobSpec.Priority.URGENT) <= 0) {
+        if (job.withinGuarantee() || job.spec().priority().compareTo(JobSpec.Priority.URGENT) <= 0) {
             return true;
         }
-        long waitedMs = timeOfDay - job.acceptedAt;
+        long waitedMs = timeOfDay - job.acceptedAt();
         // a machine to be rented boots too late for a gang that is to start soon, so it doesn't wait for one
-        double patienceMs = job.spec.gang()
+        double patienceMs = job.spec().gang()
                 ? Math.min(urgentAfterMs, GANG_PATIENCE * 1000 * placement.startAim(job))
                 : urgentAfterMs;
-        return job.spec.priority() == JobSpec.Priority.NORMAL && waitedMs > patienceMs;
+        return job.spec().priority() == JobSpec.Priority.NORMAL && waitedMs > patienceMs;
     }
 
     /**
@@ -178,7 +181,8 @@
     private Plan makeRoomForAll(Job job, long now, Plan before) {
         int tasks = job.waitingCount();
         Plan best = null;
-        for (String zone : job.spec.oneZone() ? cluster.settings.zones() : Collections.<String>singletonList(null)) {
+        for (String zone :
+                job.spec().oneZone() ? cluster.settings().zones() : Collections.<String>singletonList(null)) {
             Plan here = before.copy();
             if (makeRoom(job, zone, now, here) == tasks && here.betterThan(best)) {
                 best = here;
@@ -195,8 +199,8 @@
         PriorityQueue<Option> options = new PriorityQueue<>(Comparator.comparing(Option::fetch)
                 .thenComparingLong(Option::loss)
                 .thenComparing(Option::machine));
-        for (Machine m : cluster.machines.values()) {
-            if (m.heard && (zone == null || zone.equals(m.zone)) && placement.allowed(job, m, now)) {
+        for (Machine m : cluster.machines().values()) {
+            if (m.heard() && (zone == null || zone.equals(m.zone())) && placement.allowed(job, m, now)) {
                 looksLeft--;
                 offer(options, option(job, m, now, plan));
             }
@@ -217,7 +221,7 @@
             plan.loss += again.loss;
             for (Claim v : again.victims) {
                 plan.stop(v);
-                plan.stops.add(new Stop(v, hurry(job, v) ? 0 : v.job.spec.saveS(), job));
+                plan.stops.add(new Stop(v, hurry(job, v) ? 0 : v.job().spec().saveS(), job));
             }
             made++;
             offer(options, option(job, best.machine, now, plan));
@@ -240,18 +244,20 @@
         for (Claim v : victims) {
             loss += v.stopCostMs(now);
         }
-        boolean fetch = placement.needsImage(job, m.type) && !m.hasImage(job.spec.image());
+        boolean fetch =
+                placement.needsImage(job, m.type()) && !m.hasImage(job.spec().image());
         return new Option(m, victims, fetch, loss);
     }
 
     /** Saving takes time; work that has to start within a few seconds can't wait for it. */
     private boolean hurry(Job job, Claim victim) {
-        double saves = SAVES_WITHIN_AIM * victim.job.spec.saveS();
-        if (job.spec.priority() == JobSpec.Priority.CRITICAL || job.spec.gang() && placement.startAim(job) < saves) {
+        double saves = SAVES_WITHIN_AIM * victim.job().spec().saveS();
+        if (job.spec().priority() == JobSpec.Priority.CRITICAL
+                || job.spec().gang() && placement.startAim(job) < saves) {
             return true;
         }
-        for (Settings.Objective aim : cluster.settings.objectives()) {
-            if (job.withinGuarantee && aim.kind().equals("guarantee") && aim.withinS() < saves) {
+        for (Settings.Objective aim : cluster.settings().objectives()) {
+            if (job.withinGuarantee() && aim.kind().equals("guarantee") && aim.withinS() < saves) {
                 return true;
             }
         }
@@ -260,26 +266,26 @@
 
     /** The tasks to stop on this machine so that one more task of the job fits; null when that can't be done. */
     private List<Claim> victims(Job job, Machine m, long now, Plan plan) {
-        double[] kept = plan.promised.getOrDefault(m.name, NOTHING);
-        double cpus = m.type.cpus() - kept[0] - job.spec.cpus();
-        double gpus = m.type.gpus() - kept[1] - job.spec.gpus();
-        double memory = m.type.memoryGb() - kept[2] - job.spec.memoryGb();
+        double[] kept = plan.promised.getOrDefault(m.name(), NOTHING);
+        double cpus = m.type().cpus() - kept[0] - job.spec().cpus();
+        double gpus = m.type().gpus() - kept[1] - job.spec().gpus();
+        double memory = m.type().memoryGb() - kept[2] - job.spec().memoryGb();
         List<Claim> candidates = new ArrayList<>();
         double givenCpus = 0;
         double givenGpus = 0;
-        for (Claim c : m.claims.values()) {
+        for (Claim c : m.claims().values()) {
             if (plan.going.contains(c)) {
                 continue;
             }
-            cpus -= c.job.spec.cpus();
-            gpus -= c.job.spec.gpus();
-            memory -= c.job.spec.memoryGb();
-            if (!(c.overdue && c.ranMs(now) < OVERDUE_RUN_MS) && mayStop(job, c, plan, 0, 0)) {
+            cpus -= c.job().spec().cpus();
+            gpus -= c.job().spec().gpus();
+            memory -= c.job().spec().memoryGb();
+            if (!(c.overdue() && c.ranMs(now) < OVERDUE_RUN_MS) && mayStop(job, c, plan, 0, 0)) {
                 candidates.add(c);
             }
         }
         candidates.sort(
-                Comparator.<Claim>comparingInt(c -> -c.job.spec.priority().ordinal())
+                Comparator.<Claim>comparingInt(c -> -c.job().spec().priority().ordinal())
                         .thenComparingLong(c -> c.stopCostMs(now)));
         List<Claim> victims = new ArrayList<>();
         for (Claim c : candidates) {
@@ -288,11 +294,11 @@
             }
             if (mayStop(job, c, plan, givenCpus, givenGpus)) {
                 victims.add(c);
-                cpus += c.job.spec.cpus();
-                gpus += c.job.spec.gpus();
-                memory += c.job.spec.memoryGb();
-                givenCpus += c.job.spec.cpus();
-                givenGpus += c.job.spec.gpus();
+                cpus += c.job().spec().cpus();
+                gpus += c.job().spec().gpus();
+                memory += c.job().spec().memoryGb();
+                givenCpus += c.job().spec().cpus();
+                givenGpus += c.job().spec().gpus();
             }
         }
         return fits(cpus, gpus, memory) ? victims : null;
@@ -303,18 +309,18 @@
     }
 
     private boolean mayStop(Job job, Claim c, Plan plan, double givenCpus, double givenGpus) {
-        if (job.spec.priority().compareTo(c.job.spec.priority()) < 0) {
+        if (job.spec().priority().compareTo(c.job().spec().priority()) < 0) {
             return true;
         }
         // A team's guarantee could also be met by stopping more urgent work of another. That work would come back at
         // once as the head of the queue and be stopped again: on one day a service was stopped five times so.
-        if (job.spec.priority().compareTo(c.job.spec.priority()) > 0) {
+        if (job.spec().priority().compareTo(c.job().spec().priority()) > 0) {
             return false;
         }
-        double[] back = plan.givenBack.getOrDefault(c.job.spec.team(), new double[2]);
-        return job.withinGuarantee
-                && !c.job.withinGuarantee
-                && !c.job.spec.team().equals(job.spec.team())
-                && cluster.beyondGuarantee(c.job.spec.team(), back[0] + givenCpus, back[1] + givenGpus);
+        double[] back = plan.givenBack.getOrDefault(c.job().spec().team(), new double[2]);
+        return job.withinGuarantee()
+                && !c.job().withinGuarantee()
+                && !c.job().spec().team().equals(job.spec().team())
+                && cluster.beyondGuarantee(c.job().spec().team(), back[0] + givenCpus, back[1] + givenGpus);
     }
 }
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -49,14 +49,14 @@
      * @param settled whether all workers that can report have reported in this term
      */
     public void pass(boolean regular, boolean settled) {
-        if (cluster.types.isEmpty() || !links.permitsStarting()) {
+        if (cluster.types().isEmpty() || !links.permitsStarting()) {
             return;
         }
         long now = environment.now();
         boolean rearranges = settled && links.permitsPreempting();
-        boolean preempts = rearranges && cluster.options.flag(Options.PREEMPTION);
+        boolean preempts = rearranges && cluster.options().flag(Options.PREEMPTION);
         List<Job> waiting = placement.pass(now, environment.timeOfDay(), preempts, this::start);
-        cluster.reservations.clear();
+        cluster.reservations().clear();
         if (preempts) {
             makeRoom(waiting, now);
         }
@@ -71,17 +71,17 @@
 
     private void start(Job job, List<Machine> machines) {
         boolean overdue = placement.overdue(job, environment.timeOfDay());
-        cluster.reservations.remove(job);
+        cluster.reservations().remove(job);
         tasks.start(job, machines, overdue);
     }
 
     private void makeRoom(List<Job> waiting, long now) {
-        long urgentAfter = Math.round(1000 * cluster.types.get(0).bootS());
+        long urgentAfter = Math.round(1000 * cluster.types().get(0).bootS());
         for (Preemption.Stop stop : preemption.decide(waiting, now, urgentAfter, environment.timeOfDay())) {
             LOG.debug(
                     "stopping {} to make room for {}",
-                    stop.victim().name,
-                    stop.forJob().spec.id());
+                    stop.victim().name(),
+                    stop.forJob().spec().id());
             tasks.stop(stop.victim(), stop.graceS());
         }
     }
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -17,15 +17,15 @@
     @Test
     void deletedMachinesAreRememberedInProportionToTheFleet() {
         ClusterState cluster = ScaleTest.cluster(4200, new SplittableRandom(5));
-        int there = cluster.machines.size();
+        int there = cluster.machines().size();
         for (int i = 0; i < 2 * there; i++) {
             cluster.forget(cluster.machine("gone-" + i));
         }
-        assertEquals(2 * there, cluster.deleted.size());
+        assertEquals(2 * there, cluster.deleted().size());
         for (int i = 0; i < 5 * there; i++) {
             cluster.forget(cluster.machine("later-" + i));
         }
-        assertTrue(cluster.deleted.size() <= 4 * there + 1, cluster.deleted.size() + " are remembered");
+        assertTrue(cluster.deleted().size() <= 4 * there + 1, cluster.deleted().size() + " are remembered");
     }
 
     /** Found by reading for 4,000 machines: pages sent in a row were refused, so the list was never read whole. */
@@ -59,7 +59,7 @@
             w.play(1);
         }
         assertTrue(read[0], "the list was read to its end");
-        assertEquals(pages, cluster.machines.size());
+        assertEquals(pages, cluster.machines().size());
         assertTrue(w.now - from > 3000, "within the rate");
     }
 }
--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionHistory.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import stileferry.admissioncontrol.AdmissionRecords;
+import stileferry.overload.AdmissionRecords;
 import stileferry.cluster.Job;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerRecord;
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -45,7 +45,7 @@
                 100,
                 5);
         cluster = new ClusterState(settings);
-        cluster.types = List.of(new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za", "zb")));
+        cluster.setTypes(List.of(new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za", "zb"))));
         placement = new Placement(cluster);
         machine = machine("m");
     }
@@ -56,11 +56,11 @@
 
     private Machine machine(String name, String zone) {
         Machine m = cluster.machine(name);
-        m.type = cluster.types.get(0);
+        m.setType(cluster.types().get(0));
         cluster.setZone(m, zone);
-        m.heard = true;
-        m.heardAt = NOW;
-        cluster.rooms.update(m);
+        m.setHeard(true);
+        m.setHeardAt(NOW);
+        cluster.rooms().update(m);
         return m;
     }
 
@@ -94,16 +94,16 @@
                 jobs,
                 0,
                 0);
-        job.accepted = true;
-        cluster.jobs.put(job.spec.id(), job);
+        job.setAccepted(true);
+        cluster.jobs().put(job.spec().id(), job);
         return job;
     }
 
     private Claim run(Job job, long since) {
-        Claim claim = new Claim(job, job.taken.nextClearBit(0), jobs, "m", 1, since);
-        claim.durable = true;
-        claim.runsSent = 1;
-        claim.runningAt = since;
+        Claim claim = new Claim(job, job.taken().nextClearBit(0), jobs, "m", 1, since);
+        claim.setDurable(true);
+        claim.setRunsSent(1);
+        claim.setRunningAt(since);
         cluster.add(claim);
         return claim;
     }
@@ -139,10 +139,10 @@
         List<Job> waiting = placement.pass(NOW, 1000, true, (job, machines) -> started.addAll(machines));
         assertEquals(List.of(), started);
         List<Preemption.Stop> stops = new Preemption(cluster, placement).decide(waiting, NOW, 60_000, 1000);
-        assertEquals(List.of("m"), stops.stream().map(s -> s.victim().machine).toList());
+        assertEquals(List.of("m"), stops.stream().map(s -> s.victim().machine()).toList());
         placement.pass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
-            cluster.add(new Claim(service, 0, 1, machines.get(0).name, 1, NOW));
+            cluster.add(new Claim(service, 0, 1, machines.get(0).name(), 1, NOW));
         });
         assertEquals(List.of(other), started, "it does not wait for longer than half its time to start");
     }
@@ -173,8 +173,8 @@
                 jobs,
                 0,
                 0);
-        job.accepted = true;
-        cluster.jobs.put(job.spec.id(), job);
+        job.setAccepted(true);
+        cluster.jobs().put(job.spec().id(), job);
         return job;
     }
 
@@ -194,7 +194,7 @@
         List<Machine> started = new ArrayList<>();
         placement.pass(NOW, 1000, false, (job, machines) -> {
             started.addAll(machines);
-            job.cancelled = true;
+            job.setCancelled(true);
         });
         assertEquals(6, started.size());
         assertEquals(Set.of(first, second), Set.copyOf(started));
@@ -215,10 +215,10 @@
         assertEquals(2, stops.size(), "room for all three");
         assertEquals(
                 Set.of("m"),
-                Set.copyOf(stops.stream().map(s -> s.victim().machine).toList()));
+                Set.copyOf(stops.stream().map(s -> s.victim().machine()).toList()));
         placement.pass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
-            job.cancelled = true;
+            job.setCancelled(true);
         });
         assertEquals(3, started.size(), "it does not wait for longer than half its time to start");
     }
@@ -237,19 +237,19 @@
         assertEquals(2, stops.size());
         stops.forEach(stop -> cluster.stop(stop.victim(), 5, NOW));
         cluster.remove(second, false);
-        idle.cancelled = true;
+        idle.setCancelled(true);
         Job normal = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
         Job critical = job("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         List<Job> started = new ArrayList<>();
         placement.pass(NOW, 1000, true, (job, machines) -> {
             started.add(job);
-            job.cancelled = true;
+            job.setCancelled(true);
         });
         assertEquals(List.of(critical), started, "neither the gang, which lacks room, nor the less urgent job");
-        cluster.reservations.remove(gang);
+        cluster.reservations().remove(gang);
         placement.pass(NOW, 1000, true, (job, machines) -> {
             started.add(job);
-            job.cancelled = true;
+            job.setCancelled(true);
         });
         assertEquals(List.of(critical, normal), started);
     }
@@ -279,8 +279,8 @@
                 0.3,
                 -1);
         Job idle = new Job(saving, jobs, 0, 0);
-        idle.accepted = true;
-        cluster.jobs.put(saving.id(), idle);
+        idle.setAccepted(true);
+        cluster.jobs().put(saving.id(), idle);
         run(idle, 10_000);
         urgentGangInOneZone(2);
         assertEquals(
@@ -310,11 +310,11 @@
         Job gang = job("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 4);
         run(gang, 80_000);
         Machine other = machine("other");
-        Claim elsewhere = new Claim(gang, 1, jobs, other.name, 1, 80_000);
-        elsewhere.runningAt = 80_000;
+        Claim elsewhere = new Claim(gang, 1, jobs, other.name(), 1, 80_000);
+        elsewhere.setRunningAt(80_000);
         cluster.add(elsewhere);
         Claim array = run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 70_000);
-        other.draining = true;
+        other.setDraining(true);
         job("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         assertEquals(
                 List.of(array), decide().stream().map(Preemption.Stop::victim).toList());
