--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -44,16 +44,16 @@
                 100,
                 5);
         ClusterState cluster = new ClusterState(settings);
-        cluster.types = List.of(
+        cluster.setTypes(List.of(
                 new MachineType("small", 8, 0, 32, 9, 0.3, 1, 0.4, 10, List.of("za", "zb")),
-                new MachineType("large", 16, 0, 64, 9, 0.3, 2, 0.8, 10, List.of("za", "zb")));
+                new MachineType("large", 16, 0, 64, 9, 0.3, 2, 0.8, 10, List.of("za", "zb"))));
         for (int i = 0; i < machines; i++) {
             Machine m = cluster.machine(String.format("host-%06d", r.nextInt(1_000_000)));
-            m.type = cluster.types.get(r.nextInt(2));
-            m.typeName = m.type.name();
-            m.spot = r.nextBoolean();
-            m.heard = true;
-            m.heardAt = NOW;
+            m.setType(cluster.types().get(r.nextInt(2)));
+            m.setTypeName(m.type().name());
+            m.setSpot(r.nextBoolean());
+            m.setHeard(true);
+            m.setHeardAt(NOW);
             cluster.setZone(m, r.nextBoolean() ? "za" : "zb");
             for (int n = r.nextInt(3); n > 0; n--) {
                 m.holds("img" + r.nextInt(5), 2);
@@ -61,8 +61,8 @@
             for (int n = r.nextInt(4); n > 0; n--) {
                 m.finished(10, r.nextInt(120), 60);
             }
-            m.faulty = r.nextInt(40) == 0;
-            cluster.rooms.update(m);
+            m.setFaulty(r.nextInt(40) == 0);
+            cluster.rooms().update(m);
         }
         return cluster;
     }
@@ -94,23 +94,23 @@
                 number,
                 NOW,
                 0);
-        job.accepted = true;
-        cluster.jobs.put(job.spec.id(), job);
+        job.setAccepted(true);
+        cluster.jobs().put(job.spec().id(), job);
         return job;
     }
 
     /** The design's choice, by looking at every machine in the order of names. */
     private static Machine plainChoice(ClusterState cluster, Placement placement, Job job) {
         Machine best = null;
-        for (Machine m : cluster.machines.values()) {
-            double cpus = job.spec.cpus();
-            double memory = job.spec.memoryGb();
-            for (Claim c : m.claims.values()) {
-                cpus += c.job.spec.cpus();
-                memory += c.job.spec.memoryGb();
+        for (Machine m : cluster.machines().values()) {
+            double cpus = job.spec().cpus();
+            double memory = job.spec().memoryGb();
+            for (Claim c : m.claims().values()) {
+                cpus += c.job().spec().cpus();
+                memory += c.job().spec().memoryGb();
             }
-            if (cpus <= m.type.cpus() + 1e-6
-                    && memory <= m.type.memoryGb() + 1e-6
+            if (cpus <= m.type().cpus() + 1e-6
+                    && memory <= m.type().memoryGb() + 1e-6
                     && placement.allowed(job, m, NOW)
                     && (best == null || placement.better(job, m, best))) {
                 best = m;
@@ -142,9 +142,9 @@
     }
 
     private static String claim(ClusterState cluster, Job job, Machine machine) {
-        Claim claim = new Claim(job, job.taken.nextClearBit(0), 1, machine.name, 1, NOW);
+        Claim claim = new Claim(job, job.taken().nextClearBit(0), 1, machine.name(), 1, NOW);
         cluster.add(claim);
-        return claim.name + " on " + machine.name;
+        return claim.name() + " on " + machine.name();
     }
 
     @ParameterizedTest
@@ -166,8 +166,8 @@
             started += starts.size();
             for (ClusterState cluster : List.of(fast, plain)) { // every third task ends
                 SplittableRandom r = new SplittableRandom(seed + round);
-                for (Job job : cluster.jobs.values()) {
-                    for (Claim c : List.copyOf(job.claims.values())) {
+                for (Job job : cluster.jobs().values()) {
+                    for (Claim c : List.copyOf(job.claims().values())) {
                         if (r.nextInt(3) == 0) {
                             cluster.remove(c, true);
                         }
@@ -193,23 +193,23 @@
             placement.pass(NOW, NOW, false, (job, machines) -> claim(cluster, job, machines.get(0)));
             passes++;
         } while (placement.cutShort());
-        int tasks = cluster.machines.values().stream()
-                .mapToInt(m -> m.claims.size())
+        int tasks = cluster.machines().values().stream()
+                .mapToInt(m -> m.claims().size())
                 .sum();
         assertTrue(tasks > 5000 && passes > 10, tasks + " tasks in " + passes + " passes");
-        Machine freed = cluster.machines.values().stream()
-                .filter(m -> m.claims.size() > 2 && m.usable())
+        Machine freed = cluster.machines().values().stream()
+                .filter(m -> m.claims().size() > 2 && m.usable())
                 .findFirst()
                 .orElseThrow();
-        cluster.remove(freed.claims.values().iterator().next(), true);
+        cluster.remove(freed.claims().values().iterator().next(), true);
         long waiting = placement.queue(NOW, NOW).size();
-        long before = cluster.rooms.looks();
+        long before = cluster.rooms().looks();
         List<Machine> started = new ArrayList<>();
         placement.pass(NOW, NOW, false, (job, machines) -> {
             started.add(machines.get(0));
             claim(cluster, job, machines.get(0));
         });
-        long looks = cluster.rooms.looks() - before;
+        long looks = cluster.rooms().looks() - before;
         assertTrue(!started.isEmpty(), "the room that came free is used");
         assertSame(freed, started.get(0));
         assertTrue(
@@ -225,7 +225,7 @@
     void anImageIsFetchedWhereNoOtherIs() {
         SplittableRandom r = new SplittableRandom(3);
         ClusterState cluster = cluster(60, r);
-        cluster.machines.values().forEach(m -> m.faulty = false);
+        cluster.machines().values().forEach(m -> m.setFaulty(false));
         Placement placement = new Placement(cluster);
         int most = 0;
         for (int i = 0; i < 30; i++) {
@@ -251,11 +251,11 @@
                     0,
                     -1);
             Job job = new Job(spec, i, NOW, 0);
-            job.accepted = true;
-            cluster.jobs.put(spec.id(), job);
+            job.setAccepted(true);
+            cluster.jobs().put(spec.id(), job);
         }
         placement.pass(NOW, NOW, false, (job, machines) -> claim(cluster, job, machines.get(0)));
-        for (Machine m : cluster.machines.values()) {
+        for (Machine m : cluster.machines().values()) {
             most = Math.max(most, m.fetching());
         }
         assertEquals(1, most, "images fetched at once on one machine, though others are idle");
@@ -265,9 +265,9 @@
     @Test
     void questionsToMachinesThatHangLeaveSocketsForCommands() {
         ClusterState cluster = cluster(2000, new SplittableRandom(1));
-        cluster.machines.values().forEach(m -> {
-            m.heard = false;
-            m.addr = "10.0.0.1:" + m.name.substring(m.name.length() - 4);
+        cluster.machines().values().forEach(m -> {
+            m.setHeard(false);
+            m.setAddr("10.0.0.1:" + m.name().substring(m.name().length() - 4));
         });
         World w = new World(1);
         int[] open = new int[1];
@@ -283,7 +283,7 @@
         Fleet fleet = new Fleet(cluster, node.environment, null, 1, null, null, new EventLoopLag(node.environment, 1));
         fleet.commands().announceTerm();
         w.play(20);
-        int commands = cluster.settings.sockets().commands();
+        int commands = cluster.settings().sockets().commands();
         assertTrue(most[0] <= commands / 2, most[0] + " questions at once, " + commands + " sockets for commands");
         assertTrue(asked[0] > 10 * most[0], "only " + asked[0] + " were asked");
     }
