--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenFilesTest.java
@@ -0,0 +1,17 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Checks the literal messages themselves, without the code under test: the bytes say what the JSON form says. */
+class GoldenFilesTest {
+    @ParameterizedTest
+    @ValueSource(strings = {"users.txt", "workers.txt", "cloud.txt", "state.txt"})
+    void theBytesOfEveryMessageHoldItsJsonForm(String file) {
+        for (GoldenMessages.Message message : GoldenMessages.of(file).all()) {
+            assertEquals(message.json(), GoldenMessages.json(message.body()), message.name());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/stileferry/golden/SimulatedController.java
@@ -0,0 +1,120 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.util.function.Consumer;
+import stileferry.coordination.Coordinator;
+import stileferry.protocol.Features;
+import stileferry.protocol.PeerRecord;
+import stileferry.protocol.SettingsReader;
+
+/** One controller in a {@link RecordingEnvironment}, asked from its outer edges with literal bytes. */
+final class SimulatedController {
+    static final String STATE = "10.2.0.1:2379";
+    static final String CLOUD = "10.2.0.2:8443";
+
+    private static final String SETTINGS =
+            """
+            {"host_name":"iskele-0","zone":"a","client_listen":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081",
+            "seeds":[%s],"outside":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
+            "cluster":{"zones":["a","b"],"teams":[{"name":"vision","cpus":16.0,"cpus_max":64.0}],"objectives":[],
+            "workers":{"report_s":2.0,"lease_s":10.0,"cancel_s":20.0,"gang_wait_s":8.0,"gang_peer_s":3.0},
+            "state":{"rps":150.0,"write_rps":50.0,"value_kb":8.0,"txn_ops":12},
+            "cloud":{"rps":5.0,"list_lag_s":3.0},
+            "machine_limits":{"cores":1.0,"max_sockets":1000},"clock_off_ms":20.0}}
+            """;
+
+    private static final String PEER = "{\"host_name\":\"iskele-2\",\"zone\":\"b\",\"peer_addr\":\"10.0.0.3:8081\"}";
+
+    private final RecordingEnvironment environment;
+    private final Coordinator coordinator;
+
+    /** An answer of the controller, with its status and, to users, the headers that go with it as its line. */
+    static final class Heard {
+        private String line;
+        private byte[] body;
+
+        private void takeFromUserSide(PeerRecord.Answer answer) {
+            int retryAfterS = answer.retryAfterS();
+            line = answer.status() + " application/msgpack" + (retryAfterS > 0 ? " Retry-After: " + retryAfterS : "");
+            body = answer.body();
+        }
+
+        private void take(int status, byte[] bytes) {
+            line = String.valueOf(status);
+            body = bytes;
+        }
+
+        boolean answered() {
+            return line != null;
+        }
+
+        String line() {
+            assertNotNull(line, "not answered yet");
+            return line;
+        }
+
+        byte[] body() {
+            assertNotNull(body, "not answered yet");
+            return body;
+        }
+    }
+
+    private SimulatedController(RecordingEnvironment environment, String seeds, String features) {
+        this.environment = environment;
+        SettingsReader.Result read = SettingsReader.read(SETTINGS.formatted(seeds));
+        assertNotNull(read.settings(), read.problems().toString());
+        coordinator = new Coordinator(read.settings(), Features.read(features).features(), environment);
+        environment.afterTurn(coordinator::endOfBatch);
+    }
+
+    /** The only controller there is. */
+    static SimulatedController alone(RecordingEnvironment environment) {
+        return new SimulatedController(environment, "", "{}");
+    }
+
+    /** The only controller there is, with the watching of links turned on. */
+    static SimulatedController aloneWatchingLinks(RecordingEnvironment environment) {
+        return new SimulatedController(environment, "", "{\"partial_cuts\":true}");
+    }
+
+    /** One of two controllers, the other of which is {@code iskele-2}. */
+    static SimulatedController besideAnother(RecordingEnvironment environment) {
+        return new SimulatedController(environment, PEER, "{}");
+    }
+
+    /** Starts it and lets it settle for so long. */
+    void start(long ms) {
+        environment.turn(coordinator::start);
+        environment.play(ms);
+    }
+
+    /** A worker's report. */
+    Heard report(byte[] body) {
+        Heard heard = new Heard();
+        environment.turn(() -> coordinator.report(body, heard::take));
+        return heard;
+    }
+
+    /** A user's submission. */
+    Heard submit(byte[] body) {
+        return user(PeerRecord.Ask.SUBMIT, "", body);
+    }
+
+    /** A user's question about a job. */
+    Heard status(String id) {
+        return user(PeerRecord.Ask.STATUS, id, new byte[0]);
+    }
+
+    /** A user's withdrawal of a job. */
+    Heard withdraw(String id) {
+        return user(PeerRecord.Ask.WITHDRAW, id, new byte[0]);
+    }
+
+    private Heard user(PeerRecord.Ask ask, String id, byte[] body) {
+        Heard heard = new Heard();
+        Consumer<PeerRecord.Answer> reply = answer -> heard.takeFromUserSide(answer);
+        environment.turn(() -> coordinator.user(ask, id, body, reply));
+        return heard;
+    }
+}
