--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenStoredAdmissionsTest.java
@@ -0,0 +1,123 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import stileferry.protocol.Features;
+import stileferry.protocol.PeerRecord;
+
+/** With fair admission on: the shards of the count of admissions, and the run of counting terms. */
+class GoldenStoredAdmissionsTest {
+    private static final Features FAIR = new Features(false, true);
+
+    private static final String SPEC =
+            """
+            {"name_id":"%s","berth":"%s","crew":"%s","craft":"array","precedence":"normal","passengers":1,\
+            "cores":1.0,"gpus":0.0,"ram_gb":1.0,"cargo":"img-07","pull_gb":1.0,"harbor":null,"same_place":false,\
+            "apart":false,"tender":false,"crossing_s":60.0,"waypoint_s":0.0,"stow_s":0.0}""";
+
+    private static String spec(String id, String jobClass, String team) {
+        return SPEC.formatted(id, jobClass, team);
+    }
+
+    private static int submit(StoredRecordsFixture fixture, String id, String jobClass, String team) {
+        return fixture.user(PeerRecord.Ask.SUBMIT, id, spec(id, jobClass, team)).status();
+    }
+
+    private static String applied(StoredRecordsFixture fixture, int number) {
+        return fixture.store.commits.get(number).path("apply").toString();
+    }
+
+    @Test
+    void acceptedJobIsCountedInTheSameTransaction() {
+        StoredRecordsFixture fixture = StoredRecordsFixture.leading(new StoredKeyValues(), FAIR);
+        assertEquals(201, submit(fixture, "job-1", "train", "red"));
+        assertEquals(
+                """
+                [{"put":"a/lead","v":{"node":"n0","term":1,"lease":"7"},"mooring":7},\
+                {"put":"a/term","v":{"term":1,"counting_since":1}}]""",
+                applied(fixture, 0));
+        assertEquals(
+                """
+                {"if":[{"path":"a/lead","entry_rev":1},{"path":"j/job-1","entry_rev":0},\
+                {"path":"e/job-1","entry_rev":0},{"path":"n/0","entry_rev":0}],\
+                "apply":[{"put":"j/job-1","v":{"order":4294967297,"at":1700000001000,"cancelled":false,\
+                "spec":"""
+                        + spec("job-1", "train", "red")
+                        + """
+                        ,"x":"1-0"}},{"put":"n/0","v":{"run":1,"counts":{"red":{"train":1}},"x":"1-0"}}]}""",
+                fixture.store
+                        .commits
+                        .get(1)
+                        .toString()
+                        .replaceAll("\"at\":17000000010[0-9]{2}", "\"at\":1700000001000"));
+    }
+
+    @Test
+    void classesThatTheSettingsDoNotNameAreCountedTogether() {
+        StoredRecordsFixture fixture = StoredRecordsFixture.leading(new StoredKeyValues(), FAIR);
+        submit(fixture, "job-1", "train", "red");
+        submit(fixture, "job-2", "web", "red");
+        submit(fixture, "job-3", "other", "blue");
+        submit(fixture, "job-4", "another", "blue");
+        assertEquals(
+                "{\"run\":1,\"counts\":{\"blue\":{\"*\":2},\"red\":{\"*\":1,\"train\":1}},\"x\":\"1-3\"}",
+                fixture.store.value("n/0"));
+    }
+
+    @Test
+    void runOfCountingTermsAndItsShardsAreReadAndGoOn() {
+        StoredRecordsFixture fixture = StoredRecordsFixture.leading(
+                new StoredKeyValues()
+                        .with("a/term", "{\"term\":4,\"counting_since\":3}")
+                        .with("n/0", "{\"run\":3,\"counts\":{\"red\":{\"train\":41}},\"x\":\"4-7\"}"),
+                FAIR);
+        submit(fixture, "job-1", "train", "red");
+        assertTrue(applied(fixture, 0).endsWith("{\"put\":\"a/term\",\"v\":{\"term\":5,\"counting_since\":3}}]"));
+        assertEquals("{\"run\":3,\"counts\":{\"red\":{\"train\":42}},\"x\":\"5-0\"}", fixture.store.value("n/0"));
+    }
+
+    @Test
+    void afterALeaderThatDoesNotCountTheShardsTellUntilWhenTheyAreComplete() {
+        StoredRecordsFixture fixture = StoredRecordsFixture.leading(
+                new StoredKeyValues()
+                        .with("n/0", "{\"run\":3,\"counts\":{\"red\":{\"train\":41}},\"x\":\"4-7\"}")
+                        .with("a/term", "{\"term\":5}"),
+                FAIR);
+        submit(fixture, "job-1", "train", "red");
+        assertTrue(applied(fixture, 0).endsWith("{\"put\":\"a/term\",\"v\":{\"term\":6,\"counting_since\":6}}]"));
+        assertEquals(
+                "{\"run\":6,\"complete_until\":1,\"counts\":{\"red\":{\"train\":42}},\"x\":\"6-0\"}",
+                fixture.store.value("n/0"));
+    }
+
+    @Test
+    void leaderWithoutTheFeatureEndsTheRunAndLeavesTheShardsAlone() {
+        String shard = "{\"run\":3,\"counts\":{\"red\":{\"train\":41}},\"x\":\"4-7\"}";
+        StoredRecordsFixture fixture = StoredRecordsFixture.leading(new StoredKeyValues()
+                .with("a/term", "{\"term\":4,\"counting_since\":3}")
+                .with("n/0", shard));
+        submit(fixture, "job-1", "train", "red");
+        assertEquals("{\"term\":5}", fixture.store.value("a/term"));
+        assertEquals(shard, fixture.store.value("n/0"));
+    }
+
+    @Test
+    void totalsAreTheSumOfTheStoredShards() {
+        StoredRecordsFixture fixture = StoredRecordsFixture.leading(
+                new StoredKeyValues()
+                        .with("n/0", "{\"run\":3,\"complete_until\":17,\"counts\":{\"red\":{\"train\":41,\"*\":1}}}")
+                        .with("n/1", "{\"run\":3,\"complete_until\":17,\"counts\":{\"blue\":{\"*\":5}}}")
+                        .with("a/term", "{\"term\":4,\"counting_since\":3}"),
+                FAIR);
+        String totals =
+                fixture.operator("GET", "admission", "").body().path("totals").toString();
+        assertEquals(
+                """
+                {"revision":4,"admitted":47,"complete":false,"incomplete_from_revision":17,"admissions":[\
+                {"team":"blue","class":"*","admitted":5},{"team":"red","class":"*","admitted":1},\
+                {"team":"red","class":"train","admitted":41}]}""",
+                totals);
+    }
+}
