--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenAdmissionCodecTest.java
@@ -0,0 +1,118 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.HexFormat;
+import java.util.TreeMap;
+import org.apache.datasketches.theta.CompactSketch;
+import org.apache.datasketches.theta.UpdateSketch;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import stileferry.admission.AdmissionCodec;
+import stileferry.admission.DemandReport;
+import stileferry.admission.Flow;
+import stileferry.admission.Turn;
+import stileferry.admission.TurnTable;
+import stileferry.validation.InvalidInputException;
+
+/** What controllers exchange about admission, byte for byte, and where a job stands on the circle of turns. */
+class GoldenAdmissionCodecTest {
+    private static final Flow CRITICAL = new Flow("red", "train", 0);
+    private static final Flow IDLE = new Flow("blue", "*", 3);
+
+    private static final String TABLE = "01" + "0000000000000005" + "0000000000000007" + "0002"
+            + "0003" + "726564" + "0005" + "747261696e" + "00" + "3fe0000000000000" + "3f90000000000000"
+            + "0004" + "626c7565" + "0001" + "2a" + "03" + "0000000000000000" + "3fa0000000000000";
+
+    /** MurmurHash3 x64 128 of an id with seed 9001, its first half without the lowest bit, little-endian. */
+    private static final String JOB_1 = "5471565692c7ed36";
+
+    private static final String JOB_2 = "7f26357fdfb76a5e";
+    private static final String JOB_3 = "5c9b4844bc63ac7e";
+
+    /** A flow with one job: a compact theta sketch of one hash. One with three: their hashes in order. */
+    private static final String DEMAND = "01" + "0002"
+            + "0003" + "726564" + "0005" + "747261696e" + "00" + "0010" + "010303" + "0000" + "3a" + "cc93" + JOB_1
+            + "0004" + "626c7565" + "0001" + "2a" + "03" + "0028" + "020303" + "0000" + "1a" + "cc93" + "03000000"
+            + "0000803f" + JOB_1 + JOB_2 + JOB_3;
+
+    private static String hex(byte[] bytes) {
+        return HexFormat.of().formatHex(bytes);
+    }
+
+    private static byte[] bytes(String hex) {
+        return HexFormat.of().parseHex(hex);
+    }
+
+    private static CompactSketch sketch(String... ids) {
+        UpdateSketch sketch = UpdateSketch.builder().setNominalEntries(256).build();
+        for (String id : ids) {
+            sketch.update(id);
+        }
+        return sketch.rebuild().compact();
+    }
+
+    @Test
+    void tableOfTurnsIsWrittenAndReadByteForByte() {
+        TreeMap<Flow, Turn> turns = new TreeMap<>();
+        turns.put(IDLE, new Turn(0, 0.03125));
+        turns.put(CRITICAL, new Turn(0.5, 0.015625));
+        TurnTable table = new TurnTable(5, 7, turns);
+        assertEquals(TABLE, hex(AdmissionCodec.write(table)));
+        assertEquals(table, AdmissionCodec.readTable(bytes(TABLE)));
+    }
+
+    @Test
+    void demandIsWrittenByteForByte() {
+        TreeMap<Flow, CompactSketch> sketches = new TreeMap<>();
+        sketches.put(IDLE, sketch("job-1", "job-2", "job-3"));
+        sketches.put(CRITICAL, sketch("job-1"));
+        assertEquals(DEMAND, hex(AdmissionCodec.write(new DemandReport(sketches))));
+    }
+
+    @Test
+    void demandIsReadFromItsBytes() {
+        DemandReport read = AdmissionCodec.readDemand(bytes(DEMAND));
+        assertEquals(
+                "[" + CRITICAL + ", " + IDLE + "]", read.sketches().keySet().toString());
+        assertEquals(1.0, read.sketches().get(CRITICAL).getEstimate());
+        assertEquals(3.0, read.sketches().get(IDLE).getEstimate());
+    }
+
+    @Test
+    void nothingAskedAndNothingClosedAreAVersionAndACount() {
+        assertEquals("010000", hex(AdmissionCodec.write(new DemandReport(new TreeMap<>()))));
+        assertEquals(
+                "01" + "0000000000000005" + "0000000000000001" + "0000",
+                hex(AdmissionCodec.write(new TurnTable(5, 1, new TreeMap<>()))));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"", "020000", "01", "010001", "01000000"})
+    void demandOfAnotherVersionOrLengthIsInvalid(String hex) {
+        assertThrows(InvalidInputException.class, () -> AdmissionCodec.readDemand(bytes(hex)));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"", "0200000000000000050000000000000001" + "0000", "0100000000000000050000000000000001"})
+    void tableOfAnotherVersionOrLengthIsInvalid(String hex) {
+        assertThrows(InvalidInputException.class, () -> AdmissionCodec.readTable(bytes(hex)));
+    }
+
+    /** All controllers must compute the same places: MurmurHash3 x64 128 with seed 0x51f3, its upper 53 of 64 bits. */
+    @ParameterizedTest
+    @CsvSource({
+        "job-1,0.04291323512108014",
+        "job-000412,0.14125722504988392",
+        "job-999999999999999999,0.8702133854609314"
+    })
+    void placeOfAJobOnTheCircleOfTurns(String id, double place) {
+        TreeMap<Flow, Turn> turns = new TreeMap<>();
+        turns.put(IDLE, new Turn(0, 0x1.0p-10));
+        double waitS = new TurnTable(1, 1, turns).waitS(IDLE, id, 0);
+        assertEquals(place, waitS * 0x1.0p-10, 1e-12);
+    }
+}
--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenViewCodecTest.java
@@ -0,0 +1,114 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.HexFormat;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.roaringbitmap.RoaringBitmap;
+import stileferry.connectivity.ReachabilityView;
+import stileferry.connectivity.ReachabilityView.HandoverNotice;
+import stileferry.connectivity.ReachabilityView.Header;
+import stileferry.connectivity.ReachabilityView.ProbeTarget;
+import stileferry.connectivity.ReachabilityView.Standing;
+import stileferry.connectivity.ReachabilityView.WorkerChanges;
+import stileferry.connectivity.ViewCodec;
+import stileferry.validation.InvalidInputException;
+
+/** A controller's view of its links, byte for byte. */
+class GoldenViewCodecTest {
+    private static final String HEADER = "01" + "0002" + "6e30" + "0000000000000011" + "0000000000000012"
+            + "0000000000000013" + "0002" + "6e31" + "0000000000000014" + "0000000000000015" + "0000000000000016"
+            + "00000017";
+
+    private static final String STANDING = "01" + "00" + "00000002" + "0002" + "6e31" + "0002" + "6e32";
+
+    /** Roaring bitmaps in their portable form, little-endian: none, {2}, {0, 2}. */
+    private static final String NONE = "3a300000" + "00000000";
+
+    private static final String TWO = "3a300000" + "01000000" + "0000" + "0000" + "10000000" + "0200";
+    private static final String BOTH = "3a300000" + "01000000" + "0000" + "0100" + "10000000" + "0000" + "0200";
+
+    private static final String WORKERS = "00000003" + "0000000000000004" + "0000000000000006" + "00000002" + "0006"
+            + "686f73742d31" + "0006" + "686f73742d33" + BOTH + NONE + BOTH + TWO + NONE;
+
+    private static final String PROBES = "00000001" + "0006" + "686f73742d31" + "0008" + "31302e302e313a39";
+
+    private static final String HANDOVER =
+            "01" + "0000000000000021" + "0000000000000013" + "0002" + "6e32" + "0000000000000022" + "01";
+
+    private static final String FULL = HEADER + STANDING + WORKERS + PROBES + HANDOVER + "0000000000000023";
+
+    private static final String EMPTY = "01" + "0002" + "6e30" + "0000000000000001".repeat(3) + "0000"
+            + "0000000000000000".repeat(3) + "00000000" + "0001" + "00000000" + "00000001"
+            + "0000000000000000".repeat(2)
+            + "00000000" + NONE.repeat(5) + "00000000" + "00" + "0000000000000000";
+
+    private static ReachabilityView full() {
+        return new ReachabilityView(
+                new Header("n0", 0x11, 0x12, 0x13, "n1", 0x14, 0x15, 0x16, 0x17),
+                new Standing(true, false, List.of("n1", "n2")),
+                new WorkerChanges(
+                        3,
+                        4,
+                        6,
+                        List.of("host-1", "host-3"),
+                        RoaringBitmap.bitmapOf(0, 2),
+                        new RoaringBitmap(),
+                        RoaringBitmap.bitmapOf(0, 2),
+                        RoaringBitmap.bitmapOf(2),
+                        new RoaringBitmap()),
+                List.of(new ProbeTarget("host-1", "10.0.1:9")),
+                new HandoverNotice(0x21, 0x13, "n2", 0x22, true),
+                0x23);
+    }
+
+    private static ReachabilityView empty() {
+        return new ReachabilityView(
+                new Header("n0", 1, 1, 1, "", 0, 0, 0, 0),
+                new Standing(false, true, List.of()),
+                new WorkerChanges(
+                        1,
+                        0,
+                        0,
+                        List.of(),
+                        new RoaringBitmap(),
+                        new RoaringBitmap(),
+                        new RoaringBitmap(),
+                        new RoaringBitmap(),
+                        new RoaringBitmap()),
+                List.of(),
+                null,
+                0);
+    }
+
+    private static byte[] bytes(String hex) {
+        return HexFormat.of().parseHex(hex);
+    }
+
+    @Test
+    void viewWithAllPartsIsWrittenAndRead() {
+        assertEquals(FULL, HexFormat.of().formatHex(ViewCodec.write(full())));
+        assertEquals(full(), ViewCodec.read(bytes(FULL)));
+    }
+
+    @Test
+    void viewWithoutWorkersProbesAndHandoverIsWrittenAndRead() {
+        assertEquals(EMPTY, HexFormat.of().formatHex(ViewCodec.write(empty())));
+        assertEquals(empty(), ViewCodec.read(bytes(EMPTY)));
+    }
+
+    @Test
+    void whatFollowsTheKnownFieldsIsNotLookedAt() {
+        assertEquals(full(), ViewCodec.read(bytes(FULL + "ff00")));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"", "02", HEADER, HEADER + STANDING})
+    void otherFormsAndViewsThatAreCutOffAreInvalid(String hex) {
+        assertThrows(InvalidInputException.class, () -> ViewCodec.read(bytes(hex)));
+    }
+}
