--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenCommandLineHelpTest.java
@@ -0,0 +1,92 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Pins the names of all commands and flags, with their values and what the help says of them. */
+class GoldenCommandLineHelpTest {
+    @ParameterizedTest
+    @CsvSource({
+        "serve, help-serve.txt",
+        "check-config, help-check-config.txt",
+        "submit, help-submit.txt",
+        "status, help-status.txt",
+        "stand-ins, help-stand-ins.txt",
+        "admin, help-admin.txt",
+        "admin get, help-admin-get.txt",
+        "admin set, help-admin-set.txt",
+        "admin reset, help-admin-reset.txt",
+        "admin show, help-admin-show.txt"
+    })
+    void helpOfEachCommandNamesItsFlags(String command, String file) {
+        GoldenCommandLineRunner.Outcome outcome = GoldenCommandLineRunner.run((command + " --help").split(" "));
+        assertEquals(0, outcome.exitCode());
+        assertEquals(GoldenCommandLineRunner.resource(file), outcome.out());
+        assertEquals("", outcome.err());
+    }
+
+    /** The usage line is left out: under which of its names a command shows itself is free. */
+    @Test
+    void helpOfWithdrawNamesItsFlags() {
+        GoldenCommandLineRunner.Outcome outcome = GoldenCommandLineRunner.run("withdraw", "--help");
+        assertEquals(0, outcome.exitCode());
+        String expected =
+                """
+                      ID             The job.
+                  -h, --help         Show this help message and exit.
+                      --json         Print the answer as JSON.
+                      --node=ADDR[,ADDR...]
+                                     Client addresses of controllers, such as 127.0.0.1:7701;
+                                       more than one with commas.
+                      --patience=S   Seconds for which a request is repeated (default 60).
+                  -V, --version      Print version information and exit.
+                """;
+        assertTrue(outcome.out().contains(expected.stripTrailing()), outcome.out());
+    }
+
+    /** More commands may come; these stay. */
+    @ParameterizedTest
+    @ValueSource(strings = {"serve", "check-config", "submit", "status", "withdraw", "admin", "stand-ins"})
+    void helpOfTheProgramListsEachCommand(String command) {
+        GoldenCommandLineRunner.Outcome outcome = GoldenCommandLineRunner.run("--help");
+        assertEquals(0, outcome.exitCode());
+        assertTrue(
+                outcome.out().lines().anyMatch(line -> List.of(line.strip().split("[ ,]+"))
+                        .contains(command)),
+                outcome.out());
+    }
+
+    @Test
+    void helpOfTheProgramExplainsTheExitCodes() {
+        String help = GoldenCommandLineRunner.run("--help").out();
+        assertTrue(help.startsWith("Usage: stileferry [-hV] [COMMAND]\nA cluster scheduler.\n"), help);
+        String footer =
+                """
+
+                Exit codes: 0 done, 1 failed or no answer, 2 wrong usage or settings, 3 refused
+                by the service.""";
+        assertTrue(help.endsWith(footer), help);
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"--version", "-V"})
+    void versionIsPrinted(String flag) {
+        GoldenCommandLineRunner.Outcome outcome = GoldenCommandLineRunner.run(flag);
+        assertEquals(new GoldenCommandLineRunner.Outcome(0, "stileferry 0.1.0", ""), outcome);
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"-h", "--help"})
+    void bothNamesOfTheHelpFlagWork(String flag) {
+        assertEquals(0, GoldenCommandLineRunner.run(flag).exitCode());
+        assertEquals(
+                GoldenCommandLineRunner.resource("help-status.txt"),
+                GoldenCommandLineRunner.run("status", flag).out());
+    }
+}
