--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenSettingsFields.java
@@ -0,0 +1,48 @@
+package stileferry.golden;
+
+import java.util.ArrayList;
+import java.util.List;
+import stileferry.protocol.Settings;
+import stileferry.protocol.SettingsReader;
+
+/** Writes settings down as they were read; the only golden class that knows the classes of the settings. */
+final class GoldenSettingsFields {
+    private GoldenSettingsFields() {}
+
+    /** All that a usable settings file says, one value or entry a line. */
+    static String of(String json) {
+        Settings settings = SettingsReader.read(json).settings();
+        List<String> lines = new ArrayList<>();
+        lines.add("node: " + settings.node());
+        lines.add("zone: " + settings.zone());
+        lines.add("users: " + settings.clientListen().getHostString() + ":"
+                + settings.clientListen().getPort());
+        lines.add("controllers: " + settings.peerListen().getHostString() + ":"
+                + settings.peerListen().getPort());
+        settings.peers().forEach(peer -> lines.add("peer: " + peer.node() + " " + peer.zone() + " " + peer.addr()));
+        lines.add("cloud: " + settings.cloudAddr());
+        lines.add("state: " + settings.stateAddr());
+        lines.add("zones: " + settings.zones());
+        settings.teams()
+                .forEach(team -> lines.add("team: " + team.name() + " cpus " + team.cpus() + " to " + team.cpusMax()
+                        + ", gpus " + team.gpus() + " to " + team.gpusMax()));
+        settings.objectives()
+                .forEach(aim -> lines.add(
+                        "objective: " + aim.kind() + " " + aim.jobClass() + " " + aim.withinS() + " " + aim.share()));
+        addLimits(lines, settings);
+        return String.join("\n", lines);
+    }
+
+    private static void addLimits(List<String> lines, Settings settings) {
+        Settings.Workers workers = settings.workers();
+        lines.add("workers: report " + workers.reportS() + ", lease " + workers.leaseS() + ", cancel "
+                + workers.cancelS() + ", gang wait " + workers.gangWaitS() + ", gang peer " + workers.gangPeerS());
+        Settings.State state = settings.state();
+        lines.add("state limits: requests " + state.rps() + ", writes " + state.writeRps() + ", value "
+                + state.valueKb() + ", transaction " + state.txnOps());
+        Settings.Cloud cloud = settings.cloud();
+        lines.add("cloud limits: requests " + cloud.rps() + ", list lag " + cloud.listLagS());
+        lines.add("machine: cores " + settings.cores() + ", sockets " + settings.maxSockets());
+        lines.add("clock off: " + settings.clockOffMs());
+    }
+}
--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenSettingsTest.java
@@ -0,0 +1,182 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Pins every name of the settings file: what is read from it, and what is said when it is missing or wrong. */
+class GoldenSettingsTest {
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final String EVERY_NAME = GoldenCommandLineRunner.resource("settings-every-name.json");
+    private static final String REPORTED = "stileferry: settings: ";
+
+    @TempDir
+    private Path dir;
+
+    private GoldenCommandLineRunner.Outcome check(String settings) throws IOException {
+        Path file = Files.writeString(dir.resolve("settings.json"), settings);
+        return GoldenCommandLineRunner.run("check-config", file.toString());
+    }
+
+    private static String reported(List<String> problems) {
+        return problems.stream().map(problem -> REPORTED + problem).collect(Collectors.joining("\n"));
+    }
+
+    @Test
+    void everyNameIsRead() {
+        assertEquals(GoldenCommandLineRunner.resource("settings-as-read.txt"), GoldenSettingsFields.of(EVERY_NAME));
+    }
+
+    @Test
+    void settingsWithEveryNameAreUsable() throws IOException {
+        assertEquals(
+                new GoldenCommandLineRunner.Outcome(0, "settings are usable\nfeatures on: none", ""),
+                check(EVERY_NAME));
+    }
+
+    static Stream<String> problems() {
+        return GoldenCommandLineRunner.resource("settings-messages.txt").lines().skip(1);
+    }
+
+    @ParameterizedTest
+    @MethodSource("problems")
+    void wrongAndMissingValuesAreReportedByName(String line) throws IOException {
+        List<String> parts = Arrays.stream(line.split("\\|")).map(String::strip).toList();
+        ObjectNode settings = (ObjectNode) JSON.readTree(EVERY_NAME);
+        change(settings, parts.get(0), parts.get(1));
+        assertEquals(
+                new GoldenCommandLineRunner.Outcome(2, "", reported(parts.subList(2, parts.size()))),
+                check(settings.toString()));
+    }
+
+    private static void change(JsonNode settings, String pointer, String value) throws IOException {
+        int slash = pointer.lastIndexOf('/');
+        String name = pointer.substring(slash + 1);
+        ObjectNode parent = (ObjectNode) settings.at(pointer.substring(0, slash));
+        assertTrue(parent.has(name), "the line names what is there: " + pointer);
+        if (value.equals("-")) {
+            parent.remove(name);
+        } else {
+            parent.set(name, JSON.readTree(value));
+        }
+    }
+
+    /** Names whose absence is fine, and what is read instead. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "/cluster/teams/0/cpus|team: red cpus 0.0 to 102.5, gpus 103.5 to 104.5",
+                "/cluster/teams/0/cpus_max|team: red cpus 101.5 to 0.0, gpus 103.5 to 104.5",
+                "/cluster/teams/0/gpus|team: red cpus 101.5 to 102.5, gpus 0.0 to 104.5",
+                "/cluster/teams/0/gpus_max|team: red cpus 101.5 to 102.5, gpus 103.5 to 0.0",
+                "/cluster/workers/gang_wait_s|"
+                        + "workers: report 3.5, lease 32.5, cancel 52.5, gang wait 0.0, gang peer 6.5",
+                "/cluster/workers/gang_peer_s|"
+                        + "workers: report 3.5, lease 32.5, cancel 52.5, gang wait 40.5, gang peer 0.0",
+                "/cluster/state/next|state limits: requests 150.5, writes 30.5, value 16.5, transaction 12",
+                "/cluster/state/next/rps|state limits: requests 150.5, writes 30.5, value 15.5, transaction 11",
+                "/cluster/state/next/value_kb|state limits: requests 149.5, writes 30.5, value 16.5, transaction 11",
+                "/cluster/state/next/txn_ops|state limits: requests 149.5, writes 30.5, value 15.5, transaction 12",
+                "/cluster/machine_limits/cores|machine: cores 1.0, sockets 3000",
+                "/cluster/clock_off_ms|clock off: -1.0"
+            })
+    void optionalNamesHaveDefaults(String pointer, String line) throws IOException {
+        ObjectNode settings = (ObjectNode) JSON.readTree(EVERY_NAME);
+        change(settings, pointer, "-");
+        String read = GoldenSettingsFields.of(settings.toString());
+        assertTrue(read.lines().anyMatch(line::equals), read);
+    }
+
+    @Test
+    void theLowerOfTheWriteLimitsIsReadWhicheverComesFirst() throws IOException {
+        ObjectNode settings = (ObjectNode) JSON.readTree(EVERY_NAME);
+        change(settings, "/cluster/state/next/write_rps", "29.5");
+        String line = "state limits: requests 149.5, writes 29.5, value 15.5, transaction 11";
+        String read = GoldenSettingsFields.of(settings.toString());
+        assertTrue(read.lines().anyMatch(line::equals), read);
+    }
+
+    @Test
+    void objectivesMayBeMissing() throws IOException {
+        ObjectNode settings = (ObjectNode) JSON.readTree(EVERY_NAME);
+        change(settings, "/cluster/objectives", "-");
+        assertEquals(
+                GoldenCommandLineRunner.resource("settings-as-read.txt").replaceAll("objective: [^\n]*\n", ""),
+                GoldenSettingsFields.of(settings.toString()));
+    }
+
+    @Test
+    void unknownNamesAreIgnoredEverywhere() throws IOException {
+        ObjectNode settings = (ObjectNode) JSON.readTree(EVERY_NAME);
+        List<ObjectNode> objects = new ArrayList<>();
+        collectObjects(settings, objects);
+        assertEquals(15, objects.size(), "objects in the file");
+        objects.forEach(object -> object.put("a_name_nobody_knows", 1));
+        assertEquals(
+                GoldenCommandLineRunner.resource("settings-as-read.txt"), GoldenSettingsFields.of(settings.toString()));
+    }
+
+    private static void collectObjects(JsonNode node, List<ObjectNode> found) {
+        if (node instanceof ObjectNode object) {
+            found.add(object);
+        }
+        if (node instanceof ObjectNode || node instanceof ArrayNode) {
+            node.forEach(child -> collectObjects(child, found));
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "[]|the settings must be a JSON object",
+                "7|the settings must be a JSON object",
+                "''|the settings must be a JSON object"
+            })
+    void whatIsNoObjectIsReported(String text, String problem) throws IOException {
+        assertEquals(new GoldenCommandLineRunner.Outcome(2, "", REPORTED + problem), check(text));
+    }
+
+    @Test
+    void whatIsNoJsonIsReportedInOneLine() throws IOException {
+        GoldenCommandLineRunner.Outcome outcome = check("{\"host_name\":");
+        assertEquals(2, outcome.exitCode());
+        assertTrue(outcome.err().startsWith(REPORTED + "not valid JSON: "), outcome.err());
+        assertEquals(1, outcome.err().lines().count());
+    }
+
+    /** check-config tells all problems, serve the first. */
+    @Test
+    void anEmptyObjectLacksEveryNameThatIsNeeded() throws IOException {
+        assertEquals(
+                new GoldenCommandLineRunner.Outcome(
+                        2,
+                        "",
+                        reported(GoldenCommandLineRunner.resource("settings-all-missing.txt")
+                                .lines()
+                                .toList())),
+                check("{}"));
+        assertEquals(
+                new GoldenCommandLineRunner.Outcome(2, "", REPORTED + "host_name: missing or not a text"),
+                GoldenCommandLineRunner.run(
+                        "serve", "--config", dir.resolve("settings.json").toString()));
+    }
+}
