--- a/src/main/java/stileferry/autoscaling/Provisioning.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -3,25 +3,26 @@
 import java.util.List;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
-import stileferry.heartbeat.Fleet;
-import stileferry.links.LinkAwareness;
+import stileferry.heartbeat.HeartbeatHandler;
+import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Settings;
 
 /** Dealings with the cloud in one term: rents for what waits, returns what is idle, and watches the list. */
-public final class Provisioning {
+public final class Autoscaler {
     private final CloudClient cloud;
-    private final MachineList list;
-    private final MachineReturns returns;
-    private final Rentals rentals;
+    private final CloudInventory list;
+    private final ScaleIn returns;
+    private final ScaleOut rentals;
 
-    public Provisioning(ClusterState cluster, Environment environment, Fleet fleet, long term, LinkAwareness links) {
+    public Autoscaler(
+            ClusterState cluster, Environment environment, HeartbeatHandler fleet, long term, LinkHealth links) {
         Settings settings = cluster.settings();
         this.cloud = new CloudClient(
                 environment, settings.cloudAddr(), settings.cloud().rps());
-        this.list = new MachineList(cluster, environment, cloud, fleet.commands()::announceTerm);
-        this.returns = new MachineReturns(cluster, environment, fleet, cloud, list, links);
-        this.rentals = new Rentals(cluster, environment, fleet, cloud, term);
+        this.list = new CloudInventory(cluster, environment, cloud, fleet.commands()::announceTerm);
+        this.returns = new ScaleIn(cluster, environment, fleet, cloud, list, links);
+        this.rentals = new ScaleOut(cluster, environment, fleet, cloud, term);
     }
 
     public void close() {
--- a/src/main/java/stileferry/autoscaling/CloudClient.java
+++ b/src/main/java/stileferry/autoscaling/CloudClient.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import stileferry.protocol.Environment;
-import stileferry.storage.Budget;
+import stileferry.storage.RateLimiter;
 
 /** Calls to the cloud within its rate, for one term. */
 final class CloudClient {
@@ -12,13 +12,13 @@
 
     private final Environment environment;
     private final String address;
-    private final Budget budget;
+    private final RateLimiter budget;
     private boolean closed;
 
     CloudClient(Environment environment, String address, double callsPerSecond) {
         this.environment = environment;
         this.address = address;
-        this.budget = new Budget(environment, callsPerSecond * RATE_SHARE, BURST_S);
+        this.budget = new RateLimiter(environment, callsPerSecond * RATE_SHARE, BURST_S);
     }
 
     /** From now on no answer is passed on. */
--- a/src/main/java/stileferry/autoscaling/MachineList.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -12,7 +12,7 @@
 import stileferry.protocol.Messages;
 
 /** Reads the cloud's list of machines again and again. It lags, so what it lacks proves nothing. */
-final class MachineList {
+final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
     private static final long LEAST_PAUSE_MS = 2000;
@@ -33,7 +33,7 @@
     private int pages;
 
     /** The action runs when the list has been read for the first time. */
-    MachineList(ClusterState cluster, Environment environment, CloudClient cloud, Runnable firstRead) {
+    CloudInventory(ClusterState cluster, Environment environment, CloudClient cloud, Runnable firstRead) {
         this.cluster = cluster;
         this.environment = environment;
         this.cloud = cloud;
@@ -63,7 +63,7 @@
      * Reads the next page when the cloud's rate allows it. A list of thousands of machines has more pages than the
      * cloud takes calls at once: sent in a row, some were refused, and the list was never read to its end.
      */
-    private void nextPage(String from, List<Messages.Listed> seen) {
+    private void nextPage(String from, List<Messages.ListedMachine> seen) {
         if (cloud.mayCall()) {
             page(from, seen);
         } else {
@@ -71,7 +71,7 @@
         }
     }
 
-    private void page(String from, List<Messages.Listed> seen) {
+    private void page(String from, List<Messages.ListedMachine> seen) {
         pages++;
         cloud.call("GET", "/hosts?most=500" + (from.isEmpty() ? "" : "&from=" + from), null, (status, body) -> {
             if (status != 200 || body == null) {
@@ -90,10 +90,10 @@
         });
     }
 
-    private void compare(List<Messages.Listed> list) {
+    private void compare(List<Messages.ListedMachine> list) {
         long now = environment.now();
         Set<String> names = new HashSet<>();
-        for (Messages.Listed l : list) {
+        for (Messages.ListedMachine l : list) {
             if (cluster.deleted().contains(l.name())) {
                 continue; // the list lags behind the deletion
             }
--- a/src/main/java/stileferry/autoscaling/RentalBin.java
+++ b/src/main/java/stileferry/autoscaling/PlannedMachine.java
@@ -4,7 +4,7 @@
 import stileferry.protocol.MachineType;
 
 /** Room that exists, is coming, or would have to be rented. */
-final class RentalBin {
+final class PlannedMachine {
     private static final double ROUNDING = 1e-6;
 
     private final MachineType type;
@@ -14,7 +14,7 @@
     double gpus;
     double memory;
 
-    RentalBin(MachineType type, String zone, boolean spot) {
+    PlannedMachine(MachineType type, String zone, boolean spot) {
         this.type = type;
         this.zone = zone;
         this.spot = spot;
--- a/src/main/java/stileferry/autoscaling/MachineReturns.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -6,18 +6,18 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Machine;
-import stileferry.heartbeat.Fleet;
-import stileferry.links.LinkAwareness;
+import stileferry.cluster.TaskAssignment;
+import stileferry.heartbeat.HeartbeatHandler;
+import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.Options;
+import stileferry.protocol.OperatorSettings;
 
 /** Returns machines to the cloud: lost ones, whose deletion proves that their tasks are gone, and idle ones. */
-final class MachineReturns {
+final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
     /** Multiple of the nominal boot time after which a machine is taken for one that never comes up. */
@@ -36,23 +36,23 @@
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final Fleet fleet;
+    private final HeartbeatHandler fleet;
     private final CloudClient cloud;
-    private final MachineList list;
-    private final LinkAwareness links;
+    private final CloudInventory list;
+    private final LinkHealth links;
     private final long since;
     private final long listLagMs;
     private final long leaseMs;
     private final long cancelPatienceMs;
     private boolean deleting;
 
-    MachineReturns(
+    ScaleIn(
             ClusterState cluster,
             Environment environment,
-            Fleet fleet,
+            HeartbeatHandler fleet,
             CloudClient cloud,
-            MachineList list,
-            LinkAwareness links) {
+            CloudInventory list,
+            LinkHealth links) {
         this.links = links;
         this.cluster = cluster;
         this.environment = environment;
@@ -161,7 +161,7 @@
     }
 
     private boolean keepsCancelledTask(Machine m) {
-        for (Claim c : m.claims().values()) {
+        for (TaskAssignment c : m.claims().values()) {
             if (c.job().cancelled() && c.stopAskedAt() > 0 && environment.now() - c.stopAskedAt() > cancelPatienceMs) {
                 return true;
             }
@@ -171,8 +171,9 @@
 
     /** A machine is kept for a while: renting another takes its boot time. */
     private long idleMs(Machine m) {
-        return Math.round(
-                1000 * cluster.options().number(Options.IDLE_BOOTS) * m.type().bootS());
+        return Math.round(1000
+                * cluster.options().number(OperatorSettings.IDLE_BOOTS)
+                * m.type().bootS());
     }
 
     private void delete() {
@@ -208,13 +209,13 @@
             if (m.usable() && !m.spot()) {
                 free += m.type().cpus() - m.usedCpus();
             }
-            for (Claim c : m.claims().values()) {
+            for (TaskAssignment c : m.claims().values()) {
                 if (c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
                     critical += c.job().spec().cpus();
                     largest = Math.max(largest, c.job().spec().cpus());
                 }
             }
         }
-        return free - Math.max(largest, critical * cluster.options().number(Options.SPARE_SHARE));
+        return free - Math.max(largest, critical * cluster.options().number(OperatorSettings.SPARE_SHARE));
     }
 }
--- a/src/main/java/stileferry/autoscaling/Rentals.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -13,16 +13,16 @@
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
-import stileferry.heartbeat.Fleet;
+import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Messages;
-import stileferry.protocol.Options;
+import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.Settings;
 
 /** Rents machines for the jobs that wait, each request under a name that is never used again. */
-final class Rentals {
+final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
     private static final int MAX_RENT = 50;
@@ -32,18 +32,18 @@
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final Fleet fleet;
+    private final HeartbeatHandler fleet;
     private final CloudClient cloud;
     private final String requestPrefix;
-    private final Map<String, Refusal> refusals = new HashMap<>();
-    private final List<Rental> rentals = new ArrayList<>();
+    private final Map<String, BackOff> refusals = new HashMap<>();
+    private final List<ScaleOutRequest> rentals = new ArrayList<>();
     private final long since;
     private long requests;
     private Set<String> unreachable = Set.of();
     private int spotMachines;
     private int allMachines;
 
-    Rentals(ClusterState cluster, Environment environment, Fleet fleet, CloudClient cloud, long term) {
+    ScaleOut(ClusterState cluster, Environment environment, HeartbeatHandler fleet, CloudClient cloud, long term) {
         this.cluster = cluster;
         this.environment = environment;
         this.fleet = fleet;
@@ -53,12 +53,12 @@
         this.requestPrefix = "r-" + cluster.settings().node() + "-" + term + "-";
     }
 
-    private static final class Refusal {
+    private static final class BackOff {
         long until;
         int count;
     }
 
-    private static final class Rental {
+    private static final class ScaleOutRequest {
         final String request;
         final MachineType type;
         final String zone;
@@ -66,7 +66,7 @@
         final int count;
         final long sentAt;
 
-        Rental(String request, MachineType type, String zone, boolean spot, int count, long sentAt) {
+        ScaleOutRequest(String request, MachineType type, String zone, boolean spot, int count, long sentAt) {
             this.request = request;
             this.type = type;
             this.zone = zone;
@@ -80,7 +80,7 @@
     void rent(List<Job> waiting) {
         repeatRentals();
         unreachable = fleet.failures().unreachableZones(since); // what boots there can't report
-        List<RentalBin> coming = new ArrayList<>();
+        List<PlannedMachine> coming = new ArrayList<>();
         Map<String, Integer> perZone = new HashMap<>();
         spotMachines = 0;
         allMachines = 0;
@@ -92,12 +92,12 @@
             spotMachines += m.spot() ? 1 : 0;
             perZone.merge(m.zone(), 1, Integer::sum);
             if (m.booting()) { // what is said to run but does not report is no room to count on
-                coming.add(new RentalBin(m.type(), m.zone(), m.spot()));
+                coming.add(new PlannedMachine(m.type(), m.zone(), m.spot()));
             }
         }
-        for (Rental r : rentals) {
+        for (ScaleOutRequest r : rentals) {
             for (int i = 0; i < r.count; i++) {
-                coming.add(new RentalBin(r.type, r.zone, r.spot));
+                coming.add(new PlannedMachine(r.type, r.zone, r.spot));
             }
             allMachines += r.count;
             spotMachines += r.spot ? r.count : 0;
@@ -110,7 +110,7 @@
             String zone = job.spec().gang() && job.spec().oneZone() ? zoneFor(job.spec(), n, coming, perZone) : null;
             n -= fill(job.spec(), n, coming, zone);
             while (n > 0) {
-                RentalBin bin = cheapest(job.spec(), perZone, zone);
+                PlannedMachine bin = cheapest(job.spec(), perZone, zone);
                 if (bin == null) {
                     break;
                 }
@@ -121,20 +121,20 @@
                 n -= bin.take(job.spec(), n);
             }
         }
-        Map<String, List<RentalBin>> groups = new HashMap<>();
-        for (RentalBin bin : coming.subList(known, coming.size())) {
+        Map<String, List<PlannedMachine>> groups = new HashMap<>();
+        for (PlannedMachine bin : coming.subList(known, coming.size())) {
             groups.computeIfAbsent(group(bin.type(), bin.zone(), bin.spot()), g -> new ArrayList<>())
                     .add(bin);
         }
-        List<List<RentalBin>> parts = new ArrayList<>();
+        List<List<PlannedMachine>> parts = new ArrayList<>();
         groups.values().forEach(bins -> parts.addAll(Lists.partition(bins, MAX_RENT)));
         parts.sort(Comparator.comparingInt(bins -> -bins.size())); // calls are few: those that bring most go first
-        for (List<RentalBin> bins : parts) {
+        for (List<PlannedMachine> bins : parts) {
             if (!cloud.mayCall()) {
                 return;
             }
-            RentalBin b = bins.get(0);
-            Rental rental = new Rental(
+            PlannedMachine b = bins.get(0);
+            ScaleOutRequest rental = new ScaleOutRequest(
                     requestPrefix + ++requests, b.type(), b.zone(), b.spot(), bins.size(), environment.now());
             rentals.add(rental);
             send(rental);
@@ -156,9 +156,9 @@
     }
 
     /** Puts tasks into what is coming, in one zone or (null) in any; returns how many fit. */
-    private static int fill(JobSpec spec, int tasks, List<RentalBin> bins, String zone) {
+    private static int fill(JobSpec spec, int tasks, List<PlannedMachine> bins, String zone) {
         int taken = 0;
-        for (RentalBin bin : bins) {
+        for (PlannedMachine bin : bins) {
             if (taken == tasks) {
                 break;
             }
@@ -170,9 +170,9 @@
     /**
      * The one zone for a gang: where most of it has room soon, else where a machine is to be had at the lowest price.
      */
-    private String zoneFor(JobSpec spec, int tasks, List<RentalBin> coming, Map<String, Integer> perZone) {
+    private String zoneFor(JobSpec spec, int tasks, List<PlannedMachine> coming, Map<String, Integer> perZone) {
         Map<String, Integer> room = new HashMap<>();
-        for (RentalBin bin : coming) {
+        for (PlannedMachine bin : coming) {
             if (bin.fits(spec)) {
                 int more = spec.cpus() > 0 ? (int) Math.max(1, bin.cpus() / spec.cpus()) : 1;
                 room.merge(bin.zone(), more, Integer::sum);
@@ -190,19 +190,20 @@
         if (best != null && (room.get(best) >= tasks || cheapest(spec, perZone, best) != null)) {
             return best;
         }
-        RentalBin bin = cheapest(spec, perZone, null);
+        PlannedMachine bin = cheapest(spec, perZone, null);
         return bin == null ? null : bin.zone();
     }
 
     /** The machine to rent next for a job that nothing that is coming has room for. */
-    private RentalBin cheapest(JobSpec spec, Map<String, Integer> perZone, String onlyZone) {
-        RentalBin best = null;
-        boolean moreSpot = spotMachines + 1 <= cluster.options().number(Options.SPOT_SHARE) * (allMachines + 1);
+    private PlannedMachine cheapest(JobSpec spec, Map<String, Integer> perZone, String onlyZone) {
+        PlannedMachine best = null;
+        boolean moreSpot =
+                spotMachines + 1 <= cluster.options().number(OperatorSettings.SPOT_SHARE) * (allMachines + 1);
         for (MachineType type : cluster.types()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
-                    RentalBin bin = new RentalBin(type, zone, spot);
-                    Refusal refusal = refusals.get(group(type, zone, spot));
+                    PlannedMachine bin = new PlannedMachine(type, zone, spot);
+                    BackOff refusal = refusals.get(group(type, zone, spot));
                     if ((!spot || moreSpot)
                             && (refusal == null || refusal.until <= environment.now())
                             && !unreachable.contains(zone)
@@ -217,7 +218,7 @@
         return best;
     }
 
-    private static boolean cheaper(RentalBin bin, RentalBin than, Map<String, Integer> perZone) {
+    private static boolean cheaper(PlannedMachine bin, PlannedMachine than, Map<String, Integer> perZone) {
         double price = bin.spot() ? bin.type().spotPrice() : bin.type().price();
         double other = than.spot() ? than.type().spotPrice() : than.type().price();
         if (price != other) {
@@ -231,17 +232,18 @@
     }
 
     private void repeatRentals() {
-        for (Rental r : List.copyOf(rentals)) {
+        for (ScaleOutRequest r : List.copyOf(rentals)) {
             if (environment.now() - r.sentAt > REPEAT_MS && cloud.mayCall()) {
                 rentals.remove(r);
-                Rental again = new Rental(r.request, r.type, r.zone, r.spot, r.count, environment.now());
+                ScaleOutRequest again =
+                        new ScaleOutRequest(r.request, r.type, r.zone, r.spot, r.count, environment.now());
                 rentals.add(again);
                 send(again);
             }
         }
     }
 
-    private void send(Rental r) {
+    private void send(ScaleOutRequest r) {
         cloud.call(
                 "POST",
                 "/hosts",
@@ -249,7 +251,7 @@
                 (status, body) -> answered(r, status, body));
     }
 
-    private void answered(Rental r, int status, JsonNode body) {
+    private void answered(ScaleOutRequest r, int status, JsonNode body) {
         String group = group(r.type, r.zone, r.spot);
         if (status == 200 && body != null) {
             rentals.removeIf(x -> x.request.equals(r.request));
@@ -285,8 +287,8 @@
         // anything else: the outcome is unknown or nothing was done, and the same request is sent again later
     }
 
-    private void refuse(String group, Rental r) {
-        Refusal refusal = refusals.computeIfAbsent(group, g -> new Refusal());
+    private void refuse(String group, ScaleOutRequest r) {
+        BackOff refusal = refusals.computeIfAbsent(group, g -> new BackOff());
         long pause = Math.round(r.type.bootS() * 500) << Math.min(1, refusal.count++);
         refusal.until = environment.now() + pause;
         LOG.info(
--- a/src/main/java/stileferry/cli/Withdraw.java
+++ b/src/main/java/stileferry/cli/Cancel.java
@@ -12,7 +12,7 @@
         description = "Cancels a job; its tasks are stopped.",
         mixinStandardHelpOptions = true,
         footer = {"", "Example: stileferry withdraw --node 127.0.0.1:7701 job-1"})
-final class Withdraw implements Callable<Integer> {
+final class Cancel implements Callable<Integer> {
     @Mixin
     private Connection connection;
 
--- a/src/main/java/stileferry/cli/Rehearsal.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -17,7 +17,7 @@
  * Used by the build: plays a controller's life on loopback (start, follow, take over, lead), so that the classes which
  * that needs can be archived. What is not archived is read, checked and linked at every start instead.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
     private static final int PORTS = 7;
 
     /** Optional parts are rehearsed too; where they are off, what is archived of them is not loaded. */
@@ -27,7 +27,7 @@
     private static final int POLLS = 100;
     private static final byte[] NOTHING = new byte[0];
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     public static void main(String[] args) throws Exception {
         LogLevel.start(System.getenv("LOG_LEVEL"));
--- a/src/main/java/stileferry/cli/Main.java
+++ b/src/main/java/stileferry/cli/Main.java
@@ -15,7 +15,7 @@
             CheckConfig.class,
             Submit.class,
             Status.class,
-            Withdraw.class,
+            Cancel.class,
             AdminCommand.class,
             StandIns.class
         },
--- a/src/main/java/stileferry/cluster/Reservations.java
+++ b/src/main/java/stileferry/cluster/CapacityReservations.java
@@ -9,7 +9,7 @@
  * Room on machines that is being made for waiting jobs by stopping other work. Until those jobs start, less urgent
  * work may not take it: it would be stopped again at once, and each such start costs writes in the state service.
  */
-public final class Reservations {
+public final class CapacityReservations {
     /** Amounts on one machine that are reserved for one job. */
     private static final class Amounts {
         double cpus;
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import stileferry.links.LinkAwareness;
+import stileferry.links.LinkHealth;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
-import stileferry.protocol.Options;
+import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.Settings;
 
 /** What the leader knows in one term: the jobs that are not over, the machines, and the teams' use. */
@@ -27,18 +27,18 @@
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new TreeMap<>();
     private final FreeCapacityIndex rooms = new FreeCapacityIndex();
-    private final Reservations reservations = new Reservations();
+    private final CapacityReservations reservations = new CapacityReservations();
 
     /** Accepted jobs whose records can't be read. */
     private final Set<String> unreadable = new HashSet<>();
 
     /** Claims whose tasks were told to stop. */
-    private final Set<Claim> stopping = new LinkedHashSet<>();
+    private final Set<TaskAssignment> stopping = new LinkedHashSet<>();
 
     private List<MachineType> types = List.of();
 
     /** The operators' settings in force. */
-    private Options options = Options.defaults();
+    private OperatorSettings options = OperatorSettings.defaults();
 
     /** Machines whose deletion was confirmed: late lists and late reports still name them, but they are gone. */
     private final Set<String> deleted = Collections.newSetFromMap(new LinkedHashMap<>() {
@@ -48,15 +48,15 @@
         }
     });
 
-    private final LinkAwareness links;
+    private final LinkHealth links;
     private final Map<String, double[]> use = new HashMap<>();
     private final int[] claimsOf = new int[JobSpec.Priority.values().length];
 
     public ClusterState(Settings settings) {
-        this(settings, LinkAwareness.NONE);
+        this(settings, LinkHealth.NONE);
     }
 
-    public ClusterState(Settings settings, LinkAwareness links) {
+    public ClusterState(Settings settings, LinkHealth links) {
         this.settings = settings;
         this.links = links;
         for (Settings.Team team : settings.teams()) {
@@ -78,7 +78,7 @@
     }
 
     /** Counts a task that may be on a machine from now on. */
-    public void add(Claim claim) {
+    public void add(TaskAssignment claim) {
         claim.job().claims().put(claim.index(), claim);
         claim.job().taken().set(claim.index());
         Machine machine = machine(claim.machine());
@@ -90,7 +90,7 @@
     }
 
     /** Ends a claim after proof that its task is not on its machine. */
-    public void remove(Claim claim, boolean done) {
+    public void remove(TaskAssignment claim, boolean done) {
         claim.job().claims().remove(claim.index(), claim);
         stopping.remove(claim);
         if (done) {
@@ -107,7 +107,7 @@
     }
 
     /** Wants a claimed task to stop; a shorter time to save replaces a longer one. */
-    public void stop(Claim claim, double graceS, long now) {
+    public void stop(TaskAssignment claim, double graceS, long now) {
         claim.stop(graceS, now);
         machine(claim.machine()).setAsWanted(false);
         stopping.add(claim);
@@ -128,7 +128,7 @@
     /** Takes in a machine's zone when it becomes known after claims on it were read. */
     public void setZone(Machine machine, String zone) {
         if (!machine.zone().equals(zone)) {
-            for (Claim claim : machine.claims().values()) {
+            for (TaskAssignment claim : machine.claims().values()) {
                 claim.job().tasksInZone().merge(machine.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
                 claim.job().tasksInZone().merge(zone, 1, Integer::sum);
             }
@@ -136,7 +136,7 @@
         }
     }
 
-    private void count(Claim claim, int sign) {
+    private void count(TaskAssignment claim, int sign) {
         claimsOf[claim.job().spec().priority().ordinal()] += sign;
         double[] sums = use.get(claim.job().spec().team());
         if (sums == null) {
@@ -200,7 +200,7 @@
         return rooms;
     }
 
-    public Reservations reservations() {
+    public CapacityReservations reservations() {
         return reservations;
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** Claims whose tasks were told to stop. */
-    public Set<Claim> stopping() {
+    public Set<TaskAssignment> stopping() {
         return stopping;
     }
 
@@ -223,11 +223,11 @@
     }
 
     /** The operators' settings in force. */
-    public Options options() {
+    public OperatorSettings options() {
         return options;
     }
 
-    public void setOptions(Options options) {
+    public void setOptions(OperatorSettings options) {
         this.options = options;
     }
 
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.Report;
-import stileferry.storage.Ledger;
+import stileferry.protocol.PeerMessage;
+import stileferry.storage.CommitQueue;
 
 /** An accepted job that is not over, and what is known of its tasks. */
 public final class Job {
@@ -28,7 +28,7 @@
     /** Tasks that are done or claimed. */
     private final BitSet taken = new BitSet();
 
-    private final Map<Integer, Claim> claims = new HashMap<>();
+    private final Map<Integer, TaskAssignment> claims = new HashMap<>();
     private final Map<Integer, Retry> retries = new HashMap<>();
     private final Map<String, Integer> tasksInZone = new HashMap<>();
 
@@ -36,12 +36,12 @@
     private final Set<String> failedOn = new HashSet<>();
 
     /** Users waiting for the acceptance, or for the cancellation, to be durable. */
-    private List<Consumer<PeerRecord.Answer>> waiting = new ArrayList<>();
+    private List<Consumer<PeerMessage.Response>> waiting = new ArrayList<>();
 
     /** Since when the first of them waits; 0: nobody does. */
     private long waitingSince;
 
-    private final Ledger.Entry record;
+    private final CommitQueue.Entry record;
 
     /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
     private int chunkTasks = 1;
@@ -99,7 +99,7 @@
         this.spec = spec;
         this.order = order;
         this.acceptedAt = acceptedAt;
-        this.record = new Ledger.Entry(key(spec.id()), revision, this::write).excludes(endedKey(spec.id()));
+        this.record = new CommitQueue.Entry(key(spec.id()), revision, this::write).excludes(endedKey(spec.id()));
     }
 
     public static String key(String id) {
@@ -206,7 +206,7 @@
 
     public int runningCount() {
         int running = 0;
-        for (Claim claim : claims.values()) {
+        for (TaskAssignment claim : claims.values()) {
             if (claim.runningAt() != 0) {
                 running++;
             }
@@ -216,8 +216,8 @@
 
     /** Whether a task that was sent to a machine may begin there without another word. */
     public boolean mayBegin() {
-        for (Claim claim : claims.values()) {
-            if (claim.stage() == null || claim.stage() == Report.Stage.FETCHING) {
+        for (TaskAssignment claim : claims.values()) {
+            if (claim.stage() == null || claim.stage() == Heartbeat.TaskPhase.FETCHING) {
                 return true;
             }
         }
@@ -245,7 +245,7 @@
         return taken;
     }
 
-    public Map<Integer, Claim> claims() {
+    public Map<Integer, TaskAssignment> claims() {
         return claims;
     }
 
@@ -263,11 +263,11 @@
     }
 
     /** Users waiting for the acceptance, or for the cancellation, to be durable. */
-    public List<Consumer<PeerRecord.Answer>> waiting() {
+    public List<Consumer<PeerMessage.Response>> waiting() {
         return waiting;
     }
 
-    public void setWaiting(List<Consumer<PeerRecord.Answer>> waiting) {
+    public void setWaiting(List<Consumer<PeerMessage.Response>> waiting) {
         this.waiting = waiting;
     }
 
@@ -280,7 +280,7 @@
         this.waitingSince = waitingSince;
     }
 
-    public Ledger.Entry record() {
+    public CommitQueue.Entry record() {
         return record;
     }
 
--- a/src/main/java/stileferry/cluster/Silence.java
+++ b/src/main/java/stileferry/cluster/LastHeartbeatRecord.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** One machine's silence: when a report of it was last answered, and by which leader. */
-public final class Silence {
+public final class LastHeartbeatRecord {
     private final String machine;
     private final long session;
     private final long answeredAt;
@@ -15,7 +15,7 @@
     /** It need not be stored any more. */
     private boolean over;
 
-    public Silence(String machine, long session, long answeredAt, long term) {
+    public LastHeartbeatRecord(String machine, long session, long answeredAt, long term) {
         this.machine = machine;
         this.session = session;
         this.answeredAt = answeredAt;
@@ -32,8 +32,8 @@
         return record == number;
     }
 
-    public static Silence read(JsonNode e) {
-        return new Silence(
+    public static LastHeartbeatRecord read(JsonNode e) {
+        return new LastHeartbeatRecord(
                 e.path(1).asText(),
                 e.path(2).asLong(),
                 e.path(3).asLong(),
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MachineType;
-import stileferry.protocol.Report;
 
 /** A machine and everything that may be on it. */
 public final class Machine implements Comparable<Machine> {
@@ -47,7 +47,7 @@
     private long answeredAt;
 
     /** Its silence as it is noted in the state service; null: not noted. */
-    private Silence silence;
+    private LastHeartbeatRecord silence;
 
     /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
     private long answeredBefore = -1;
@@ -75,7 +75,7 @@
     private long placeAfter;
 
     /** The newest that was heard from it, in a report or in an answer; null: nothing. */
-    private Report last;
+    private Heartbeat last;
 
     /**
      * The last report told of every claim, all of them as they should be, and of nothing else. As long as reports tell
@@ -83,7 +83,7 @@
      */
     private boolean asWanted;
 
-    private final Map<String, Claim> claims = new LinkedHashMap<>();
+    private final Map<String, TaskAssignment> claims = new LinkedHashMap<>();
 
     /** Reported tasks that no claim stands for: they are killed, and nothing starts here before they are gone. */
     private boolean strays;
@@ -133,12 +133,12 @@
     }
 
     /** The tasks that it was last said to have. */
-    public List<Report.TaskState> lastTasks() {
+    public List<Heartbeat.TaskStatus> lastTasks() {
         return last == null ? List.of() : last.tasks();
     }
 
     /** Whether a report tells nothing but that the machine is still there as it was. */
-    public boolean sameAsBefore(Report r) {
+    public boolean sameAsBefore(Heartbeat r) {
         return asWanted
                 && r.tasks() == last.tasks()
                 && r.session() == session
@@ -159,7 +159,7 @@
     }
 
     /** Counts a task that may be here, or no longer is. */
-    void count(Claim claim, int sign) {
+    void count(TaskAssignment claim, int sign) {
         asWanted = false;
         boolean empty = claims.isEmpty();
         cpusUsed = empty ? 0 : cpusUsed + sign * claim.job().spec().cpus();
@@ -185,7 +185,7 @@
         double cpus = type.cpus() - cpusUsed;
         double gpus = type.gpus() - gpusUsed;
         double memory = type.memoryGb() - memoryUsed;
-        for (Claim c : claims.values()) {
+        for (TaskAssignment c : claims.values()) {
             if (c.job().spec().priority().compareTo(job.spec().priority()) > 0) {
                 cpus += c.job().spec().cpus();
                 gpus += c.job().spec().gpus();
@@ -382,11 +382,11 @@
     }
 
     /** Its silence as it is noted in the state service; null: not noted. */
-    public Silence silence() {
+    public LastHeartbeatRecord silence() {
         return silence;
     }
 
-    public void setSilence(Silence silence) {
+    public void setSilence(LastHeartbeatRecord silence) {
         this.silence = silence;
     }
 
@@ -500,11 +500,11 @@
     }
 
     /** The newest that was heard from it, in a report or in an answer; null: nothing. */
-    public Report last() {
+    public Heartbeat last() {
         return last;
     }
 
-    public void setLast(Report last) {
+    public void setLast(Heartbeat last) {
         this.last = last;
     }
 
@@ -517,7 +517,7 @@
         this.asWanted = asWanted;
     }
 
-    public Map<String, Claim> claims() {
+    public Map<String, TaskAssignment> claims() {
         return claims;
     }
 
--- a/src/main/java/stileferry/cluster/Claim.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -1,12 +1,12 @@
 package stileferry.cluster;
 
-import stileferry.protocol.Report;
+import stileferry.protocol.Heartbeat;
 
 /**
  * A task that may be on a machine. It is made durable before the machine hears of it, and stands until there is
  * proof that the task is not there.
  */
-public final class Claim {
+public final class TaskAssignment {
     private final Job job;
     private final int index;
     private final long attempt;
@@ -32,7 +32,7 @@
     private int runsSent;
 
     /** Where the machine last said the task stands; null: not seen there yet. */
-    private Report.Stage stage;
+    private Heartbeat.TaskPhase stage;
 
     /** When it was first reported running, by this leader's clock; 0: not yet. */
     private long runningAt;
@@ -45,7 +45,7 @@
 
     private long stopAskedAt;
 
-    public Claim(Job job, int index, long attempt, String machine, long session, long orderedAt) {
+    public TaskAssignment(Job job, int index, long attempt, String machine, long session, long orderedAt) {
         this.job = job;
         this.index = index;
         this.attempt = attempt;
@@ -160,11 +160,11 @@
     }
 
     /** Where the machine last said the task stands; null: not seen there yet. */
-    public Report.Stage stage() {
+    public Heartbeat.TaskPhase stage() {
         return stage;
     }
 
-    public void setStage(Report.Stage stage) {
+    public void setStage(Heartbeat.TaskPhase stage) {
         this.stage = stage;
     }
 
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -1,40 +1,38 @@
 package stileferry.coordination;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stileferry.heartbeat.EventLoopLag;
+import stileferry.heartbeat.FollowerHeartbeats;
+import stileferry.leadership.LeaderElection;
+import stileferry.lifecycle.CompletedJobCache;
+import stileferry.links.LinkHealth;
+import stileferry.links.LinkMonitor;
 import stileferry.overload.AdmissionControl;
 import stileferry.overload.FairAdmission;
-import stileferry.heartbeat.EventLoopLag;
-import stileferry.heartbeat.FollowerReports;
-import stileferry.leadership.Leadership;
-import stileferry.lifecycle.EndedJobCache;
-import stileferry.links.LinkAwareness;
-import stileferry.links.PartialCuts;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Features;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.Options;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.Report;
+import stileferry.protocol.OperatorSettings;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
-import stileferry.requests.Admin;
-import stileferry.requests.Answers;
-import stileferry.requests.BatchReply;
-import stileferry.requests.Counters;
-import stileferry.storage.StateClient;
+import stileferry.requests.BatchResponder;
+import stileferry.requests.RequestMetrics;
+import stileferry.requests.Responses;
+import stileferry.storage.KeyValueStoreClient;
 
 /**
  * The single owner of one controller's state. Every method runs on the owner's turn; replies may come in a later
  * turn. Given the same calls and the same {@link Environment}, it does the same.
  */
-public final class Coordinator implements Leadership.Listener {
+public final class Coordinator implements LeaderElection.Listener {
     private static final Logger LOG = LoggerFactory.getLogger("coordinator");
 
     /** A node is ready for this long after it last saw a leader, so that a change of leader resets nobody. */
@@ -44,15 +42,15 @@
 
     private final Settings settings;
     private final Environment environment;
-    private final StateClient state;
-    private final Leadership leadership;
-    private final EndedJobCache ended;
-    private final Counters counters = new Counters();
-    private final LinkAwareness links;
+    private final KeyValueStoreClient state;
+    private final LeaderElection leadership;
+    private final CompletedJobCache ended;
+    private final RequestMetrics counters = new RequestMetrics();
+    private final LinkHealth links;
     private final AdmissionControl admission;
     private final EventLoopLag eventLoopLag;
 
-    private final FollowerReports followerReports;
+    private final FollowerHeartbeats followerReports;
     private final LocalAdministration localAdministration;
 
     private List<MachineType> types = List.of();
@@ -67,17 +65,17 @@
     /** A coordinator for one controller. */
     public Coordinator(Settings settings, Features features, Environment plain) {
         this.settings = settings;
-        this.ended = new EndedJobCache(settings.maxSockets());
+        this.ended = new CompletedJobCache(settings.maxSockets());
         this.links = features.partialCuts()
-                ? new PartialCuts(settings, plain, Leadership.lifeMs(settings))
-                : LinkAwareness.NONE;
+                ? new LinkMonitor(settings, plain, LeaderElection.lifeMs(settings))
+                : LinkHealth.NONE;
         this.environment = links.environment(plain);
-        this.state = new StateClient(environment, settings);
+        this.state = new KeyValueStoreClient(environment, settings);
         this.admission =
                 features.fairAdmission() ? new FairAdmission(settings, environment, state) : AdmissionControl.NONE;
-        this.leadership = new Leadership(environment, state, settings, this, links, admission.counts());
+        this.leadership = new LeaderElection(environment, state, settings, this, links, admission.counts());
         this.eventLoopLag = new EventLoopLag(environment, settings.workers().reportS());
-        this.followerReports = new FollowerReports(
+        this.followerReports = new FollowerHeartbeats(
                 settings, environment, leadership, links, (report, reply) -> answerReport(report, false, reply));
         this.localAdministration =
                 new LocalAdministration(settings.node(), leadership, links, admission, counters, eventLoopLag);
@@ -125,7 +123,7 @@
 
     @Override
     public void options(JsonNode stored) {
-        environment.logLevel(Options.read(stored).text(Options.LOG_LEVEL));
+        environment.logLevel(OperatorSettings.read(stored).text(OperatorSettings.LOG_LEVEL));
     }
 
     /** Called after each batch of commands. */
@@ -147,7 +145,7 @@
     }
 
     /** What is known of the links. */
-    LinkAwareness links() {
+    LinkHealth links() {
         return links;
     }
 
@@ -159,12 +157,12 @@
     // ---- users
 
     /** Takes a user's request: here when this node leads, else by way of the leader. */
-    public void user(PeerRecord.Ask ask, String id, byte[] body, Consumer<PeerRecord.Answer> reply) {
+    public void user(PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
         long since = environment.now();
         pass(ask, id, body, answer -> {
             long took = environment.now() - since;
             counters.count(ask, answer.status(), took);
-            if (ask == PeerRecord.Ask.SUBMIT) {
+            if (ask == PeerMessage.RequestKind.SUBMIT) {
                 LOG.debug(
                         "a submission was answered {} after {} ms, led by {}",
                         answer.status(),
@@ -176,23 +174,23 @@
     }
 
     /** Takes an operator's request; the path is what follows the prefix, with its query. */
-    public void admin(String method, String path, byte[] body, Consumer<PeerRecord.Answer> reply) {
+    public void admin(String method, String path, byte[] body, Consumer<PeerMessage.Response> reply) {
         if (!localAdministration.answers(method, path, reply)) {
-            user(PeerRecord.Ask.ADMIN, method + " " + path, body, reply);
+            user(PeerMessage.RequestKind.ADMIN, method + " " + path, body, reply);
         }
     }
 
-    private void pass(PeerRecord.Ask ask, String id, byte[] body, Consumer<PeerRecord.Answer> reply) {
+    private void pass(PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
         if (leader != null) {
             lead(ask, id, body, reply);
             return;
         }
         Settings.Peer peer = leadership.leaderPeer();
         if (peer == null || links.unreachable(peer.node())) {
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
             return;
         }
-        if (ask == PeerRecord.Ask.SUBMIT) {
+        if (ask == PeerMessage.RequestKind.SUBMIT) {
             admission.submit(body, reply, answer -> forward(peer, ask, id, body, answer));
         } else {
             forward(peer, ask, id, body, reply);
@@ -200,13 +198,17 @@
     }
 
     private void forward(
-            Settings.Peer peer, PeerRecord.Ask ask, String id, byte[] body, Consumer<PeerRecord.Answer> reply) {
+            Settings.Peer peer,
+            PeerMessage.RequestKind ask,
+            String id,
+            byte[] body,
+            Consumer<PeerMessage.Response> reply) {
         // shorter than the users' own patience: 2 s for a question, 5 s for a change
-        long patience = ask == PeerRecord.Ask.STATUS ? 1500 : 4000;
-        PeerRecord.Forward request = new PeerRecord.Forward(ask, id, body);
-        Consumer<PeerRecord> answered =
-                answer -> reply.accept(answer instanceof PeerRecord.Answer a ? a : Answers.unavailable());
-        if (ask != PeerRecord.Ask.ADMIN && admission.batches(peer)) {
+        long patience = ask == PeerMessage.RequestKind.STATUS ? 1500 : 4000;
+        PeerMessage.ForwardedRequest request = new PeerMessage.ForwardedRequest(ask, id, body);
+        Consumer<PeerMessage> answered =
+                answer -> reply.accept(answer instanceof PeerMessage.Response a ? a : Responses.unavailable());
+        if (ask != PeerMessage.RequestKind.ADMIN && admission.batches(peer)) {
             admission.forward(peer, request, patience, answered);
         } else {
             environment.peer(peer, request, patience, answered);
@@ -214,11 +216,11 @@
     }
 
     /** Seconds after which a request that met the limit on requests in progress is worth a try; 0: it may pass it. */
-    public int retryAfterS(PeerRecord.Ask ask, byte[] body) {
+    public int retryAfterS(PeerMessage.RequestKind ask, byte[] body) {
         return admission.retryAfterS(ask, body);
     }
 
-    private void lead(PeerRecord.Ask ask, String id, byte[] body, Consumer<PeerRecord.Answer> reply) {
+    private void lead(PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
         switch (ask) {
             case SUBMIT ->
                 admission.submit(body, reply, answer -> leader.users().submit(body, answer));
@@ -230,12 +232,14 @@
                 leader.admin(parts[0], parts.length > 1 ? parts[1] : "", from, body, reply);
             }
             case REPORT -> {
-                Report report = Report.read(body, leader::lastReport);
+                Heartbeat report = Heartbeat.read(body, leader::lastReport);
                 if (report == null) {
-                    reply.accept(Answers.refusal(400, "not a report"));
+                    reply.accept(Responses.refusal(400, "not a report"));
                 } else {
                     answerReport(
-                            report, true, (status, answer) -> reply.accept(new PeerRecord.Answer(status, 0, answer)));
+                            report,
+                            true,
+                            (status, answer) -> reply.accept(new PeerMessage.Response(status, 0, answer)));
                 }
             }
         }
@@ -245,7 +249,7 @@
 
     /** Takes a worker's report. */
     public void report(byte[] body, BiConsumer<Integer, byte[]> reply) {
-        Report report = leader == null ? Report.read(body) : Report.read(body, leader::lastReport);
+        Heartbeat report = leader == null ? Heartbeat.read(body) : Heartbeat.read(body, leader::lastReport);
         if (report == null) {
             reply.accept(400, MessageCodec.encode(Messages.error("not a report")));
         } else if (leader != null) {
@@ -256,7 +260,7 @@
         }
     }
 
-    private void answerReport(Report report, boolean relayed, BiConsumer<Integer, byte[]> reply) {
+    private void answerReport(Heartbeat report, boolean relayed, BiConsumer<Integer, byte[]> reply) {
         if (report.token() > leadership.term()) {
             leadership.learn(report.token(), "");
         }
@@ -278,31 +282,31 @@
     // ---- other controllers
 
     /** Takes a record from another controller. */
-    public void peer(PeerRecord record, Consumer<PeerRecord> reply) {
-        if (record instanceof PeerRecord.Term t) {
+    public void peer(PeerMessage record, Consumer<PeerMessage> reply) {
+        if (record instanceof PeerMessage.TermAnnouncement t) {
             if (t.leading()) {
                 links.learn(t.leader(), t);
             }
             reply.accept(leadership.hear(t));
-        } else if (record instanceof PeerRecord.Forward f) {
+        } else if (record instanceof PeerMessage.ForwardedRequest f) {
             leadOrRefuse(f, reply::accept);
-        } else if (record instanceof PeerRecord.Batch b && leader != null) {
-            BatchReply.to(b.requests(), environment, this::leadOrRefuse, reply);
-        } else if (record instanceof PeerRecord.Admission a) {
-            PeerRecord answer = admission.exchange(a);
-            reply.accept(answer == null ? Answers.unavailable() : answer);
-        } else if (record instanceof PeerRecord.Links l) {
-            PeerRecord answer = links.exchange(l);
-            reply.accept(answer == null ? Answers.unavailable() : answer);
+        } else if (record instanceof PeerMessage.RequestBatch b && leader != null) {
+            BatchResponder.to(b.requests(), environment, this::leadOrRefuse, reply);
+        } else if (record instanceof PeerMessage.AdmissionExchange a) {
+            PeerMessage answer = admission.exchange(a);
+            reply.accept(answer == null ? Responses.unavailable() : answer);
+        } else if (record instanceof PeerMessage.LinkView l) {
+            PeerMessage answer = links.exchange(l);
+            reply.accept(answer == null ? Responses.unavailable() : answer);
         } else {
             LOG.debug("a record that nobody asked for: {}", record);
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
         }
     }
 
-    private void leadOrRefuse(PeerRecord.Forward request, Consumer<PeerRecord.Answer> reply) {
+    private void leadOrRefuse(PeerMessage.ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
         if (leader == null) {
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
         } else {
             lead(request.ask(), request.id(), request.body(), reply);
         }
@@ -347,7 +351,7 @@
     }
 
     /** What the watching of links calls. */
-    private final class LinkHost implements LinkAwareness.Host {
+    private final class LinkHost implements LinkHealth.Host {
         @Override
         public boolean leading() {
             return leadership.leading();
@@ -370,7 +374,7 @@
 
         @Override
         public void askStore() {
-            state.get(Leadership.TERM_KEY, (status, body) -> {});
+            state.get(LeaderElection.TERM_KEY, (status, body) -> {});
         }
 
         @Override
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -5,35 +5,35 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.overload.AdmissionRecords;
-import stileferry.overload.FairAdmission;
-import stileferry.autoscaling.Provisioning;
+import stileferry.autoscaling.Autoscaler;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.heartbeat.EventLoopLag;
-import stileferry.heartbeat.Fleet;
-import stileferry.heartbeat.SilenceRecords;
-import stileferry.leadership.Leadership;
-import stileferry.leadership.TermNumbers;
-import stileferry.lifecycle.EndedJobCache;
-import stileferry.lifecycle.JobEnds;
+import stileferry.heartbeat.HeartbeatHandler;
+import stileferry.heartbeat.LastHeartbeatJournal;
+import stileferry.leadership.LeaderElection;
+import stileferry.leadership.TermSequence;
+import stileferry.lifecycle.CompletedJobCache;
+import stileferry.lifecycle.JobCompletion;
 import stileferry.lifecycle.TaskLifecycle;
-import stileferry.links.LinkAwareness;
+import stileferry.links.LinkHealth;
+import stileferry.overload.AdmissionCountShards;
+import stileferry.overload.FairAdmission;
 import stileferry.protocol.Environment;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Options;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.Report;
+import stileferry.protocol.OperatorSettings;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
-import stileferry.protocol.SubmissionHead;
-import stileferry.requests.Admin;
-import stileferry.requests.Users;
+import stileferry.protocol.SubmissionHeader;
+import stileferry.requests.AdministrationHandler;
+import stileferry.requests.JobRequestHandler;
 import stileferry.scheduling.Placement;
 import stileferry.scheduling.SchedulingPass;
-import stileferry.storage.Ledger;
-import stileferry.storage.StateClient;
+import stileferry.storage.CommitQueue;
+import stileferry.storage.KeyValueStoreClient;
 
 /** One term of leading: reads what is durable, then serves users, workers and the queue until it is closed. */
 final class Leader {
@@ -49,25 +49,25 @@
 
     private final Settings settings;
     private final Environment environment;
-    private final Leadership leadership;
-    private final LinkAwareness links;
+    private final LeaderElection leadership;
+    private final LinkHealth links;
     private final long term;
-    private final Ledger ledger;
+    private final CommitQueue ledger;
     private final ClusterState cluster;
-    private final StateLoader loader;
+    private final StateRecovery loader;
     private final TaskLifecycle tasks;
-    private final Fleet fleet;
-    private final SilenceRecords silences;
+    private final HeartbeatHandler fleet;
+    private final LastHeartbeatJournal silences;
     private final Placement placement;
-    private final Provisioning provisioning;
+    private final Autoscaler provisioning;
     private final SchedulingPass scheduling;
     private final EventLoopLag eventLoopLag;
-    private final Users users;
+    private final JobRequestHandler users;
     private final long roundMs;
 
-    private Admin admin;
+    private AdministrationHandler admin;
 
-    private AdmissionRecords admissions; // null: this leader does not count
+    private AdmissionCountShards admissions; // null: this leader does not count
     private boolean active;
 
     /** The jobs were read, so that all cancellations before this term are known. */
@@ -83,45 +83,47 @@
     Leader(
             Settings settings,
             Environment environment,
-            StateClient state,
-            Leadership leadership,
-            EndedJobCache ended,
+            KeyValueStoreClient state,
+            LeaderElection leadership,
+            CompletedJobCache ended,
             List<MachineType> types,
             long term,
             long leaderRevision,
             EventLoopLag eventLoopLag,
-            LinkAwareness links) {
+            LinkHealth links) {
         this.links = links;
         this.settings = settings;
         this.environment = environment;
         this.leadership = leadership;
         this.term = term;
-        this.ledger = new Ledger(environment, state, Leadership.LEADER_KEY, leaderRevision, term, leadership::resign);
+        this.ledger = new CommitQueue(
+                environment, state, LeaderElection.LEADER_KEY, leaderRevision, term, leadership::resign);
         this.cluster = new ClusterState(settings, links);
         this.cluster.setTypes(types);
-        this.silences = new SilenceRecords(cluster, environment, ledger, leadership, term);
-        TermNumbers numbers = new TermNumbers(term);
-        this.users = new Users(cluster, environment, state, ledger, ended, forUsers(numbers));
+        this.silences = new LastHeartbeatJournal(cluster, environment, ledger, leadership, term);
+        TermSequence numbers = new TermSequence(term);
+        this.users = new JobRequestHandler(cluster, environment, state, ledger, ended, forUsers(numbers));
         this.tasks = new TaskLifecycle(
                 cluster,
                 environment,
                 ledger,
                 numbers,
-                events -> new Fleet(cluster, environment, leadership, term, events, silences, eventLoopLag),
-                t -> new JobEnds(cluster, ledger, ended, leadership, users, t::stopCancelled),
+                events -> new HeartbeatHandler(cluster, environment, leadership, term, events, silences, eventLoopLag),
+                t -> new JobCompletion(cluster, ledger, ended, leadership, users, t::stopCancelled),
                 this::changed);
         this.fleet = tasks.fleet();
         this.placement = new Placement(cluster);
-        this.provisioning = new Provisioning(cluster, environment, fleet, term, links);
+        this.provisioning = new Autoscaler(cluster, environment, fleet, term, links);
         this.scheduling = new SchedulingPass(cluster, environment, links, placement, provisioning, tasks);
         this.eventLoopLag = eventLoopLag;
         this.roundMs = settings.workers().reportRoundMs();
-        this.loader = new StateLoader(environment, state, cluster, ledger, forLoader(), leadership.countingSince() > 0);
+        this.loader =
+                new StateRecovery(environment, state, cluster, ledger, forLoader(), leadership.countingSince() > 0);
         loader.load();
     }
 
-    private Users.Lead forUsers(TermNumbers numbers) {
-        return new Users.Lead() {
+    private JobRequestHandler.Leader forUsers(TermSequence numbers) {
+        return new JobRequestHandler.Leader() {
             @Override
             public boolean serving() {
                 return Leader.this.serving();
@@ -134,7 +136,7 @@
 
             @Override
             public boolean goesFirst(byte[] submission) {
-                return admissions != null && SubmissionHead.isCritical(submission);
+                return admissions != null && SubmissionHeader.isCritical(submission);
             }
 
             @Override
@@ -161,20 +163,20 @@
         };
     }
 
-    private StateLoader.Listener forLoader() {
-        return new StateLoader.Listener() {
+    private StateRecovery.Listener forLoader() {
+        return new StateRecovery.Listener() {
             @Override
             public void cancelledBefore(List<String> jobs) {
                 Leader.this.cancelledBefore(jobs);
             }
 
             @Override
-            public void options(Options options) {
+            public void options(OperatorSettings options) {
                 takeOptions(options);
             }
 
             @Override
-            public void loaded(StateLoader.Loaded loaded) {
+            public void loaded(StateRecovery.Loaded loaded) {
                 begin(loaded);
             }
         };
@@ -213,8 +215,9 @@
     }
 
     /** Everything that is durable has been read. */
-    private void begin(StateLoader.Loaded loaded) {
-        admin = new Admin(cluster, placement, ledger, loaded.optionsRevision(), this::describe, this::takeOptions);
+    private void begin(StateRecovery.Loaded loaded) {
+        admin = new AdministrationHandler(
+                cluster, placement, ledger, loaded.optionsRevision(), this::describe, this::takeOptions);
         // an older version stored that one task of a gang was done, and might have started the others again
         cluster.jobs().values().stream()
                 .filter(job -> job.spec().gang() && job.doneCount() > 0)
@@ -223,7 +226,7 @@
         silences.takeOver(loaded.silences());
         cluster.machines().values().forEach(machine -> links.expected(machine.name(), machine.addr()));
         if (leadership.countingSince() > 0) {
-            admissions = new AdmissionRecords(
+            admissions = new AdmissionCountShards(
                     loaded.admissionShards(),
                     leadership.countingSince(),
                     settings.state().valueKb());
@@ -242,16 +245,16 @@
         tick();
     }
 
-    private void takeOptions(Options options) {
+    private void takeOptions(OperatorSettings options) {
         cluster.setOptions(options);
-        environment.logLevel(options.text(Options.LOG_LEVEL));
+        environment.logLevel(options.text(OperatorSettings.LOG_LEVEL));
     }
 
     private void tick() {
         if (closed) {
             return;
         }
-        environment.after(Math.round(1000 * cluster.options().number(Options.PASS_INTERVAL_S)), this::tick);
+        environment.after(Math.round(1000 * cluster.options().number(OperatorSettings.PASS_INTERVAL_S)), this::tick);
         fleet.failures().checkLeases();
         fleet.commands().probe();
         users.giveUpWaiting();
@@ -321,7 +324,7 @@
     // ---- workers and peers
 
     /** Answers a report; null: not with 200. */
-    void report(Report r, Consumer<byte[]> reply) {
+    void report(Heartbeat r, Consumer<byte[]> reply) {
         if (active) {
             fleet.report(r, reply);
         } else {
@@ -336,7 +339,7 @@
     }
 
     /** The last that was heard from a machine; null: nothing. */
-    Report lastReport(String name) {
+    Heartbeat lastReport(String name) {
         Machine m = cluster.machines().get(name);
         return m == null ? null : m.last();
     }
@@ -371,13 +374,13 @@
     }
 
     /** Dealings with users; what is asked before the claims have been read is refused there. */
-    Users users() {
+    JobRequestHandler users() {
         return users;
     }
 
-    void admin(String method, String path, String from, byte[] body, Consumer<PeerRecord.Answer> reply) {
+    void admin(String method, String path, String from, byte[] body, Consumer<PeerMessage.Response> reply) {
         if (!serving()) {
-            reply.accept(Admin.unavailable());
+            reply.accept(AdministrationHandler.unavailable());
         } else {
             admin.request(method, path, from, body, environment.now(), environment.timeOfDay(), reply);
         }
--- a/src/main/java/stileferry/coordination/LocalAdministration.java
+++ b/src/main/java/stileferry/coordination/LocalAdministration.java
@@ -3,29 +3,29 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 import stileferry.heartbeat.EventLoopLag;
-import stileferry.leadership.Leadership;
-import stileferry.links.LinkAwareness;
+import stileferry.leadership.LeaderElection;
+import stileferry.links.LinkHealth;
 import stileferry.overload.AdmissionControl;
-import stileferry.protocol.PeerRecord;
-import stileferry.requests.Admin;
-import stileferry.requests.Answers;
-import stileferry.requests.Counters;
+import stileferry.protocol.PeerMessage;
+import stileferry.requests.AdministrationHandler;
+import stileferry.requests.RequestMetrics;
+import stileferry.requests.Responses;
 
 /** The administration views that every controller answers from its own state, whether or not it leads. */
 final class LocalAdministration {
     private final String node;
-    private final Leadership leadership;
-    private final LinkAwareness links;
+    private final LeaderElection leadership;
+    private final LinkHealth links;
     private final AdmissionControl admission;
-    private final Counters counters;
+    private final RequestMetrics counters;
     private final EventLoopLag eventLoopLag;
 
     LocalAdministration(
             String node,
-            Leadership leadership,
-            LinkAwareness links,
+            LeaderElection leadership,
+            LinkHealth links,
             AdmissionControl admission,
-            Counters counters,
+            RequestMetrics counters,
             EventLoopLag eventLoopLag) {
         this.node = node;
         this.leadership = leadership;
@@ -36,32 +36,32 @@
     }
 
     /** Answers a request that needs no leader; false, and no answer, if only the leader can. */
-    boolean answers(String method, String path, Consumer<PeerRecord.Answer> reply) {
+    boolean answers(String method, String path, Consumer<PeerMessage.Response> reply) {
         boolean get = method.equals("GET");
         if (path.equals("links")) {
             links(get, reply);
         } else if (path.equals("admission") && get) {
             admission(reply);
         } else if (path.equals("counters")) {
-            Admin.view(get, this::counters, reply);
+            AdministrationHandler.view(get, this::counters, reply);
         } else {
             return false;
         }
         return true;
     }
 
-    private void links(boolean get, Consumer<PeerRecord.Answer> reply) {
+    private void links(boolean get, Consumer<PeerMessage.Response> reply) {
         ObjectNode view = links.describe();
         if (view == null) {
-            reply.accept(Answers.refusal(404, "links: partial_cuts is off"));
+            reply.accept(Responses.refusal(404, "links: partial_cuts is off"));
         } else {
-            Admin.view(get, () -> view, reply);
+            AdministrationHandler.view(get, () -> view, reply);
         }
     }
 
-    private void admission(Consumer<PeerRecord.Answer> reply) {
+    private void admission(Consumer<PeerMessage.Response> reply) {
         if (!admission.describe(reply)) {
-            reply.accept(Answers.refusal(404, "admission: fair_admission is off"));
+            reply.accept(Responses.refusal(404, "admission: fair_admission is off"));
         }
     }
 
--- a/src/main/java/stileferry/coordination/StateLoader.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -5,21 +5,21 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.overload.AdmissionRecords;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
-import stileferry.cluster.Silence;
-import stileferry.leadership.Leadership;
+import stileferry.cluster.LastHeartbeatRecord;
+import stileferry.cluster.TaskAssignment;
+import stileferry.leadership.LeaderElection;
 import stileferry.lifecycle.TaskEvents;
+import stileferry.overload.AdmissionCountShards;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
-import stileferry.protocol.Options;
-import stileferry.storage.Ledger;
-import stileferry.storage.StateClient;
+import stileferry.protocol.OperatorSettings;
+import stileferry.storage.CommitQueue;
+import stileferry.storage.KeyValueStoreClient;
 
 /** Reads all that is durable when a term of leading begins, and builds the jobs and claims from it. */
-final class StateLoader {
+final class StateRecovery {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
     private static final long RETRY_MS = 300;
@@ -31,9 +31,9 @@
     private static final int OLD_PREFIXES = 3;
 
     private final Environment environment;
-    private final StateClient state;
+    private final KeyValueStoreClient state;
     private final ClusterState cluster;
-    private final Ledger ledger;
+    private final CommitQueue ledger;
     private final Listener listener;
     private final List<String> prefixes;
     private boolean closed;
@@ -44,7 +44,7 @@
         void cancelledBefore(List<String> jobs);
 
         /** The operators' settings. */
-        void options(Options options);
+        void options(OperatorSettings options);
 
         /** Everything is on the board. */
         void loaded(Loaded loaded);
@@ -52,14 +52,17 @@
 
     /** What was read beside jobs and claims. */
     record Loaded(
-            long optionsRevision, int claims, Iterable<Silence> silences, List<StateClient.Row> admissionShards) {}
+            long optionsRevision,
+            int claims,
+            Iterable<LastHeartbeatRecord> silences,
+            List<KeyValueStoreClient.Row> admissionShards) {}
 
     /** {@code countsAdmissions}: whether the count of admissions is read too. */
-    StateLoader(
+    StateRecovery(
             Environment environment,
-            StateClient state,
+            KeyValueStoreClient state,
             ClusterState cluster,
-            Ledger ledger,
+            CommitQueue ledger,
             Listener listener,
             boolean countsAdmissions) {
         this.environment = environment;
@@ -67,9 +70,9 @@
         this.cluster = cluster;
         this.ledger = ledger;
         this.listener = listener;
-        this.prefixes = new ArrayList<>(List.of(Job.PREFIX, Ledger.EVENTS, OLD_PARTS));
+        this.prefixes = new ArrayList<>(List.of(Job.PREFIX, CommitQueue.EVENTS, OLD_PARTS));
         if (countsAdmissions) {
-            prefixes.add(AdmissionRecords.PREFIX);
+            prefixes.add(AdmissionCountShards.PREFIX);
         }
     }
 
@@ -82,7 +85,7 @@
     }
 
     /** Reads one prefix after the other; starts again when a read fails. */
-    private void read(List<String> left, List<List<StateClient.Row>> done) {
+    private void read(List<String> left, List<List<KeyValueStoreClient.Row>> done) {
         if (left.isEmpty()) {
             readOptions(done);
             return;
@@ -103,9 +106,9 @@
         });
     }
 
-    private static List<String> cancelled(List<StateClient.Row> jobs) {
+    private static List<String> cancelled(List<KeyValueStoreClient.Row> jobs) {
         List<String> ids = new ArrayList<>();
-        for (StateClient.Row row : jobs) {
+        for (KeyValueStoreClient.Row row : jobs) {
             if (row.value().path("cancelled").asBoolean()) {
                 ids.add(id(row));
             }
@@ -113,17 +116,17 @@
         return ids;
     }
 
-    private static String id(StateClient.Row job) {
+    private static String id(KeyValueStoreClient.Row job) {
         return job.key().substring(Job.PREFIX.length());
     }
 
-    private void readOptions(List<List<StateClient.Row>> rows) {
-        state.get(Leadership.OPTIONS_KEY, (status, body) -> {
+    private void readOptions(List<List<KeyValueStoreClient.Row>> rows) {
+        state.get(LeaderElection.OPTIONS_KEY, (status, body) -> {
             if (closed) {
                 return;
             }
             if (status == 200) {
-                listener.options(Options.read(body.path("v")));
+                listener.options(OperatorSettings.read(body.path("v")));
             } else if (status != 404) {
                 environment.after(RETRY_MS, this::load);
                 return;
@@ -133,16 +136,16 @@
             TaskEvents.Reader reader = new TaskEvents.Reader(cluster.jobs());
             buildFromOldParts(rows.get(2), reader);
             buildFromRecords(rows.get(1), reader);
-            List<Claim> claims = reader.claims();
+            List<TaskAssignment> claims = reader.claims();
             claims.forEach(cluster::add);
-            List<StateClient.Row> shards = rows.size() > OLD_PREFIXES ? rows.get(OLD_PREFIXES) : List.of();
+            List<KeyValueStoreClient.Row> shards = rows.size() > OLD_PREFIXES ? rows.get(OLD_PREFIXES) : List.of();
             listener.loaded(new Loaded(revision, claims.size(), reader.silences(), shards));
         });
     }
 
-    private void buildJobs(List<StateClient.Row> rows) {
+    private void buildJobs(List<KeyValueStoreClient.Row> rows) {
         List<Job> jobs = new ArrayList<>();
-        for (StateClient.Row row : rows) {
+        for (KeyValueStoreClient.Row row : rows) {
             try {
                 jobs.add(Job.read(row.value(), row.revision()));
             } catch (JobSpec.Malformed e) {
@@ -155,21 +158,21 @@
         jobs.forEach(job -> cluster.jobs().put(job.spec().id(), job));
     }
 
-    private void buildFromOldParts(List<StateClient.Row> rows, TaskEvents.Reader reader) {
+    private void buildFromOldParts(List<KeyValueStoreClient.Row> rows, TaskEvents.Reader reader) {
         long number = 0;
-        for (StateClient.Row row : rows) {
+        for (KeyValueStoreClient.Row row : rows) {
             String[] key = row.key().split("/");
             Job job = key.length == 3 ? cluster.jobs().get(key[1]) : null;
             // what is left of a job that ended is deleted like the others, with nothing kept of it
-            List<Ledger.Event> events =
+            List<CommitQueue.Event> events =
                     job == null ? List.of() : reader.readChunk(job, Integer.parseInt(key[2]), row.value(), --number);
             ledger.restore(row.key(), row.revision(), number, events);
         }
     }
 
-    private void buildFromRecords(List<StateClient.Row> rows, TaskEvents.Reader reader) {
+    private void buildFromRecords(List<KeyValueStoreClient.Row> rows, TaskEvents.Reader reader) {
         rows.sort(Comparator.comparingLong(row -> row.value().path("n").asLong()));
-        for (StateClient.Row row : rows) {
+        for (KeyValueStoreClient.Row row : rows) {
             long number = row.value().path("n").asLong();
             ledger.restore(row.key(), row.revision(), number, reader.read(row.value(), number));
         }
--- a/src/main/java/stileferry/heartbeat/CommandSender.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -5,18 +5,18 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Machine;
-import stileferry.leadership.Leadership;
+import stileferry.cluster.TaskAssignment;
+import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.Messages.Signal;
-import stileferry.protocol.Report;
+import stileferry.protocol.Messages.WorkerCommand;
 
 /** Decides what workers shall do, and sends it to them without waiting for their reports where that is worth it. */
-public final class CommandSender {
+public final class CommandDispatcher {
     private static final long ANNOUNCE_MS = 100;
 
     /** A question without a task in it waits for so many report intervals: many may be asked that can't answer. */
@@ -33,7 +33,7 @@
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final long term;
     private final EventLoopLag eventLoopLag;
     private final Answers answers;
@@ -50,13 +50,13 @@
     /** Takes what workers answer to commands. */
     interface Answers {
         /** A worker has answered with where it stands. */
-        void answered(Machine machine, Report report);
+        void answered(Machine machine, Heartbeat report);
     }
 
-    CommandSender(
+    CommandDispatcher(
             ClusterState cluster,
             Environment environment,
-            Leadership leadership,
+            LeaderElection leadership,
             long term,
             EventLoopLag eventLoopLag,
             Answers answers) {
@@ -77,47 +77,47 @@
     }
 
     /** All that the worker should do and has not been seen to have done; as far as this node is sure to lead. */
-    List<Signal> signals(Machine m, boolean inAnswer) {
-        List<Signal> signals = new ArrayList<>();
+    List<WorkerCommand> signals(Machine m, boolean inAnswer) {
+        List<WorkerCommand> signals = new ArrayList<>();
         if (!leadership.sure()) {
             stopCancelled(m, signals);
             return signals;
         }
         long now = environment.now();
-        for (Report.TaskState t : m.lastTasks()) {
-            Claim c = m.claims().get(t.task());
+        for (Heartbeat.TaskStatus t : m.lastTasks()) {
+            TaskAssignment c = m.claims().get(t.task());
             boolean claimed = c != null && c.attempt() == t.attempt();
             if (claimed) {
                 continue;
             }
-            if (t.stage() != Report.Stage.EXITED) {
-                signals.add(new Signal(Signal.Kind.KILL, t.task(), t.attempt(), 0));
+            if (t.stage() != Heartbeat.TaskPhase.EXITED) {
+                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, t.task(), t.attempt(), 0));
             } else if (inAnswer
                     && m.accepted(term)
                     && !m.settling().contains(t.key())
                     && !m.openRuns().containsKey(t.key())) {
                 // Only in answers to reports: a direct one could overtake an answer that repeats the start, and
                 // after a clear a repeated start runs the task once more.
-                signals.add(new Signal(Signal.Kind.CLEAR, t.task(), t.attempt(), 0));
+                signals.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, t.task(), t.attempt(), 0));
             }
         }
-        for (Claim c : m.claims().values()) {
+        for (TaskAssignment c : m.claims().values()) {
             if (!c.startable() || c.session() != m.session()) {
                 continue;
             }
             boolean lateCancel = c.job().cancelled() && now - c.stopAskedAt() > cancelMs / 2;
             if (c.stage() == null && (!c.stopping() || m.openRuns().containsKey(c.key()) && inAnswer && !lateCancel)) {
                 // For a stopped task an unanswered start is made harmless by letting the worker know the attempt.
-                signals.add(new Signal(Signal.Kind.RUN, c.name(), c.attempt(), 0));
+                signals.add(new WorkerCommand(WorkerCommand.Kind.RUN, c.name(), c.attempt(), 0));
                 c.setRunsSent(c.runsSent() + 1);
                 if (!inAnswer) {
                     m.openRuns().merge(c.key(), 1, Integer::sum);
                 }
             }
             if (c.stopping()
-                    && c.stage() != Report.Stage.EXITED
-                    && !(c.stage() == Report.Stage.SAVING && c.stopGraceS() > 0)) {
-                signals.add(new Signal(Signal.Kind.KILL, c.name(), c.attempt(), c.stopGraceS()));
+                    && c.stage() != Heartbeat.TaskPhase.EXITED
+                    && !(c.stage() == Heartbeat.TaskPhase.SAVING && c.stopGraceS() > 0)) {
+                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, c.name(), c.attempt(), c.stopGraceS()));
             }
         }
         return signals;
@@ -128,13 +128,13 @@
     }
 
     /** Whoever leads, a job whose cancellation is durable stays cancelled, and its tasks have to go. */
-    private static void stopCancelled(Machine m, List<Signal> signals) {
-        for (Claim c : m.claims().values()) {
+    private static void stopCancelled(Machine m, List<WorkerCommand> signals) {
+        for (TaskAssignment c : m.claims().values()) {
             if (c.job().cancelDurable()
                     && c.stopping()
                     && c.session() == m.session()
-                    && c.stage() != Report.Stage.EXITED) {
-                signals.add(new Signal(Signal.Kind.KILL, c.name(), c.attempt(), 0));
+                    && c.stage() != Heartbeat.TaskPhase.EXITED) {
+                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, c.name(), c.attempt(), 0));
             }
         }
     }
@@ -225,7 +225,7 @@
                     || eventLoopLag.behind() && !hurry(m)) {
                 continue;
             }
-            List<Signal> signals = signals(m, false);
+            List<WorkerCommand> signals = signals(m, false);
             if (!signals.isEmpty()) {
                 command(m, m.session(), signals, 1, reportMs);
             }
@@ -237,7 +237,7 @@
      * its next report will be answered with it: critical tasks wait to start there, or a task has to make room.
      */
     private static boolean hurry(Machine m) {
-        for (Claim c : m.claims().values()) {
+        for (TaskAssignment c : m.claims().values()) {
             if (c.stopping() || c.stage() == null && c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
                 return true;
             }
@@ -260,14 +260,14 @@
     void announceTo(Machine m) {
         if (!m.addr().isEmpty() && !m.heard() && !m.deleting()) {
             long session = Math.max(1, m.session());
-            for (Claim c : m.claims().values()) {
+            for (TaskAssignment c : m.claims().values()) {
                 session = Math.max(session, c.session());
             }
             command(m, session, List.of(), 2, askMs);
         }
     }
 
-    private void command(Machine m, long session, List<Signal> signals, int tries, long timeoutMs) {
+    private void command(Machine m, long session, List<WorkerCommand> signals, int tries, long timeoutMs) {
         inFlight.add(m);
         environment.call(
                 m.addr(), "POST", "/commands", Messages.commands(term, session, signals), timeoutMs, (status, body) -> {
@@ -276,13 +276,13 @@
                         return;
                     }
                     if (status == 200 || status == 409 || status == Environment.NOT_SENT) {
-                        for (Signal s : signals) {
-                            if (s.kind() == Signal.Kind.RUN) {
+                        for (WorkerCommand s : signals) {
+                            if (s.kind() == WorkerCommand.Kind.RUN) {
                                 m.openRuns().computeIfPresent(s.key(), (a, n) -> n == 1 ? null : n - 1);
                             }
                         }
                     }
-                    Report r = status == 200 || status == 409 ? Report.read(body) : null;
+                    Heartbeat r = status == 200 || status == 409 ? Heartbeat.read(body) : null;
                     if (r == null || !r.machine().equals(m.name())) {
                         return; // no answer, or another machine that has the address now
                     }
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Machine;
-import stileferry.leadership.Leadership;
+import stileferry.cluster.TaskAssignment;
+import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
 
 /**
@@ -46,10 +46,10 @@
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final long term;
     private final TaskObserver events;
-    private final SilenceRecords silences;
+    private final LastHeartbeatJournal silences;
     private final long reportMs;
     private final long leaseMs;
     private final Map<String, Long> lastUnreachable = new HashMap<>();
@@ -57,10 +57,10 @@
     FailureDetector(
             ClusterState cluster,
             Environment environment,
-            Leadership leadership,
+            LeaderElection leadership,
             long term,
             TaskObserver events,
-            SilenceRecords silences) {
+            LastHeartbeatJournal silences) {
         this.cluster = cluster;
         this.environment = environment;
         this.leadership = leadership;
@@ -91,7 +91,7 @@
         long acked = leadership.allAckedAt();
         for (Machine m : cluster.machines().values()) {
             long over = m.session();
-            for (Claim c : m.claims().values()) {
+            for (TaskAssignment c : m.claims().values()) {
                 over = Math.max(over, c.session());
             }
             long since = lastAnswered(m, over, acked);
@@ -109,7 +109,7 @@
                             m.name(),
                             m.claims().size());
                 }
-                for (Claim c : List.copyOf(m.claims().values())) {
+                for (TaskAssignment c : List.copyOf(m.claims().values())) {
                     events.gone(c, "lease");
                 }
                 events.changed();
--- a/src/main/java/stileferry/heartbeat/FollowerReports.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -1,18 +1,18 @@
 package stileferry.heartbeat;
 
 import java.util.function.BiConsumer;
-import stileferry.leadership.LeaderlessRenewal;
-import stileferry.leadership.Leadership;
-import stileferry.links.LinkAwareness;
+import stileferry.leadership.LeaderElection;
+import stileferry.leadership.LeaderlessLeaseRenewal;
+import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.Report;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /** What becomes of a worker's report at a controller that does not lead. */
-public final class FollowerReports {
+public final class FollowerHeartbeats {
     /** A report waits this long at most for a new leader that is about to be known: half of its worker's patience. */
     private static final long NEW_LEADER_MS = 2000;
 
@@ -22,35 +22,35 @@
     private static final long PASS_ON_MS = 3000;
 
     private final Environment environment;
-    private final Leadership leadership;
-    private final LinkAwareness links;
-    private final BiConsumer<Report, BiConsumer<Integer, byte[]>> leads;
+    private final LeaderElection leadership;
+    private final LinkHealth links;
+    private final BiConsumer<Heartbeat, BiConsumer<Integer, byte[]>> leads;
     private final WorkerRedirects redirects;
-    private final LeaderlessRenewal leaderlessRenewal;
+    private final LeaderlessLeaseRenewal leaderlessRenewal;
     private final long reportMs;
     private final long leaseMs;
     private final long startedAt;
 
     /** The last argument answers a report when this node has come to lead meanwhile. */
-    public FollowerReports(
+    public FollowerHeartbeats(
             Settings settings,
             Environment environment,
-            Leadership leadership,
-            LinkAwareness links,
-            BiConsumer<Report, BiConsumer<Integer, byte[]>> leads) {
+            LeaderElection leadership,
+            LinkHealth links,
+            BiConsumer<Heartbeat, BiConsumer<Integer, byte[]>> leads) {
         this.environment = environment;
         this.leadership = leadership;
         this.links = links;
         this.leads = leads;
         this.redirects = new WorkerRedirects(settings, environment, links);
-        this.leaderlessRenewal = new LeaderlessRenewal(environment, leadership, settings.peers());
+        this.leaderlessRenewal = new LeaderlessLeaseRenewal(environment, leadership, settings.peers());
         this.reportMs = Math.round(settings.workers().reportS() * 1000);
         this.leaseMs = Math.round(settings.workers().leaseS() * 1000);
         this.startedAt = environment.now();
     }
 
     /** Sends a worker to the leader, or passes its report on. */
-    public void take(Report report, byte[] body, BiConsumer<Integer, byte[]> reply) {
+    public void take(Heartbeat report, byte[] body, BiConsumer<Integer, byte[]> reply) {
         redirectOrWait(report, body, environment.now() + NEW_LEADER_MS, reply);
     }
 
@@ -58,7 +58,7 @@
      * Found with cuts of links: a worker that came here while the leadership was being handed over was sent to the
      * former leader, which it could not reach, and its lease lapsed meanwhile.
      */
-    private void redirectOrWait(Report report, byte[] body, long until, BiConsumer<Integer, byte[]> reply) {
+    private void redirectOrWait(Heartbeat report, byte[] body, long until, BiConsumer<Integer, byte[]> reply) {
         Settings.Peer peer = leadership.leaderPeer();
         if (leadership.leading()) {
             leads.accept(report, reply);
@@ -70,7 +70,7 @@
     }
 
     /** Names the leader; a worker that comes back all the same can't reach it, so its report is passed on. */
-    private void redirect(Report report, byte[] body, BiConsumer<Integer, byte[]> reply) {
+    private void redirect(Heartbeat report, byte[] body, BiConsumer<Integer, byte[]> reply) {
         Settings.Peer peer = leadership.leaderPeer();
         if (peer == null) {
             sendToHintedLeader(report, reply);
@@ -83,17 +83,17 @@
         }
     }
 
-    private void passOn(Report report, byte[] body, Settings.Peer peer, BiConsumer<Integer, byte[]> reply) {
+    private void passOn(Heartbeat report, byte[] body, Settings.Peer peer, BiConsumer<Integer, byte[]> reply) {
         if (links.unreachable(peer.node())) {
             withoutLeader(report, reply);
             return;
         }
         environment.peer(
                 peer,
-                new PeerRecord.Forward(PeerRecord.Ask.REPORT, report.machine(), body),
+                new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.REPORT, report.machine(), body),
                 Math.min(PASS_ON_MS, reportMs),
                 answer -> {
-                    if (answer instanceof PeerRecord.Answer a) {
+                    if (answer instanceof PeerMessage.Response a) {
                         reply.accept(a.status(), a.body());
                     } else {
                         withoutLeader(report, reply);
@@ -102,7 +102,7 @@
     }
 
     /** This node can't tell who leads, as it reaches neither the state service nor the leader; others may. */
-    private void sendToHintedLeader(Report report, BiConsumer<Integer, byte[]> reply) {
+    private void sendToHintedLeader(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
         String hinted = links.hintedLeader(leadership.term());
         if (hinted.isEmpty()) {
             withoutLeader(report, reply);
@@ -112,7 +112,7 @@
     }
 
     /** Nobody to send a worker to: for a short time that is no matter, later its lease has to be kept alive. */
-    private void withoutLeader(Report report, BiConsumer<Integer, byte[]> reply) {
+    private void withoutLeader(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
         if (!leadership.leading()
                 && environment.now() - Math.max(startedAt, leadership.leaderHeardAt()) > leaseMs / 8) {
             leaderlessRenewal.take(report, reply);
--- a/src/main/java/stileferry/heartbeat/Fleet.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -8,42 +8,42 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Machine;
-import stileferry.leadership.Leadership;
+import stileferry.cluster.TaskAssignment;
+import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.Messages.Signal;
-import stileferry.protocol.Report;
+import stileferry.protocol.Messages.WorkerCommand;
 
 /**
  * The workers in one term: takes their reports, decides what is proven by them, and answers with what they shall do.
  * Silence proves nothing; only an exit, a higher session, a lapsed lease or a deleted machine does.
  */
-public final class Fleet {
+public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final long term;
     private final TaskObserver events;
-    private final SilenceRecords silences;
+    private final LastHeartbeatJournal silences;
     private final EventLoopLag eventLoopLag;
     private final long leaseMs;
     private final byte[] nothing;
     private final FailureDetector failures;
-    private final CommandSender commands;
+    private final CommandDispatcher commands;
 
-    public Fleet(
+    public HeartbeatHandler(
             ClusterState cluster,
             Environment environment,
-            Leadership leadership,
+            LeaderElection leadership,
             long term,
             TaskObserver events,
-            SilenceRecords silences,
+            LastHeartbeatJournal silences,
             EventLoopLag eventLoopLag) {
         this.silences = silences;
         this.eventLoopLag = eventLoopLag;
@@ -55,7 +55,7 @@
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
         this.nothing = MessageCodec.encode(Messages.signals(term, List.of()));
         this.failures = new FailureDetector(cluster, environment, leadership, term, events, silences);
-        this.commands = new CommandSender(
+        this.commands = new CommandDispatcher(
                 cluster,
                 environment,
                 leadership,
@@ -74,12 +74,12 @@
     }
 
     /** What is sent to machines without waiting for their reports. */
-    public CommandSender commands() {
+    public CommandDispatcher commands() {
         return commands;
     }
 
     /** Takes a report and replies with the answer's body; null when this report must not be answered with 200. */
-    public void report(Report r, Consumer<byte[]> reply) {
+    public void report(Heartbeat r, Consumer<byte[]> reply) {
         Machine m = mayAnswer(r) ? cluster.machine(r.machine()) : null;
         if (m == null) {
             reply.accept(null);
@@ -91,7 +91,7 @@
         }
     }
 
-    private boolean mayAnswer(Report r) {
+    private boolean mayAnswer(Heartbeat r) {
         if (!leadership.mayRenew()) {
             return false; // another leader may have confirmed cancellations that are unknown here
         }
@@ -106,7 +106,7 @@
         return r.session() >= m.session() && (r.session() != m.reportSession() || r.seq() > m.reportSeq());
     }
 
-    private byte[] answer(Machine m, Report r) {
+    private byte[] answer(Machine m, Heartbeat r) {
         m.setReportSession(r.session());
         m.setReportSeq(r.seq());
         if (m.sameAsBefore(r) && r.seq() > m.seq()) {
@@ -120,7 +120,7 @@
         doubt(m, r);
         boolean fresh = take(m, r, true);
         m.setAnsweredAt(environment.now());
-        List<Signal> signals = fresh ? commands.signals(m, true) : List.of();
+        List<WorkerCommand> signals = fresh ? commands.signals(m, true) : List.of();
         m.setAnsweredRuns(keys(signals));
         return signals.isEmpty() ? nothing : MessageCodec.encode(Messages.signals(term, signals));
     }
@@ -130,7 +130,7 @@
      * within its lease, or when starts in an answer were neither carried out nor refused. Such a machine gets no work
      * until it has answered something that we sent.
      */
-    private void doubt(Machine m, Report r) {
+    private void doubt(Machine m, Heartbeat r) {
         if (!m.accepted(term) || m.unreachedSince() != 0) {
             return;
         }
@@ -151,10 +151,10 @@
         }
     }
 
-    private static boolean unheeded(Machine m, Report r) {
+    private static boolean unheeded(Machine m, Heartbeat r) {
         Set<String> told = new HashSet<>();
         r.tasks().forEach(t -> told.add(t.key()));
-        for (Claim c : m.claims().values()) {
+        for (TaskAssignment c : m.claims().values()) {
             if (c.stage() == null && m.answeredRuns().contains(c.key()) && !told.contains(c.key())) {
                 return true;
             }
@@ -162,10 +162,10 @@
         return false;
     }
 
-    private static Set<String> keys(List<Signal> signals) {
+    private static Set<String> keys(List<WorkerCommand> signals) {
         Set<String> keys = Set.of();
-        for (Signal s : signals) {
-            if (s.kind() == Signal.Kind.RUN) {
+        for (WorkerCommand s : signals) {
+            if (s.kind() == WorkerCommand.Kind.RUN) {
                 keys = keys.isEmpty() ? new HashSet<>() : keys;
                 keys.add(s.key());
             }
@@ -174,16 +174,16 @@
     }
 
     /** Answers a report before the claims have been read: the lease is renewed, and cancelled jobs are stopped. */
-    public byte[] hold(Report r) {
+    public byte[] hold(Heartbeat r) {
         Machine m = cluster.machine(r.machine());
         m.setAddr(r.addr());
         m.setAnsweredAt(environment.now());
-        List<Signal> stops = leadership.cancellations().stops(r);
+        List<WorkerCommand> stops = leadership.cancellations().stops(r);
         return stops.isEmpty() ? nothing : MessageCodec.encode(Messages.signals(term, stops));
     }
 
     /** Takes in what a worker says. False when something newer was heard before. */
-    private boolean take(Machine m, Report r, boolean inOrder) {
+    private boolean take(Machine m, Heartbeat r, boolean inOrder) {
         if (r.session() < m.session()
                 || r.session() == m.session() && r.seq() <= m.seq()
                 || r.session() <= m.lapsedSession()) {
@@ -202,7 +202,7 @@
         return true;
     }
 
-    private void takeSession(Machine m, Report r, long now) {
+    private void takeSession(Machine m, Heartbeat r, long now) {
         boolean newSession = r.session() > m.session();
         if (!m.heard() || newSession) {
             m.setIdleSince(now);
@@ -218,7 +218,7 @@
         }
     }
 
-    private void takeTerm(Machine m, Report r, long now) {
+    private void takeTerm(Machine m, Heartbeat r, long now) {
         if (!m.heard() && r.token() < term) {
             // until it shows our term: this may be a late copy of what a dead machine said
             m.setUnreachedSince(now);
@@ -231,7 +231,7 @@
         }
     }
 
-    private void takeProperties(Machine m, Report r, long now) {
+    private void takeProperties(Machine m, Heartbeat r, long now) {
         m.setHeard(true);
         m.setBooting(false);
         m.setHeardAt(now);
@@ -246,17 +246,17 @@
         cluster.rooms().update(m);
     }
 
-    private void takeTasks(Machine m, Report r, boolean inOrder, long now) {
+    private void takeTasks(Machine m, Heartbeat r, boolean inOrder, long now) {
         m.setLast(r);
-        Map<String, Report.TaskState> reported = claimedTasks(m, r);
+        Map<String, Heartbeat.TaskStatus> reported = claimedTasks(m, r);
         m.setAsWanted(r.tasks().size() == m.claims().size()
                 && reported.size() == m.claims().size());
-        for (Claim c : List.copyOf(m.claims().values())) {
-            Report.TaskState t = reported.get(c.name());
+        for (TaskAssignment c : List.copyOf(m.claims().values())) {
+            Heartbeat.TaskStatus t = reported.get(c.name());
             if (c.session() < r.session()) {
                 events.gone(c, "session");
             } else if (t != null) {
-                m.setAsWanted(m.asWanted() & (t.stage() != Report.Stage.EXITED && !c.stopping()));
+                m.setAsWanted(m.asWanted() & (t.stage() != Heartbeat.TaskPhase.EXITED && !c.stopping()));
                 see(m, c, t, now);
             } else if (inOrder && certainlyNotStarted(m, c)) {
                 events.gone(c, "never started");
@@ -265,14 +265,14 @@
     }
 
     /** The reported tasks that claims stand for, by name; all others that have not exited are strays, to be stopped. */
-    private Map<String, Report.TaskState> claimedTasks(Machine m, Report r) {
+    private Map<String, Heartbeat.TaskStatus> claimedTasks(Machine m, Heartbeat r) {
         m.setStrays(false);
-        Map<String, Report.TaskState> claimed = new HashMap<>();
-        for (Report.TaskState t : r.tasks()) {
-            Claim c = m.claims().get(t.task());
+        Map<String, Heartbeat.TaskStatus> claimed = new HashMap<>();
+        for (Heartbeat.TaskStatus t : r.tasks()) {
+            TaskAssignment c = m.claims().get(t.task());
             if (c != null && c.durable() && c.attempt() == t.attempt() && c.session() == r.session()) {
                 claimed.put(t.task(), t);
-            } else if (t.stage() != Report.Stage.EXITED) {
+            } else if (t.stage() != Heartbeat.TaskPhase.EXITED) {
                 m.setStrays(true);
                 commands.sendSoon(m);
             }
@@ -285,7 +285,7 @@
      * start in it was carried out or dropped before this report, no direct start is unanswered, and older leaders are
      * not obeyed any more.
      */
-    private boolean certainlyNotStarted(Machine m, Claim c) {
+    private boolean certainlyNotStarted(Machine m, TaskAssignment c) {
         return c.stopping()
                 && c.durable()
                 && c.stage() == null
@@ -293,7 +293,7 @@
                 && !m.openRuns().containsKey(c.key());
     }
 
-    private void see(Machine m, Claim c, Report.TaskState t, long now) {
+    private void see(Machine m, TaskAssignment c, Heartbeat.TaskStatus t, long now) {
         if (c.stage() != t.stage()) {
             c.setStage(t.stage());
             switch (t.stage()) {
@@ -303,12 +303,12 @@
             }
             events.progressed(c);
         }
-        if (t.stage() == Report.Stage.EXITED) {
+        if (t.stage() == Heartbeat.TaskPhase.EXITED) {
             events.exited(m, c, t);
         }
     }
 
-    private void running(Machine m, Claim c, long now) {
+    private void running(Machine m, TaskAssignment c, long now) {
         if (c.runningAt() != 0) {
             return;
         }
@@ -329,7 +329,7 @@
 
     /** What a notice asks for: save what can be saved, and move what has to run elsewhere. */
     private void leave(Machine m, long now) {
-        for (Claim c : List.copyOf(m.claims().values())) {
+        for (TaskAssignment c : List.copyOf(m.claims().values())) {
             if (c.job().spec().gang()) {
                 if (c.job().spec().estimateS() - c.ranMs(now) / 1000.0 > m.noticeS()) {
                     events.stopWhole(
@@ -352,7 +352,7 @@
 
     /** The cloud has confirmed that a machine is gone with all that was on it. */
     public void deleted(Machine m) {
-        for (Claim c : List.copyOf(m.claims().values())) {
+        for (TaskAssignment c : List.copyOf(m.claims().values())) {
             events.gone(c, "machine deleted");
         }
         cluster.forget(m);
--- a/src/main/java/stileferry/heartbeat/SilenceRecords.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -8,11 +8,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stileferry.cluster.ClusterState;
+import stileferry.cluster.LastHeartbeatRecord;
 import stileferry.cluster.Machine;
-import stileferry.cluster.Silence;
-import stileferry.leadership.Leadership;
+import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
-import stileferry.storage.Ledger;
+import stileferry.storage.CommitQueue;
 
 /**
  * Machines that have fallen silent, noted in the state service, so that the next leader need not begin to wait for
@@ -24,7 +24,7 @@
  * answers without a look at notes, but only with the consent of every controller's process, so a process remembers when
  * it last consented, or that it did not live yet.
  */
-public final class SilenceRecords {
+public final class LastHeartbeatJournal {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
     /** Kinds of events in the records, beside those of tasks. */
@@ -43,8 +43,8 @@
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final Ledger ledger;
-    private final Leadership leadership;
+    private final CommitQueue ledger;
+    private final LeaderElection leadership;
     private final long term;
     private final long reportMs;
     private final double clockOffMs;
@@ -52,7 +52,7 @@
 
     private record Waiting(long since, Runnable answer, Runnable refuse) {}
 
-    private record Silent(Silence silence) implements Ledger.Event {
+    private record Silent(LastHeartbeatRecord silence) implements CommitQueue.Event {
         @Override
         public void write(ArrayNode into) {
             into.add(SILENT)
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public Ledger.Event kept(long record) {
+        public CommitQueue.Event kept(long record) {
             return silence.storedIn(record) && !silence.over() ? this : null;
         }
 
@@ -84,7 +84,7 @@
     }
 
     /** Needed only while an older record holds the silence, and older records are given up first. */
-    private record Heard(String machine) implements Ledger.Event {
+    private record Heard(String machine) implements CommitQueue.Event {
         @Override
         public void write(ArrayNode into) {
             into.add(HEARD).add(machine);
@@ -99,7 +99,7 @@
         public void recorded(long record) {}
 
         @Override
-        public Ledger.Event kept(long record) {
+        public CommitQueue.Event kept(long record) {
             return null;
         }
 
@@ -109,8 +109,8 @@
         }
     }
 
-    public SilenceRecords(
-            ClusterState cluster, Environment environment, Ledger ledger, Leadership leadership, long term) {
+    public LastHeartbeatJournal(
+            ClusterState cluster, Environment environment, CommitQueue ledger, LeaderElection leadership, long term) {
         this.cluster = cluster;
         this.environment = environment;
         this.ledger = ledger;
@@ -121,12 +121,12 @@
     }
 
     /** Takes in what the former leader noted, once the claims are known. */
-    public void takeOver(Iterable<Silence> notes) {
+    public void takeOver(Iterable<LastHeartbeatRecord> notes) {
         if (clockOffMs < 0) {
             return; // clocks of which nothing is said can't be compared
         }
         int taken = 0;
-        for (Silence s : notes) {
+        for (LastHeartbeatRecord s : notes) {
             Machine m = cluster.machines().get(s.machine());
             if (m == null || s.term() != term - 1) {
                 continue;
@@ -145,7 +145,7 @@
     void note(Machine m, long session, long answeredAt) {
         long ago = environment.now() - answeredAt;
         if (m.silence() == null && !m.claims().isEmpty() && ago > NOTE_AFTER_REPORTS * reportMs && leadership.sure()) {
-            m.setSilence(new Silence(m.name(), session, environment.timeOfDay() - ago, term));
+            m.setSilence(new LastHeartbeatRecord(m.name(), session, environment.timeOfDay() - ago, term));
             ledger.log(new Silent(m.silence()), null);
         }
     }
@@ -158,7 +158,7 @@
             return;
         }
         waiting.put(m, new ArrayList<>(List.of(new Waiting(environment.now(), answer, refuse))));
-        Silence silence = m.silence();
+        LastHeartbeatRecord silence = m.silence();
         ledger.log(new Heard(m.name()), () -> {
             silence.setOver(true);
             m.setSilence(null);
--- a/src/main/java/stileferry/heartbeat/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -2,7 +2,7 @@
 
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
-import stileferry.links.LinkAwareness;
+import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Settings;
 
@@ -19,7 +19,7 @@
     private static final int REMEMBERED_EACH_SOCKET = 8;
 
     private final Environment environment;
-    private final LinkAwareness links;
+    private final LinkHealth links;
     private final long leaseMs;
     private final Cache<String, Visit> visits;
 
@@ -33,7 +33,7 @@
      */
     private record Visit(String leader, long since, long last, boolean sentAway) {}
 
-    WorkerRedirects(Settings settings, Environment environment, LinkAwareness links) {
+    WorkerRedirects(Settings settings, Environment environment, LinkHealth links) {
         this.environment = environment;
         this.links = links;
         this.leaseMs = Math.round(settings.workers().leaseS() * 1000);
--- a/src/main/java/stileferry/leadership/Cancellations.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import stileferry.protocol.Environment;
-import stileferry.protocol.Messages.Signal;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.Report;
+import stileferry.protocol.Heartbeat;
+import stileferry.protocol.Messages.WorkerCommand;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /**
@@ -23,7 +23,7 @@
  * does not know a cancellation only if it was not among those told; so n - n/2 informed processes together know all
  * of them (docs/design.md, "Cancellations"). Only processes that say that they keep this count.
  */
-public final class Cancellations {
+public final class CancellationQuorum {
     /** Jobs are remembered for so many times as long as their tasks may last after the last that was heard of them. */
     private static final int REMEMBERED = 2;
 
@@ -67,7 +67,7 @@
         }
     }
 
-    Cancellations(Environment environment, Settings settings) {
+    CancellationQuorum(Environment environment, Settings settings) {
         this.environment = environment;
         this.process = 1 + environment.random().nextLong(Long.MAX_VALUE - 1);
         this.peers = new Peer[settings.peers().size()];
@@ -93,14 +93,14 @@
     }
 
     /** Stops for the tasks of cancelled jobs that a report tells of. */
-    public List<Signal> stops(Report report) {
-        List<Signal> stops = new ArrayList<>();
-        for (Report.TaskState t : report.tasks()) {
+    public List<WorkerCommand> stops(Heartbeat report) {
+        List<WorkerCommand> stops = new ArrayList<>();
+        for (Heartbeat.TaskStatus t : report.tasks()) {
             int slash = t.task().indexOf('/');
-            if (t.stage() != Report.Stage.EXITED
+            if (t.stage() != Heartbeat.TaskPhase.EXITED
                     && slash > 0
                     && known.containsKey(t.task().substring(0, slash))) {
-                stops.add(new Signal(Signal.Kind.KILL, t.task(), t.attempt(), 0));
+                stops.add(new WorkerCommand(WorkerCommand.Kind.KILL, t.task(), t.attempt(), 0));
             }
         }
         return stops;
@@ -203,38 +203,38 @@
     // ---- what controllers tell each other
 
     /** What to tell another controller; {@code sure}: this node leads, and nobody else can. */
-    PeerRecord.Knowledge words(int peer, boolean sure) {
-        boolean all = complete && sure && standing.size() <= PeerRecord.MOST_CANCELLED;
+    PeerMessage.CancellationKnowledge words(int peer, boolean sure) {
+        boolean all = complete && sure && standing.size() <= PeerMessage.MOST_CANCELLED;
         for (Peer p : peers) {
             all &= p.answered && p.tells; // who does not tell may lead one day and confirm what nobody else knows
         }
         List<String> ids = new ArrayList<>();
         standing.forEach((id, c) -> {
-            if (ids.size() < PeerRecord.MOST_CANCELLED && !c.toldTo.contains(peer)) {
+            if (ids.size() < PeerMessage.MOST_CANCELLED && !c.toldTo.contains(peer)) {
                 ids.add(id);
             }
         });
         for (String id : standing.keySet()) {
-            if (ids.size() < PeerRecord.MOST_CANCELLED
+            if (ids.size() < PeerMessage.MOST_CANCELLED
                     && standing.get(id).toldTo.contains(peer)) {
                 ids.add(id);
             }
         }
-        return new PeerRecord.Knowledge(process, peers[peer].process, informed, all, ids);
+        return new PeerMessage.CancellationKnowledge(process, peers[peer].process, informed, all, ids);
     }
 
     /** The answer to what another controller said. */
-    PeerRecord.Knowledge answer(PeerRecord.Term heard) {
+    PeerMessage.CancellationKnowledge answer(PeerMessage.TermAnnouncement heard) {
         boolean leader = heard.leading()
                 && heard.knowledge() != null
                 && heard.knowledge().complete();
         List<String> ids = leader ? List.of() : lately();
-        return new PeerRecord.Knowledge(
+        return new PeerMessage.CancellationKnowledge(
                 process,
                 heard.knowledge() == null ? 0 : heard.knowledge().process(),
-                informed && ids.size() <= PeerRecord.MOST_CANCELLED,
+                informed && ids.size() <= PeerMessage.MOST_CANCELLED,
                 false,
-                ids.subList(0, Math.min(ids.size(), PeerRecord.MOST_CANCELLED)));
+                ids.subList(0, Math.min(ids.size(), PeerMessage.MOST_CANCELLED)));
     }
 
     private List<String> lately() {
@@ -244,8 +244,8 @@
     }
 
     /** Takes in what another controller says by itself; {@code current}: it speaks for a term that is not outdated. */
-    void heard(PeerRecord.Term term, boolean current) {
-        PeerRecord.Knowledge k = term.knowledge();
+    void heard(PeerMessage.TermAnnouncement term, boolean current) {
+        PeerMessage.CancellationKnowledge k = term.knowledge();
         take(term);
         if (k == null) {
             return;
@@ -254,7 +254,7 @@
         informed |= current && term.leading() && k.complete() && k.addressee() == process;
     }
 
-    private void take(PeerRecord.Term term) {
+    private void take(PeerMessage.TermAnnouncement term) {
         if (term.knowledge() == null) {
             informed &= !term.leading(); // a leader of an older version confirms what nobody else knows
         } else {
@@ -263,9 +263,14 @@
     }
 
     /** Takes in what another controller answered to words that were sent then, with these jobs in them. */
-    void answered(int from, PeerRecord.Term answer, long sentAt, long term, PeerRecord.Knowledge said) {
+    void answered(
+            int from,
+            PeerMessage.TermAnnouncement answer,
+            long sentAt,
+            long term,
+            PeerMessage.CancellationKnowledge said) {
         Peer peer = peers[from];
-        PeerRecord.Knowledge k = answer.knowledge();
+        PeerMessage.CancellationKnowledge k = answer.knowledge();
         peer.answered = true;
         peer.tells = k != null;
         peer.process = k == null ? 0 : k.process();
--- a/src/main/java/stileferry/leadership/Leadership.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -5,19 +5,19 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.links.LinkAwareness;
+import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
-import stileferry.storage.StateClient;
+import stileferry.storage.KeyValueStoreClient;
 
 /**
  * Who leads. A leased key in the state service names the leader, and a counter beside it gives each leader a term
  * that never decreases. This class follows the key, runs for it when it is gone, keeps it when it is won, and
  * remembers the highest term that anybody told.
  */
-public final class Leadership {
+public final class LeaderElection {
     static final String PREFIX = "a/";
     public static final String LEADER_KEY = "a/lead";
     public static final String TERM_KEY = "a/term";
@@ -46,16 +46,16 @@
     private static final long ABSTAINING_LOOK_MS = 200;
 
     private final Environment environment;
-    private final StateClient state;
+    private final KeyValueStoreClient state;
     private final Settings settings;
     private final Listener listener;
-    private final LinkAwareness links;
+    private final LinkHealth links;
     private final boolean countsAdmissions;
     private final long lifeMs;
     private final long renewMs;
     private final long[] ackedAt;
     private final boolean[] telling;
-    private final Cancellations cancellations;
+    private final CancellationQuorum cancellations;
 
     private long term;
 
@@ -87,12 +87,12 @@
     }
 
     /** {@code countsAdmissions}: whether this controller counts what it accepts while it leads. */
-    public Leadership(
+    public LeaderElection(
             Environment environment,
-            StateClient state,
+            KeyValueStoreClient state,
             Settings settings,
             Listener listener,
-            LinkAwareness links,
+            LinkHealth links,
             boolean countsAdmissions) {
         this.environment = environment;
         this.state = state;
@@ -104,7 +104,7 @@
         this.renewMs = renewMs(settings);
         this.ackedAt = new long[settings.peers().size()];
         this.telling = new boolean[settings.peers().size()];
-        this.cancellations = new Cancellations(environment, settings);
+        this.cancellations = new CancellationQuorum(environment, settings);
         this.consentedAt = environment.now(); // what a former life of this process consented to is not known
     }
 
@@ -164,7 +164,7 @@
     }
 
     /** What this process knows of cancelled jobs. */
-    public Cancellations cancellations() {
+    public CancellationQuorum cancellations() {
         return cancellations;
     }
 
@@ -208,13 +208,14 @@
     }
 
     /** Takes what another controller says and answers with what this one knows. */
-    public PeerRecord.Term hear(PeerRecord.Term heard) {
+    public PeerMessage.TermAnnouncement hear(PeerMessage.TermAnnouncement heard) {
         learn(heard);
         cancellations.heard(heard, heard.term() >= term);
         if (!heard.leading() && !leading) {
             consent(); // who does not lead asks only for that
         }
-        return new PeerRecord.Term(term, leader(), leading, cancellations.answer(heard)).with(links.aware());
+        return new PeerMessage.TermAnnouncement(term, leader(), leading, cancellations.answer(heard))
+                .with(links.aware());
     }
 
     /** Takes in that another controller may answer reports without a leader that were sent until now. */
@@ -228,12 +229,13 @@
     }
 
     /** What this controller tells another one. */
-    PeerRecord.Term words(int peer) {
-        return new PeerRecord.Term(term, leader(), leading, cancellations.words(peer, sure())).with(links.aware());
+    PeerMessage.TermAnnouncement words(int peer) {
+        return new PeerMessage.TermAnnouncement(term, leader(), leading, cancellations.words(peer, sure()))
+                .with(links.aware());
     }
 
     /** Takes another controller's words. Only a leader speaks for itself: whom others believe in may be long gone. */
-    void learn(PeerRecord.Term heard) {
+    void learn(PeerMessage.TermAnnouncement heard) {
         learn(heard.term(), heard.leading() ? heard.leader() : "");
     }
 
@@ -295,7 +297,7 @@
             }
             TermRecord stored = TermRecord.NONE;
             JsonNode holder = null;
-            for (StateClient.Row row : rows.rows()) {
+            for (KeyValueStoreClient.Row row : rows.rows()) {
                 if (row.key().equals(LEADER_KEY)) {
                     holder = row.value();
                 } else if (row.key().equals(OPTIONS_KEY)) {
@@ -464,11 +466,11 @@
     private void announce(int peer) {
         long told = term;
         long sentAt = environment.now();
-        PeerRecord.Term words = words(peer);
+        PeerMessage.TermAnnouncement words = words(peer);
         telling[peer] = true;
         environment.peer(settings.peers().get(peer), words, ANNOUNCE_MS, record -> {
             telling[peer] = false;
-            if (record instanceof PeerRecord.Term answer) {
+            if (record instanceof PeerMessage.TermAnnouncement answer) {
                 links.learn(settings.peers().get(peer).node(), answer);
                 if (leading && term == told) {
                     if (answer.term() == told && ackedAt[peer] < 0) {
--- a/src/main/java/stileferry/leadership/LeaderlessRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -6,10 +6,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stileferry.protocol.Environment;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.Report;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /**
@@ -17,31 +17,31 @@
  *
  * <p>A report may be answered with the worker's own token, and without commands but stops of cancelled jobs' tasks,
  * once every other controller has said, after the report arrived, that it does not lead, and enough of them are
- * informed to know every cancellation together ({@link Cancellations}). A leader of that token is then gone for good,
+ * informed to know every cancellation together ({@link CancellationQuorum}). A leader of that token is then gone for good,
  * since nobody resumes a term and later terms are higher; so nobody counts on that lease lapsing. A later leader
  * counts a lapse only from when the worker accepted its term, or every controller acknowledged it.
  */
-public final class LeaderlessRenewal {
+public final class LeaderlessLeaseRenewal {
     private static final Logger LOG = LoggerFactory.getLogger("renewal");
     private static final long ANSWER_MS = 800;
 
     private final Environment environment;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final List<Settings.Peer> peers;
     private List<Waiting> waiting = new ArrayList<>();
     private boolean asking;
     private boolean active;
 
-    private record Waiting(Report report, BiConsumer<Integer, byte[]> reply) {}
+    private record Waiting(Heartbeat report, BiConsumer<Integer, byte[]> reply) {}
 
-    public LeaderlessRenewal(Environment environment, Leadership leadership, List<Settings.Peer> peers) {
+    public LeaderlessLeaseRenewal(Environment environment, LeaderElection leadership, List<Settings.Peer> peers) {
         this.environment = environment;
         this.leadership = leadership;
         this.peers = peers;
     }
 
     /** Takes a report that no leader can be found for. */
-    public void take(Report report, BiConsumer<Integer, byte[]> reply) {
+    public void take(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
         waiting.add(new Waiting(report, reply));
         ask();
     }
@@ -59,7 +59,7 @@
         leadership.consent();
         for (int i = 0; i < peers.size(); i++) {
             environment.peer(peers.get(i), leadership.words(i), ANSWER_MS, record -> {
-                if (record instanceof PeerRecord.Term t) {
+                if (record instanceof PeerMessage.TermAnnouncement t) {
                     leadership.learn(t);
                     leadership.cancellations().heard(t, false);
                     alone[0] &= !t.leading();
@@ -80,7 +80,7 @@
     /** Nobody here leads either, and together the processes know every cancellation. */
     private boolean entitled(int informedPeers) {
         int informed = informedPeers + (leadership.cancellations().informed() ? 1 : 0);
-        return !leadership.leading() && informed >= Cancellations.enough(peers.size() + 1);
+        return !leadership.leading() && informed >= CancellationQuorum.enough(peers.size() + 1);
     }
 
     private void answer(List<Waiting> batch, boolean entitled) {
--- a/src/main/java/stileferry/leadership/TermNumbers.java
+++ b/src/main/java/stileferry/leadership/TermSequence.java
@@ -1,13 +1,13 @@
 package stileferry.leadership;
 
 /** Numbers that no other term gives out: those of a later term are always higher. */
-public final class TermNumbers {
+public final class TermSequence {
     private static final long NUMBERS_PER_TERM = 1L << 32;
 
     private final long first;
     private long given;
 
-    public TermNumbers(long term) {
+    public TermSequence(long term) {
         this.first = term * NUMBERS_PER_TERM;
     }
 
--- a/src/main/java/stileferry/lifecycle/EndedJobCache.java
+++ b/src/main/java/stileferry/lifecycle/CompletedJobCache.java
@@ -8,13 +8,13 @@
 import stileferry.protocol.Messages;
 
 /** Jobs that are over, as far as they were asked for lately. An ended job never changes, so nothing here is stale. */
-public final class EndedJobCache {
+public final class CompletedJobCache {
     /** Jobs for each socket: users ask again over some of these connections at a time. */
     private static final int MOST_EACH_SOCKET = 2;
 
-    private final Cache<String, Ended> cache;
+    private final Cache<String, CompletedJob> cache;
 
-    public EndedJobCache(int maxSockets) {
+    public CompletedJobCache(int maxSockets) {
         cache = CacheBuilder.newBuilder()
                 .maximumSize((long) MOST_EACH_SOCKET * maxSockets)
                 .concurrencyLevel(1)
@@ -22,9 +22,9 @@
     }
 
     /** How a job ended. */
-    public record Ended(String how, int tasksDone) {
-        public static Ended read(JsonNode v) {
-            return new Ended(v.path("how").asText(), v.path("done").asInt());
+    public record CompletedJob(String how, int tasksDone) {
+        public static CompletedJob read(JsonNode v) {
+            return new CompletedJob(v.path("how").asText(), v.path("done").asInt());
         }
 
         ObjectNode write() {
@@ -36,11 +36,11 @@
         }
     }
 
-    public Ended get(String id) {
+    public CompletedJob get(String id) {
         return cache.getIfPresent(id);
     }
 
-    public void put(String id, Ended ended) {
+    public void put(String id, CompletedJob ended) {
         cache.put(id, ended);
     }
 }
--- a/src/main/java/stileferry/lifecycle/GangCounters.java
+++ b/src/main/java/stileferry/lifecycle/GangMetrics.java
@@ -1,12 +1,12 @@
 package stileferry.lifecycle;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import stileferry.cluster.Claim;
+import stileferry.cluster.TaskAssignment;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Report;
 
 /** Counts what became of the attempts of gangs in one term, each attempt once, by the first task that ended. */
-public final class GangCounters {
+public final class GangMetrics {
     private long attempts;
     private long started;
     private long saved;
@@ -25,7 +25,7 @@
     }
 
     /** A task of a gang has exited without being done. */
-    void exited(Claim claim, Report.TaskState task) {
+    void exited(TaskAssignment claim, Heartbeat.TaskStatus task) {
         if (!isFirstOfItsAttempt(claim)) {
             return;
         }
@@ -38,11 +38,11 @@
     }
 
     /** A task of a gang is gone with its machine or its lease. */
-    void gone(Claim claim) {
+    void gone(TaskAssignment claim) {
         lost += isFirstOfItsAttempt(claim) ? 1 : 0;
     }
 
-    private static boolean isFirstOfItsAttempt(Claim claim) {
+    private static boolean isFirstOfItsAttempt(TaskAssignment claim) {
         boolean first = claim.job().endedAttempt() != claim.attempt();
         claim.job().setEndedAttempt(claim.attempt());
         return first;
--- a/src/main/java/stileferry/lifecycle/JobEnds.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -2,38 +2,38 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
-import stileferry.leadership.Leadership;
-import stileferry.storage.Ledger;
+import stileferry.cluster.TaskAssignment;
+import stileferry.leadership.LeaderElection;
+import stileferry.storage.CommitQueue;
 
 /** Ends of jobs, done or cancelled. Users hear of them when they are durable, of cancellations when enough know. */
-public final class JobEnds {
+public final class JobCompletion {
     private final ClusterState cluster;
-    private final Ledger ledger;
-    private final EndedJobCache ended;
-    private final Leadership leadership;
+    private final CommitQueue ledger;
+    private final CompletedJobCache ended;
+    private final LeaderElection leadership;
     private final Listener listener;
-    private final Consumer<Claim> stop;
+    private final Consumer<TaskAssignment> stop;
 
     /** Told of what users may hear. */
     public interface Listener {
         /** A job's end is durable. */
-        void ended(Job job, EndedJobCache.Ended end);
+        void ended(Job job, CompletedJobCache.CompletedJob end);
 
         /** A job's cancellation may be confirmed. */
         void cancelConfirmed(Job job);
     }
 
     /** The consumer stops a claimed task at once. */
-    public JobEnds(
+    public JobCompletion(
             ClusterState cluster,
-            Ledger ledger,
-            EndedJobCache ended,
-            Leadership leadership,
+            CommitQueue ledger,
+            CompletedJobCache ended,
+            LeaderElection leadership,
             Listener listener,
-            Consumer<Claim> stop) {
+            Consumer<TaskAssignment> stop) {
         this.cluster = cluster;
         this.ledger = ledger;
         this.ended = ended;
@@ -54,7 +54,7 @@
     }
 
     private void stopAll(Job job) {
-        for (Claim claim : List.copyOf(job.claims().values())) {
+        for (TaskAssignment claim : List.copyOf(job.claims().values())) {
             stop.accept(claim);
         }
     }
@@ -69,8 +69,8 @@
             return;
         }
         job.setEnding(true);
-        EndedJobCache.Ended record = new EndedJobCache.Ended(how, job.doneCount());
-        Ledger.Entry entry = new Ledger.Entry(Job.endedKey(job.spec().id()), 0, record::write);
+        CompletedJobCache.CompletedJob record = new CompletedJobCache.CompletedJob(how, job.doneCount());
+        CommitQueue.Entry entry = new CommitQueue.Entry(Job.endedKey(job.spec().id()), 0, record::write);
         ledger.move(entry, job.record(), () -> {
             job.setOver(true);
             leadership.cancellations().over(job.spec().id());
@@ -85,7 +85,7 @@
 
     public void cancel(Job job) {
         job.setCancelled(true);
-        for (Claim claim : List.copyOf(job.claims().values())) {
+        for (TaskAssignment claim : List.copyOf(job.claims().values())) {
             if (claim.runsSent() == 0) {
                 cluster.remove(claim, false); // no machine has heard of it
                 ledger.log(TaskEvents.freed(claim), null);
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -7,11 +7,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import stileferry.cluster.Claim;
 import stileferry.cluster.Job;
-import stileferry.cluster.Silence;
-import stileferry.heartbeat.SilenceRecords;
-import stileferry.storage.Ledger;
+import stileferry.cluster.LastHeartbeatRecord;
+import stileferry.cluster.TaskAssignment;
+import stileferry.heartbeat.LastHeartbeatJournal;
+import stileferry.storage.CommitQueue;
 
 /** What is stored of tasks: claims, their ends, and tasks that are done; and how all events are read again. */
 public final class TaskEvents {
@@ -25,21 +25,21 @@
     private TaskEvents() {}
 
     /** A task may be on a machine from now on. */
-    static Ledger.Event claimed(Claim claim) {
+    static CommitQueue.Event claimed(TaskAssignment claim) {
         return new Claimed(claim);
     }
 
     /** A claim has ended, and its task waits again. */
-    static Ledger.Event freed(Claim claim) {
+    static CommitQueue.Event freed(TaskAssignment claim) {
         return new Freed(claim.job(), claim.index(), claim.attempt());
     }
 
     /** A task is done. */
-    static Ledger.Event done(Job job, int index) {
+    static CommitQueue.Event done(Job job, int index) {
         return new Done(job, index, index);
     }
 
-    private record Claimed(Claim claim) implements Ledger.Event {
+    private record Claimed(TaskAssignment claim) implements CommitQueue.Event {
         @Override
         public void write(ArrayNode into) {
             into.add(CLAIMED)
@@ -61,7 +61,7 @@
         }
 
         @Override
-        public Ledger.Event kept(long record) {
+        public CommitQueue.Event kept(long record) {
             return claim.record() == record && claim.job().claims().get(claim.index()) == claim ? this : null;
         }
 
@@ -72,7 +72,7 @@
     }
 
     /** Needed only while an older record holds the claim, and older records are given up first. */
-    private record Freed(Job job, int index, long attempt) implements Ledger.Event {
+    private record Freed(Job job, int index, long attempt) implements CommitQueue.Event {
         @Override
         public void write(ArrayNode into) {
             into.add(FREED).add(job.spec().id()).add(index).add(attempt);
@@ -87,7 +87,7 @@
         public void recorded(long record) {}
 
         @Override
-        public Ledger.Event kept(long record) {
+        public CommitQueue.Event kept(long record) {
             return null;
         }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    private record Done(Job job, int from, int to) implements Ledger.Event {
+    private record Done(Job job, int from, int to) implements CommitQueue.Event {
         @Override
         public void write(ArrayNode into) {
             into.add(DONE).add(job.spec().id()).add(from).add(to);
@@ -120,7 +120,7 @@
 
         /** Together with its neighbours that are done by now, so that a long job takes ever fewer events. */
         @Override
-        public Ledger.Event kept(long record) {
+        public CommitQueue.Event kept(long record) {
             if (job.over()) {
                 return null;
             }
@@ -139,23 +139,23 @@
     /** Reads stored records, in the order in which they were written. */
     public static final class Reader {
         private final Map<String, Job> jobs;
-        private final Map<Job, Map<Integer, Claim>> claims = new LinkedHashMap<>(); // so that seeds repeat
-        private final Map<String, Silence> silences = new HashMap<>();
+        private final Map<Job, Map<Integer, TaskAssignment>> claims = new LinkedHashMap<>(); // so that seeds repeat
+        private final Map<String, LastHeartbeatRecord> silences = new HashMap<>();
 
         public Reader(Map<String, Job> jobs) {
             this.jobs = jobs;
         }
 
         /** Takes one record in and returns its events. */
-        public List<Ledger.Event> read(JsonNode record, long number) {
-            List<Ledger.Event> events = new ArrayList<>();
+        public List<CommitQueue.Event> read(JsonNode record, long number) {
+            List<CommitQueue.Event> events = new ArrayList<>();
             for (JsonNode e : record.path("e")) {
                 int kind = e.path(0).asInt(-1);
-                if (kind == SilenceRecords.SILENT) {
-                    silences.put(e.path(1).asText(), Silence.read(e));
+                if (kind == LastHeartbeatJournal.SILENT) {
+                    silences.put(e.path(1).asText(), LastHeartbeatRecord.read(e));
                     continue;
                 }
-                if (kind == SilenceRecords.HEARD) {
+                if (kind == LastHeartbeatJournal.HEARD) {
                     silences.remove(e.path(1).asText());
                     continue;
                 }
@@ -174,7 +174,7 @@
                                 e.path(5).asLong(),
                                 number));
                     case FREED -> {
-                        Claim claim = of(job).get(index);
+                        TaskAssignment claim = of(job).get(index);
                         if (claim != null && claim.attempt() == e.path(3).asLong()) {
                             of(job).remove(index);
                         }
@@ -193,8 +193,8 @@
         }
 
         /** Reads the older form: one part of a job's tasks, a bitmap of those done and the claims. */
-        public List<Ledger.Event> readChunk(Job job, int chunk, JsonNode v, long number) {
-            List<Ledger.Event> events = new ArrayList<>();
+        public List<CommitQueue.Event> readChunk(Job job, int chunk, JsonNode v, long number) {
+            List<CommitQueue.Event> events = new ArrayList<>();
             int from = chunk * job.chunkTasks();
             String hex = v.path("done").asText();
             for (int i = 0; i < 4 * hex.length() && from + i < job.spec().tasks(); i++) {
@@ -219,8 +219,8 @@
             return events;
         }
 
-        private Ledger.Event claim(Job job, int index, long attempt, String machine, long session, long number) {
-            Claim claim = new Claim(job, index, attempt, machine, session, 0);
+        private CommitQueue.Event claim(Job job, int index, long attempt, String machine, long session, long number) {
+            TaskAssignment claim = new TaskAssignment(job, index, attempt, machine, session, 0);
             claim.setDurable(true);
             claim.setRunsSent(1);
             claim.setRecord(number);
@@ -228,7 +228,7 @@
             return new Claimed(claim);
         }
 
-        private Ledger.Event done(Job job, int from, int to, long number) {
+        private CommitQueue.Event done(Job job, int from, int to, long number) {
             for (int i = from; i <= to; i++) {
                 job.finish(i);
                 of(job).remove(i);
@@ -238,18 +238,18 @@
             return done;
         }
 
-        private Map<Integer, Claim> of(Job job) {
+        private Map<Integer, TaskAssignment> of(Job job) {
             return claims.computeIfAbsent(job, j -> new HashMap<>());
         }
 
         /** The silences of machines that stand after all records. */
-        public Iterable<Silence> silences() {
+        public Iterable<LastHeartbeatRecord> silences() {
             return silences.values();
         }
 
         /** The claims that stand after all records. */
-        public List<Claim> claims() {
-            List<Claim> all = new ArrayList<>();
+        public List<TaskAssignment> claims() {
+            List<TaskAssignment> all = new ArrayList<>();
             claims.values().forEach(of -> of.values().forEach(c -> {
                 if (!c.job().done().get(c.index())) {
                     all.add(c);
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -5,18 +5,18 @@
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.GangAttempt;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
-import stileferry.heartbeat.Fleet;
+import stileferry.cluster.TaskAssignment;
+import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.heartbeat.TaskObserver;
-import stileferry.leadership.TermNumbers;
+import stileferry.leadership.TermSequence;
 import stileferry.protocol.Environment;
 import stileferry.protocol.ExitReason;
-import stileferry.protocol.Report;
-import stileferry.storage.Ledger;
+import stileferry.protocol.Heartbeat;
+import stileferry.storage.CommitQueue;
 
 /**
  * The life of tasks in one term, from their claim over start and stop to the proof that they are gone. A gang's tasks
@@ -29,12 +29,12 @@
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final Ledger ledger;
-    private final TermNumbers numbers;
-    private final Fleet fleet;
-    private final JobEnds jobEnds;
+    private final CommitQueue ledger;
+    private final TermSequence numbers;
+    private final HeartbeatHandler fleet;
+    private final JobCompletion jobEnds;
     private final Runnable changed;
-    private final GangCounters gangCounters = new GangCounters();
+    private final GangMetrics gangCounters = new GangMetrics();
     private final long roundMs;
 
     /**
@@ -45,10 +45,10 @@
     public TaskLifecycle(
             ClusterState cluster,
             Environment environment,
-            Ledger ledger,
-            TermNumbers numbers,
-            Function<TaskObserver, Fleet> createFleet,
-            Function<TaskLifecycle, JobEnds> createJobEnds,
+            CommitQueue ledger,
+            TermSequence numbers,
+            Function<TaskObserver, HeartbeatHandler> createFleet,
+            Function<TaskLifecycle, JobCompletion> createJobEnds,
             Runnable changed) {
         this.cluster = cluster;
         this.environment = environment;
@@ -60,15 +60,15 @@
         this.roundMs = cluster.settings().workers().reportRoundMs();
     }
 
-    public Fleet fleet() {
+    public HeartbeatHandler fleet() {
         return fleet;
     }
 
-    public JobEnds jobEnds() {
+    public JobCompletion jobEnds() {
         return jobEnds;
     }
 
-    public GangCounters gangCounters() {
+    public GangMetrics gangCounters() {
         return gangCounters;
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Stops a task whose job was cancelled. */
-    public void stopCancelled(Claim claim) {
+    public void stopCancelled(TaskAssignment claim) {
         stopOne(claim, 0);
     }
 
@@ -94,7 +94,7 @@
             gangCounters.attempted();
         }
         for (Machine machine : machines) {
-            Claim claim = new Claim(job, index, attempt, machine.name(), machine.session(), now);
+            TaskAssignment claim = new TaskAssignment(job, index, attempt, machine.name(), machine.session(), now);
             claim.setOverdue(overdue);
             claim.setGangAttempt(gangAttempt);
             cluster.add(claim);
@@ -103,7 +103,7 @@
         }
     }
 
-    private void claimDurable(Claim claim, Machine machine) {
+    private void claimDurable(TaskAssignment claim, Machine machine) {
         claim.setDurable(true);
         if (claim.gangAttempt() != null) {
             if (claim.gangAttempt().claimDurable()) {
@@ -115,14 +115,14 @@
     }
 
     private void startWhole(Job job, GangAttempt attempt) {
-        for (Claim claim : job.claims().values()) {
+        for (TaskAssignment claim : job.claims().values()) {
             if (claim.gangAttempt() == attempt && mayStart(claim)) {
                 fleet.commands().sendSoon(cluster.machine(claim.machine()));
             }
         }
     }
 
-    private static boolean mayStart(Claim claim) {
+    private static boolean mayStart(TaskAssignment claim) {
         return claim.job().claims().get(claim.index()) == claim
                 && !claim.stopping()
                 && !claim.job().cancelled();
@@ -132,7 +132,7 @@
      * Stops a claimed task. A gang is stopped whole: its tasks can save only together, and one that is left alone loses
      * what it did.
      */
-    public void stop(Claim claim, double graceS) {
+    public void stop(TaskAssignment claim, double graceS) {
         if (claim.job().spec().gang()) {
             double together = graceS > 0 && !allHear(claim.job()) ? 0 : graceS;
             stopOne(claim, together);
@@ -147,7 +147,7 @@
      * told to, they would only wait for it, and what they did since their last checkpoint is lost all the same.
      */
     private boolean allHear(Job gang) {
-        for (Claim claim : gang.claims().values()) {
+        for (TaskAssignment claim : gang.claims().values()) {
             if (!fleet.failures().hears(cluster.machine(claim.machine()))) {
                 LOG.info(
                         "gang {} is stopped without saving: {} may not hear it",
@@ -160,7 +160,7 @@
     }
 
     /** One that its machine has never heard of is simply not there. */
-    private void stopOne(Claim claim, double graceS) {
+    private void stopOne(TaskAssignment claim, double graceS) {
         if (claim.job().claims().get(claim.index()) != claim) {
             return; // ended with its gang; counted out twice it would let its team beyond its limit
         }
@@ -174,14 +174,14 @@
     }
 
     @Override
-    public void exited(Machine machine, Claim claim, Report.TaskState t) {
+    public void exited(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t) {
         Job job = claim.job();
         if (job.claims().get(claim.index()) != claim) {
             return; // ended with its gang
         }
         long now = environment.now();
         boolean done = t.reason() == ExitReason.DONE && !job.spec().service();
-        List<Claim> others = done && job.spec().gang() ? finishGang(job, claim) : List.of();
+        List<TaskAssignment> others = done && job.spec().gang() ? finishGang(job, claim) : List.of();
         machine.settling().add(t.key());
         job.setBegun(job.begun() | (done || t.reason() == ExitReason.ERROR));
         logExit(machine, claim, t, now);
@@ -196,7 +196,7 @@
         });
     }
 
-    private void logExit(Machine machine, Claim claim, Report.TaskState t, long now) {
+    private void logExit(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t, long now) {
         if (claim.orderedAt() > 0 && claim.runningAt() > 0) {
             LOG.debug(
                     "{} of {} exited on {}: {}, ordered {} ms after its job, running {} ms later, for {} ms",
@@ -213,7 +213,7 @@
         }
     }
 
-    private static void succeeded(Machine machine, Claim claim, long now) {
+    private static void succeeded(Machine machine, TaskAssignment claim, long now) {
         if (claim.orderedAt() > 0 && claim.runningAt() > 0) {
             machine.finished(
                     (now - claim.runningAt()) / 1000.0,
@@ -226,14 +226,14 @@
     }
 
     /** The outcome of a task that ended with its gang is durable. */
-    private void mayClear(Claim claim) {
+    private void mayClear(TaskAssignment claim) {
         Machine machine = cluster.machines().get(claim.machine());
         if (machine != null) {
             machine.settling().remove(claim.key());
         }
     }
 
-    private void failed(Machine machine, Claim claim, Report.TaskState t, long now) {
+    private void failed(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t, long now) {
         Job job = claim.job();
         switch (t.reason()) {
             case ERROR -> {
@@ -260,14 +260,14 @@
      * One task of a gang that does not run stops and requeues them all. If it had saved, so do the others. Else none of
      * them can: told to save they would only wait for the missing one, and hold their machines until they give up.
      */
-    private void stopGang(Claim claim, boolean saved) {
+    private void stopGang(TaskAssignment claim, boolean saved) {
         if (claim.job().spec().gang()) {
             stopOthers(claim, saved ? claim.job().spec().saveS() : 0);
         }
     }
 
-    private void stopOthers(Claim claim, double graceS) {
-        for (Claim other : List.copyOf(claim.job().claims().values())) {
+    private void stopOthers(TaskAssignment claim, double graceS) {
+        for (TaskAssignment other : List.copyOf(claim.job().claims().values())) {
             if (other != claim && (!other.stopping() || graceS < other.stopGraceS())) {
                 stopOne(other, graceS);
             }
@@ -279,10 +279,10 @@
      * Their end is stored at once, in the record of the job's end, so that no leader starts a part of the gang again.
      * Returns the claims that have ended so, which their machines may not clear before that is durable.
      */
-    public List<Claim> finishGang(Job job, Claim first) {
-        List<Claim> others = new ArrayList<>(job.claims().values());
+    public List<TaskAssignment> finishGang(Job job, TaskAssignment first) {
+        List<TaskAssignment> others = new ArrayList<>(job.claims().values());
         others.remove(first);
-        for (Claim claim : others) {
+        for (TaskAssignment claim : others) {
             cluster.remove(claim, true);
             Machine machine = cluster.machine(claim.machine());
             machine.settling().add(claim.key());
@@ -297,7 +297,7 @@
     }
 
     @Override
-    public void progressed(Claim claim) {
+    public void progressed(TaskAssignment claim) {
         jobEnds.confirm(claim.job());
     }
 
@@ -312,7 +312,7 @@
     }
 
     @Override
-    public void stopWhole(Claim claim, double graceS) {
+    public void stopWhole(TaskAssignment claim, double graceS) {
         stop(claim, graceS);
     }
 
@@ -342,14 +342,14 @@
         if (weight >= 2 && !machine.faulty()) {
             LOG.info("machine {} fails its tasks and is taken out of use", machine.name());
             machine.setFaulty(true);
-            for (Claim claim : List.copyOf(machine.claims().values())) {
+            for (TaskAssignment claim : List.copyOf(machine.claims().values())) {
                 stop(claim, claim.job().spec().saveS());
             }
         }
     }
 
     @Override
-    public void gone(Claim claim, String proof) {
+    public void gone(TaskAssignment claim, String proof) {
         if (claim.job().claims().get(claim.index()) == claim) {
             LOG.debug("{} is not on {} any more: {}", claim.name(), claim.machine(), proof);
             settle(claim, false, null);
@@ -360,7 +360,7 @@
         }
     }
 
-    private void settle(Claim claim, boolean done, Runnable onDurable) {
+    private void settle(TaskAssignment claim, boolean done, Runnable onDurable) {
         Job job = claim.job();
         Machine machine = cluster.machine(claim.machine());
         cluster.remove(claim, done);
--- a/src/main/java/stileferry/links/LinkAwareness.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.function.IntSupplier;
 import stileferry.protocol.Environment;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.Report;
+import stileferry.protocol.Heartbeat;
+import stileferry.protocol.PeerMessage;
 
 /**
  * What a controller does differently where it watches its links. Without that, as {@link #NONE} says, it sees nothing
  * and permits everything.
  */
-public interface LinkAwareness {
+public interface LinkHealth {
     /** Links are not watched. */
-    LinkAwareness NONE = new LinkAwareness() {};
+    LinkHealth NONE = new LinkHealth() {};
 
     /** What the controller calls from the inside, once all of it has been made. */
     interface Host {
@@ -58,10 +58,10 @@
     // ---- what the controller sees
 
     /** A follower got a report straight from its worker. */
-    default void reported(Report report) {}
+    default void reported(Heartbeat report) {}
 
     /** The leader took a report in and answered it; {@code relayed}: it came by way of another controller. */
-    default void answered(Report report, boolean relayed) {}
+    default void answered(Heartbeat report, boolean relayed) {}
 
     /** The leader knows that a worker should be there. */
     default void expected(String machine, String addr) {}
@@ -83,10 +83,10 @@
     }
 
     /** Takes in what another controller, of which the name is known, said with its term. */
-    default void learn(String controller, PeerRecord.Term term) {}
+    default void learn(String controller, PeerMessage.TermAnnouncement term) {}
 
     /** Takes in a view and returns the answer; null: views are not exchanged. */
-    default PeerRecord exchange(PeerRecord.Links links) {
+    default PeerMessage exchange(PeerMessage.LinkView links) {
         return null;
     }
 
--- a/src/main/java/stileferry/links/LinkViews.java
+++ b/src/main/java/stileferry/links/LinkHealthView.java
@@ -8,8 +8,8 @@
 import stileferry.protocol.MessageCodec;
 
 /** The administration API's view of one controller's links. */
-final class LinkViews {
-    private LinkViews() {}
+final class LinkHealthView {
+    private LinkHealthView() {}
 
     static ObjectNode describe(ConnectivitySnapshot snapshot, Collection<String> aware) {
         ObjectNode view = MessageCodec.map()
--- a/src/main/java/stileferry/links/PartialCuts.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -16,15 +16,15 @@
 import stileferry.connectivity.ReachabilityView;
 import stileferry.connectivity.WorkerReport;
 import stileferry.protocol.Environment;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.Report;
+import stileferry.protocol.Heartbeat;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /**
  * Lets {@link Connectivity} watch the links of one controller: hands it what happens, carries its views and probes, and
  * does what it advises. It starts nothing and proves nothing; it only releases the leadership or leaves it to others.
  */
-public final class PartialCuts implements LinkAwareness, LinkObservingEnvironment.Observer {
+public final class LinkMonitor implements LinkHealth, LinkObservingEnvironment.Observer {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
     private static final long LEAST_PATIENCE_MS = 500;
@@ -36,7 +36,7 @@
     private final Environment environment;
     private final Connectivity connectivity;
     private final ViewExchange exchange;
-    private final Prober prober;
+    private final WorkerProber prober;
     private final long tickMs;
     private final long storeProbeMs;
 
@@ -54,7 +54,7 @@
     private long storeSeenAt = Long.MIN_VALUE / 2;
     private Advice lastAdvice;
 
-    public PartialCuts(Settings settings, Environment environment, long leaderLeaseMs) {
+    public LinkMonitor(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
         Settings.Workers workers = settings.workers();
@@ -71,7 +71,7 @@
         this.storeProbeMs = config.storeProbeMs();
         this.exchange =
                 new ViewExchange(settings, environment(environment), connectivity, exchangePatienceMs, this::taken);
-        this.prober = new Prober(settings, environment, connectivity, patienceMs);
+        this.prober = new WorkerProber(settings, environment, connectivity, patienceMs);
     }
 
     @Override
@@ -162,19 +162,19 @@
 
     // ---- what is seen
 
-    private static WorkerReport seen(Report r, boolean showsTerm) {
+    private static WorkerReport seen(Heartbeat r, boolean showsTerm) {
         return new WorkerReport(r.machine(), r.addr(), Math.max(0, r.session()), Math.max(0, r.seq()), showsTerm);
     }
 
     @Override
-    public void reported(Report report) {
+    public void reported(Heartbeat report) {
         if (!report.machine().isEmpty()) {
             connectivity.workerReported(seen(report, false), environment.now());
         }
     }
 
     @Override
-    public void answered(Report report, boolean relayed) {
+    public void answered(Heartbeat report, boolean relayed) {
         if (report.machine().isEmpty()) {
             return;
         }
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void learn(String controller, PeerRecord.Term said) {
+    public void learn(String controller, PeerMessage.TermAnnouncement said) {
         exchange.learn(controller, said);
         if (said.leading() && said.term() > toldTerm) {
             toldTerm = said.term();
@@ -253,7 +253,7 @@
     }
 
     @Override
-    public PeerRecord exchange(PeerRecord.Links links) {
+    public PeerMessage exchange(PeerMessage.LinkView links) {
         return exchange.answer(links);
     }
 
@@ -335,6 +335,6 @@
 
     @Override
     public ObjectNode describe() {
-        return LinkViews.describe(connectivity.snapshot(environment.now()), exchange.aware());
+        return LinkHealthView.describe(connectivity.snapshot(environment.now()), exchange.aware());
     }
 }
--- a/src/main/java/stileferry/links/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import stileferry.protocol.Environment;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /** The outside with an eye on the outcome of every request, so that links are judged by the real traffic. */
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void peer(Settings.Peer peer, PeerRecord record, long timeoutMs, Consumer<PeerRecord> reply) {
+    public void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
         plain.peer(peer, record, timeoutMs, answer -> {
             observer.exchanged(peer.node(), answer != null);
             reply.accept(answer);
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -14,7 +14,7 @@
 import stileferry.connectivity.ReachabilityView;
 import stileferry.connectivity.ViewCodec;
 import stileferry.protocol.Environment;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 import stileferry.validation.InvalidInputException;
 
@@ -55,7 +55,7 @@
     }
 
     /** Takes in what a controller's term says of who exchanges views; followers hear of each other by the leader. */
-    void learn(String controller, PeerRecord.Term said) {
+    void learn(String controller, PeerMessage.TermAnnouncement said) {
         for (Settings.Peer peer : settings.peers()) {
             boolean saidBySomebodyWhoKnows = peer.node().equals(controller) || said.leading();
             if (!saidBySomebodyWhoKnows) {
@@ -70,13 +70,13 @@
     }
 
     /** Takes in a view and returns the answer; null: it can't be right. */
-    PeerRecord answer(PeerRecord.Links links) {
+    PeerMessage answer(PeerMessage.LinkView links) {
         try {
             ReachabilityView view = ViewCodec.read(links.view());
             String sender = view.header().sender();
             take(view);
             connectivity.peerHeard(sender, environment.now());
-            return new PeerRecord.Links(ViewCodec.write(connectivity.viewFor(sender, environment.now())));
+            return new PeerMessage.LinkView(ViewCodec.write(connectivity.viewFor(sender, environment.now())));
         } catch (InvalidInputException e) {
             LOG.info("a view that can't be right: {}", e.getMessage());
             return null;
@@ -109,9 +109,9 @@
         }
         sentAt.put(peer.node(), environment.now());
         ReachabilityView view = connectivity.viewFor(peer.node(), environment.now());
-        environment.peer(peer, new PeerRecord.Links(ViewCodec.write(view)), patienceMs, answer -> {
+        environment.peer(peer, new PeerMessage.LinkView(ViewCodec.write(view)), patienceMs, answer -> {
             inFlight.remove(peer.node());
-            if (answer instanceof PeerRecord.Links links) {
+            if (answer instanceof PeerMessage.LinkView links) {
                 try {
                     take(ViewCodec.read(links.view()));
                 } catch (InvalidInputException e) {
--- a/src/main/java/stileferry/links/Prober.java
+++ b/src/main/java/stileferry/links/WorkerProber.java
@@ -5,11 +5,11 @@
 import stileferry.connectivity.Connectivity;
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 import stileferry.protocol.Environment;
-import stileferry.protocol.Report;
+import stileferry.protocol.Heartbeat;
 import stileferry.protocol.Settings;
 
 /** Asks workers whether requests reach them, a bounded number at a time. */
-final class Prober {
+final class WorkerProber {
     /** Of the sockets for commands to workers, the part that probes may take. */
     private static final int SOCKET_SHARE = 4;
 
@@ -19,7 +19,7 @@
     private final int mostInFlight;
     private final Set<String> inFlight = new HashSet<>();
 
-    Prober(Settings settings, Environment environment, Connectivity connectivity, long patienceMs) {
+    WorkerProber(Settings settings, Environment environment, Connectivity connectivity, long patienceMs) {
         this.environment = environment;
         this.connectivity = connectivity;
         this.patienceMs = patienceMs;
@@ -38,7 +38,7 @@
     private void ask(ProbeTarget target) {
         environment.call(target.address(), "GET", "/inspect", null, patienceMs, (status, body) -> {
             inFlight.remove(target.worker());
-            Report report = status == 200 ? Report.read(body) : null;
+            Heartbeat report = status == 200 ? Heartbeat.read(body) : null;
             if (report != null && report.machine().equals(target.worker())) {
                 connectivity.workerReached(target.worker(), true, environment.now());
             } else {
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -1,7 +1,7 @@
 package stileferry.overload;
 
 import java.util.function.Consumer;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /**
@@ -56,18 +56,19 @@
     }
 
     /** Takes a submission: it is refused here, or passed on to where it is accepted. */
-    default void submit(byte[] body, Consumer<PeerRecord.Answer> reply, Consumer<Consumer<PeerRecord.Answer>> passOn) {
+    default void submit(
+            byte[] body, Consumer<PeerMessage.Response> reply, Consumer<Consumer<PeerMessage.Response>> passOn) {
         passOn.accept(reply);
     }
 
     /** Seconds after which a request that met the limit on requests in progress is worth a try; 0: it may pass it. */
-    default int retryAfterS(PeerRecord.Ask ask, byte[] body) {
+    default int retryAfterS(PeerMessage.RequestKind ask, byte[] body) {
         return 1;
     }
 
     /** Sends a user's request to the leader. */
     default void forward(
-            Settings.Peer leader, PeerRecord.Forward request, long patienceMs, Consumer<PeerRecord> reply) {
+            Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
         throw new IllegalStateException("requests are not sent together");
     }
 
@@ -77,12 +78,12 @@
     }
 
     /** Takes in another controller's demand and returns the leader's table; null: this node has none. */
-    default PeerRecord exchange(PeerRecord.Admission message) {
+    default PeerMessage exchange(PeerMessage.AdmissionExchange message) {
         return null;
     }
 
     /** Answers an operator's question about admissions; false: they are not divided here. */
-    default boolean describe(Consumer<PeerRecord.Answer> reply) {
+    default boolean describe(Consumer<PeerMessage.Response> reply) {
         return false;
     }
 }
--- a/src/main/java/stileferry/overload/AdmissionRecords.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -9,8 +9,8 @@
 import stileferry.admission.AdmissionCounts;
 import stileferry.admission.AdmissionTotals;
 import stileferry.protocol.MessageCodec;
-import stileferry.storage.Ledger;
-import stileferry.storage.StateClient;
+import stileferry.storage.CommitQueue;
+import stileferry.storage.KeyValueStoreClient;
 
 /**
  * The durable count of admissions, in one term of leading. Each transaction that makes accepted jobs durable also puts
@@ -18,7 +18,7 @@
  * those of all transactions, so a count is carried out exactly when its jobs are. A shard costs one change for each
  * transaction with acceptances, however many it holds.
  */
-public final class AdmissionRecords implements Ledger.Counter {
+public final class AdmissionCountShards implements CommitQueue.Counter {
     /** The prefix of the shards' keys; no version before this one reads or writes it. */
     public static final String PREFIX = "n/";
 
@@ -36,15 +36,15 @@
     private final long completeUntil;
     private final int mostBytes;
     private final List<OpenShard> shards = new ArrayList<>();
-    private final Map<Ledger.Entry, AdmissionCounts.Cell> uncounted = new IdentityHashMap<>();
+    private final Map<CommitQueue.Entry, AdmissionCounts.Cell> uncounted = new IdentityHashMap<>();
 
     /** A shard that this term may write. */
     private final class OpenShard {
         final AdmissionCounts counts = new AdmissionCounts();
-        final Ledger.Entry entry;
+        final CommitQueue.Entry entry;
 
         OpenShard(String key, long revision) {
-            entry = new Ledger.Entry(key, revision, () -> write(counts));
+            entry = new CommitQueue.Entry(key, revision, () -> write(counts));
         }
 
         boolean takes(List<AdmissionCounts.Cell> cells) {
@@ -63,11 +63,11 @@
      * @param rows all shards
      * @param run the first term of the unbroken run of counting leaders that this one is of
      */
-    public AdmissionRecords(List<StateClient.Row> rows, long run, double valueKb) {
+    public AdmissionCountShards(List<KeyValueStoreClient.Row> rows, long run, double valueKb) {
         this.run = run;
         this.mostBytes = (int) (valueKb * 1024 * FILL);
         this.completeUntil = AdmissionTotals.completeUntil(read(rows), run);
-        for (StateClient.Row row : rows) {
+        for (KeyValueStoreClient.Row row : rows) {
             OpenShard shard = new OpenShard(row.key(), row.revision());
             shard.counts.addAll(readShard(row).counts());
             shards.add(shard);
@@ -75,14 +75,14 @@
     }
 
     /** Has a job counted in the transaction that makes it durable. */
-    public void count(Ledger.Entry job, AdmissionCounts.Cell cell) {
+    public void count(CommitQueue.Entry job, AdmissionCounts.Cell cell) {
         uncounted.put(job, cell);
     }
 
     @Override
-    public Ledger.Entry count(List<Ledger.Entry> entries) {
+    public CommitQueue.Entry count(List<CommitQueue.Entry> entries) {
         List<AdmissionCounts.Cell> cells = new ArrayList<>();
-        for (Ledger.Entry entry : entries) {
+        for (CommitQueue.Entry entry : entries) {
             AdmissionCounts.Cell cell = uncounted.remove(entry);
             if (cell != null) {
                 cells.add(cell);
@@ -119,11 +119,11 @@
     }
 
     /** The shards as they are stored. */
-    public static List<AdmissionTotals.Shard> read(List<StateClient.Row> rows) {
-        return rows.stream().map(AdmissionRecords::readShard).toList();
+    public static List<AdmissionTotals.Shard> read(List<KeyValueStoreClient.Row> rows) {
+        return rows.stream().map(AdmissionCountShards::readShard).toList();
     }
 
-    private static AdmissionTotals.Shard readShard(StateClient.Row row) {
+    private static AdmissionTotals.Shard readShard(KeyValueStoreClient.Row row) {
         AdmissionCounts counts = new AdmissionCounts();
         for (Map.Entry<String, JsonNode> team : row.value().path(COUNTS).properties()) {
             for (Map.Entry<String, JsonNode> cell : team.getValue().properties()) {
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 import stileferry.admission.AdmissionTotals;
-import stileferry.leadership.Leadership;
+import stileferry.leadership.LeaderElection;
 import stileferry.leadership.TermRecord;
 import stileferry.protocol.MessageCodec;
-import stileferry.storage.StateClient;
+import stileferry.storage.KeyValueStoreClient;
 
 /**
  * Reads the totals of admissions, at any controller that reaches the state service. The shards are read first and the
@@ -18,10 +18,10 @@
     /** Reads of shards that changed between two pages before it is given up. */
     private static final int MOST_READS = 3;
 
-    private final StateClient state;
+    private final KeyValueStoreClient state;
     private long toldRevision;
 
-    AdmissionTotalsReader(StateClient state) {
+    AdmissionTotalsReader(KeyValueStoreClient state) {
         this.state = state;
     }
 
@@ -31,7 +31,7 @@
     }
 
     private void readShards(int readsLeft, Consumer<AdmissionTotals> then) {
-        state.scan(AdmissionRecords.PREFIX, false, rows -> {
+        state.scan(AdmissionCountShards.PREFIX, false, rows -> {
             if (rows.rows() == null || readsLeft == 0) {
                 then.accept(null);
             } else if (rows.rows().stream().anyMatch(row -> row.revision() > rows.firstRevision())) {
@@ -42,13 +42,13 @@
         });
     }
 
-    private void readTerm(StateClient.Rows rows, Consumer<AdmissionTotals> then) {
-        state.get(Leadership.TERM_KEY, (status, body) -> {
+    private void readTerm(KeyValueStoreClient.Rows rows, Consumer<AdmissionTotals> then) {
+        state.get(LeaderElection.TERM_KEY, (status, body) -> {
             if (status != 200 && status != 404 || rows.firstRevision() < toldRevision) {
                 then.accept(null);
                 return;
             }
-            List<AdmissionTotals.Shard> shards = AdmissionRecords.read(rows.rows());
+            List<AdmissionTotals.Shard> shards = AdmissionCountShards.read(rows.rows());
             long run = status == 200 ? TermRecord.read(body.path("v"), 0).countingSince() : 1; // nobody ever led
             toldRevision = rows.firstRevision();
             then.accept(AdmissionTotals.of(shards, run, rows.firstRevision()));
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -23,13 +23,13 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
-import stileferry.protocol.SubmissionHead;
-import stileferry.requests.Admin;
-import stileferry.requests.Answers;
-import stileferry.requests.Users;
-import stileferry.storage.StateClient;
+import stileferry.protocol.SubmissionHeader;
+import stileferry.requests.AdministrationHandler;
+import stileferry.requests.JobRequestHandler;
+import stileferry.requests.Responses;
+import stileferry.storage.KeyValueStoreClient;
 import stileferry.validation.InvalidInputException;
 
 /** Divides admissions while this node leads, and refuses by the leader's word while it does not (docs/admission.md). */
@@ -54,7 +54,7 @@
     private static final int CHANGE_BATCHES = 6;
 
     /** Seconds of the state service's rates that may wait before only the most urgent is accepted. */
-    private static final double FULL_S = Users.BEHIND_S * 0.75;
+    private static final double FULL_S = JobRequestHandler.BEHIND_S * 0.75;
 
     /** A strained leader leaves users to the others for so long: half of the users' patience. */
     private static final long SHED_MS = Math.round(1000 * AdmissionConfig.PATIENCE_S / 2);
@@ -66,8 +66,8 @@
     private final AdmissionConfig config;
     private final AdmissionDoor door;
     private final AdmissionTotalsReader totals;
-    private final ForwardLane questions;
-    private final ForwardLane changes;
+    private final RequestForwarder questions;
+    private final RequestForwarder changes;
 
     private Host host;
     private AdmissionController controller;
@@ -79,13 +79,13 @@
     /** The leader's name whose table this node has; others are not sent batches. */
     private String tableOf = "";
 
-    public FairAdmission(Settings settings, Environment environment, StateClient state) {
+    public FairAdmission(Settings settings, Environment environment, KeyValueStoreClient state) {
         this.environment = environment;
         this.config = config(settings);
         this.door = new AdmissionDoor(config, REMEMBERED_EACH_SOCKET * settings.maxSockets());
         this.totals = new AdmissionTotalsReader(state);
-        this.questions = new ForwardLane(environment, QUESTION_BATCHES);
-        this.changes = new ForwardLane(environment, CHANGE_BATCHES);
+        this.questions = new RequestForwarder(environment, QUESTION_BATCHES);
+        this.changes = new RequestForwarder(environment, CHANGE_BATCHES);
     }
 
     /** Weights are the teams' guarantees; who has none counts like the average of those who have one. */
@@ -173,16 +173,16 @@
         exchanging = true;
         long askedAt = environment.now();
         byte[] demand = AdmissionCodec.write(door.demand(askedAt));
-        environment.peer(leader, new PeerRecord.Admission(demand), config.validMs(), record -> {
+        environment.peer(leader, new PeerMessage.AdmissionExchange(demand), config.validMs(), record -> {
             exchanging = false;
             tableOf = "";
-            if (record instanceof PeerRecord.Admission answer) {
+            if (record instanceof PeerMessage.AdmissionExchange answer) {
                 takeTable(leader, answer, askedAt);
             }
         });
     }
 
-    private void takeTable(Settings.Peer leader, PeerRecord.Admission answer, long askedAt) {
+    private void takeTable(Settings.Peer leader, PeerMessage.AdmissionExchange answer, long askedAt) {
         try {
             door.learn(host.term());
             door.take(AdmissionCodec.readTable(answer.message()), askedAt, environment.now());
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public PeerRecord exchange(PeerRecord.Admission message) {
+    public PeerMessage exchange(PeerMessage.AdmissionExchange message) {
         if (controller == null) {
             return null;
         }
@@ -204,7 +204,7 @@
             LOG.info("a demand that can't be right: {}", e.getMessage());
             return null;
         }
-        return new PeerRecord.Admission(AdmissionCodec.write(controller.table()));
+        return new PeerMessage.AdmissionExchange(AdmissionCodec.write(controller.table()));
     }
 
     @Override
@@ -222,8 +222,9 @@
     // ---- submissions
 
     @Override
-    public void submit(byte[] body, Consumer<PeerRecord.Answer> reply, Consumer<Consumer<PeerRecord.Answer>> passOn) {
-        SubmissionHead head = SubmissionHead.read(body);
+    public void submit(
+            byte[] body, Consumer<PeerMessage.Response> reply, Consumer<Consumer<PeerMessage.Response>> passOn) {
+        SubmissionHeader head = SubmissionHeader.read(body);
         Flow flow = flow(head);
         if (flow == null) {
             passOn.accept(reply); // it will be told what is wrong with it
@@ -231,13 +232,13 @@
         }
         int retryAfterS = retryAfterS(flow, head.id());
         if (retryAfterS > 0) {
-            reply.accept(new PeerRecord.Answer(503, retryAfterS, NOT_YOUR_TURN));
+            reply.accept(new PeerMessage.Response(503, retryAfterS, NOT_YOUR_TURN));
         } else {
             passOn.accept(answer -> reply.accept(noted(head.id(), answer)));
         }
     }
 
-    private Flow flow(SubmissionHead head) {
+    private Flow flow(SubmissionHeader head) {
         return head == null
                 ? null
                 : config.flow(head.team(), head.jobClass(), head.priority().ordinal());
@@ -260,14 +261,14 @@
     /**
      * Remembers who was accepted; who meets a trouble comes back later the longer it lasts, and not with all others.
      */
-    private PeerRecord.Answer noted(String id, PeerRecord.Answer answer) {
+    private PeerMessage.Response noted(String id, PeerMessage.Response answer) {
         if (answer.status() == 200 || answer.status() == 201) {
             door.accepted(id);
         } else if (answer.status() == 503) {
             door.postponed(id);
         }
         if (answer.status() == 503 && answer.retryAfterS() <= 1) {
-            return new PeerRecord.Answer(503, door.retryAfterTroubleS(id, environment.now()), answer.body());
+            return new PeerMessage.Response(503, door.retryAfterTroubleS(id, environment.now()), answer.body());
         }
         return answer;
     }
@@ -283,11 +284,11 @@
      * users whose polls all met it for 75 s had no answer about their jobs.
      */
     @Override
-    public int retryAfterS(PeerRecord.Ask ask, byte[] body) {
-        if (ask != PeerRecord.Ask.SUBMIT) {
+    public int retryAfterS(PeerMessage.RequestKind ask, byte[] body) {
+        if (ask != PeerMessage.RequestKind.SUBMIT) {
             return host.leaderPeer() != null && batches(host.leaderPeer()) ? 0 : 1;
         }
-        SubmissionHead head = SubmissionHead.read(body);
+        SubmissionHeader head = SubmissionHeader.read(body);
         if (head == null) {
             return 1;
         }
@@ -303,23 +304,24 @@
     }
 
     @Override
-    public void forward(Settings.Peer leader, PeerRecord.Forward request, long patienceMs, Consumer<PeerRecord> reply) {
-        ForwardLane lane = request.ask() == PeerRecord.Ask.STATUS ? questions : changes;
+    public void forward(
+            Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
+        RequestForwarder lane = request.ask() == PeerMessage.RequestKind.STATUS ? questions : changes;
         lane.send(leader, request, patienceMs, reply);
     }
 
     // ---- operators
 
     @Override
-    public boolean describe(Consumer<PeerRecord.Answer> reply) {
+    public boolean describe(Consumer<PeerMessage.Response> reply) {
         totals.read(read -> {
             if (read == null) {
-                reply.accept(Admin.unavailable());
+                reply.accept(AdministrationHandler.unavailable());
             } else {
                 ObjectNode view = MessageCodec.map();
                 view.set("totals", AdmissionTotalsReader.describe(read));
                 view.set("here", describeHere());
-                reply.accept(Answers.ok(200, view));
+                reply.accept(Responses.ok(200, view));
             }
         });
         return true;
--- a/src/main/java/stileferry/overload/ForwardLane.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /**
@@ -14,9 +14,9 @@
  * batch is as large as the leader is slow, and at low load every request goes at once. Found on overloaded days: three
  * of four refusals were polls that got no connection to a leader whose time went into single requests.
  */
-final class ForwardLane {
+final class RequestForwarder {
     /** Requests that may wait: a few full batches. */
-    private static final int MOST_WAITING = 4 * PeerRecord.MOST_IN_BATCH;
+    private static final int MOST_WAITING = 4 * PeerMessage.MOST_IN_BATCH;
 
     /** Bytes of the bodies in one batch, well below what a record may hold. */
     private static final int MOST_BYTES = MessageCodec.MAX_BODY;
@@ -28,16 +28,17 @@
 
     /** One request with the time at which its user has to hear something. */
     private record Waiting(
-            Settings.Peer leader, PeerRecord.Forward request, long deadline, Consumer<PeerRecord> reply) {}
+            Settings.Peer leader, PeerMessage.ForwardedRequest request, long deadline, Consumer<PeerMessage> reply) {}
 
     /** A lane with so many batches in flight at most. */
-    ForwardLane(Environment environment, int mostInFlight) {
+    RequestForwarder(Environment environment, int mostInFlight) {
         this.environment = environment;
         this.mostInFlight = mostInFlight;
     }
 
     /** Sends a request with the next batch; null is the reply when it was not answered in time, or not sent. */
-    void send(Settings.Peer leader, PeerRecord.Forward request, long patienceMs, Consumer<PeerRecord> reply) {
+    void send(
+            Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
         dropExpired();
         if (queue.size() >= MOST_WAITING) {
             reply.accept(null);
@@ -66,7 +67,7 @@
         List<Waiting> batch = new ArrayList<>();
         int bytes = 0;
         while (!queue.isEmpty()
-                && batch.size() < PeerRecord.MOST_IN_BATCH
+                && batch.size() < PeerMessage.MOST_IN_BATCH
                 && queue.peek().leader.equals(leader)
                 && (batch.isEmpty() || bytes + queue.peek().request.body().length <= MOST_BYTES)) {
             bytes += queue.peek().request.body().length;
@@ -78,10 +79,12 @@
     private void sendBatch(List<Waiting> batch) {
         inFlight++;
         long patienceMs = Math.max(1, batch.get(0).deadline - environment.now());
-        List<PeerRecord.Forward> requests = batch.stream().map(Waiting::request).toList();
-        environment.peer(batch.get(0).leader, new PeerRecord.Batch(requests), patienceMs, record -> {
+        List<PeerMessage.ForwardedRequest> requests =
+                batch.stream().map(Waiting::request).toList();
+        environment.peer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), patienceMs, record -> {
             inFlight--;
-            List<PeerRecord.Answer> answers = record instanceof PeerRecord.BatchAnswer b ? b.answers() : List.of();
+            List<PeerMessage.Response> answers =
+                    record instanceof PeerMessage.ResponseBatch b ? b.answers() : List.of();
             for (int i = 0; i < batch.size(); i++) {
                 batch.get(i).reply.accept(answers.size() == batch.size() ? answers.get(i) : null);
             }
--- a/src/main/java/stileferry/protocol/Environment.java
+++ b/src/main/java/stileferry/protocol/Environment.java
@@ -34,7 +34,7 @@
     void call(String addr, String method, String path, JsonNode body, long timeoutMs, Reply reply);
 
     /** Sends a record to another controller; null stands for no answer. */
-    void peer(Settings.Peer peer, PeerRecord record, long timeoutMs, Consumer<PeerRecord> reply);
+    void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply);
 
     /** Takes the answer to a request; the body may be null. */
     interface Reply {
--- a/src/main/java/stileferry/protocol/Report.java
+++ b/src/main/java/stileferry/protocol/Heartbeat.java
@@ -14,7 +14,7 @@
  *
  * @param encoded the end of the body, from the list of tasks on; null when the list was not the last field
  */
-public record Report(
+public record Heartbeat(
         String machine,
         String addr,
         String type,
@@ -24,14 +24,14 @@
         long seq,
         long token,
         double noticeS,
-        List<TaskState> tasks,
+        List<TaskStatus> tasks,
         byte[] encoded) {
 
     private static final String TASKS = "passengers";
     private static final byte[] NO_BODY = new byte[0];
 
     /** Where a task stands on its worker; a gang's task that has its image waits for the others. */
-    public enum Stage {
+    public enum TaskPhase {
         FETCHING,
         WAITING,
         RUNNING,
@@ -40,7 +40,7 @@
     }
 
     /** One task of a report; the reason means something only if it has exited. */
-    public record TaskState(String task, long attempt, Stage stage, ExitReason reason, boolean saved) {
+    public record TaskStatus(String task, long attempt, TaskPhase stage, ExitReason reason, boolean saved) {
         /** What tells this start of this task from all others. */
         public String key() {
             return task + "#" + attempt;
@@ -48,7 +48,7 @@
     }
 
     /** Reads a report's body; null when it is malformed. A missing notice reads as -1. */
-    public static Report read(byte[] body) {
+    public static Heartbeat read(byte[] body) {
         return read(body, machine -> null);
     }
 
@@ -58,7 +58,7 @@
      *
      * @param last the last report of a machine, or null
      */
-    public static Report read(byte[] body, Function<String, Report> last) {
+    public static Heartbeat read(byte[] body, Function<String, Heartbeat> last) {
         try (JsonParser p = MessageCodec.parser(body)) {
             return p.nextToken() == JsonToken.START_OBJECT ? read(p, body, last) : null;
         } catch (IOException | RuntimeException e) {
@@ -67,7 +67,7 @@
     }
 
     /** Reads a report that came as an answer; null when it is malformed. */
-    public static Report read(JsonNode node) {
+    public static Heartbeat read(JsonNode node) {
         if (node == null || !node.isObject()) {
             return null;
         }
@@ -80,7 +80,7 @@
     }
 
     /** Field by field, without building a tree: hundreds of reports arrive every second. */
-    private static Report read(JsonParser p, byte[] body, Function<String, Report> last) throws IOException {
+    private static Heartbeat read(JsonParser p, byte[] body, Function<String, Heartbeat> last) throws IOException {
         String machine = null;
         String addr = "";
         String type = "";
@@ -90,12 +90,12 @@
         long seq = -1;
         long token = -1;
         double noticeS = -1;
-        List<TaskState> tasks = List.of();
+        List<TaskStatus> tasks = List.of();
         byte[] encoded = null;
         boolean whole = false;
         for (String name = p.nextFieldName(); name != null; name = p.nextFieldName()) {
             int at = name.equals(TASKS) && body.length > 0 ? MessageCodec.position(p) : body.length;
-            Report known = at < body.length && machine != null ? last.apply(machine) : null;
+            Heartbeat known = at < body.length && machine != null ? last.apply(machine) : null;
             if (known != null && known.endsAs(body, at)) {
                 tasks = known.tasks;
                 encoded = known.encoded;
@@ -125,7 +125,7 @@
         if (!whole || machine == null || session < 0 || seq < 0 || token < 0) {
             return null;
         }
-        return new Report(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks, encoded);
+        return new Heartbeat(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks, encoded);
     }
 
     private boolean endsAs(byte[] body, int from) {
@@ -136,16 +136,16 @@
         return value == JsonToken.VALUE_NUMBER_INT ? p.getLongValue() : -1;
     }
 
-    private static List<TaskState> tasks(JsonParser p, JsonToken list) throws IOException {
+    private static List<TaskStatus> tasks(JsonParser p, JsonToken list) throws IOException {
         if (list != JsonToken.START_ARRAY) {
             p.skipChildren();
             return List.of();
         }
-        List<TaskState> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         while (p.nextToken() == JsonToken.START_OBJECT) {
             String task = "";
             long attempt = 0;
-            Stage stage = Stage.FETCHING; // also for words that are not known yet
+            TaskPhase stage = TaskPhase.FETCHING; // also for words that are not known yet
             ExitReason reason = ExitReason.OTHER;
             boolean saved = false;
             for (String name = p.nextFieldName(); name != null; name = p.nextFieldName()) {
@@ -155,18 +155,18 @@
                     case "launch" -> attempt = p.getValueAsLong();
                     case "tide" ->
                         stage = switch (p.getValueAsString("")) {
-                            case "waiting" -> Stage.WAITING;
-                            case "running" -> Stage.RUNNING;
-                            case "saving" -> Stage.SAVING;
-                            case "exited" -> Stage.EXITED;
-                            default -> Stage.FETCHING;
+                            case "waiting" -> TaskPhase.WAITING;
+                            case "running" -> TaskPhase.RUNNING;
+                            case "saving" -> TaskPhase.SAVING;
+                            case "exited" -> TaskPhase.EXITED;
+                            default -> TaskPhase.FETCHING;
                         };
                     case "landing_cause" -> reason = ExitReason.of(p.getValueAsString(""));
                     case "kept" -> saved = value == JsonToken.VALUE_TRUE;
                     default -> p.skipChildren();
                 }
             }
-            tasks.add(new TaskState(task, attempt, stage, reason, saved));
+            tasks.add(new TaskStatus(task, attempt, stage, reason, saved));
         }
         return tasks;
     }
--- a/src/main/java/stileferry/protocol/Messages.java
+++ b/src/main/java/stileferry/protocol/Messages.java
@@ -12,7 +12,7 @@
     private Messages() {}
 
     /** A command to a worker. */
-    public record Signal(Kind kind, String task, long attempt, double graceS) {
+    public record WorkerCommand(Kind kind, String task, long attempt, double graceS) {
         /** What a command asks for. */
         public enum Kind {
             RUN,
@@ -27,7 +27,8 @@
     }
 
     /** A machine in the cloud's list. */
-    public record Listed(String name, String addr, String type, String zone, boolean spot, String state, double ageS) {}
+    public record ListedMachine(
+            String name, String addr, String type, String zone, boolean spot, String state, double ageS) {}
 
     /** The body of a user's answer about a job. */
     public static ObjectNode jobState(String id, String state, int done, int running) {
@@ -49,14 +50,14 @@
     }
 
     /** The answer to a report. */
-    public static ObjectNode signals(long token, Collection<Signal> signals) {
+    public static ObjectNode signals(long token, Collection<WorkerCommand> signals) {
         ObjectNode body = MessageCodec.map().put("helm", token);
         ArrayNode list = body.putArray("signals");
-        for (Signal s : signals) {
+        for (WorkerCommand s : signals) {
             ObjectNode n = list.addObject();
             n.put("signal", s.kind().name().toLowerCase(java.util.Locale.ROOT));
             n.put("passenger", s.task()).put("launch", s.attempt());
-            if (s.kind() == Signal.Kind.KILL) {
+            if (s.kind() == WorkerCommand.Kind.KILL) {
                 n.put("ashore_s", s.graceS());
             }
         }
@@ -64,7 +65,7 @@
     }
 
     /** A direct command to one session of a worker. */
-    public static ObjectNode commands(long token, long session, Collection<Signal> signals) {
+    public static ObjectNode commands(long token, long session, Collection<WorkerCommand> signals) {
         return signals(token, signals).put("voyage", session);
     }
 
@@ -93,10 +94,10 @@
     }
 
     /** The machines in one page of the cloud's list. */
-    public static List<Listed> listed(JsonNode body) {
-        List<Listed> machines = new ArrayList<>();
+    public static List<ListedMachine> listed(JsonNode body) {
+        List<ListedMachine> machines = new ArrayList<>();
         for (JsonNode m : body.path("fleet")) {
-            machines.add(new Listed(
+            machines.add(new ListedMachine(
                     m.path("name_id").asText(),
                     m.path("addr").asText(),
                     m.path("hull").asText(),
--- a/src/main/java/stileferry/protocol/Options.java
+++ b/src/main/java/stileferry/protocol/OperatorSettings.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 /** The operators' own settings: changed through the administration API only, kept in the state service. */
-public final class Options {
+public final class OperatorSettings {
     /** Seconds between regular passes. */
     public static final String PASS_INTERVAL_S = "pass_interval_s";
 
@@ -80,7 +80,7 @@
         }
     }
 
-    private Options(long revision, Map<String, JsonNode> changed) {
+    private OperatorSettings(long revision, Map<String, JsonNode> changed) {
         this.revision = revision;
         this.changed = changed;
     }
@@ -90,12 +90,12 @@
     }
 
     /** Nothing changed yet. */
-    public static Options defaults() {
-        return new Options(0, Map.of());
+    public static OperatorSettings defaults() {
+        return new OperatorSettings(0, Map.of());
     }
 
     /** Takes stored settings; what this version doesn't know or accept is left out. */
-    public static Options read(JsonNode stored) {
+    public static OperatorSettings read(JsonNode stored) {
         Map<String, JsonNode> values = new TreeMap<>();
         for (Definition d : ALL) {
             JsonNode value = stored.path("values").path(d.name);
@@ -108,7 +108,7 @@
                 values.remove(d.name);
             }
         }
-        return new Options(stored.path("revision").asLong(), values);
+        return new OperatorSettings(stored.path("revision").asLong(), values);
     }
 
     /** The form in which the settings are stored. */
@@ -124,7 +124,7 @@
     }
 
     /** These settings with some changed: all of them or none. */
-    public Options with(JsonNode change) throws Invalid {
+    public OperatorSettings with(JsonNode change) throws Invalid {
         if (!change.isObject() || change.isEmpty()) {
             throw new Invalid("change: a map of settings is missing");
         }
@@ -133,11 +133,11 @@
             check(definition(e.getKey()), e.getValue());
             values.put(e.getKey(), e.getValue());
         }
-        return new Options(revision + 1, values);
+        return new OperatorSettings(revision + 1, values);
     }
 
     /** These settings with some at their defaults again; all of them if none is named. */
-    public Options reset(JsonNode names) throws Invalid {
+    public OperatorSettings reset(JsonNode names) throws Invalid {
         Map<String, JsonNode> values = new TreeMap<>();
         if (!names.isMissingNode() && !names.isArray()) {
             throw new Invalid("names: not a list");
@@ -148,7 +148,7 @@
                 values.remove(definition(name.asText()).name);
             }
         }
-        return new Options(revision + 1, values);
+        return new OperatorSettings(revision + 1, values);
     }
 
     private static Definition definition(String name) throws Invalid {
