--- a/src/main/java/stileferry/protocol/PeerRecord.java
+++ b/src/main/java/stileferry/protocol/PeerMessage.java
@@ -10,10 +10,10 @@
 import java.util.List;
 
 /** What controllers send one another, as {@link DataOutputStream} records. */
-public sealed interface PeerRecord {
+public sealed interface PeerMessage {
 
     /** What a forwarded request asks. */
-    enum Ask {
+    enum RequestKind {
         SUBMIT,
         STATUS,
         WITHDRAW,
@@ -21,55 +21,56 @@
         ADMIN
     }
 
-    /** A request on its way to the leader; for {@link Ask#ADMIN} the id is the method and the rest of the path. */
-    record Forward(Ask ask, String id, byte[] body) implements PeerRecord {}
+    /** A request on its way to the leader; for {@link RequestKind#ADMIN} the id is the method and the rest of the path. */
+    record ForwardedRequest(RequestKind ask, String id, byte[] body) implements PeerMessage {}
 
     /** The leader's answer to a forwarded request. */
-    record Answer(int status, int retryAfterS, byte[] body) implements PeerRecord {}
+    record Response(int status, int retryAfterS, byte[] body) implements PeerMessage {}
 
     /** The highest term its sender knows, who leads in it (empty: nobody known), and whether the sender does. */
-    record Term(long term, String leader, boolean leading, Knowledge knowledge, List<String> linkAware)
-            implements PeerRecord {
+    record TermAnnouncement(
+            long term, String leader, boolean leading, CancellationKnowledge knowledge, List<String> linkAware)
+            implements PeerMessage {
         /** A term whose sender does not watch its links. */
-        public Term(long term, String leader, boolean leading, Knowledge knowledge) {
+        public TermAnnouncement(long term, String leader, boolean leading, CancellationKnowledge knowledge) {
             this(term, leader, leading, knowledge, List.of());
         }
 
         /** A term of the older form, which says nothing of cancellations. */
-        public Term(long term, String leader, boolean leading) {
+        public TermAnnouncement(long term, String leader, boolean leading) {
             this(term, leader, leading, null);
         }
 
         /** The same with the controllers that are known to exchange views of their links, the sender first. */
-        public Term with(List<String> controllers) {
-            return new Term(term, leader, leading, knowledge, controllers);
+        public TermAnnouncement with(List<String> controllers) {
+            return new TermAnnouncement(term, leader, leading, knowledge, controllers);
         }
     }
 
     /**
      * A controller's view of its links, in the form that {@code stileferry.connectivity} writes, and the answer to one.
-     * It is sent only to controllers that have shown, in a {@link Term}, that they exchange views.
+     * It is sent only to controllers that have shown, in a {@link TermAnnouncement}, that they exchange views.
      */
-    record Links(byte[] view) implements PeerRecord {}
+    record LinkView(byte[] view) implements PeerMessage {}
 
     /**
      * A controller's demand for admissions on its way to the leader, and the leader's table of turns in answer, in the
      * forms that {@code stileferry.admission} writes. A controller that does not take part answers with something else.
      */
-    record Admission(byte[] message) implements PeerRecord {}
+    record AdmissionExchange(byte[] message) implements PeerMessage {}
 
-    /** Requests on their way to the leader together. Sent only to a leader that has answered {@link Admission}. */
-    record Batch(List<Forward> requests) implements PeerRecord {
+    /** Requests on their way to the leader together. Sent only to a leader that has answered {@link AdmissionExchange}. */
+    record RequestBatch(List<ForwardedRequest> requests) implements PeerMessage {
         /** Copies the list. */
-        public Batch {
+        public RequestBatch {
             requests = List.copyOf(requests);
         }
     }
 
     /** The leader's answers to a batch, in its order. */
-    record BatchAnswer(List<Answer> answers) implements PeerRecord {
+    record ResponseBatch(List<Response> answers) implements PeerMessage {
         /** Copies the list. */
-        public BatchAnswer {
+        public ResponseBatch {
             answers = List.copyOf(answers);
         }
     }
@@ -87,40 +88,41 @@
      * @param complete whether the sender leads for sure and names every cancellation that may have been confirmed
      * @param cancelled the jobs
      */
-    record Knowledge(long process, long addressee, boolean informed, boolean complete, List<String> cancelled) {}
+    record CancellationKnowledge(
+            long process, long addressee, boolean informed, boolean complete, List<String> cancelled) {}
 
     /** Jobs that one record may name; a complete list is no longer. */
     int MOST_CANCELLED = 2000;
 
     /** Writes a record. */
-    static byte[] write(PeerRecord record) {
+    static byte[] write(PeerMessage record) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            if (record instanceof Forward f) {
+            if (record instanceof ForwardedRequest f) {
                 out.writeByte(1);
                 writeForward(out, f);
-            } else if (record instanceof Answer a) {
+            } else if (record instanceof Response a) {
                 out.writeByte(2);
                 writeAnswer(out, a);
-            } else if (record instanceof Term t) {
+            } else if (record instanceof TermAnnouncement t) {
                 out.writeByte(3);
                 writeTerm(out, t);
-            } else if (record instanceof Links l) {
+            } else if (record instanceof LinkView l) {
                 out.writeByte(4);
                 writeBytes(out, l.view());
-            } else if (record instanceof Admission a) {
+            } else if (record instanceof AdmissionExchange a) {
                 out.writeByte(5);
                 writeBytes(out, a.message());
-            } else if (record instanceof Batch b) {
+            } else if (record instanceof RequestBatch b) {
                 out.writeByte(6);
                 out.writeShort(b.requests().size());
-                for (Forward request : b.requests()) {
+                for (ForwardedRequest request : b.requests()) {
                     writeForward(out, request);
                 }
-            } else if (record instanceof BatchAnswer b) {
+            } else if (record instanceof ResponseBatch b) {
                 out.writeByte(7);
                 out.writeShort(b.answers().size());
-                for (Answer answer : b.answers()) {
+                for (Response answer : b.answers()) {
                     writeAnswer(out, answer);
                 }
             }
@@ -131,7 +133,7 @@
     }
 
     /** Reads a record; null when it is malformed. */
-    static PeerRecord read(byte[] bytes) {
+    static PeerMessage read(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             switch (in.readByte()) {
                 case 1:
@@ -139,20 +141,20 @@
                 case 2:
                     return readAnswer(in);
                 case 3:
-                    return new Term(
+                    return new TermAnnouncement(
                             in.readLong(),
                             in.readUTF(),
                             in.readBoolean(),
                             in.available() > 0 ? readKnowledge(in) : null,
                             in.available() > 0 ? readLinkAware(in) : List.of());
                 case 4:
-                    return new Links(readBytes(in));
+                    return new LinkView(readBytes(in));
                 case 5:
-                    return new Admission(readBytes(in));
+                    return new AdmissionExchange(readBytes(in));
                 case 6:
-                    return new Batch(readList(in, PeerRecord::readForward));
+                    return new RequestBatch(readList(in, PeerMessage::readForward));
                 case 7:
-                    return new BatchAnswer(readList(in, PeerRecord::readAnswer));
+                    return new ResponseBatch(readList(in, PeerMessage::readAnswer));
                 default:
                     return null;
             }
@@ -179,21 +181,21 @@
         return list;
     }
 
-    private static void writeForward(DataOutputStream out, Forward forward) throws IOException {
+    private static void writeForward(DataOutputStream out, ForwardedRequest forward) throws IOException {
         out.writeByte(forward.ask().ordinal());
         out.writeUTF(forward.id());
         writeBytes(out, forward.body());
     }
 
-    private static Forward readForward(DataInputStream in) throws IOException {
+    private static ForwardedRequest readForward(DataInputStream in) throws IOException {
         int ask = in.readByte();
-        if (ask < 0 || ask >= Ask.values().length) {
+        if (ask < 0 || ask >= RequestKind.values().length) {
             throw new IOException("no such request");
         }
-        return new Forward(Ask.values()[ask], in.readUTF(), readBytes(in));
+        return new ForwardedRequest(RequestKind.values()[ask], in.readUTF(), readBytes(in));
     }
 
-    private static void writeTerm(DataOutputStream out, Term term) throws IOException {
+    private static void writeTerm(DataOutputStream out, TermAnnouncement term) throws IOException {
         out.writeLong(term.term());
         out.writeUTF(term.leader());
         out.writeBoolean(term.leading());
@@ -203,17 +205,17 @@
         }
     }
 
-    private static void writeAnswer(DataOutputStream out, Answer answer) throws IOException {
+    private static void writeAnswer(DataOutputStream out, Response answer) throws IOException {
         out.writeShort(answer.status());
         out.writeInt(answer.retryAfterS());
         writeBytes(out, answer.body());
     }
 
-    private static Answer readAnswer(DataInputStream in) throws IOException {
-        return new Answer(in.readShort(), in.readInt(), readBytes(in));
+    private static Response readAnswer(DataInputStream in) throws IOException {
+        return new Response(in.readShort(), in.readInt(), readBytes(in));
     }
 
-    private static void write(DataOutputStream out, Knowledge k) throws IOException {
+    private static void write(DataOutputStream out, CancellationKnowledge k) throws IOException {
         out.writeLong(k.process());
         out.writeLong(k.addressee());
         out.writeBoolean(k.informed());
@@ -224,7 +226,7 @@
         }
     }
 
-    private static Knowledge readKnowledge(DataInputStream in) throws IOException {
+    private static CancellationKnowledge readKnowledge(DataInputStream in) throws IOException {
         long process = in.readLong();
         long addressee = in.readLong();
         boolean informed = in.readBoolean();
@@ -237,7 +239,7 @@
         for (int i = 0; i < count; i++) {
             cancelled.add(in.readUTF());
         }
-        return new Knowledge(process, addressee, informed, complete, cancelled);
+        return new CancellationKnowledge(process, addressee, informed, complete, cancelled);
     }
 
     /** Versions before this one do not look at what stands here. */
--- a/src/main/java/stileferry/protocol/SubmissionHead.java
+++ b/src/main/java/stileferry/protocol/SubmissionHeader.java
@@ -13,10 +13,10 @@
  * @param jobClass the class of the job
  * @param priority the job's priority
  */
-public record SubmissionHead(String id, String team, String jobClass, JobSpec.Priority priority) {
+public record SubmissionHeader(String id, String team, String jobClass, JobSpec.Priority priority) {
 
     /** Reads the head of a submission; null when the body is malformed, as far as it is looked at. */
-    public static SubmissionHead read(byte[] body) {
+    public static SubmissionHeader read(byte[] body) {
         try (JsonParser parser = MessageCodec.parser(body)) {
             return parser.nextToken() == JsonToken.START_OBJECT ? read(parser) : null;
         } catch (IOException | RuntimeException e) {
@@ -26,11 +26,11 @@
 
     /** Whether a submission is of the highest priority. */
     public static boolean isCritical(byte[] body) {
-        SubmissionHead head = read(body);
+        SubmissionHeader head = read(body);
         return head != null && head.priority() == JobSpec.Priority.CRITICAL;
     }
 
-    private static SubmissionHead read(JsonParser parser) throws IOException {
+    private static SubmissionHeader read(JsonParser parser) throws IOException {
         String id = null;
         String team = null;
         String jobClass = null;
@@ -46,7 +46,7 @@
             }
         }
         boolean whole = id != null && team != null && jobClass != null && priority != null;
-        return whole && JobSpec.validId(id) ? new SubmissionHead(id, team, jobClass, priority) : null;
+        return whole && JobSpec.validId(id) ? new SubmissionHeader(id, team, jobClass, priority) : null;
     }
 
     private static JobSpec.Priority priority(String word) {
--- a/src/main/java/stileferry/requests/Admin.java
+++ b/src/main/java/stileferry/requests/AdministrationHandler.java
@@ -9,41 +9,41 @@
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
-import stileferry.leadership.Leadership;
+import stileferry.leadership.LeaderElection;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.Options;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.OperatorSettings;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 import stileferry.scheduling.Placement;
-import stileferry.storage.Ledger;
+import stileferry.storage.CommitQueue;
 
 /** The administration API at the leader: the operators' settings, and views of what the leader knows. */
-public final class Admin {
+public final class AdministrationHandler {
     /** Answers stay well below the limit of a body. */
     private static final int MAX_BYTES = MessageCodec.MAX_BODY / 2;
 
     private final ClusterState cluster;
     private final Placement placement;
-    private final Ledger ledger;
-    private final Ledger.Entry entry;
+    private final CommitQueue ledger;
+    private final CommitQueue.Entry entry;
     private final Supplier<ObjectNode> leader;
-    private final Consumer<Options> taken;
-    private Options pending;
+    private final Consumer<OperatorSettings> taken;
+    private OperatorSettings pending;
 
     /** The row is what the state service holds; the consumer takes up settings once they are durable. */
-    public Admin(
+    public AdministrationHandler(
             ClusterState cluster,
             Placement placement,
-            Ledger ledger,
+            CommitQueue ledger,
             long revision,
             Supplier<ObjectNode> leader,
-            Consumer<Options> taken) {
+            Consumer<OperatorSettings> taken) {
         this.cluster = cluster;
         this.placement = placement;
         this.ledger = ledger;
-        this.entry = new Ledger.Entry(Leadership.OPTIONS_KEY, revision, () -> pending.write());
+        this.entry = new CommitQueue.Entry(LeaderElection.OPTIONS_KEY, revision, () -> pending.write());
         this.leader = leader;
         this.taken = taken;
         this.pending = cluster.options();
@@ -57,19 +57,19 @@
             byte[] bytes,
             long now,
             long timeOfDay,
-            Consumer<PeerRecord.Answer> reply) {
+            Consumer<PeerMessage.Response> reply) {
         boolean get = method.equals("GET");
         switch (path) {
             case "settings" -> {
                 if (get) {
-                    reply.accept(Answers.ok(200, cluster.options().describe()));
+                    reply.accept(Responses.ok(200, cluster.options().describe()));
                 } else {
                     change(bytes, false, reply);
                 }
             }
             case "settings/reset" -> {
                 if (get) {
-                    reply.accept(Answers.refusal(405, "only POST here"));
+                    reply.accept(Responses.refusal(405, "only POST here"));
                 } else {
                     change(bytes, true, reply);
                 }
@@ -78,35 +78,35 @@
             case "machines" -> view(get, () -> machines(from, now), reply);
             case "queue" -> view(get, () -> queue(from, now, timeOfDay), reply);
             case "teams" -> view(get, this::teams, reply);
-            default -> reply.accept(Answers.refusal(404, "no such path"));
+            default -> reply.accept(Responses.refusal(404, "no such path"));
         }
     }
 
-    public static void view(boolean get, Supplier<ObjectNode> view, Consumer<PeerRecord.Answer> reply) {
-        reply.accept(get ? Answers.ok(200, view.get()) : Answers.refusal(405, "only GET here"));
+    public static void view(boolean get, Supplier<ObjectNode> view, Consumer<PeerMessage.Response> reply) {
+        reply.accept(get ? Responses.ok(200, view.get()) : Responses.refusal(405, "only GET here"));
     }
 
-    private void change(byte[] bytes, boolean reset, Consumer<PeerRecord.Answer> reply) {
+    private void change(byte[] bytes, boolean reset, Consumer<PeerMessage.Response> reply) {
         JsonNode body = MessageCodec.decode(bytes);
         if (body == null || !body.isObject() || !body.path("revision").isIntegralNumber()) {
-            reply.accept(Answers.refusal(400, "revision: missing or not a whole number"));
+            reply.accept(Responses.refusal(400, "revision: missing or not a whole number"));
             return;
         }
         if (body.path("revision").asLong() != pending.revision()) {
-            reply.accept(Answers.refusal(409, "revision: now at " + pending.revision()));
+            reply.accept(Responses.refusal(409, "revision: now at " + pending.revision()));
             return;
         }
-        Options next;
+        OperatorSettings next;
         try {
             next = reset ? pending.reset(body.path("names")) : pending.with(body.path("change"));
-        } catch (Options.Invalid e) {
-            reply.accept(Answers.refusal(400, e.getMessage()));
+        } catch (OperatorSettings.Invalid e) {
+            reply.accept(Responses.refusal(400, e.getMessage()));
             return;
         }
         pending = next;
         ledger.put(entry, () -> {
             taken.accept(next);
-            reply.accept(Answers.ok(200, next.describe()));
+            reply.accept(Responses.ok(200, next.describe()));
         });
     }
 
@@ -206,7 +206,7 @@
     }
 
     /** What a request that can't be answered now gets. */
-    public static PeerRecord.Answer unavailable() {
-        return new PeerRecord.Answer(503, 1, MessageCodec.encode(Messages.error("no leader, or not sure of it")));
+    public static PeerMessage.Response unavailable() {
+        return new PeerMessage.Response(503, 1, MessageCodec.encode(Messages.error("no leader, or not sure of it")));
     }
 }
--- a/src/main/java/stileferry/requests/BatchReply.java
+++ b/src/main/java/stileferry/requests/BatchResponder.java
@@ -5,44 +5,45 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /**
  * Gathers the leader's answers to a batch. Questions that take long are answered 503, so that the others don't wait.
  */
-public final class BatchReply {
+public final class BatchResponder {
     /** Most questions are answered at once; one about an ended job may need a read. */
     private static final long LONGEST_QUESTION_MS = 500;
 
-    private final PeerRecord.Answer[] answers;
-    private final Consumer<PeerRecord> reply;
+    private final PeerMessage.Response[] answers;
+    private final Consumer<PeerMessage> reply;
     private int missing;
     private boolean sent;
 
     /** Has each request of a batch answered, and replies as soon as all of them are. */
     public static void to(
-            List<PeerRecord.Forward> requests,
+            List<PeerMessage.ForwardedRequest> requests,
             Environment environment,
-            BiConsumer<PeerRecord.Forward, Consumer<PeerRecord.Answer>> handler,
-            Consumer<PeerRecord> reply) {
-        BatchReply batch = new BatchReply(environment, requests, reply);
+            BiConsumer<PeerMessage.ForwardedRequest, Consumer<PeerMessage.Response>> handler,
+            Consumer<PeerMessage> reply) {
+        BatchResponder batch = new BatchResponder(environment, requests, reply);
         for (int i = 0; i < requests.size(); i++) {
             int number = i;
             handler.accept(requests.get(i), answer -> batch.answer(number, answer));
         }
     }
 
-    private BatchReply(Environment environment, List<PeerRecord.Forward> requests, Consumer<PeerRecord> reply) {
-        this.answers = new PeerRecord.Answer[requests.size()];
+    private BatchResponder(
+            Environment environment, List<PeerMessage.ForwardedRequest> requests, Consumer<PeerMessage> reply) {
+        this.answers = new PeerMessage.Response[requests.size()];
         this.missing = answers.length;
         this.reply = reply;
-        boolean questions = requests.stream().allMatch(r -> r.ask() == PeerRecord.Ask.STATUS);
+        boolean questions = requests.stream().allMatch(r -> r.ask() == PeerMessage.RequestKind.STATUS);
         if (questions) {
             environment.after(LONGEST_QUESTION_MS, this::giveUp);
         }
     }
 
-    private void answer(int request, PeerRecord.Answer answer) {
+    private void answer(int request, PeerMessage.Response answer) {
         if (answers[request] != null) {
             return;
         }
@@ -55,14 +56,14 @@
 
     private void giveUp() {
         for (int i = 0; i < answers.length; i++) {
-            answer(i, Answers.unavailable());
+            answer(i, Responses.unavailable());
         }
     }
 
     private void send() {
         if (!sent) {
             sent = true;
-            reply.accept(new PeerRecord.BatchAnswer(Arrays.asList(answers)));
+            reply.accept(new PeerMessage.ResponseBatch(Arrays.asList(answers)));
         }
     }
 }
--- a/src/main/java/stileferry/requests/Users.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -8,19 +8,19 @@
 import java.util.function.Consumer;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
-import stileferry.lifecycle.EndedJobCache;
-import stileferry.lifecycle.JobEnds;
+import stileferry.lifecycle.CompletedJobCache;
+import stileferry.lifecycle.JobCompletion;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
-import stileferry.storage.Ledger;
-import stileferry.storage.StateClient;
+import stileferry.storage.CommitQueue;
+import stileferry.storage.KeyValueStoreClient;
 
 /** Dealings with users in one term: they hear accepted, cancelled or done only when it is durable. */
-public final class Users implements JobEnds.Listener {
+public final class JobRequestHandler implements JobCompletion.Listener {
     /** The share of the value limit that a job's record may take; the rest is for what is added later. */
     private static final double FILL = 0.9;
 
@@ -32,16 +32,16 @@
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final StateClient state;
-    private final Ledger ledger;
-    private final EndedJobCache ended;
-    private final Lead lead;
+    private final KeyValueStoreClient state;
+    private final CommitQueue ledger;
+    private final CompletedJobCache ended;
+    private final Leader lead;
 
     /** Jobs whose users wait for something to be durable. */
     private final Set<Job> awaited = new LinkedHashSet<>();
 
     /** What the leader does for its users. */
-    public interface Lead {
+    public interface Leader {
         /** Whether anything may be told or promised now. */
         boolean serving();
 
@@ -64,13 +64,13 @@
         void cancel(Job job);
     }
 
-    public Users(
+    public JobRequestHandler(
             ClusterState cluster,
             Environment environment,
-            StateClient state,
-            Ledger ledger,
-            EndedJobCache ended,
-            Lead lead) {
+            KeyValueStoreClient state,
+            CommitQueue ledger,
+            CompletedJobCache ended,
+            Leader lead) {
         this.cluster = cluster;
         this.environment = environment;
         this.state = state;
@@ -82,13 +82,13 @@
     /** Tells all who wait that nothing more will be known here. */
     public void close() {
         for (Job job : cluster.jobs().values()) {
-            answer(job, Answers.unavailable());
+            answer(job, Responses.unavailable());
         }
     }
 
     /** Answers all who wait for this job. */
-    void answer(Job job, PeerRecord.Answer answer) {
-        List<Consumer<PeerRecord.Answer>> waiting = job.waiting();
+    void answer(Job job, PeerMessage.Response answer) {
+        List<Consumer<PeerMessage.Response>> waiting = job.waiting();
         job.setWaiting(new ArrayList<>());
         job.setWaitingSince(0);
         awaited.remove(job);
@@ -96,8 +96,8 @@
     }
 
     @Override
-    public void ended(Job job, EndedJobCache.Ended end) {
-        answer(job, Answers.ok(200, end.answer(job.spec().id())));
+    public void ended(Job job, CompletedJobCache.CompletedJob end) {
+        answer(job, Responses.ok(200, end.answer(job.spec().id())));
     }
 
     @Override
@@ -105,7 +105,7 @@
         answer(job, state(job, 200));
     }
 
-    private void await(Job job, Consumer<PeerRecord.Answer> reply) {
+    private void await(Job job, Consumer<PeerMessage.Response> reply) {
         job.waiting().add(reply);
         if (job.waitingSince() == 0) {
             job.setWaitingSince(environment.now());
@@ -119,30 +119,30 @@
         boolean sure = lead.serving();
         for (Job job : List.copyOf(awaited)) {
             if (!sure || now - job.waitingSince() > DURABLE_MS) {
-                answer(job, Answers.unavailable());
+                answer(job, Responses.unavailable());
             }
         }
     }
 
     /** Where a job stands, as its user may hear it. */
-    PeerRecord.Answer state(Job job, int status) {
+    PeerMessage.Response state(Job job, int status) {
         if (!job.accepted() || job.cancelled() && !job.cancelTold()) {
-            return Answers.unavailable(); // the outcome of what would change the answer is not known yet
+            return Responses.unavailable(); // the outcome of what would change the answer is not known yet
         }
         int running = job.cancelled() ? 0 : job.runningCount();
         String tide = job.cancelled() ? "cancelled" : running > 0 ? "running" : "pending";
         int done = job.ending() ? Math.max(0, job.doneCount() - 1) : job.doneCount();
-        return Answers.ok(status, Messages.jobState(job.spec().id(), tide, done, running));
+        return Responses.ok(status, Messages.jobState(job.spec().id(), tide, done, running));
     }
 
     /** A job that was accepted and whose record nobody can read: known, and not over. */
-    private static PeerRecord.Answer unreadable(String id) {
-        return Answers.ok(200, Messages.jobState(id, "pending", 0, 0));
+    private static PeerMessage.Response unreadable(String id) {
+        return Responses.ok(200, Messages.jobState(id, "pending", 0, 0));
     }
 
     /** Looks an id up among the ended jobs; the status is 0 when that can't be told now. */
-    private void lookUp(String id, Consumer<EndedJobCache.Ended> known, Runnable unknown, Runnable failed) {
-        EndedJobCache.Ended cached = ended.get(id);
+    private void lookUp(String id, Consumer<CompletedJobCache.CompletedJob> known, Runnable unknown, Runnable failed) {
+        CompletedJobCache.CompletedJob cached = ended.get(id);
         if (cached != null) {
             known.accept(cached);
             return;
@@ -151,7 +151,7 @@
             if (!lead.serving() || status != 200 && status != 404) {
                 failed.run();
             } else if (status == 200) {
-                EndedJobCache.Ended read = EndedJobCache.Ended.read(body.path("v"));
+                CompletedJobCache.CompletedJob read = CompletedJobCache.CompletedJob.read(body.path("v"));
                 ended.put(id, read);
                 known.accept(read);
             } else {
@@ -160,15 +160,15 @@
         });
     }
 
-    public void submit(byte[] bytes, Consumer<PeerRecord.Answer> reply) {
+    public void submit(byte[] bytes, Consumer<PeerMessage.Response> reply) {
         if (!lead.promising()) {
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
             return;
         }
         JsonNode body = MessageCodec.decode(bytes);
         String id = body == null ? "" : body.path("name_id").asText("");
         if (!JobSpec.validId(id)) {
-            reply.accept(Answers.refusal(400, "not a map with a valid job id"));
+            reply.accept(Responses.refusal(400, "not a map with a valid job id"));
             return;
         }
         Job job = cluster.jobs().get(id);
@@ -183,24 +183,24 @@
         long behindS = behindS();
         boolean first = lead.goesFirst(bytes);
         if (behindS > 0 && !first) { // it would only wait, and everything behind it
-            reply.accept(new PeerRecord.Answer(
+            reply.accept(new PeerMessage.Response(
                     503, (int) behindS, MessageCodec.encode(Messages.error("too much to do, try again"))));
             return;
         }
         lookUp(
                 id,
-                e -> reply.accept(Answers.ok(200, e.answer(id))),
+                e -> reply.accept(Responses.ok(200, e.answer(id))),
                 () -> {
                     Job meanwhile = cluster.jobs().get(id);
                     if (meanwhile != null) {
                         join(meanwhile, reply);
                     } else if (ended.get(id) != null) {
-                        reply.accept(Answers.ok(200, ended.get(id).answer(id)));
+                        reply.accept(Responses.ok(200, ended.get(id).answer(id)));
                     } else {
                         accept(body, first, reply);
                     }
                 },
-                () -> reply.accept(Answers.unavailable()));
+                () -> reply.accept(Responses.unavailable()));
     }
 
     /** Whether a job's end was looked up or came up lately. */
@@ -221,7 +221,7 @@
                 state.waiting() / cluster.settings().state().rps());
     }
 
-    private void join(Job job, Consumer<PeerRecord.Answer> reply) {
+    private void join(Job job, Consumer<PeerMessage.Response> reply) {
         if (job.accepted()) {
             reply.accept(state(job, 200));
         } else {
@@ -229,41 +229,41 @@
         }
     }
 
-    private void accept(JsonNode body, boolean first, Consumer<PeerRecord.Answer> reply) {
+    private void accept(JsonNode body, boolean first, Consumer<PeerMessage.Response> reply) {
         JobSpec spec;
         try {
             spec = JobSpec.read(body);
         } catch (JobSpec.Malformed e) {
-            reply.accept(Answers.refusal(400, e.getMessage()));
+            reply.accept(Responses.refusal(400, e.getMessage()));
             return;
         }
         Settings.Team team = cluster.settings().team(spec.team());
         if (team == null) {
-            reply.accept(Answers.refusal(422, "unknown team"));
+            reply.accept(Responses.refusal(422, "unknown team"));
             return;
         }
         if (cluster.types().isEmpty()) {
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
             return;
         }
         if (cluster.types().stream().noneMatch(spec::fitsType)) {
-            reply.accept(Answers.refusal(422, "a task fits no allowed machine type"));
+            reply.accept(Responses.refusal(422, "a task fits no allowed machine type"));
             return;
         }
         if (!spec.canRunTogether(cluster.types())) {
-            reply.accept(Answers.refusal(422, "its tasks can't all run at the same time"));
+            reply.accept(Responses.refusal(422, "its tasks can't all run at the same time"));
             return;
         }
         double tasks = spec.kind() == JobSpec.Kind.ARRAY ? 1 : spec.tasks();
         if (team.cpusMax() > 0 && tasks * spec.cpus() > team.cpusMax()
                 || team.gpusMax() > 0 && tasks * spec.gpus() > team.gpusMax()) {
-            reply.accept(Answers.refusal(422, "more than the team's limit"));
+            reply.accept(Responses.refusal(422, "more than the team's limit"));
             return;
         }
         Job job = new Job(spec, lead.number(), environment.timeOfDay(), 0);
         if (job.record().value().toString().length()
                 > cluster.settings().state().valueKb() * 1024 * FILL) {
-            reply.accept(Answers.refusal(422, "its description is larger than can be kept"));
+            reply.accept(Responses.refusal(422, "its description is larger than can be kept"));
             return;
         }
         await(job, reply);
@@ -271,7 +271,7 @@
         lead.accepting(job);
         Runnable onDurable = () -> {
             job.setAccepted(true);
-            answer(job, Answers.ok(201, Messages.jobState(spec.id(), "pending", 0, 0)));
+            answer(job, Responses.ok(201, Messages.jobState(spec.id(), "pending", 0, 0)));
             lead.changed();
         };
         if (first) {
@@ -281,9 +281,9 @@
         }
     }
 
-    public void status(String id, Consumer<PeerRecord.Answer> reply) {
+    public void status(String id, Consumer<PeerMessage.Response> reply) {
         if (!lead.serving()) {
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
             return;
         }
         Job job = cluster.jobs().get(id);
@@ -297,36 +297,36 @@
         }
         lookUp(
                 id,
-                e -> reply.accept(Answers.ok(200, e.answer(id))),
+                e -> reply.accept(Responses.ok(200, e.answer(id))),
                 () -> {
                     Job meanwhile = cluster.jobs().get(id);
                     reply.accept(meanwhile != null ? state(meanwhile, 200) : endedMeanwhile(id));
                 },
-                () -> reply.accept(Answers.unavailable()));
+                () -> reply.accept(Responses.unavailable()));
     }
 
     /** The answer about a job that is not alive and had not ended when that was asked: it may have lived in between. */
-    private PeerRecord.Answer endedMeanwhile(String id) {
-        EndedJobCache.Ended now = ended.get(id);
-        return now == null ? Answers.refusal(404, "no such job") : Answers.ok(200, now.answer(id));
+    private PeerMessage.Response endedMeanwhile(String id) {
+        CompletedJobCache.CompletedJob now = ended.get(id);
+        return now == null ? Responses.refusal(404, "no such job") : Responses.ok(200, now.answer(id));
     }
 
-    public void withdraw(String id, Consumer<PeerRecord.Answer> reply) {
+    public void withdraw(String id, Consumer<PeerMessage.Response> reply) {
         if (!lead.promising()) {
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
             return;
         }
         Job job = cluster.jobs().get(id);
         if (job == null && cluster.unreadable().contains(id)) {
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
         } else if (job == null) {
             lookUp(
                     id,
-                    e -> reply.accept(Answers.ok(200, e.answer(id))),
-                    () -> reply.accept(cluster.jobs().containsKey(id) ? Answers.unavailable() : endedMeanwhile(id)),
-                    () -> reply.accept(Answers.unavailable()));
+                    e -> reply.accept(Responses.ok(200, e.answer(id))),
+                    () -> reply.accept(cluster.jobs().containsKey(id) ? Responses.unavailable() : endedMeanwhile(id)),
+                    () -> reply.accept(Responses.unavailable()));
         } else if (!job.accepted()) {
-            reply.accept(Answers.unavailable());
+            reply.accept(Responses.unavailable());
         } else if (job.cancelTold()) {
             reply.accept(state(job, 200));
         } else {
--- a/src/main/java/stileferry/requests/Counters.java
+++ b/src/main/java/stileferry/requests/RequestMetrics.java
@@ -6,16 +6,16 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** What one controller has answered since its start, and how long that took. */
-public final class Counters {
+public final class RequestMetrics {
     private static final long LONGEST_MS = 60_000;
 
-    private final Map<PeerRecord.Ask, Histogram> times = new EnumMap<>(PeerRecord.Ask.class);
+    private final Map<PeerMessage.RequestKind, Histogram> times = new EnumMap<>(PeerMessage.RequestKind.class);
     private final Map<String, Long> answers = new TreeMap<>();
 
-    public void count(PeerRecord.Ask ask, int status, long tookMs) {
+    public void count(PeerMessage.RequestKind ask, int status, long tookMs) {
         times.computeIfAbsent(ask, a -> new Histogram(LONGEST_MS, 2))
                 .recordValue(Math.min(LONGEST_MS, Math.max(0, tookMs)));
         answers.merge(name(ask) + " " + status, 1L, Long::sum);
@@ -35,7 +35,7 @@
         return n;
     }
 
-    private static String name(PeerRecord.Ask ask) {
+    private static String name(PeerMessage.RequestKind ask) {
         return ask.name().toLowerCase(java.util.Locale.ROOT);
     }
 }
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
-import stileferry.protocol.Options;
+import stileferry.cluster.TaskAssignment;
+import stileferry.protocol.OperatorSettings;
 
 /**
  * Empties machines that the work no longer needs, so that they can be returned: nothing new starts there, arrays run
@@ -37,10 +37,10 @@
 
     private final ClusterState cluster;
     private final Placement placement;
-    private final Consumer<Claim> mover;
+    private final Consumer<TaskAssignment> mover;
     private long calmSince;
 
-    Consolidation(ClusterState cluster, Placement placement, long now, Consumer<Claim> mover) {
+    Consolidation(ClusterState cluster, Placement placement, long now, Consumer<TaskAssignment> mover) {
         this.cluster = cluster;
         this.placement = placement;
         this.calmSince = now;
@@ -103,7 +103,7 @@
         machines.sort(Comparator.comparingDouble(Machine::usedCpus).thenComparing(m -> m));
         double free = freeNow;
         for (Machine m : machines.subList(0, Math.max(0, Math.min(most, machines.size())))) {
-            double keep = Math.max(m.type().cpus(), all * cluster.options().number(Options.EMPTY_SHARE));
+            double keep = Math.max(m.type().cpus(), all * cluster.options().number(OperatorSettings.EMPTY_SHARE));
             double elsewhere = free - free(m);
             if (now - calmSince < CALM_BOOTS * 1000 * m.type().bootS() || elsewhere < m.usedCpus() + keep) {
                 return;
@@ -122,7 +122,7 @@
     private void move(List<Machine> emptying, long now) {
         int moves = 1 + (int) (cluster.machines().size() * MOVING_SHARE);
         for (Machine from : emptying) {
-            Claim next = moves == 0 ? null : next(from, now);
+            TaskAssignment next = moves == 0 ? null : next(from, now);
             if (next != null && elsewhere(next, from, now)) {
                 mover.accept(next);
                 moves--;
@@ -130,9 +130,9 @@
         }
     }
 
-    private static Claim next(Machine from, long now) {
-        Claim next = null;
-        for (Claim c : from.claims().values()) {
+    private static TaskAssignment next(Machine from, long now) {
+        TaskAssignment next = null;
+        for (TaskAssignment c : from.claims().values()) {
             if (!c.job().spec().service() || c.stopping() || c.runningAt() == 0 || now - c.runningAt() < MIN_RUN_MS) {
                 return null;
             }
@@ -141,7 +141,7 @@
         return next;
     }
 
-    private boolean elsewhere(Claim claim, Machine from, long now) {
+    private boolean elsewhere(TaskAssignment claim, Machine from, long now) {
         boolean[] found = new boolean[1];
         cluster.rooms()
                 .atLeast(
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
-import stileferry.protocol.Options;
+import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.Settings;
 
 /**
@@ -100,7 +100,7 @@
     boolean overdue(Job job, long timeOfDay) {
         return !job.begun()
                 && job.claims().isEmpty()
-                && timeOfDay - job.acceptedAt() > 1000 * cluster.options().number(Options.BEGIN_WITHIN_S);
+                && timeOfDay - job.acceptedAt() > 1000 * cluster.options().number(OperatorSettings.BEGIN_WITHIN_S);
     }
 
     /** Jobs with a task that waits, in queue order. */
@@ -125,7 +125,7 @@
      */
     List<Job> pass(long now, long timeOfDay, boolean preempts, BiConsumer<Job, List<Machine>> start) {
         markGuaranteed();
-        double protectAfterMs = 1000 * cluster.options().number(Options.HEAD_PROTECTION_S);
+        double protectAfterMs = 1000 * cluster.options().number(OperatorSettings.HEAD_PROTECTION_S);
         List<Job> queue = queue(now, timeOfDay);
         List<Job> open = new ArrayList<>(queue); // the same, with null for jobs that are stuck
         double[] ranks = new double[queue.size()];
@@ -314,7 +314,7 @@
     /** Tried out with claims that are taken back at once. */
     private List<Machine> tryAll(Job job, Predicate<Machine> usable, long now) {
         List<Machine> machines = new ArrayList<>();
-        List<Claim> tried = new ArrayList<>();
+        List<TaskAssignment> tried = new ArrayList<>();
         int index = job.taken().nextClearBit(0);
         while (index < job.spec().tasks()) {
             Machine machine = choose(job, usable, now);
@@ -323,7 +323,7 @@
                 break;
             }
             machines.add(machine);
-            Claim claim = new Claim(job, index, 0, machine.name(), machine.session(), now);
+            TaskAssignment claim = new TaskAssignment(job, index, 0, machine.name(), machine.session(), now);
             cluster.add(claim);
             tried.add(claim);
             index = job.taken().nextClearBit(index);
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Settings;
 
@@ -48,14 +48,14 @@
     }
 
     /** A stop that was decided: the task and how long it may save. */
-    record Stop(Claim victim, double graceS, Job forJob) {}
+    record Stop(TaskAssignment victim, double graceS, Job forJob) {}
 
     /** What has been decided so far in one turn. It can be copied, to try out one way to make room among several. */
     private static final class Plan {
         final List<Stop> stops = new ArrayList<>();
 
         /** Claims that are stopping, or will be. */
-        final Set<Claim> going = new HashSet<>();
+        final Set<TaskAssignment> going = new HashSet<>();
 
         /** CPUs, GPUs and memory on machines that are kept for waiting tasks considered earlier. */
         final Map<String, double[]> promised = new HashMap<>();
@@ -85,7 +85,7 @@
         }
 
         /** Takes in that a claimed task is stopped, and with it the rest of its gang. */
-        void stop(Claim victim) {
+        void stop(TaskAssignment victim) {
             if (victim.job().spec().gang()) {
                 victim.job().claims().values().stream()
                         .filter(c -> !going.contains(c))
@@ -95,7 +95,7 @@
             }
         }
 
-        void give(Claim claim) {
+        void give(TaskAssignment claim) {
             going.add(claim);
             double[] sum = givenBack.computeIfAbsent(claim.job().spec().team(), n -> new double[2]);
             sum[0] += claim.job().spec().cpus();
@@ -192,7 +192,7 @@
     }
 
     /** One machine where room can be made, with what that costs. */
-    private record Option(Machine machine, List<Claim> victims, boolean fetch, long loss) {}
+    private record Option(Machine machine, List<TaskAssignment> victims, boolean fetch, long loss) {}
 
     /** Makes room for as many waiting tasks of a job as can be, in one zone or (null) in any; returns for how many. */
     private int makeRoom(Job job, String zone, long now, Plan plan) {
@@ -219,7 +219,7 @@
             plan.promise(best.machine, job);
             plan.fetches += again.fetch ? 1 : 0;
             plan.loss += again.loss;
-            for (Claim v : again.victims) {
+            for (TaskAssignment v : again.victims) {
                 plan.stop(v);
                 plan.stops.add(new Stop(v, hurry(job, v) ? 0 : v.job().spec().saveS(), job));
             }
@@ -236,12 +236,12 @@
     }
 
     private Option option(Job job, Machine m, long now, Plan plan) {
-        List<Claim> victims = victims(job, m, now, plan);
+        List<TaskAssignment> victims = victims(job, m, now, plan);
         if (victims == null) {
             return null;
         }
         long loss = 0;
-        for (Claim v : victims) {
+        for (TaskAssignment v : victims) {
             loss += v.stopCostMs(now);
         }
         boolean fetch =
@@ -250,7 +250,7 @@
     }
 
     /** Saving takes time; work that has to start within a few seconds can't wait for it. */
-    private boolean hurry(Job job, Claim victim) {
+    private boolean hurry(Job job, TaskAssignment victim) {
         double saves = SAVES_WITHIN_AIM * victim.job().spec().saveS();
         if (job.spec().priority() == JobSpec.Priority.CRITICAL
                 || job.spec().gang() && placement.startAim(job) < saves) {
@@ -265,15 +265,15 @@
     }
 
     /** The tasks to stop on this machine so that one more task of the job fits; null when that can't be done. */
-    private List<Claim> victims(Job job, Machine m, long now, Plan plan) {
+    private List<TaskAssignment> victims(Job job, Machine m, long now, Plan plan) {
         double[] kept = plan.promised.getOrDefault(m.name(), NOTHING);
         double cpus = m.type().cpus() - kept[0] - job.spec().cpus();
         double gpus = m.type().gpus() - kept[1] - job.spec().gpus();
         double memory = m.type().memoryGb() - kept[2] - job.spec().memoryGb();
-        List<Claim> candidates = new ArrayList<>();
+        List<TaskAssignment> candidates = new ArrayList<>();
         double givenCpus = 0;
         double givenGpus = 0;
-        for (Claim c : m.claims().values()) {
+        for (TaskAssignment c : m.claims().values()) {
             if (plan.going.contains(c)) {
                 continue;
             }
@@ -284,11 +284,11 @@
                 candidates.add(c);
             }
         }
-        candidates.sort(
-                Comparator.<Claim>comparingInt(c -> -c.job().spec().priority().ordinal())
-                        .thenComparingLong(c -> c.stopCostMs(now)));
-        List<Claim> victims = new ArrayList<>();
-        for (Claim c : candidates) {
+        candidates.sort(Comparator.<TaskAssignment>comparingInt(
+                        c -> -c.job().spec().priority().ordinal())
+                .thenComparingLong(c -> c.stopCostMs(now)));
+        List<TaskAssignment> victims = new ArrayList<>();
+        for (TaskAssignment c : candidates) {
             if (fits(cpus, gpus, memory)) {
                 break;
             }
@@ -308,7 +308,7 @@
         return cpus > -1e-6 && gpus > -1e-6 && memory > -1e-6;
     }
 
-    private boolean mayStop(Job job, Claim c, Plan plan, double givenCpus, double givenGpus) {
+    private boolean mayStop(Job job, TaskAssignment c, Plan plan, double givenCpus, double givenGpus) {
         if (job.spec().priority().compareTo(c.job().spec().priority()) < 0) {
             return true;
         }
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.autoscaling.Provisioning;
+import stileferry.autoscaling.Autoscaler;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.lifecycle.TaskLifecycle;
-import stileferry.links.LinkAwareness;
+import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
-import stileferry.protocol.Options;
+import stileferry.protocol.OperatorSettings;
 
 /** One pass over the queue: what fits is started, room is made, machines are rented and emptied. */
 public final class SchedulingPass {
@@ -18,19 +18,19 @@
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final LinkAwareness links;
+    private final LinkHealth links;
     private final Placement placement;
     private final Preemption preemption;
-    private final Provisioning provisioning;
+    private final Autoscaler provisioning;
     private final Consolidation consolidation;
     private final TaskLifecycle tasks;
 
     public SchedulingPass(
             ClusterState cluster,
             Environment environment,
-            LinkAwareness links,
+            LinkHealth links,
             Placement placement,
-            Provisioning provisioning,
+            Autoscaler provisioning,
             TaskLifecycle tasks) {
         this.cluster = cluster;
         this.environment = environment;
@@ -54,7 +54,7 @@
         }
         long now = environment.now();
         boolean rearranges = settled && links.permitsPreempting();
-        boolean preempts = rearranges && cluster.options().flag(Options.PREEMPTION);
+        boolean preempts = rearranges && cluster.options().flag(OperatorSettings.PREEMPTION);
         List<Job> waiting = placement.pass(now, environment.timeOfDay(), preempts, this::start);
         cluster.reservations().clear();
         if (preempts) {
--- a/src/main/java/stileferry/storage/Ledger.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -17,7 +17,7 @@
  * are durable. Every transaction compares the leader key and the revision of each key it writes, so that one sent
  * by a former leader, or applied late, changes nothing.
  */
-public final class Ledger {
+public final class CommitQueue {
     private static final Logger LOG = LoggerFactory.getLogger("ledger");
 
     static final int MAX_IN_FLIGHT = 8;
@@ -35,7 +35,7 @@
     private static final int MAX_BYTES = MessageCodec.MAX_BODY * 3 / 4;
 
     private final Environment environment;
-    private final StateClient state;
+    private final KeyValueStoreClient state;
     private final String fenceKey;
     private final long fenceRevision;
     private final String stampPrefix;
@@ -128,9 +128,9 @@
     }
 
     /** A ledger for one term, fenced by the leader key at the revision it was written with. */
-    public Ledger(
+    public CommitQueue(
             Environment environment,
-            StateClient state,
+            KeyValueStoreClient state,
             String fenceKey,
             long fenceRevision,
             long term,
@@ -230,7 +230,7 @@
                 return;
             }
             int most = Math.min(Math.max(LEAST_CHANGES, room), state.limits().txnOps());
-            LedgerTransaction t = pack(most - keptForCounter);
+            CompareAndSwapTransaction t = pack(most - keptForCounter);
             if (t == null) {
                 return;
             }
@@ -239,12 +239,12 @@
         }
     }
 
-    private LedgerTransaction begin() {
-        return new LedgerTransaction(stampPrefix + Long.toString(stamps++, 36), fenceKey, fenceRevision);
+    private CompareAndSwapTransaction begin() {
+        return new CompareAndSwapTransaction(stampPrefix + Long.toString(stamps++, 36), fenceKey, fenceRevision);
     }
 
-    private LedgerTransaction begin(EventLog.Batch batch) {
-        LedgerTransaction t = begin();
+    private CompareAndSwapTransaction begin(EventLog.Batch batch) {
+        CompareAndSwapTransaction t = begin();
         t.add(batch.put(), batch.bytes());
         for (Entry old : batch.deletions()) {
             old.deleted = true;
@@ -254,8 +254,8 @@
         return t;
     }
 
-    private LedgerTransaction pack(int limit) {
-        LedgerTransaction t = null;
+    private CompareAndSwapTransaction pack(int limit) {
+        CompareAndSwapTransaction t = null;
         EventLog.Batch batch = events.waits() ? events.next(limit) : null;
         if (batch != null) {
             t = begin(batch);
@@ -291,14 +291,14 @@
     }
 
     /** What is counted is durable together with its count: neither can be lost or doubled without the other. */
-    private void addCount(LedgerTransaction t) {
+    private void addCount(CompareAndSwapTransaction t) {
         Entry count = t == null ? null : counter.count(List.copyOf(t.entries));
         if (count != null) {
             t.add(count, -1);
         }
     }
 
-    private void send(LedgerTransaction t) {
+    private void send(CompareAndSwapTransaction t) {
         if (closed) {
             return;
         }
@@ -328,7 +328,7 @@
         });
     }
 
-    private void again(LedgerTransaction t, Runnable next) {
+    private void again(CompareAndSwapTransaction t, Runnable next) {
         long pause = Math.min(1000, 50L << Math.min(5, t.tries++));
         environment.after(pause / 2 + environment.random().nextLong(pause), next);
     }
@@ -337,7 +337,7 @@
      * Learns whether an unanswered transaction was the one that made its own repetition fail. It is applied whole or
      * not at all, so one of its keys tells.
      */
-    private void verify(LedgerTransaction t) {
+    private void verify(CompareAndSwapTransaction t) {
         if (closed) {
             return;
         }
@@ -366,7 +366,7 @@
         return body.path("v").path("x").asText();
     }
 
-    private void applied(LedgerTransaction t, long revision) {
+    private void applied(CompareAndSwapTransaction t, long revision) {
         inFlight--;
         for (Entry entry : t.entries) {
             entry.flying = false;
--- a/src/main/java/stileferry/storage/LedgerTransaction.java
+++ b/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
@@ -12,12 +12,12 @@
  * A conditional transaction: keys with the revisions that they are compared with, and what is to run once it is
  * durable.
  */
-final class LedgerTransaction {
+final class CompareAndSwapTransaction {
     /** More than a change takes beside its value, in JSON form. */
     private static final int BYTES_EACH_CHANGE = 200;
 
-    final List<Ledger.Entry> entries = new ArrayList<>();
-    final Set<Ledger.Entry> deletions = new HashSet<>();
+    final List<CommitQueue.Entry> entries = new ArrayList<>();
+    final Set<CommitQueue.Entry> deletions = new HashSet<>();
     final List<Runnable> actions = new ArrayList<>();
     final ObjectNode body = MessageCodec.map();
 
@@ -32,7 +32,7 @@
     private final ArrayNode changes;
 
     /** A transaction that fails unless the fence key stands at its revision. */
-    LedgerTransaction(String stamp, String fenceKey, long fenceRevision) {
+    CompareAndSwapTransaction(String stamp, String fenceKey, long fenceRevision) {
         this.stamp = stamp;
         this.conditions = body.putArray("if");
         this.changes = body.putArray("apply");
@@ -44,7 +44,7 @@
     }
 
     /** Takes a key in as it is now; its size is measured if it is not known (-1). */
-    void add(Ledger.Entry entry, int knownBytes) {
+    void add(CommitQueue.Entry entry, int knownBytes) {
         entry.marked = false;
         entry.flying = true;
         entries.add(entry);
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -38,9 +38,9 @@
 
     /** One record as it is stored, with what it holds. */
     static final class Slot {
-        final Ledger.Entry entry;
+        final CommitQueue.Entry entry;
         long number;
-        List<Ledger.Event> events = List.of();
+        List<CommitQueue.Event> events = List.of();
 
         /** Records that hold what was set aside of this one. */
         final List<Slot> aside = new ArrayList<>();
@@ -48,16 +48,20 @@
         ObjectNode value = MessageCodec.map();
 
         Slot(String key, long revision, long number) {
-            this.entry = new Ledger.Entry(key, revision, () -> this.value);
+            this.entry = new CommitQueue.Entry(key, revision, () -> this.value);
             this.number = number;
         }
     }
 
-    private record Pending(Ledger.Event event, Runnable onDurable) {}
+    private record Pending(CommitQueue.Event event, Runnable onDurable) {}
 
     /** What one transaction writes of the log, and whether the record it gives up held ends of claims. */
     public record Batch(
-            Ledger.Entry put, List<Ledger.Entry> deletions, int bytes, List<Runnable> actions, boolean endsGivenUp) {}
+            CommitQueue.Entry put,
+            List<CommitQueue.Entry> deletions,
+            int bytes,
+            List<Runnable> actions,
+            boolean endsGivenUp) {}
 
     /**
      * A ring of so many records within the service's value limit.
@@ -71,7 +75,7 @@
     }
 
     /** Takes a stored record in. */
-    public void restore(String key, long revision, long number, List<Ledger.Event> events) {
+    public void restore(String key, long revision, long number, List<CommitQueue.Event> events) {
         restored = true;
         Slot slot = new Slot(key, revision, number);
         slot.events = events;
@@ -108,7 +112,7 @@
     }
 
     /** Queues an event; the action runs once it is durable. */
-    public void add(Ledger.Event event, Runnable onDurable) {
+    public void add(CommitQueue.Event event, Runnable onDurable) {
         pending.add(new Pending(event, onDurable));
         pendingBytes += event.bytes();
     }
@@ -135,7 +139,8 @@
         } else if (slot.entry.flying() || holdsEnds(slot) && anyFlyingBefore(at)) {
             return null;
         }
-        int live = ROW_BYTES + live(slot).stream().mapToInt(Ledger.Event::bytes).sum();
+        int live = ROW_BYTES
+                + live(slot).stream().mapToInt(CommitQueue.Event::bytes).sum();
         if (live > mostBytes) {
             return setAside(slot);
         }
@@ -144,9 +149,9 @@
         }
         boolean endsGivenUp = holdsEnds(slot);
         long number = ++lastNumber;
-        List<Ledger.Event> events = new ArrayList<>();
+        List<CommitQueue.Event> events = new ArrayList<>();
         int bytes = keep(slot.number, slot.events, number, events, ROW_BYTES);
-        List<Ledger.Entry> deletions = new ArrayList<>();
+        List<CommitQueue.Entry> deletions = new ArrayList<>();
         while (!older.isEmpty() && deletions.size() < changes - 1 && bytes < mostBytes / 2) {
             Slot old = older.peek();
             if (old.entry.flying()) {
@@ -175,10 +180,10 @@
         return new Batch(slot.entry, deletions, bytes, actions, endsGivenUp);
     }
 
-    private static List<Ledger.Event> live(Slot slot) {
-        List<Ledger.Event> live = new ArrayList<>();
-        for (Ledger.Event e : slot.events) {
-            Ledger.Event kept = e.kept(slot.number);
+    private static List<CommitQueue.Event> live(Slot slot) {
+        List<CommitQueue.Event> live = new ArrayList<>();
+        for (CommitQueue.Event e : slot.events) {
+            CommitQueue.Event kept = e.kept(slot.number);
             if (kept != null) {
                 live.add(kept);
             }
@@ -196,9 +201,9 @@
     private Batch setAside(Slot large) {
         Slot aside = new Slot(asidePrefix + setAside++, 0, lastNumber);
         aside.entry.guardedBy(large.entry);
-        List<Ledger.Event> events = new ArrayList<>();
+        List<CommitQueue.Event> events = new ArrayList<>();
         int bytes = ROW_BYTES;
-        for (Ledger.Event e : live(large)) {
+        for (CommitQueue.Event e : live(large)) {
             if (bytes + e.bytes() > mostBytes) {
                 break;
             }
@@ -211,7 +216,7 @@
         return new Batch(aside.entry, List.of(), bytes, List.of(), false);
     }
 
-    private static ObjectNode value(long number, List<Ledger.Event> events) {
+    private static ObjectNode value(long number, List<CommitQueue.Event> events) {
         ObjectNode value = MessageCodec.map().put("n", number);
         ArrayNode list = value.putArray("e");
         events.forEach(e -> e.write(list.addArray()));
@@ -219,12 +224,12 @@
     }
 
     private static boolean holdsEnds(Slot slot) {
-        return slot.events.stream().anyMatch(Ledger.Event::ends);
+        return slot.events.stream().anyMatch(CommitQueue.Event::ends);
     }
 
     /** Ends may only be given up when every older record certainly is: it might hold what they end. */
     private boolean anyFlyingBefore(int at) {
-        for (int back = 1; back <= Math.min(Ledger.MAX_IN_FLIGHT, slots.length - 1); back++) {
+        for (int back = 1; back <= Math.min(CommitQueue.MAX_IN_FLIGHT, slots.length - 1); back++) {
             Slot before = slots[Math.floorMod(at - back, slots.length)];
             if (before != null && before.entry.flying()) {
                 return true;
@@ -234,10 +239,10 @@
     }
 
     private static int keep(
-            long oldNumber, List<Ledger.Event> held, long number, List<Ledger.Event> events, int bytes) {
+            long oldNumber, List<CommitQueue.Event> held, long number, List<CommitQueue.Event> events, int bytes) {
         int sum = bytes;
-        for (Ledger.Event e : held) {
-            Ledger.Event kept = e.kept(oldNumber);
+        for (CommitQueue.Event e : held) {
+            CommitQueue.Event kept = e.kept(oldNumber);
             if (kept != null) {
                 sum += take(kept, number, events);
             }
@@ -245,7 +250,7 @@
         return sum;
     }
 
-    private static int take(Ledger.Event event, long number, List<Ledger.Event> events) {
+    private static int take(CommitQueue.Event event, long number, List<CommitQueue.Event> events) {
         events.add(event);
         event.recorded(number);
         return event.bytes();
--- a/src/main/java/stileferry/storage/StateClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -11,7 +11,7 @@
 import stileferry.protocol.Settings;
 
 /** The state service's requests, kept under its rates; leadership goes first and has a reserve. */
-public final class StateClient {
+public final class KeyValueStoreClient {
     /** Share of the published rates that one controller allows itself; the others need a little too. */
     private static final double SHARE = 0.85;
 
@@ -28,8 +28,8 @@
     private final Environment environment;
     private final String addr;
     private final Settings.State limits;
-    private final Budget requests;
-    private final Budget writes;
+    private final RateLimiter requests;
+    private final RateLimiter writes;
     private final ArrayDeque<Waiting> changes = new ArrayDeque<>();
     private final ArrayDeque<Waiting> reads = new ArrayDeque<>();
     private final long patienceMs;
@@ -49,13 +49,13 @@
     public record Rows(List<Row> rows, long revision, long firstRevision) {}
 
     /** A client of the service that the settings name. */
-    public StateClient(Environment environment, Settings settings) {
+    public KeyValueStoreClient(Environment environment, Settings settings) {
         this.environment = environment;
         this.addr = settings.stateAddr();
         this.limits = settings.state();
         this.patienceMs = Math.round(AMPLE_PATIENCE_MS * settings.slowness());
-        this.requests = new Budget(environment, limits.rps() * SHARE, 0.5);
-        this.writes = new Budget(environment, limits.writeRps() * SHARE, 1.0);
+        this.requests = new RateLimiter(environment, limits.rps() * SHARE, 0.5);
+        this.writes = new RateLimiter(environment, limits.writeRps() * SHARE, 1.0);
     }
 
     /** The service's limits. */
--- a/src/main/java/stileferry/storage/Budget.java
+++ b/src/main/java/stileferry/storage/RateLimiter.java
@@ -3,7 +3,7 @@
 import stileferry.protocol.Environment;
 
 /** A token bucket that keeps this client under a service's published rate. */
-public final class Budget {
+public final class RateLimiter {
     private final Environment environment;
     private final double perMs;
     private final double most;
@@ -11,7 +11,7 @@
     private long filledAt;
 
     /** A bucket for so many a second with a burst worth so many seconds. */
-    public Budget(Environment environment, double perSecond, double burstS) {
+    public RateLimiter(Environment environment, double perSecond, double burstS) {
         this.environment = environment;
         this.perMs = perSecond / 1000;
         this.most = Math.max(1, perSecond * burstS);
--- a/src/main/java/stileferry/transport/Owner.java
+++ b/src/main/java/stileferry/transport/CommandQueue.java
@@ -7,7 +7,7 @@
 import org.xnio.XnioIoThread;
 
 /** The queue of commands for the owner of the state, drained in batches on the one IO thread. */
-final class Owner {
+final class CommandQueue {
     private static final Logger LOG = LoggerFactory.getLogger("owner");
     private static final int CAPACITY = 16 * 1024;
     private static final int BATCH = 256;
@@ -21,7 +21,7 @@
     /** A batch is being carried out; only looked at on the IO thread. */
     private boolean draining;
 
-    Owner(XnioIoThread thread) {
+    CommandQueue(XnioIoThread thread) {
         this.thread = thread;
     }
 
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -10,7 +10,7 @@
 import org.xnio.XnioIoThread;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /** The real outside: sockets, clocks and timers, with replies put into the owner's queue. */
@@ -19,7 +19,7 @@
 
     private static final byte[] NOTHING = new byte[0];
 
-    private final Owner owner;
+    private final CommandQueue owner;
     private final XnioIoThread thread;
     private final HttpCaller http;
     private final RandomGenerator random = new SplittableRandom();
@@ -30,7 +30,7 @@
 
     private volatile boolean closed;
 
-    NetworkEnvironment(Owner owner, EventLoop loop, int mostForwards) {
+    NetworkEnvironment(CommandQueue owner, EventLoop loop, int mostForwards) {
         this.mostForwards = mostForwards;
         this.owner = owner;
         this.thread = loop.thread;
@@ -88,8 +88,8 @@
     }
 
     @Override
-    public void peer(Settings.Peer peer, PeerRecord record, long timeoutMs, Consumer<PeerRecord> reply) {
-        boolean forward = record instanceof PeerRecord.Forward;
+    public void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
+        boolean forward = record instanceof PeerMessage.ForwardedRequest;
         if (forward && forwards.getOrDefault(peer.addr(), 0) >= mostForwards) {
             owner.submit(() -> reply.accept(null)); // a controller that stands still must not take all sockets
             return;
@@ -101,13 +101,13 @@
                 peer.addr(),
                 "POST",
                 PEER_PATH,
-                PeerRecord.write(record),
+                PeerMessage.write(record),
                 timeoutMs,
                 (status, bytes) -> owner.submit(() -> {
                     if (forward) {
                         forwards.merge(peer.addr(), -1, Integer::sum);
                     }
-                    reply.accept(status == 200 ? PeerRecord.read(bytes) : null);
+                    reply.accept(status == 200 ? PeerMessage.read(bytes) : null);
                 }));
     }
 }
--- a/src/main/java/stileferry/transport/Node.java
+++ b/src/main/java/stileferry/transport/Node.java
@@ -24,7 +24,7 @@
     private static final int LEAST_IDLE_MS = 20_000;
 
     private final EventLoop loop;
-    private final Owner owner;
+    private final CommandQueue owner;
     private final NetworkEnvironment environment;
     private final Undertow users;
     private final Undertow peers;
@@ -58,7 +58,7 @@
         idleMs = (int)
                 Math.max(LEAST_IDLE_MS, IDLE_REPORTS * 1000 * settings.workers().reportS());
         Sockets sockets = settings.sockets();
-        owner = new Owner(loop.thread);
+        owner = new CommandQueue(loop.thread);
         environment = new NetworkEnvironment(owner, loop, sockets.forwards());
         Coordinator coordinator = new Coordinator(settings, features, environment);
         owner.afterBatch(coordinator::endOfBatch);
--- a/src/main/java/stileferry/transport/PeerServer.java
+++ b/src/main/java/stileferry/transport/PeerServer.java
@@ -5,14 +5,14 @@
 import io.undertow.util.SameThreadExecutor;
 import stileferry.coordination.Coordinator;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** The address for the other controllers. */
 final class PeerServer implements HttpHandler {
-    private final Owner owner;
+    private final CommandQueue owner;
     private final Coordinator coordinator;
 
-    PeerServer(Owner owner, Coordinator coordinator) {
+    PeerServer(CommandQueue owner, Coordinator coordinator) {
         this.owner = owner;
         this.coordinator = coordinator;
     }
@@ -24,14 +24,14 @@
             return;
         }
         RequestBodies.read(exchange, 2 * MessageCodec.MAX_BODY, body -> {
-            PeerRecord record = PeerRecord.read(body);
+            PeerMessage record = PeerMessage.read(body);
             if (record == null) {
                 UserServer.refuse(exchange, 400, "not a record");
                 return;
             }
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                 if (!owner.offer(() -> coordinator.peer(
-                        record, answer -> UserServer.send(exchange, 200, 0, PeerRecord.write(answer))))) {
+                        record, answer -> UserServer.send(exchange, 200, 0, PeerMessage.write(answer))))) {
                     UserServer.refuse(exchange, 503, "too much to do, try again");
                 }
             });
--- a/src/main/java/stileferry/transport/UserServer.java
+++ b/src/main/java/stileferry/transport/UserServer.java
@@ -15,8 +15,8 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.PeerRecord.Ask;
+import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessage.RequestKind;
 import stileferry.protocol.Sockets;
 
 /** The address for users, workers and health checks: takes requests apart and hands them to the owner. */
@@ -40,13 +40,13 @@
         public void onDropped() {}
     };
 
-    private final Owner owner;
+    private final CommandQueue owner;
     private final Limiter<Void> limiter;
     private final Coordinator coordinator;
     private final Sockets sockets;
     private final LongSupplier open;
 
-    UserServer(Owner owner, Coordinator coordinator, Limiter<Void> limiter, Sockets sockets, LongSupplier open) {
+    UserServer(CommandQueue owner, Coordinator coordinator, Limiter<Void> limiter, Sockets sockets, LongSupplier open) {
         this.sockets = sockets;
         this.open = open;
         this.limiter = limiter;
@@ -81,21 +81,21 @@
                 post(exchange, body -> admin(exchange, method, full, body));
             }
         } else if (path.equals(WORK)) {
-            post(exchange, body -> user(exchange, Ask.SUBMIT, "", body));
+            post(exchange, body -> user(exchange, RequestKind.SUBMIT, "", body));
         } else if (path.startsWith(WORK + "/")) {
             String id = path.substring(WORK.length() + 1);
             if (id.endsWith(WITHDRAW)) {
                 String job = id.substring(0, id.length() - WITHDRAW.length());
-                post(exchange, body -> job(exchange, Ask.WITHDRAW, job));
+                post(exchange, body -> job(exchange, RequestKind.WITHDRAW, job));
             } else {
-                get(exchange, () -> job(exchange, Ask.STATUS, id));
+                get(exchange, () -> job(exchange, RequestKind.STATUS, id));
             }
         } else {
             refuse(exchange, 404, "no such path");
         }
     }
 
-    private void job(HttpServerExchange exchange, Ask ask, String id) {
+    private void job(HttpServerExchange exchange, RequestKind ask, String id) {
         if (JobSpec.validId(id)) {
             user(exchange, ask, id, NOTHING);
         } else {
@@ -103,7 +103,7 @@
         }
     }
 
-    private void user(HttpServerExchange exchange, Ask ask, String id, byte[] body) {
+    private void user(HttpServerExchange exchange, RequestKind ask, String id, byte[] body) {
         Optional<Limiter.Listener> free = limiter.acquire(null);
         int retryAfterS = free.isPresent() ? 0 : coordinator.retryAfterS(ask, body);
         if (retryAfterS > 0) {
@@ -166,7 +166,7 @@
         send(exchange, status, 0, MessageCodec.encode(Messages.error(reason)));
     }
 
-    private static void send(HttpServerExchange exchange, PeerRecord.Answer answer) {
+    private static void send(HttpServerExchange exchange, PeerMessage.Response answer) {
         send(exchange, answer.status(), answer.retryAfterS(), answer.body());
     }
 
--- a/src/test/java/stileferry/autoscaling/ProvisioningTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -6,19 +6,19 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
 import stileferry.coordination.World;
 import stileferry.heartbeat.EventLoopLag;
-import stileferry.heartbeat.Fleet;
-import stileferry.links.LinkAwareness;
+import stileferry.heartbeat.HeartbeatHandler;
+import stileferry.links.LinkHealth;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 
 /** Which machines are returned to the cloud, and when. */
-class ProvisioningTest {
+class AutoscalerTest {
     /**
      * Found in a recorded day: a new leader returned young machines, which the list did not show yet, with all their
      * tasks a few seconds after it took over.
@@ -30,8 +30,9 @@
         node.start();
         World.SimulatedEnvironment environment = node.environment;
         ClusterState cluster = new ClusterState(node.settings);
-        Fleet fleet = new Fleet(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
-        Provisioning provisioning = new Provisioning(cluster, environment, fleet, 1, LinkAwareness.NONE);
+        HeartbeatHandler fleet =
+                new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
+        Autoscaler provisioning = new Autoscaler(cluster, environment, fleet, 1, LinkHealth.NONE);
         provisioning.list();
         w.play(1);
         Job job = new Job(
@@ -59,7 +60,7 @@
                 1,
                 0,
                 0);
-        cluster.add(new Claim(job, 0, 1, "host-000099", 1, 0));
+        cluster.add(new TaskAssignment(job, 0, 1, "host-000099", 1, 0));
         w.play(4);
         provisioning.returnMachines(true);
         assertFalse(cluster.machine("host-000099").deleting(), "it may report any moment");
@@ -79,7 +80,8 @@
         node.start();
         World.SimulatedEnvironment environment = node.environment;
         ClusterState cluster = new ClusterState(node.settings);
-        Fleet fleet = new Fleet(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
+        HeartbeatHandler fleet =
+                new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
         MachineType box = new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za"));
         Job job = new Job(
                 new JobSpec(
@@ -111,7 +113,7 @@
             m.setType(box);
             m.setSpot(true);
             cluster.setZone(m, "za");
-            cluster.add(new Claim(job, i, 1, m.name(), 1, 0));
+            cluster.add(new TaskAssignment(job, i, 1, m.name(), 1, 0));
         }
         long since = environment.now();
         w.play(7); // more than half a lease
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -53,7 +53,7 @@
         CloudClient cloud = new CloudClient(node.environment, World.CLOUD, 1.5);
         long from = w.now;
         boolean[] read = new boolean[1];
-        MachineList list = new MachineList(cluster, node.environment, cloud, () -> read[0] = true);
+        CloudInventory list = new CloudInventory(cluster, node.environment, cloud, () -> read[0] = true);
         for (int i = 0; i < 20 && !read[0]; i++) {
             list.list();
             w.play(1);
--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionHistory.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import stileferry.overload.AdmissionRecords;
 import stileferry.cluster.Job;
+import stileferry.overload.AdmissionCountShards;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /**
  * Checks the count of admissions against the store and against what users heard: at every moment the shards add up to
@@ -56,7 +56,7 @@
     /** The count as the store holds it. */
     long counted() {
         long sum = 0;
-        for (JsonNode row : rows(AdmissionRecords.PREFIX, "").path("rows")) {
+        for (JsonNode row : rows(AdmissionCountShards.PREFIX, "").path("rows")) {
             for (JsonNode team : row.path("v").path("counts")) {
                 for (JsonNode cell : team) {
                     sum += cell.asLong();
@@ -93,7 +93,7 @@
         }
     }
 
-    private void told(String node, PeerRecord.Answer answer) {
+    private void told(String node, PeerMessage.Response answer) {
         if (answer.status() != 200) {
             return;
         }
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -22,18 +22,18 @@
 import stileferry.admission.Flow;
 import stileferry.admission.Turn;
 import stileferry.admission.TurnTable;
-import stileferry.overload.AdmissionRecords;
-import stileferry.overload.FairAdmission;
 import stileferry.cluster.Job;
-import stileferry.leadership.Leadership;
+import stileferry.leadership.LeaderElection;
+import stileferry.overload.AdmissionCountShards;
+import stileferry.overload.FairAdmission;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
 import stileferry.standin.StateService;
-import stileferry.storage.Ledger;
-import stileferry.storage.StateClient;
+import stileferry.storage.CommitQueue;
+import stileferry.storage.KeyValueStoreClient;
 
 /**
  * A model check of the count of admissions, with the real ledger, count and door: every sequence of events up to a
@@ -105,7 +105,8 @@
                 leader.ledger.close();
             }
             term++;
-            ObjectCommit.put(store, Leadership.LEADER_KEY, MessageCodec.map().put("term", term));
+            ObjectCommit.put(
+                    store, LeaderElection.LEADER_KEY, MessageCodec.map().put("term", term));
             leader = new Leading(this);
             door.learn(term);
         }
@@ -150,10 +151,10 @@
             }
         }
 
-        List<StateClient.Row> rows(String prefix) {
-            List<StateClient.Row> rows = new ArrayList<>();
+        List<KeyValueStoreClient.Row> rows(String prefix) {
+            List<KeyValueStoreClient.Row> rows = new ArrayList<>();
             store.request("GET", "/kv?starts=" + prefix + "&most=1000", null, (s, body) -> body.path("rows")
-                    .forEach(row -> rows.add(new StateClient.Row(
+                    .forEach(row -> rows.add(new KeyValueStoreClient.Row(
                             row.path("path").asText(),
                             row.path("v"),
                             row.path("entry_rev").asLong()))));
@@ -161,7 +162,7 @@
         }
 
         long counted() {
-            return AdmissionTotals.of(AdmissionRecords.read(rows(AdmissionRecords.PREFIX)), 1, 0)
+            return AdmissionTotals.of(AdmissionCountShards.read(rows(AdmissionCountShards.PREFIX)), 1, 0)
                     .counts()
                     .total();
         }
@@ -189,23 +190,24 @@
     /** A controller that leads, with the real ledger and count. */
     private static final class Leading implements Environment {
         final Run run;
-        final Ledger ledger;
-        final AdmissionRecords records;
+        final CommitQueue ledger;
+        final AdmissionCountShards records;
         boolean lostLeadership;
 
         Leading(Run run) {
             this.run = run;
-            long fence = run.rows(Leadership.LEADER_KEY).get(0).revision();
-            StateClient state = new StateClient(this, settings());
-            ledger = new Ledger(this, state, Leadership.LEADER_KEY, fence, run.term, () -> lostLeadership = true);
-            records = new AdmissionRecords(run.rows(AdmissionRecords.PREFIX), 1, 8);
+            long fence = run.rows(LeaderElection.LEADER_KEY).get(0).revision();
+            KeyValueStoreClient state = new KeyValueStoreClient(this, settings());
+            ledger = new CommitQueue(
+                    this, state, LeaderElection.LEADER_KEY, fence, run.term, () -> lostLeadership = true);
+            records = new AdmissionCountShards(run.rows(AdmissionCountShards.PREFIX), 1, 8);
             if (run.count == Count.WITH_THE_JOB) {
                 ledger.countedBy(records);
             }
         }
 
         void accept(String id) {
-            Ledger.Entry job = new Ledger.Entry(Job.key(id), 0, MessageCodec::map);
+            CommitQueue.Entry job = new CommitQueue.Entry(Job.key(id), 0, MessageCodec::map);
             if (run.count == Count.WITH_THE_JOB) {
                 records.count(job, CELL);
                 ledger.put(job, null);
@@ -248,7 +250,7 @@
         }
 
         @Override
-        public void peer(Settings.Peer peer, PeerRecord record, long timeoutMs, Consumer<PeerRecord> reply) {}
+        public void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {}
     }
 
     /** Puts a key as nobody's transaction. */
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -14,7 +14,7 @@
 import stileferry.protocol.Features;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** Three controllers that fail while more is asked than can be taken. */
 class FairAdmissionTest {
@@ -87,7 +87,7 @@
     }
 
     private static JsonNode view(World w, World.Node node) {
-        PeerRecord.Answer[] answer = new PeerRecord.Answer[1];
+        PeerMessage.Response[] answer = new PeerMessage.Response[1];
         node.environment.turn(() -> node.coordinator.admin("GET", "admission", new byte[0], a -> answer[0] = a));
         w.play(2);
         return answer[0] == null || answer[0].status() != 200 ? null : MessageCodec.decode(answer[0].body());
@@ -146,7 +146,7 @@
         for (int i = 0; i < 40; i++) {
             World.Node node = w.nodes.get("n" + i % 3);
             node.environment.turn(() -> node.coordinator.user(
-                    PeerRecord.Ask.SUBMIT, "", tooLarge, a -> refused[0] += a.status() == 422 ? 1 : 0));
+                    PeerMessage.RequestKind.SUBMIT, "", tooLarge, a -> refused[0] += a.status() == 422 ? 1 : 0));
             w.play(0.2);
         }
         World.User user = w.submit(good);
--- a/src/test/java/stileferry/coordination/OptionsTest.java
+++ b/src/test/java/stileferry/coordination/OptionsTest.java
@@ -8,39 +8,39 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Options;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.OperatorSettings;
+import stileferry.protocol.PeerMessage;
 
 /** The operators' settings: their bounds, and how they are stored. */
 class OptionsTest {
     @Test
-    void aChangeIsTakenWholeOrNotAtAll() throws Options.Invalid {
-        Options changed = Options.defaults()
+    void aChangeIsTakenWholeOrNotAtAll() throws OperatorSettings.Invalid {
+        OperatorSettings changed = OperatorSettings.defaults()
                 .with(MessageCodec.map().put("spot_share", 0.5).put("preemption", false));
         assertEquals(1, changed.revision());
-        assertEquals(0.5, changed.number(Options.SPOT_SHARE));
-        assertFalse(changed.flag(Options.PREEMPTION));
+        assertEquals(0.5, changed.number(OperatorSettings.SPOT_SHARE));
+        assertFalse(changed.flag(OperatorSettings.PREEMPTION));
         ObjectNode half = MessageCodec.map().put("spot_share", 0.7).put("preemption", "maybe");
-        assertTrue(assertThrows(Options.Invalid.class, () -> changed.with(half))
+        assertTrue(assertThrows(OperatorSettings.Invalid.class, () -> changed.with(half))
                 .getMessage()
                 .startsWith("preemption:"));
-        assertEquals(0.5, changed.number(Options.SPOT_SHARE));
-        Options read = Options.read(MessageCodec.decode(MessageCodec.encode(changed.write())));
+        assertEquals(0.5, changed.number(OperatorSettings.SPOT_SHARE));
+        OperatorSettings read = OperatorSettings.read(MessageCodec.decode(MessageCodec.encode(changed.write())));
         assertEquals(changed.describe(), read.describe());
         assertEquals(
                 1.0,
                 read.reset(MessageCodec.map().putArray("names").add("spot_share"))
-                        .number(Options.SPOT_SHARE));
+                        .number(OperatorSettings.SPOT_SHARE));
     }
 
     @Test
     void storedNonsenseFallsBackToDefaults() {
         ObjectNode stored = MessageCodec.map().put("revision", 4);
         stored.putObject("values").put("idle_boots", "x").put("gone", 1).put("spare_share", 0.2);
-        Options read = Options.read(stored);
+        OperatorSettings read = OperatorSettings.read(stored);
         assertEquals(4, read.revision());
-        assertEquals(2, read.number(Options.IDLE_BOOTS));
-        assertEquals(0.2, read.number(Options.SPARE_SHARE));
+        assertEquals(2, read.number(OperatorSettings.IDLE_BOOTS));
+        assertEquals(0.2, read.number(OperatorSettings.SPARE_SHARE));
     }
 
     /** Settings reach every controller without a restart, and outlive the loss of all of them. */
@@ -50,7 +50,7 @@
         w.play(5);
         ObjectNode body = MessageCodec.map().put("revision", 0);
         body.putObject("change").put("log_level", "debug").put("spare_share", 0.4);
-        PeerRecord.Answer[] answer = new PeerRecord.Answer[1];
+        PeerMessage.Response[] answer = new PeerMessage.Response[1];
         World.Node any = w.nodes.get("n1");
         any.environment.turn(
                 () -> any.coordinator.admin("POST", "settings", MessageCodec.encode(body), a -> answer[0] = a));
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -15,7 +15,7 @@
 import stileferry.coordination.SimulatedNetwork.Mode;
 import stileferry.protocol.Features;
 import stileferry.protocol.JobSpec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** Links between controllers, workers and the state service are cut one by one and in pairs, in either direction. */
 class PartialCutsTest {
@@ -198,7 +198,7 @@
         long asked = w.now;
         long[] took = {-1};
         follower.environment.turn(
-                () -> follower.coordinator.user(PeerRecord.Ask.STATUS, "job-6", new byte[0], answer -> {
+                () -> follower.coordinator.user(PeerMessage.RequestKind.STATUS, "job-6", new byte[0], answer -> {
                     assertEquals(503, answer.status());
                     assertTrue(answer.retryAfterS() > 0);
                     took[0] = w.now - asked;
--- a/src/test/java/stileferry/coordination/World.java
+++ b/src/test/java/stileferry/coordination/World.java
@@ -18,7 +18,7 @@
 import stileferry.protocol.Features;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
 import stileferry.standin.Cloud;
@@ -528,10 +528,10 @@
         }
 
         @Override
-        public void peer(Settings.Peer peer, PeerRecord record, long timeoutMs, Consumer<PeerRecord> reply) {
+        public void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
             String me = node.settings.node();
             Node other = nodes.get(peer.node());
-            PeerRecord[] answer = new PeerRecord[1];
+            PeerMessage[] answer = new PeerMessage[1];
             network.exchange(
                     me,
                     peer.node(),
@@ -560,17 +560,17 @@
     }
 
     /** Whether a record is of a kind that versions before the features can't read. */
-    private static boolean unknownToOlder(PeerRecord record) {
-        return record instanceof PeerRecord.Links
-                || record instanceof PeerRecord.Admission
-                || record instanceof PeerRecord.Batch;
+    private static boolean unknownToOlder(PeerMessage record) {
+        return record instanceof PeerMessage.LinkView
+                || record instanceof PeerMessage.AdmissionExchange
+                || record instanceof PeerMessage.RequestBatch;
     }
 
     /** A record as the other side reads it, where one of the two may have the former version's form. */
-    private static PeerRecord carried(PeerRecord record, boolean former) {
-        PeerRecord read = PeerRecord.read(PeerRecord.write(record));
-        return former && read instanceof PeerRecord.Term t
-                ? new PeerRecord.Term(t.term(), t.leader(), t.leading())
+    private static PeerMessage carried(PeerMessage record, boolean former) {
+        PeerMessage read = PeerMessage.read(PeerMessage.write(record));
+        return former && read instanceof PeerMessage.TermAnnouncement t
+                ? new PeerMessage.TermAnnouncement(t.term(), t.leader(), t.leading())
                 : read;
     }
 
@@ -740,38 +740,40 @@
     public User submit(JobSpec spec) {
         User user = new User(spec);
         users.put(spec.id(), user);
-        ask(user, PeerRecord.Ask.SUBMIT, now + 60_000);
+        ask(user, PeerMessage.RequestKind.SUBMIT, now + 60_000);
         return user;
     }
 
     /** Submits a job once more, at one controller. */
     void submitAt(User user, Node node) {
-        ask(user, PeerRecord.Ask.SUBMIT, 0, node);
+        ask(user, PeerMessage.RequestKind.SUBMIT, 0, node);
     }
 
     void cancel(User user) {
         user.wantsCancel = true;
-        ask(user, PeerRecord.Ask.WITHDRAW, now + 60_000);
+        ask(user, PeerMessage.RequestKind.WITHDRAW, now + 60_000);
     }
 
     /** Asks any node and repeats until there is an answer. */
-    private void ask(User user, PeerRecord.Ask ask, long until) {
+    private void ask(User user, PeerMessage.RequestKind ask, long until) {
         ask(user, ask, until, nodes.get("n" + random.nextInt(3)));
     }
 
     private void lookClosely(User user) {
         if (closeLooks) {
-            nodes.values().forEach(n -> after(random.nextLong(8), () -> ask(user, PeerRecord.Ask.STATUS, 0, n)));
-            nodes.values().forEach(n -> after(random.nextLong(8), () -> ask(user, PeerRecord.Ask.SUBMIT, 0, n)));
+            nodes.values()
+                    .forEach(n -> after(random.nextLong(8), () -> ask(user, PeerMessage.RequestKind.STATUS, 0, n)));
+            nodes.values()
+                    .forEach(n -> after(random.nextLong(8), () -> ask(user, PeerMessage.RequestKind.SUBMIT, 0, n)));
             if (user.wantsCancel || random.nextInt(10) == 0) {
                 after(random.nextLong(8), () -> cancel(user));
             }
         }
     }
 
-    private void ask(User user, PeerRecord.Ask ask, long until, Node node) {
-        byte[] body = ask == PeerRecord.Ask.SUBMIT ? MessageCodec.encode(user.spec.write()) : new byte[0];
-        PeerRecord.Answer[] answer = new PeerRecord.Answer[1];
+    private void ask(User user, PeerMessage.RequestKind ask, long until, Node node) {
+        byte[] body = ask == PeerMessage.RequestKind.SUBMIT ? MessageCodec.encode(user.spec.write()) : new byte[0];
+        PeerMessage.Response[] answer = new PeerMessage.Response[1];
         long asked = now;
         network.exchange(
                 "user",
@@ -805,7 +807,7 @@
                 });
     }
 
-    void told(User user, PeerRecord.Ask ask, long asked, int status, JsonNode body) {
+    void told(User user, PeerMessage.RequestKind ask, long asked, int status, JsonNode body) {
         String id = user.spec.id();
         user.heardAt = now;
         if (status == 404 || status == 400 || status == 422) {
@@ -841,7 +843,7 @@
                 lookClosely(user);
             }
         }
-        if (ask == PeerRecord.Ask.SUBMIT && !user.accepted) {
+        if (ask == PeerMessage.RequestKind.SUBMIT && !user.accepted) {
             user.accepted = true;
             user.acceptedAt = now;
             poll(user);
@@ -850,7 +852,7 @@
     }
 
     private void poll(User user) {
-        ask(user, PeerRecord.Ask.STATUS, 0);
+        ask(user, PeerMessage.RequestKind.STATUS, 0);
         after(user.end == null ? 3000 : 15_000, () -> poll(user));
     }
 
--- a/src/test/java/stileferry/coordination/WorldTest.java
+++ b/src/test/java/stileferry/coordination/WorldTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Messages;
-import stileferry.protocol.Messages.Signal;
-import stileferry.protocol.PeerRecord.Ask;
+import stileferry.protocol.Messages.WorkerCommand;
+import stileferry.protocol.PeerMessage.RequestKind;
 import stileferry.standin.Worker;
 
 /** The checks of the simulated world must be able to fail; here nobody but the test gives commands and answers. */
@@ -63,15 +63,19 @@
         worker.commands(Messages.commands(
                 HIGH_TERM,
                 worker.session(),
-                List.of(new Signal(Signal.Kind.KILL, "job-1/0", 0, 0), new Signal(Signal.Kind.RUN, task, 1, 0))));
+                List.of(
+                        new WorkerCommand(WorkerCommand.Kind.KILL, "job-1/0", 0, 0),
+                        new WorkerCommand(WorkerCommand.Kind.RUN, task, 1, 0))));
         w.play(0.95); // it has its image, and leases stand
     }
 
     private static void free(World w) {
         for (Worker worker : w.workers.values()) {
-            for (var t : stileferry.protocol.Report.read(worker.report()).tasks()) {
+            for (var t : stileferry.protocol.Heartbeat.read(worker.report()).tasks()) {
                 worker.commands(Messages.commands(
-                        HIGH_TERM, worker.session(), List.of(new Signal(Signal.Kind.KILL, t.task(), t.attempt(), 0))));
+                        HIGH_TERM,
+                        worker.session(),
+                        List.of(new WorkerCommand(WorkerCommand.Kind.KILL, t.task(), t.attempt(), 0))));
             }
         }
     }
@@ -144,7 +148,8 @@
         List<String> noticed = new ArrayList<>();
         new StoredClaims(w.state, id -> gang)
                 .checkStarts(
-                        Messages.commands(HIGH_TERM, 1, List.of(new Signal(Signal.Kind.RUN, "job-10/0", 1, 0))),
+                        Messages.commands(
+                                HIGH_TERM, 1, List.of(new WorkerCommand(WorkerCommand.Kind.RUN, "job-10/0", 1, 0))),
                         noticed);
         assertEquals(1, noticed.size());
         assertTrue(noticed.get(0).startsWith("started_early"), noticed::toString);
@@ -154,16 +159,16 @@
     void anAnswerThatGoesBack() {
         World w = with(spec(9, "free", 2, null, false));
         World.User user = w.users.get("job-9");
-        w.told(user, Ask.STATUS, w.now, 200, Messages.jobState("job-9", "done", 2, 0));
+        w.told(user, RequestKind.STATUS, w.now, 200, Messages.jobState("job-9", "done", 2, 0));
         assertEquals(List.of(), w.violations);
-        w.told(user, Ask.STATUS, w.now + 1, 200, Messages.jobState("job-9", "running", 1, 1));
+        w.told(user, RequestKind.STATUS, w.now + 1, 200, Messages.jobState("job-9", "running", 1, 1));
         assertNoticed(w, "went_back");
     }
 
     @Test
     void doneBeforeItIs() {
         World w = with(spec(9, "free", 2, null, false));
-        w.told(w.users.get("job-9"), Ask.STATUS, w.now, 200, Messages.jobState("job-9", "done", 1, 0));
+        w.told(w.users.get("job-9"), RequestKind.STATUS, w.now, 200, Messages.jobState("job-9", "done", 1, 0));
         assertNoticed(w, "not_done");
     }
 
@@ -173,7 +178,7 @@
         free(w);
         World.User user = w.users.get("job-9");
         user.wantsCancel = true;
-        w.told(user, Ask.WITHDRAW, w.now, 200, Messages.jobState("job-9", "cancelled", 0, 0));
+        w.told(user, RequestKind.WITHDRAW, w.now, 200, Messages.jobState("job-9", "cancelled", 0, 0));
         run(w, in(w, "za", 0), "job-9/0");
         assertNoticed(w, "ran_cancelled");
     }
--- a/src/test/java/stileferry/golden/GoldenPeerExchangeTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerExchangeTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.Features;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.PeerRecord.Ask;
+import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessage.RequestKind;
 
 /** What controllers really send each other, in a scripted world: terms, forwarded requests, views, demand, batches. */
 class GoldenPeerExchangeTest {
@@ -32,16 +32,17 @@
         return new StoredRecordsFixture(store, features, 8).start();
     }
 
-    private static PeerRecord informed(PeerRecord record) {
-        PeerRecord.Term heard = (PeerRecord.Term) record;
-        return new PeerRecord.Term(heard.term(), "n0", false, new PeerRecord.Knowledge(77, 1, true, false, List.of()));
+    private static PeerMessage informed(PeerMessage record) {
+        PeerMessage.TermAnnouncement heard = (PeerMessage.TermAnnouncement) record;
+        return new PeerMessage.TermAnnouncement(
+                heard.term(), "n0", false, new PeerMessage.CancellationKnowledge(77, 1, true, false, List.of()));
     }
 
     private static String answer(StoredRecordsFixture fixture, String hex) {
         List<String> answers = new ArrayList<>();
-        PeerRecord record = PeerRecord.read(HexFormat.of().parseHex(hex));
+        PeerMessage record = PeerMessage.read(HexFormat.of().parseHex(hex));
         fixture.turn(() -> fixture.coordinator.peer(
-                record, told -> answers.add(HexFormat.of().formatHex(PeerRecord.write(told)))));
+                record, told -> answers.add(HexFormat.of().formatHex(PeerMessage.write(told)))));
         fixture.advance(100);
         return String.join("\n", answers);
     }
@@ -57,18 +58,18 @@
         fixture.start();
         StoredWorker worker = new StoredWorker("host-000231", "10.1.0.1:9000", "za");
         fixture.report(worker);
-        fixture.user(Ask.SUBMIT, "job-102", SERVICE);
+        fixture.user(RequestKind.SUBMIT, "job-102", SERVICE);
         fixture.report(worker);
-        fixture.user(Ask.WITHDRAW, "job-102", "");
+        fixture.user(RequestKind.WITHDRAW, "job-102", "");
         assertSent("peer-term.hex", fixture);
     }
 
     @Test
     void followerForwardsEveryKindOfRequestToTheLeader() {
         StoredRecordsFixture fixture = following(Features.NONE);
-        fixture.user(Ask.SUBMIT, "", "{\"name_id\":\"job-1\"}");
-        fixture.user(Ask.STATUS, "job-1", "");
-        fixture.user(Ask.WITHDRAW, "job-1", "");
+        fixture.user(RequestKind.SUBMIT, "", "{\"name_id\":\"job-1\"}");
+        fixture.user(RequestKind.STATUS, "job-1", "");
+        fixture.user(RequestKind.WITHDRAW, "job-1", "");
         fixture.operator("GET", "queue?from=3", "");
         StoredWorker worker = new StoredWorker("host-000231", "10.1.0.1:9000", "za");
         assertEquals(421, fixture.report(worker));
@@ -99,22 +100,22 @@
     @Test
     void withFairAdmissionAFollowerSendsItsDemandAndThenBatches() {
         StoredRecordsFixture fixture = following(new Features(false, true));
-        fixture.peers = record -> record instanceof PeerRecord.Admission
-                ? new PeerRecord.Admission(
+        fixture.peers = record -> record instanceof PeerMessage.AdmissionExchange
+                ? new PeerMessage.AdmissionExchange(
                         HexFormat.of().parseHex("01" + "0000000000000005" + "0000000000000001" + "0000"))
                 : null;
         fixture.advance(1500);
-        fixture.user(Ask.STATUS, "job-1", "");
-        fixture.user(Ask.WITHDRAW, "job-1", "");
+        fixture.user(RequestKind.STATUS, "job-1", "");
+        fixture.user(RequestKind.WITHDRAW, "job-1", "");
         assertSent("peer-admission.hex", fixture);
     }
 
     @Test
     void withPartialCutsTermsNameWhoExchangesViewsAndViewsFollow() {
         StoredRecordsFixture fixture = new StoredRecordsFixture(new StoredKeyValues(), new Features(true, false), 8);
-        fixture.peers = record -> record instanceof PeerRecord.Term term
-                ? ((PeerRecord.Term) informed(term)).with(List.of("n1", "n2"))
-                : new PeerRecord.Links(HexFormat.of().parseHex(VIEW_OF_ANOTHER));
+        fixture.peers = record -> record instanceof PeerMessage.TermAnnouncement term
+                ? ((PeerMessage.TermAnnouncement) informed(term)).with(List.of("n1", "n2"))
+                : new PeerMessage.LinkView(HexFormat.of().parseHex(VIEW_OF_ANOTHER));
         fixture.start();
         fixture.report(new StoredWorker("host-000231", "10.1.0.1:9000", "za"));
         fixture.advance(2500);
--- a/src/test/java/stileferry/golden/GoldenPeerOlderVersionsTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerOlderVersionsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /**
  * What 7564325 (P1) and f7fe539 (P0) read of this version's records, and what this version reads of theirs. The readers
@@ -55,22 +55,26 @@
     }
 
     private static String written(String kind) {
-        PeerRecord.Term term = new PeerRecord.Term(
-                9, "n1", true, new PeerRecord.Knowledge(1L << 60, 5, true, false, List.of("job-1", "job-2")));
-        PeerRecord.Forward status = new PeerRecord.Forward(PeerRecord.Ask.STATUS, "job-7", new byte[] {1});
-        PeerRecord.Answer answer = new PeerRecord.Answer(503, 30, new byte[] {2});
-        PeerRecord record =
+        PeerMessage.TermAnnouncement term = new PeerMessage.TermAnnouncement(
+                9,
+                "n1",
+                true,
+                new PeerMessage.CancellationKnowledge(1L << 60, 5, true, false, List.of("job-1", "job-2")));
+        PeerMessage.ForwardedRequest status =
+                new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.STATUS, "job-7", new byte[] {1});
+        PeerMessage.Response answer = new PeerMessage.Response(503, 30, new byte[] {2});
+        PeerMessage record =
                 switch (kind) {
                     case "forward" -> status;
                     case "answer" -> answer;
                     case "term" -> term;
                     case "term with features" -> term.with(List.of("n1", "n0"));
-                    case "links" -> new PeerRecord.Links(new byte[] {1});
-                    case "admission" -> new PeerRecord.Admission(new byte[] {1});
-                    case "batch" -> new PeerRecord.Batch(List.of(status));
-                    default -> new PeerRecord.BatchAnswer(List.of(answer));
+                    case "links" -> new PeerMessage.LinkView(new byte[] {1});
+                    case "admission" -> new PeerMessage.AdmissionExchange(new byte[] {1});
+                    case "batch" -> new PeerMessage.RequestBatch(List.of(status));
+                    default -> new PeerMessage.ResponseBatch(List.of(answer));
                 };
-        return HexFormat.of().formatHex(PeerRecord.write(record));
+        return HexFormat.of().formatHex(PeerMessage.write(record));
     }
 
     @ParameterizedTest
@@ -100,13 +104,14 @@
                 + "cancelled=[job-1, job-2]], linkAware=[n1, n0]]'"
     })
     void termsOfAllVersionsAreRead(String version, String hex, String meaning) {
-        PeerRecord.Term term = (PeerRecord.Term) PeerRecord.read(HexFormat.of().parseHex(hex));
+        PeerMessage.TermAnnouncement term =
+                (PeerMessage.TermAnnouncement) PeerMessage.read(HexFormat.of().parseHex(hex));
         assertEquals(meaning, describe(term), version);
     }
 
     /** Written out, so that a renamed component changes nothing here. */
-    private static String describe(PeerRecord.Term term) {
-        PeerRecord.Knowledge known = term.knowledge();
+    private static String describe(PeerMessage.TermAnnouncement term) {
+        PeerMessage.CancellationKnowledge known = term.knowledge();
         String knowledge = known == null
                 ? "null"
                 : "Knowledge[process=" + known.process() + ", addressee=" + known.addressee() + ", informed="
--- a/src/test/java/stileferry/golden/GoldenPeerRecordsTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerRecordsTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import stileferry.protocol.PeerRecord;
-import stileferry.protocol.PeerRecord.Ask;
+import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessage.RequestKind;
 
 /** Every kind of record that controllers send each other, byte for byte, written and read. */
 class GoldenPeerRecordsTest {
-    private static final PeerRecord.Knowledge KNOWLEDGE =
-            new PeerRecord.Knowledge(1L << 60, 5, true, false, List.of("job-1", "job-2"));
+    private static final PeerMessage.CancellationKnowledge KNOWLEDGE =
+            new PeerMessage.CancellationKnowledge(1L << 60, 5, true, false, List.of("job-1", "job-2"));
 
     private static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replace(" ", ""));
@@ -29,89 +29,93 @@
 
     private static Stream<Arguments> kindsOfTheFirstVersions() {
         return Stream.of(
-                Arguments.of("submission", new PeerRecord.Forward(Ask.SUBMIT, "", hex("80")), "01 00 0000 00000001 80"),
+                Arguments.of(
+                        "submission",
+                        new PeerMessage.ForwardedRequest(RequestKind.SUBMIT, "", hex("80")),
+                        "01 00 0000 00000001 80"),
                 Arguments.of(
                         "status",
-                        new PeerRecord.Forward(Ask.STATUS, "job-7", new byte[0]),
+                        new PeerMessage.ForwardedRequest(RequestKind.STATUS, "job-7", new byte[0]),
                         "01 01 0005 6a6f622d37 00000000"),
                 Arguments.of(
                         "cancellation",
-                        new PeerRecord.Forward(Ask.WITHDRAW, "job-7", hex("c102")),
+                        new PeerMessage.ForwardedRequest(RequestKind.WITHDRAW, "job-7", hex("c102")),
                         "01 02 0005 6a6f622d37 00000002 c102"),
                 Arguments.of(
                         "heartbeat",
-                        new PeerRecord.Forward(Ask.REPORT, "host-1", hex("80")),
+                        new PeerMessage.ForwardedRequest(RequestKind.REPORT, "host-1", hex("80")),
                         "01 03 0006 686f73742d31 00000001 80"),
                 Arguments.of(
                         "operator",
-                        new PeerRecord.Forward(Ask.ADMIN, "GET teams", new byte[0]),
+                        new PeerMessage.ForwardedRequest(RequestKind.ADMIN, "GET teams", new byte[0]),
                         "01 04 0009 474554207465616d73 00000000"),
                 Arguments.of(
-                        "answer", new PeerRecord.Answer(503, 30, hex("81a0c0")), "02 01f7 0000001e 00000003 81a0c0"),
+                        "answer", new PeerMessage.Response(503, 30, hex("81a0c0")), "02 01f7 0000001e 00000003 81a0c0"),
                 Arguments.of(
                         "term of the first form",
-                        new PeerRecord.Term(9, "n1", true),
+                        new PeerMessage.TermAnnouncement(9, "n1", true),
                         "03 0000000000000009 0002 6e31 01"),
                 Arguments.of(
                         "term whose leader is not known",
-                        new PeerRecord.Term(9, "", false),
+                        new PeerMessage.TermAnnouncement(9, "", false),
                         "03 0000000000000009 0000 00"),
                 Arguments.of(
                         "term with what is known of cancellations",
-                        new PeerRecord.Term(9, "n1", true, KNOWLEDGE),
+                        new PeerMessage.TermAnnouncement(9, "n1", true, KNOWLEDGE),
                         "03 0000000000000009 0002 6e31 01 1000000000000000 0000000000000005 01 00"
                                 + " 0002 0005 6a6f622d31 0005 6a6f622d32"),
                 Arguments.of(
                         "term with who exchanges views",
-                        new PeerRecord.Term(9, "n1", true, KNOWLEDGE).with(List.of("n1", "n0")),
+                        new PeerMessage.TermAnnouncement(9, "n1", true, KNOWLEDGE).with(List.of("n1", "n0")),
                         "03 0000000000000009 0002 6e31 01 1000000000000000 0000000000000005 01 00"
                                 + " 0002 0005 6a6f622d31 0005 6a6f622d32 02 0002 6e31 0002 6e30"));
     }
 
     private static Stream<Arguments> kindsOfFeatures() {
         return Stream.of(
-                Arguments.of("view of links", new PeerRecord.Links(hex("010203")), "04 00000003 010203"),
-                Arguments.of("demand or turns", new PeerRecord.Admission(hex("0102")), "05 00000002 0102"),
+                Arguments.of("view of links", new PeerMessage.LinkView(hex("010203")), "04 00000003 010203"),
+                Arguments.of("demand or turns", new PeerMessage.AdmissionExchange(hex("0102")), "05 00000002 0102"),
                 Arguments.of(
                         "batch",
-                        new PeerRecord.Batch(List.of(
-                                new PeerRecord.Forward(Ask.STATUS, "job-7", new byte[0]),
-                                new PeerRecord.Forward(Ask.SUBMIT, "", hex("80")))),
+                        new PeerMessage.RequestBatch(List.of(
+                                new PeerMessage.ForwardedRequest(RequestKind.STATUS, "job-7", new byte[0]),
+                                new PeerMessage.ForwardedRequest(RequestKind.SUBMIT, "", hex("80")))),
                         "06 0002 01 0005 6a6f622d37 00000000 00 0000 00000001 80"),
                 Arguments.of(
                         "answers to a batch",
-                        new PeerRecord.BatchAnswer(List.of(
-                                new PeerRecord.Answer(200, 0, hex("80")), new PeerRecord.Answer(503, 1, new byte[0]))),
+                        new PeerMessage.ResponseBatch(List.of(
+                                new PeerMessage.Response(200, 0, hex("80")),
+                                new PeerMessage.Response(503, 1, new byte[0]))),
                         "07 0002 00c8 00000000 00000001 80 01f7 00000001 00000000"));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
-    void recordIsWrittenByteForByte(String name, PeerRecord record, String golden) {
-        assertEquals(golden.replace(" ", ""), HexFormat.of().formatHex(PeerRecord.write(record)));
+    void recordIsWrittenByteForByte(String name, PeerMessage record, String golden) {
+        assertEquals(golden.replace(" ", ""), HexFormat.of().formatHex(PeerMessage.write(record)));
     }
 
     /** Arrays in records are compared by identity, so the meaning is compared as text. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
-    void recordIsReadFromItsBytes(String name, PeerRecord record, String golden) {
-        assertEquals(text(record), text(PeerRecord.read(hex(golden))));
+    void recordIsReadFromItsBytes(String name, PeerMessage record, String golden) {
+        assertEquals(text(record), text(PeerMessage.read(hex(golden))));
     }
 
-    private static String text(PeerRecord record) {
+    private static String text(PeerMessage record) {
         HexFormat bytes = HexFormat.of();
-        if (record instanceof PeerRecord.Forward forward) {
+        if (record instanceof PeerMessage.ForwardedRequest forward) {
             return forward.ask() + " " + forward.id() + " " + bytes.formatHex(forward.body());
-        } else if (record instanceof PeerRecord.Answer answer) {
+        } else if (record instanceof PeerMessage.Response answer) {
             return answer.status() + " " + answer.retryAfterS() + " " + bytes.formatHex(answer.body());
-        } else if (record instanceof PeerRecord.Links links) {
+        } else if (record instanceof PeerMessage.LinkView links) {
             return "links " + bytes.formatHex(links.view());
-        } else if (record instanceof PeerRecord.Admission admission) {
+        } else if (record instanceof PeerMessage.AdmissionExchange admission) {
             return "admission " + bytes.formatHex(admission.message());
-        } else if (record instanceof PeerRecord.Batch batch) {
+        } else if (record instanceof PeerMessage.RequestBatch batch) {
             return "batch "
                     + batch.requests().stream().map(GoldenPeerRecordsTest::text).toList();
-        } else if (record instanceof PeerRecord.BatchAnswer batch) {
+        } else if (record instanceof PeerMessage.ResponseBatch batch) {
             return "answers "
                     + batch.answers().stream().map(GoldenPeerRecordsTest::text).toList();
         }
@@ -121,8 +125,8 @@
     /** Who exchanges views is told only behind what is known of cancellations, which older versions read first. */
     @Test
     void namesWithoutKnowledgeAreNotWritten() {
-        PeerRecord.Term term = new PeerRecord.Term(9, "n1", true).with(List.of("n1"));
-        assertEquals("03000000000000000900026e3101", HexFormat.of().formatHex(PeerRecord.write(term)));
+        PeerMessage.TermAnnouncement term = new PeerMessage.TermAnnouncement(9, "n1", true).with(List.of("n1"));
+        assertEquals("03000000000000000900026e3101", HexFormat.of().formatHex(PeerMessage.write(term)));
     }
 
     @ParameterizedTest
@@ -143,6 +147,6 @@
                 "07 0101"
             })
     void malformedRecordIsNone(String bytes) {
-        assertNull(PeerRecord.read(hex(bytes)));
+        assertNull(PeerMessage.read(hex(bytes)));
     }
 }
--- a/src/test/java/stileferry/golden/GoldenStoredAdmissionsTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredAdmissionsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.Features;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** With fair admission on: the shards of the count of admissions, and the run of counting terms. */
 class GoldenStoredAdmissionsTest {
@@ -22,7 +22,8 @@
     }
 
     private static int submit(StoredRecordsFixture fixture, String id, String jobClass, String team) {
-        return fixture.user(PeerRecord.Ask.SUBMIT, id, spec(id, jobClass, team)).status();
+        return fixture.user(PeerMessage.RequestKind.SUBMIT, id, spec(id, jobClass, team))
+                .status();
     }
 
     private static String applied(StoredRecordsFixture fixture, int number) {
--- a/src/test/java/stileferry/golden/GoldenStoredLeaderKeyTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredLeaderKeyTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.Features;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** The leader key and the term, as this version, 7564325 and f7fe539 write them, are read by who comes next. */
 class GoldenStoredLeaderKeyTest {
@@ -23,16 +23,17 @@
         StoredRecordsFixture fixture = following();
         assertFalse(fixture.coordinator.leads());
         assertEquals(0, fixture.store.commits.size());
-        fixture.user(PeerRecord.Ask.STATUS, "job-7", "");
+        fixture.user(PeerMessage.RequestKind.STATUS, "job-7", "");
         assertEquals("n1 0101" + "0005" + "6a6f622d37" + "00000000", fixture.peerBytes.get(0));
     }
 
     @Test
     void termOfTheLeaderKeyIsTheHighestThatIsKnown() {
         StoredRecordsFixture fixture = following();
-        PeerRecord[] answer = new PeerRecord[1];
-        fixture.turn(() -> fixture.coordinator.peer(new PeerRecord.Term(4, "n2", true), told -> answer[0] = told));
-        PeerRecord.Term told = (PeerRecord.Term) answer[0];
+        PeerMessage[] answer = new PeerMessage[1];
+        fixture.turn(() ->
+                fixture.coordinator.peer(new PeerMessage.TermAnnouncement(4, "n2", true), told -> answer[0] = told));
+        PeerMessage.TermAnnouncement told = (PeerMessage.TermAnnouncement) answer[0];
         assertEquals(5, told.term());
         assertEquals("n1", told.leader());
     }
--- a/src/test/java/stileferry/golden/GoldenStoredOlderFormsTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredOlderFormsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import stileferry.protocol.Features;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** What 7564325 and f7fe539 have stored is read with the same meaning, and taken over by the next leader. */
 class GoldenStoredOlderFormsTest {
@@ -17,7 +17,7 @@
     }
 
     private static String status(StoredRecordsFixture fixture, String id) {
-        StoredRecordsFixture.Told told = fixture.user(PeerRecord.Ask.STATUS, id, "");
+        StoredRecordsFixture.Told told = fixture.user(PeerMessage.RequestKind.STATUS, id, "");
         return told.status() + " " + told.body();
     }
 
--- a/src/test/java/stileferry/golden/GoldenStoredRecordsTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredRecordsTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** What a leader writes to the key-value store: keys, fields, order and bytes, with all optional parts off. */
 class GoldenStoredRecordsTest {
@@ -37,7 +37,7 @@
         StoredRecordsFixture fixture = StoredRecordsFixture.leading(new StoredKeyValues());
         StoredWorker worker = new StoredWorker("host-000231", "10.1.0.1:9000", "za");
         fixture.report(worker);
-        fixture.user(PeerRecord.Ask.SUBMIT, "job-101", ARRAY);
+        fixture.user(PeerMessage.RequestKind.SUBMIT, "job-101", ARRAY);
         fixture.report(worker);
         fixture.report(worker);
         worker.exit("job-101/0", "done");
@@ -72,10 +72,10 @@
         StoredRecordsFixture fixture = StoredRecordsFixture.leading(new StoredKeyValues());
         StoredWorker worker = new StoredWorker("host-000231", "10.1.0.1:9000", "za");
         fixture.report(worker);
-        fixture.user(PeerRecord.Ask.SUBMIT, "job-102", SERVICE);
+        fixture.user(PeerMessage.RequestKind.SUBMIT, "job-102", SERVICE);
         fixture.report(worker);
         fixture.report(worker);
-        fixture.user(PeerRecord.Ask.WITHDRAW, "job-102", "");
+        fixture.user(PeerMessage.RequestKind.WITHDRAW, "job-102", "");
         fixture.report(worker);
         fixture.report(worker);
         StoredGolden.assertText("stored-service.json", commits(fixture));
@@ -88,7 +88,7 @@
         StoredWorker second = new StoredWorker("host-000232", "10.1.0.2:9000", "za");
         fixture.report(first);
         fixture.report(second);
-        fixture.user(PeerRecord.Ask.SUBMIT, "job-103", GANG);
+        fixture.user(PeerMessage.RequestKind.SUBMIT, "job-103", GANG);
         fixture.report(first);
         fixture.report(second);
         first.exit("job-103/0", "done");
@@ -103,7 +103,7 @@
         StoredRecordsFixture fixture = StoredRecordsFixture.leading(new StoredKeyValues());
         StoredWorker worker = new StoredWorker("host-000231", "10.1.0.1:9000", "za");
         fixture.report(worker);
-        fixture.user(PeerRecord.Ask.SUBMIT, "job-102", SERVICE);
+        fixture.user(PeerMessage.RequestKind.SUBMIT, "job-102", SERVICE);
         fixture.report(worker);
         fixture.advance(4000);
         fixture.report(worker);
--- a/src/test/java/stileferry/golden/GoldenStoredRingTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredRingTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.Features;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 
 /** The ring of event records: 1,024 slots, what is copied when a slot is written again, records beside the ring. */
 class GoldenStoredRingTest {
@@ -94,7 +94,7 @@
         fixture.report(worker);
         assertEquals(
                 0,
-                fixture.user(PeerRecord.Ask.STATUS, "job-104", "")
+                fixture.user(PeerMessage.RequestKind.STATUS, "job-104", "")
                         .body()
                         .path("running")
                         .asInt());
--- a/src/test/java/stileferry/golden/RecordingEnvironment.java
+++ b/src/test/java/stileferry/golden/RecordingEnvironment.java
@@ -15,7 +15,7 @@
 import java.util.random.RandomGenerator;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
 /**
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public void peer(Settings.Peer peer, PeerRecord record, long timeoutMs, Consumer<PeerRecord> reply) {
+    public void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
         after(timeoutMs, () -> reply.accept(null)); // the other controllers say nothing
     }
 }
--- a/src/test/java/stileferry/golden/SimulatedController.java
+++ b/src/test/java/stileferry/golden/SimulatedController.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import stileferry.coordination.Coordinator;
 import stileferry.protocol.Features;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.SettingsReader;
 
 /** One controller in a {@link RecordingEnvironment}, asked from its outer edges with literal bytes. */
@@ -34,7 +34,7 @@
         private String line;
         private byte[] body;
 
-        private void takeFromUserSide(PeerRecord.Answer answer) {
+        private void takeFromUserSide(PeerMessage.Response answer) {
             int retryAfterS = answer.retryAfterS();
             line = answer.status() + " application/msgpack" + (retryAfterS > 0 ? " Retry-After: " + retryAfterS : "");
             body = answer.body();
@@ -98,22 +98,22 @@
 
     /** A user's submission. */
     Heard submit(byte[] body) {
-        return user(PeerRecord.Ask.SUBMIT, "", body);
+        return user(PeerMessage.RequestKind.SUBMIT, "", body);
     }
 
     /** A user's question about a job. */
     Heard status(String id) {
-        return user(PeerRecord.Ask.STATUS, id, new byte[0]);
+        return user(PeerMessage.RequestKind.STATUS, id, new byte[0]);
     }
 
     /** A user's withdrawal of a job. */
     Heard withdraw(String id) {
-        return user(PeerRecord.Ask.WITHDRAW, id, new byte[0]);
+        return user(PeerMessage.RequestKind.WITHDRAW, id, new byte[0]);
     }
 
-    private Heard user(PeerRecord.Ask ask, String id, byte[] body) {
+    private Heard user(PeerMessage.RequestKind ask, String id, byte[] body) {
         Heard heard = new Heard();
-        Consumer<PeerRecord.Answer> reply = answer -> heard.takeFromUserSide(answer);
+        Consumer<PeerMessage.Response> reply = answer -> heard.takeFromUserSide(answer);
         environment.turn(() -> coordinator.user(ask, id, body, reply));
         return heard;
     }
--- a/src/test/java/stileferry/golden/StoredRecordsFixture.java
+++ b/src/test/java/stileferry/golden/StoredRecordsFixture.java
@@ -14,7 +14,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Features;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerRecord;
+import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
 
@@ -35,7 +35,7 @@
     final List<String> peerBytes = new ArrayList<>();
 
     /** What other controllers answer; null: nothing. */
-    Function<PeerRecord, PeerRecord> peers = StoredRecordsFixture::acknowledge;
+    Function<PeerMessage, PeerMessage> peers = StoredRecordsFixture::acknowledge;
 
     final Coordinator coordinator;
     private final Map<String, StoredWorker> workers = new HashMap<>();
@@ -79,8 +79,10 @@
     }
 
     /** A leader in its term acknowledges nothing itself; everybody else acknowledges the term that it hears. */
-    private static PeerRecord acknowledge(PeerRecord record) {
-        return record instanceof PeerRecord.Term term ? new PeerRecord.Term(term.term(), "", false) : null;
+    private static PeerMessage acknowledge(PeerMessage record) {
+        return record instanceof PeerMessage.TermAnnouncement term
+                ? new PeerMessage.TermAnnouncement(term.term(), "", false)
+                : null;
     }
 
     private static Settings settings(double valueKb) {
@@ -180,10 +182,10 @@
     }
 
     @Override
-    public void peer(Settings.Peer peer, PeerRecord record, long timeoutMs, Consumer<PeerRecord> reply) {
-        byte[] bytes = PeerRecord.write(record);
+    public void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
+        byte[] bytes = PeerMessage.write(record);
         peerBytes.add(peer.node() + " " + HexFormat.of().formatHex(bytes));
-        PeerRecord answer = peers.apply(PeerRecord.read(bytes));
+        PeerMessage answer = peers.apply(PeerMessage.read(bytes));
         after(1, () -> reply.accept(answer));
     }
 
@@ -204,7 +206,7 @@
     }
 
     /** Asks as a user, and waits for the answer. */
-    Told user(PeerRecord.Ask ask, String id, String body) {
+    Told user(PeerMessage.RequestKind ask, String id, String body) {
         Told[] told = new Told[1];
         byte[] bytes = body.isEmpty() ? new byte[0] : MessageCodec.encode(StoredKeyValues.json(body));
         turn(() -> coordinator.user(
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import stileferry.cluster.Claim;
 import stileferry.cluster.Job;
+import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
+import stileferry.storage.CommitQueue;
 import stileferry.storage.EventLog;
-import stileferry.storage.Ledger;
 
 /** What is stored of tasks, read again after any write, tells the state at that write. */
 class TaskEventsTest {
@@ -80,7 +80,7 @@
                 .sorted(Comparator.comparingLong(e -> e.getValue().path("n").asLong()))
                 .forEach(e -> {
                     long n = e.getValue().path("n").asLong();
-                    List<Ledger.Event> events = reader.read(e.getValue(), n);
+                    List<CommitQueue.Event> events = reader.read(e.getValue(), n);
                     if (log != null) {
                         log.restore(e.getKey(), 1, n, events);
                     }
@@ -91,14 +91,14 @@
     private static void claimSome(Job job, long attempt, SplittableRandom r, EventLog log) {
         int index = job.taken().nextClearBit(r.nextInt(60));
         if (index < 60) {
-            Claim claim = new Claim(job, index, attempt, "host-" + r.nextInt(20), 1, 0);
+            TaskAssignment claim = new TaskAssignment(job, index, attempt, "host-" + r.nextInt(20), 1, 0);
             job.claims().put(index, claim);
             job.taken().set(index);
             log.add(TaskEvents.claimed(claim), null);
         }
     }
 
-    private static Map<String, Long> attempts(Iterable<Claim> claims) {
+    private static Map<String, Long> attempts(Iterable<TaskAssignment> claims) {
         Map<String, Long> attempts = new TreeMap<>();
         claims.forEach(c -> attempts.put(c.name(), c.attempt()));
         return attempts;
@@ -118,7 +118,7 @@
             if (job.claims().isEmpty() || r.nextInt(5) < 2) {
                 claimSome(job, ++attempt, r, log);
             } else {
-                Claim claim = job.claims().values().iterator().next();
+                TaskAssignment claim = job.claims().values().iterator().next();
                 job.claims().remove(claim.index());
                 if (r.nextInt(4) == 0) {
                     job.finish(claim.index());
@@ -147,7 +147,7 @@
                     }
                 }
                 TaskEvents.Reader reader = read(store, copy, next);
-                List<Claim> claims = new ArrayList<>();
+                List<TaskAssignment> claims = new ArrayList<>();
                 jobs.values().forEach(j -> claims.addAll(j.claims().values()));
                 assertEquals(attempts(claims), attempts(reader.claims()), "at step " + step);
                 for (Job j : jobs.values()) {
@@ -187,7 +187,7 @@
             if (job.claims().size() < (crowd ? 55 : 40)) {
                 claimSome(job, ++attempt, r, log);
             } else {
-                Claim claim = job.claims()
+                TaskAssignment claim = job.claims()
                         .get(job.claims().keySet().stream()
                                 .skip(r.nextInt(job.claims().size()))
                                 .findFirst()
@@ -213,7 +213,7 @@
                 Map<String, Job> copy = jobs(8, 60);
                 Map<String, Long> told = attempts(read(store, copy, null).claims());
                 if (!log.waits()) {
-                    List<Claim> claims = new ArrayList<>();
+                    List<TaskAssignment> claims = new ArrayList<>();
                     jobs.values().forEach(j -> claims.addAll(j.claims().values()));
                     assertEquals(attempts(claims), told, "at step " + step);
                 }
@@ -239,9 +239,9 @@
         Map<String, Job> jobs = jobs(1, 100_000);
         Job job = jobs.get("job-0");
         EventLog log = new EventLog(VALUE_KB, 1024, "t");
-        List<Claim> claims = new ArrayList<>();
+        List<TaskAssignment> claims = new ArrayList<>();
         for (int i = 0; i < 100_000; i++) {
-            Claim claim = new Claim(job, i, (1L << 40) + i, "host-123456", 100, 0);
+            TaskAssignment claim = new TaskAssignment(job, i, (1L << 40) + i, "host-123456", 100, 0);
             job.claims().put(i, claim);
             claims.add(claim);
             log.add(TaskEvents.claimed(claim), null);
@@ -322,7 +322,7 @@
                 0);
         job.setAccepted(true);
         assertEquals(0, job.nextWaiting(0));
-        job.claims().put(1, new Claim(job, 1, 1, "m", 1, 0));
+        job.claims().put(1, new TaskAssignment(job, 1, 1, "m", 1, 0));
         job.taken().set(1);
         assertEquals(-1, job.nextWaiting(0), "a gang starts whole or not at all");
     }
--- a/src/test/java/stileferry/protocol/MessagesTest.java
+++ b/src/test/java/stileferry/protocol/MessagesTest.java
@@ -111,31 +111,36 @@
                 .put("voyage", 1)
                 .put("log_seq", 1)
                 .put("helm", 1));
-        byte[] record = PeerRecord.write(new PeerRecord.Forward(PeerRecord.Ask.SUBMIT, "job-1", report));
+        byte[] record =
+                PeerMessage.write(new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.SUBMIT, "job-1", report));
         int refused = 0;
         for (int i = 0; i < 5000; i++) {
             byte[] bytes = (random.nextBoolean() ? report : record).clone();
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
-            refused += Report.read(MessageCodec.decode(cut)) == null && PeerRecord.read(cut) == null ? 1 : 0;
+            refused += Heartbeat.read(MessageCodec.decode(cut)) == null && PeerMessage.read(cut) == null ? 1 : 0;
         }
         assertEquals(true, refused > 2500, "too much noise was understood: " + refused);
     }
 
     @Test
     void recordsBetweenControllersAreReadAsWritten() {
-        PeerRecord.Forward f = new PeerRecord.Forward(PeerRecord.Ask.WITHDRAW, "job-7", new byte[] {1, 2});
-        PeerRecord.Forward back = (PeerRecord.Forward) PeerRecord.read(PeerRecord.write(f));
+        PeerMessage.ForwardedRequest f =
+                new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.WITHDRAW, "job-7", new byte[] {1, 2});
+        PeerMessage.ForwardedRequest back = (PeerMessage.ForwardedRequest) PeerMessage.read(PeerMessage.write(f));
         assertEquals(f.ask(), back.ask());
         assertEquals(f.id(), back.id());
         assertArrayEquals(f.body(), back.body());
-        PeerRecord.Term t = new PeerRecord.Term(9, "n1", true);
-        assertEquals(t, PeerRecord.read(PeerRecord.write(t)));
-        PeerRecord.Term told = new PeerRecord.Term(
-                9, "n1", true, new PeerRecord.Knowledge(1L << 60, 5, true, false, List.of("job-1", "job-2")));
-        assertEquals(told, PeerRecord.read(PeerRecord.write(told)));
-        PeerRecord.Answer a =
-                (PeerRecord.Answer) PeerRecord.read(PeerRecord.write(new PeerRecord.Answer(503, 30, new byte[0])));
+        PeerMessage.TermAnnouncement t = new PeerMessage.TermAnnouncement(9, "n1", true);
+        assertEquals(t, PeerMessage.read(PeerMessage.write(t)));
+        PeerMessage.TermAnnouncement told = new PeerMessage.TermAnnouncement(
+                9,
+                "n1",
+                true,
+                new PeerMessage.CancellationKnowledge(1L << 60, 5, true, false, List.of("job-1", "job-2")));
+        assertEquals(told, PeerMessage.read(PeerMessage.write(told)));
+        PeerMessage.Response a = (PeerMessage.Response)
+                PeerMessage.read(PeerMessage.write(new PeerMessage.Response(503, 30, new byte[0])));
         assertEquals(503, a.status());
         assertEquals(30, a.retryAfterS());
     }
@@ -147,11 +152,11 @@
     @Test
     void termsAreReadAcrossVersions() {
         byte[] old = HexFormat.of().parseHex("03" + "0000000000000009" + "0002" + "6e31" + "01");
-        assertEquals(new PeerRecord.Term(9, "n1", true), PeerRecord.read(old));
-        byte[] now = PeerRecord.write(
-                new PeerRecord.Term(9, "n1", true, new PeerRecord.Knowledge(1, 2, true, true, List.of("job-1"))));
+        assertEquals(new PeerMessage.TermAnnouncement(9, "n1", true), PeerMessage.read(old));
+        byte[] now = PeerMessage.write(new PeerMessage.TermAnnouncement(
+                9, "n1", true, new PeerMessage.CancellationKnowledge(1, 2, true, true, List.of("job-1"))));
         assertArrayEquals(old, Arrays.copyOf(now, old.length), "what the older version reads comes first, unchanged");
-        assertArrayEquals(old, PeerRecord.write(new PeerRecord.Term(9, "n1", true)));
+        assertArrayEquals(old, PeerMessage.write(new PeerMessage.TermAnnouncement(9, "n1", true)));
     }
 
     private static byte[] report(long seq, String state, boolean tasksLast) {
@@ -170,19 +175,19 @@
     /** Reading the same tasks again was a good part of what a leader of many machines did. */
     @Test
     void anUnchangedListOfTasksIsNotReadAgain() {
-        Report first = Report.read(report(1, "running", true));
-        Report second = Report.read(report(2, "running", true), machine -> first);
+        Heartbeat first = Heartbeat.read(report(1, "running", true));
+        Heartbeat second = Heartbeat.read(report(2, "running", true), machine -> first);
         assertSame(first.tasks(), second.tasks());
         assertEquals(2, second.seq());
-        Report changed = Report.read(report(3, "saving", true), machine -> second);
-        assertEquals(Report.Stage.SAVING, changed.tasks().get(0).stage());
-        Report unknown = Report.read(report(4, "saving", true), machine -> null);
+        Heartbeat changed = Heartbeat.read(report(3, "saving", true), machine -> second);
+        assertEquals(Heartbeat.TaskPhase.SAVING, changed.tasks().get(0).stage());
+        Heartbeat unknown = Heartbeat.read(report(4, "saving", true), machine -> null);
         assertEquals(changed.tasks(), unknown.tasks());
-        Report otherOrder = Report.read(report(5, "saving", false), machine -> changed);
+        Heartbeat otherOrder = Heartbeat.read(report(5, "saving", false), machine -> changed);
         assertEquals(changed.tasks(), otherOrder.tasks());
         assertEquals(5, otherOrder.seq(), "fields after the list are read");
         byte[] cut = report(6, "saving", true);
-        assertNull(Report.read(Arrays.copyOf(cut, cut.length - 1), machine -> changed));
+        assertNull(Heartbeat.read(Arrays.copyOf(cut, cut.length - 1), machine -> changed));
     }
 
     /** A body nested without end would exhaust the stack of the one thread. */
@@ -191,6 +196,6 @@
         byte[] deep = new byte[MessageCodec.MAX_BODY];
         Arrays.fill(deep, (byte) 0x91);
         assertNull(MessageCodec.decode(deep));
-        assertNull(Report.read(deep));
+        assertNull(Heartbeat.read(deep));
     }
 }
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
@@ -99,8 +99,8 @@
         return job;
     }
 
-    private Claim run(Job job, long since) {
-        Claim claim = new Claim(job, job.taken().nextClearBit(0), jobs, "m", 1, since);
+    private TaskAssignment run(Job job, long since) {
+        TaskAssignment claim = new TaskAssignment(job, job.taken().nextClearBit(0), jobs, "m", 1, since);
         claim.setDurable(true);
         claim.setRunsSent(1);
         claim.setRunningAt(since);
@@ -117,7 +117,7 @@
     void theLeastLossGoesFirst() {
         Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
         run(idle, 10_000);
-        Claim young = run(idle, 90_000);
+        TaskAssignment young = run(idle, 90_000);
         job("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         List<Preemption.Stop> stops = decide();
         assertEquals(1, stops.size(), "one is enough");
@@ -142,7 +142,7 @@
         assertEquals(List.of("m"), stops.stream().map(s -> s.victim().machine()).toList());
         placement.pass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
-            cluster.add(new Claim(service, 0, 1, machines.get(0).name(), 1, NOW));
+            cluster.add(new TaskAssignment(service, 0, 1, machines.get(0).name(), 1, NOW));
         });
         assertEquals(List.of(other), started, "it does not wait for longer than half its time to start");
     }
@@ -231,7 +231,7 @@
     void roomThatIsBeingMadeIsKeptFromLessUrgentWork() {
         Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
         run(idle, 10_000);
-        Claim second = run(idle, 10_000);
+        TaskAssignment second = run(idle, 10_000);
         Job gang = urgentGangInOneZone(4);
         List<Preemption.Stop> stops = decide();
         assertEquals(2, stops.size());
@@ -310,10 +310,10 @@
         Job gang = job("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 4);
         run(gang, 80_000);
         Machine other = machine("other");
-        Claim elsewhere = new Claim(gang, 1, jobs, other.name(), 1, 80_000);
+        TaskAssignment elsewhere = new TaskAssignment(gang, 1, jobs, other.name(), 1, 80_000);
         elsewhere.setRunningAt(80_000);
         cluster.add(elsewhere);
-        Claim array = run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 70_000);
+        TaskAssignment array = run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 70_000);
         other.setDraining(true);
         job("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         assertEquals(
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import stileferry.cluster.Claim;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
 import stileferry.coordination.World;
 import stileferry.heartbeat.EventLoopLag;
-import stileferry.heartbeat.Fleet;
+import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
@@ -105,7 +105,7 @@
         for (Machine m : cluster.machines().values()) {
             double cpus = job.spec().cpus();
             double memory = job.spec().memoryGb();
-            for (Claim c : m.claims().values()) {
+            for (TaskAssignment c : m.claims().values()) {
                 cpus += c.job().spec().cpus();
                 memory += c.job().spec().memoryGb();
             }
@@ -142,7 +142,7 @@
     }
 
     private static String claim(ClusterState cluster, Job job, Machine machine) {
-        Claim claim = new Claim(job, job.taken().nextClearBit(0), 1, machine.name(), 1, NOW);
+        TaskAssignment claim = new TaskAssignment(job, job.taken().nextClearBit(0), 1, machine.name(), 1, NOW);
         cluster.add(claim);
         return claim.name() + " on " + machine.name();
     }
@@ -167,7 +167,7 @@
             for (ClusterState cluster : List.of(fast, plain)) { // every third task ends
                 SplittableRandom r = new SplittableRandom(seed + round);
                 for (Job job : cluster.jobs().values()) {
-                    for (Claim c : List.copyOf(job.claims().values())) {
+                    for (TaskAssignment c : List.copyOf(job.claims().values())) {
                         if (r.nextInt(3) == 0) {
                             cluster.remove(c, true);
                         }
@@ -280,7 +280,8 @@
         };
         World.Node node = w.nodes.get("n0");
         node.start();
-        Fleet fleet = new Fleet(cluster, node.environment, null, 1, null, null, new EventLoopLag(node.environment, 1));
+        HeartbeatHandler fleet = new HeartbeatHandler(
+                cluster, node.environment, null, 1, null, null, new EventLoopLag(node.environment, 1));
         fleet.commands().announceTerm();
         w.play(20);
         int commands = cluster.settings().sockets().commands();
