--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -79,7 +79,7 @@
                 listedAt = environment.now();
                 return;
             }
-            seen.addAll(Messages.listed(body));
+            seen.addAll(Messages.listedMachines(body));
             if (body.path("more").asBoolean() && !seen.isEmpty()) {
                 nextPage(seen.get(seen.size() - 1).name(), seen);
                 return;
@@ -94,35 +94,37 @@
         long now = environment.now();
         Set<String> names = new HashSet<>();
         for (Messages.ListedMachine l : list) {
-            if (cluster.deleted().contains(l.name())) {
+            if (cluster.deletedMachines().contains(l.name())) {
                 continue; // the list lags behind the deletion
             }
             names.add(l.name());
             Machine m = cluster.machine(l.name());
-            m.setListed(true);
-            m.setMissingSince(0);
-            if (m.type() == null || m.addr().isEmpty()) {
-                m.setAddr(m.addr().isEmpty() ? l.addr() : m.addr());
+            m.instance().setListed(true);
+            m.instance().setMissingSince(0);
+            if (m.type() == null || m.address().isEmpty()) {
+                m.setAddress(m.address().isEmpty() ? l.address() : m.address());
                 m.setTypeName(l.type());
-                m.setType(cluster.type(l.type()));
+                m.setType(cluster.machineType(l.type()));
                 m.setSpot(l.spot());
                 cluster.setZone(m, l.zone());
             }
-            if (m.rentedAt() == 0) {
-                m.setRentedAt(now - Math.round(l.ageS() * 1000));
+            if (m.instance().requestedAt() == 0) {
+                m.instance().setRequestedAt(now - Math.round(l.ageS() * 1000));
             }
-            if (!m.heard()) {
-                m.setBooting(l.state().equals("booting"));
+            if (!m.agent().heardThisTerm()) {
+                m.instance().setBooting(l.state().equals("booting"));
             }
-            if (l.state().equals("failed") && !m.deleting()) {
+            if (l.state().equals("failed") && !m.instance().terminating()) {
                 LOG.info("machine {} has failed", m.name());
-                m.setDeleting(true);
-                cluster.rooms().update(m);
+                m.instance().setTerminating(true);
+                cluster.freeCapacity().update(m);
             }
         }
         for (Machine m : cluster.machines().values()) {
-            if (m.listed() && !names.contains(m.name()) && m.missingSince() == 0) {
-                m.setMissingSince(now);
+            if (m.instance().listed()
+                    && !names.contains(m.name())
+                    && m.instance().missingSince() == 0) {
+                m.instance().setMissingSince(now);
             }
         }
         if (!listedOnce) {
--- a/src/main/java/stileferry/autoscaling/PlannedMachine.java
+++ b/src/main/java/stileferry/autoscaling/PlannedMachine.java
@@ -24,7 +24,7 @@
     }
 
     boolean fits(JobSpec s) {
-        return (s.spot() || !spot)
+        return (s.allowsSpot() || !spot)
                 && (s.zone() == null || s.zone().equals(zone))
                 && s.fitsType(type)
                 && s.cpus() <= cpus + ROUNDING
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -72,7 +72,7 @@
         boolean mayReturnIdle = settled && links.permitsReturning();
         Set<Machine> lost = settled ? new HashSet<>(fleet.failures().lost(since)) : Set.of();
         for (Machine m : cluster.machines().values()) {
-            if (m.deleting()) {
+            if (m.instance().terminating()) {
                 continue;
             }
             String why = whyLost(m, settled, lost);
@@ -92,10 +92,10 @@
                 LOG.info(
                         "returning machine {} with {} tasks: {}",
                         m.name(),
-                        m.claims().size(),
+                        m.assignments().size(),
                         why);
-                m.setDeleting(true);
-                cluster.rooms().update(m);
+                m.instance().setTerminating(true);
+                cluster.freeCapacity().update(m);
             }
         }
         delete();
@@ -104,16 +104,20 @@
     /** Why a machine is taken for lost; null: it is not. */
     private String whyLost(Machine m, boolean settled, Set<Machine> lost) {
         long now = environment.now();
-        long quiet = now - Math.max(since, m.rentedAt()); // a new leader has not been there to hear it before
-        boolean missing = m.missingSince() != 0 && now - m.missingSince() > listLagMs / 2;
-        if (missing && (fleet.failures().silent(m) || !m.heard())) {
+        long quiet =
+                now - Math.max(since, m.instance().requestedAt()); // a new leader has not been there to hear it before
+        boolean missing = m.instance().missingSince() != 0 && now - m.instance().missingSince() > listLagMs / 2;
+        if (missing && (fleet.failures().silent(m) || !m.agent().heardThisTerm())) {
             // Listed before and not listed now: it is gone. Deleting it is free and makes that certain.
             return "it is not listed any more";
         }
         if (settled && neverCameUp(m, now)) {
             return "it never came up";
         }
-        boolean unknown = !m.heard() && !m.listed() && !m.claims().isEmpty() && list.known();
+        boolean unknown = !m.agent().heardThisTerm()
+                && !m.instance().listed()
+                && !m.assignments().isEmpty()
+                && list.known();
         if (settled && unknown && quiet > 2 * listLagMs + leaseMs) {
             return "nobody knows it";
         }
@@ -121,13 +125,17 @@
             // the deletion proves sooner than the lease that its tasks are gone
             return m.spot() ? "it was taken without a word" : "it is silent, though its zone is not";
         }
-        boolean lapsed = m.lapsedSession() >= m.session() && m.claims().isEmpty() && !m.booting();
-        if (lapsed && Math.min(quiet, now - m.heardAt()) > SILENT_LEASES * leaseMs && links.permitsGivingUp(m.name())) {
+        boolean lapsed = m.agent().expiredIncarnation() >= m.agent().incarnation()
+                && m.assignments().isEmpty()
+                && !m.instance().booting();
+        if (lapsed
+                && Math.min(quiet, now - m.agent().lastHeardAt()) > SILENT_LEASES * leaseMs
+                && links.permitsGivingUp(m.name())) {
             return "it is silent";
         }
         if (settled
-                && m.unreachedSince() != 0
-                && now - m.unreachedSince() > SILENT_LEASES * leaseMs
+                && m.agent().unreachableSince() != 0
+                && now - m.agent().unreachableSince() > SILENT_LEASES * leaseMs
                 && links.permitsGivingUp(m.name())) {
             return "it reports, but nothing that it is told reaches it";
         }
@@ -135,34 +143,41 @@
     }
 
     private static boolean neverCameUp(Machine m, long now) {
-        return !m.heard()
-                && m.booting()
+        return !m.agent().heardThisTerm()
+                && m.instance().booting()
                 && m.type() != null
-                && m.claims().isEmpty()
-                && m.rentedAt() != 0
-                && now - m.rentedAt() > BOOT_PATIENCE * 1000 * m.type().bootS();
+                && m.assignments().isEmpty()
+                && m.instance().requestedAt() != 0
+                && now - m.instance().requestedAt()
+                        > BOOT_PATIENCE * 1000 * m.type().bootS();
     }
 
     private static boolean empty(Machine m) {
-        return m.heard() && m.claims().isEmpty();
+        return m.agent().heardThisTerm() && m.assignments().isEmpty();
     }
 
     private boolean shallNotBeUsed(Machine m) {
-        return empty(m) && !fleet.failures().silent(m) && (m.noticeS() >= 0 || m.faulty() || m.draining());
+        return empty(m)
+                && !fleet.failures().silent(m)
+                && (m.instance().reclaimNoticeS() >= 0
+                        || m.instance().quarantined()
+                        || m.instance().draining());
     }
 
     private boolean idle(Machine m) {
         long now = environment.now();
         return empty(m)
                 && m.type() != null
-                && !m.strays()
-                && now - m.idleSince() > idleMs(m)
-                && now - m.rentedAt() > PAID_MS;
+                && !m.agent().hasOrphanTasks()
+                && now - m.instance().idleSince() > idleMs(m)
+                && now - m.instance().requestedAt() > PAID_MS;
     }
 
     private boolean keepsCancelledTask(Machine m) {
-        for (TaskAssignment c : m.claims().values()) {
-            if (c.job().cancelled() && c.stopAskedAt() > 0 && environment.now() - c.stopAskedAt() > cancelPatienceMs) {
+        for (TaskAssignment c : m.assignments().values()) {
+            if (c.job().cancelled()
+                    && c.stopRequestedAt() > 0
+                    && environment.now() - c.stopRequestedAt() > cancelPatienceMs) {
                 return true;
             }
         }
@@ -172,14 +187,14 @@
     /** A machine is kept for a while: renting another takes its boot time. */
     private long idleMs(Machine m) {
         return Math.round(1000
-                * cluster.options().number(OperatorSettings.IDLE_BOOTS)
+                * cluster.operatorSettings().number(OperatorSettings.IDLE_BOOTS)
                 * m.type().bootS());
     }
 
     private void delete() {
         List<String> names = new ArrayList<>();
         for (Machine m : cluster.machines().values()) {
-            if (m.deleting() && names.size() < MAX_DELETE) {
+            if (m.instance().terminating() && names.size() < MAX_DELETE) {
                 names.add(m.name());
             }
         }
@@ -187,7 +202,7 @@
             return;
         }
         deleting = true;
-        cloud.call("POST", "/hosts/delete", Messages.machines(names), (status, body) -> {
+        cloud.call("POST", "/hosts/delete", Messages.deletionRequest(names), (status, body) -> {
             deleting = false;
             if (status == 200) {
                 for (String name : names) {
@@ -206,16 +221,16 @@
         double critical = 0;
         double largest = 0;
         for (Machine m : cluster.machines().values()) {
-            if (m.usable() && !m.spot()) {
+            if (m.schedulable() && !m.spot()) {
                 free += m.type().cpus() - m.usedCpus();
             }
-            for (TaskAssignment c : m.claims().values()) {
+            for (TaskAssignment c : m.assignments().values()) {
                 if (c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
                     critical += c.job().spec().cpus();
                     largest = Math.max(largest, c.job().spec().cpus());
                 }
             }
         }
-        return free - Math.max(largest, critical * cluster.options().number(OperatorSettings.SPARE_SHARE));
+        return free - Math.max(largest, critical * cluster.operatorSettings().number(OperatorSettings.SPARE_SHARE));
     }
 }
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -85,13 +85,13 @@
         spotMachines = 0;
         allMachines = 0;
         for (Machine m : cluster.machines().values()) {
-            if (m.deleting() || m.type() == null) {
+            if (m.instance().terminating() || m.type() == null) {
                 continue;
             }
             allMachines++;
             spotMachines += m.spot() ? 1 : 0;
             perZone.merge(m.zone(), 1, Integer::sum);
-            if (m.booting()) { // what is said to run but does not report is no room to count on
+            if (m.instance().booting()) { // what is said to run but does not report is no room to count on
                 coming.add(new PlannedMachine(m.type(), m.zone(), m.spot()));
             }
         }
@@ -144,11 +144,11 @@
     /** How many of a job's waiting tasks its team may still run, after what earlier jobs were promised. */
     private int withinLimit(Job job, Map<String, Double> teamCpus) {
         Settings.Team team = cluster.settings().team(job.spec().team());
-        int tasks = job.waitingCount();
+        int tasks = job.pendingCount();
         if (team == null || team.cpusMax() == 0 || job.spec().cpus() == 0) {
             return tasks;
         }
-        double used = teamCpus.getOrDefault(team.name(), cluster.cpusOf(team.name()));
+        double used = teamCpus.getOrDefault(team.name(), cluster.cpusInUse(team.name()));
         int most = (int) Math.max(
                 0, Math.min(tasks, (team.cpusMax() - used + 1e-6) / job.spec().cpus()));
         teamCpus.put(team.name(), used + most * job.spec().cpus());
@@ -198,8 +198,8 @@
     private PlannedMachine cheapest(JobSpec spec, Map<String, Integer> perZone, String onlyZone) {
         PlannedMachine best = null;
         boolean moreSpot =
-                spotMachines + 1 <= cluster.options().number(OperatorSettings.SPOT_SHARE) * (allMachines + 1);
-        for (MachineType type : cluster.types()) {
+                spotMachines + 1 <= cluster.operatorSettings().number(OperatorSettings.SPOT_SHARE) * (allMachines + 1);
+        for (MachineType type : cluster.machineTypes()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     PlannedMachine bin = new PlannedMachine(type, zone, spot);
@@ -219,8 +219,8 @@
     }
 
     private static boolean cheaper(PlannedMachine bin, PlannedMachine than, Map<String, Integer> perZone) {
-        double price = bin.spot() ? bin.type().spotPrice() : bin.type().price();
-        double other = than.spot() ? than.type().spotPrice() : than.type().price();
+        double price = bin.spot() ? bin.type().spotPrice() : bin.type().onDemandPrice();
+        double other = than.spot() ? than.type().spotPrice() : than.type().onDemandPrice();
         if (price != other) {
             return price < other;
         }
@@ -247,7 +247,7 @@
         cloud.call(
                 "POST",
                 "/hosts",
-                Messages.rent(r.request, r.type.name(), r.zone, r.spot, r.count),
+                Messages.scaleOutRequest(r.request, r.type.name(), r.zone, r.spot, r.count),
                 (status, body) -> answered(r, status, body));
     }
 
@@ -255,7 +255,7 @@
         String group = group(r.type, r.zone, r.spot);
         if (status == 200 && body != null) {
             rentals.removeIf(x -> x.request.equals(r.request));
-            List<String> names = Messages.rented(body);
+            List<String> names = Messages.createdMachines(body);
             LOG.info(
                     "rented {} of {} {} {} in {}",
                     names.size(),
@@ -268,8 +268,8 @@
                 m.setType(r.type);
                 m.setTypeName(r.type.name());
                 m.setSpot(r.spot);
-                m.setRentedAt(r.sentAt);
-                m.setBooting(!m.heard());
+                m.instance().setRequestedAt(r.sentAt);
+                m.instance().setBooting(!m.agent().heardThisTerm());
                 cluster.setZone(m, r.zone);
             }
             if (names.size() < r.count) {
--- a/src/main/java/stileferry/cluster/CapacityReservations.java
+++ b/src/main/java/stileferry/cluster/CapacityReservations.java
@@ -45,7 +45,7 @@
     }
 
     /** Whether a task of this job fits on a machine beside the room that is reserved there for more urgent jobs. */
-    public boolean leaveRoom(Machine machine, Job job) {
+    public boolean leaveCapacity(Machine machine, Job job) {
         Map<Job, Amounts> reserved = byMachine.get(machine.name());
         if (reserved == null) {
             return true;
@@ -60,6 +60,6 @@
                 memoryGb += entry.getValue().memoryGb;
             }
         }
-        return machine.hasRoom(cpus, gpus, memoryGb);
+        return machine.fits(cpus, gpus, memoryGb);
     }
 }
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -26,22 +26,22 @@
     private final Settings settings;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new TreeMap<>();
-    private final FreeCapacityIndex rooms = new FreeCapacityIndex();
+    private final FreeCapacityIndex freeCapacity = new FreeCapacityIndex();
     private final CapacityReservations reservations = new CapacityReservations();
 
     /** Accepted jobs whose records can't be read. */
-    private final Set<String> unreadable = new HashSet<>();
+    private final Set<String> unreadableJobs = new HashSet<>();
 
     /** Claims whose tasks were told to stop. */
-    private final Set<TaskAssignment> stopping = new LinkedHashSet<>();
+    private final Set<TaskAssignment> stoppingTasks = new LinkedHashSet<>();
 
-    private List<MachineType> types = List.of();
+    private List<MachineType> machineTypes = List.of();
 
     /** The operators' settings in force. */
-    private OperatorSettings options = OperatorSettings.defaults();
+    private OperatorSettings operatorSettings = OperatorSettings.defaults();
 
     /** Machines whose deletion was confirmed: late lists and late reports still name them, but they are gone. */
-    private final Set<String> deleted = Collections.newSetFromMap(new LinkedHashMap<>() {
+    private final Set<String> deletedMachines = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
             return size() > Math.max(LEAST_DELETED_REMEMBERED, DELETED_REMEMBERED_EACH * machines.size());
@@ -49,8 +49,8 @@
     });
 
     private final LinkHealth links;
-    private final Map<String, double[]> use = new HashMap<>();
-    private final int[] claimsOf = new int[JobSpec.Priority.values().length];
+    private final Map<String, double[]> usageByTeam = new HashMap<>();
+    private final int[] assignmentsByPriority = new int[JobSpec.Priority.values().length];
 
     public ClusterState(Settings settings) {
         this(settings, LinkHealth.NONE);
@@ -60,12 +60,12 @@
         this.settings = settings;
         this.links = links;
         for (Settings.Team team : settings.teams()) {
-            use.put(team.name(), new double[3]);
+            usageByTeam.put(team.name(), new double[3]);
         }
     }
 
-    public MachineType type(String name) {
-        for (MachineType type : types) {
+    public MachineType machineType(String name) {
+        for (MachineType type : machineTypes) {
             if (type.name().equals(name)) {
                 return type;
             }
@@ -78,57 +78,57 @@
     }
 
     /** Counts a task that may be on a machine from now on. */
-    public void add(TaskAssignment claim) {
-        claim.job().claims().put(claim.index(), claim);
-        claim.job().taken().set(claim.index());
+    public void assign(TaskAssignment claim) {
+        claim.job().assignments().put(claim.index(), claim);
+        claim.job().completedOrAssigned().set(claim.index());
         Machine machine = machine(claim.machine());
-        machine.claims().put(claim.name(), claim);
-        machine.count(claim, 1);
-        rooms.update(machine);
+        machine.assignments().put(claim.taskId(), claim);
+        machine.addUsage(claim, 1);
+        freeCapacity.update(machine);
         claim.job().tasksInZone().merge(machine.zone(), 1, Integer::sum);
         count(claim, 1);
     }
 
     /** Ends a claim after proof that its task is not on its machine. */
-    public void remove(TaskAssignment claim, boolean done) {
-        claim.job().claims().remove(claim.index(), claim);
-        stopping.remove(claim);
+    public void unassign(TaskAssignment claim, boolean done) {
+        claim.job().assignments().remove(claim.index(), claim);
+        stoppingTasks.remove(claim);
         if (done) {
-            claim.job().finish(claim.index());
+            claim.job().markCompleted(claim.index());
         } else {
-            claim.job().taken().clear(claim.index());
+            claim.job().completedOrAssigned().clear(claim.index());
         }
         Machine machine = machine(claim.machine());
-        machine.claims().remove(claim.name(), claim);
-        machine.count(claim, -1);
-        rooms.update(machine);
+        machine.assignments().remove(claim.taskId(), claim);
+        machine.addUsage(claim, -1);
+        freeCapacity.update(machine);
         claim.job().tasksInZone().merge(machine.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
         count(claim, -1);
     }
 
     /** Wants a claimed task to stop; a shorter time to save replaces a longer one. */
-    public void stop(TaskAssignment claim, double graceS, long now) {
-        claim.stop(graceS, now);
-        machine(claim.machine()).setAsWanted(false);
-        stopping.add(claim);
+    public void requestStop(TaskAssignment claim, double graceS, long now) {
+        claim.requestStop(graceS, now);
+        machine(claim.machine()).agent().setReconciled(false);
+        stoppingTasks.add(claim);
     }
 
     /** Forgets a machine that is gone. */
     public void forget(Machine machine) {
-        rooms.remove(machine);
-        if (machine.silence() != null) {
-            machine.silence().setOver(true);
-            machine.setSilence(null);
+        freeCapacity.remove(machine);
+        if (machine.agent().lastHeartbeatRecord() != null) {
+            machine.agent().lastHeartbeatRecord().setObsolete(true);
+            machine.agent().setLastHeartbeatRecord(null);
         }
         machines.remove(machine.name());
-        deleted.add(machine.name());
+        deletedMachines.add(machine.name());
         links.gone(machine.name());
     }
 
     /** Takes in a machine's zone when it becomes known after claims on it were read. */
     public void setZone(Machine machine, String zone) {
         if (!machine.zone().equals(zone)) {
-            for (TaskAssignment claim : machine.claims().values()) {
+            for (TaskAssignment claim : machine.assignments().values()) {
                 claim.job().tasksInZone().merge(machine.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
                 claim.job().tasksInZone().merge(zone, 1, Integer::sum);
             }
@@ -137,8 +137,8 @@
     }
 
     private void count(TaskAssignment claim, int sign) {
-        claimsOf[claim.job().spec().priority().ordinal()] += sign;
-        double[] sums = use.get(claim.job().spec().team());
+        assignmentsByPriority[claim.job().spec().priority().ordinal()] += sign;
+        double[] sums = usageByTeam.get(claim.job().spec().team());
         if (sums == null) {
             return; // a team that the settings no longer name has no limit to keep
         }
@@ -148,40 +148,40 @@
     }
 
     /** Whether any task of a lower priority may be on a machine. */
-    public boolean anyBelow(JobSpec.Priority priority) {
-        for (int i = priority.ordinal() + 1; i < claimsOf.length; i++) {
-            if (claimsOf[i] > 0) {
+    public boolean anyOfLowerPriority(JobSpec.Priority priority) {
+        for (int i = priority.ordinal() + 1; i < assignmentsByPriority.length; i++) {
+            if (assignmentsByPriority[i] > 0) {
                 return true;
             }
         }
         return false;
     }
 
-    public double cpusOf(String team) {
-        double[] sums = use.get(team);
+    public double cpusInUse(String team) {
+        double[] sums = usageByTeam.get(team);
         return sums == null ? 0 : sums[0];
     }
 
-    public double gpusOf(String team) {
-        double[] sums = use.get(team);
+    public double gpusInUse(String team) {
+        double[] sums = usageByTeam.get(team);
         return sums == null ? 0 : sums[1];
     }
 
     /** Whether one more task of the job keeps its team within its limit. */
-    public boolean withinLimit(Job job) {
+    public boolean withinTeamLimit(Job job) {
         Settings.Team team = settings.team(job.spec().team());
         return team == null
-                || (team.cpusMax() == 0 || cpusOf(team.name()) + job.spec().cpus() <= team.cpusMax() + EPSILON)
+                || (team.cpusMax() == 0 || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + EPSILON)
                         && (team.gpusMax() == 0
-                                || gpusOf(team.name()) + job.spec().gpus() <= team.gpusMax() + EPSILON);
+                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + EPSILON);
     }
 
     /** Whether the team runs more than its guarantee, even after giving back so much. */
-    public boolean beyondGuarantee(String name, double givenBackCpus, double givenBackGpus) {
+    public boolean exceedsQuota(String name, double givenBackCpus, double givenBackGpus) {
         Settings.Team team = settings.team(name);
         return team != null
-                && (cpusOf(name) - givenBackCpus > team.cpus() + EPSILON
-                        || gpusOf(name) - givenBackGpus > team.gpus() + EPSILON);
+                && (cpusInUse(name) - givenBackCpus > team.cpus() + EPSILON
+                        || gpusInUse(name) - givenBackGpus > team.gpus() + EPSILON);
     }
 
     public Settings settings() {
@@ -196,8 +196,8 @@
         return machines;
     }
 
-    public FreeCapacityIndex rooms() {
-        return rooms;
+    public FreeCapacityIndex freeCapacity() {
+        return freeCapacity;
     }
 
     public CapacityReservations reservations() {
@@ -205,34 +205,34 @@
     }
 
     /** Accepted jobs whose records can't be read. */
-    public Set<String> unreadable() {
-        return unreadable;
+    public Set<String> unreadableJobs() {
+        return unreadableJobs;
     }
 
     /** Claims whose tasks were told to stop. */
-    public Set<TaskAssignment> stopping() {
-        return stopping;
+    public Set<TaskAssignment> stoppingTasks() {
+        return stoppingTasks;
     }
 
-    public List<MachineType> types() {
-        return types;
+    public List<MachineType> machineTypes() {
+        return machineTypes;
     }
 
-    public void setTypes(List<MachineType> types) {
-        this.types = types;
+    public void setMachineTypes(List<MachineType> types) {
+        this.machineTypes = types;
     }
 
     /** The operators' settings in force. */
-    public OperatorSettings options() {
-        return options;
+    public OperatorSettings operatorSettings() {
+        return operatorSettings;
     }
 
-    public void setOptions(OperatorSettings options) {
-        this.options = options;
+    public void setOperatorSettings(OperatorSettings options) {
+        this.operatorSettings = options;
     }
 
     /** Machines whose deletion was confirmed: late lists and late reports still name them, but they are gone. */
-    public Set<String> deleted() {
-        return deleted;
+    public Set<String> deletedMachines() {
+        return deletedMachines;
     }
 }
--- a/src/main/java/stileferry/cluster/FreeCapacityIndex.java
+++ b/src/main/java/stileferry/cluster/FreeCapacityIndex.java
@@ -16,13 +16,15 @@
     /** Machines with at least so many whole CPUs free, and less than one more. */
     private final List<Set<Machine>> byFree = new ArrayList<>();
 
-    private long looks;
+    private long machinesVisited;
 
     /** Takes in that a machine's claims, type or standing have changed. */
     public void update(Machine m) {
         int slot =
-                m.heard() && m.type() != null && !m.deleting() ? slot(m.type().cpus() - m.usedCpus()) : -1;
-        if (slot == m.roomSlot()) {
+                m.agent().heardThisTerm() && m.type() != null && !m.instance().terminating()
+                        ? slot(m.type().cpus() - m.usedCpus())
+                        : -1;
+        if (slot == m.capacitySlot()) {
             return;
         }
         remove(m);
@@ -31,15 +33,15 @@
                 byFree.add(new TreeSet<>());
             }
             byFree.get(slot).add(m);
-            m.setRoomSlot(slot);
+            m.setCapacitySlot(slot);
         }
     }
 
     /** Forgets a machine. */
     void remove(Machine m) {
-        if (m.roomSlot() >= 0) {
-            byFree.get(m.roomSlot()).remove(m);
-            m.setRoomSlot(-1);
+        if (m.capacitySlot() >= 0) {
+            byFree.get(m.capacitySlot()).remove(m);
+            m.setCapacitySlot(-1);
         }
     }
 
@@ -48,16 +50,16 @@
     }
 
     /** Shows every machine that may have so many CPUs free, the fullest first. */
-    public void atLeast(double cpus, Consumer<Machine> look) {
+    public void visitWithAtLeast(double cpus, Consumer<Machine> look) {
         for (int slot = slot(cpus); slot < byFree.size(); slot++) {
             Set<Machine> set = byFree.get(slot);
-            looks += set.size();
+            machinesVisited += set.size();
             set.forEach(look);
         }
     }
 
     /** Machines shown since the start, the measure of a search's work. */
-    public long looks() {
-        return looks;
+    public long machinesVisited() {
+        return machinesVisited;
     }
 }
--- a/src/main/java/stileferry/cluster/GangAttempt.java
+++ b/src/main/java/stileferry/cluster/GangAttempt.java
@@ -8,19 +8,19 @@
  * the next attempt they would let it start too early.
  */
 public final class GangAttempt {
-    private int claimsNotDurable;
+    private int assignmentsNotDurable;
 
     public GangAttempt(int tasks) {
-        this.claimsNotDurable = tasks;
+        this.assignmentsNotDurable = tasks;
     }
 
     /** Takes in that one more claim is durable; true when it was the last one. */
-    public boolean claimDurable() {
-        return --claimsNotDurable == 0;
+    public boolean assignmentDurable() {
+        return --assignmentsNotDurable == 0;
     }
 
     /** Whether the claims of all tasks are durable, so that the tasks may be started. */
     boolean startable() {
-        return claimsNotDurable == 0;
+        return assignmentsNotDurable == 0;
     }
 }
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -21,60 +21,60 @@
     public static final String PREFIX = "j/";
 
     private final JobSpec spec;
-    private final long order;
+    private final long acceptanceOrder;
     private final long acceptedAt;
-    private final BitSet done = new BitSet();
+    private final BitSet completedTasks = new BitSet();
 
     /** Tasks that are done or claimed. */
-    private final BitSet taken = new BitSet();
+    private final BitSet completedOrAssigned = new BitSet();
 
-    private final Map<Integer, TaskAssignment> claims = new HashMap<>();
+    private final Map<Integer, TaskAssignment> assignments = new HashMap<>();
     private final Map<Integer, Retry> retries = new HashMap<>();
     private final Map<String, Integer> tasksInZone = new HashMap<>();
 
     /** Machines that failed a task of this job. */
-    private final Set<String> failedOn = new HashSet<>();
+    private final Set<String> failedMachines = new HashSet<>();
 
     /** Users waiting for the acceptance, or for the cancellation, to be durable. */
-    private List<Consumer<PeerMessage.Response>> waiting = new ArrayList<>();
+    private List<Consumer<PeerMessage.Response>> pendingReplies = new ArrayList<>();
 
     /** Since when the first of them waits; 0: nobody does. */
-    private long waitingSince;
+    private long repliesPendingSince;
 
-    private final CommitQueue.Entry record;
+    private final CommitQueue.Entry entry;
 
     /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
-    private int chunkTasks = 1;
+    private int legacyChunkTasks = 1;
 
     /** A task of it was seen running, or is done. */
-    private boolean begun;
+    private boolean started;
 
     private boolean accepted;
     private boolean cancelled;
     private boolean cancelDurable;
 
     /** Enough controllers know that it is cancelled. */
-    private boolean cancelKnown;
+    private boolean cancelReplicated;
 
     /** Users may hear that it is cancelled. */
-    private boolean cancelTold;
+    private boolean cancelConfirmed;
 
-    private boolean ending;
+    private boolean completing;
 
     /** Its end is durable. */
-    private boolean over;
+    private boolean completed;
 
     /** The highest attempt of a gang of which a task has ended without being done; 0: none. */
-    private long endedAttempt;
+    private long lastFailedAttempt;
 
-    private boolean withinGuarantee;
+    private boolean withinQuota;
 
     /** Since when room is being made for it where its image is; 0: not so. */
-    private long keptBackAt;
+    private long heldBackSince;
 
     private int successes;
-    private int doneCount;
-    private int[] doneRecords;
+    private int completedCount;
+    private int[] completionRecords;
 
     /** Pauses between the starts of a failing task. */
     public static final class Retry {
@@ -97,16 +97,16 @@
 
     public Job(JobSpec spec, long order, long acceptedAt, long revision) {
         this.spec = spec;
-        this.order = order;
+        this.acceptanceOrder = order;
         this.acceptedAt = acceptedAt;
-        this.record = new CommitQueue.Entry(key(spec.id()), revision, this::write).excludes(endedKey(spec.id()));
+        this.entry = new CommitQueue.Entry(key(spec.id()), revision, this::write).excludes(completedKey(spec.id()));
     }
 
     public static String key(String id) {
         return PREFIX + id;
     }
 
-    public static String endedKey(String id) {
+    public static String completedKey(String id) {
         return "e/" + id;
     }
 
@@ -116,7 +116,7 @@
                 v.path("order").asLong(),
                 v.path("at").asLong(),
                 revision);
-        job.chunkTasks = Math.max(1, v.path("chunk").asInt(1));
+        job.legacyChunkTasks = Math.max(1, v.path("chunk").asInt(1));
         job.accepted = true;
         job.cancelled = v.path("cancelled").asBoolean();
         job.cancelDurable = job.cancelled;
@@ -124,47 +124,51 @@
     }
 
     private ObjectNode write() {
-        ObjectNode v =
-                MessageCodec.map().put("order", order).put("at", acceptedAt).put("cancelled", cancelled);
-        if (chunkTasks > 1) {
-            v.put("chunk", chunkTasks);
+        ObjectNode v = MessageCodec.map()
+                .put("order", acceptanceOrder)
+                .put("at", acceptedAt)
+                .put("cancelled", cancelled);
+        if (legacyChunkTasks > 1) {
+            v.put("chunk", legacyChunkTasks);
         }
         v.set("spec", spec.write());
         return v;
     }
 
     /** Takes in that a task is done. */
-    public void finish(int index) {
-        taken.set(index);
-        begun = true;
-        if (!done.get(index)) {
-            done.set(index);
-            doneCount++;
+    public void markCompleted(int index) {
+        completedOrAssigned.set(index);
+        started = true;
+        if (!completedTasks.get(index)) {
+            completedTasks.set(index);
+            completedCount++;
         }
     }
 
-    public int doneCount() {
-        return doneCount;
+    public int completedCount() {
+        return completedCount;
     }
 
     /** The number of the record that says that a task is done. */
-    public int doneRecord(int index) {
-        return doneRecords == null ? 0 : doneRecords[index];
+    public int completionRecord(int index) {
+        return completionRecords == null ? 0 : completionRecords[index];
     }
 
-    public void doneRecord(int from, int to, int number) {
-        if (doneRecords == null) {
-            doneRecords = new int[spec.tasks()];
+    public void completionRecord(int from, int to, int number) {
+        if (completionRecords == null) {
+            completionRecords = new int[spec.taskCount()];
         }
-        java.util.Arrays.fill(doneRecords, from, to + 1, number);
+        java.util.Arrays.fill(completionRecords, from, to + 1, number);
     }
 
     /** The next task that waits and may start now; -1 when there is none. */
-    public int nextWaiting(long now) {
-        if (cancelled || ending || !accepted || spec.gang() && !gangReady(now)) {
+    public int nextPendingTask(long now) {
+        if (cancelled || completing || !accepted || spec.gang() && !gangReady(now)) {
             return -1;
         }
-        for (int i = taken.nextClearBit(0); i < spec.tasks(); i = taken.nextClearBit(i + 1)) {
+        for (int i = completedOrAssigned.nextClearBit(0);
+                i < spec.taskCount();
+                i = completedOrAssigned.nextClearBit(i + 1)) {
             Retry retry = retries.get(i);
             if (retry == null || retry.notBefore <= now) {
                 return i;
@@ -175,7 +179,7 @@
 
     /** A gang starts whole: not while a task of it may be on a machine, or has to pause after a failure. */
     private boolean gangReady(long now) {
-        if (!claims.isEmpty()) {
+        if (!assignments.isEmpty()) {
             return false;
         }
         for (Retry retry : retries.values()) {
@@ -187,27 +191,27 @@
     }
 
     /** Whether all tasks are claimed under one attempt number. */
-    public boolean claimsFormOneAttempt() {
-        return claims.size() == spec.tasks()
-                && claims.values().stream()
+    public boolean assignmentsFormOneAttempt() {
+        return assignments.size() == spec.taskCount()
+                && assignments.values().stream()
                                 .mapToLong(claim -> claim.attempt())
                                 .distinct()
                                 .count()
                         == 1;
     }
 
-    public int waitingCount() {
-        return cancelled || ending || !accepted ? 0 : spec.tasks() - taken.cardinality();
+    public int pendingCount() {
+        return cancelled || completing || !accepted ? 0 : spec.taskCount() - completedOrAssigned.cardinality();
     }
 
-    public int unfinished() {
-        return spec.tasks() - doneCount;
+    public int unfinishedCount() {
+        return spec.taskCount() - completedCount;
     }
 
     public int runningCount() {
         int running = 0;
-        for (TaskAssignment claim : claims.values()) {
-            if (claim.runningAt() != 0) {
+        for (TaskAssignment claim : assignments.values()) {
+            if (claim.runningSince() != 0) {
                 running++;
             }
         }
@@ -215,9 +219,9 @@
     }
 
     /** Whether a task that was sent to a machine may begin there without another word. */
-    public boolean mayBegin() {
-        for (TaskAssignment claim : claims.values()) {
-            if (claim.stage() == null || claim.stage() == Heartbeat.TaskPhase.FETCHING) {
+    public boolean mayStartUnprompted() {
+        for (TaskAssignment claim : assignments.values()) {
+            if (claim.phase() == null || claim.phase() == Heartbeat.TaskPhase.PULLING_IMAGE) {
                 return true;
             }
         }
@@ -228,25 +232,25 @@
         return spec;
     }
 
-    public long order() {
-        return order;
+    public long acceptanceOrder() {
+        return acceptanceOrder;
     }
 
     public long acceptedAt() {
         return acceptedAt;
     }
 
-    public BitSet done() {
-        return done;
+    public BitSet completedTasks() {
+        return completedTasks;
     }
 
     /** Tasks that are done or claimed. */
-    public BitSet taken() {
-        return taken;
+    public BitSet completedOrAssigned() {
+        return completedOrAssigned;
     }
 
-    public Map<Integer, TaskAssignment> claims() {
-        return claims;
+    public Map<Integer, TaskAssignment> assignments() {
+        return assignments;
     }
 
     public Map<Integer, Retry> retries() {
@@ -258,48 +262,48 @@
     }
 
     /** Machines that failed a task of this job. */
-    public Set<String> failedOn() {
-        return failedOn;
+    public Set<String> failedMachines() {
+        return failedMachines;
     }
 
     /** Users waiting for the acceptance, or for the cancellation, to be durable. */
-    public List<Consumer<PeerMessage.Response>> waiting() {
-        return waiting;
+    public List<Consumer<PeerMessage.Response>> pendingReplies() {
+        return pendingReplies;
     }
 
-    public void setWaiting(List<Consumer<PeerMessage.Response>> waiting) {
-        this.waiting = waiting;
+    public void setPendingReplies(List<Consumer<PeerMessage.Response>> waiting) {
+        this.pendingReplies = waiting;
     }
 
     /** Since when the first of them waits; 0: nobody does. */
-    public long waitingSince() {
-        return waitingSince;
+    public long repliesPendingSince() {
+        return repliesPendingSince;
     }
 
-    public void setWaitingSince(long waitingSince) {
-        this.waitingSince = waitingSince;
+    public void setRepliesPendingSince(long waitingSince) {
+        this.repliesPendingSince = waitingSince;
     }
 
-    public CommitQueue.Entry record() {
-        return record;
+    public CommitQueue.Entry entry() {
+        return entry;
     }
 
     /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
-    public int chunkTasks() {
-        return chunkTasks;
+    public int legacyChunkTasks() {
+        return legacyChunkTasks;
     }
 
-    public void setChunkTasks(int chunkTasks) {
-        this.chunkTasks = chunkTasks;
+    public void setLegacyChunkTasks(int chunkTasks) {
+        this.legacyChunkTasks = chunkTasks;
     }
 
     /** A task of it was seen running, or is done. */
-    public boolean begun() {
-        return begun;
+    public boolean started() {
+        return started;
     }
 
-    public void setBegun(boolean begun) {
-        this.begun = begun;
+    public void setStarted(boolean begun) {
+        this.started = begun;
     }
 
     public boolean accepted() {
@@ -327,64 +331,64 @@
     }
 
     /** Enough controllers know that it is cancelled. */
-    public boolean cancelKnown() {
-        return cancelKnown;
+    public boolean cancelReplicated() {
+        return cancelReplicated;
     }
 
-    public void setCancelKnown(boolean cancelKnown) {
-        this.cancelKnown = cancelKnown;
+    public void setCancelReplicated(boolean cancelKnown) {
+        this.cancelReplicated = cancelKnown;
     }
 
     /** Users may hear that it is cancelled. */
-    public boolean cancelTold() {
-        return cancelTold;
+    public boolean cancelConfirmed() {
+        return cancelConfirmed;
     }
 
-    public void setCancelTold(boolean cancelTold) {
-        this.cancelTold = cancelTold;
+    public void setCancelConfirmed(boolean cancelTold) {
+        this.cancelConfirmed = cancelTold;
     }
 
-    public boolean ending() {
-        return ending;
+    public boolean completing() {
+        return completing;
     }
 
-    public void setEnding(boolean ending) {
-        this.ending = ending;
+    public void setCompleting(boolean ending) {
+        this.completing = ending;
     }
 
     /** Its end is durable. */
-    public boolean over() {
-        return over;
+    public boolean completed() {
+        return completed;
     }
 
-    public void setOver(boolean over) {
-        this.over = over;
+    public void setCompleted(boolean over) {
+        this.completed = over;
     }
 
     /** The highest attempt of a gang of which a task has ended without being done; 0: none. */
-    public long endedAttempt() {
-        return endedAttempt;
+    public long lastFailedAttempt() {
+        return lastFailedAttempt;
     }
 
-    public void setEndedAttempt(long endedAttempt) {
-        this.endedAttempt = endedAttempt;
+    public void setLastFailedAttempt(long endedAttempt) {
+        this.lastFailedAttempt = endedAttempt;
     }
 
-    public boolean withinGuarantee() {
-        return withinGuarantee;
+    public boolean withinQuota() {
+        return withinQuota;
     }
 
-    public void setWithinGuarantee(boolean withinGuarantee) {
-        this.withinGuarantee = withinGuarantee;
+    public void setWithinQuota(boolean withinGuarantee) {
+        this.withinQuota = withinGuarantee;
     }
 
     /** Since when room is being made for it where its image is; 0: not so. */
-    public long keptBackAt() {
-        return keptBackAt;
+    public long heldBackSince() {
+        return heldBackSince;
     }
 
-    public void setKeptBackAt(long keptBackAt) {
-        this.keptBackAt = keptBackAt;
+    public void setHeldBackSince(long keptBackAt) {
+        this.heldBackSince = keptBackAt;
     }
 
     public int successes() {
--- a/src/main/java/stileferry/cluster/LastHeartbeatRecord.java
+++ b/src/main/java/stileferry/cluster/LastHeartbeatRecord.java
@@ -5,31 +5,31 @@
 /** One machine's silence: when a report of it was last answered, and by which leader. */
 public final class LastHeartbeatRecord {
     private final String machine;
-    private final long session;
+    private final long incarnation;
     private final long answeredAt;
     private final long term;
 
     /** The number of the stored record that holds it. */
-    private long record;
+    private long recordNumber;
 
     /** It need not be stored any more. */
-    private boolean over;
+    private boolean obsolete;
 
     public LastHeartbeatRecord(String machine, long session, long answeredAt, long term) {
         this.machine = machine;
-        this.session = session;
+        this.incarnation = session;
         this.answeredAt = answeredAt;
         this.term = term;
     }
 
     /** Notes the number of the stored record that holds it now. */
     public void stored(long number) {
-        record = number;
+        recordNumber = number;
     }
 
     /** Whether the stored record of this number holds it. */
     public boolean storedIn(long number) {
-        return record == number;
+        return recordNumber == number;
     }
 
     public static LastHeartbeatRecord read(JsonNode e) {
@@ -44,8 +44,8 @@
         return machine;
     }
 
-    public long session() {
-        return session;
+    public long incarnation() {
+        return incarnation;
     }
 
     public long answeredAt() {
@@ -57,11 +57,11 @@
     }
 
     /** It need not be stored any more. */
-    public boolean over() {
-        return over;
+    public boolean obsolete() {
+        return obsolete;
     }
 
-    public void setOver(boolean over) {
-        this.over = over;
+    public void setObsolete(boolean over) {
+        this.obsolete = over;
     }
 }
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -1,11 +1,9 @@
 package stileferry.cluster;
 
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MachineType;
 
@@ -15,96 +13,27 @@
     private static final double ROUNDING = 1e-6;
 
     private final String name;
-    private String addr = "";
+    private String address = "";
     private String typeName = "";
     private MachineType type;
     private String zone = "";
     private boolean spot;
 
-    /** Heard from in this term. */
-    private boolean heard;
-
-    private long session;
-    /** When this session was first seen, which must have begun by then. */
-    private long sessionSeenAt;
-
-    private long seq;
-    private long token;
-    private long heardAt;
-
-    /** The newest report, without the answers to commands: what is not newer than that is a copy. */
-    private long reportSession;
-
-    private long reportSeq;
-
-    /** The starts in the last answer to a report. */
-    private Set<String> answeredRuns = Set.of();
-
-    /** Since when nothing proves that this machine hears us; 0: it does, as far as we know. */
-    private long unreachedSince;
-
-    /** When a report of this machine was last answered in this term; 0: never. */
-    private long answeredAt;
-
-    /** Its silence as it is noted in the state service; null: not noted. */
-    private LastHeartbeatRecord silence;
-
-    /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
-    private long answeredBefore = -1;
-
-    /** The session of which that is known. */
-    private long answeredBeforeSession;
-
-    /** The highest session that is proven to be over, or will be as soon as the machine is heard again. */
-    private long lapsedSession;
-
-    /** Seconds until the cloud takes the machine, or -1. */
-    private double noticeS = -1;
-
-    private long rentedAt;
-
-    /** Known to be coming up, since this leader rented it or the list said so. */
-    private boolean booting;
-
-    private boolean listed;
-    private long missingSince;
-    private boolean draining;
-    private boolean faulty;
-    private boolean deleting;
-    private long idleSince;
-    private long placeAfter;
-
-    /** The newest that was heard from it, in a report or in an answer; null: nothing. */
-    private Heartbeat last;
-
-    /**
-     * The last report told of every claim, all of them as they should be, and of nothing else. As long as reports tell
-     * the same there is nothing to take in and nothing to say.
-     */
-    private boolean asWanted;
-
-    private final Map<String, TaskAssignment> claims = new LinkedHashMap<>();
-
-    /** Reported tasks that no claim stands for: they are killed, and nothing starts here before they are gone. */
-    private boolean strays;
-
-    /** Starts whose outcome is not durable yet, so that they may not be cleared. */
-    private final Set<String> settling = new HashSet<>();
-
-    /** Direct start commands without an answer: such a command may be carried out at any time. */
-    private final Map<String, Integer> openRuns = new HashMap<>();
+    private final AgentState agent = new AgentState();
+    private final InstanceState instance = new InstanceState();
+    private final Map<String, TaskAssignment> assignments = new LinkedHashMap<>();
 
     /** Images that tasks here were seen with, the latest last, with their sizes. */
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
 
     /** Images of the tasks that may be here, with how many need them. */
-    private final Map<String, Integer> fetches = new HashMap<>();
+    private final Map<String, Integer> pulls = new HashMap<>();
 
     /** Jobs that failed here since a task last succeeded here. */
-    private final Map<String, Integer> failures = new HashMap<>();
+    private final Map<String, Integer> failuresByJob = new HashMap<>();
 
     /** Where the index of rooms holds this machine; kept by the index. */
-    private int roomSlot = -1;
+    private int capacitySlot = -1;
 
     private double cpusUsed;
     private double gpusUsed;
@@ -116,36 +45,46 @@
         this.name = name;
     }
 
+    /** What is known of the agent on this machine. */
+    public AgentState agent() {
+        return agent;
+    }
+
+    /** What is known of this machine as a rented instance. */
+    public InstanceState instance() {
+        return instance;
+    }
+
     /** True when the worker has taken this leader's term, so that no older leader is obeyed or renews its lease. */
-    public boolean accepted(long term) {
-        return token >= term;
+    public boolean acknowledgedTerm(long term) {
+        return agent.fencingToken() >= term;
     }
 
-    public boolean usable() {
-        return heard
+    public boolean schedulable() {
+        return agent.heardThisTerm()
                 && type != null
-                && !draining
-                && !faulty
-                && !deleting
-                && noticeS < 0
-                && !strays
-                && unreachedSince == 0;
+                && !instance.draining()
+                && !instance.quarantined()
+                && !instance.terminating()
+                && instance.reclaimNoticeS() < 0
+                && !agent.hasOrphanTasks()
+                && agent.unreachableSince() == 0;
     }
 
     /** The tasks that it was last said to have. */
-    public List<Heartbeat.TaskStatus> lastTasks() {
-        return last == null ? List.of() : last.tasks();
+    public List<Heartbeat.TaskStatus> reportedTasks() {
+        return agent.lastHeartbeat() == null ? List.of() : agent.lastHeartbeat().tasks();
     }
 
     /** Whether a report tells nothing but that the machine is still there as it was. */
-    public boolean sameAsBefore(Heartbeat r) {
-        return asWanted
-                && r.tasks() == last.tasks()
-                && r.session() == session
-                && r.token() == token
-                && (r.noticeS() < 0 || noticeS >= 0)
+    public boolean unchangedSince(Heartbeat r) {
+        return agent.reconciled()
+                && r.tasks() == agent.lastHeartbeat().tasks()
+                && r.incarnation() == agent.incarnation()
+                && r.fencingToken() == agent.fencingToken()
+                && (r.reclaimNoticeS() < 0 || instance.reclaimNoticeS() >= 0)
                 && r.zone().equals(zone)
-                && r.addr().equals(addr);
+                && r.address().equals(address);
     }
 
     @Override
@@ -159,33 +98,33 @@
     }
 
     /** Counts a task that may be here, or no longer is. */
-    void count(TaskAssignment claim, int sign) {
-        asWanted = false;
-        boolean empty = claims.isEmpty();
+    void addUsage(TaskAssignment claim, int sign) {
+        agent.setReconciled(false);
+        boolean empty = assignments.isEmpty();
         cpusUsed = empty ? 0 : cpusUsed + sign * claim.job().spec().cpus();
         gpusUsed = empty ? 0 : gpusUsed + sign * claim.job().spec().gpus();
         memoryUsed = empty ? 0 : memoryUsed + sign * claim.job().spec().memoryGb();
-        fetches.merge(claim.job().spec().image(), sign, (a, b) -> a + b <= 0 ? null : a + b);
+        pulls.merge(claim.job().spec().image(), sign, (a, b) -> a + b <= 0 ? null : a + b);
     }
 
     /** Whether a task of this job fits beside all that may be here. */
-    public boolean hasRoom(Job job) {
-        return hasRoom(job.spec().cpus(), job.spec().gpus(), job.spec().memoryGb());
+    public boolean fits(Job job) {
+        return fits(job.spec().cpus(), job.spec().gpus(), job.spec().memoryGb());
     }
 
     /** Whether so much fits beside all that may be here. */
-    boolean hasRoom(double cpus, double gpus, double memoryGb) {
+    boolean fits(double cpus, double gpus, double memoryGb) {
         return cpusUsed + cpus <= type.cpus() + ROUNDING
                 && gpusUsed + gpus <= type.gpus() + ROUNDING
                 && memoryUsed + memoryGb <= type.memoryGb() + ROUNDING;
     }
 
     /** How many tasks of this job would fit beside the tasks of its priority and above. */
-    public int tasksFittingWithoutLess(Job job) {
+    public int tasksFittingWithPreemption(Job job) {
         double cpus = type.cpus() - cpusUsed;
         double gpus = type.gpus() - gpusUsed;
         double memory = type.memoryGb() - memoryUsed;
-        for (TaskAssignment c : claims.values()) {
+        for (TaskAssignment c : assignments.values()) {
             if (c.job().spec().priority().compareTo(job.spec().priority()) > 0) {
                 cpus += c.job().spec().cpus();
                 gpus += c.job().spec().gpus();
@@ -203,7 +142,7 @@
         return wanted == 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + ROUNDING) / wanted);
     }
 
-    public void finished(double runS, double waitS, double thresholdS) {
+    public void recordSlowdown(double runS, double waitS, double thresholdS) {
         slowdownSum += Math.max(1, (runS + waitS) / Math.max(runS, thresholdS));
         slowdownCount++;
     }
@@ -213,7 +152,7 @@
         return slowdownCount == 0 ? 1 : slowdownSum / slowdownCount;
     }
 
-    public void holds(String image, double gb) {
+    public void cacheImage(String image, double gb) {
         images.put(image, gb);
         double sum = 0;
         for (double size : images.values()) {
@@ -230,29 +169,29 @@
     }
 
     /** Images that tasks which may be here still wait for. */
-    public int fetching() {
+    public int imagesBeingPulled() {
         int fetching = 0;
-        for (String image : fetches.keySet()) {
+        for (String image : pulls.keySet()) {
             fetching += images.containsKey(image) ? 0 : 1;
         }
         return fetching;
     }
 
     /** How near an image is: 2, it is here; 1, a task that may be here fetches it; 0, neither. */
-    public int nearness(String image) {
-        return images.containsKey(image) ? 2 : fetches.containsKey(image) ? 1 : 0;
+    public int imageLocality(String image) {
+        return images.containsKey(image) ? 2 : pulls.containsKey(image) ? 1 : 0;
     }
 
     public String name() {
         return name;
     }
 
-    public String addr() {
-        return addr;
+    public String address() {
+        return address;
     }
 
-    public void setAddr(String addr) {
-        this.addr = addr;
+    public void setAddress(String addr) {
+        this.address = addr;
     }
 
     public String typeName() {
@@ -287,270 +226,21 @@
         this.spot = spot;
     }
 
-    /** Heard from in this term. */
-    public boolean heard() {
-        return heard;
-    }
-
-    public void setHeard(boolean heard) {
-        this.heard = heard;
-    }
-
-    public long session() {
-        return session;
-    }
-
-    public void setSession(long session) {
-        this.session = session;
-    }
-
-    /** When this session was first seen, which must have begun by then. */
-    public long sessionSeenAt() {
-        return sessionSeenAt;
-    }
-
-    public void setSessionSeenAt(long sessionSeenAt) {
-        this.sessionSeenAt = sessionSeenAt;
-    }
-
-    public long seq() {
-        return seq;
-    }
-
-    public void setSeq(long seq) {
-        this.seq = seq;
-    }
-
-    public long token() {
-        return token;
-    }
-
-    public void setToken(long token) {
-        this.token = token;
-    }
-
-    public long heardAt() {
-        return heardAt;
-    }
-
-    public void setHeardAt(long heardAt) {
-        this.heardAt = heardAt;
-    }
-
-    /** The newest report, without the answers to commands: what is not newer than that is a copy. */
-    public long reportSession() {
-        return reportSession;
-    }
-
-    public void setReportSession(long reportSession) {
-        this.reportSession = reportSession;
-    }
-
-    public long reportSeq() {
-        return reportSeq;
-    }
-
-    public void setReportSeq(long reportSeq) {
-        this.reportSeq = reportSeq;
-    }
-
-    /** The starts in the last answer to a report. */
-    public Set<String> answeredRuns() {
-        return answeredRuns;
-    }
-
-    public void setAnsweredRuns(Set<String> answeredRuns) {
-        this.answeredRuns = answeredRuns;
-    }
-
-    /** Since when nothing proves that this machine hears us; 0: it does, as far as we know. */
-    public long unreachedSince() {
-        return unreachedSince;
-    }
-
-    public void setUnreachedSince(long unreachedSince) {
-        this.unreachedSince = unreachedSince;
-    }
-
-    /** When a report of this machine was last answered in this term; 0: never. */
-    public long answeredAt() {
-        return answeredAt;
-    }
-
-    public void setAnsweredAt(long answeredAt) {
-        this.answeredAt = answeredAt;
-    }
-
-    /** Its silence as it is noted in the state service; null: not noted. */
-    public LastHeartbeatRecord silence() {
-        return silence;
-    }
-
-    public void setSilence(LastHeartbeatRecord silence) {
-        this.silence = silence;
-    }
-
-    /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
-    public long answeredBefore() {
-        return answeredBefore;
-    }
-
-    public void setAnsweredBefore(long answeredBefore) {
-        this.answeredBefore = answeredBefore;
-    }
-
-    /** The session of which that is known. */
-    public long answeredBeforeSession() {
-        return answeredBeforeSession;
-    }
-
-    public void setAnsweredBeforeSession(long answeredBeforeSession) {
-        this.answeredBeforeSession = answeredBeforeSession;
-    }
-
-    /** The highest session that is proven to be over, or will be as soon as the machine is heard again. */
-    public long lapsedSession() {
-        return lapsedSession;
-    }
-
-    public void setLapsedSession(long lapsedSession) {
-        this.lapsedSession = lapsedSession;
-    }
-
-    /** Seconds until the cloud takes the machine, or -1. */
-    public double noticeS() {
-        return noticeS;
-    }
-
-    public void setNoticeS(double noticeS) {
-        this.noticeS = noticeS;
-    }
-
-    public long rentedAt() {
-        return rentedAt;
-    }
-
-    public void setRentedAt(long rentedAt) {
-        this.rentedAt = rentedAt;
-    }
-
-    /** Known to be coming up, since this leader rented it or the list said so. */
-    public boolean booting() {
-        return booting;
-    }
-
-    public void setBooting(boolean booting) {
-        this.booting = booting;
-    }
-
-    public boolean listed() {
-        return listed;
-    }
-
-    public void setListed(boolean listed) {
-        this.listed = listed;
-    }
-
-    public long missingSince() {
-        return missingSince;
-    }
-
-    public void setMissingSince(long missingSince) {
-        this.missingSince = missingSince;
-    }
-
-    public boolean draining() {
-        return draining;
-    }
-
-    public void setDraining(boolean draining) {
-        this.draining = draining;
-    }
-
-    public boolean faulty() {
-        return faulty;
-    }
-
-    public void setFaulty(boolean faulty) {
-        this.faulty = faulty;
-    }
-
-    public boolean deleting() {
-        return deleting;
-    }
-
-    public void setDeleting(boolean deleting) {
-        this.deleting = deleting;
-    }
-
-    public long idleSince() {
-        return idleSince;
-    }
-
-    public void setIdleSince(long idleSince) {
-        this.idleSince = idleSince;
-    }
-
-    public long placeAfter() {
-        return placeAfter;
-    }
-
-    public void setPlaceAfter(long placeAfter) {
-        this.placeAfter = placeAfter;
-    }
-
-    /** The newest that was heard from it, in a report or in an answer; null: nothing. */
-    public Heartbeat last() {
-        return last;
-    }
-
-    public void setLast(Heartbeat last) {
-        this.last = last;
-    }
-
-    /** The last report told of every claim, all of them as they should be, and of nothing else. As long as reports tell the same there is nothing to take in and nothing to say. */
-    public boolean asWanted() {
-        return asWanted;
-    }
-
-    public void setAsWanted(boolean asWanted) {
-        this.asWanted = asWanted;
-    }
-
-    public Map<String, TaskAssignment> claims() {
-        return claims;
-    }
-
-    /** Reported tasks that no claim stands for: they are killed, and nothing starts here before they are gone. */
-    public boolean strays() {
-        return strays;
-    }
-
-    public void setStrays(boolean strays) {
-        this.strays = strays;
-    }
-
-    /** Starts whose outcome is not durable yet, so that they may not be cleared. */
-    public Set<String> settling() {
-        return settling;
-    }
-
-    /** Direct start commands without an answer: such a command may be carried out at any time. */
-    public Map<String, Integer> openRuns() {
-        return openRuns;
+    public Map<String, TaskAssignment> assignments() {
+        return assignments;
     }
 
     /** Jobs that failed here since a task last succeeded here. */
-    public Map<String, Integer> failures() {
-        return failures;
+    public Map<String, Integer> failuresByJob() {
+        return failuresByJob;
     }
 
     /** Where the index of rooms holds this machine; kept by the index. */
-    public int roomSlot() {
-        return roomSlot;
+    public int capacitySlot() {
+        return capacitySlot;
     }
 
-    public void setRoomSlot(int roomSlot) {
-        this.roomSlot = roomSlot;
+    public void setCapacitySlot(int roomSlot) {
+        this.capacitySlot = roomSlot;
     }
 }
--- a/src/main/java/stileferry/cluster/TaskAssignment.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -11,14 +11,14 @@
     private final int index;
     private final long attempt;
     private final String machine;
-    private final long session;
-    private final String name;
+    private final long incarnation;
+    private final String taskId;
 
     /** What tells this start of this task from all others. */
-    private final String key;
+    private final String attemptId;
 
     /** When this leader decided; 0 for a claim read from the state service. */
-    private final long orderedAt;
+    private final long assignedAt;
 
     private boolean durable;
 
@@ -26,34 +26,34 @@
     private GangAttempt gangAttempt;
 
     /** The number of the stored record that holds this claim. */
-    private long record;
+    private long recordNumber;
 
     /** Commands to start that were sent in any way, so that the machine may know the attempt. */
-    private int runsSent;
+    private int startsSent;
 
     /** Where the machine last said the task stands; null: not seen there yet. */
-    private Heartbeat.TaskPhase stage;
+    private Heartbeat.TaskPhase phase;
 
     /** When it was first reported running, by this leader's clock; 0: not yet. */
-    private long runningAt;
+    private long runningSince;
 
     /** Started as the first task of a job that had waited too long: not to be stopped for others at once. */
-    private boolean overdue;
+    private boolean startedOverdue;
 
     /** Set when the task is to stop; the time in seconds that it may take to save, or -1. */
     private double stopGraceS = -1;
 
-    private long stopAskedAt;
+    private long stopRequestedAt;
 
     public TaskAssignment(Job job, int index, long attempt, String machine, long session, long orderedAt) {
         this.job = job;
         this.index = index;
         this.attempt = attempt;
         this.machine = machine;
-        this.session = session;
-        this.name = job.spec().id() + "/" + index;
-        this.key = name + "#" + attempt;
-        this.orderedAt = orderedAt;
+        this.incarnation = session;
+        this.taskId = job.spec().id() + "/" + index;
+        this.attemptId = taskId + "#" + attempt;
+        this.assignedAt = orderedAt;
     }
 
     /** Whether the machine may hear of it: it is durable, and so are all claims of its gang's attempt. */
@@ -66,28 +66,28 @@
     }
 
     /** Asks for a stop; a shorter time to save replaces a longer one. */
-    void stop(double graceS, long now) {
+    void requestStop(double graceS, long now) {
         if (stopGraceS < 0 || graceS < stopGraceS) {
             stopGraceS = graceS;
-            stopAskedAt = now;
+            stopRequestedAt = now;
         }
     }
 
     /** Work that a stop would lose, in milliseconds: all of it, or what came after the last checkpoint. */
-    long lossMs(long now) {
-        long ran = ranMs(now);
-        long checkpoint = Math.round(job.spec().checkpointS() * 1000);
+    long lostWorkMs(long now) {
+        long ran = runtimeMs(now);
+        long checkpoint = Math.round(job.spec().checkpointIntervalS() * 1000);
         return checkpoint > 0 ? Math.min(ran, checkpoint) : ran;
     }
 
     /** What a stop costs in all, in milliseconds: a gang stops whole, and each stop costs something. */
-    public long stopCostMs(long now) {
-        return (1 + lossMs(now)) * (job.spec().gang() ? job.claims().size() : 1);
+    public long preemptionCostMs(long now) {
+        return (1 + lostWorkMs(now)) * (job.spec().gang() ? job.assignments().size() : 1);
     }
 
     /** How long it has been seen running, in milliseconds. */
-    public long ranMs(long now) {
-        return runningAt == 0 ? 0 : now - runningAt;
+    public long runtimeMs(long now) {
+        return runningSince == 0 ? 0 : now - runningSince;
     }
 
     public Job job() {
@@ -106,22 +106,22 @@
         return machine;
     }
 
-    public long session() {
-        return session;
+    public long incarnation() {
+        return incarnation;
     }
 
-    public String name() {
-        return name;
+    public String taskId() {
+        return taskId;
     }
 
     /** What tells this start of this task from all others. */
-    public String key() {
-        return key;
+    public String attemptId() {
+        return attemptId;
     }
 
     /** When this leader decided; 0 for a claim read from the state service. */
-    public long orderedAt() {
-        return orderedAt;
+    public long assignedAt() {
+        return assignedAt;
     }
 
     public boolean durable() {
@@ -142,48 +142,48 @@
     }
 
     /** The number of the stored record that holds this claim. */
-    public long record() {
-        return record;
+    public long recordNumber() {
+        return recordNumber;
     }
 
-    public void setRecord(long record) {
-        this.record = record;
+    public void setRecordNumber(long record) {
+        this.recordNumber = record;
     }
 
     /** Commands to start that were sent in any way, so that the machine may know the attempt. */
-    public int runsSent() {
-        return runsSent;
+    public int startsSent() {
+        return startsSent;
     }
 
-    public void setRunsSent(int runsSent) {
-        this.runsSent = runsSent;
+    public void setStartsSent(int runsSent) {
+        this.startsSent = runsSent;
     }
 
     /** Where the machine last said the task stands; null: not seen there yet. */
-    public Heartbeat.TaskPhase stage() {
-        return stage;
+    public Heartbeat.TaskPhase phase() {
+        return phase;
     }
 
-    public void setStage(Heartbeat.TaskPhase stage) {
-        this.stage = stage;
+    public void setPhase(Heartbeat.TaskPhase stage) {
+        this.phase = stage;
     }
 
     /** When it was first reported running, by this leader's clock; 0: not yet. */
-    public long runningAt() {
-        return runningAt;
+    public long runningSince() {
+        return runningSince;
     }
 
-    public void setRunningAt(long runningAt) {
-        this.runningAt = runningAt;
+    public void setRunningSince(long runningAt) {
+        this.runningSince = runningAt;
     }
 
     /** Started as the first task of a job that had waited too long: not to be stopped for others at once. */
-    public boolean overdue() {
-        return overdue;
+    public boolean startedOverdue() {
+        return startedOverdue;
     }
 
-    public void setOverdue(boolean overdue) {
-        this.overdue = overdue;
+    public void setStartedOverdue(boolean overdue) {
+        this.startedOverdue = overdue;
     }
 
     /** Set when the task is to stop; the time in seconds that it may take to save, or -1. */
@@ -191,7 +191,7 @@
         return stopGraceS;
     }
 
-    public long stopAskedAt() {
-        return stopAskedAt;
+    public long stopRequestedAt() {
+        return stopRequestedAt;
     }
 }
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -261,8 +261,8 @@
     }
 
     private void answerReport(Heartbeat report, boolean relayed, BiConsumer<Integer, byte[]> reply) {
-        if (report.token() > leadership.term()) {
-            leadership.learn(report.token(), "");
+        if (report.fencingToken() > leadership.term()) {
+            leadership.learn(report.fencingToken(), "");
         }
         Consumer<byte[]> answered = answer -> {
             if (answer == null) {
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -99,7 +99,7 @@
         this.ledger = new CommitQueue(
                 environment, state, LeaderElection.LEADER_KEY, leaderRevision, term, leadership::resign);
         this.cluster = new ClusterState(settings, links);
-        this.cluster.setTypes(types);
+        this.cluster.setMachineTypes(types);
         this.silences = new LastHeartbeatJournal(cluster, environment, ledger, leadership, term);
         TermSequence numbers = new TermSequence(term);
         this.users = new JobRequestHandler(cluster, environment, state, ledger, ended, forUsers(numbers));
@@ -142,7 +142,7 @@
             @Override
             public void accepting(Job job) {
                 if (admissions != null) {
-                    admissions.count(job.record(), FairAdmission.cell(settings, job.spec()));
+                    admissions.count(job.entry(), FairAdmission.cell(settings, job.spec()));
                 }
             }
 
@@ -198,10 +198,10 @@
 
     /** The machine types are known from now on, or have changed. */
     void types(List<MachineType> types) {
-        cluster.setTypes(types);
+        cluster.setMachineTypes(types);
         for (Machine m : cluster.machines().values()) {
-            m.setType(cluster.type(m.typeName()));
-            cluster.rooms().update(m);
+            m.setType(cluster.machineType(m.typeName()));
+            cluster.freeCapacity().update(m);
         }
         changed();
     }
@@ -220,11 +220,11 @@
                 cluster, placement, ledger, loaded.optionsRevision(), this::describe, this::takeOptions);
         // an older version stored that one task of a gang was done, and might have started the others again
         cluster.jobs().values().stream()
-                .filter(job -> job.spec().gang() && job.doneCount() > 0)
+                .filter(job -> job.spec().gang() && job.completedCount() > 0)
                 .forEach(job -> tasks.finishGang(job, null));
         cluster.jobs().values().forEach(tasks::stopBrokenAttempt);
         silences.takeOver(loaded.silences());
-        cluster.machines().values().forEach(machine -> links.expected(machine.name(), machine.addr()));
+        cluster.machines().values().forEach(machine -> links.expected(machine.name(), machine.address()));
         if (leadership.countingSince() > 0) {
             admissions = new AdmissionCountShards(
                     loaded.admissionShards(),
@@ -246,7 +246,7 @@
     }
 
     private void takeOptions(OperatorSettings options) {
-        cluster.setOptions(options);
+        cluster.setOperatorSettings(options);
         environment.logLevel(options.text(OperatorSettings.LOG_LEVEL));
     }
 
@@ -254,7 +254,8 @@
         if (closed) {
             return;
         }
-        environment.after(Math.round(1000 * cluster.options().number(OperatorSettings.PASS_INTERVAL_S)), this::tick);
+        environment.after(
+                Math.round(1000 * cluster.operatorSettings().number(OperatorSettings.PASS_INTERVAL_S)), this::tick);
         fleet.failures().checkLeases();
         fleet.commands().probe();
         users.giveUpWaiting();
@@ -341,7 +342,7 @@
     /** The last that was heard from a machine; null: nothing. */
     Heartbeat lastReport(String name) {
         Machine m = cluster.machines().get(name);
-        return m == null ? null : m.last();
+        return m == null ? null : m.agent().lastHeartbeat();
     }
 
     /** Everything that piled up in a turn goes out together. */
@@ -370,7 +371,7 @@
     boolean knows(String id) {
         return cluster.jobs().containsKey(id)
                 || users.knowsEnded(id)
-                || cluster.unreadable().contains(id);
+                || cluster.unreadableJobs().contains(id);
     }
 
     /** Dealings with users; what is asked before the claims have been read is refused there. */
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -137,7 +137,7 @@
             buildFromOldParts(rows.get(2), reader);
             buildFromRecords(rows.get(1), reader);
             List<TaskAssignment> claims = reader.claims();
-            claims.forEach(cluster::add);
+            claims.forEach(cluster::assign);
             List<KeyValueStoreClient.Row> shards = rows.size() > OLD_PREFIXES ? rows.get(OLD_PREFIXES) : List.of();
             listener.loaded(new Loaded(revision, claims.size(), reader.silences(), shards));
         });
@@ -151,10 +151,10 @@
             } catch (JobSpec.Malformed e) {
                 // its user was told that it is accepted, so nobody may hear that it is unknown
                 LOG.error("the record {} can't be read, its job can't run: {}", row.key(), e.getMessage());
-                cluster.unreadable().add(id(row));
+                cluster.unreadableJobs().add(id(row));
             }
         }
-        jobs.sort(Comparator.comparingLong(j -> j.order()));
+        jobs.sort(Comparator.comparingLong(j -> j.acceptanceOrder()));
         jobs.forEach(job -> cluster.jobs().put(job.spec().id(), job));
     }
 
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -84,57 +84,59 @@
             return signals;
         }
         long now = environment.now();
-        for (Heartbeat.TaskStatus t : m.lastTasks()) {
-            TaskAssignment c = m.claims().get(t.task());
+        for (Heartbeat.TaskStatus t : m.reportedTasks()) {
+            TaskAssignment c = m.assignments().get(t.taskId());
             boolean claimed = c != null && c.attempt() == t.attempt();
             if (claimed) {
                 continue;
             }
-            if (t.stage() != Heartbeat.TaskPhase.EXITED) {
-                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, t.task(), t.attempt(), 0));
+            if (t.phase() != Heartbeat.TaskPhase.EXITED) {
+                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, t.taskId(), t.attempt(), 0));
             } else if (inAnswer
-                    && m.accepted(term)
-                    && !m.settling().contains(t.key())
-                    && !m.openRuns().containsKey(t.key())) {
+                    && m.acknowledgedTerm(term)
+                    && !m.agent().outcomesNotDurable().contains(t.attemptId())
+                    && !m.agent().unansweredStarts().containsKey(t.attemptId())) {
                 // Only in answers to reports: a direct one could overtake an answer that repeats the start, and
                 // after a clear a repeated start runs the task once more.
-                signals.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, t.task(), t.attempt(), 0));
+                signals.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, t.taskId(), t.attempt(), 0));
             }
         }
-        for (TaskAssignment c : m.claims().values()) {
-            if (!c.startable() || c.session() != m.session()) {
+        for (TaskAssignment c : m.assignments().values()) {
+            if (!c.startable() || c.incarnation() != m.agent().incarnation()) {
                 continue;
             }
-            boolean lateCancel = c.job().cancelled() && now - c.stopAskedAt() > cancelMs / 2;
-            if (c.stage() == null && (!c.stopping() || m.openRuns().containsKey(c.key()) && inAnswer && !lateCancel)) {
+            boolean lateCancel = c.job().cancelled() && now - c.stopRequestedAt() > cancelMs / 2;
+            if (c.phase() == null
+                    && (!c.stopping()
+                            || m.agent().unansweredStarts().containsKey(c.attemptId()) && inAnswer && !lateCancel)) {
                 // For a stopped task an unanswered start is made harmless by letting the worker know the attempt.
-                signals.add(new WorkerCommand(WorkerCommand.Kind.RUN, c.name(), c.attempt(), 0));
-                c.setRunsSent(c.runsSent() + 1);
+                signals.add(new WorkerCommand(WorkerCommand.Kind.RUN, c.taskId(), c.attempt(), 0));
+                c.setStartsSent(c.startsSent() + 1);
                 if (!inAnswer) {
-                    m.openRuns().merge(c.key(), 1, Integer::sum);
+                    m.agent().unansweredStarts().merge(c.attemptId(), 1, Integer::sum);
                 }
             }
             if (c.stopping()
-                    && c.stage() != Heartbeat.TaskPhase.EXITED
-                    && !(c.stage() == Heartbeat.TaskPhase.SAVING && c.stopGraceS() > 0)) {
-                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, c.name(), c.attempt(), c.stopGraceS()));
+                    && c.phase() != Heartbeat.TaskPhase.EXITED
+                    && !(c.phase() == Heartbeat.TaskPhase.SAVING_CHECKPOINT && c.stopGraceS() > 0)) {
+                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, c.taskId(), c.attempt(), c.stopGraceS()));
             }
         }
         return signals;
     }
 
     private static boolean hasCancelled(Machine m) {
-        return m.claims().values().stream().anyMatch(c -> c.job().cancelDurable());
+        return m.assignments().values().stream().anyMatch(c -> c.job().cancelDurable());
     }
 
     /** Whoever leads, a job whose cancellation is durable stays cancelled, and its tasks have to go. */
     private static void stopCancelled(Machine m, List<WorkerCommand> signals) {
-        for (TaskAssignment c : m.claims().values()) {
+        for (TaskAssignment c : m.assignments().values()) {
             if (c.job().cancelDurable()
                     && c.stopping()
-                    && c.session() == m.session()
-                    && c.stage() != Heartbeat.TaskPhase.EXITED) {
-                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, c.name(), c.attempt(), 0));
+                    && c.incarnation() == m.agent().incarnation()
+                    && c.phase() != Heartbeat.TaskPhase.EXITED) {
+                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, c.taskId(), c.attempt(), 0));
             }
         }
     }
@@ -152,7 +154,7 @@
     /** Tells every machine that was not heard yet this term, a few at a time: most will have reported before. */
     public void announceTerm() {
         cluster.machines().values().forEach(m -> {
-            if (!m.heard()) {
+            if (!m.agent().heardThisTerm()) {
                 toAnnounceTo.add(m);
             }
         });
@@ -166,7 +168,7 @@
         }
         while (!closed && some > 0 && !toAnnounceTo.isEmpty() && mayAsk()) {
             Machine m = toAnnounceTo.poll();
-            if (!m.heard() && !m.deleting()) {
+            if (!m.agent().heardThisTerm() && !m.instance().terminating()) {
                 some--;
                 announceTo(m);
             }
@@ -185,11 +187,15 @@
     public void probe() {
         long now = environment.now();
         for (Machine m : cluster.machines().values()) {
-            boolean doubtful = m.unreachedSince() != 0 && now - m.unreachedSince() > reportMs / 2;
-            boolean silent = m.heard()
-                    && !m.claims().isEmpty()
-                    && now - m.heardAt() > FailureDetector.SILENT_AFTER_REPORTS * reportMs;
-            if ((doubtful || silent) && !m.deleting() && !m.addr().isEmpty() && !inFlight.contains(m)) {
+            boolean doubtful =
+                    m.agent().unreachableSince() != 0 && now - m.agent().unreachableSince() > reportMs / 2;
+            boolean silent = m.agent().heardThisTerm()
+                    && !m.assignments().isEmpty()
+                    && now - m.agent().lastHeardAt() > FailureDetector.SILENT_AFTER_REPORTS * reportMs;
+            if ((doubtful || silent)
+                    && !m.instance().terminating()
+                    && !m.address().isEmpty()
+                    && !inFlight.contains(m)) {
                 toAsk.add(m);
             }
         }
@@ -218,16 +224,16 @@
                 continue; // all else waits until this node is sure again
             }
             wanted.remove(m);
-            if (!m.heard()
-                    || m.deleting()
-                    || m.addr().isEmpty()
-                    || environment.now() - m.heardAt() > 2 * reportMs
+            if (!m.agent().heardThisTerm()
+                    || m.instance().terminating()
+                    || m.address().isEmpty()
+                    || environment.now() - m.agent().lastHeardAt() > 2 * reportMs
                     || eventLoopLag.behind() && !hurry(m)) {
                 continue;
             }
             List<WorkerCommand> signals = signals(m, false);
             if (!signals.isEmpty()) {
-                command(m, m.session(), signals, 1, reportMs);
+                command(m, m.agent().incarnation(), signals, 1, reportMs);
             }
         }
     }
@@ -237,8 +243,8 @@
      * its next report will be answered with it: critical tasks wait to start there, or a task has to make room.
      */
     private static boolean hurry(Machine m) {
-        for (TaskAssignment c : m.claims().values()) {
-            if (c.stopping() || c.stage() == null && c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
+        for (TaskAssignment c : m.assignments().values()) {
+            if (c.stopping() || c.phase() == null && c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
                 return true;
             }
         }
@@ -250,18 +256,20 @@
         while (!toAsk.isEmpty() && mayAsk()) {
             Machine m = toAsk.iterator().next();
             toAsk.remove(m);
-            if (!m.deleting() && !inFlight.contains(m)) {
-                command(m, m.session(), List.of(), 1, askMs);
+            if (!m.instance().terminating() && !inFlight.contains(m)) {
+                command(m, m.agent().incarnation(), List.of(), 1, askMs);
             }
         }
     }
 
     /** Makes this term known to a worker at once, so that it tells where it stands and ignores older leaders. */
     void announceTo(Machine m) {
-        if (!m.addr().isEmpty() && !m.heard() && !m.deleting()) {
-            long session = Math.max(1, m.session());
-            for (TaskAssignment c : m.claims().values()) {
-                session = Math.max(session, c.session());
+        if (!m.address().isEmpty()
+                && !m.agent().heardThisTerm()
+                && !m.instance().terminating()) {
+            long session = Math.max(1, m.agent().incarnation());
+            for (TaskAssignment c : m.assignments().values()) {
+                session = Math.max(session, c.incarnation());
             }
             command(m, session, List.of(), 2, askMs);
         }
@@ -270,7 +278,12 @@
     private void command(Machine m, long session, List<WorkerCommand> signals, int tries, long timeoutMs) {
         inFlight.add(m);
         environment.call(
-                m.addr(), "POST", "/commands", Messages.commands(term, session, signals), timeoutMs, (status, body) -> {
+                m.address(),
+                "POST",
+                "/commands",
+                Messages.directCommands(term, session, signals),
+                timeoutMs,
+                (status, body) -> {
                     inFlight.remove(m);
                     if (closed) {
                         return;
@@ -278,7 +291,9 @@
                     if (status == 200 || status == 409 || status == Environment.NOT_SENT) {
                         for (WorkerCommand s : signals) {
                             if (s.kind() == WorkerCommand.Kind.RUN) {
-                                m.openRuns().computeIfPresent(s.key(), (a, n) -> n == 1 ? null : n - 1);
+                                m.agent()
+                                        .unansweredStarts()
+                                        .computeIfPresent(s.attemptId(), (a, n) -> n == 1 ? null : n - 1);
                             }
                         }
                     }
@@ -286,14 +301,14 @@
                     if (r == null || !r.machine().equals(m.name())) {
                         return; // no answer, or another machine that has the address now
                     }
-                    if (r.token() > term) {
-                        leadership.learn(r.token(), "");
+                    if (r.fencingToken() > term) {
+                        leadership.learn(r.fencingToken(), "");
                         return;
                     }
-                    m.setUnreachedSince(0); // it has heard this
+                    m.agent().setUnreachableSince(0); // it has heard this
                     answers.answered(m, r);
-                    if (status == 409 && tries > 1 && r.session() != session) {
-                        command(m, r.session(), List.of(), tries - 1, timeoutMs);
+                    if (status == 409 && tries > 1 && r.incarnation() != session) {
+                        command(m, r.incarnation(), List.of(), tries - 1, timeoutMs);
                     }
                 });
     }
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -76,13 +76,17 @@
      * only seen in answers to commands has a lease of its own, which no answer to a report has begun.
      */
     private long lastAnswered(Machine m, long session, long acked) {
-        if (m.answeredAt() > 0 && m.accepted(term)) {
-            return Math.max(m.answeredAt(), m.sessionSeenAt());
+        if (m.agent().lastAnsweredAt() > 0 && m.acknowledgedTerm(term)) {
+            return Math.max(m.agent().lastAnsweredAt(), m.agent().incarnationSeenAt());
         }
-        if (m.answeredBefore() >= 0 && !m.heard() && session <= m.answeredBeforeSession()) {
-            return Math.max(m.answeredBefore(), m.answeredAt());
+        if (m.agent().answeredByPreviousLeaderAt() >= 0
+                && !m.agent().heardThisTerm()
+                && session <= m.agent().answeredByPreviousLeaderIncarnation()) {
+            return Math.max(m.agent().answeredByPreviousLeaderAt(), m.agent().lastAnsweredAt());
         }
-        return acked >= 0 ? Math.max(acked, Math.max(m.answeredAt(), m.sessionSeenAt())) : -1;
+        return acked >= 0
+                ? Math.max(acked, Math.max(m.agent().lastAnsweredAt(), m.agent().incarnationSeenAt()))
+                : -1;
     }
 
     /** Looks for leases that have lapsed for certain. */
@@ -90,26 +94,26 @@
         long now = environment.now();
         long acked = leadership.allAckedAt();
         for (Machine m : cluster.machines().values()) {
-            long over = m.session();
-            for (TaskAssignment c : m.claims().values()) {
-                over = Math.max(over, c.session());
+            long over = m.agent().incarnation();
+            for (TaskAssignment c : m.assignments().values()) {
+                over = Math.max(over, c.incarnation());
             }
             long since = lastAnswered(m, over, acked);
-            if (since >= 0 && over > m.lapsedSession()) {
+            if (since >= 0 && over > m.agent().expiredIncarnation()) {
                 silences.note(m, over, since);
             }
             if (since < 0 || now < since + Math.round(leaseMs * (1 + DRIFT)) + LAPSE_SLACK_MS) {
                 continue;
             }
-            if (over > m.lapsedSession()) {
-                m.setLapsedSession(over);
-                if (m.heard() || !m.claims().isEmpty()) {
+            if (over > m.agent().expiredIncarnation()) {
+                m.agent().setExpiredIncarnation(over);
+                if (m.agent().heardThisTerm() || !m.assignments().isEmpty()) {
                     LOG.info(
                             "machine {} is silent, its lease has lapsed with {} tasks",
                             m.name(),
-                            m.claims().size());
+                            m.assignments().size());
                 }
-                for (TaskAssignment c : List.copyOf(m.claims().values())) {
+                for (TaskAssignment c : List.copyOf(m.assignments().values())) {
                     events.gone(c, "lease");
                 }
                 events.changed();
@@ -122,7 +126,7 @@
         long before = environment.now() - Math.round(SILENT_AFTER_REPORTS * reportMs);
         Map<String, int[]> zones = new HashMap<>();
         for (Machine m : cluster.machines().values()) {
-            if (m.type() != null && !m.deleting() && !m.booting()) {
+            if (m.type() != null && !m.instance().terminating() && !m.instance().booting()) {
                 int[] counts = zones.computeIfAbsent(m.zone(), z -> new int[2]);
                 counts[0]++;
                 counts[1] += lastSeen(m, activeSince) < before ? 1 : 0;
@@ -140,7 +144,7 @@
 
     /** A new leader has heard nobody; who does not come in time was taken before or while it took over. */
     private static long lastSeen(Machine m, long activeSince) {
-        return Math.max(m.heardAt(), activeSince);
+        return Math.max(m.agent().lastHeardAt(), activeSince);
     }
 
     /** Machines with work that are most likely gone or hang: they neither report nor answer, though their zone does. */
@@ -151,9 +155,9 @@
         List<Machine> silent = new ArrayList<>();
         for (Machine m : cluster.machines().values()) {
             if (m.type() != null
-                    && !m.deleting()
-                    && !m.booting()
-                    && !m.claims().isEmpty()
+                    && !m.instance().terminating()
+                    && !m.instance().booting()
+                    && !m.assignments().isEmpty()
                     && lastSeen(m, activeSince) < (m.spot() ? forSpot : forOthers)) {
                 silent.add(m);
             }
@@ -169,14 +173,14 @@
      * Whether a command that is sent now can be expected to arrive: the machine reports in time, and heard us before.
      */
     public boolean hears(Machine m) {
-        return m.heard()
-                && !m.deleting()
-                && m.unreachedSince() == 0
-                && environment.now() - m.heardAt() <= SILENT_AFTER_REPORTS * reportMs;
+        return m.agent().heardThisTerm()
+                && !m.instance().terminating()
+                && m.agent().unreachableSince() == 0
+                && environment.now() - m.agent().lastHeardAt() <= SILENT_AFTER_REPORTS * reportMs;
     }
 
     /** True when nothing was heard for longer than reports can take. */
     public boolean silent(Machine m) {
-        return m.heard() && environment.now() - m.heardAt() > 2 * reportMs;
+        return m.agent().heardThisTerm() && environment.now() - m.agent().lastHeardAt() > 2 * reportMs;
     }
 }
--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -77,7 +77,7 @@
             return;
         }
         if (redirects.sendsAway(report.machine(), peer.node())) {
-            reply.accept(421, MessageCodec.encode(Messages.reportTo(peer.node())));
+            reply.accept(421, MessageCodec.encode(Messages.redirect(peer.node())));
         } else {
             passOn(report, body, peer, reply);
         }
@@ -107,7 +107,7 @@
         if (hinted.isEmpty()) {
             withoutLeader(report, reply);
         } else {
-            reply.accept(421, MessageCodec.encode(Messages.reportTo(hinted)));
+            reply.accept(421, MessageCodec.encode(Messages.redirect(hinted)));
         }
     }
 
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -53,7 +53,7 @@
         this.term = term;
         this.events = events;
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
-        this.nothing = MessageCodec.encode(Messages.signals(term, List.of()));
+        this.nothing = MessageCodec.encode(Messages.heartbeatResponse(term, List.of()));
         this.failures = new FailureDetector(cluster, environment, leadership, term, events, silences);
         this.commands = new CommandDispatcher(
                 cluster,
@@ -83,8 +83,8 @@
         Machine m = mayAnswer(r) ? cluster.machine(r.machine()) : null;
         if (m == null) {
             reply.accept(null);
-        } else if (m.silence() != null) {
-            m.setHeardAt(environment.now()); // it is there, so it is not given up, however long this takes
+        } else if (m.agent().lastHeartbeatRecord() != null) {
+            m.agent().setLastHeardAt(environment.now()); // it is there, so it is not given up, however long this takes
             silences.heard(m, () -> reply.accept(mayAnswer(r) ? answer(m, r) : null), () -> reply.accept(null));
         } else {
             reply.accept(answer(m, r));
@@ -95,34 +95,36 @@
         if (!leadership.mayRenew()) {
             return false; // another leader may have confirmed cancellations that are unknown here
         }
-        if (cluster.deleted().contains(r.machine())) {
+        if (cluster.deletedMachines().contains(r.machine())) {
             return false; // sent before the machine was deleted
         }
         Machine m = cluster.machine(r.machine());
-        if (m.deleting() || r.session() <= m.lapsedSession()) {
+        if (m.instance().terminating() || r.incarnation() <= m.agent().expiredIncarnation()) {
             return false; // its lease may not be renewed: what was on it is counted as gone, or about to be
         }
         // a late copy otherwise: a worker has one report in flight, so nobody waits for the answer
-        return r.session() >= m.session() && (r.session() != m.reportSession() || r.seq() > m.reportSeq());
+        return r.incarnation() >= m.agent().incarnation()
+                && (r.incarnation() != m.agent().heartbeatIncarnation()
+                        || r.sequence() > m.agent().heartbeatSequence());
     }
 
     private byte[] answer(Machine m, Heartbeat r) {
-        m.setReportSession(r.session());
-        m.setReportSeq(r.seq());
-        if (m.sameAsBefore(r) && r.seq() > m.seq()) {
-            m.setSeq(r.seq());
-            m.setLast(r);
-            m.setHeardAt(environment.now());
-            m.setAnsweredAt(m.heardAt());
-            m.setAnsweredRuns(Set.of());
+        m.agent().setHeartbeatIncarnation(r.incarnation());
+        m.agent().setHeartbeatSequence(r.sequence());
+        if (m.unchangedSince(r) && r.sequence() > m.agent().sequence()) {
+            m.agent().setSequence(r.sequence());
+            m.agent().setLastHeartbeat(r);
+            m.agent().setLastHeardAt(environment.now());
+            m.agent().setLastAnsweredAt(m.agent().lastHeardAt());
+            m.agent().setStartsInLastResponse(Set.of());
             return nothing;
         }
         doubt(m, r);
         boolean fresh = take(m, r, true);
-        m.setAnsweredAt(environment.now());
+        m.agent().setLastAnsweredAt(environment.now());
         List<WorkerCommand> signals = fresh ? commands.signals(m, true) : List.of();
-        m.setAnsweredRuns(keys(signals));
-        return signals.isEmpty() ? nothing : MessageCodec.encode(Messages.signals(term, signals));
+        m.agent().setStartsInLastResponse(keys(signals));
+        return signals.isEmpty() ? nothing : MessageCodec.encode(Messages.heartbeatResponse(term, signals));
     }
 
     /**
@@ -131,31 +133,33 @@
      * until it has answered something that we sent.
      */
     private void doubt(Machine m, Heartbeat r) {
-        if (!m.accepted(term) || m.unreachedSince() != 0) {
+        if (!m.acknowledgedTerm(term) || m.agent().unreachableSince() != 0) {
             return;
         }
-        boolean lapsedUnderAnswers = r.session() > m.session()
-                && m.session() > 0
-                && m.answeredAt() != 0
-                && environment.now() - m.answeredAt() < leaseMs;
-        boolean unheeded = r.session() == m.session()
-                && r.seq() > m.seq()
-                && !m.answeredRuns().isEmpty()
+        boolean lapsedUnderAnswers = r.incarnation() > m.agent().incarnation()
+                && m.agent().incarnation() > 0
+                && m.agent().lastAnsweredAt() != 0
+                && environment.now() - m.agent().lastAnsweredAt() < leaseMs;
+        boolean unheeded = r.incarnation() == m.agent().incarnation()
+                && r.sequence() > m.agent().sequence()
+                && !m.agent().startsInLastResponse().isEmpty()
                 && unheeded(m, r);
         if (lapsedUnderAnswers || unheeded) {
             LOG.info(
                     "machine {} reports but seems not to hear: {}",
                     m.name(),
                     lapsedUnderAnswers ? "its lease lapsed while it was answered" : "it left starts alone");
-            m.setUnreachedSince(environment.now());
+            m.agent().setUnreachableSince(environment.now());
         }
     }
 
     private static boolean unheeded(Machine m, Heartbeat r) {
         Set<String> told = new HashSet<>();
-        r.tasks().forEach(t -> told.add(t.key()));
-        for (TaskAssignment c : m.claims().values()) {
-            if (c.stage() == null && m.answeredRuns().contains(c.key()) && !told.contains(c.key())) {
+        r.tasks().forEach(t -> told.add(t.attemptId()));
+        for (TaskAssignment c : m.assignments().values()) {
+            if (c.phase() == null
+                    && m.agent().startsInLastResponse().contains(c.attemptId())
+                    && !told.contains(c.attemptId())) {
                 return true;
             }
         }
@@ -167,7 +171,7 @@
         for (WorkerCommand s : signals) {
             if (s.kind() == WorkerCommand.Kind.RUN) {
                 keys = keys.isEmpty() ? new HashSet<>() : keys;
-                keys.add(s.key());
+                keys.add(s.attemptId());
             }
         }
         return keys;
@@ -176,26 +180,27 @@
     /** Answers a report before the claims have been read: the lease is renewed, and cancelled jobs are stopped. */
     public byte[] hold(Heartbeat r) {
         Machine m = cluster.machine(r.machine());
-        m.setAddr(r.addr());
-        m.setAnsweredAt(environment.now());
+        m.setAddress(r.address());
+        m.agent().setLastAnsweredAt(environment.now());
         List<WorkerCommand> stops = leadership.cancellations().stops(r);
-        return stops.isEmpty() ? nothing : MessageCodec.encode(Messages.signals(term, stops));
+        return stops.isEmpty() ? nothing : MessageCodec.encode(Messages.heartbeatResponse(term, stops));
     }
 
     /** Takes in what a worker says. False when something newer was heard before. */
     private boolean take(Machine m, Heartbeat r, boolean inOrder) {
-        if (r.session() < m.session()
-                || r.session() == m.session() && r.seq() <= m.seq()
-                || r.session() <= m.lapsedSession()) {
+        if (r.incarnation() < m.agent().incarnation()
+                || r.incarnation() == m.agent().incarnation()
+                        && r.sequence() <= m.agent().sequence()
+                || r.incarnation() <= m.agent().expiredIncarnation()) {
             return false;
         }
         long now = environment.now();
         takeSession(m, r, now);
         takeTerm(m, r, now);
         takeProperties(m, r, now);
-        if (r.noticeS() >= 0 && m.noticeS() < 0) {
-            LOG.info("machine {} will be taken in {} s", m.name(), r.noticeS());
-            m.setNoticeS(r.noticeS());
+        if (r.reclaimNoticeS() >= 0 && m.instance().reclaimNoticeS() < 0) {
+            LOG.info("machine {} will be taken in {} s", m.name(), r.reclaimNoticeS());
+            m.instance().setReclaimNoticeS(r.reclaimNoticeS());
             leave(m, now);
         }
         takeTasks(m, r, inOrder, now);
@@ -203,60 +208,67 @@
     }
 
     private void takeSession(Machine m, Heartbeat r, long now) {
-        boolean newSession = r.session() > m.session();
-        if (!m.heard() || newSession) {
-            m.setIdleSince(now);
+        boolean newSession = r.incarnation() > m.agent().incarnation();
+        if (!m.agent().heardThisTerm() || newSession) {
+            m.instance().setIdleSince(now);
             events.changed();
         }
-        if (!m.heard() && m.booting()) {
-            LOG.info("machine {} is up in {} after {} s", m.name(), r.zone(), (now - m.rentedAt()) / 1000);
+        if (!m.agent().heardThisTerm() && m.instance().booting()) {
+            LOG.info(
+                    "machine {} is up in {} after {} s",
+                    m.name(),
+                    r.zone(),
+                    (now - m.instance().requestedAt()) / 1000);
         }
         if (newSession) {
-            m.setSessionSeenAt(now);
-            m.openRuns().clear();
-            m.settling().clear();
+            m.agent().setIncarnationSeenAt(now);
+            m.agent().unansweredStarts().clear();
+            m.agent().outcomesNotDurable().clear();
         }
     }
 
     private void takeTerm(Machine m, Heartbeat r, long now) {
-        if (!m.heard() && r.token() < term) {
+        if (!m.agent().heardThisTerm() && r.fencingToken() < term) {
             // until it shows our term: this may be a late copy of what a dead machine said
-            m.setUnreachedSince(now);
+            m.agent().setUnreachableSince(now);
             if (!eventLoopLag.behind()) {
                 commands.ask(m); // its next report will show it too, but work may be waiting
             }
-        } else if (m.token() < term && r.token() >= term) {
-            m.setUnreachedSince(0);
+        } else if (m.agent().fencingToken() < term && r.fencingToken() >= term) {
+            m.agent().setUnreachableSince(0);
             events.changed();
         }
     }
 
     private void takeProperties(Machine m, Heartbeat r, long now) {
-        m.setHeard(true);
-        m.setBooting(false);
-        m.setHeardAt(now);
-        m.setSession(r.session());
-        m.setSeq(r.seq());
-        m.setToken(r.token());
-        m.setAddr(r.addr());
-        m.setTypeName(r.type());
-        m.setType(cluster.type(r.type()));
+        m.agent().setHeardThisTerm(true);
+        m.instance().setBooting(false);
+        m.agent().setLastHeardAt(now);
+        m.agent().setIncarnation(r.incarnation());
+        m.agent().setSequence(r.sequence());
+        m.agent().setFencingToken(r.fencingToken());
+        m.setAddress(r.address());
+        m.setTypeName(r.machineType());
+        m.setType(cluster.machineType(r.machineType()));
         m.setSpot(r.spot());
         cluster.setZone(m, r.zone());
-        cluster.rooms().update(m);
+        cluster.freeCapacity().update(m);
     }
 
     private void takeTasks(Machine m, Heartbeat r, boolean inOrder, long now) {
-        m.setLast(r);
+        m.agent().setLastHeartbeat(r);
         Map<String, Heartbeat.TaskStatus> reported = claimedTasks(m, r);
-        m.setAsWanted(r.tasks().size() == m.claims().size()
-                && reported.size() == m.claims().size());
-        for (TaskAssignment c : List.copyOf(m.claims().values())) {
-            Heartbeat.TaskStatus t = reported.get(c.name());
-            if (c.session() < r.session()) {
+        m.agent()
+                .setReconciled(r.tasks().size() == m.assignments().size()
+                        && reported.size() == m.assignments().size());
+        for (TaskAssignment c : List.copyOf(m.assignments().values())) {
+            Heartbeat.TaskStatus t = reported.get(c.taskId());
+            if (c.incarnation() < r.incarnation()) {
                 events.gone(c, "session");
             } else if (t != null) {
-                m.setAsWanted(m.asWanted() & (t.stage() != Heartbeat.TaskPhase.EXITED && !c.stopping()));
+                m.agent()
+                        .setReconciled(
+                                m.agent().reconciled() & (t.phase() != Heartbeat.TaskPhase.EXITED && !c.stopping()));
                 see(m, c, t, now);
             } else if (inOrder && certainlyNotStarted(m, c)) {
                 events.gone(c, "never started");
@@ -266,14 +278,14 @@
 
     /** The reported tasks that claims stand for, by name; all others that have not exited are strays, to be stopped. */
     private Map<String, Heartbeat.TaskStatus> claimedTasks(Machine m, Heartbeat r) {
-        m.setStrays(false);
+        m.agent().setHasOrphanTasks(false);
         Map<String, Heartbeat.TaskStatus> claimed = new HashMap<>();
         for (Heartbeat.TaskStatus t : r.tasks()) {
-            TaskAssignment c = m.claims().get(t.task());
-            if (c != null && c.durable() && c.attempt() == t.attempt() && c.session() == r.session()) {
-                claimed.put(t.task(), t);
-            } else if (t.stage() != Heartbeat.TaskPhase.EXITED) {
-                m.setStrays(true);
+            TaskAssignment c = m.assignments().get(t.taskId());
+            if (c != null && c.durable() && c.attempt() == t.attempt() && c.incarnation() == r.incarnation()) {
+                claimed.put(t.taskId(), t);
+            } else if (t.phase() != Heartbeat.TaskPhase.EXITED) {
+                m.agent().setHasOrphanTasks(true);
                 commands.sendSoon(m);
             }
         }
@@ -288,62 +300,65 @@
     private boolean certainlyNotStarted(Machine m, TaskAssignment c) {
         return c.stopping()
                 && c.durable()
-                && c.stage() == null
-                && m.accepted(term)
-                && !m.openRuns().containsKey(c.key());
+                && c.phase() == null
+                && m.acknowledgedTerm(term)
+                && !m.agent().unansweredStarts().containsKey(c.attemptId());
     }
 
     private void see(Machine m, TaskAssignment c, Heartbeat.TaskStatus t, long now) {
-        if (c.stage() != t.stage()) {
-            c.setStage(t.stage());
-            switch (t.stage()) {
-                case WAITING -> m.holds(c.job().spec().image(), c.job().spec().imageGb());
-                case RUNNING, SAVING -> running(m, c, now);
+        if (c.phase() != t.phase()) {
+            c.setPhase(t.phase());
+            switch (t.phase()) {
+                case WAITING_FOR_GANG ->
+                    m.cacheImage(c.job().spec().image(), c.job().spec().imageGb());
+                case RUNNING, SAVING_CHECKPOINT -> running(m, c, now);
                 default -> {}
             }
             events.progressed(c);
         }
-        if (t.stage() == Heartbeat.TaskPhase.EXITED) {
+        if (t.phase() == Heartbeat.TaskPhase.EXITED) {
             events.exited(m, c, t);
         }
     }
 
     private void running(Machine m, TaskAssignment c, long now) {
-        if (c.runningAt() != 0) {
+        if (c.runningSince() != 0) {
             return;
         }
-        c.setRunningAt(now);
+        c.setRunningSince(now);
         LOG.debug(
                 "{} of {} runs on {} in {}, ordered {} ms ago",
-                c.name(),
+                c.taskId(),
                 c.job().spec().jobClass(),
                 m.name(),
                 m.zone(),
-                c.orderedAt() == 0 ? -1 : now - c.orderedAt());
-        c.job().setBegun(true);
-        m.holds(c.job().spec().image(), c.job().spec().imageGb());
-        if (c.job().spec().gang() && c.job().runningCount() == c.job().spec().tasks()) {
+                c.assignedAt() == 0 ? -1 : now - c.assignedAt());
+        c.job().setStarted(true);
+        m.cacheImage(c.job().spec().image(), c.job().spec().imageGb());
+        if (c.job().spec().gang() && c.job().runningCount() == c.job().spec().taskCount()) {
             events.gangRuns(c.job());
         }
     }
 
     /** What a notice asks for: save what can be saved, and move what has to run elsewhere. */
     private void leave(Machine m, long now) {
-        for (TaskAssignment c : List.copyOf(m.claims().values())) {
+        for (TaskAssignment c : List.copyOf(m.assignments().values())) {
             if (c.job().spec().gang()) {
-                if (c.job().spec().estimateS() - c.ranMs(now) / 1000.0 > m.noticeS()) {
+                if (c.job().spec().estimateS() - c.runtimeMs(now) / 1000.0
+                        > m.instance().reclaimNoticeS()) {
                     events.stopWhole(
                             c,
-                            c.job().spec().saveS() <= m.noticeS()
-                                    ? c.job().spec().saveS()
+                            c.job().spec().checkpointSaveS() <= m.instance().reclaimNoticeS()
+                                    ? c.job().spec().checkpointSaveS()
                                     : 0);
                 }
             } else if (c.job().spec().service()) {
-                cluster.stop(c, 0, now);
-            } else if (c.job().spec().checkpointS() > 0) {
-                cluster.stop(c, c.job().spec().saveS(), now);
-            } else if (c.job().spec().estimateS() - c.ranMs(now) / 1000.0 > m.noticeS()) {
-                cluster.stop(c, 0, now); // it would be lost all the same, only later
+                cluster.requestStop(c, 0, now);
+            } else if (c.job().spec().checkpointIntervalS() > 0) {
+                cluster.requestStop(c, c.job().spec().checkpointSaveS(), now);
+            } else if (c.job().spec().estimateS() - c.runtimeMs(now) / 1000.0
+                    > m.instance().reclaimNoticeS()) {
+                cluster.requestStop(c, 0, now); // it would be lost all the same, only later
             }
         }
         commands.sendSoon(m);
@@ -352,7 +367,7 @@
 
     /** The cloud has confirmed that a machine is gone with all that was on it. */
     public void deleted(Machine m) {
-        for (TaskAssignment c : List.copyOf(m.claims().values())) {
+        for (TaskAssignment c : List.copyOf(m.assignments().values())) {
             events.gone(c, "machine deleted");
         }
         cluster.forget(m);
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -57,7 +57,7 @@
         public void write(ArrayNode into) {
             into.add(SILENT)
                     .add(silence.machine())
-                    .add(silence.session())
+                    .add(silence.incarnation())
                     .add(silence.answeredAt())
                     .add(silence.term());
         }
@@ -74,7 +74,7 @@
 
         @Override
         public CommitQueue.Event kept(long record) {
-            return silence.storedIn(record) && !silence.over() ? this : null;
+            return silence.storedIn(record) && !silence.obsolete() ? this : null;
         }
 
         @Override
@@ -132,8 +132,8 @@
                 continue;
             }
             long ago = environment.timeOfDay() - s.answeredAt() - (long) Math.ceil(2 * clockOffMs);
-            m.setAnsweredBefore(Math.max(environment.now() - ago, leadership.consentedAt()));
-            m.setAnsweredBeforeSession(s.session());
+            m.agent().setAnsweredByPreviousLeaderAt(Math.max(environment.now() - ago, leadership.consentedAt()));
+            m.agent().setAnsweredByPreviousLeaderIncarnation(s.incarnation());
             taken++;
         }
         if (taken > 0) {
@@ -144,9 +144,14 @@
     /** Notes a machine whose last report, of this session, was answered then, if it is silent for long enough. */
     void note(Machine m, long session, long answeredAt) {
         long ago = environment.now() - answeredAt;
-        if (m.silence() == null && !m.claims().isEmpty() && ago > NOTE_AFTER_REPORTS * reportMs && leadership.sure()) {
-            m.setSilence(new LastHeartbeatRecord(m.name(), session, environment.timeOfDay() - ago, term));
-            ledger.log(new Silent(m.silence()), null);
+        if (m.agent().lastHeartbeatRecord() == null
+                && !m.assignments().isEmpty()
+                && ago > NOTE_AFTER_REPORTS * reportMs
+                && leadership.sure()) {
+            m.agent()
+                    .setLastHeartbeatRecord(
+                            new LastHeartbeatRecord(m.name(), session, environment.timeOfDay() - ago, term));
+            ledger.log(new Silent(m.agent().lastHeartbeatRecord()), null);
         }
     }
 
@@ -158,10 +163,10 @@
             return;
         }
         waiting.put(m, new ArrayList<>(List.of(new Waiting(environment.now(), answer, refuse))));
-        LastHeartbeatRecord silence = m.silence();
+        LastHeartbeatRecord silence = m.agent().lastHeartbeatRecord();
         ledger.log(new Heard(m.name()), () -> {
-            silence.setOver(true);
-            m.setSilence(null);
+            silence.setObsolete(true);
+            m.agent().setLastHeartbeatRecord(null);
             waiting.remove(m).forEach(w -> w.answer.run());
         });
     }
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -96,11 +96,11 @@
     public List<WorkerCommand> stops(Heartbeat report) {
         List<WorkerCommand> stops = new ArrayList<>();
         for (Heartbeat.TaskStatus t : report.tasks()) {
-            int slash = t.task().indexOf('/');
-            if (t.stage() != Heartbeat.TaskPhase.EXITED
+            int slash = t.taskId().indexOf('/');
+            if (t.phase() != Heartbeat.TaskPhase.EXITED
                     && slash > 0
-                    && known.containsKey(t.task().substring(0, slash))) {
-                stops.add(new WorkerCommand(WorkerCommand.Kind.KILL, t.task(), t.attempt(), 0));
+                    && known.containsKey(t.taskId().substring(0, slash))) {
+                stops.add(new WorkerCommand(WorkerCommand.Kind.KILL, t.taskId(), t.attempt(), 0));
             }
         }
         return stops;
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -96,8 +96,9 @@
             if (entitled) {
                 w.reply.accept(
                         200,
-                        MessageCodec.encode(Messages.signals(
-                                w.report.token(), leadership.cancellations().stops(w.report))));
+                        MessageCodec.encode(Messages.heartbeatResponse(
+                                w.report.fencingToken(),
+                                leadership.cancellations().stops(w.report))));
             } else {
                 w.reply.accept(503, MessageCodec.encode(Messages.error("no leader known")));
             }
--- a/src/main/java/stileferry/leadership/TermSequence.java
+++ b/src/main/java/stileferry/leadership/TermSequence.java
@@ -5,7 +5,7 @@
     private static final long NUMBERS_PER_TERM = 1L << 32;
 
     private final long first;
-    private long given;
+    private long issued;
 
     public TermSequence(long term) {
         this.first = term * NUMBERS_PER_TERM;
@@ -13,6 +13,6 @@
 
     /** The next number, higher than all before. */
     public long next() {
-        return first + ++given;
+        return first + ++issued;
     }
 }
--- a/src/main/java/stileferry/lifecycle/GangMetrics.java
+++ b/src/main/java/stileferry/lifecycle/GangMetrics.java
@@ -29,10 +29,10 @@
         if (!isFirstOfItsAttempt(claim)) {
             return;
         }
-        switch (task.reason()) {
-            case HALTED -> saved += task.saved() ? 1 : 0;
+        switch (task.exitReason()) {
+            case STOPPED -> saved += task.checkpointSaved() ? 1 : 0;
             case GANG_INCOMPLETE -> incomplete++;
-            case PEER_LOST -> lost++;
+            case GANG_MEMBER_LOST -> lost++;
             default -> failed++;
         }
     }
@@ -43,8 +43,8 @@
     }
 
     private static boolean isFirstOfItsAttempt(TaskAssignment claim) {
-        boolean first = claim.job().endedAttempt() != claim.attempt();
-        claim.job().setEndedAttempt(claim.attempt());
+        boolean first = claim.job().lastFailedAttempt() != claim.attempt();
+        claim.job().setLastFailedAttempt(claim.attempt());
         return first;
     }
 
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -47,14 +47,14 @@
         for (Job job : List.copyOf(cluster.jobs().values())) {
             if (job.cancelled()) {
                 cancelDurable(job);
-            } else if (job.unfinished() == 0) {
+            } else if (job.unfinishedCount() == 0) {
                 end(job, "done");
             }
         }
     }
 
     private void stopAll(Job job) {
-        for (TaskAssignment claim : List.copyOf(job.claims().values())) {
+        for (TaskAssignment claim : List.copyOf(job.assignments().values())) {
             stop.accept(claim);
         }
     }
@@ -65,14 +65,15 @@
 
     /** Moves a job among the ended ones; what else is stored of it goes afterwards. */
     void end(Job job, String how, Runnable onDurable) {
-        if (job.ending()) {
+        if (job.completing()) {
             return;
         }
-        job.setEnding(true);
-        CompletedJobCache.CompletedJob record = new CompletedJobCache.CompletedJob(how, job.doneCount());
-        CommitQueue.Entry entry = new CommitQueue.Entry(Job.endedKey(job.spec().id()), 0, record::write);
-        ledger.move(entry, job.record(), () -> {
-            job.setOver(true);
+        job.setCompleting(true);
+        CompletedJobCache.CompletedJob record = new CompletedJobCache.CompletedJob(how, job.completedCount());
+        CommitQueue.Entry entry =
+                new CommitQueue.Entry(Job.completedKey(job.spec().id()), 0, record::write);
+        ledger.move(entry, job.entry(), () -> {
+            job.setCompleted(true);
             leadership.cancellations().over(job.spec().id());
             cluster.jobs().remove(job.spec().id());
             ended.put(job.spec().id(), record);
@@ -85,29 +86,29 @@
 
     public void cancel(Job job) {
         job.setCancelled(true);
-        for (TaskAssignment claim : List.copyOf(job.claims().values())) {
-            if (claim.runsSent() == 0) {
-                cluster.remove(claim, false); // no machine has heard of it
+        for (TaskAssignment claim : List.copyOf(job.assignments().values())) {
+            if (claim.startsSent() == 0) {
+                cluster.unassign(claim, false); // no machine has heard of it
                 ledger.log(TaskEvents.freed(claim), null);
             }
         }
-        if (job.claims().isEmpty()) {
+        if (job.assignments().isEmpty()) {
             end(job, "cancelled");
             return;
         }
-        ledger.put(job.record(), () -> cancelDurable(job));
+        ledger.put(job.entry(), () -> cancelDurable(job));
     }
 
     /** A cancellation is durable: the tasks are stopped, and the user hears of it when that is allowed. */
     void cancelDurable(Job job) {
         job.setCancelDurable(true);
         stopAll(job);
-        if (job.claims().isEmpty()) {
+        if (job.assignments().isEmpty()) {
             end(job, "cancelled");
             return;
         }
         leadership.tellCancelled(job.spec().id(), () -> {
-            job.setCancelKnown(true);
+            job.setCancelReplicated(true);
             confirm(job);
         });
     }
@@ -118,8 +119,8 @@
      * that did not arrive let a task begin whose image came after its user had been told.
      */
     void confirm(Job job) {
-        if (job.cancelKnown() && !job.cancelTold() && !job.ending() && !job.mayBegin()) {
-            job.setCancelTold(true);
+        if (job.cancelReplicated() && !job.cancelConfirmed() && !job.completing() && !job.mayStartUnprompted()) {
+            job.setCancelConfirmed(true);
             listener.cancelConfirmed(job);
         }
     }
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -47,7 +47,7 @@
                     .add(claim.index())
                     .add(claim.attempt())
                     .add(claim.machine())
-                    .add(claim.session());
+                    .add(claim.incarnation());
         }
 
         @Override
@@ -57,12 +57,14 @@
 
         @Override
         public void recorded(long record) {
-            claim.setRecord(record);
+            claim.setRecordNumber(record);
         }
 
         @Override
         public CommitQueue.Event kept(long record) {
-            return claim.record() == record && claim.job().claims().get(claim.index()) == claim ? this : null;
+            return claim.recordNumber() == record && claim.job().assignments().get(claim.index()) == claim
+                    ? this
+                    : null;
         }
 
         @Override
@@ -110,7 +112,7 @@
 
         @Override
         public void recorded(long record) {
-            job.doneRecord(from, to, (int) record);
+            job.completionRecord(from, to, (int) record);
         }
 
         @Override
@@ -121,15 +123,15 @@
         /** Together with its neighbours that are done by now, so that a long job takes ever fewer events. */
         @Override
         public CommitQueue.Event kept(long record) {
-            if (job.over()) {
+            if (job.completed()) {
                 return null;
             }
             for (int i = from; i <= to; i++) {
-                if (job.doneRecord(i) == (int) record) {
+                if (job.completionRecord(i) == (int) record) {
                     return new Done(
                             job,
-                            job.done().previousClearBit(from) + 1,
-                            job.done().nextClearBit(to) - 1);
+                            job.completedTasks().previousClearBit(from) + 1,
+                            job.completedTasks().nextClearBit(to) - 1);
                 }
             }
             return null;
@@ -161,7 +163,7 @@
                 }
                 Job job = jobs.get(e.path(1).asText());
                 int index = e.path(2).asInt(-1);
-                if (job == null || index < 0 || index >= job.spec().tasks()) {
+                if (job == null || index < 0 || index >= job.spec().taskCount()) {
                     continue; // the job is over
                 }
                 switch (kind) {
@@ -184,7 +186,7 @@
                         events.add(done(
                                 job,
                                 index,
-                                Math.min(e.path(3).asInt(), job.spec().tasks() - 1),
+                                Math.min(e.path(3).asInt(), job.spec().taskCount() - 1),
                                 number));
                     default -> {}
                 }
@@ -195,9 +197,9 @@
         /** Reads the older form: one part of a job's tasks, a bitmap of those done and the claims. */
         public List<CommitQueue.Event> readChunk(Job job, int chunk, JsonNode v, long number) {
             List<CommitQueue.Event> events = new ArrayList<>();
-            int from = chunk * job.chunkTasks();
+            int from = chunk * job.legacyChunkTasks();
             String hex = v.path("done").asText();
-            for (int i = 0; i < 4 * hex.length() && from + i < job.spec().tasks(); i++) {
+            for (int i = 0; i < 4 * hex.length() && from + i < job.spec().taskCount(); i++) {
                 // two digits a byte, the lowest bit first
                 int digit = Character.digit(hex.charAt(i / 8 * 2 + (i % 8 < 4 ? 1 : 0)), 16);
                 if ((digit >> i % 4 & 1) != 0) {
@@ -206,7 +208,7 @@
             }
             for (JsonNode c : v.path("claims")) {
                 int index = c.path(0).asInt(-1);
-                if (index >= 0 && index < job.spec().tasks()) {
+                if (index >= 0 && index < job.spec().taskCount()) {
                     events.add(claim(
                             job,
                             index,
@@ -222,15 +224,15 @@
         private CommitQueue.Event claim(Job job, int index, long attempt, String machine, long session, long number) {
             TaskAssignment claim = new TaskAssignment(job, index, attempt, machine, session, 0);
             claim.setDurable(true);
-            claim.setRunsSent(1);
-            claim.setRecord(number);
+            claim.setStartsSent(1);
+            claim.setRecordNumber(number);
             of(job).put(index, claim);
             return new Claimed(claim);
         }
 
         private CommitQueue.Event done(Job job, int from, int to, long number) {
             for (int i = from; i <= to; i++) {
-                job.finish(i);
+                job.markCompleted(i);
                 of(job).remove(i);
             }
             Done done = new Done(job, from, to);
@@ -251,7 +253,7 @@
         public List<TaskAssignment> claims() {
             List<TaskAssignment> all = new ArrayList<>();
             claims.values().forEach(of -> of.values().forEach(c -> {
-                if (!c.job().done().get(c.index())) {
+                if (!c.job().completedTasks().get(c.index())) {
                     all.add(c);
                 }
             }));
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -85,7 +85,7 @@
     /** Starts the next waiting task of a job, or all tasks of a gang, on these machines. */
     public void start(Job job, List<Machine> machines, boolean overdue) {
         long now = environment.now();
-        int index = job.nextWaiting(now);
+        int index = job.nextPendingTask(now);
         // The tasks of a gang find each other by their attempt, so it is the same for all of them.
         long attempt = numbers.next();
         GangAttempt gangAttempt = null;
@@ -94,19 +94,20 @@
             gangCounters.attempted();
         }
         for (Machine machine : machines) {
-            TaskAssignment claim = new TaskAssignment(job, index, attempt, machine.name(), machine.session(), now);
-            claim.setOverdue(overdue);
+            TaskAssignment claim = new TaskAssignment(
+                    job, index, attempt, machine.name(), machine.agent().incarnation(), now);
+            claim.setStartedOverdue(overdue);
             claim.setGangAttempt(gangAttempt);
-            cluster.add(claim);
+            cluster.assign(claim);
             ledger.log(TaskEvents.claimed(claim), () -> claimDurable(claim, machine));
-            index = job.taken().nextClearBit(index);
+            index = job.completedOrAssigned().nextClearBit(index);
         }
     }
 
     private void claimDurable(TaskAssignment claim, Machine machine) {
         claim.setDurable(true);
         if (claim.gangAttempt() != null) {
-            if (claim.gangAttempt().claimDurable()) {
+            if (claim.gangAttempt().assignmentDurable()) {
                 startWhole(claim.job(), claim.gangAttempt());
             }
         } else if (mayStart(claim)) {
@@ -115,7 +116,7 @@
     }
 
     private void startWhole(Job job, GangAttempt attempt) {
-        for (TaskAssignment claim : job.claims().values()) {
+        for (TaskAssignment claim : job.assignments().values()) {
             if (claim.gangAttempt() == attempt && mayStart(claim)) {
                 fleet.commands().sendSoon(cluster.machine(claim.machine()));
             }
@@ -123,7 +124,7 @@
     }
 
     private static boolean mayStart(TaskAssignment claim) {
-        return claim.job().claims().get(claim.index()) == claim
+        return claim.job().assignments().get(claim.index()) == claim
                 && !claim.stopping()
                 && !claim.job().cancelled();
     }
@@ -147,7 +148,7 @@
      * told to, they would only wait for it, and what they did since their last checkpoint is lost all the same.
      */
     private boolean allHear(Job gang) {
-        for (TaskAssignment claim : gang.claims().values()) {
+        for (TaskAssignment claim : gang.assignments().values()) {
             if (!fleet.failures().hears(cluster.machine(claim.machine()))) {
                 LOG.info(
                         "gang {} is stopped without saving: {} may not hear it",
@@ -161,29 +162,29 @@
 
     /** One that its machine has never heard of is simply not there. */
     private void stopOne(TaskAssignment claim, double graceS) {
-        if (claim.job().claims().get(claim.index()) != claim) {
+        if (claim.job().assignments().get(claim.index()) != claim) {
             return; // ended with its gang; counted out twice it would let its team beyond its limit
         }
-        if (claim.runsSent() == 0) {
-            LOG.debug("{} is not on {}: it was never sent", claim.name(), claim.machine());
+        if (claim.startsSent() == 0) {
+            LOG.debug("{} is not on {}: it was never sent", claim.taskId(), claim.machine());
             settle(claim, false, null);
             return;
         }
-        cluster.stop(claim, graceS, environment.now());
+        cluster.requestStop(claim, graceS, environment.now());
         fleet.commands().sendSoon(cluster.machine(claim.machine()));
     }
 
     @Override
     public void exited(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t) {
         Job job = claim.job();
-        if (job.claims().get(claim.index()) != claim) {
+        if (job.assignments().get(claim.index()) != claim) {
             return; // ended with its gang
         }
         long now = environment.now();
-        boolean done = t.reason() == ExitReason.DONE && !job.spec().service();
+        boolean done = t.exitReason() == ExitReason.COMPLETED && !job.spec().service();
         List<TaskAssignment> others = done && job.spec().gang() ? finishGang(job, claim) : List.of();
-        machine.settling().add(t.key());
-        job.setBegun(job.begun() | (done || t.reason() == ExitReason.ERROR));
+        machine.agent().outcomesNotDurable().add(t.attemptId());
+        job.setStarted(job.started() | (done || t.exitReason() == ExitReason.FAILED));
         logExit(machine, claim, t, now);
         if (done) {
             succeeded(machine, claim, now);
@@ -191,59 +192,60 @@
             failed(machine, claim, t, now);
         }
         settle(claim, done, () -> {
-            machine.settling().remove(t.key());
+            machine.agent().outcomesNotDurable().remove(t.attemptId());
             others.forEach(this::mayClear);
         });
     }
 
     private void logExit(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t, long now) {
-        if (claim.orderedAt() > 0 && claim.runningAt() > 0) {
+        if (claim.assignedAt() > 0 && claim.runningSince() > 0) {
             LOG.debug(
                     "{} of {} exited on {}: {}, ordered {} ms after its job, running {} ms later, for {} ms",
-                    claim.name(),
+                    claim.taskId(),
                     claim.job().spec().jobClass(),
                     machine.name(),
-                    t.reason(),
-                    claim.orderedAt()
+                    t.exitReason(),
+                    claim.assignedAt()
                             - now
                             + environment.timeOfDay()
                             - claim.job().acceptedAt(),
-                    claim.runningAt() - claim.orderedAt(),
-                    now - claim.runningAt());
+                    claim.runningSince() - claim.assignedAt(),
+                    now - claim.runningSince());
         }
     }
 
     private static void succeeded(Machine machine, TaskAssignment claim, long now) {
-        if (claim.orderedAt() > 0 && claim.runningAt() > 0) {
-            machine.finished(
-                    (now - claim.runningAt()) / 1000.0,
-                    (claim.runningAt() - claim.orderedAt()) / 1000.0,
+        if (claim.assignedAt() > 0 && claim.runningSince() > 0) {
+            machine.recordSlowdown(
+                    (now - claim.runningSince()) / 1000.0,
+                    (claim.runningSince() - claim.assignedAt()) / 1000.0,
                     SLOWDOWN_THRESHOLD_S);
         }
         claim.job().countSuccess();
         claim.job().retries().remove(claim.index());
-        machine.failures().clear();
+        machine.failuresByJob().clear();
     }
 
     /** The outcome of a task that ended with its gang is durable. */
     private void mayClear(TaskAssignment claim) {
         Machine machine = cluster.machines().get(claim.machine());
         if (machine != null) {
-            machine.settling().remove(claim.key());
+            machine.agent().outcomesNotDurable().remove(claim.attemptId());
         }
     }
 
     private void failed(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t, long now) {
         Job job = claim.job();
-        switch (t.reason()) {
-            case ERROR -> {
+        switch (t.exitReason()) {
+            case FAILED -> {
                 Job.Retry retry = job.retries().computeIfAbsent(claim.index(), i -> new Job.Retry());
                 retry.backOff(now, 1000, 6);
-                job.failedOn().add(machine.name());
-                machine.failures().merge(job.spec().id(), 1, Integer::sum);
+                job.failedMachines().add(machine.name());
+                machine.failuresByJob().merge(job.spec().id(), 1, Integer::sum);
                 judge(machine);
             }
-            case NO_ROOM, ANOTHER_ATTEMPT -> machine.setPlaceAfter(now + roundMs);
+            case INSUFFICIENT_RESOURCES, CONFLICTING_ATTEMPT ->
+                machine.instance().setCordonedUntil(now + roundMs);
             case UNKNOWN_JOB -> {
                 Job.Retry retry = job.retries().computeIfAbsent(claim.index(), i -> new Job.Retry());
                 retry.backOff(now, 500, 7);
@@ -253,7 +255,7 @@
         if (job.spec().gang()) {
             gangCounters.exited(claim, t);
         }
-        stopGang(claim, t.saved());
+        stopGang(claim, t.checkpointSaved());
     }
 
     /**
@@ -262,12 +264,12 @@
      */
     private void stopGang(TaskAssignment claim, boolean saved) {
         if (claim.job().spec().gang()) {
-            stopOthers(claim, saved ? claim.job().spec().saveS() : 0);
+            stopOthers(claim, saved ? claim.job().spec().checkpointSaveS() : 0);
         }
     }
 
     private void stopOthers(TaskAssignment claim, double graceS) {
-        for (TaskAssignment other : List.copyOf(claim.job().claims().values())) {
+        for (TaskAssignment other : List.copyOf(claim.job().assignments().values())) {
             if (other != claim && (!other.stopping() || graceS < other.stopGraceS())) {
                 stopOne(other, graceS);
             }
@@ -280,17 +282,21 @@
      * Returns the claims that have ended so, which their machines may not clear before that is durable.
      */
     public List<TaskAssignment> finishGang(Job job, TaskAssignment first) {
-        List<TaskAssignment> others = new ArrayList<>(job.claims().values());
+        List<TaskAssignment> others = new ArrayList<>(job.assignments().values());
         others.remove(first);
         for (TaskAssignment claim : others) {
-            cluster.remove(claim, true);
+            cluster.unassign(claim, true);
             Machine machine = cluster.machine(claim.machine());
-            machine.settling().add(claim.key());
-            machine.setIdleSince(machine.claims().isEmpty() ? environment.now() : machine.idleSince());
+            machine.agent().outcomesNotDurable().add(claim.attemptId());
+            machine.instance()
+                    .setIdleSince(
+                            machine.assignments().isEmpty()
+                                    ? environment.now()
+                                    : machine.instance().idleSince());
         }
-        for (int i = 0; i < job.spec().tasks(); i++) {
+        for (int i = 0; i < job.spec().taskCount(); i++) {
             if (first == null || i != first.index()) {
-                job.finish(i);
+                job.markCompleted(i);
             }
         }
         return others;
@@ -306,7 +312,7 @@
         gangCounters.started();
         LOG.debug(
                 "all {} tasks of {} of {} run",
-                job.spec().tasks(),
+                job.spec().taskCount(),
                 job.spec().id(),
                 job.spec().jobClass());
     }
@@ -322,8 +328,8 @@
      * completed, nor can its tasks save, so they stop at once and the gang starts again whole.
      */
     public void stopBrokenAttempt(Job job) {
-        if (job.spec().gang() && !job.claims().isEmpty() && !job.claimsFormOneAttempt()) {
-            List.copyOf(job.claims().values()).forEach(claim -> cluster.stop(claim, 0, environment.now()));
+        if (job.spec().gang() && !job.assignments().isEmpty() && !job.assignmentsFormOneAttempt()) {
+            List.copyOf(job.assignments().values()).forEach(claim -> cluster.requestStop(claim, 0, environment.now()));
         }
     }
 
@@ -333,25 +339,25 @@
      */
     private void judge(Machine machine) {
         int weight = 0;
-        for (var failure : machine.failures().entrySet()) {
+        for (var failure : machine.failuresByJob().entrySet()) {
             Job job = cluster.jobs().get(failure.getKey());
-            if (job == null || job.failedOn().size() < 3) {
+            if (job == null || job.failedMachines().size() < 3) {
                 weight += job != null && job.successes() > 0 ? Math.min(2, failure.getValue()) : 1;
             }
         }
-        if (weight >= 2 && !machine.faulty()) {
+        if (weight >= 2 && !machine.instance().quarantined()) {
             LOG.info("machine {} fails its tasks and is taken out of use", machine.name());
-            machine.setFaulty(true);
-            for (TaskAssignment claim : List.copyOf(machine.claims().values())) {
-                stop(claim, claim.job().spec().saveS());
+            machine.instance().setQuarantined(true);
+            for (TaskAssignment claim : List.copyOf(machine.assignments().values())) {
+                stop(claim, claim.job().spec().checkpointSaveS());
             }
         }
     }
 
     @Override
     public void gone(TaskAssignment claim, String proof) {
-        if (claim.job().claims().get(claim.index()) == claim) {
-            LOG.debug("{} is not on {} any more: {}", claim.name(), claim.machine(), proof);
+        if (claim.job().assignments().get(claim.index()) == claim) {
+            LOG.debug("{} is not on {} any more: {}", claim.taskId(), claim.machine(), proof);
             settle(claim, false, null);
             if (claim.job().spec().gang()) {
                 gangCounters.gone(claim);
@@ -363,13 +369,13 @@
     private void settle(TaskAssignment claim, boolean done, Runnable onDurable) {
         Job job = claim.job();
         Machine machine = cluster.machine(claim.machine());
-        cluster.remove(claim, done);
-        if (machine.claims().isEmpty()) {
-            machine.setIdleSince(environment.now());
+        cluster.unassign(claim, done);
+        if (machine.assignments().isEmpty()) {
+            machine.instance().setIdleSince(environment.now());
         }
-        if (job.unfinished() == 0 && !job.cancelled()) {
+        if (job.unfinishedCount() == 0 && !job.cancelled()) {
             jobEnds.end(job, "done", onDurable);
-        } else if (job.cancelled() && job.claims().isEmpty()) {
+        } else if (job.cancelled() && job.assignments().isEmpty()) {
             jobEnds.end(job, "cancelled", onDurable);
         } else {
             ledger.log(done ? TaskEvents.done(job, claim.index()) : TaskEvents.freed(claim), onDurable);
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -163,7 +163,8 @@
     // ---- what is seen
 
     private static WorkerReport seen(Heartbeat r, boolean showsTerm) {
-        return new WorkerReport(r.machine(), r.addr(), Math.max(0, r.session()), Math.max(0, r.seq()), showsTerm);
+        return new WorkerReport(
+                r.machine(), r.address(), Math.max(0, r.incarnation()), Math.max(0, r.sequence()), showsTerm);
     }
 
     @Override
@@ -179,11 +180,11 @@
             return;
         }
         long now = environment.now();
-        workerAt.forcePut(report.addr(), report.machine());
+        workerAt.forcePut(report.address(), report.machine());
         if (relayed) {
-            connectivity.workerRelayed(seen(report, report.token() >= term), now);
+            connectivity.workerRelayed(seen(report, report.fencingToken() >= term), now);
         } else {
-            connectivity.workerReported(seen(report, report.token() >= term), now);
+            connectivity.workerReported(seen(report, report.fencingToken() >= term), now);
             connectivity.workerAnswered(report.machine(), now);
         }
     }
--- a/src/main/java/stileferry/protocol/ExitReason.java
+++ b/src/main/java/stileferry/protocol/ExitReason.java
@@ -3,34 +3,34 @@
 /** Why a task has exited, as its worker tells it. */
 public enum ExitReason {
     /** Completed. */
-    DONE("done"),
+    COMPLETED("done"),
     /** Stopped by command; its progress may have been saved. */
-    HALTED("halted"),
+    STOPPED("halted"),
     /** Failed: mostly its machine is at fault, sometimes its job. */
-    ERROR("error"),
+    FAILED("error"),
     /** The start was refused: the machine has not enough room. */
-    NO_ROOM("full"),
+    INSUFFICIENT_RESOURCES("full"),
     /** The start was refused: another attempt of the task is on the machine. */
-    ANOTHER_ATTEMPT("busy"),
+    CONFLICTING_ATTEMPT("busy"),
     /** The start was refused: the worker knows no such job. */
     UNKNOWN_JOB("unknown"),
     /** Another task of its gang is gone. */
-    PEER_LOST("peers"),
+    GANG_MEMBER_LOST("peers"),
     /** Its gang was not complete in time. */
     GANG_INCOMPLETE("incomplete"),
     /** None that is known here. */
     OTHER("");
 
-    private final String word;
+    private final String wireName;
 
     ExitReason(String word) {
-        this.word = word;
+        this.wireName = word;
     }
 
     /** The reason that a word on the wire stands for; words to come are harmless. */
     static ExitReason of(String word) {
         for (ExitReason reason : values()) {
-            if (reason.word.equals(word)) {
+            if (reason.wireName.equals(word)) {
                 return reason;
             }
         }
--- a/src/main/java/stileferry/protocol/Heartbeat.java
+++ b/src/main/java/stileferry/protocol/Heartbeat.java
@@ -12,38 +12,39 @@
 /**
  * What a worker says of itself.
  *
- * @param encoded the end of the body, from the list of tasks on; null when the list was not the last field
+ * @param encodedTasks the end of the body, from the list of tasks on; null when the list was not the last field
  */
 public record Heartbeat(
         String machine,
-        String addr,
-        String type,
+        String address,
+        String machineType,
         String zone,
         boolean spot,
-        long session,
-        long seq,
-        long token,
-        double noticeS,
+        long incarnation,
+        long sequence,
+        long fencingToken,
+        double reclaimNoticeS,
         List<TaskStatus> tasks,
-        byte[] encoded) {
+        byte[] encodedTasks) {
 
     private static final String TASKS = "passengers";
     private static final byte[] NO_BODY = new byte[0];
 
     /** Where a task stands on its worker; a gang's task that has its image waits for the others. */
     public enum TaskPhase {
-        FETCHING,
-        WAITING,
+        PULLING_IMAGE,
+        WAITING_FOR_GANG,
         RUNNING,
-        SAVING,
+        SAVING_CHECKPOINT,
         EXITED
     }
 
     /** One task of a report; the reason means something only if it has exited. */
-    public record TaskStatus(String task, long attempt, TaskPhase stage, ExitReason reason, boolean saved) {
+    public record TaskStatus(
+            String taskId, long attempt, TaskPhase phase, ExitReason exitReason, boolean checkpointSaved) {
         /** What tells this start of this task from all others. */
-        public String key() {
-            return task + "#" + attempt;
+        public String attemptId() {
+            return taskId + "#" + attempt;
         }
     }
 
@@ -98,7 +99,7 @@
             Heartbeat known = at < body.length && machine != null ? last.apply(machine) : null;
             if (known != null && known.endsAs(body, at)) {
                 tasks = known.tasks;
-                encoded = known.encoded;
+                encoded = known.encodedTasks;
                 whole = true;
                 break;
             }
@@ -129,7 +130,7 @@
     }
 
     private boolean endsAs(byte[] body, int from) {
-        return encoded != null && Arrays.equals(body, from, body.length, encoded, 0, encoded.length);
+        return encodedTasks != null && Arrays.equals(body, from, body.length, encodedTasks, 0, encodedTasks.length);
     }
 
     private static long count(JsonParser p, JsonToken value) throws IOException {
@@ -145,7 +146,7 @@
         while (p.nextToken() == JsonToken.START_OBJECT) {
             String task = "";
             long attempt = 0;
-            TaskPhase stage = TaskPhase.FETCHING; // also for words that are not known yet
+            TaskPhase stage = TaskPhase.PULLING_IMAGE; // also for words that are not known yet
             ExitReason reason = ExitReason.OTHER;
             boolean saved = false;
             for (String name = p.nextFieldName(); name != null; name = p.nextFieldName()) {
@@ -155,11 +156,11 @@
                     case "launch" -> attempt = p.getValueAsLong();
                     case "tide" ->
                         stage = switch (p.getValueAsString("")) {
-                            case "waiting" -> TaskPhase.WAITING;
+                            case "waiting" -> TaskPhase.WAITING_FOR_GANG;
                             case "running" -> TaskPhase.RUNNING;
-                            case "saving" -> TaskPhase.SAVING;
+                            case "saving" -> TaskPhase.SAVING_CHECKPOINT;
                             case "exited" -> TaskPhase.EXITED;
-                            default -> TaskPhase.FETCHING;
+                            default -> TaskPhase.PULLING_IMAGE;
                         };
                     case "landing_cause" -> reason = ExitReason.of(p.getValueAsString(""));
                     case "kept" -> saved = value == JsonToken.VALUE_TRUE;
--- a/src/main/java/stileferry/protocol/JobSpec.java
+++ b/src/main/java/stileferry/protocol/JobSpec.java
@@ -13,20 +13,20 @@
         String team,
         Kind kind,
         Priority priority,
-        int tasks,
+        int taskCount,
         double cpus,
         double gpus,
         double memoryGb,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
         boolean oneZone,
-        boolean spread,
-        boolean spot,
+        boolean spreadAcrossZones,
+        boolean allowsSpot,
         double estimateS,
-        double checkpointS,
-        double saveS,
+        double checkpointIntervalS,
+        double checkpointSaveS,
         double deadlineS) {
 
     /** Most tasks of one job. */
@@ -40,10 +40,10 @@
         SERVICE("standing"),
         GANG("group");
 
-        private final String word;
+        private final String wireName;
 
         Kind(String word) {
-            this.word = word;
+            this.wireName = word;
         }
     }
 
@@ -99,7 +99,7 @@
                 memory,
                 text(body, "cargo"),
                 amount(body, "pull_gb"),
-                types(body.path("hulls")),
+                machineTypes(body.path("hulls")),
                 nullableText(body, "harbor"),
                 flag(body, "same_place"),
                 flag(body, "apart"),
@@ -113,18 +113,21 @@
     /** The job in the same form as it was submitted. */
     public ObjectNode write() {
         ObjectNode n = MessageCodec.map();
-        n.put("name_id", id).put("berth", jobClass).put("crew", team).put("craft", kind.word);
-        n.put("precedence", priority.name().toLowerCase(java.util.Locale.ROOT)).put("passengers", tasks);
+        n.put("name_id", id).put("berth", jobClass).put("crew", team).put("craft", kind.wireName);
+        n.put("precedence", priority.name().toLowerCase(java.util.Locale.ROOT)).put("passengers", taskCount);
         n.put("cores", cpus)
                 .put("gpus", gpus)
                 .put("ram_gb", memoryGb)
                 .put("cargo", image)
                 .put("pull_gb", imageGb);
-        if (types != null) {
-            types.forEach(n.putArray("hulls")::add);
+        if (machineTypes != null) {
+            machineTypes.forEach(n.putArray("hulls")::add);
         }
-        n.put("harbor", zone).put("same_place", oneZone).put("apart", spread).put("tender", spot);
-        n.put("crossing_s", estimateS).put("waypoint_s", checkpointS).put("stow_s", saveS);
+        n.put("harbor", zone)
+                .put("same_place", oneZone)
+                .put("apart", spreadAcrossZones)
+                .put("tender", allowsSpot);
+        n.put("crossing_s", estimateS).put("waypoint_s", checkpointIntervalS).put("stow_s", checkpointSaveS);
         if (deadlineS >= 0) {
             n.put("moor_by_s", deadlineS);
         }
@@ -133,7 +136,7 @@
 
     /** True when the machine type is among the allowed ones and one task fits an empty machine of it. */
     public boolean fitsType(MachineType type) {
-        return (types == null || types.contains(type.name()))
+        return (machineTypes == null || machineTypes.contains(type.name()))
                 && cpus <= type.cpus()
                 && gpus <= type.gpus()
                 && memoryGb <= type.memoryGb()
@@ -144,7 +147,7 @@
      * False for a gang whose tasks may never all run at the same time: at most half of them may be in its only zone.
      */
     public boolean canRunTogether(List<MachineType> all) {
-        if (!gang() || !spread || tasks == 1) {
+        if (!gang() || !spreadAcrossZones || taskCount == 1) {
             return true;
         }
         long zones = all.stream()
@@ -167,7 +170,7 @@
 
     private static Kind kind(String text) throws Malformed {
         for (Kind kind : Kind.values()) {
-            if (kind.word.equals(text)) {
+            if (kind.wireName.equals(text)) {
                 return kind;
             }
         }
@@ -188,7 +191,7 @@
         return node.isMissingNode() || node.isNull();
     }
 
-    private static List<String> types(JsonNode node) throws Malformed {
+    private static List<String> machineTypes(JsonNode node) throws Malformed {
         if (absent(node)) {
             return null;
         }
--- a/src/main/java/stileferry/protocol/MachineType.java
+++ b/src/main/java/stileferry/protocol/MachineType.java
@@ -12,7 +12,7 @@
         double memoryGb,
         double cacheGb,
         double fetchGbPerS,
-        double price,
+        double onDemandPrice,
         double spotPrice,
         double bootS,
         List<String> zones) {
--- a/src/main/java/stileferry/protocol/Messages.java
+++ b/src/main/java/stileferry/protocol/Messages.java
@@ -12,7 +12,7 @@
     private Messages() {}
 
     /** A command to a worker. */
-    public record WorkerCommand(Kind kind, String task, long attempt, double graceS) {
+    public record WorkerCommand(Kind kind, String taskId, long attempt, double graceS) {
         /** What a command asks for. */
         public enum Kind {
             RUN,
@@ -21,14 +21,14 @@
         }
 
         /** What tells this start of this task from all others. */
-        public String key() {
-            return task + "#" + attempt;
+        public String attemptId() {
+            return taskId + "#" + attempt;
         }
     }
 
     /** A machine in the cloud's list. */
     public record ListedMachine(
-            String name, String addr, String type, String zone, boolean spot, String state, double ageS) {}
+            String name, String address, String type, String zone, boolean spot, String state, double ageS) {}
 
     /** The body of a user's answer about a job. */
     public static ObjectNode jobState(String id, String state, int done, int running) {
@@ -45,18 +45,18 @@
     }
 
     /** The answer that sends a worker to another node. */
-    public static ObjectNode reportTo(String node) {
+    public static ObjectNode redirect(String node) {
         return MessageCodec.map().put("harbormaster", node);
     }
 
     /** The answer to a report. */
-    public static ObjectNode signals(long token, Collection<WorkerCommand> signals) {
+    public static ObjectNode heartbeatResponse(long token, Collection<WorkerCommand> signals) {
         ObjectNode body = MessageCodec.map().put("helm", token);
         ArrayNode list = body.putArray("signals");
         for (WorkerCommand s : signals) {
             ObjectNode n = list.addObject();
             n.put("signal", s.kind().name().toLowerCase(java.util.Locale.ROOT));
-            n.put("passenger", s.task()).put("launch", s.attempt());
+            n.put("passenger", s.taskId()).put("launch", s.attempt());
             if (s.kind() == WorkerCommand.Kind.KILL) {
                 n.put("ashore_s", s.graceS());
             }
@@ -65,12 +65,12 @@
     }
 
     /** A direct command to one session of a worker. */
-    public static ObjectNode commands(long token, long session, Collection<WorkerCommand> signals) {
-        return signals(token, signals).put("voyage", session);
+    public static ObjectNode directCommands(long token, long session, Collection<WorkerCommand> signals) {
+        return heartbeatResponse(token, signals).put("voyage", session);
     }
 
     /** A rental request. */
-    public static ObjectNode rent(String request, String type, String zone, boolean spot, int count) {
+    public static ObjectNode scaleOutRequest(String request, String type, String zone, boolean spot, int count) {
         return MessageCodec.map()
                 .put("charter", request)
                 .put("hull", type)
@@ -80,21 +80,21 @@
     }
 
     /** A list of machine names, as deletion asks for it. */
-    public static ObjectNode machines(Collection<String> names) {
+    public static ObjectNode deletionRequest(Collection<String> names) {
         ObjectNode body = MessageCodec.map();
         names.forEach(body.putArray("fleet")::add);
         return body;
     }
 
     /** The names in a rental's answer. */
-    public static List<String> rented(JsonNode body) {
+    public static List<String> createdMachines(JsonNode body) {
         List<String> names = new ArrayList<>();
         body.path("fleet").forEach(n -> names.add(n.asText()));
         return names;
     }
 
     /** The machines in one page of the cloud's list. */
-    public static List<ListedMachine> listed(JsonNode body) {
+    public static List<ListedMachine> listedMachines(JsonNode body) {
         List<ListedMachine> machines = new ArrayList<>();
         for (JsonNode m : body.path("fleet")) {
             machines.add(new ListedMachine(
--- a/src/main/java/stileferry/requests/AdministrationHandler.java
+++ b/src/main/java/stileferry/requests/AdministrationHandler.java
@@ -46,7 +46,7 @@
         this.entry = new CommitQueue.Entry(LeaderElection.OPTIONS_KEY, revision, () -> pending.write());
         this.leader = leader;
         this.taken = taken;
-        this.pending = cluster.options();
+        this.pending = cluster.operatorSettings();
     }
 
     /** Answers a request; the path has no prefix, the method is GET or POST. */
@@ -62,7 +62,7 @@
         switch (path) {
             case "settings" -> {
                 if (get) {
-                    reply.accept(Responses.ok(200, cluster.options().describe()));
+                    reply.accept(Responses.ok(200, cluster.operatorSettings().describe()));
                 } else {
                     change(bytes, false, reply);
                 }
@@ -123,27 +123,29 @@
                 more = true;
                 break;
             }
-            String state = m.deleting()
+            String state = m.instance().terminating()
                     ? "returning"
-                    : !m.heard()
+                    : !m.agent().heardThisTerm()
                             ? "not heard"
-                            : m.faulty()
+                            : m.instance().quarantined()
                                     ? "faulty"
-                                    : m.noticeS() >= 0
+                                    : m.instance().reclaimNoticeS() >= 0
                                             ? "leaving"
-                                            : m.draining() ? "emptying" : m.strays() ? "killing strays" : "in use";
+                                            : m.instance().draining()
+                                                    ? "emptying"
+                                                    : m.agent().hasOrphanTasks() ? "killing strays" : "in use";
             ObjectNode o = list.addObject()
                     .put("name", m.name())
                     .put("type", m.typeName())
                     .put("zone", m.zone())
                     .put("spot", m.spot())
                     .put("state", state)
-                    .put("session", m.session())
-                    .put("heard_s", m.heard() ? (now - m.heardAt()) / 1000.0 : -1)
+                    .put("session", m.agent().incarnation())
+                    .put("heard_s", m.agent().heardThisTerm() ? (now - m.agent().lastHeardAt()) / 1000.0 : -1)
                     .put("slowdown", m.slowdown())
                     .put("cpus_in_use", m.usedCpus());
             ArrayNode tasks = o.putArray("tasks");
-            m.claims().values().forEach(c -> tasks.add(c.name()));
+            m.assignments().values().forEach(c -> tasks.add(c.taskId()));
             bytes += o.toString().length();
         }
         return answer.put("more", more);
@@ -171,9 +173,9 @@
                     .put("class", job.spec().jobClass())
                     .put("team", job.spec().team())
                     .put("priority", job.spec().priority().name().toLowerCase(java.util.Locale.ROOT))
-                    .put("within_guarantee", job.withinGuarantee())
+                    .put("within_guarantee", job.withinQuota())
                     .put("rank", placement.rank(job))
-                    .put("waiting", job.waitingCount())
+                    .put("waiting", job.pendingCount())
                     .put("why", placement.whyWaiting(job, now));
             bytes += o.toString().length();
         }
@@ -189,14 +191,14 @@
                     .put("name", team.name())
                     .put("cpus", team.cpus())
                     .put("cpus_max", team.cpusMax())
-                    .put("cpus_in_use", cluster.cpusOf(team.name()))
+                    .put("cpus_in_use", cluster.cpusInUse(team.name()))
                     .put("gpus", team.gpus())
                     .put("gpus_max", team.gpusMax())
-                    .put("gpus_in_use", cluster.gpusOf(team.name()));
+                    .put("gpus_in_use", cluster.gpusInUse(team.name()));
             int[] waiting = new int[priorities.size()];
             for (Job job : cluster.jobs().values()) {
                 if (job.spec().team().equals(team.name())) {
-                    waiting[job.spec().priority().ordinal()] += job.waitingCount();
+                    waiting[job.spec().priority().ordinal()] += job.pendingCount();
                 }
             }
             ObjectNode w = o.putObject("waiting");
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -88,9 +88,9 @@
 
     /** Answers all who wait for this job. */
     void answer(Job job, PeerMessage.Response answer) {
-        List<Consumer<PeerMessage.Response>> waiting = job.waiting();
-        job.setWaiting(new ArrayList<>());
-        job.setWaitingSince(0);
+        List<Consumer<PeerMessage.Response>> waiting = job.pendingReplies();
+        job.setPendingReplies(new ArrayList<>());
+        job.setRepliesPendingSince(0);
         awaited.remove(job);
         waiting.forEach(w -> w.accept(answer));
     }
@@ -106,9 +106,9 @@
     }
 
     private void await(Job job, Consumer<PeerMessage.Response> reply) {
-        job.waiting().add(reply);
-        if (job.waitingSince() == 0) {
-            job.setWaitingSince(environment.now());
+        job.pendingReplies().add(reply);
+        if (job.repliesPendingSince() == 0) {
+            job.setRepliesPendingSince(environment.now());
             awaited.add(job);
         }
     }
@@ -118,7 +118,7 @@
         long now = environment.now();
         boolean sure = lead.serving();
         for (Job job : List.copyOf(awaited)) {
-            if (!sure || now - job.waitingSince() > DURABLE_MS) {
+            if (!sure || now - job.repliesPendingSince() > DURABLE_MS) {
                 answer(job, Responses.unavailable());
             }
         }
@@ -126,12 +126,12 @@
 
     /** Where a job stands, as its user may hear it. */
     PeerMessage.Response state(Job job, int status) {
-        if (!job.accepted() || job.cancelled() && !job.cancelTold()) {
+        if (!job.accepted() || job.cancelled() && !job.cancelConfirmed()) {
             return Responses.unavailable(); // the outcome of what would change the answer is not known yet
         }
         int running = job.cancelled() ? 0 : job.runningCount();
         String tide = job.cancelled() ? "cancelled" : running > 0 ? "running" : "pending";
-        int done = job.ending() ? Math.max(0, job.doneCount() - 1) : job.doneCount();
+        int done = job.completing() ? Math.max(0, job.completedCount() - 1) : job.completedCount();
         return Responses.ok(status, Messages.jobState(job.spec().id(), tide, done, running));
     }
 
@@ -147,7 +147,7 @@
             known.accept(cached);
             return;
         }
-        state.get(Job.endedKey(id), (status, body) -> {
+        state.get(Job.completedKey(id), (status, body) -> {
             if (!lead.serving() || status != 200 && status != 404) {
                 failed.run();
             } else if (status == 200) {
@@ -176,7 +176,7 @@
             join(job, reply);
             return;
         }
-        if (cluster.unreadable().contains(id)) {
+        if (cluster.unreadableJobs().contains(id)) {
             reply.accept(unreadable(id));
             return;
         }
@@ -242,27 +242,26 @@
             reply.accept(Responses.refusal(422, "unknown team"));
             return;
         }
-        if (cluster.types().isEmpty()) {
+        if (cluster.machineTypes().isEmpty()) {
             reply.accept(Responses.unavailable());
             return;
         }
-        if (cluster.types().stream().noneMatch(spec::fitsType)) {
+        if (cluster.machineTypes().stream().noneMatch(spec::fitsType)) {
             reply.accept(Responses.refusal(422, "a task fits no allowed machine type"));
             return;
         }
-        if (!spec.canRunTogether(cluster.types())) {
+        if (!spec.canRunTogether(cluster.machineTypes())) {
             reply.accept(Responses.refusal(422, "its tasks can't all run at the same time"));
             return;
         }
-        double tasks = spec.kind() == JobSpec.Kind.ARRAY ? 1 : spec.tasks();
+        double tasks = spec.kind() == JobSpec.Kind.ARRAY ? 1 : spec.taskCount();
         if (team.cpusMax() > 0 && tasks * spec.cpus() > team.cpusMax()
                 || team.gpusMax() > 0 && tasks * spec.gpus() > team.gpusMax()) {
             reply.accept(Responses.refusal(422, "more than the team's limit"));
             return;
         }
         Job job = new Job(spec, lead.number(), environment.timeOfDay(), 0);
-        if (job.record().value().toString().length()
-                > cluster.settings().state().valueKb() * 1024 * FILL) {
+        if (job.entry().value().toString().length() > cluster.settings().state().valueKb() * 1024 * FILL) {
             reply.accept(Responses.refusal(422, "its description is larger than can be kept"));
             return;
         }
@@ -275,9 +274,9 @@
             lead.changed();
         };
         if (first) {
-            ledger.putFirst(job.record(), onDurable);
+            ledger.putFirst(job.entry(), onDurable);
         } else {
-            ledger.put(job.record(), onDurable);
+            ledger.put(job.entry(), onDurable);
         }
     }
 
@@ -291,7 +290,7 @@
             reply.accept(state(job, 200));
             return;
         }
-        if (cluster.unreadable().contains(id)) {
+        if (cluster.unreadableJobs().contains(id)) {
             reply.accept(unreadable(id));
             return;
         }
@@ -317,7 +316,7 @@
             return;
         }
         Job job = cluster.jobs().get(id);
-        if (job == null && cluster.unreadable().contains(id)) {
+        if (job == null && cluster.unreadableJobs().contains(id)) {
             reply.accept(Responses.unavailable());
         } else if (job == null) {
             lookUp(
@@ -327,11 +326,11 @@
                     () -> reply.accept(Responses.unavailable()));
         } else if (!job.accepted()) {
             reply.accept(Responses.unavailable());
-        } else if (job.cancelTold()) {
+        } else if (job.cancelConfirmed()) {
             reply.accept(state(job, 200));
         } else {
             await(job, reply); // answered when the job's end, or the cancellation, is durable
-            if (!job.ending() && !job.cancelled()) {
+            if (!job.completing() && !job.cancelled()) {
                 lead.cancel(job);
             }
         }
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -51,8 +51,8 @@
     void step(List<Job> waiting, long now) {
         double wanted = 0;
         for (Job job : waiting) {
-            if (cluster.withinLimit(job)) {
-                wanted += job.waitingCount() * job.spec().cpus();
+            if (cluster.withinTeamLimit(job)) {
+                wanted += job.pendingCount() * job.spec().cpus();
             }
         }
         List<Machine> emptying = new ArrayList<>();
@@ -60,9 +60,9 @@
         double all = 0;
         double free = 0;
         for (Machine m : cluster.machines().values()) {
-            if (m.draining() && !m.deleting()) {
+            if (m.instance().draining() && !m.instance().terminating()) {
                 emptying.add(m);
-            } else if (m.usable() && !m.claims().isEmpty()) {
+            } else if (m.schedulable() && !m.assignments().isEmpty()) {
                 all += m.type().cpus();
                 if (!m.spot()) {
                     others.add(m);
@@ -93,7 +93,7 @@
             if (room >= wanted) {
                 return;
             }
-            m.setDraining(false);
+            m.instance().setDraining(false);
             room += free(m);
         }
     }
@@ -103,7 +103,8 @@
         machines.sort(Comparator.comparingDouble(Machine::usedCpus).thenComparing(m -> m));
         double free = freeNow;
         for (Machine m : machines.subList(0, Math.max(0, Math.min(most, machines.size())))) {
-            double keep = Math.max(m.type().cpus(), all * cluster.options().number(OperatorSettings.EMPTY_SHARE));
+            double keep =
+                    Math.max(m.type().cpus(), all * cluster.operatorSettings().number(OperatorSettings.EMPTY_SHARE));
             double elsewhere = free - free(m);
             if (now - calmSince < CALM_BOOTS * 1000 * m.type().bootS() || elsewhere < m.usedCpus() + keep) {
                 return;
@@ -111,9 +112,9 @@
             LOG.info(
                     "emptying machine {} with {} tasks, {} CPUs are free elsewhere",
                     m.name(),
-                    m.claims().size(),
+                    m.assignments().size(),
                     elsewhere);
-            m.setDraining(true);
+            m.instance().setDraining(true);
             free = elsewhere - m.usedCpus();
         }
     }
@@ -132,8 +133,11 @@
 
     private static TaskAssignment next(Machine from, long now) {
         TaskAssignment next = null;
-        for (TaskAssignment c : from.claims().values()) {
-            if (!c.job().spec().service() || c.stopping() || c.runningAt() == 0 || now - c.runningAt() < MIN_RUN_MS) {
+        for (TaskAssignment c : from.assignments().values()) {
+            if (!c.job().spec().service()
+                    || c.stopping()
+                    || c.runningSince() == 0
+                    || now - c.runningSince() < MIN_RUN_MS) {
                 return null;
             }
             next = c;
@@ -143,12 +147,12 @@
 
     private boolean elsewhere(TaskAssignment claim, Machine from, long now) {
         boolean[] found = new boolean[1];
-        cluster.rooms()
-                .atLeast(
+        cluster.freeCapacity()
+                .visitWithAtLeast(
                         claim.job().spec().cpus(),
                         m -> found[0] |= m != from
                                 && m.hasImage(claim.job().spec().image())
-                                && m.hasRoom(claim.job())
+                                && m.fits(claim.job())
                                 && placement.allowed(claim.job(), m, now));
         return found[0];
     }
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -52,8 +52,8 @@
             JobSpec spec = job.spec();
             if (spec.gang()
                     || spec.oneZone()
-                    || spec.spread()
-                    || !job.failedOn().isEmpty()) {
+                    || spec.spreadAcrossZones()
+                    || !job.failedMachines().isEmpty()) {
                 return false; // it may have been kept away by what concerns no other job
             }
             specs.add(spec);
@@ -66,9 +66,10 @@
                 if (m.cpus() <= s.cpus()
                         && m.gpus() <= s.gpus()
                         && m.memoryGb() <= s.memoryGb()
-                        && (m.spot() || !s.spot())
+                        && (m.allowsSpot() || !s.allowsSpot())
                         && (m.zone() == null || m.zone().equals(s.zone()))
-                        && (m.types() == null || s.types() != null && m.types().containsAll(s.types()))) {
+                        && (m.machineTypes() == null
+                                || s.machineTypes() != null && m.machineTypes().containsAll(s.machineTypes()))) {
                     return true;
                 }
             }
@@ -86,35 +87,36 @@
         for (Job job : cluster.jobs().values()) { // kept in order of submission
             Settings.Team team = cluster.settings().team(job.spec().team());
             if (team == null || job.cancelled() || !job.accepted()) {
-                job.setWithinGuarantee(false);
+                job.setWithinQuota(false);
                 continue;
             }
             double[] sum = sums.computeIfAbsent(team.name(), n -> new double[2]);
-            sum[0] += job.unfinished() * job.spec().cpus();
-            sum[1] += job.unfinished() * job.spec().gpus();
-            job.setWithinGuarantee(sum[0] <= team.cpus() && sum[1] <= Math.max(team.gpus(), 0));
+            sum[0] += job.unfinishedCount() * job.spec().cpus();
+            sum[1] += job.unfinishedCount() * job.spec().gpus();
+            job.setWithinQuota(sum[0] <= team.cpus() && sum[1] <= Math.max(team.gpus(), 0));
         }
     }
 
     /** True for a job that waits too long for its first task: it goes before all others, with that task only. */
     boolean overdue(Job job, long timeOfDay) {
-        return !job.begun()
-                && job.claims().isEmpty()
-                && timeOfDay - job.acceptedAt() > 1000 * cluster.options().number(OperatorSettings.BEGIN_WITHIN_S);
+        return !job.started()
+                && job.assignments().isEmpty()
+                && timeOfDay - job.acceptedAt()
+                        > 1000 * cluster.operatorSettings().number(OperatorSettings.BEGIN_WITHIN_S);
     }
 
     /** Jobs with a task that waits, in queue order. */
     public List<Job> queue(long now, long timeOfDay) {
         List<Job> queue = new ArrayList<>();
         for (Job job : cluster.jobs().values()) {
-            if (job.nextWaiting(now) >= 0) {
+            if (job.nextPendingTask(now) >= 0) {
                 queue.add(job);
             }
         }
         queue.sort(Comparator.<Job, Boolean>comparing(j -> !overdue(j, timeOfDay))
                 .thenComparing(j -> j.spec().priority())
-                .thenComparing(j -> !j.withinGuarantee())
-                .thenComparingLong(j -> j.order()));
+                .thenComparing(j -> !j.withinQuota())
+                .thenComparingLong(j -> j.acceptanceOrder()));
         return queue;
     }
 
@@ -125,7 +127,7 @@
      */
     List<Job> pass(long now, long timeOfDay, boolean preempts, BiConsumer<Job, List<Machine>> start) {
         markGuaranteed();
-        double protectAfterMs = 1000 * cluster.options().number(OperatorSettings.HEAD_PROTECTION_S);
+        double protectAfterMs = 1000 * cluster.operatorSettings().number(OperatorSettings.HEAD_PROTECTION_S);
         List<Job> queue = queue(now, timeOfDay);
         List<Job> open = new ArrayList<>(queue); // the same, with null for jobs that are stuck
         double[] ranks = new double[queue.size()];
@@ -174,7 +176,7 @@
                 start.accept(pick, machines);
                 starts += machines.size();
                 again |= first; // the rest of it in its usual place, in another pass
-                if (first || pick.nextWaiting(now) < 0) {
+                if (first || pick.nextPendingTask(now) < 0) {
                     queue.remove(at);
                     open.remove(at);
                     System.arraycopy(ranks, at + 1, ranks, at, ranks.length - at - 1);
@@ -184,7 +186,7 @@
             }
             open.set(at, null);
             left--;
-            if (!keptBack && unplaceable.add(pick) && cluster.withinLimit(pick)) {
+            if (!keptBack && unplaceable.add(pick) && cluster.withinTeamLimit(pick)) {
                 // nobody who asks for as much or more finds room before something ends
                 for (int i = 0; i < open.size(); i++) {
                     if (open.get(i) != null && unplaceable.cover(open.get(i))) {
@@ -208,7 +210,7 @@
         double cpus = 1;
         double gpus = 1;
         double memory = 1;
-        for (MachineType type : cluster.types()) {
+        for (MachineType type : cluster.machineTypes()) {
             cpus = Math.max(cpus, type.cpus());
             gpus = Math.max(gpus, type.gpus());
             memory = Math.max(memory, type.memoryGb());
@@ -220,7 +222,7 @@
     private Machine roomiest(Job job, long now) {
         Machine best = null;
         for (Machine m : cluster.machines().values()) {
-            if (m.heard()
+            if (m.agent().heardThisTerm()
                     && allowed(job, m, now)
                     && (best == null
                             || m.type().cpus() - m.usedCpus() > best.type().cpus() - best.usedCpus())) {
@@ -250,10 +252,10 @@
             return false;
         }
         long patience = Math.round(500 * startAim(job));
-        if (now - job.keptBackAt() > KEPT_BACK_AGAIN * patience) {
-            job.setKeptBackAt(now); // another task, or the same lost once more
+        if (now - job.heldBackSince() > KEPT_BACK_AGAIN * patience) {
+            job.setHeldBackSince(now); // another task, or the same lost once more
         }
-        return now - job.keptBackAt() <= patience && roomCanBeMadeAtImage(job, now);
+        return now - job.heldBackSince() <= patience && roomCanBeMadeAtImage(job, now);
     }
 
     /**
@@ -261,12 +263,12 @@
      * stopped.
      */
     private boolean roomCanBeMadeAtImage(Job job, long now) {
-        int wanted = job.spec().gang() ? job.spec().tasks() : 1;
+        int wanted = job.spec().gang() ? job.spec().taskCount() : 1;
         Map<String, Integer> fitting = new HashMap<>();
         for (Machine m : cluster.machines().values()) {
-            if (m.heard() && m.hasImage(job.spec().image()) && allowed(job, m, now)) {
+            if (m.agent().heardThisTerm() && m.hasImage(job.spec().image()) && allowed(job, m, now)) {
                 String together = job.spec().oneZone() ? m.zone() : "";
-                if (fitting.merge(together, m.tasksFittingWithoutLess(job), Integer::sum) >= wanted) {
+                if (fitting.merge(together, m.tasksFittingWithPreemption(job), Integer::sum) >= wanted) {
                     return true;
                 }
             }
@@ -276,7 +278,7 @@
 
     /** Whether room is being made for this job, so that nothing has to be rented for it. */
     boolean keptBack(Job job, long now) {
-        return job.keptBackAt() != 0 && now - job.keptBackAt() <= 500 * startAim(job);
+        return job.heldBackSince() != 0 && now - job.heldBackSince() <= 500 * startAim(job);
     }
 
     /**
@@ -315,31 +317,32 @@
     private List<Machine> tryAll(Job job, Predicate<Machine> usable, long now) {
         List<Machine> machines = new ArrayList<>();
         List<TaskAssignment> tried = new ArrayList<>();
-        int index = job.taken().nextClearBit(0);
-        while (index < job.spec().tasks()) {
+        int index = job.completedOrAssigned().nextClearBit(0);
+        while (index < job.spec().taskCount()) {
             Machine machine = choose(job, usable, now);
             if (machine == null) {
                 machines.clear();
                 break;
             }
             machines.add(machine);
-            TaskAssignment claim = new TaskAssignment(job, index, 0, machine.name(), machine.session(), now);
-            cluster.add(claim);
+            TaskAssignment claim = new TaskAssignment(
+                    job, index, 0, machine.name(), machine.agent().incarnation(), now);
+            cluster.assign(claim);
             tried.add(claim);
-            index = job.taken().nextClearBit(index);
+            index = job.completedOrAssigned().nextClearBit(index);
         }
-        tried.forEach(c -> cluster.remove(c, false));
+        tried.forEach(c -> cluster.unassign(c, false));
         return machines;
     }
 
     Machine choose(Job job, Predicate<Machine> usable, long now) {
-        if (!cluster.withinLimit(job)) {
+        if (!cluster.withinTeamLimit(job)) {
             return null;
         }
         Machine[] best = new Machine[1];
-        cluster.rooms().atLeast(job.spec().cpus(), m -> {
-            if (m.hasRoom(job)
-                    && cluster.reservations().leaveRoom(m, job)
+        cluster.freeCapacity().visitWithAtLeast(job.spec().cpus(), m -> {
+            if (m.fits(job)
+                    && cluster.reservations().leaveCapacity(m, job)
                     && allowed(job, m, now)
                     && usable.test(m)
                     && (best[0] == null || better(job, m, best[0]))) {
@@ -351,8 +354,9 @@
 
     /** Whether a machine is the better one of two; a total order, so that the search's order does not matter. */
     boolean better(Job job, Machine m, Machine than) {
-        int byImage = m.nearness(job.spec().image()) - than.nearness(job.spec().image());
-        int byFetches = m.nearness(job.spec().image()) == 0 ? m.fetching() - than.fetching() : 0;
+        int byImage = m.imageLocality(job.spec().image())
+                - than.imageLocality(job.spec().image());
+        int byFetches = m.imageLocality(job.spec().image()) == 0 ? m.imagesBeingPulled() - than.imagesBeingPulled() : 0;
         if ((byImage != 0 || byFetches != 0) && needsImage(job, m.type())) {
             return byImage != 0 ? byImage > 0 : byFetches < 0;
         }
@@ -366,7 +370,7 @@
         if (byFetches != 0) {
             return byFetches < 0; // images that are fetched at the same time share a machine's rate
         }
-        if (job.spec().spot() && m.spot() != than.spot()) {
+        if (job.spec().allowsSpot() && m.spot() != than.spot()) {
             return m.spot(); // leaves room on ordinary machines for work that may not go elsewhere
         }
         if (job.spec().service()) {
@@ -403,7 +407,7 @@
 
     /** Why the next task of this job has not started, in words for operators. */
     public String whyWaiting(Job job, long now) {
-        if (!cluster.withinLimit(job)) {
+        if (!cluster.withinTeamLimit(job)) {
             return "its team is at its limit";
         }
         int allowed = 0;
@@ -418,15 +422,17 @@
     /** Everything but room: type, zone, kind of machine, the job's other tasks, and the machine's health. */
     boolean allowed(Job job, Machine m, long now) {
         JobSpec spec = job.spec();
-        return m.usable()
-                && m.silence() == null
-                && now >= m.placeAfter()
-                && now - m.heardAt() < 3000 * cluster.settings().workers().reportS()
+        return m.schedulable()
+                && m.agent().lastHeartbeatRecord() == null
+                && now >= m.instance().cordonedUntil()
+                && now - m.agent().lastHeardAt()
+                        < 3000 * cluster.settings().workers().reportS()
                 && spec.fitsType(m.type())
                 && (spec.zone() == null || spec.zone().equals(m.zone()))
-                && (spec.spot() || !m.spot())
+                && (spec.allowsSpot() || !m.spot())
                 && zoneAllowed(job, m.zone())
-                && (!job.failedOn().contains(m.name()) || job.failedOn().size() >= 3);
+                && (!job.failedMachines().contains(m.name())
+                        || job.failedMachines().size() >= 3);
     }
 
     /** Zone rules against all tasks of the job that may be on machines. */
@@ -440,6 +446,6 @@
         }
         // tasks on machines whose zone is not known yet (after a change of leader) may be in this one
         int here = job.tasksInZone().getOrDefault(zone, 0) + job.tasksInZone().getOrDefault("", 0);
-        return !job.spec().spread() || here < (job.spec().tasks() + 1) / 2;
+        return !job.spec().spreadAcrossZones() || here < (job.spec().taskCount() + 1) / 2;
     }
 }
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -87,7 +87,7 @@
         /** Takes in that a claimed task is stopped, and with it the rest of its gang. */
         void stop(TaskAssignment victim) {
             if (victim.job().spec().gang()) {
-                victim.job().claims().values().stream()
+                victim.job().assignments().values().stream()
                         .filter(c -> !going.contains(c))
                         .forEach(this::give);
             } else {
@@ -118,14 +118,14 @@
     /** Decides for the waiting jobs, in queue order; room already being made is kept for the first that fit it. */
     List<Stop> decide(List<Job> waiting, long now, long urgentAfterMs, long timeOfDay) {
         Plan plan = new Plan();
-        cluster.stopping().forEach(plan::give);
+        cluster.stoppingTasks().forEach(plan::give);
         Map<List<Object>, Placement.UnplaceableRequests> unplaceable = new HashMap<>();
         looksLeft = LOOKS_PER_MACHINE * cluster.machines().size() + LEAST_LOOKS;
         for (Job job : waiting) {
             if (looksLeft <= 0) {
                 break; // the rest in a later turn
             }
-            if (!mayPreempt(job, timeOfDay, urgentAfterMs) || !cluster.withinLimit(job) || !anyToStop(job)) {
+            if (!mayPreempt(job, timeOfDay, urgentAfterMs) || !cluster.withinTeamLimit(job) || !anyToStop(job)) {
                 continue;
             }
             if (job.spec().gang()) {
@@ -133,10 +133,7 @@
                 continue;
             }
             Placement.UnplaceableRequests same = unplaceable.computeIfAbsent(
-                    List.of(
-                            job.spec().priority(),
-                            job.withinGuarantee(),
-                            job.spec().team()),
+                    List.of(job.spec().priority(), job.withinQuota(), job.spec().team()),
                     k -> new Placement.UnplaceableRequests());
             if (!same.cover(job) && makeRoom(job, null, now, plan) == 0) {
                 same.add(job);
@@ -149,12 +146,12 @@
 
     /** Whether anything runs that might be stopped for this job; spares looking at every machine. */
     private boolean anyToStop(Job job) {
-        if (cluster.anyBelow(job.spec().priority())) {
+        if (cluster.anyOfLowerPriority(job.spec().priority())) {
             return true;
         }
-        if (job.withinGuarantee()) {
+        if (job.withinQuota()) {
             for (Settings.Team team : cluster.settings().teams()) {
-                if (!team.name().equals(job.spec().team()) && cluster.beyondGuarantee(team.name(), 0, 0)) {
+                if (!team.name().equals(job.spec().team()) && cluster.exceedsQuota(team.name(), 0, 0)) {
                     return true;
                 }
             }
@@ -163,7 +160,7 @@
     }
 
     private boolean mayPreempt(Job job, long timeOfDay, long urgentAfterMs) {
-        if (job.withinGuarantee() || job.spec().priority().compareTo(JobSpec.Priority.URGENT) <= 0) {
+        if (job.withinQuota() || job.spec().priority().compareTo(JobSpec.Priority.URGENT) <= 0) {
             return true;
         }
         long waitedMs = timeOfDay - job.acceptedAt();
@@ -179,7 +176,7 @@
      * zone, in the one where least has to be fetched and lost. Returns the plan to go on with.
      */
     private Plan makeRoomForAll(Job job, long now, Plan before) {
-        int tasks = job.waitingCount();
+        int tasks = job.pendingCount();
         Plan best = null;
         for (String zone :
                 job.spec().oneZone() ? cluster.settings().zones() : Collections.<String>singletonList(null)) {
@@ -200,13 +197,15 @@
                 .thenComparingLong(Option::loss)
                 .thenComparing(Option::machine));
         for (Machine m : cluster.machines().values()) {
-            if (m.heard() && (zone == null || zone.equals(m.zone())) && placement.allowed(job, m, now)) {
+            if (m.agent().heardThisTerm()
+                    && (zone == null || zone.equals(m.zone()))
+                    && placement.allowed(job, m, now)) {
                 looksLeft--;
                 offer(options, option(job, m, now, plan));
             }
         }
         int made = 0;
-        int tasks = job.waitingCount();
+        int tasks = job.pendingCount();
         while (made < tasks && looksLeft > 0 && !options.isEmpty()) {
             Option best = options.poll();
             looksLeft--;
@@ -221,7 +220,7 @@
             plan.loss += again.loss;
             for (TaskAssignment v : again.victims) {
                 plan.stop(v);
-                plan.stops.add(new Stop(v, hurry(job, v) ? 0 : v.job().spec().saveS(), job));
+                plan.stops.add(new Stop(v, hurry(job, v) ? 0 : v.job().spec().checkpointSaveS(), job));
             }
             made++;
             offer(options, option(job, best.machine, now, plan));
@@ -242,7 +241,7 @@
         }
         long loss = 0;
         for (TaskAssignment v : victims) {
-            loss += v.stopCostMs(now);
+            loss += v.preemptionCostMs(now);
         }
         boolean fetch =
                 placement.needsImage(job, m.type()) && !m.hasImage(job.spec().image());
@@ -251,13 +250,13 @@
 
     /** Saving takes time; work that has to start within a few seconds can't wait for it. */
     private boolean hurry(Job job, TaskAssignment victim) {
-        double saves = SAVES_WITHIN_AIM * victim.job().spec().saveS();
+        double saves = SAVES_WITHIN_AIM * victim.job().spec().checkpointSaveS();
         if (job.spec().priority() == JobSpec.Priority.CRITICAL
                 || job.spec().gang() && placement.startAim(job) < saves) {
             return true;
         }
         for (Settings.Objective aim : cluster.settings().objectives()) {
-            if (job.withinGuarantee() && aim.kind().equals("guarantee") && aim.withinS() < saves) {
+            if (job.withinQuota() && aim.kind().equals("guarantee") && aim.withinS() < saves) {
                 return true;
             }
         }
@@ -273,20 +272,20 @@
         List<TaskAssignment> candidates = new ArrayList<>();
         double givenCpus = 0;
         double givenGpus = 0;
-        for (TaskAssignment c : m.claims().values()) {
+        for (TaskAssignment c : m.assignments().values()) {
             if (plan.going.contains(c)) {
                 continue;
             }
             cpus -= c.job().spec().cpus();
             gpus -= c.job().spec().gpus();
             memory -= c.job().spec().memoryGb();
-            if (!(c.overdue() && c.ranMs(now) < OVERDUE_RUN_MS) && mayStop(job, c, plan, 0, 0)) {
+            if (!(c.startedOverdue() && c.runtimeMs(now) < OVERDUE_RUN_MS) && mayStop(job, c, plan, 0, 0)) {
                 candidates.add(c);
             }
         }
         candidates.sort(Comparator.<TaskAssignment>comparingInt(
                         c -> -c.job().spec().priority().ordinal())
-                .thenComparingLong(c -> c.stopCostMs(now)));
+                .thenComparingLong(c -> c.preemptionCostMs(now)));
         List<TaskAssignment> victims = new ArrayList<>();
         for (TaskAssignment c : candidates) {
             if (fits(cpus, gpus, memory)) {
@@ -318,9 +317,9 @@
             return false;
         }
         double[] back = plan.givenBack.getOrDefault(c.job().spec().team(), new double[2]);
-        return job.withinGuarantee()
-                && !c.job().withinGuarantee()
+        return job.withinQuota()
+                && !c.job().withinQuota()
                 && !c.job().spec().team().equals(job.spec().team())
-                && cluster.beyondGuarantee(c.job().spec().team(), back[0] + givenCpus, back[1] + givenGpus);
+                && cluster.exceedsQuota(c.job().spec().team(), back[0] + givenCpus, back[1] + givenGpus);
     }
 }
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -49,12 +49,12 @@
      * @param settled whether all workers that can report have reported in this term
      */
     public void pass(boolean regular, boolean settled) {
-        if (cluster.types().isEmpty() || !links.permitsStarting()) {
+        if (cluster.machineTypes().isEmpty() || !links.permitsStarting()) {
             return;
         }
         long now = environment.now();
         boolean rearranges = settled && links.permitsPreempting();
-        boolean preempts = rearranges && cluster.options().flag(OperatorSettings.PREEMPTION);
+        boolean preempts = rearranges && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
         List<Job> waiting = placement.pass(now, environment.timeOfDay(), preempts, this::start);
         cluster.reservations().clear();
         if (preempts) {
@@ -76,11 +76,11 @@
     }
 
     private void makeRoom(List<Job> waiting, long now) {
-        long urgentAfter = Math.round(1000 * cluster.types().get(0).bootS());
+        long urgentAfter = Math.round(1000 * cluster.machineTypes().get(0).bootS());
         for (Preemption.Stop stop : preemption.decide(waiting, now, urgentAfter, environment.timeOfDay())) {
             LOG.debug(
                     "stopping {} to make room for {}",
-                    stop.victim().name(),
+                    stop.victim().taskId(),
                     stop.forJob().spec().id());
             tasks.stop(stop.victim(), stop.graceS());
         }
--- a/src/main/java/stileferry/standin/Gangs.java
+++ b/src/main/java/stileferry/standin/Gangs.java
@@ -48,7 +48,7 @@
         gang.members.put(task.name, task);
         task.state = "waiting";
         task.until = now + waitMs;
-        if (gang.members.size() == gang.spec.tasks() && gang.startedAt < 0) {
+        if (gang.members.size() == gang.spec.taskCount() && gang.startedAt < 0) {
             gang.startedAt = now;
             for (Worker.Task t : gang.members.values()) {
                 t.state = "running";
@@ -68,7 +68,7 @@
             return now >= task.until ? "incomplete" : null;
         }
         if (gang.firstKillAt >= 0) { // a save is under way
-            boolean all = gang.told == gang.spec.tasks() && gang.lostAt < 0;
+            boolean all = gang.told == gang.spec.taskCount() && gang.lostAt < 0;
             if (task.state.equals("saving") && all && now >= task.until) {
                 saved.merge(gang.spec.id(), gang.firstKillAt - gang.startedAt, Long::sum);
                 gang.startedAt = gang.firstKillAt; // once only
@@ -106,7 +106,7 @@
         gang.members.remove(task.name, task);
         if (gang.startedAt >= 0 && !why.equals("done") && !task.kept && gang.lostAt < 0) {
             gang.lostAt = now;
-            long every = Math.round(1000 * gang.spec.checkpointS());
+            long every = Math.round(1000 * gang.spec.checkpointIntervalS());
             long ran = saved.getOrDefault(gang.spec.id(), 0L)
                     + (gang.firstKillAt < 0 ? now : gang.firstKillAt)
                     - gang.startedAt;
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -322,12 +322,12 @@
 
     private void kill(Task t, double graceS) {
         boolean saves = t.state.equals("running")
-                && t.spec.checkpointS() > 0
-                && graceS >= t.spec.saveS()
+                && t.spec.checkpointIntervalS() > 0
+                && graceS >= t.spec.checkpointSaveS()
                 && (!t.spec.gang() || gangs.save(t, now));
         if (saves) {
             t.state = "saving";
-            t.until = now + Math.round(t.spec.saveS() * 1000);
+            t.until = now + Math.round(t.spec.checkpointSaveS() * 1000);
         } else if (!t.state.equals("saving") || graceS == 0) {
             exit(t, "halted");
         }
