--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -60,13 +60,15 @@
                 1,
                 0,
                 0);
-        cluster.add(new TaskAssignment(job, 0, 1, "host-000099", 1, 0));
+        cluster.assign(new TaskAssignment(job, 0, 1, "host-000099", 1, 0));
         w.play(4);
         provisioning.returnMachines(true);
-        assertFalse(cluster.machine("host-000099").deleting(), "it may report any moment");
+        assertFalse(cluster.machine("host-000099").instance().terminating(), "it may report any moment");
         w.play(20);
         provisioning.returnMachines(true);
-        assertTrue(cluster.machine("host-000099").deleting(), "what neither list nor report shows must end some day");
+        assertTrue(
+                cluster.machine("host-000099").instance().terminating(),
+                "what neither list nor report shows must end some day");
     }
 
     /**
@@ -113,26 +115,26 @@
             m.setType(box);
             m.setSpot(true);
             cluster.setZone(m, "za");
-            cluster.add(new TaskAssignment(job, i, 1, m.name(), 1, 0));
+            cluster.assign(new TaskAssignment(job, i, 1, m.name(), 1, 0));
         }
         long since = environment.now();
         w.play(7); // more than half a lease
         for (int i = 1; i < 8; i++) {
-            cluster.machine("host-" + i).setHeard(true);
-            cluster.machine("host-" + i).setHeardAt(environment.now());
+            cluster.machine("host-" + i).agent().setHeardThisTerm(true);
+            cluster.machine("host-" + i).agent().setLastHeardAt(environment.now());
         }
         assertEquals(List.of(cluster.machine("host-0")), fleet.failures().lost(since));
         w.play(7);
         assertEquals(List.of(), fleet.failures().lost(since), "nobody reports: the network is at fault");
         for (int i = 2; i < 8; i++) {
-            cluster.machine("host-" + i).setHeardAt(environment.now());
+            cluster.machine("host-" + i).agent().setLastHeardAt(environment.now());
         }
         // found on a day where the leader could not hear its workers: most had come back by way of the others
         assertEquals(List.of(), fleet.failures().lost(since), "the rest may be on their way");
         for (int t = 0; t < 5; t++) {
             w.play(2);
             for (int i = 2; i < 8; i++) {
-                cluster.machine("host-" + i).setHeardAt(environment.now());
+                cluster.machine("host-" + i).agent().setLastHeardAt(environment.now());
             }
         }
         assertEquals(
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -21,11 +21,13 @@
         for (int i = 0; i < 2 * there; i++) {
             cluster.forget(cluster.machine("gone-" + i));
         }
-        assertEquals(2 * there, cluster.deleted().size());
+        assertEquals(2 * there, cluster.deletedMachines().size());
         for (int i = 0; i < 5 * there; i++) {
             cluster.forget(cluster.machine("later-" + i));
         }
-        assertTrue(cluster.deleted().size() <= 4 * there + 1, cluster.deleted().size() + " are remembered");
+        assertTrue(
+                cluster.deletedMachines().size() <= 4 * there + 1,
+                cluster.deletedMachines().size() + " are remembered");
     }
 
     /** Found by reading for 4,000 machines: pages sent in a row were refused, so the list was never read whole. */
--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionHistory.java
@@ -70,7 +70,7 @@
     long known() {
         jobs.clear();
         addJobs(Job.PREFIX);
-        addJobs(Job.endedKey(""));
+        addJobs(Job.completedKey(""));
         return jobs.size();
     }
 
--- a/src/test/java/stileferry/coordination/GangTest.java
+++ b/src/test/java/stileferry/coordination/GangTest.java
@@ -74,7 +74,7 @@
         w.play(3);
         w.submit(spec);
         w.play(20);
-        assertEquals(spec.tasks(), w.running(), "all of it runs");
+        assertEquals(spec.taskCount(), w.running(), "all of it runs");
         return w;
     }
 
--- a/src/test/java/stileferry/coordination/MeetingsTest.java
+++ b/src/test/java/stileferry/coordination/MeetingsTest.java
@@ -449,7 +449,7 @@
             assertTrue(w.starts > before, "nothing happened");
             for (World.User u : w.users.values()) {
                 assertTrue(
-                        !u.accepted || u.end != null || w.running(u) == u.spec.tasks() && u.spec.service(),
+                        !u.accepted || u.end != null || w.running(u) == u.spec.taskCount() && u.spec.service(),
                         u.spec + " waits after all troubles with " + w.running(u) + " tasks, seed " + seed);
             }
         }
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -61,7 +61,7 @@
         assertEquals(List.of(), w.violations);
         for (World.User u : w.users.values()) {
             if (u.accepted && u.end == null) {
-                assertEquals(u.spec.tasks() - u.tasksDone.size(), w.running(u), u.spec.id() + " runs whole");
+                assertEquals(u.spec.taskCount() - u.tasksDone.size(), w.running(u), u.spec.id() + " runs whole");
             }
         }
     }
--- a/src/test/java/stileferry/coordination/RulesTest.java
+++ b/src/test/java/stileferry/coordination/RulesTest.java
@@ -442,7 +442,7 @@
         for (World.User u : w.users.values()) {
             assertTrue(
                     u.startedAt > 0 && u.startedAt - u.submittedAt < 240_000,
-                    u.spec.id() + " of " + u.spec.jobClass() + " with " + u.spec.tasks() + " tasks began after "
+                    u.spec.id() + " of " + u.spec.jobClass() + " with " + u.spec.taskCount() + " tasks began after "
                             + (u.startedAt - u.submittedAt) / 1000 + " s");
         }
         assertEquals(List.of(), w.violations);
--- a/src/test/java/stileferry/coordination/StoredClaims.java
+++ b/src/test/java/stileferry/coordination/StoredClaims.java
@@ -33,7 +33,7 @@
             boolean starts = spec.gang() && signal.path("signal").asText().equals("run");
             if (starts && checked.add(spec.id() + "#" + attempt)) {
                 Set<Integer> claimed = claimedTasks(spec.id(), attempt);
-                if (claimed.size() < spec.tasks()) {
+                if (claimed.size() < spec.taskCount()) {
                     violations.add("started_early: " + task + " with stored claims of " + claimed);
                 }
             }
--- a/src/test/java/stileferry/coordination/World.java
+++ b/src/test/java/stileferry/coordination/World.java
@@ -336,7 +336,7 @@
         double max = template.team(spec.team()).cpusMax();
         return (max == 0 || use(spec.team()) + spec.cpus() <= max + 1e-6)
                 && workers.values().stream()
-                        .anyMatch(w -> (spec.spot() || !w.spot())
+                        .anyMatch(w -> (spec.allowsSpot() || !w.spot())
                                 && (spec.zone() == null || spec.zone().equals(w.zone()))
                                 && roomOn(w, spec));
     }
@@ -700,7 +700,8 @@
     }
 
     private void checkPlace(JobSpec spec, String task, Worker w) {
-        if (w.spot() && !spec.spot() || spec.zone() != null && !spec.zone().equals(w.zone())) {
+        if (w.spot() && !spec.allowsSpot()
+                || spec.zone() != null && !spec.zone().equals(w.zone())) {
             violations.add("wrong_place: " + task + " on " + w.machine());
         }
         long inZone = 1;
@@ -713,7 +714,7 @@
                 }
             }
         }
-        if (spec.spread() && inZone > (spec.tasks() + 1) / 2) {
+        if (spec.spreadAcrossZones() && inZone > (spec.taskCount() + 1) / 2) {
             violations.add("wrong_place: " + task + " with too many in " + w.zone());
         }
     }
@@ -826,7 +827,7 @@
         if (tide.equals("cancelled") && !user.wantsCancel) {
             violations.add("went_back: " + id + " is cancelled by nobody");
         }
-        if (tide.equals("done") && body.path("done").asInt() != user.spec.tasks()) {
+        if (tide.equals("done") && body.path("done").asInt() != user.spec.taskCount()) {
             violations.add("not_done: " + id + " with " + body.path("done"));
         }
         if (tide.equals("cancelled") && user.cancelledAt == 0) {
--- a/src/test/java/stileferry/coordination/WorldTest.java
+++ b/src/test/java/stileferry/coordination/WorldTest.java
@@ -60,7 +60,7 @@
     }
 
     private static void run(World w, Worker worker, String task) {
-        worker.commands(Messages.commands(
+        worker.commands(Messages.directCommands(
                 HIGH_TERM,
                 worker.session(),
                 List.of(
@@ -72,10 +72,10 @@
     private static void free(World w) {
         for (Worker worker : w.workers.values()) {
             for (var t : stileferry.protocol.Heartbeat.read(worker.report()).tasks()) {
-                worker.commands(Messages.commands(
+                worker.commands(Messages.directCommands(
                         HIGH_TERM,
                         worker.session(),
-                        List.of(new WorkerCommand(WorkerCommand.Kind.KILL, t.task(), t.attempt(), 0))));
+                        List.of(new WorkerCommand(WorkerCommand.Kind.KILL, t.taskId(), t.attempt(), 0))));
             }
         }
     }
@@ -148,7 +148,7 @@
         List<String> noticed = new ArrayList<>();
         new StoredClaims(w.state, id -> gang)
                 .checkStarts(
-                        Messages.commands(
+                        Messages.directCommands(
                                 HIGH_TERM, 1, List.of(new WorkerCommand(WorkerCommand.Kind.RUN, "job-10/0", 1, 0))),
                         noticed);
         assertEquals(1, noticed.size());
--- a/src/test/java/stileferry/golden/GoldenCloudTest.java
+++ b/src/test/java/stileferry/golden/GoldenCloudTest.java
@@ -110,7 +110,7 @@
         assertSent("list read, next page", awaitSent(NEXT_PAGE, 1));
         assertEquals(
                 List.of(new Messages.ListedMachine("host-000231", "10.1.0.232:9000", "g8", "a", true, "running", 61.5)),
-                Messages.listed(MessageCodec.decode(CLOUD.body("list, first page"))));
+                Messages.listedMachines(MessageCodec.decode(CLOUD.body("list, first page"))));
     }
 
     @Test
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -89,18 +89,18 @@
     }
 
     private static void claimSome(Job job, long attempt, SplittableRandom r, EventLog log) {
-        int index = job.taken().nextClearBit(r.nextInt(60));
+        int index = job.completedOrAssigned().nextClearBit(r.nextInt(60));
         if (index < 60) {
             TaskAssignment claim = new TaskAssignment(job, index, attempt, "host-" + r.nextInt(20), 1, 0);
-            job.claims().put(index, claim);
-            job.taken().set(index);
+            job.assignments().put(index, claim);
+            job.completedOrAssigned().set(index);
             log.add(TaskEvents.claimed(claim), null);
         }
     }
 
     private static Map<String, Long> attempts(Iterable<TaskAssignment> claims) {
         Map<String, Long> attempts = new TreeMap<>();
-        claims.forEach(c -> attempts.put(c.name(), c.attempt()));
+        claims.forEach(c -> attempts.put(c.taskId(), c.attempt()));
         return attempts;
     }
 
@@ -115,16 +115,16 @@
         long attempt = 0;
         for (int step = 0; step < 3000; step++) {
             Job job = jobs.get("job-" + r.nextInt(8));
-            if (job.claims().isEmpty() || r.nextInt(5) < 2) {
+            if (job.assignments().isEmpty() || r.nextInt(5) < 2) {
                 claimSome(job, ++attempt, r, log);
             } else {
-                TaskAssignment claim = job.claims().values().iterator().next();
-                job.claims().remove(claim.index());
+                TaskAssignment claim = job.assignments().values().iterator().next();
+                job.assignments().remove(claim.index());
                 if (r.nextInt(4) == 0) {
-                    job.finish(claim.index());
+                    job.markCompleted(claim.index());
                     log.add(TaskEvents.done(job, claim.index()), null);
                 } else {
-                    job.taken().clear(claim.index());
+                    job.completedOrAssigned().clear(claim.index());
                     log.add(TaskEvents.freed(claim), null);
                 }
             }
@@ -148,15 +148,15 @@
                 }
                 TaskEvents.Reader reader = read(store, copy, next);
                 List<TaskAssignment> claims = new ArrayList<>();
-                jobs.values().forEach(j -> claims.addAll(j.claims().values()));
+                jobs.values().forEach(j -> claims.addAll(j.assignments().values()));
                 assertEquals(attempts(claims), attempts(reader.claims()), "at step " + step);
                 for (Job j : jobs.values()) {
-                    assertEquals(j.done(), copy.get(j.spec().id()).done(), "at step " + step);
+                    assertEquals(j.completedTasks(), copy.get(j.spec().id()).completedTasks(), "at step " + step);
                 }
                 if (next != null) { // a new leader goes on with what it has read
                     reader.claims().forEach(c -> {
-                        c.job().claims().put(c.index(), c);
-                        c.job().taken().set(c.index());
+                        c.job().assignments().put(c.index(), c);
+                        c.job().completedOrAssigned().set(c.index());
                     });
                     jobs = copy;
                     log = next;
@@ -184,16 +184,16 @@
         for (int step = 0; step < 4000; step++) {
             Job job = jobs.get("job-" + r.nextInt(8));
             boolean crowd = step % 1000 < 500; // many tasks at once, most of which stay while the ring goes round
-            if (job.claims().size() < (crowd ? 55 : 40)) {
+            if (job.assignments().size() < (crowd ? 55 : 40)) {
                 claimSome(job, ++attempt, r, log);
             } else {
-                TaskAssignment claim = job.claims()
-                        .get(job.claims().keySet().stream()
-                                .skip(r.nextInt(job.claims().size()))
+                TaskAssignment claim = job.assignments()
+                        .get(job.assignments().keySet().stream()
+                                .skip(r.nextInt(job.assignments().size()))
                                 .findFirst()
                                 .orElseThrow());
-                job.claims().remove(claim.index());
-                job.taken().clear(claim.index());
+                job.assignments().remove(claim.index());
+                job.completedOrAssigned().clear(claim.index());
                 log.add(TaskEvents.freed(claim), null);
             }
             boolean turn = step % 1000 == 499 || step % 1000 == 950;
@@ -214,7 +214,7 @@
                 Map<String, Long> told = attempts(read(store, copy, null).claims());
                 if (!log.waits()) {
                     List<TaskAssignment> claims = new ArrayList<>();
-                    jobs.values().forEach(j -> claims.addAll(j.claims().values()));
+                    jobs.values().forEach(j -> claims.addAll(j.assignments().values()));
                     assertEquals(attempts(claims), told, "at step " + step);
                 }
             }
@@ -224,8 +224,8 @@
                 log = new EventLog(small ? 2 : 16, 64, "t" + step + "-");
                 jobs = jobs(8, 60);
                 read(store, jobs, log).claims().forEach(c -> {
-                    c.job().claims().put(c.index(), c);
-                    c.job().taken().set(c.index());
+                    c.job().assignments().put(c.index(), c);
+                    c.job().completedOrAssigned().set(c.index());
                 });
             }
         }
@@ -242,13 +242,13 @@
         List<TaskAssignment> claims = new ArrayList<>();
         for (int i = 0; i < 100_000; i++) {
             TaskAssignment claim = new TaskAssignment(job, i, (1L << 40) + i, "host-123456", 100, 0);
-            job.claims().put(i, claim);
+            job.assignments().put(i, claim);
             claims.add(claim);
             log.add(TaskEvents.claimed(claim), null);
         }
         for (int i = 0; i < 100_000; i += 2) {
-            job.claims().remove(i);
-            job.finish(i);
+            job.assignments().remove(i);
+            job.markCompleted(i);
             log.add(TaskEvents.done(job, i), null);
         }
         int writes = 0;
@@ -259,7 +259,7 @@
         Map<String, Job> copy = jobs(1, 100_000);
         TaskEvents.Reader reader = read(store, copy, null);
         assertEquals(50_000, reader.claims().size());
-        assertEquals(job.done(), copy.get("job-0").done());
+        assertEquals(job.completedTasks(), copy.get("job-0").completedTasks());
     }
 
     /** Records of the first version: a part of a job's tasks each, with a bitmap in hexadecimal and the claims. */
@@ -268,7 +268,7 @@
         Map<String, JsonNode> store = new HashMap<>();
         Map<String, Job> jobs = jobs(1, 200);
         Job job = jobs.get("job-0");
-        job.setChunkTasks(128);
+        job.setLegacyChunkTasks(128);
         ObjectNode part = MessageCodec.map().put("done", "0184"); // tasks 0, 10 and 15 of this part
         ArrayNode claims = part.putArray("claims");
         for (int i = 16; i < 60; i++) {
@@ -278,18 +278,18 @@
         TaskEvents.Reader reader = new TaskEvents.Reader(jobs);
         store.put("c/job-0/1", part);
         log.restore("c/job-0/1", 5, -1, reader.readChunk(job, 1, part, -1));
-        assertEquals("{128, 138, 143}", job.done().toString());
+        assertEquals("{128, 138, 143}", job.completedTasks().toString());
         assertEquals(44, reader.claims().size());
-        reader.claims().forEach(c -> job.claims().put(c.index(), c));
+        reader.claims().forEach(c -> job.assignments().put(c.index(), c));
         while (log.waits()) {
             write(log, store);
         }
         assertEquals(1, store.size(), "the older record is gone: " + store.keySet());
         Map<String, Job> copy = jobs(1, 200);
         assertEquals(
-                attempts(job.claims().values()),
+                attempts(job.assignments().values()),
                 attempts(read(store, copy, null).claims()));
-        assertEquals(job.done(), copy.get("job-0").done());
+        assertEquals(job.completedTasks(), copy.get("job-0").completedTasks());
     }
 
     @Test
@@ -321,9 +321,9 @@
                 2,
                 0);
         job.setAccepted(true);
-        assertEquals(0, job.nextWaiting(0));
-        job.claims().put(1, new TaskAssignment(job, 1, 1, "m", 1, 0));
-        job.taken().set(1);
-        assertEquals(-1, job.nextWaiting(0), "a gang starts whole or not at all");
+        assertEquals(0, job.nextPendingTask(0));
+        job.assignments().put(1, new TaskAssignment(job, 1, 1, "m", 1, 0));
+        job.completedOrAssigned().set(1);
+        assertEquals(-1, job.nextPendingTask(0), "a gang starts whole or not at all");
     }
 }
--- a/src/test/java/stileferry/protocol/MessagesTest.java
+++ b/src/test/java/stileferry/protocol/MessagesTest.java
@@ -49,7 +49,7 @@
         ObjectNode open = good();
         open.putNull("hulls").putNull("moor_by_s").put("another", 1);
         assertEquals(-1, JobSpec.read(open).deadlineS());
-        assertNull(JobSpec.read(open).types());
+        assertNull(JobSpec.read(open).machineTypes());
     }
 
     @ParameterizedTest
@@ -178,14 +178,15 @@
         Heartbeat first = Heartbeat.read(report(1, "running", true));
         Heartbeat second = Heartbeat.read(report(2, "running", true), machine -> first);
         assertSame(first.tasks(), second.tasks());
-        assertEquals(2, second.seq());
+        assertEquals(2, second.sequence());
         Heartbeat changed = Heartbeat.read(report(3, "saving", true), machine -> second);
-        assertEquals(Heartbeat.TaskPhase.SAVING, changed.tasks().get(0).stage());
+        assertEquals(
+                Heartbeat.TaskPhase.SAVING_CHECKPOINT, changed.tasks().get(0).phase());
         Heartbeat unknown = Heartbeat.read(report(4, "saving", true), machine -> null);
         assertEquals(changed.tasks(), unknown.tasks());
         Heartbeat otherOrder = Heartbeat.read(report(5, "saving", false), machine -> changed);
         assertEquals(changed.tasks(), otherOrder.tasks());
-        assertEquals(5, otherOrder.seq(), "fields after the list are read");
+        assertEquals(5, otherOrder.sequence(), "fields after the list are read");
         byte[] cut = report(6, "saving", true);
         assertNull(Heartbeat.read(Arrays.copyOf(cut, cut.length - 1), machine -> changed));
     }
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -45,7 +45,7 @@
                 100,
                 5);
         cluster = new ClusterState(settings);
-        cluster.setTypes(List.of(new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za", "zb"))));
+        cluster.setMachineTypes(List.of(new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za", "zb"))));
         placement = new Placement(cluster);
         machine = machine("m");
     }
@@ -56,11 +56,11 @@
 
     private Machine machine(String name, String zone) {
         Machine m = cluster.machine(name);
-        m.setType(cluster.types().get(0));
+        m.setType(cluster.machineTypes().get(0));
         cluster.setZone(m, zone);
-        m.setHeard(true);
-        m.setHeardAt(NOW);
-        cluster.rooms().update(m);
+        m.agent().setHeardThisTerm(true);
+        m.agent().setLastHeardAt(NOW);
+        cluster.freeCapacity().update(m);
         return m;
     }
 
@@ -100,11 +100,11 @@
     }
 
     private TaskAssignment run(Job job, long since) {
-        TaskAssignment claim = new TaskAssignment(job, job.taken().nextClearBit(0), jobs, "m", 1, since);
+        TaskAssignment claim = new TaskAssignment(job, job.completedOrAssigned().nextClearBit(0), jobs, "m", 1, since);
         claim.setDurable(true);
-        claim.setRunsSent(1);
-        claim.setRunningAt(since);
-        cluster.add(claim);
+        claim.setStartsSent(1);
+        claim.setRunningSince(since);
+        cluster.assign(claim);
         return claim;
     }
 
@@ -131,7 +131,7 @@
      */
     @Test
     void aCriticalTaskTakesRoomWhereItsImageIs() {
-        machine.holds("img", 1);
+        machine.cacheImage("img", 1);
         run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8), 10_000);
         Machine other = machine("other");
         Job service = job("swift", "red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
@@ -142,7 +142,7 @@
         assertEquals(List.of("m"), stops.stream().map(s -> s.victim().machine()).toList());
         placement.pass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
-            cluster.add(new TaskAssignment(service, 0, 1, machines.get(0).name(), 1, NOW));
+            cluster.assign(new TaskAssignment(service, 0, 1, machines.get(0).name(), 1, NOW));
         });
         assertEquals(List.of(other), started, "it does not wait for longer than half its time to start");
     }
@@ -185,9 +185,9 @@
     void aGangGoesToTheZoneWhereLeastOfItHasToFetch() {
         Machine first = machine("zb-1", "zb");
         Machine second = machine("zb-2", "zb");
-        first.holds("img", 1);
-        second.holds("img", 1);
-        machine.holds("img", 1); // the tightest fit, but it lacks room for all
+        first.cacheImage("img", 1);
+        second.cacheImage("img", 1);
+        machine.cacheImage("img", 1); // the tightest fit, but it lacks room for all
         run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 10_000);
         machine("za-2");
         urgentGangInOneZone(6);
@@ -202,7 +202,7 @@
 
     @Test
     void anUrgentGangTakesRoomWhereItsImageIs() {
-        machine.holds("img", 1);
+        machine.cacheImage("img", 1);
         Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
         run(idle, 10_000);
         run(idle, 10_000);
@@ -235,8 +235,8 @@
         Job gang = urgentGangInOneZone(4);
         List<Preemption.Stop> stops = decide();
         assertEquals(2, stops.size());
-        stops.forEach(stop -> cluster.stop(stop.victim(), 5, NOW));
-        cluster.remove(second, false);
+        stops.forEach(stop -> cluster.requestStop(stop.victim(), 5, NOW));
+        cluster.unassign(second, false);
         idle.setCancelled(true);
         Job normal = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
         Job critical = job("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
@@ -311,10 +311,10 @@
         run(gang, 80_000);
         Machine other = machine("other");
         TaskAssignment elsewhere = new TaskAssignment(gang, 1, jobs, other.name(), 1, 80_000);
-        elsewhere.setRunningAt(80_000);
-        cluster.add(elsewhere);
+        elsewhere.setRunningSince(80_000);
+        cluster.assign(elsewhere);
         TaskAssignment array = run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 70_000);
-        other.setDraining(true);
+        other.instance().setDraining(true);
         job("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         assertEquals(
                 List.of(array), decide().stream().map(Preemption.Stop::victim).toList());
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -44,25 +44,25 @@
                 100,
                 5);
         ClusterState cluster = new ClusterState(settings);
-        cluster.setTypes(List.of(
+        cluster.setMachineTypes(List.of(
                 new MachineType("small", 8, 0, 32, 9, 0.3, 1, 0.4, 10, List.of("za", "zb")),
                 new MachineType("large", 16, 0, 64, 9, 0.3, 2, 0.8, 10, List.of("za", "zb"))));
         for (int i = 0; i < machines; i++) {
             Machine m = cluster.machine(String.format("host-%06d", r.nextInt(1_000_000)));
-            m.setType(cluster.types().get(r.nextInt(2)));
+            m.setType(cluster.machineTypes().get(r.nextInt(2)));
             m.setTypeName(m.type().name());
             m.setSpot(r.nextBoolean());
-            m.setHeard(true);
-            m.setHeardAt(NOW);
+            m.agent().setHeardThisTerm(true);
+            m.agent().setLastHeardAt(NOW);
             cluster.setZone(m, r.nextBoolean() ? "za" : "zb");
             for (int n = r.nextInt(3); n > 0; n--) {
-                m.holds("img" + r.nextInt(5), 2);
+                m.cacheImage("img" + r.nextInt(5), 2);
             }
             for (int n = r.nextInt(4); n > 0; n--) {
-                m.finished(10, r.nextInt(120), 60);
+                m.recordSlowdown(10, r.nextInt(120), 60);
             }
-            m.setFaulty(r.nextInt(40) == 0);
-            cluster.rooms().update(m);
+            m.instance().setQuarantined(r.nextInt(40) == 0);
+            cluster.freeCapacity().update(m);
         }
         return cluster;
     }
@@ -105,7 +105,7 @@
         for (Machine m : cluster.machines().values()) {
             double cpus = job.spec().cpus();
             double memory = job.spec().memoryGb();
-            for (TaskAssignment c : m.claims().values()) {
+            for (TaskAssignment c : m.assignments().values()) {
                 cpus += c.job().spec().cpus();
                 memory += c.job().spec().memoryGb();
             }
@@ -142,9 +142,10 @@
     }
 
     private static String claim(ClusterState cluster, Job job, Machine machine) {
-        TaskAssignment claim = new TaskAssignment(job, job.taken().nextClearBit(0), 1, machine.name(), 1, NOW);
-        cluster.add(claim);
-        return claim.name() + " on " + machine.name();
+        TaskAssignment claim =
+                new TaskAssignment(job, job.completedOrAssigned().nextClearBit(0), 1, machine.name(), 1, NOW);
+        cluster.assign(claim);
+        return claim.taskId() + " on " + machine.name();
     }
 
     @ParameterizedTest
@@ -167,9 +168,9 @@
             for (ClusterState cluster : List.of(fast, plain)) { // every third task ends
                 SplittableRandom r = new SplittableRandom(seed + round);
                 for (Job job : cluster.jobs().values()) {
-                    for (TaskAssignment c : List.copyOf(job.claims().values())) {
+                    for (TaskAssignment c : List.copyOf(job.assignments().values())) {
                         if (r.nextInt(3) == 0) {
-                            cluster.remove(c, true);
+                            cluster.unassign(c, true);
                         }
                     }
                 }
@@ -194,22 +195,22 @@
             passes++;
         } while (placement.cutShort());
         int tasks = cluster.machines().values().stream()
-                .mapToInt(m -> m.claims().size())
+                .mapToInt(m -> m.assignments().size())
                 .sum();
         assertTrue(tasks > 5000 && passes > 10, tasks + " tasks in " + passes + " passes");
         Machine freed = cluster.machines().values().stream()
-                .filter(m -> m.claims().size() > 2 && m.usable())
+                .filter(m -> m.assignments().size() > 2 && m.schedulable())
                 .findFirst()
                 .orElseThrow();
-        cluster.remove(freed.claims().values().iterator().next(), true);
+        cluster.unassign(freed.assignments().values().iterator().next(), true);
         long waiting = placement.queue(NOW, NOW).size();
-        long before = cluster.rooms().looks();
+        long before = cluster.freeCapacity().machinesVisited();
         List<Machine> started = new ArrayList<>();
         placement.pass(NOW, NOW, false, (job, machines) -> {
             started.add(machines.get(0));
             claim(cluster, job, machines.get(0));
         });
-        long looks = cluster.rooms().looks() - before;
+        long looks = cluster.freeCapacity().machinesVisited() - before;
         assertTrue(!started.isEmpty(), "the room that came free is used");
         assertSame(freed, started.get(0));
         assertTrue(
@@ -225,7 +226,7 @@
     void anImageIsFetchedWhereNoOtherIs() {
         SplittableRandom r = new SplittableRandom(3);
         ClusterState cluster = cluster(60, r);
-        cluster.machines().values().forEach(m -> m.setFaulty(false));
+        cluster.machines().values().forEach(m -> m.instance().setQuarantined(false));
         Placement placement = new Placement(cluster);
         int most = 0;
         for (int i = 0; i < 30; i++) {
@@ -256,7 +257,7 @@
         }
         placement.pass(NOW, NOW, false, (job, machines) -> claim(cluster, job, machines.get(0)));
         for (Machine m : cluster.machines().values()) {
-            most = Math.max(most, m.fetching());
+            most = Math.max(most, m.imagesBeingPulled());
         }
         assertEquals(1, most, "images fetched at once on one machine, though others are idle");
     }
@@ -266,8 +267,8 @@
     void questionsToMachinesThatHangLeaveSocketsForCommands() {
         ClusterState cluster = cluster(2000, new SplittableRandom(1));
         cluster.machines().values().forEach(m -> {
-            m.setHeard(false);
-            m.setAddr("10.0.0.1:" + m.name().substring(m.name().length() - 4));
+            m.agent().setHeardThisTerm(false);
+            m.setAddress("10.0.0.1:" + m.name().substring(m.name().length() - 4));
         });
         World w = new World(1);
         int[] open = new int[1];
@@ -336,14 +337,14 @@
         w.play(31);
         for (World.User u : w.users.values()) { // half of each service may be in one zone, the rest waits
             assertTrue(
-                    !u.spec.service() || !u.accepted || w.running(u) >= u.spec.tasks() / 2,
+                    !u.spec.service() || !u.accepted || w.running(u) >= u.spec.taskCount() / 2,
                     u.spec.id() + " has " + w.running(u));
         }
         w.quietSince = w.now;
         w.play(20);
         for (World.User u : w.users.values()) {
             assertTrue(
-                    !u.spec.service() || !u.accepted || w.running(u) == u.spec.tasks(),
+                    !u.spec.service() || !u.accepted || w.running(u) == u.spec.taskCount(),
                     u.spec.id() + " has " + w.running(u) + " after the cut");
         }
         w.play(150);
