--- a/src/test/java/stileferry/coordination/RulesTest.java
+++ b/src/test/java/stileferry/coordination/RulesTest.java
@@ -19,32 +19,33 @@
 
 /** Seeded random days in a simulated world; every rule is checked at every step. */
 class RulesTest {
-    private static JobSpec job(int number, SplittableRandom r) {
-        JobSpec.Kind kind =
-                r.nextInt(5) == 0 ? JobSpec.Kind.SERVICE : r.nextInt(5) == 0 ? JobSpec.Kind.GANG : JobSpec.Kind.ARRAY;
-        String team = List.of("red", "blue", "free").get(r.nextInt(3));
+    private static JobSpec job(int number, SplittableRandom random) {
+        JobSpec.Kind kind = random.nextInt(5) == 0
+                ? JobSpec.Kind.SERVICE
+                : random.nextInt(5) == 0 ? JobSpec.Kind.GANG : JobSpec.Kind.ARRAY;
+        String team = List.of("red", "blue", "free").get(random.nextInt(3));
         JobSpec.Priority priority = kind == JobSpec.Kind.SERVICE
                 ? JobSpec.Priority.CRITICAL
-                : r.nextBoolean() ? JobSpec.Priority.NORMAL : JobSpec.Priority.IDLE;
-        boolean saves = r.nextBoolean();
+                : random.nextBoolean() ? JobSpec.Priority.NORMAL : JobSpec.Priority.IDLE;
+        boolean saves = random.nextBoolean();
         return new JobSpec(
                 "job-" + (1000 + number),
                 "any",
                 team,
                 kind,
                 priority,
-                kind == JobSpec.Kind.SERVICE ? 1 + r.nextInt(3) : 1 + r.nextInt(8),
-                1 + r.nextInt(4),
+                kind == JobSpec.Kind.SERVICE ? 1 + random.nextInt(3) : 1 + random.nextInt(8),
+                1 + random.nextInt(4),
                 0,
-                1 + r.nextInt(8),
-                "img" + r.nextInt(3),
+                1 + random.nextInt(8),
+                "img" + random.nextInt(3),
                 1,
                 null,
-                r.nextInt(6) == 0 ? "za" : null,
-                r.nextInt(5) == 0,
-                r.nextInt(3) == 0,
-                kind == JobSpec.Kind.ARRAY && r.nextBoolean(),
-                kind == JobSpec.Kind.SERVICE ? 0 : 2 + r.nextInt(20),
+                random.nextInt(6) == 0 ? "za" : null,
+                random.nextInt(5) == 0,
+                random.nextInt(3) == 0,
+                kind == JobSpec.Kind.ARRAY && random.nextBoolean(),
+                kind == JobSpec.Kind.SERVICE ? 0 : 2 + random.nextInt(20),
                 saves ? 3 : 0,
                 saves ? 1 : 0,
                 -1);
@@ -58,25 +59,25 @@
     static World day(long seed, double seconds, Consumer<World> prepare) {
         World w = new World(seed);
         prepare.accept(w);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         w.lateCopies = seed % 2 == 0 ? 0.1 : 0;
-        w.after(r.nextLong(Math.round(1000 * seconds)), () -> w.state.limit(4, 2));
+        w.after(random.nextLong(Math.round(1000 * seconds)), () -> w.state.limit(4, 2));
         w.play(3);
         int jobs = 0;
         for (double t = 0; t < seconds && w.violations.isEmpty(); t += 2) {
-            if (r.nextInt(3) != 0) {
-                w.submit(job(jobs++, r));
+            if (random.nextInt(3) != 0) {
+                w.submit(job(jobs++, random));
             }
-            if (r.nextInt(8) == 0 && !w.users.isEmpty()) {
+            if (random.nextInt(8) == 0 && !w.users.isEmpty()) {
                 List<World.User> open = w.users.values().stream()
                         .filter(u -> u.accepted && !u.wantsCancel)
                         .toList();
                 if (!open.isEmpty()) {
-                    w.cancel(open.get(r.nextInt(open.size())));
+                    w.cancel(open.get(random.nextInt(open.size())));
                 }
             }
-            if (r.nextInt(5) == 0) {
-                trouble(w, r);
+            if (random.nextInt(5) == 0) {
+                trouble(w, random);
             }
             w.play(2);
         }
@@ -97,36 +98,36 @@
         w.after(45_000, w.network::restoreAll); // links that came and went
         w.quietSince = w.now;
         w.play(90); // until every submission has been answered or given up
-        for (World.User u : List.copyOf(w.users.values())) {
-            if (u.spec.service() && u.accepted && !u.wantsCancel) {
-                w.cancel(u);
+        for (World.User user : List.copyOf(w.users.values())) {
+            if (user.spec.service() && user.accepted && !user.wantsCancel) {
+                w.cancel(user);
             }
         }
         w.play(200);
         return w;
     }
 
-    private static void trouble(World w, SplittableRandom r) {
+    private static void trouble(World w, SplittableRandom random) {
         List<World.Node> nodes = List.copyOf(w.nodes.values());
-        World.Node node = nodes.get(r.nextInt(3));
+        World.Node node = nodes.get(random.nextInt(3));
         List<String> machines = w.cloud.up();
-        String machine = machines.isEmpty() ? null : machines.get(r.nextInt(machines.size()));
+        String machine = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
         String addr = "w-" + machine + ":1";
-        switch (r.nextInt(32)) {
-            case 0, 1 -> restart(w, node, r.nextBoolean() ? 300 : 5000);
-            case 2 -> nodes.forEach(n -> restart(w, n, 1000 + r.nextLong(4000)));
-            case 3 -> w.cut(node.settings.node(), 1000 + r.nextLong(20_000));
-            case 4 -> w.cut(addr, 1000 + r.nextLong(20_000));
+        switch (random.nextInt(32)) {
+            case 0, 1 -> restart(w, node, random.nextBoolean() ? 300 : 5000);
+            case 2 -> nodes.forEach(n -> restart(w, n, 1000 + random.nextLong(4000)));
+            case 3 -> w.cut(node.settings.node(), 1000 + random.nextLong(20_000));
+            case 4 -> w.cut(addr, 1000 + random.nextLong(20_000));
             case 5 -> {
                 w.stateDown = true;
-                w.after(1000 + r.nextLong(15_000), () -> {
+                w.after(1000 + random.nextLong(15_000), () -> {
                     w.stateDown = false;
                     w.state.renewAll(w.now);
                 });
             }
             case 6 -> {
                 w.refused.add(node.settings.node());
-                w.after(1000 + r.nextLong(20_000), () -> w.refused.remove(node.settings.node()));
+                w.after(1000 + random.nextLong(20_000), () -> w.refused.remove(node.settings.node()));
             }
             case 7 -> {
                 if (machine != null) {
@@ -142,63 +143,63 @@
             }
             case 9 -> {
                 w.deaf.add(addr);
-                w.after(1000 + r.nextLong(40_000), () -> w.deaf.remove(addr));
+                w.after(1000 + random.nextLong(40_000), () -> w.deaf.remove(addr));
             }
             case 10 -> {
                 w.alone.add(node.settings.node());
-                w.after(1000 + r.nextLong(30_000), () -> w.alone.remove(node.settings.node()));
+                w.after(1000 + random.nextLong(30_000), () -> w.alone.remove(node.settings.node()));
             }
             case 11 -> {
                 w.peersRefuse = true;
-                w.after(1000 + r.nextLong(20_000), () -> w.peersRefuse = false);
+                w.after(1000 + random.nextLong(20_000), () -> w.peersRefuse = false);
             }
             case 12 -> {
                 w.slow.put(node.settings.node(), 400L);
-                w.after(1000 + r.nextLong(20_000), () -> w.slow.remove(node.settings.node()));
+                w.after(1000 + random.nextLong(20_000), () -> w.slow.remove(node.settings.node()));
             }
             case 13 -> {
                 w.slowStoreMs = 30 * 20;
-                w.after(1000 + r.nextLong(30_000), () -> w.slowStoreMs = 0);
+                w.after(1000 + random.nextLong(30_000), () -> w.slowStoreMs = 0);
             }
             case 16, 17 -> { // a zone is cut off, and the leader may crash meanwhile
-                w.cutZone(r.nextBoolean() ? "za" : "zb", 1000 + r.nextLong(25_000));
+                w.cutZone(random.nextBoolean() ? "za" : "zb", 1000 + random.nextLong(25_000));
                 World.Node leader = w.leader();
-                if (leader != null && r.nextBoolean()) {
-                    w.after(r.nextLong(15_000), () -> restart(w, leader, r.nextBoolean() ? 200 : 5000));
+                if (leader != null && random.nextBoolean()) {
+                    w.after(random.nextLong(15_000), () -> restart(w, leader, random.nextBoolean() ? 200 : 5000));
                 }
             }
             case 18, 19 -> { // one controller, or all of them, is given little processor time
-                for (World.Node slow : r.nextBoolean() ? nodes : List.of(node)) {
-                    w.turnMs.put(slow.settings.node(), 5 + r.nextLong(60));
+                for (World.Node slow : random.nextBoolean() ? nodes : List.of(node)) {
+                    w.turnMs.put(slow.settings.node(), 5 + random.nextLong(60));
                 }
-                w.after(1000 + r.nextLong(30_000), w.turnMs::clear);
+                w.after(1000 + random.nextLong(30_000), w.turnMs::clear);
             }
             case 20 -> {
-                w.lateWrites = 0.1 + 0.4 * r.nextDouble();
-                w.after(1000 + r.nextLong(15_000), () -> w.lateWrites = 0);
+                w.lateWrites = 0.1 + 0.4 * random.nextDouble();
+                w.after(1000 + random.nextLong(15_000), () -> w.lateWrites = 0);
             }
             case 21 -> {
-                w.unansweredWrites = 0.1 + 0.4 * r.nextDouble();
-                w.after(1000 + r.nextLong(15_000), () -> w.unansweredWrites = 0);
+                w.unansweredWrites = 0.1 + 0.4 * random.nextDouble();
+                w.after(1000 + random.nextLong(15_000), () -> w.unansweredWrites = 0);
             }
             case 22 -> {
                 w.mute.add(addr);
-                w.after(1000 + r.nextLong(30_000), () -> w.mute.remove(addr));
+                w.after(1000 + random.nextLong(30_000), () -> w.mute.remove(addr));
             }
-            case 23 -> w.hang(addr, 1000 + r.nextLong(25_000));
+            case 23 -> w.hang(addr, 1000 + random.nextLong(25_000));
             case 24 -> {
                 w.copiesForNext = true;
-                w.after(1000 + r.nextLong(30_000), () -> w.copiesForNext = false);
+                w.after(1000 + random.nextLong(30_000), () -> w.copiesForNext = false);
             }
             case 25 -> { // the leader is refused, and then everybody for longer than a cancellation's time
                 World.Node leader = w.leader();
                 if (leader != null) {
                     w.refused.add(leader.settings.node());
-                    cancelSome(w, r);
-                    w.after(1000 + r.nextLong(4000), () -> {
+                    cancelSome(w, random);
+                    w.after(1000 + random.nextLong(4000), () -> {
                         w.stateDown = true;
-                        cancelSome(w, r);
-                        w.after(15_000 + r.nextLong(15_000), () -> {
+                        cancelSome(w, random);
+                        w.after(15_000 + random.nextLong(15_000), () -> {
                             w.stateDown = false;
                             w.state.renewAll(w.now);
                         });
@@ -206,18 +207,18 @@
                     w.after(14_000, () -> w.refused.remove(leader.settings.node()));
                 }
             }
-            case 26 -> nodes.forEach(n -> restart(w, n, 5000 + r.nextLong(12_000))); // for longer than a lease
+            case 26 -> nodes.forEach(n -> restart(w, n, 5000 + random.nextLong(12_000))); // for longer than a lease
             case 27 -> { // jobs are cancelled while the leader changes
                 World.Node leader = w.leader();
                 if (leader != null) {
-                    cancelSome(w, r);
-                    w.after(r.nextLong(300), () -> restart(w, leader, r.nextBoolean() ? 300 : 5000));
+                    cancelSome(w, random);
+                    w.after(random.nextLong(300), () -> restart(w, leader, random.nextBoolean() ? 300 : 5000));
                 }
             }
-            case 28, 29, 30, 31 -> cutLink(w, r);
+            case 28, 29, 30, 31 -> cutLink(w, random);
             case 14 -> { // back at once, while the others may just be choosing a leader
-                nodes.forEach(n -> restart(w, n, 100 + r.nextLong(200)));
-                w.after(500 + r.nextLong(2000), () -> restart(w, node, 100));
+                nodes.forEach(n -> restart(w, n, 100 + random.nextLong(200)));
+                w.after(500 + random.nextLong(2000), () -> restart(w, node, 100));
             }
             default -> {
                 w.lostAnswers = 0.2;
@@ -227,20 +228,20 @@
     }
 
     /** One direction of a link, or both, or a link that comes and goes. */
-    private static void cutLink(World w, SplittableRandom r) {
-        String node = "n" + r.nextInt(3);
+    private static void cutLink(World w, SplittableRandom random) {
+        String node = "n" + random.nextInt(3);
         String machine = w.cloud.up().isEmpty() ? "none" : w.cloud.up().get(0);
         List<String> ends = List.of(
                 World.STATE,
                 SimulatedNetwork.WORKERS,
                 SimulatedNetwork.WORKERS,
-                "n" + r.nextInt(3),
+                "n" + random.nextInt(3),
                 "w-" + machine + ":1");
-        String end = ends.get(r.nextInt(ends.size()));
-        SimulatedNetwork.Mode mode = SimulatedNetwork.Mode.values()[r.nextInt(3)];
-        int ways = r.nextInt(3);
-        int times = r.nextInt(3) == 0 ? 4 : 1;
-        long periodMs = times == 1 ? 1000 + r.nextLong(30_000) : 1000 + r.nextLong(6000);
+        String end = ends.get(random.nextInt(ends.size()));
+        SimulatedNetwork.Mode mode = SimulatedNetwork.Mode.values()[random.nextInt(3)];
+        int ways = random.nextInt(3);
+        int times = random.nextInt(3) == 0 ? 4 : 1;
+        long periodMs = times == 1 ? 1000 + random.nextLong(30_000) : 1000 + random.nextLong(6000);
         for (int i = 0; i < times; i++) {
             w.after(2 * i * periodMs, () -> {
                 if (ways != 1) {
@@ -254,12 +255,12 @@
         }
     }
 
-    private static void cancelSome(World w, SplittableRandom r) {
+    private static void cancelSome(World w, SplittableRandom random) {
         List<World.User> open = w.users.values().stream()
                 .filter(u -> u.accepted && u.end == null && !u.wantsCancel)
                 .toList();
         for (int i = 0; i < Math.min(3, open.size()); i++) {
-            w.cancel(open.get(r.nextInt(open.size())));
+            w.cancel(open.get(random.nextInt(open.size())));
         }
     }
 
@@ -329,8 +330,8 @@
             w.play(120);
             commands[slow] = w.commandsSent - before;
             assertEquals(List.of(), w.violations);
-            for (World.User u : w.users.values()) {
-                assertEquals("done", u.end, u.spec.id());
+            for (World.User user : w.users.values()) {
+                assertEquals("done", user.end, user.spec.id());
             }
         }
         assertTrue(commands[1] < commands[0] / 2, commands[1] + " commands instead of " + commands[0]);
@@ -429,21 +430,21 @@
     @Test
     void everybodyIsServedWhenThereIsMoreWorkThanRoom() {
         World w = new World(36);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         w.play(3);
         int jobs = 0;
         for (int t = 0; t < 300; t += 5) {
             boolean large = jobs % 12 == 0;
-            w.submit(array(jobs++, "day", JobSpec.Priority.NORMAL, large ? 40 : 8 + r.nextInt(6), 40));
-            w.submit(array(jobs++, "night", JobSpec.Priority.IDLE, large ? 30 : 1 + r.nextInt(4), 40));
+            w.submit(array(jobs++, "day", JobSpec.Priority.NORMAL, large ? 40 : 8 + random.nextInt(6), 40));
+            w.submit(array(jobs++, "night", JobSpec.Priority.IDLE, large ? 30 : 1 + random.nextInt(4), 40));
             w.play(5);
         }
         w.play(240);
-        for (World.User u : w.users.values()) {
+        for (World.User user : w.users.values()) {
             assertTrue(
-                    u.startedAt > 0 && u.startedAt - u.submittedAt < 240_000,
-                    u.spec.id() + " of " + u.spec.jobClass() + " with " + u.spec.taskCount() + " tasks began after "
-                            + (u.startedAt - u.submittedAt) / 1000 + " s");
+                    user.startedAt > 0 && user.startedAt - user.submittedAt < 240_000,
+                    user.spec.id() + " of " + user.spec.jobClass() + " with " + user.spec.taskCount()
+                            + " tasks began after " + (user.startedAt - user.submittedAt) / 1000 + " s");
         }
         assertEquals(List.of(), w.violations);
     }
@@ -497,10 +498,10 @@
     @Test
     void aLeaderWithoutTroublesKeepsItsTerm() {
         World w = new World(6);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         w.play(3);
         for (int i = 0; i < 60; i++) {
-            w.submit(job(i, r));
+            w.submit(job(i, random));
             w.play(2);
         }
         assertEquals(1, w.state.value("a/term").path("term").asLong());
@@ -511,9 +512,9 @@
     @Test
     void aReturnedMachineIsNotTakenForABootingOne() {
         World w = new World(8);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         w.play(3);
-        w.submit(job(1, r));
+        w.submit(job(1, random));
         w.play(200);
         assertEquals(List.of(), w.cloud.up(), "nothing to do, so all machines are returned");
         int deletions = w.cloud.deletionRequests();
@@ -533,9 +534,9 @@
     void tasksOutliveAnOutageInWhichAControllerCrashes(String who) {
         World w = new World(12);
         w.play(3);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         for (int i = 0; i < 40; i++) {
-            JobSpec spec = job(i, r);
+            JobSpec spec = job(i, random);
             if (spec.service()) {
                 w.submit(spec);
             }
--- a/src/test/java/stileferry/coordination/SilenceTest.java
+++ b/src/test/java/stileferry/coordination/SilenceTest.java
@@ -41,9 +41,9 @@
             w.submit(service(i, 1, 1));
         }
         w.play(20);
-        for (World.User u : w.users.values()) {
-            assertFalse(w.machinesOf(u).contains(machine), u.spec.id() + " is on a machine that hears nothing");
-            assertTrue(u.wantsCancel || !w.machinesOf(u).isEmpty(), u.spec.id() + " runs nowhere");
+        for (World.User user : w.users.values()) {
+            assertFalse(w.machinesOf(user).contains(machine), user.spec.id() + " is on a machine that hears nothing");
+            assertTrue(user.wantsCancel || !w.machinesOf(user).isEmpty(), user.spec.id() + " runs nowhere");
         }
         w.play(50);
         assertFalse(w.cloud.up().contains(machine), "it is of no use and costs money");
@@ -199,8 +199,8 @@
         w.play(10);
         w.submit(array(20, "any", JobSpec.Priority.IDLE, 30, 60));
         w.play(8);
-        for (World.User u : w.users.values()) {
-            assertTrue(!u.spec.service() || !w.machinesOf(u).isEmpty(), "services of the zone run elsewhere");
+        for (World.User user : w.users.values()) {
+            assertTrue(!user.spec.service() || !w.machinesOf(user).isEmpty(), "services of the zone run elsewhere");
         }
         assertTrue(w.cloud.up().containsAll(machines), "they are there when the cut ends");
         assertEquals(
--- a/src/test/java/stileferry/coordination/UpgradeTest.java
+++ b/src/test/java/stileferry/coordination/UpgradeTest.java
@@ -73,11 +73,11 @@
         }
     }
 
-    private static void workAndCancellations(World w, int from, SplittableRandom r) {
-        w.submit(gang(from, 2 + r.nextInt(4), 2 + r.nextInt(8)));
-        w.submit(array(from + 1, "any", JobSpec.Priority.NORMAL, 1 + r.nextInt(20), 3));
+    private static void workAndCancellations(World w, int from, SplittableRandom random) {
+        w.submit(gang(from, 2 + random.nextInt(4), 2 + random.nextInt(8)));
+        w.submit(array(from + 1, "any", JobSpec.Priority.NORMAL, 1 + random.nextInt(20), 3));
         World.User cancelled = w.submit(gang(from + 2, 3, 60));
-        w.after(r.nextLong(8000), () -> w.cancel(cancelled));
+        w.after(random.nextLong(8000), () -> w.cancel(cancelled));
     }
 
     private static void finishAll(World w) {
@@ -99,21 +99,21 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void bothVersionsTakeTurnsAtLeading(long seed) {
         World w = servedByTheFormerVersion(seed);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         Set<String> ledBy = new TreeSet<>();
         List<World.Node> nodes = List.copyOf(w.nodes.values());
         for (int step = 0; step < 12; step++) {
-            workAndCancellations(w, 100 + 10 * step, r);
+            workAndCancellations(w, 100 + 10 * step, random);
             World.Node leader = w.leader();
             if (leader != null) {
                 ledBy.add(w.formerForm.contains(leader.settings.node()) ? "former" : "this");
             }
-            if (r.nextInt(4) == 0 && leader != null) {
-                restart(w, leader, r.nextBoolean() ? 200 : 3000);
+            if (random.nextInt(4) == 0 && leader != null) {
+                restart(w, leader, random.nextBoolean() ? 200 : 3000);
             } else {
-                replace(w, step % 2 == 0 && leader != null ? leader : nodes.get(step % 3), 200 + r.nextLong(4000));
+                replace(w, step % 2 == 0 && leader != null ? leader : nodes.get(step % 3), 200 + random.nextLong(4000));
             }
-            w.play(5 + r.nextInt(5));
+            w.play(5 + random.nextInt(5));
         }
         assertEquals(Set.of("former", "this"), ledBy);
         finishAll(w);
@@ -124,17 +124,17 @@
     @ValueSource(ints = {0, 3, 6, 10, 14, 20})
     void theLimitsAreLoweredDuringOrAfterTheRoll(int afterS) {
         World w = servedByTheFormerVersion(20 + afterS);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         w.after(1000L * afterS, () -> w.state.limit(LOWER_OPERATIONS, LOWER_VALUE_KB));
         int step = 0;
         for (World.Node node : w.nodes.values()) {
-            workAndCancellations(w, 100 + 10 * step++, r);
+            workAndCancellations(w, 100 + 10 * step++, random);
             replace(w, node, 1500);
             w.play(5);
         }
         assertTrue(w.formerForm.isEmpty());
         for (int i = 0; i < 4; i++) {
-            workAndCancellations(w, 200 + 10 * i, r);
+            workAndCancellations(w, 200 + 10 * i, random);
             w.play(3);
         }
         restart(w, w.leader(), 300);
--- a/src/test/java/stileferry/coordination/World.java
+++ b/src/test/java/stileferry/coordination/World.java
@@ -144,8 +144,8 @@
 
     private record Event(long at, long id, Runnable task) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(id, o.id);
+        public int compareTo(Event event) {
+            return at != event.at ? Long.compare(at, event.at) : Long.compare(id, event.id);
         }
     }
 
@@ -279,9 +279,9 @@
     public void play(double seconds) {
         long end = now + Math.round(seconds * 1000);
         while (violations.isEmpty() && !events.isEmpty() && events.peek().at <= end) {
-            Event e = events.poll();
-            now = e.at;
-            e.task.run();
+            Event event = events.poll();
+            now = event.at;
+            event.task.run();
         }
         now = Math.max(now, end);
     }
@@ -569,8 +569,8 @@
     /** A record as the other side reads it, where one of the two may have the former version's form. */
     private static PeerMessage carried(PeerMessage record, boolean former) {
         PeerMessage read = PeerMessage.read(PeerMessage.write(record));
-        return former && read instanceof PeerMessage.TermAnnouncement t
-                ? new PeerMessage.TermAnnouncement(t.term(), t.leader(), t.leading())
+        return former && read instanceof PeerMessage.TermAnnouncement announcement
+                ? new PeerMessage.TermAnnouncement(announcement.term(), announcement.leader(), announcement.leading())
                 : read;
     }
 
@@ -705,9 +705,9 @@
             violations.add("wrong_place: " + task + " on " + w.machine());
         }
         long inZone = 1;
-        for (Map.Entry<String, String> e : taskOn.entrySet()) {
-            if (e.getKey().startsWith(spec.id() + "/")) {
-                boolean same = e.getValue().endsWith("|" + w.zone());
+        for (Map.Entry<String, String> entry : taskOn.entrySet()) {
+            if (entry.getKey().startsWith(spec.id() + "/")) {
+                boolean same = entry.getValue().endsWith("|" + w.zone());
                 inZone += same ? 1 : 0;
                 if (spec.oneZone() && !same) {
                     violations.add("wrong_place: " + task + " away from its zone");
@@ -785,14 +785,14 @@
                     if (node.up()) {
                         long arrived = now;
                         SimulatedEnvironment process = node.environment;
-                        node.environment.turn(() -> node.coordinator.user(ask, user.spec.id(), body, a -> {
+                        node.environment.turn(() -> node.coordinator.user(ask, user.spec.id(), body, response -> {
                             long since = Math.max(arrived, process.frozenUntil); // it stood still until then
-                            if (a.status() == 503 && (a.retryAfterS() < 1 || now - since > 4500)) {
+                            if (response.status() == 503 && (response.retryAfterS() < 1 || now - since > 4500)) {
                                 violations.add("held back: " + ask + " for " + (now - since) + " ms, come back in "
-                                        + a.retryAfterS() + " s");
+                                        + response.retryAfterS() + " s");
                             }
-                            answer[0] = a;
-                            r.done(a.status(), null);
+                            answer[0] = response;
+                            r.done(response.status(), null);
                         }));
                     }
                 },
@@ -892,9 +892,9 @@
     }
 
     public Node leader() {
-        for (Node n : nodes.values()) {
-            if (n.up() && n.coordinator.ready() && n.coordinator.leads()) {
-                return n;
+        for (Node node : nodes.values()) {
+            if (node.up() && node.coordinator.ready() && node.coordinator.leads()) {
+                return node;
             }
         }
         return null;
--- a/src/test/java/stileferry/coordination/WorldTest.java
+++ b/src/test/java/stileferry/coordination/WorldTest.java
@@ -71,11 +71,12 @@
 
     private static void free(World w) {
         for (Worker worker : w.workers.values()) {
-            for (var t : stileferry.protocol.Heartbeat.read(worker.report()).tasks()) {
+            for (var status :
+                    stileferry.protocol.Heartbeat.read(worker.report()).tasks()) {
                 worker.commands(Messages.directCommands(
                         HIGH_TERM,
                         worker.session(),
-                        List.of(new WorkerCommand(WorkerCommand.Kind.KILL, t.taskId(), t.attempt(), 0))));
+                        List.of(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0))));
             }
         }
     }
--- a/src/test/java/stileferry/golden/GoldenPeerRecordsTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerRecordsTest.java
@@ -24,10 +24,10 @@
     }
 
     private static Stream<Arguments> kinds() {
-        return Stream.concat(kindsOfTheFirstVersions(), kindsOfFeatures());
+        return Stream.of(requestsAndAnswers(), terms(), kindsOfFeatures()).flatMap(kinds -> kinds);
     }
 
-    private static Stream<Arguments> kindsOfTheFirstVersions() {
+    private static Stream<Arguments> requestsAndAnswers() {
         return Stream.of(
                 Arguments.of(
                         "submission",
@@ -50,7 +50,13 @@
                         new PeerMessage.ForwardedRequest(RequestKind.ADMIN, "GET teams", new byte[0]),
                         "01 04 0009 474554207465616d73 00000000"),
                 Arguments.of(
-                        "answer", new PeerMessage.Response(503, 30, hex("81a0c0")), "02 01f7 0000001e 00000003 81a0c0"),
+                        "answer",
+                        new PeerMessage.Response(503, 30, hex("81a0c0")),
+                        "02 01f7 0000001e 00000003 81a0c0"));
+    }
+
+    private static Stream<Arguments> terms() {
+        return Stream.of(
                 Arguments.of(
                         "term of the first form",
                         new PeerMessage.TermAnnouncement(9, "n1", true),
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -78,20 +78,20 @@
         store.entrySet().stream()
                 .filter(e -> e.getKey().startsWith("l/"))
                 .sorted(Comparator.comparingLong(e -> e.getValue().path("n").asLong()))
-                .forEach(e -> {
-                    long n = e.getValue().path("n").asLong();
-                    List<CommitQueue.Event> events = reader.read(e.getValue(), n);
+                .forEach(entry -> {
+                    long n = entry.getValue().path("n").asLong();
+                    List<CommitQueue.Event> events = reader.read(entry.getValue(), n);
                     if (log != null) {
-                        log.restore(e.getKey(), 1, n, events);
+                        log.restore(entry.getKey(), 1, n, events);
                     }
                 });
         return reader;
     }
 
-    private static void claimSome(Job job, long attempt, SplittableRandom r, EventLog log) {
-        int index = job.completedOrAssigned().nextClearBit(r.nextInt(60));
+    private static void claimSome(Job job, long attempt, SplittableRandom random, EventLog log) {
+        int index = job.completedOrAssigned().nextClearBit(random.nextInt(60));
         if (index < 60) {
-            TaskAssignment claim = new TaskAssignment(job, index, attempt, "host-" + r.nextInt(20), 1, 0);
+            TaskAssignment claim = new TaskAssignment(job, index, attempt, "host-" + random.nextInt(20), 1, 0);
             job.assignments().put(index, claim);
             job.completedOrAssigned().set(index);
             log.add(TaskEvents.claimed(claim), null);
@@ -108,19 +108,19 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void theRingAlwaysTellsTheWholeState(long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         Map<String, JsonNode> store = new HashMap<>();
         Map<String, Job> jobs = jobs(8, 60);
         EventLog log = new EventLog(VALUE_KB, 8, "t");
         long attempt = 0;
         for (int step = 0; step < 3000; step++) {
-            Job job = jobs.get("job-" + r.nextInt(8));
-            if (job.assignments().isEmpty() || r.nextInt(5) < 2) {
-                claimSome(job, ++attempt, r, log);
+            Job job = jobs.get("job-" + random.nextInt(8));
+            if (job.assignments().isEmpty() || random.nextInt(5) < 2) {
+                claimSome(job, ++attempt, random, log);
             } else {
                 TaskAssignment claim = job.assignments().values().iterator().next();
                 job.assignments().remove(claim.index());
-                if (r.nextInt(4) == 0) {
+                if (random.nextInt(4) == 0) {
                     job.markCompleted(claim.index());
                     log.add(TaskEvents.done(job, claim.index()), null);
                 } else {
@@ -128,13 +128,13 @@
                     log.add(TaskEvents.freed(claim), null);
                 }
             }
-            if (r.nextInt(3) == 0) {
+            if (random.nextInt(3) == 0) {
                 while (log.waits()) {
                     write(log, store);
                 }
                 Map<String, Job> copy = jobs(8, 60);
-                EventLog next = r.nextInt(50) == 0 ? new EventLog(VALUE_KB, 8, "t") : null;
-                if (next != null && r.nextBoolean()) {
+                EventLog next = random.nextInt(50) == 0 ? new EventLog(VALUE_KB, 8, "t") : null;
+                if (next != null && random.nextBoolean()) {
                     // the last but one record of the old leader is lost, and its slot keeps what it held before
                     EventLog.Batch lost = log.next(12);
                     assertTrue(lost.deletions().isEmpty());
@@ -154,9 +154,9 @@
                     assertEquals(j.completedTasks(), copy.get(j.spec().id()).completedTasks(), "at step " + step);
                 }
                 if (next != null) { // a new leader goes on with what it has read
-                    reader.claims().forEach(c -> {
-                        c.job().assignments().put(c.index(), c);
-                        c.job().completedOrAssigned().set(c.index());
+                    reader.claims().forEach(assignment -> {
+                        assignment.job().assignments().put(assignment.index(), assignment);
+                        assignment.job().completedOrAssigned().set(assignment.index());
                     });
                     jobs = copy;
                     log = next;
@@ -174,7 +174,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void recordsOfALargerLimitAreReplacedBySmallOnes(long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         Map<String, JsonNode> store = new HashMap<>();
         Map<String, Job> jobs = jobs(8, 60);
         boolean small = false;
@@ -182,14 +182,14 @@
         long attempt = 0;
         int aside = 0;
         for (int step = 0; step < 4000; step++) {
-            Job job = jobs.get("job-" + r.nextInt(8));
+            Job job = jobs.get("job-" + random.nextInt(8));
             boolean crowd = step % 1000 < 500; // many tasks at once, most of which stay while the ring goes round
             if (job.assignments().size() < (crowd ? 55 : 40)) {
-                claimSome(job, ++attempt, r, log);
+                claimSome(job, ++attempt, random, log);
             } else {
                 TaskAssignment claim = job.assignments()
                         .get(job.assignments().keySet().stream()
-                                .skip(r.nextInt(job.assignments().size()))
+                                .skip(random.nextInt(job.assignments().size()))
                                 .findFirst()
                                 .orElseThrow());
                 job.assignments().remove(claim.index());
@@ -197,7 +197,7 @@
                 log.add(TaskEvents.freed(claim), null);
             }
             boolean turn = step % 1000 == 499 || step % 1000 == 950;
-            if (!turn && r.nextInt(crowd ? 300 : 3) != 0) {
+            if (!turn && random.nextInt(crowd ? 300 : 3) != 0) {
                 continue;
             }
             while (log.waits()) {
@@ -218,14 +218,14 @@
                     assertEquals(attempts(claims), told, "at step " + step);
                 }
             }
-            if (turn || r.nextInt(60) == 0) {
+            if (turn || random.nextInt(60) == 0) {
                 small = turn ? !crowd || step % 1000 == 499 : small;
                 small &= step % 1000 != 950;
                 log = new EventLog(small ? 2 : 16, 64, "t" + step + "-");
                 jobs = jobs(8, 60);
-                read(store, jobs, log).claims().forEach(c -> {
-                    c.job().assignments().put(c.index(), c);
-                    c.job().completedOrAssigned().set(c.index());
+                read(store, jobs, log).claims().forEach(assignment -> {
+                    assignment.job().assignments().put(assignment.index(), assignment);
+                    assignment.job().completedOrAssigned().set(assignment.index());
                 });
             }
         }
--- a/src/test/java/stileferry/protocol/MessagesTest.java
+++ b/src/test/java/stileferry/protocol/MessagesTest.java
@@ -125,24 +125,24 @@
 
     @Test
     void recordsBetweenControllersAreReadAsWritten() {
-        PeerMessage.ForwardedRequest f =
+        PeerMessage.ForwardedRequest request =
                 new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.WITHDRAW, "job-7", new byte[] {1, 2});
-        PeerMessage.ForwardedRequest back = (PeerMessage.ForwardedRequest) PeerMessage.read(PeerMessage.write(f));
-        assertEquals(f.ask(), back.ask());
-        assertEquals(f.id(), back.id());
-        assertArrayEquals(f.body(), back.body());
-        PeerMessage.TermAnnouncement t = new PeerMessage.TermAnnouncement(9, "n1", true);
-        assertEquals(t, PeerMessage.read(PeerMessage.write(t)));
+        PeerMessage.ForwardedRequest back = (PeerMessage.ForwardedRequest) PeerMessage.read(PeerMessage.write(request));
+        assertEquals(request.ask(), back.ask());
+        assertEquals(request.id(), back.id());
+        assertArrayEquals(request.body(), back.body());
+        PeerMessage.TermAnnouncement announcement = new PeerMessage.TermAnnouncement(9, "n1", true);
+        assertEquals(announcement, PeerMessage.read(PeerMessage.write(announcement)));
         PeerMessage.TermAnnouncement told = new PeerMessage.TermAnnouncement(
                 9,
                 "n1",
                 true,
                 new PeerMessage.CancellationKnowledge(1L << 60, 5, true, false, List.of("job-1", "job-2")));
         assertEquals(told, PeerMessage.read(PeerMessage.write(told)));
-        PeerMessage.Response a = (PeerMessage.Response)
+        PeerMessage.Response response = (PeerMessage.Response)
                 PeerMessage.read(PeerMessage.write(new PeerMessage.Response(503, 30, new byte[0])));
-        assertEquals(503, a.status());
-        assertEquals(30, a.retryAfterS());
+        assertEquals(503, response.status());
+        assertEquals(30, response.retryAfterS());
     }
 
     /**
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -55,13 +55,13 @@
     }
 
     private Machine machine(String name, String zone) {
-        Machine m = cluster.machine(name);
-        m.setType(cluster.machineTypes().get(0));
-        cluster.setZone(m, zone);
-        m.agent().setHeardThisTerm(true);
-        m.agent().setLastHeardAt(NOW);
-        cluster.freeCapacity().update(m);
-        return m;
+        Machine machine = cluster.machine(name);
+        machine.setType(cluster.machineTypes().get(0));
+        cluster.setZone(machine, zone);
+        machine.agent().setHeardThisTerm(true);
+        machine.agent().setLastHeardAt(NOW);
+        cluster.freeCapacity().update(machine);
+        return machine;
     }
 
     private Job job(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
--- /dev/null
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -0,0 +1,96 @@
+package stileferry.scheduling;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.protocol.JobSpec;
+import stileferry.protocol.MachineType;
+import stileferry.protocol.Settings;
+
+/** Clusters and jobs drawn by a seed. */
+public final class RandomCluster {
+    /** The time that all of them are made at, in milliseconds. */
+    static final long NOW = 100_000;
+
+    private RandomCluster() {}
+
+    /** A cluster with so many machines. */
+    public static ClusterState cluster(int machines, SplittableRandom random) {
+        ClusterState cluster = new ClusterState(settings());
+        cluster.setMachineTypes(List.of(
+                new MachineType("small", 8, 0, 32, 9, 0.3, 1, 0.4, 10, List.of("za", "zb")),
+                new MachineType("large", 16, 0, 64, 9, 0.3, 2, 0.8, 10, List.of("za", "zb"))));
+        for (int i = 0; i < machines; i++) {
+            Machine machine = cluster.machine(String.format("host-%06d", random.nextInt(1_000_000)));
+            machine.setType(cluster.machineTypes().get(random.nextInt(2)));
+            machine.setTypeName(machine.type().name());
+            machine.setSpot(random.nextBoolean());
+            machine.agent().setHeardThisTerm(true);
+            machine.agent().setLastHeardAt(NOW);
+            cluster.setZone(machine, random.nextBoolean() ? "za" : "zb");
+            for (int n = random.nextInt(3); n > 0; n--) {
+                machine.cacheImage("img" + random.nextInt(5), 2);
+            }
+            for (int n = random.nextInt(4); n > 0; n--) {
+                machine.recordSlowdown(10, random.nextInt(120), 60);
+            }
+            machine.instance().setQuarantined(random.nextInt(40) == 0);
+            cluster.freeCapacity().update(machine);
+        }
+        return cluster;
+    }
+
+    private static Settings settings() {
+        return new Settings(
+                "n0",
+                "za",
+                null,
+                null,
+                List.of(),
+                "c",
+                "s",
+                List.of("za", "zb"),
+                List.of(new Settings.Team("red", 0, 0, 0, 0)),
+                List.of(new Settings.Objective("wait", "quick", 2, 0.9)),
+                new Settings.Workers(2, 10, 20),
+                new Settings.State(100, 50, 8, 12),
+                new Settings.Cloud(5, 3),
+                1,
+                100,
+                5);
+    }
+
+    static Job job(ClusterState cluster, int number, SplittableRandom random) {
+        boolean service = random.nextInt(4) == 0;
+        Job job = new Job(
+                new JobSpec(
+                        "job-" + number,
+                        random.nextInt(3) == 0 ? "quick" : "any",
+                        "red",
+                        service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY,
+                        JobSpec.Priority.values()[random.nextInt(4)],
+                        1 + random.nextInt(6),
+                        0.5 * (1 + random.nextInt(8)),
+                        0,
+                        1 + random.nextInt(12),
+                        "img" + random.nextInt(5),
+                        2,
+                        random.nextInt(5) == 0 ? List.of("large") : null,
+                        random.nextInt(5) == 0 ? "za" : null,
+                        random.nextInt(6) == 0,
+                        random.nextInt(4) == 0,
+                        random.nextBoolean(),
+                        60,
+                        0,
+                        0,
+                        -1),
+                number,
+                NOW,
+                0);
+        job.setAccepted(true);
+        cluster.jobs().put(job.spec().id(), job);
+        return job;
+    }
+}
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -18,102 +18,26 @@
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.protocol.JobSpec;
-import stileferry.protocol.MachineType;
-import stileferry.protocol.Settings;
 
 /** The size of the largest deployments: what is counted is work, not time. */
 public class ScaleTest {
-    private static final long NOW = 100_000;
-
-    public static ClusterState cluster(int machines, SplittableRandom r) {
-        Settings settings = new Settings(
-                "n0",
-                "za",
-                null,
-                null,
-                List.of(),
-                "c",
-                "s",
-                List.of("za", "zb"),
-                List.of(new Settings.Team("red", 0, 0, 0, 0)),
-                List.of(new Settings.Objective("wait", "quick", 2, 0.9)),
-                new Settings.Workers(2, 10, 20),
-                new Settings.State(100, 50, 8, 12),
-                new Settings.Cloud(5, 3),
-                1,
-                100,
-                5);
-        ClusterState cluster = new ClusterState(settings);
-        cluster.setMachineTypes(List.of(
-                new MachineType("small", 8, 0, 32, 9, 0.3, 1, 0.4, 10, List.of("za", "zb")),
-                new MachineType("large", 16, 0, 64, 9, 0.3, 2, 0.8, 10, List.of("za", "zb"))));
-        for (int i = 0; i < machines; i++) {
-            Machine m = cluster.machine(String.format("host-%06d", r.nextInt(1_000_000)));
-            m.setType(cluster.machineTypes().get(r.nextInt(2)));
-            m.setTypeName(m.type().name());
-            m.setSpot(r.nextBoolean());
-            m.agent().setHeardThisTerm(true);
-            m.agent().setLastHeardAt(NOW);
-            cluster.setZone(m, r.nextBoolean() ? "za" : "zb");
-            for (int n = r.nextInt(3); n > 0; n--) {
-                m.cacheImage("img" + r.nextInt(5), 2);
-            }
-            for (int n = r.nextInt(4); n > 0; n--) {
-                m.recordSlowdown(10, r.nextInt(120), 60);
-            }
-            m.instance().setQuarantined(r.nextInt(40) == 0);
-            cluster.freeCapacity().update(m);
-        }
-        return cluster;
-    }
-
-    private static Job job(ClusterState cluster, int number, SplittableRandom r) {
-        boolean service = r.nextInt(4) == 0;
-        Job job = new Job(
-                new JobSpec(
-                        "job-" + number,
-                        r.nextInt(3) == 0 ? "quick" : "any",
-                        "red",
-                        service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY,
-                        JobSpec.Priority.values()[r.nextInt(4)],
-                        1 + r.nextInt(6),
-                        0.5 * (1 + r.nextInt(8)),
-                        0,
-                        1 + r.nextInt(12),
-                        "img" + r.nextInt(5),
-                        2,
-                        r.nextInt(5) == 0 ? List.of("large") : null,
-                        r.nextInt(5) == 0 ? "za" : null,
-                        r.nextInt(6) == 0,
-                        r.nextInt(4) == 0,
-                        r.nextBoolean(),
-                        60,
-                        0,
-                        0,
-                        -1),
-                number,
-                NOW,
-                0);
-        job.setAccepted(true);
-        cluster.jobs().put(job.spec().id(), job);
-        return job;
-    }
+    private static final long NOW = RandomCluster.NOW;
 
     /** The design's choice, by looking at every machine in the order of names. */
     private static Machine plainChoice(ClusterState cluster, Placement placement, Job job) {
         Machine best = null;
-        for (Machine m : cluster.machines().values()) {
+        for (Machine machine : cluster.machines().values()) {
             double cpus = job.spec().cpus();
             double memory = job.spec().memoryGb();
-            for (TaskAssignment c : m.assignments().values()) {
-                cpus += c.job().spec().cpus();
-                memory += c.job().spec().memoryGb();
+            for (TaskAssignment assignment : machine.assignments().values()) {
+                cpus += assignment.job().spec().cpus();
+                memory += assignment.job().spec().memoryGb();
             }
-            if (cpus <= m.type().cpus() + 1e-6
-                    && memory <= m.type().memoryGb() + 1e-6
-                    && placement.allowed(job, m, NOW)
-                    && (best == null || placement.better(job, m, best))) {
-                best = m;
+            if (cpus <= machine.type().cpus() + 1e-6
+                    && memory <= machine.type().memoryGb() + 1e-6
+                    && placement.allowed(job, machine, NOW)
+                    && (best == null || placement.better(job, machine, best))) {
+                best = machine;
             }
         }
         return best;
@@ -151,15 +75,15 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void theFastPassDecidesAsThePlainOne(long seed) {
-        SplittableRandom a = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         SplittableRandom b = new SplittableRandom(seed);
-        ClusterState fast = cluster(12, a);
-        ClusterState plain = cluster(12, b);
+        ClusterState fast = RandomCluster.cluster(12, random);
+        ClusterState plain = RandomCluster.cluster(12, b);
         int started = 0;
         for (int round = 0; round < 4; round++) {
             for (int i = 0; i < 8; i++) {
-                job(fast, 100 * round + i, a);
-                job(plain, 100 * round + i, b);
+                RandomCluster.job(fast, 100 * round + i, random);
+                RandomCluster.job(plain, 100 * round + i, b);
             }
             List<String> starts = new ArrayList<>();
             new Placement(fast).pass(NOW, NOW, false, (job, machines) -> starts.add(claim(fast, job, machines.get(0))));
@@ -168,9 +92,10 @@
             for (ClusterState cluster : List.of(fast, plain)) { // every third task ends
                 SplittableRandom r = new SplittableRandom(seed + round);
                 for (Job job : cluster.jobs().values()) {
-                    for (TaskAssignment c : List.copyOf(job.assignments().values())) {
+                    for (TaskAssignment assignment :
+                            List.copyOf(job.assignments().values())) {
                         if (r.nextInt(3) == 0) {
-                            cluster.unassign(c, true);
+                            cluster.unassign(assignment, true);
                         }
                     }
                 }
@@ -183,11 +108,11 @@
     @ParameterizedTest
     @ValueSource(ints = {1450, 4200})
     void aPassOverAFullFleetLooksAtFewMachines(int fleet) {
-        SplittableRandom r = new SplittableRandom(1);
-        ClusterState cluster = cluster(fleet, r);
+        SplittableRandom random = new SplittableRandom(1);
+        ClusterState cluster = RandomCluster.cluster(fleet, random);
         Placement placement = new Placement(cluster);
         for (int i = 0; i < 6 * fleet; i++) {
-            job(cluster, i, r);
+            RandomCluster.job(cluster, i, random);
         }
         int passes = 0;
         do {
@@ -224,8 +149,8 @@
      */
     @Test
     void anImageIsFetchedWhereNoOtherIs() {
-        SplittableRandom r = new SplittableRandom(3);
-        ClusterState cluster = cluster(60, r);
+        SplittableRandom random = new SplittableRandom(3);
+        ClusterState cluster = RandomCluster.cluster(60, random);
         cluster.machines().values().forEach(m -> m.instance().setQuarantined(false));
         Placement placement = new Placement(cluster);
         int most = 0;
@@ -256,8 +181,8 @@
             cluster.jobs().put(spec.id(), job);
         }
         placement.pass(NOW, NOW, false, (job, machines) -> claim(cluster, job, machines.get(0)));
-        for (Machine m : cluster.machines().values()) {
-            most = Math.max(most, m.imagesBeingPulled());
+        for (Machine machine : cluster.machines().values()) {
+            most = Math.max(most, machine.imagesBeingPulled());
         }
         assertEquals(1, most, "images fetched at once on one machine, though others are idle");
     }
@@ -265,10 +190,11 @@
     /** Guards against a new leader in a cut that opens a connection to every machine that can't answer. */
     @Test
     void questionsToMachinesThatHangLeaveSocketsForCommands() {
-        ClusterState cluster = cluster(2000, new SplittableRandom(1));
-        cluster.machines().values().forEach(m -> {
-            m.agent().setHeardThisTerm(false);
-            m.setAddress("10.0.0.1:" + m.name().substring(m.name().length() - 4));
+        ClusterState cluster = RandomCluster.cluster(2000, new SplittableRandom(1));
+        cluster.machines().values().forEach(machine -> {
+            machine.agent().setHeardThisTerm(false);
+            machine.setAddress(
+                    "10.0.0.1:" + machine.name().substring(machine.name().length() - 4));
         });
         World w = new World(1);
         int[] open = new int[1];
@@ -297,7 +223,7 @@
     @Test
     void aLargeZoneThatIsCutOffStaysWithinTheRates() {
         World w = new World(7, 525, 6, 0);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         w.play(3);
         int jobs = 0;
         for (int t = 0; t < 50; t++) {
@@ -309,18 +235,18 @@
                         "free",
                         service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY,
                         service ? JobSpec.Priority.CRITICAL : JobSpec.Priority.NORMAL,
-                        service ? 6 : 20 + r.nextInt(60),
+                        service ? 6 : 20 + random.nextInt(60),
                         2,
                         0,
                         4,
-                        "img" + r.nextInt(5),
+                        "img" + random.nextInt(5),
                         1,
                         null,
                         null,
                         false,
                         service,
                         !service,
-                        service ? 0 : 30 + r.nextInt(60),
+                        service ? 0 : 30 + random.nextInt(60),
                         0,
                         0,
                         -1));
@@ -335,17 +261,17 @@
         leader.crash();
         w.after(5000, leader::start);
         w.play(31);
-        for (World.User u : w.users.values()) { // half of each service may be in one zone, the rest waits
+        for (World.User user : w.users.values()) { // half of each service may be in one zone, the rest waits
             assertTrue(
-                    !u.spec.service() || !u.accepted || w.running(u) >= u.spec.taskCount() / 2,
-                    u.spec.id() + " has " + w.running(u));
+                    !user.spec.service() || !user.accepted || w.running(user) >= user.spec.taskCount() / 2,
+                    user.spec.id() + " has " + w.running(user));
         }
         w.quietSince = w.now;
         w.play(20);
-        for (World.User u : w.users.values()) {
+        for (World.User user : w.users.values()) {
             assertTrue(
-                    !u.spec.service() || !u.accepted || w.running(u) == u.spec.taskCount(),
-                    u.spec.id() + " has " + w.running(u) + " after the cut");
+                    !user.spec.service() || !user.accepted || w.running(user) == user.spec.taskCount(),
+                    user.spec.id() + " has " + w.running(user) + " after the cut");
         }
         w.play(150);
         assertEquals(List.of(), w.violations);
@@ -359,7 +285,7 @@
     @Test
     void aGrownFleetStaysWithinTheRates() {
         World w = new World(5, 363, 6, 0);
-        SplittableRandom r = w.random.split();
+        SplittableRandom random = w.random.split();
         w.play(3);
         int jobs = 0;
         for (int t = 0; t < 60; t++) {
@@ -370,18 +296,18 @@
                         "free",
                         JobSpec.Kind.ARRAY,
                         JobSpec.Priority.NORMAL,
-                        20 + r.nextInt(60),
+                        20 + random.nextInt(60),
                         2,
                         0,
                         4,
-                        "img" + r.nextInt(5),
+                        "img" + random.nextInt(5),
                         1,
                         null,
                         null,
                         false,
                         false,
                         true,
-                        10 + r.nextInt(30),
+                        10 + random.nextInt(30),
                         0,
                         0,
                         -1));
