--- a/src/test/java/stileferry/golden/GoldenAdministrationCluster.java
+++ b/src/test/java/stileferry/golden/GoldenAdministrationCluster.java
@@ -84,11 +84,11 @@
                 "-cp",
                 System.getProperty("java.class.path")));
         whole.addAll(Arrays.asList(command));
-        processes.add(new ProcessBuilder(whole)
-                .redirectErrorStream(true)
-                .redirectOutput(
-                        dir.resolve("process-" + processes.size() + ".log").toFile())
-                .start());
+        ProcessBuilder builder = new ProcessBuilder(whole).redirectErrorStream(true);
+        builder.environment().remove("LOG_LEVEL"); // that of whoever runs the tests says nothing here
+        builder.redirectOutput(
+                dir.resolve("process-" + processes.size() + ".log").toFile());
+        processes.add(builder.start());
     }
 
     /** Starts a controller; the features file may be null. */
@@ -106,6 +106,11 @@
         return dir.resolve("node-" + controller + ".json");
     }
 
+    /** What a process has printed so far, both outputs in one; 0: the stand-ins, then the controllers as started. */
+    String printed(int process) throws IOException {
+        return Files.readString(dir.resolve("process-" + process + ".log"));
+    }
+
     /** Ends the stand-ins: state service, cloud and workers are gone. */
     void endStandIns() throws InterruptedException {
         end(processes.get(0));
--- a/src/test/java/stileferry/golden/GoldenOptionsTest.java
+++ b/src/test/java/stileferry/golden/GoldenOptionsTest.java
@@ -1,6 +1,7 @@
 package stileferry.golden;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -210,4 +211,17 @@
                 here.refused_at_door: whole""";
         assertEquals(expected, GoldenAdministrationShape.of(answer.json(), Set.of()));
     }
+
+    @Test
+    void standInsTellHowToStartControllers() throws Exception {
+        String expected = "stand-ins run; start controllers with: serve --config " + cluster.config(0)
+                + " (and node-1.json, node-2.json)\n";
+        assertEquals(expected, cluster.printed(0));
+    }
+
+    @Test
+    void aControllerLogsThatItLeads() throws Exception {
+        String log = cluster.printed(1);
+        assertTrue(log.lines().anyMatch("INFO leadership - leading in term 1"::equals), log);
+    }
 }
