--- a/src/test/java/stileferry/golden/GoldenStateServiceTest.java
+++ b/src/test/java/stileferry/golden/GoldenStateServiceTest.java
@@ -200,13 +200,39 @@
     @Test
     void submissionsAreRefusedWithRetryAfterWhileTheStateServiceIsBehind() {
         cluster.lead();
-        String first = GoldenMessages.hex("job-000412");
-        Heard heard = null;
-        for (int i = 0; i < 400 && (heard == null || !heard.answered()); i++) {
-            String another = GoldenMessages.hex("job-%06d".formatted(i + 500));
-            heard = cluster.submitAtOnce(
-                    GoldenMessages.bytes(USERS.get("submission").hex().replace(first, another)));
+        assertToUser("overloaded", submitUntilRefused());
+    }
+
+    @Test
+    void withFairAdmissionAcceptedJobsAreCountedInTheTransactionThatAcceptsThem() {
+        cluster.leadAdmittingFairly().submit("submission");
+        assertSent("counting election", commit(ELECTION));
+        assertSent("count of admissions read", awaitSent("GET /kv?starts=n/&most=500"));
+        assertSent("counted job record commit", commit(ELECTION + 1));
+    }
+
+    @Test
+    void withFairAdmissionCriticalSubmissionsAreTakenWhileOthersAreRefused() {
+        cluster.leadAdmittingFairly();
+        assertToUser("overloaded, by turn", submitUntilRefused());
+        assertFalse(cluster.submitAtOnce(another("service submission", 999)).answered());
+    }
+
+    /** A literal submission under another id of the same length. */
+    private static byte[] another(String submission, int number) {
+        String id = GoldenMessages.hex("job-000412");
+        String other = GoldenMessages.hex("job-%06d".formatted(number));
+        return GoldenMessages.bytes(USERS.get(submission).hex().replace(id, other));
+    }
+
+    /** Submits job after job at the same moment until one is answered at once. */
+    private Heard submitUntilRefused() {
+        for (int i = 0; i < 400; i++) {
+            Heard heard = cluster.submitAtOnce(another("submission", 500 + i));
+            if (heard.answered()) {
+                return heard;
+            }
         }
-        assertToUser("overloaded", heard);
+        throw new AssertionError("none was refused");
     }
 }
--- a/src/test/java/stileferry/golden/GoldenUserTest.java
+++ b/src/test/java/stileferry/golden/GoldenUserTest.java
@@ -91,7 +91,7 @@
 
     @Test
     void usersAreToldToRetryWhileNobodyLeads() {
-        cluster.stateAnswers("GET /kv?starts=a/&most=500", "watch too old");
+        cluster.stateAnswers("GET /kv?starts=a/&most=500", "unavailable");
         cluster.lead();
         assertToUser("no leader", cluster.submit("submission"));
         assertToUser("no leader", cluster.status());
--- a/src/test/java/stileferry/golden/GoldenWorkerTest.java
+++ b/src/test/java/stileferry/golden/GoldenWorkerTest.java
@@ -11,6 +11,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 import stileferry.golden.SimulatedController.Heard;
@@ -150,6 +151,20 @@
         assertToWorker("gang kill at once", cluster.heartbeat("gang heartbeat, one lost its work"));
     }
 
+    @ParameterizedTest
+    @CsvSource({
+        "halted, \"stopped_and_saved\":1",
+        "incomplete, \"incomplete\":1",
+        "peers, \"lost_a_task\":1",
+        "error, \"failed\":1"
+    })
+    void whyAGangEndedIsCountedForOperators(String reason, String counted) {
+        cluster.leadWithClaimedTasks("gang submission").heartbeat("gang heartbeat, running");
+        cluster.heartbeat("gang heartbeat, exited: " + reason);
+        String view = cluster.view("leader");
+        assertTrue(view.contains(counted), view);
+    }
+
     @Test
     void aHeartbeatToAFollowerIsRedirectedToTheLeader() {
         assertToWorker("redirect to the leader", cluster.follow().heartbeat("heartbeat"));
@@ -157,7 +172,7 @@
 
     @Test
     void aHeartbeatIsRefusedWhileNoLeaderIsKnown() {
-        cluster.stateAnswers("GET /kv?starts=a/&most=500", "watch too old");
+        cluster.stateAnswers("GET /kv?starts=a/&most=500", "unavailable");
         assertToWorker("no leader known", cluster.lead().heartbeat("heartbeat"));
     }
 
--- a/src/test/java/stileferry/golden/ScriptedCluster.java
+++ b/src/test/java/stileferry/golden/ScriptedCluster.java
@@ -73,6 +73,12 @@
         return start(SimulatedController.aloneWatchingLinks(environment));
     }
 
+    /** Starts the only controller with fair admission turned on. */
+    ScriptedCluster leadAdmittingFairly() {
+        stateAnswers("GET /kv?starts=n/&most=500", "no rows");
+        return start(SimulatedController.aloneAdmittingFairly(environment));
+    }
+
     /** Starts one of two controllers, which follows the other. */
     ScriptedCluster follow() {
         stateAnswers("GET /kv?starts=a/&most=500", "leader prefix, another leads");
@@ -121,6 +127,11 @@
         return heard;
     }
 
+    /** The JSON form of what the controller tells operators in one of its views. */
+    String view(String name) {
+        return GoldenMessages.json(controller.view(name).body());
+    }
+
     /** Withdraws the job of the literal submissions. */
     Heard withdraw() {
         Heard heard = controller.withdraw("job-000412");
--- a/src/test/java/stileferry/golden/SimulatedController.java
+++ b/src/test/java/stileferry/golden/SimulatedController.java
@@ -78,6 +78,11 @@
         return new SimulatedController(environment, "", "{\"partial_cuts\":true}");
     }
 
+    /** The only controller there is, with fair admission turned on. */
+    static SimulatedController aloneAdmittingFairly(RecordingEnvironment environment) {
+        return new SimulatedController(environment, "", "{\"fair_admission\":true}");
+    }
+
     /** One of two controllers, the other of which is {@code iskele-2}. */
     static SimulatedController besideAnother(RecordingEnvironment environment) {
         return new SimulatedController(environment, PEER, "{}");
@@ -111,6 +116,13 @@
         return user(PeerRecord.Ask.WITHDRAW, id, new byte[0]);
     }
 
+    /** What the controller tells operators in one of its views. */
+    Heard view(String name) {
+        Heard heard = new Heard();
+        environment.turn(() -> coordinator.admin("GET", name, new byte[0], heard::takeFromUserSide));
+        return heard;
+    }
+
     private Heard user(PeerRecord.Ask ask, String id, byte[] body) {
         Heard heard = new Heard();
         Consumer<PeerRecord.Answer> reply = answer -> heard.takeFromUserSide(answer);
