--- a/src/test/java/stileferry/golden/GoldenStoredOlderFormsTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredOlderFormsTest.java
@@ -1,6 +1,7 @@
 package stileferry.golden;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -95,6 +96,20 @@
         assertEquals("{\"how\":\"cancelled\",\"done\":0,\"x\":\"2-0\"}", fixture.store.value("e/job-102"));
     }
 
+    @ParameterizedTest
+    @CsvSource({"f7fe539-service.json", "stored-service.json"})
+    void cancelledServiceIsStoppedBeforeItsClaimsAreRead(String file) {
+        StoredKeyValues store = store(file, 4);
+        store.unanswered = "l/";
+        StoredRecordsFixture fixture = StoredRecordsFixture.leading(store);
+        StoredWorker worker = new StoredWorker("host-000231", "10.1.0.1:9000", "za");
+        worker.run("job-102/0", 4294967298L);
+        assertEquals(200, fixture.report(worker));
+        assertEquals(
+                "exited",
+                worker.report().path("passengers").path(0).path("tide").asText());
+    }
+
     @ParameterizedTest
     @CsvSource({
         "f7fe539-silence.json,4,true",
@@ -123,22 +138,48 @@
                         "j/job-104",
                         """
                         {"order":4294967297,"at":1700000000000,"cancelled":false,"chunk":8,"spec":{"name_id":"job-104",
-                        "berth":"train","crew":"red","craft":"array","precedence":"urgent","passengers":9,"cores":2.0,
+                        "berth":"train","crew":"red","craft":"array","precedence":"urgent","passengers":10,"cores":2.0,
                         "gpus":0.0,"ram_gb":4.0,"cargo":"img-07","pull_gb":6.2,"harbor":null,"same_place":false,
                         "apart":false,"tender":true,"crossing_s":240.0,"waypoint_s":30.0,"stow_s":4.0},"x":"1-0"}""")
                 .with("c/job-104/0", "{\"done\":\"85\",\"claims\":[[1,4294967299,\"host-000231\",1]],\"x\":\"1-1\"}")
-                .with("c/job-104/1", "{\"done\":\"\",\"claims\":[[8,4294967300,\"host-000231\",1]],\"x\":\"1-2\"}"));
+                .with("c/job-104/1", "{\"done\":\"02\",\"claims\":[[8,4294967300,\"host-000231\",1]],\"x\":\"1-2\"}"));
         assertEquals(
-                "200 {\"name_id\":\"job-104\",\"tide\":\"pending\",\"done\":3,\"running\":0}",
+                "200 {\"name_id\":\"job-104\",\"tide\":\"pending\",\"done\":4,\"running\":0}",
                 status(fixture, "job-104"));
         assertEquals(
                 """
                 {"if":[{"path":"a/lead","entry_rev":5},{"path":"l/1","entry_rev":0},\
                 {"path":"c/job-104/0","entry_rev":3},{"path":"c/job-104/1","entry_rev":4}],\
                 "apply":[{"put":"l/1","v":{"n":1,"e":[[2,"job-104",0,0],[2,"job-104",2,2],[2,"job-104",7,7],\
-                [0,"job-104",1,4294967299,"host-000231",1],[0,"job-104",8,4294967300,"host-000231",1]],"x":"2-0"}},\
+                [0,"job-104",1,4294967299,"host-000231",1],[2,"job-104",9,9],\
+                [0,"job-104",8,4294967300,"host-000231",1]],"x":"2-0"}},\
                 {"delete":"c/job-104/0"},{"delete":"c/job-104/1"}]}""",
                 commit(fixture, 1));
+        fixture.user(PeerRecord.Ask.WITHDRAW, "job-104", "");
+        String cancelled = fixture.store.value("j/job-104");
+        assertTrue(
+                cancelled.startsWith(
+                        "{\"order\":4294967297,\"at\":1700000000000,\"cancelled\":true,\"chunk\":8,\"spec\":{"),
+                cancelled);
+    }
+
+    /** A note counts if it is of the term before and of the claim's session, and then from its own time. */
+    @ParameterizedTest
+    @CsvSource({"1,1700000005000,1,true", "0,1700000005000,1,false", "1,1700000005000,0,false"})
+    void silenceNoteTellsSessionTimeAndTerm(long session, long answeredAt, long term, boolean counts) {
+        StoredKeyValues store = store("stored-silence.json", 3)
+                .with(
+                        "l/2",
+                        "{\"n\":2,\"e\":[[3,\"host-000231\"," + session + "," + answeredAt + "," + term
+                                + "]],\"x\":\"1-2\"}");
+        StoredRecordsFixture fixture = new StoredRecordsFixture(store, Features.NONE, 8);
+        fixture.advance(8000);
+        fixture.start();
+        fixture.advance(4000);
+        String freed = "[1,\"job-102\",0,4294967298]";
+        assertFalse(fixture.store.commits.toString().contains(freed), "13 s: its lease may last until 15 s");
+        fixture.advance(4000);
+        assertEquals(counts, fixture.store.commits.toString().contains(freed), "17 s");
     }
 
     @Test
--- a/src/test/java/stileferry/golden/StoredKeyValues.java
+++ b/src/test/java/stileferry/golden/StoredKeyValues.java
@@ -27,6 +27,9 @@
     /** Transactions, counted from the next one, that are carried out while their answers are lost. */
     int answersToLose;
 
+    /** The prefix of which reads are not answered; empty: all are. */
+    String unanswered = "";
+
     private final Map<String, Row> rows = new TreeMap<>();
     private long revision;
     private long leases;
@@ -76,7 +79,8 @@
             return commit(body);
         }
         requests.add(method + " " + path);
-        if (path.startsWith("/watch")) {
+        boolean held = !unanswered.isEmpty() && path.startsWith("/kv?starts=" + unanswered);
+        if (path.startsWith("/watch") || held) {
             return null;
         }
         if (path.startsWith("/leases")) {
