--- a/src/test/java/stileferry/architecture/ArchitectureTest.java
+++ b/src/test/java/stileferry/architecture/ArchitectureTest.java
@@ -96,6 +96,14 @@
                 .whereLayer("leadership")
                 .mayOnlyBeAccessedByLayers(
                         "coordination", "overload", "requests", "scheduling", "task control", "heartbeat")
+                .whereLayer("links")
+                .mayOnlyAccessLayers("embeddable", "protocol")
+                .whereLayer("storage")
+                .mayOnlyAccessLayers("protocol")
+                .whereLayer("protocol")
+                .mayNotAccessAnyLayer()
+                .whereLayer("embeddable")
+                .mayNotAccessAnyLayer()
                 .check(classes);
     }
 
--- a/src/test/java/stileferry/golden/GoldenStoredOlderFormsTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredOlderFormsTest.java
@@ -96,6 +96,20 @@
         assertEquals("{\"how\":\"cancelled\",\"done\":0,\"x\":\"2-0\"}", fixture.store.value("e/job-102"));
     }
 
+    @ParameterizedTest
+    @CsvSource({"f7fe539-service.json", "stored-service.json"})
+    void cancelledServiceIsStoppedBeforeItsClaimsAreRead(String file) {
+        StoredKeyValues store = store(file, 4);
+        store.unanswered = "l/";
+        StoredRecordsFixture fixture = StoredRecordsFixture.leading(store);
+        StoredWorker worker = new StoredWorker("host-000231", "10.1.0.1:9000", "za");
+        worker.run("job-102/0", 4294967298L);
+        assertEquals(200, fixture.report(worker));
+        assertEquals(
+                "exited",
+                worker.report().path("passengers").path(0).path("tide").asText());
+    }
+
     @ParameterizedTest
     @CsvSource({
         "f7fe539-silence.json,4,true",
@@ -137,7 +151,8 @@
                 {"if":[{"path":"a/lead","entry_rev":5},{"path":"l/1","entry_rev":0},\
                 {"path":"c/job-104/0","entry_rev":3},{"path":"c/job-104/1","entry_rev":4}],\
                 "apply":[{"put":"l/1","v":{"n":1,"e":[[2,"job-104",0,0],[2,"job-104",2,2],[2,"job-104",7,7],\
-                [0,"job-104",1,4294967299,"host-000231",1],[2,"job-104",9,9],[0,"job-104",8,4294967300,"host-000231",1]],"x":"2-0"}},\
+                [0,"job-104",1,4294967299,"host-000231",1],[2,"job-104",9,9],\
+                [0,"job-104",8,4294967300,"host-000231",1]],"x":"2-0"}},\
                 {"delete":"c/job-104/0"},{"delete":"c/job-104/1"}]}""",
                 commit(fixture, 1));
         fixture.user(PeerMessage.RequestKind.WITHDRAW, "job-104", "");
@@ -151,8 +166,7 @@
     /** A note counts if it is of the term before and of the claim's session, and then from its own time. */
     @ParameterizedTest
     @CsvSource({"1,1700000005000,1,true", "0,1700000005000,1,false", "1,1700000005000,0,false"})
-    void noteOfASilenceTellsWhenAMachineWasLastAnsweredInWhichSessionAndTerm(
-            long session, long answeredAt, long term, boolean counts) {
+    void silenceNoteTellsSessionTimeAndTerm(long session, long answeredAt, long term, boolean counts) {
         StoredKeyValues store = store("stored-silence.json", 3)
                 .with(
                         "l/2",
