--- a/src/main/java/stileferry/autoscaling/CloudClient.java
+++ b/src/main/java/stileferry/autoscaling/CloudClient.java
@@ -28,7 +28,7 @@
 
     /** Takes one call from the budget; false when none is left now. */
     boolean mayCall() {
-        return budget.take(1, 0);
+        return budget.tryAcquire(1, 0);
     }
 
     void call(String method, String path, ObjectNode body, Environment.Reply reply) {
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -69,7 +69,7 @@
     /** Marks what shall be deleted, and deletes it. */
     void returnMachines(boolean settled) {
         double spare = settled ? spareCpus() : 0;
-        boolean mayReturnIdle = settled && links.permitsReturning();
+        boolean mayReturnIdle = settled && links.permitsScaleIn();
         Set<Machine> lost = settled ? new HashSet<>(fleet.failures().lost(since)) : Set.of();
         for (Machine machine : cluster.machines().values()) {
             if (machine.instance().terminating()) {
@@ -123,7 +123,7 @@
         if (settled && unknown && quiet > 2 * listLagMs + leaseMs) {
             return "nobody knows it";
         }
-        if (lost.contains(machine) && links.permitsGivingUp(machine.name())) {
+        if (lost.contains(machine) && links.permitsRemovingMachine(machine.name())) {
             // the deletion proves sooner than the lease that its tasks are gone
             return machine.spot() ? "it was taken without a word" : "it is silent, though its zone is not";
         }
@@ -137,13 +137,13 @@
                 && !machine.instance().booting();
         if (lapsed
                 && Math.min(quiet, now - machine.agent().lastHeardAt()) > SILENT_LEASES * leaseMs
-                && links.permitsGivingUp(machine.name())) {
+                && links.permitsRemovingMachine(machine.name())) {
             return "it is silent";
         }
         if (settled
                 && machine.agent().unreachableSince() != 0
                 && now - machine.agent().unreachableSince() > SILENT_LEASES * leaseMs
-                && links.permitsGivingUp(machine.name())) {
+                && links.permitsRemovingMachine(machine.name())) {
             return "it reports, but nothing that it is told reaches it";
         }
         return null;
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -122,7 +122,7 @@
         }
         machines.remove(machine.name());
         deletedMachines.add(machine.name());
-        links.gone(machine.name());
+        links.workerGone(machine.name());
     }
 
     /** Takes in a machine's zone when it becomes known after claims on it were read. */
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -14,7 +14,7 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
-import stileferry.storage.CommitQueue;
+import stileferry.storage.StoredEntry;
 
 /** An accepted job that is not over, and what is known of its tasks. */
 public final class Job {
@@ -41,7 +41,7 @@
     /** Since when the first of them waits; 0: nobody does. */
     private long repliesPendingSince;
 
-    private final CommitQueue.Entry entry;
+    private final StoredEntry entry;
 
     /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
     private int legacyChunkTasks = 1;
@@ -80,7 +80,7 @@
         this.spec = spec;
         this.acceptanceOrder = order;
         this.acceptedAt = acceptedAt;
-        this.entry = new CommitQueue.Entry(key(spec.id()), revision, this::write).excludes(completedKey(spec.id()));
+        this.entry = new StoredEntry(key(spec.id()), revision, this::write).requireAbsent(completedKey(spec.id()));
     }
 
     public static String key(String id) {
@@ -265,7 +265,7 @@
         this.repliesPendingSince = waitingSince;
     }
 
-    public CommitQueue.Entry entry() {
+    public StoredEntry entry() {
         return entry;
     }
 
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -67,9 +67,9 @@
         this.settings = settings;
         this.ended = new CompletedJobCache(settings.maxSockets());
         this.links = features.partialCuts()
-                ? new LinkMonitor(settings, plain, LeaderElection.lifeMs(settings))
+                ? new LinkMonitor(settings, plain, LeaderElection.leaseDurationMs(settings))
                 : LinkHealth.NONE;
-        this.environment = links.environment(plain);
+        this.environment = links.observedEnvironment(plain);
         this.state = new KeyValueStoreClient(environment, settings);
         this.admission =
                 features.fairAdmission() ? new FairAdmission(settings, environment, state) : AdmissionControl.NONE;
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void options(JsonNode stored) {
+    public void operatorSettings(JsonNode stored) {
         environment.logLevel(OperatorSettings.read(stored).text(OperatorSettings.LOG_LEVEL));
     }
 
@@ -139,7 +139,7 @@
         if (leader != null && leader.active()) {
             leaderSeenAt = now;
         } else if (leadership.leaderPeer() != null) {
-            leaderSeenAt = Math.max(leaderSeenAt, leadership.leaderHeardAt());
+            leaderSeenAt = Math.max(leaderSeenAt, leadership.leaderLastHeardAt());
         }
         return now - leaderSeenAt < READY_GRACE_MS && !admission.shedsUsers();
     }
@@ -186,7 +186,7 @@
             return;
         }
         Settings.Peer peer = leadership.leaderPeer();
-        if (peer == null || links.unreachable(peer.node())) {
+        if (peer == null || links.peerUnreachable(peer.node())) {
             reply.accept(Responses.unavailable());
             return;
         }
@@ -255,20 +255,20 @@
         } else if (leader != null) {
             answerReport(report, false, reply);
         } else {
-            links.reported(report);
+            links.heartbeatReceived(report);
             followerReports.take(report, body, reply);
         }
     }
 
     private void answerReport(Heartbeat report, boolean relayed, BiConsumer<Integer, byte[]> reply) {
         if (report.fencingToken() > leadership.term()) {
-            leadership.learn(report.fencingToken(), "");
+            leadership.observeTerm(report.fencingToken(), "");
         }
         Consumer<byte[]> answered = answer -> {
             if (answer == null) {
                 reply.accept(503, MessageCodec.encode(Messages.error("not entitled to answer this report")));
             } else {
-                links.answered(report, relayed);
+                links.heartbeatAnswered(report, relayed);
                 reply.accept(200, answer);
             }
         };
@@ -285,9 +285,9 @@
     public void peer(PeerMessage record, Consumer<PeerMessage> reply) {
         if (record instanceof PeerMessage.TermAnnouncement announcement) {
             if (announcement.leading()) {
-                links.learn(announcement.leader(), announcement);
+                links.announcementReceived(announcement.leader(), announcement);
             }
-            reply.accept(leadership.hear(announcement));
+            reply.accept(leadership.receive(announcement));
         } else if (record instanceof PeerMessage.ForwardedRequest request) {
             leadOrRefuse(request, reply::accept);
         } else if (record instanceof PeerMessage.RequestBatch batch && leader != null) {
@@ -296,7 +296,7 @@
             PeerMessage answer = admission.exchange(exchange);
             reply.accept(answer == null ? Responses.unavailable() : answer);
         } else if (record instanceof PeerMessage.LinkView linkView) {
-            PeerMessage answer = links.exchange(linkView);
+            PeerMessage answer = links.receiveView(linkView);
             reply.accept(answer == null ? Responses.unavailable() : answer);
         } else {
             LOG.debug("a record that nobody asked for: {}", record);
@@ -368,22 +368,22 @@
         }
 
         @Override
-        public void learn(long term, String name) {
-            leadership.learn(term, name);
+        public void observeTerm(long term, String name) {
+            leadership.observeTerm(term, name);
         }
 
         @Override
-        public void askStore() {
+        public void probeStore() {
             state.get(LeaderElection.TERM_KEY, (status, body) -> {});
         }
 
         @Override
-        public void release() {
+        public void releaseLeadership() {
             leadership.resign();
         }
 
         @Override
-        public long lateMs() {
+        public long eventLoopLagMs() {
             return eventLoopLag.lateMs();
         }
 
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -117,8 +117,8 @@
         this.scheduling = new SchedulingPass(cluster, environment, links, placement, provisioning, tasks);
         this.eventLoopLag = eventLoopLag;
         this.roundMs = settings.workers().reportRoundMs();
-        this.loader =
-                new StateRecovery(environment, state, cluster, ledger, forLoader(), leadership.countingSince() > 0);
+        this.loader = new StateRecovery(
+                environment, state, cluster, ledger, forLoader(), leadership.admissionsCountedSince() > 0);
         loader.load();
     }
 
@@ -210,7 +210,7 @@
 
     /** From here on leases may be renewed, long before all records have been read: what is to be stopped is known. */
     private void cancelledBefore(List<String> jobs) {
-        jobs.forEach(leadership.cancellations()::add);
+        jobs.forEach(leadership.cancellations()::addCancelled);
         cancellationsRead = true;
     }
 
@@ -224,13 +224,13 @@
                 .forEach(job -> tasks.finishGang(job, null));
         cluster.jobs().values().forEach(tasks::stopBrokenAttempt);
         silences.takeOver(loaded.silences());
-        cluster.machines().values().forEach(machine -> links.expected(machine.name(), machine.address()));
-        if (leadership.countingSince() > 0) {
+        cluster.machines().values().forEach(machine -> links.workerExpected(machine.name(), machine.address()));
+        if (leadership.admissionsCountedSince() > 0) {
             admissions = new AdmissionCountShards(
                     loaded.admissionShards(),
-                    leadership.countingSince(),
+                    leadership.admissionsCountedSince(),
                     settings.state().valueKb());
-            ledger.countedBy(admissions);
+            ledger.setTransactionCounter(admissions);
         }
         active = true;
         activeAt = environment.now();
@@ -240,7 +240,7 @@
                 cluster.jobs().size(),
                 loaded.claims());
         tasks.jobEnds().endWhatIsOver();
-        leadership.cancellations().allRead();
+        leadership.cancellations().allCancelledJobsRead();
         provisioning.list();
         tick();
     }
@@ -261,7 +261,7 @@
         users.giveUpWaiting();
         checkSockets();
         silences.giveUp();
-        if (leadership.sure()) {
+        if (leadership.leaseHeld()) {
             provisioning.list();
             provisioning.returnMachines(settled());
             if (!rests()) {
@@ -294,7 +294,7 @@
             passAsked = true;
             environment.after(Math.max(COALESCE_MS, PASS_REST * passTookMs), () -> {
                 passAsked = false;
-                if (!closed && leadership.sure()) {
+                if (!closed && leadership.leaseHeld()) {
                     pass(false);
                     endOfTurn();
                 }
@@ -329,8 +329,8 @@
         if (active) {
             fleet.report(heartbeat, reply);
         } else {
-            boolean known = cancellationsRead || leadership.cancellations().knowsWhatWasBefore();
-            reply.accept(known && leadership.mayRenew() ? fleet.hold(heartbeat) : null);
+            boolean known = cancellationsRead || leadership.cancellations().knowsEarlierCancellations();
+            reply.accept(known && leadership.mayRenewWorkerLeases() ? fleet.hold(heartbeat) : null);
         }
     }
 
@@ -350,7 +350,7 @@
         if (closed) {
             return;
         }
-        if (leadership.sure() && !links.handingOver()) {
+        if (leadership.leaseHeld() && !links.handingOver()) {
             ledger.flush();
         }
         fleet.commands().send();
@@ -359,12 +359,12 @@
     // ---- users
 
     private boolean serving() {
-        return active && !closed && leadership.sure();
+        return active && !closed && leadership.leaseHeld();
     }
 
     /** Whether jobs may be accepted and cancelled. */
     boolean promising() {
-        return serving() && links.permitsPromising();
+        return serving() && links.permitsUserChanges();
     }
 
     /** Whether a job is known: accepted, about to be, or over and asked for lately. */
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -14,9 +14,11 @@
 import stileferry.overload.AdmissionCountShards;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.KeyValue;
 import stileferry.protocol.OperatorSettings;
 import stileferry.storage.CommitQueue;
 import stileferry.storage.KeyValueStoreClient;
+import stileferry.storage.StoredEvent;
 
 /** Reads all that is durable when a term of leading begins, and builds the jobs and claims from it. */
 final class StateRecovery {
@@ -52,10 +54,7 @@
 
     /** What was read beside jobs and claims. */
     record Loaded(
-            long optionsRevision,
-            int claims,
-            Iterable<LastHeartbeatRecord> silences,
-            List<KeyValueStoreClient.Row> admissionShards) {}
+            long optionsRevision, int claims, Iterable<LastHeartbeatRecord> silences, List<KeyValue> admissionShards) {}
 
     /** {@code countsAdmissions}: whether the count of admissions is read too. */
     StateRecovery(
@@ -70,7 +69,7 @@
         this.cluster = cluster;
         this.ledger = ledger;
         this.listener = listener;
-        this.prefixes = new ArrayList<>(List.of(Job.PREFIX, CommitQueue.EVENTS, OLD_PARTS));
+        this.prefixes = new ArrayList<>(List.of(Job.PREFIX, CommitQueue.EVENT_LOG_PREFIX, OLD_PARTS));
         if (countsAdmissions) {
             prefixes.add(AdmissionCountShards.PREFIX);
         }
@@ -85,7 +84,7 @@
     }
 
     /** Reads one prefix after the other; starts again when a read fails. */
-    private void read(List<String> left, List<List<KeyValueStoreClient.Row>> done) {
+    private void read(List<String> left, List<List<KeyValue>> done) {
         if (left.isEmpty()) {
             readOptions(done);
             return;
@@ -106,9 +105,9 @@
         });
     }
 
-    private static List<String> cancelled(List<KeyValueStoreClient.Row> jobs) {
+    private static List<String> cancelled(List<KeyValue> jobs) {
         List<String> ids = new ArrayList<>();
-        for (KeyValueStoreClient.Row row : jobs) {
+        for (KeyValue row : jobs) {
             if (row.value().path("cancelled").asBoolean()) {
                 ids.add(id(row));
             }
@@ -116,12 +115,12 @@
         return ids;
     }
 
-    private static String id(KeyValueStoreClient.Row job) {
+    private static String id(KeyValue job) {
         return job.key().substring(Job.PREFIX.length());
     }
 
-    private void readOptions(List<List<KeyValueStoreClient.Row>> rows) {
-        state.get(LeaderElection.OPTIONS_KEY, (status, body) -> {
+    private void readOptions(List<List<KeyValue>> rows) {
+        state.get(LeaderElection.OPERATOR_SETTINGS_KEY, (status, body) -> {
             if (closed) {
                 return;
             }
@@ -138,14 +137,14 @@
             buildFromRecords(rows.get(1), reader);
             List<TaskAssignment> claims = reader.claims();
             claims.forEach(cluster::assign);
-            List<KeyValueStoreClient.Row> shards = rows.size() > OLD_PREFIXES ? rows.get(OLD_PREFIXES) : List.of();
+            List<KeyValue> shards = rows.size() > OLD_PREFIXES ? rows.get(OLD_PREFIXES) : List.of();
             listener.loaded(new Loaded(revision, claims.size(), reader.silences(), shards));
         });
     }
 
-    private void buildJobs(List<KeyValueStoreClient.Row> rows) {
+    private void buildJobs(List<KeyValue> rows) {
         List<Job> jobs = new ArrayList<>();
-        for (KeyValueStoreClient.Row row : rows) {
+        for (KeyValue row : rows) {
             try {
                 jobs.add(Job.read(row.value(), row.revision()));
             } catch (JobSpec.Malformed e) {
@@ -158,21 +157,21 @@
         jobs.forEach(job -> cluster.jobs().put(job.spec().id(), job));
     }
 
-    private void buildFromOldParts(List<KeyValueStoreClient.Row> rows, TaskEvents.Reader reader) {
+    private void buildFromOldParts(List<KeyValue> rows, TaskEvents.Reader reader) {
         long number = 0;
-        for (KeyValueStoreClient.Row row : rows) {
+        for (KeyValue row : rows) {
             String[] key = row.key().split("/");
             Job job = key.length == 3 ? cluster.jobs().get(key[1]) : null;
             // what is left of a job that ended is deleted like the others, with nothing kept of it
-            List<CommitQueue.Event> events =
+            List<StoredEvent> events =
                     job == null ? List.of() : reader.readChunk(job, Integer.parseInt(key[2]), row.value(), --number);
             ledger.restore(row.key(), row.revision(), number, events);
         }
     }
 
-    private void buildFromRecords(List<KeyValueStoreClient.Row> rows, TaskEvents.Reader reader) {
+    private void buildFromRecords(List<KeyValue> rows, TaskEvents.Reader reader) {
         rows.sort(Comparator.comparingLong(row -> row.value().path("n").asLong()));
-        for (KeyValueStoreClient.Row row : rows) {
+        for (KeyValue row : rows) {
             long number = row.value().path("n").asLong();
             ledger.restore(row.key(), row.revision(), number, reader.read(row.value(), number));
         }
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -79,7 +79,7 @@
     /** All that the worker should do and has not been seen to have done; as far as this node is sure to lead. */
     List<WorkerCommand> signals(Machine machine, boolean inAnswer) {
         List<WorkerCommand> signals = new ArrayList<>();
-        if (!leadership.sure()) {
+        if (!leadership.leaseHeld()) {
             stopCancelled(machine, signals);
             return signals;
         }
@@ -210,7 +210,7 @@
         if (closed) {
             return;
         }
-        boolean sure = leadership.sure();
+        boolean sure = leadership.leaseHeld();
         if (sure) {
             askSome();
         }
@@ -307,7 +307,7 @@
                         return; // no answer, or another machine that has the address now
                     }
                     if (heartbeat.fencingToken() > term) {
-                        leadership.learn(heartbeat.fencingToken(), "");
+                        leadership.observeTerm(heartbeat.fencingToken(), "");
                         return;
                     }
                     machine.agent().setUnreachableSince(0); // it has heard this
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -98,7 +98,7 @@
     /** Looks for leases that have lapsed for certain. */
     public void checkLeases() {
         long now = environment.now();
-        long acked = leadership.allAckedAt();
+        long acked = leadership.acknowledgedByAllPeersAt();
         for (Machine machine : cluster.machines().values()) {
             long over = machine.agent().incarnation();
             for (TaskAssignment assignment : machine.assignments().values()) {
--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -62,7 +62,7 @@
         Settings.Peer peer = leadership.leaderPeer();
         if (leadership.leading()) {
             leads.accept(report, reply);
-        } else if (peer != null && links.leavesOffice(peer.node()) && environment.now() < until) {
+        } else if (peer != null && links.leaderHandsOver(peer.node()) && environment.now() < until) {
             environment.after(NEW_LEADER_LOOK_MS, () -> redirectOrWait(report, body, until, reply));
         } else {
             redirect(report, body, reply);
@@ -84,7 +84,7 @@
     }
 
     private void passOn(Heartbeat report, byte[] body, Settings.Peer peer, BiConsumer<Integer, byte[]> reply) {
-        if (links.unreachable(peer.node())) {
+        if (links.peerUnreachable(peer.node())) {
             withoutLeader(report, reply);
             return;
         }
@@ -103,7 +103,7 @@
 
     /** This node can't tell who leads, as it reaches neither the state service nor the leader; others may. */
     private void sendToHintedLeader(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
-        String hinted = links.hintedLeader(leadership.term());
+        String hinted = links.leaderHint(leadership.term());
         if (hinted.isEmpty()) {
             withoutLeader(report, reply);
         } else {
@@ -114,8 +114,8 @@
     /** Nobody to send a worker to: for a short time that is no matter, later its lease has to be kept alive. */
     private void withoutLeader(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
         if (!leadership.leading()
-                && environment.now() - Math.max(startedAt, leadership.leaderHeardAt()) > leaseMs / 8) {
-            leaderlessRenewal.take(report, reply);
+                && environment.now() - Math.max(startedAt, leadership.leaderLastHeardAt()) > leaseMs / 8) {
+            leaderlessRenewal.requestRenewal(report, reply);
         } else {
             reply.accept(503, MessageCodec.encode(Messages.error("no leader known")));
         }
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -96,7 +96,7 @@
     }
 
     private boolean mayAnswer(Heartbeat heartbeat) {
-        if (!leadership.mayRenew()) {
+        if (!leadership.mayRenewWorkerLeases()) {
             return false; // another leader may have confirmed cancellations that are unknown here
         }
         if (cluster.deletedMachines().contains(heartbeat.machine())) {
@@ -188,7 +188,7 @@
         Machine machine = cluster.machine(heartbeat.machine());
         machine.setAddress(heartbeat.address());
         machine.agent().setLastAnsweredAt(environment.now());
-        List<WorkerCommand> stops = leadership.cancellations().stops(heartbeat);
+        List<WorkerCommand> stops = leadership.cancellations().killCommandsFor(heartbeat);
         return stops.isEmpty() ? nothing : MessageCodec.encode(Messages.heartbeatResponse(term, stops));
     }
 
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -13,6 +13,7 @@
 import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
 import stileferry.storage.CommitQueue;
+import stileferry.storage.StoredEvent;
 
 /**
  * Machines that have fallen silent, noted in the state service, so that the next leader need not begin to wait for
@@ -52,7 +53,7 @@
 
     private record Waiting(long since, Runnable answer, Runnable refuse) {}
 
-    private record Silent(LastHeartbeatRecord silence) implements CommitQueue.Event {
+    private record Silent(LastHeartbeatRecord silence) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(SILENT)
@@ -63,48 +64,48 @@
         }
 
         @Override
-        public int bytes() {
+        public int maxBytes() {
             return BYTES + silence.machine().length();
         }
 
         @Override
-        public void recorded(long record) {
+        public void recordedIn(long record) {
             silence.stored(record);
         }
 
         @Override
-        public CommitQueue.Event kept(long record) {
+        public StoredEvent retainedFrom(long record) {
             return silence.storedIn(record) && !silence.obsolete() ? this : null;
         }
 
         @Override
-        public boolean ends() {
+        public boolean endsEarlierEvent() {
             return false;
         }
     }
 
     /** Needed only while an older record holds the silence, and older records are given up first. */
-    private record Heard(String machine) implements CommitQueue.Event {
+    private record Heard(String machine) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(HEARD).add(machine);
         }
 
         @Override
-        public int bytes() {
+        public int maxBytes() {
             return BYTES + machine.length();
         }
 
         @Override
-        public void recorded(long record) {}
+        public void recordedIn(long record) {}
 
         @Override
-        public CommitQueue.Event kept(long record) {
+        public StoredEvent retainedFrom(long record) {
             return null;
         }
 
         @Override
-        public boolean ends() {
+        public boolean endsEarlierEvent() {
             return true;
         }
     }
@@ -132,7 +133,9 @@
                 continue;
             }
             long ago = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockOffMs);
-            machine.agent().setAnsweredByPreviousLeaderAt(Math.max(environment.now() - ago, leadership.consentedAt()));
+            machine.agent()
+                    .setAnsweredByPreviousLeaderAt(
+                            Math.max(environment.now() - ago, leadership.consentedToLeaderlessRenewalAt()));
             machine.agent().setAnsweredByPreviousLeaderIncarnation(record.incarnation());
             taken++;
         }
@@ -147,11 +150,11 @@
         if (machine.agent().lastHeartbeatRecord() == null
                 && !machine.assignments().isEmpty()
                 && ago > NOTE_AFTER_REPORTS * reportMs
-                && leadership.sure()) {
+                && leadership.leaseHeld()) {
             machine.agent()
                     .setLastHeartbeatRecord(
                             new LastHeartbeatRecord(machine.name(), session, environment.timeOfDay() - ago, term));
-            ledger.log(new Silent(machine.agent().lastHeartbeatRecord()), null);
+            ledger.appendEvent(new Silent(machine.agent().lastHeartbeatRecord()), null);
         }
     }
 
@@ -164,7 +167,7 @@
         }
         waiting.put(machine, new ArrayList<>(List.of(new Waiting(environment.now(), answer, refuse))));
         LastHeartbeatRecord silence = machine.agent().lastHeartbeatRecord();
-        ledger.log(new Heard(machine.name()), () -> {
+        ledger.appendEvent(new Heard(machine.name()), () -> {
             silence.setObsolete(true);
             machine.agent().setLastHeartbeatRecord(null);
             waiting.remove(machine).forEach(w -> w.answer.run());
--- a/src/main/java/stileferry/heartbeat/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -49,7 +49,7 @@
         Visit visit = visits.getIfPresent(machine);
         Visit next;
         if (visit == null || !visit.leader.equals(leader) || goneSince(visit, now)) {
-            next = new Visit(leader, now, now, !links.heardByLeader(leader, machine));
+            next = new Visit(leader, now, now, !links.leaderHearsWorker(leader, machine));
         } else if (triesAgain(visit, machine, now)) {
             next = new Visit(leader, now, now, true);
         } else {
@@ -62,11 +62,11 @@
 
     /** With links watched it is known who has been with the leader meanwhile; without, whoever came once may have. */
     private boolean goneSince(Visit visit, long now) {
-        return links.watches() && now - visit.last > leaseMs;
+        return links.enabled() && now - visit.last > leaseMs;
     }
 
     private boolean triesAgain(Visit visit, String machine, long now) {
-        boolean neverTried = !visit.sentAway && !links.missedByLeader(visit.leader, machine);
+        boolean neverTried = !visit.sentAway && !links.leaderCannotReachWorker(visit.leader, machine);
         return neverTried || now - visit.since > PASSED_ON_LEASES * leaseMs;
     }
 }
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -87,13 +87,13 @@
     // ---- what is known
 
     /** Takes in that a job's cancellation is durable. */
-    public void add(String id) {
+    public void addCancelled(String id) {
         known.remove(id);
         known.put(id, environment.now());
     }
 
     /** Stops for the tasks of cancelled jobs that a report tells of. */
-    public List<WorkerCommand> stops(Heartbeat report) {
+    public List<WorkerCommand> killCommandsFor(Heartbeat report) {
         List<WorkerCommand> stops = new ArrayList<>();
         for (Heartbeat.TaskStatus status : report.tasks()) {
             int slash = status.taskId().indexOf('/');
@@ -107,7 +107,7 @@
     }
 
     /** Whether this process and what others said in this node's term hold every cancellation before this term. */
-    public boolean knowsWhatWasBefore() {
+    public boolean knowsEarlierCancellations() {
         int count = informed ? 1 : 0;
         for (Peer peer : peers) {
             count += peer.answered && peer.informed ? 1 : 0;
@@ -150,7 +150,7 @@
     }
 
     /** All cancelled jobs have been read and were handed over by {@link #confirm}. */
-    public void allRead() {
+    public void allCancelledJobsRead() {
         informed = true;
         complete = true;
     }
@@ -163,13 +163,13 @@
 
     /** Tells others of a job whose cancellation is durable; the action runs when enough of them know. */
     void confirm(String id, Runnable then) {
-        add(id);
+        addCancelled(id);
         standing.put(id, new Confirmation(then));
         confirmed(id);
     }
 
     /** No task of this job is on a machine any more. */
-    public void over(String id) {
+    public void allTasksGone(String id) {
         standing.remove(id);
     }
 
@@ -258,7 +258,7 @@
         if (term.knowledge() == null) {
             informed &= !term.leading(); // a leader of an older version confirms what nobody else knows
         } else {
-            term.knowledge().cancelled().forEach(this::add);
+            term.knowledge().cancelled().forEach(this::addCancelled);
         }
     }
 
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -7,6 +7,7 @@
 import org.slf4j.LoggerFactory;
 import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
+import stileferry.protocol.KeyValue;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
@@ -23,7 +24,7 @@
     public static final String TERM_KEY = "a/term";
 
     /** Holds the operators' settings. */
-    public static final String OPTIONS_KEY = "a/options";
+    public static final String OPERATOR_SETTINGS_KEY = "a/options";
 
     private static final Logger LOG = LoggerFactory.getLogger("leadership");
 
@@ -51,7 +52,7 @@
     private final Listener listener;
     private final LinkHealth links;
     private final boolean countsAdmissions;
-    private final long lifeMs;
+    private final long leaseDurationMs;
     private final long renewMs;
     private final long[] ackedAt;
     private final boolean[] telling;
@@ -62,17 +63,17 @@
     /**
      * The first of the terms up to this one whose leaders have all counted what they accepted; 0: this one does not.
      */
-    private long countingSince;
+    private long admissionsCountedSince;
 
     private String leader = "";
-    private long leaderHeardAt;
+    private long leaderLastHeardAt;
     private boolean leading;
     private long leaderRevision;
     private String lease;
     private long sureUntil;
     private long ledSince;
     private int round;
-    private long consentedAt;
+    private long consentedToLeaderlessRenewalAt;
 
     /** What the coordinator wants to know. */
     public interface Listener {
@@ -83,7 +84,7 @@
         void deposed();
 
         /** The operators' settings as they are stored; only told to followers. */
-        void options(JsonNode stored);
+        void operatorSettings(JsonNode stored);
     }
 
     /** {@code countsAdmissions}: whether this controller counts what it accepts while it leads. */
@@ -100,12 +101,13 @@
         this.listener = listener;
         this.links = links;
         this.countsAdmissions = countsAdmissions;
-        this.lifeMs = lifeMs(settings);
+        this.leaseDurationMs = leaseDurationMs(settings);
         this.renewMs = renewMs(settings);
         this.ackedAt = new long[settings.peers().size()];
         this.telling = new boolean[settings.peers().size()];
         this.cancellations = new CancellationQuorum(environment, settings);
-        this.consentedAt = environment.now(); // what a former life of this process consented to is not known
+        this.consentedToLeaderlessRenewalAt =
+                environment.now(); // what a former life of this process consented to is not known
     }
 
     /**
@@ -113,7 +115,7 @@
      * busy lost its lease, and the next one had so much to read and to ask that it lost it too: on one day 31 terms
      * began in five minutes.
      */
-    public static long lifeMs(Settings settings) {
+    public static long leaseDurationMs(Settings settings) {
         double ample = Math.max(1000, Math.min(1500, settings.workers().reportS() * LIFE_IN_REPORTS * 1000));
         double most = Math.max(ample, settings.workers().leaseS() * 1000 * LIFE_IN_LEASES);
         return Math.round(Math.min(most, ample * settings.slowness()));
@@ -143,12 +145,12 @@
     }
 
     /** The first term of the unbroken run of leaders that count admissions, up to this node's term; 0: it does not. */
-    public long countingSince() {
-        return countingSince;
+    public long admissionsCountedSince() {
+        return admissionsCountedSince;
     }
 
     /** True while this node's lease cannot have ended, counted from when its renewal was sent. */
-    public boolean sure() {
+    public boolean leaseHeld() {
         return leading && environment.now() < sureUntil;
     }
 
@@ -158,8 +160,8 @@
      * while enough other controllers say that there is no other leader, and for as long as what it renews will still
      * lapse in time.
      */
-    public boolean mayRenew() {
-        return sure()
+    public boolean mayRenewWorkerLeases() {
+        return leaseHeld()
                 || leading && environment.now() < Math.max(sureUntil, cancellations.nothingMissedUntil()) + renewMs;
     }
 
@@ -169,7 +171,7 @@
     }
 
     /** Tells the other controllers at once that a job's cancellation is durable; the action runs when enough know. */
-    public void tellCancelled(String id, Runnable then) {
+    public void confirmCancellation(String id, Runnable then) {
         cancellations.confirm(id, then);
         tell();
     }
@@ -191,12 +193,12 @@
         return null;
     }
 
-    public long leaderHeardAt() {
-        return leaderHeardAt;
+    public long leaderLastHeardAt() {
+        return leaderLastHeardAt;
     }
 
     /** When the last controller acknowledged this term, after which none speaks for an older one; -1: not yet. */
-    public long allAckedAt() {
+    public long acknowledgedByAllPeersAt() {
         long last = ledSince;
         for (long at : ackedAt) {
             if (at < 0) {
@@ -208,39 +210,39 @@
     }
 
     /** Takes what another controller says and answers with what this one knows. */
-    public PeerMessage.TermAnnouncement hear(PeerMessage.TermAnnouncement heard) {
-        learn(heard);
+    public PeerMessage.TermAnnouncement receive(PeerMessage.TermAnnouncement heard) {
+        observeTerm(heard);
         cancellations.heard(heard, heard.term() >= term);
         if (!heard.leading() && !leading) {
             consent(); // who does not lead asks only for that
         }
         return new PeerMessage.TermAnnouncement(term, leader(), leading, cancellations.answer(heard))
-                .with(links.aware());
+                .with(links.controllersExchangingViews());
     }
 
     /** Takes in that another controller may answer reports without a leader that were sent until now. */
     void consent() {
-        consentedAt = environment.now();
+        consentedToLeaderlessRenewalAt = environment.now();
     }
 
     /** When this process last let another one answer reports without a leader; it has not done so since. */
-    public long consentedAt() {
-        return consentedAt;
+    public long consentedToLeaderlessRenewalAt() {
+        return consentedToLeaderlessRenewalAt;
     }
 
     /** What this controller tells another one. */
     PeerMessage.TermAnnouncement words(int peer) {
-        return new PeerMessage.TermAnnouncement(term, leader(), leading, cancellations.words(peer, sure()))
-                .with(links.aware());
+        return new PeerMessage.TermAnnouncement(term, leader(), leading, cancellations.words(peer, leaseHeld()))
+                .with(links.controllersExchangingViews());
     }
 
     /** Takes another controller's words. Only a leader speaks for itself: whom others believe in may be long gone. */
-    void learn(PeerMessage.TermAnnouncement heard) {
-        learn(heard.term(), heard.leading() ? heard.leader() : "");
+    void observeTerm(PeerMessage.TermAnnouncement heard) {
+        observeTerm(heard.term(), heard.leading() ? heard.leader() : "");
     }
 
     /** Takes a term seen anywhere: in another controller's words or in a worker's report. */
-    public void learn(long heardTerm, String heardLeader) {
+    public void observeTerm(long heardTerm, String heardLeader) {
         if (heardTerm < term) {
             return;
         }
@@ -254,7 +256,7 @@
         }
         if (!heardLeader.isEmpty() && !heardLeader.equals(settings.node()) && !leading) {
             leader = heardLeader;
-            leaderHeardAt = environment.now();
+            leaderLastHeardAt = environment.now();
         }
     }
 
@@ -264,7 +266,7 @@
             LOG.info("giving up term {}", term);
             String old = lease;
             stepDown();
-            state.end(old, (status, body) -> {});
+            state.revokeLease(old, (status, body) -> {});
         }
     }
 
@@ -297,23 +299,23 @@
             }
             TermRecord stored = TermRecord.NONE;
             JsonNode holder = null;
-            for (KeyValueStoreClient.Row row : rows.rows()) {
+            for (KeyValue row : rows.rows()) {
                 if (row.key().equals(LEADER_KEY)) {
                     holder = row.value();
-                } else if (row.key().equals(OPTIONS_KEY)) {
-                    listener.options(row.value());
+                } else if (row.key().equals(OPERATOR_SETTINGS_KEY)) {
+                    listener.operatorSettings(row.value());
                 } else if (row.key().equals(TERM_KEY)) {
                     stored = TermRecord.read(row.value(), row.revision());
                 }
             }
             if (holder == null) {
-                learn(stored.term(), "");
+                observeTerm(stored.term(), "");
                 runOrAbstain(forRound, stored);
             } else if (holder.path("node").asText().equals(settings.node())) {
                 // left by this node's former life, or by an attempt that was given up: nobody uses it
-                state.end(holder.path("lease").asText(), (s, b) -> later(60, forRound, () -> look(forRound)));
+                state.revokeLease(holder.path("lease").asText(), (s, b) -> later(60, forRound, () -> look(forRound)));
             } else {
-                learn(holder.path("term").asLong(), holder.path("node").asText());
+                observeTerm(holder.path("term").asLong(), holder.path("node").asText());
                 watch(forRound, rows.revision());
             }
         });
@@ -321,7 +323,7 @@
 
     /** Leaves a free leadership to others for a while if their links are better, or this node has just released it. */
     private void runOrAbstain(int forRound, TermRecord stored) {
-        long abstainMs = links.abstainMs();
+        long abstainMs = links.electionDelayMs();
         if (abstainMs > 0) {
             later(Math.min(abstainMs, ABSTAINING_LOOK_MS), forRound, () -> look(forRound));
         } else {
@@ -346,7 +348,7 @@
 
     private void run(int forRound, TermRecord stored) {
         long sentAt = environment.now();
-        state.lease(lifeMs, (status, body) -> {
+        state.grantLease(leaseDurationMs, (status, body) -> {
             if (round != forRound || leading) {
                 return;
             }
@@ -378,7 +380,7 @@
                     win(next, b.path("ledger_rev").asLong(), mine, sentAt);
                 } else {
                     // if the outcome is unknown, the next look finds the key and ends its lease
-                    state.end(mine, (s2, b2) -> {});
+                    state.revokeLease(mine, (s2, b2) -> {});
                     later(100, forRound, () -> look(forRound));
                 }
             });
@@ -387,13 +389,13 @@
 
     private void win(TermRecord won, long revision, String wonLease, long sentAt) {
         if (won.term() < term) { // a higher term was heard meanwhile: this one would be ignored
-            state.end(wonLease, (s, b) -> {});
+            state.revokeLease(wonLease, (s, b) -> {});
             int now = ++round;
             later(100, now, () -> look(now));
             return;
         }
         term = won.term();
-        countingSince = won.countingSince();
+        admissionsCountedSince = won.admissionsCountedSince();
         leading = true;
         leader = settings.node();
         leaderRevision = revision;
@@ -405,13 +407,13 @@
         trust(sentAt);
         LOG.info("leading in term {}", term);
         int now = ++round;
-        environment.after(lifeMs / 5, () -> renew(now));
+        environment.after(leaseDurationMs / 5, () -> renew(now));
         announce();
         listener.elected(term, leaderRevision);
     }
 
     private void trust(long sentAt) {
-        sureUntil = Math.max(sureUntil, sentAt + Math.round(lifeMs * (1 - DRIFT)) - TIMER_SLACK_MS);
+        sureUntil = Math.max(sureUntil, sentAt + Math.round(leaseDurationMs * (1 - DRIFT)) - TIMER_SLACK_MS);
     }
 
     /** Renews again whether or not the last renewal was answered: a service that is slow now and then is not down. */
@@ -420,24 +422,24 @@
             return;
         }
         long sentAt = environment.now();
-        boolean wasSure = sure();
-        state.touch(lease, lifeMs, (status, body) -> {
+        boolean wasSure = leaseHeld();
+        state.renewLease(lease, leaseDurationMs, (status, body) -> {
             if (round != forRound || !leading) {
                 return;
             }
             if (status == 200) {
-                if (!sure()) {
+                if (!leaseHeld()) {
                     LOG.info("the state service answers again, still leading in term {}", term);
                 }
                 trust(sentAt);
             } else if (status == 404) {
                 LOG.info("the lease of term {} has ended", term);
                 stepDown();
-            } else if (wasSure && !sure()) {
+            } else if (wasSure && !leaseHeld()) {
                 LOG.info("not sure to lead any more: the lease of term {} could not be renewed ({})", term, status);
             }
         });
-        environment.after(lifeMs / 5, () -> renew(forRound));
+        environment.after(leaseDurationMs / 5, () -> renew(forRound));
     }
 
     /** The leader tells everybody its term once a second; that also tells them that it is there. */
@@ -471,14 +473,14 @@
         environment.peer(settings.peers().get(peer), words, ANNOUNCE_MS, record -> {
             telling[peer] = false;
             if (record instanceof PeerMessage.TermAnnouncement answer) {
-                links.learn(settings.peers().get(peer).node(), answer);
+                links.announcementReceived(settings.peers().get(peer).node(), answer);
                 if (leading && term == told) {
                     if (answer.term() == told && ackedAt[peer] < 0) {
                         ackedAt[peer] = environment.now();
                     }
                     cancellations.answered(peer, answer, sentAt, told, words.knowledge());
                 }
-                learn(answer);
+                observeTerm(answer);
                 tell();
             }
         });
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -42,7 +42,7 @@
     }
 
     /** Takes a report that no leader can be found for. */
-    public void take(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
+    public void requestRenewal(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
         waiting.add(new Waiting(report, reply));
         ask();
     }
@@ -61,7 +61,7 @@
         for (int i = 0; i < peers.size(); i++) {
             environment.peer(peers.get(i), leadership.words(i), ANSWER_MS, record -> {
                 if (record instanceof PeerMessage.TermAnnouncement announcement) {
-                    leadership.learn(announcement);
+                    leadership.observeTerm(announcement);
                     leadership.cancellations().heard(announcement, false);
                     alone[0] &= !announcement.leading();
                     informed[0] += announcement.knowledge() != null
@@ -102,7 +102,7 @@
                         200,
                         MessageCodec.encode(Messages.heartbeatResponse(
                                 waiting.report.fencingToken(),
-                                leadership.cancellations().stops(waiting.report))));
+                                leadership.cancellations().killCommandsFor(waiting.report))));
             } else {
                 waiting.reply.accept(503, MessageCodec.encode(Messages.error("no leader known")));
             }
--- a/src/main/java/stileferry/leadership/TermRecord.java
+++ b/src/main/java/stileferry/leadership/TermRecord.java
@@ -9,12 +9,11 @@
  * without the second field, so a run of counting leaders ends with them.
  *
  * @param term the term; 0: there was none yet
- * @param countingSince the first of the terms up to this one whose leaders have all counted admissions; 0: this one
- * does
- *     not
+ * @param admissionsCountedSince the first of the terms up to this one whose leaders have all counted admissions; 0:
+ *     this one does not
  * @param revision of the key; 0: it does not exist
  */
-public record TermRecord(long term, long countingSince, long revision) {
+public record TermRecord(long term, long admissionsCountedSince, long revision) {
     /** Nothing is stored. */
     static final TermRecord NONE = new TermRecord(0, 0, 0);
 
@@ -27,12 +26,12 @@
 
     /** The record of the next term, whose leader counts or not. */
     TermRecord next(long nextTerm, boolean counts) {
-        long since = countingSince > 0 ? countingSince : nextTerm;
+        long since = admissionsCountedSince > 0 ? admissionsCountedSince : nextTerm;
         return new TermRecord(nextTerm, counts ? since : 0, 0);
     }
 
     ObjectNode write() {
         ObjectNode value = MessageCodec.map().put("term", term);
-        return countingSince > 0 ? value.put(COUNTING_SINCE, countingSince) : value;
+        return admissionsCountedSince > 0 ? value.put(COUNTING_SINCE, admissionsCountedSince) : value;
     }
 }
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -7,6 +7,7 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.leadership.LeaderElection;
 import stileferry.storage.CommitQueue;
+import stileferry.storage.StoredEntry;
 
 /** Ends of jobs, done or cancelled. Users hear of them when they are durable, of cancellations when enough know. */
 public final class JobCompletion {
@@ -70,11 +71,10 @@
         }
         job.setCompleting(true);
         CompletedJobCache.CompletedJob record = new CompletedJobCache.CompletedJob(how, job.completedCount());
-        CommitQueue.Entry entry =
-                new CommitQueue.Entry(Job.completedKey(job.spec().id()), 0, record::write);
-        ledger.move(entry, job.entry(), () -> {
+        StoredEntry entry = new StoredEntry(Job.completedKey(job.spec().id()), 0, record::write);
+        ledger.putAndDelete(entry, job.entry(), () -> {
             job.setCompleted(true);
-            leadership.cancellations().over(job.spec().id());
+            leadership.cancellations().allTasksGone(job.spec().id());
             cluster.jobs().remove(job.spec().id());
             ended.put(job.spec().id(), record);
             listener.ended(job, record);
@@ -89,7 +89,7 @@
         for (TaskAssignment claim : List.copyOf(job.assignments().values())) {
             if (claim.startsSent() == 0) {
                 cluster.unassign(claim, false); // no machine has heard of it
-                ledger.log(TaskEvents.freed(claim), null);
+                ledger.appendEvent(TaskEvents.freed(claim), null);
             }
         }
         if (job.assignments().isEmpty()) {
@@ -107,7 +107,7 @@
             end(job, "cancelled");
             return;
         }
-        leadership.tellCancelled(job.spec().id(), () -> {
+        leadership.confirmCancellation(job.spec().id(), () -> {
             job.setCancelReplicated(true);
             confirm(job);
         });
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -11,7 +11,7 @@
 import stileferry.cluster.LastHeartbeatRecord;
 import stileferry.cluster.TaskAssignment;
 import stileferry.heartbeat.LastHeartbeatJournal;
-import stileferry.storage.CommitQueue;
+import stileferry.storage.StoredEvent;
 
 /** What is stored of tasks: claims, their ends, and tasks that are done; and how all events are read again. */
 public final class TaskEvents {
@@ -25,21 +25,21 @@
     private TaskEvents() {}
 
     /** A task may be on a machine from now on. */
-    static CommitQueue.Event claimed(TaskAssignment claim) {
+    static StoredEvent claimed(TaskAssignment claim) {
         return new Claimed(claim);
     }
 
     /** A claim has ended, and its task waits again. */
-    static CommitQueue.Event freed(TaskAssignment claim) {
+    static StoredEvent freed(TaskAssignment claim) {
         return new Freed(claim.job(), claim.index(), claim.attempt());
     }
 
     /** A task is done. */
-    static CommitQueue.Event done(Job job, int index) {
+    static StoredEvent done(Job job, int index) {
         return new Done(job, index, index);
     }
 
-    private record Claimed(TaskAssignment claim) implements CommitQueue.Event {
+    private record Claimed(TaskAssignment claim) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(CLAIMED)
@@ -51,78 +51,78 @@
         }
 
         @Override
-        public int bytes() {
+        public int maxBytes() {
             return BYTES + claim.job().spec().id().length() + claim.machine().length();
         }
 
         @Override
-        public void recorded(long record) {
+        public void recordedIn(long record) {
             claim.setRecordNumber(record);
         }
 
         @Override
-        public CommitQueue.Event kept(long record) {
+        public StoredEvent retainedFrom(long record) {
             return claim.recordNumber() == record && claim.job().assignments().get(claim.index()) == claim
                     ? this
                     : null;
         }
 
         @Override
-        public boolean ends() {
+        public boolean endsEarlierEvent() {
             return false;
         }
     }
 
     /** Needed only while an older record holds the claim, and older records are given up first. */
-    private record Freed(Job job, int index, long attempt) implements CommitQueue.Event {
+    private record Freed(Job job, int index, long attempt) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(FREED).add(job.spec().id()).add(index).add(attempt);
         }
 
         @Override
-        public int bytes() {
+        public int maxBytes() {
             return BYTES + job.spec().id().length();
         }
 
         @Override
-        public void recorded(long record) {}
+        public void recordedIn(long record) {}
 
         @Override
-        public CommitQueue.Event kept(long record) {
+        public StoredEvent retainedFrom(long record) {
             return null;
         }
 
         @Override
-        public boolean ends() {
+        public boolean endsEarlierEvent() {
             return true;
         }
     }
 
-    private record Done(Job job, int from, int to) implements CommitQueue.Event {
+    private record Done(Job job, int from, int to) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(DONE).add(job.spec().id()).add(from).add(to);
         }
 
         @Override
-        public int bytes() {
+        public int maxBytes() {
             return BYTES + job.spec().id().length();
         }
 
         @Override
-        public void recorded(long record) {
+        public void recordedIn(long record) {
             job.completionRecord(from, to, (int) record);
         }
 
         @Override
-        public boolean ends() {
+        public boolean endsEarlierEvent() {
             return false; // said again for as long as its job lives
         }
 
         /** Together with its neighbours that are done by now, so that a long job takes ever fewer events. */
         @Override
-        public CommitQueue.Event kept(long record) {
+        public StoredEvent retainedFrom(long record) {
             if (job.completed()) {
                 return null;
             }
@@ -149,8 +149,8 @@
         }
 
         /** Takes one record in and returns its events. */
-        public List<CommitQueue.Event> read(JsonNode record, long number) {
-            List<CommitQueue.Event> events = new ArrayList<>();
+        public List<StoredEvent> read(JsonNode record, long number) {
+            List<StoredEvent> events = new ArrayList<>();
             for (JsonNode e : record.path("e")) {
                 int kind = e.path(0).asInt(-1);
                 if (readHeartbeatEvent(kind, e)) {
@@ -203,8 +203,8 @@
         }
 
         /** Reads the older form: one part of a job's tasks, a bitmap of those done and the claims. */
-        public List<CommitQueue.Event> readChunk(Job job, int chunk, JsonNode v, long number) {
-            List<CommitQueue.Event> events = new ArrayList<>();
+        public List<StoredEvent> readChunk(Job job, int chunk, JsonNode v, long number) {
+            List<StoredEvent> events = new ArrayList<>();
             int from = chunk * job.legacyChunkTasks();
             String hex = v.path("done").asText();
             for (int i = 0; i < 4 * hex.length() && from + i < job.spec().taskCount(); i++) {
@@ -229,7 +229,7 @@
             return events;
         }
 
-        private CommitQueue.Event claim(Job job, int index, long attempt, String machine, long session, long number) {
+        private StoredEvent claim(Job job, int index, long attempt, String machine, long session, long number) {
             TaskAssignment claim = new TaskAssignment(job, index, attempt, machine, session, 0);
             claim.setDurable(true);
             claim.setStartsSent(1);
@@ -238,13 +238,13 @@
             return new Claimed(claim);
         }
 
-        private CommitQueue.Event done(Job job, int from, int to, long number) {
+        private StoredEvent done(Job job, int from, int to, long number) {
             for (int i = from; i <= to; i++) {
                 job.markCompleted(i);
                 of(job).remove(i);
             }
             Done done = new Done(job, from, to);
-            done.recorded(number);
+            done.recordedIn(number);
             return done;
         }
 
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -100,7 +100,7 @@
             claim.setStartedOverdue(overdue);
             claim.setGangAttempt(gangAttempt);
             cluster.assign(claim);
-            ledger.log(TaskEvents.claimed(claim), () -> claimDurable(claim, machine));
+            ledger.appendEvent(TaskEvents.claimed(claim), () -> claimDurable(claim, machine));
             index = job.completedOrAssigned().nextClearBit(index);
         }
     }
@@ -380,7 +380,7 @@
         } else if (job.cancelled() && job.assignments().isEmpty()) {
             jobEnds.end(job, "cancelled", onDurable);
         } else {
-            ledger.log(done ? TaskEvents.done(job, claim.index()) : TaskEvents.freed(claim), onDurable);
+            ledger.appendEvent(done ? TaskEvents.done(job, claim.index()) : TaskEvents.freed(claim), onDurable);
             jobEnds.confirm(job);
         }
         changed.run();
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -27,28 +27,28 @@
         String leader();
 
         /** Takes in a term that another controller knows, and its name if it leads in it itself. */
-        void learn(long term, String leader);
+        void observeTerm(long term, String leader);
 
         /** Reads something small from the state service. */
-        void askStore();
+        void probeStore();
 
         /** Releases the leadership. */
-        void release();
+        void releaseLeadership();
 
         /** By how many milliseconds timers are late. */
-        long lateMs();
+        long eventLoopLagMs();
 
         /** Whether this process is behind with its work. */
         boolean behind();
     }
 
     /** Whether links are watched. */
-    default boolean watches() {
+    default boolean enabled() {
         return false;
     }
 
     /** The environment through which the rest of the controller has to see the world. */
-    default Environment environment(Environment plain) {
+    default Environment observedEnvironment(Environment plain) {
         return plain;
     }
 
@@ -58,16 +58,16 @@
     // ---- what the controller sees
 
     /** A follower got a report straight from its worker. */
-    default void reported(Heartbeat report) {}
+    default void heartbeatReceived(Heartbeat report) {}
 
     /** The leader took a report in and answered it; {@code relayed}: it came by way of another controller. */
-    default void answered(Heartbeat report, boolean relayed) {}
+    default void heartbeatAnswered(Heartbeat report, boolean relayed) {}
 
     /** The leader knows that a worker should be there. */
-    default void expected(String machine, String addr) {}
+    default void workerExpected(String machine, String addr) {}
 
     /** The leader knows that a worker is gone. */
-    default void gone(String machine) {}
+    default void workerGone(String machine) {}
 
     /** This node leads from now on; {@code changesInFlight}: transactions without a known outcome. */
     default void elected(long term, IntSupplier changesInFlight) {}
@@ -78,47 +78,47 @@
     // ---- what the controllers tell each other
 
     /** The controllers that are known to exchange views of their links, this one first; empty: it does not. */
-    default List<String> aware() {
+    default List<String> controllersExchangingViews() {
         return List.of();
     }
 
     /** Takes in what another controller, of which the name is known, said with its term. */
-    default void learn(String controller, PeerMessage.TermAnnouncement term) {}
+    default void announcementReceived(String controller, PeerMessage.TermAnnouncement term) {}
 
     /** Takes in a view and returns the answer; null: views are not exchanged. */
-    default PeerMessage exchange(PeerMessage.LinkView links) {
+    default PeerMessage receiveView(PeerMessage.LinkView links) {
         return null;
     }
 
     // ---- what it may do
 
     /** Whether the leader says that it has heard a worker in its term: if it comes here, it could not report there. */
-    default boolean heardByLeader(String leader, String machine) {
+    default boolean leaderHearsWorker(String leader, String machine) {
         return false;
     }
 
     /** Whether the leader says that its requests do not reach a worker. */
-    default boolean missedByLeader(String leader, String machine) {
+    default boolean leaderCannotReachWorker(String leader, String machine) {
         return false;
     }
 
     /** Who leads in this term or a later one, as others say; empty: nobody says. A hint, as they may be wrong. */
-    default String hintedLeader(long term) {
+    default String leaderHint(long term) {
         return "";
     }
 
     /** Whether requests to another controller have lately been in vain, so that there is no use in waiting for one. */
-    default boolean unreachable(String controller) {
+    default boolean peerUnreachable(String controller) {
         return false;
     }
 
     /** Whether a leader is handing over or just has, so that the next one will be known at once. */
-    default boolean leavesOffice(String leader) {
+    default boolean leaderHandsOver(String leader) {
         return false;
     }
 
     /** For how long a free leadership is left to others, in milliseconds. */
-    default long abstainMs() {
+    default long electionDelayMs() {
         return 0;
     }
 
@@ -128,32 +128,32 @@
     }
 
     /** Whether tasks may be started. */
-    default boolean permitsStarting() {
+    default boolean permitsTaskStart() {
         return true;
     }
 
     /** Whether work may be stopped to make room. */
-    default boolean permitsPreempting() {
+    default boolean permitsPreemption() {
         return true;
     }
 
     /** Whether machines may be rented. */
-    default boolean permitsRenting() {
+    default boolean permitsScaleOut() {
         return true;
     }
 
     /** Whether machines that are not needed may be returned. */
-    default boolean permitsReturning() {
+    default boolean permitsScaleIn() {
         return true;
     }
 
     /** Whether a silent machine may be given up. */
-    default boolean permitsGivingUp(String machine) {
+    default boolean permitsRemovingMachine(String machine) {
         return true;
     }
 
     /** Whether users' jobs may be accepted and cancelled. */
-    default boolean permitsPromising() {
+    default boolean permitsUserChanges() {
         return true;
     }
 
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -69,18 +69,18 @@
         long patienceMs = Math.max(LEAST_PATIENCE_MS, tickMs);
         long exchangePatienceMs = config.exchangeMs(false); // one that is merely slow is no lost one
         this.storeProbeMs = config.storeProbeMs();
-        this.exchange =
-                new ViewExchange(settings, environment(environment), connectivity, exchangePatienceMs, this::taken);
+        this.exchange = new ViewExchange(
+                settings, observedEnvironment(environment), connectivity, exchangePatienceMs, this::taken);
         this.prober = new WorkerProber(settings, environment, connectivity, patienceMs);
     }
 
     @Override
-    public boolean watches() {
+    public boolean enabled() {
         return true;
     }
 
     @Override
-    public Environment environment(Environment plain) {
+    public Environment observedEnvironment(Environment plain) {
         return new LinkObservingEnvironment(plain, this);
     }
 
@@ -94,9 +94,9 @@
         environment.after(tickMs, this::tick);
         long now = environment.now();
         connectivity.leaderKnown(host.term(), host.leader(), now);
-        connectivity.lagging(host.lateMs(), host.behind(), now);
+        connectivity.lagging(host.eventLoopLagMs(), host.behind(), now);
         if (now - storeSeenAt >= storeProbeMs) {
-            host.askStore(); // a link that nothing else uses
+            host.probeStore(); // a link that nothing else uses
         }
         exchange.ifDue();
         prober.send();
@@ -155,7 +155,7 @@
         if (host.leading()) {
             LOG.info("releasing term {} to {}", term, nominee);
             releasing = true;
-            host.release();
+            host.releaseLeadership();
             connectivity.released(environment.now());
         }
     }
@@ -172,14 +172,14 @@
     }
 
     @Override
-    public void reported(Heartbeat report) {
+    public void heartbeatReceived(Heartbeat report) {
         if (!report.machine().isEmpty()) {
             connectivity.workerReported(seen(report, false), environment.now());
         }
     }
 
     @Override
-    public void answered(Heartbeat report, boolean relayed) {
+    public void heartbeatAnswered(Heartbeat report, boolean relayed) {
         if (report.machine().isEmpty()) {
             return;
         }
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void expected(String machine, String addr) {
+    public void workerExpected(String machine, String addr) {
         if (!addr.isEmpty()) {
             workerAt.forcePut(addr, machine);
         }
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public void gone(String machine) {
+    public void workerGone(String machine) {
         connectivity.workerGone(machine, environment.now());
         workerAt.inverse().remove(machine);
     }
@@ -243,12 +243,12 @@
     // ---- views
 
     @Override
-    public List<String> aware() {
+    public List<String> controllersExchangingViews() {
         return exchange.aware();
     }
 
     @Override
-    public void learn(String controller, PeerMessage.TermAnnouncement said) {
+    public void announcementReceived(String controller, PeerMessage.TermAnnouncement said) {
         exchange.learn(controller, said);
         if (said.leading() && said.term() > toldTerm) {
             toldTerm = said.term();
@@ -258,12 +258,12 @@
     }
 
     @Override
-    public PeerMessage exchange(PeerMessage.LinkView links) {
+    public PeerMessage receiveView(PeerMessage.LinkView links) {
         return exchange.answer(links);
     }
 
     private void taken(ReachabilityView.Header header) {
-        host.learn(header.term(), header.leading() ? header.sender() : "");
+        host.observeTerm(header.term(), header.leading() ? header.sender() : "");
         connectivity.leaderKnown(host.term(), host.leader(), environment.now());
     }
 
@@ -274,32 +274,32 @@
     }
 
     @Override
-    public boolean heardByLeader(String leader, String machine) {
+    public boolean leaderHearsWorker(String leader, String machine) {
         return connectivity.knownBy(leader, machine, environment.now());
     }
 
     @Override
-    public boolean missedByLeader(String leader, String machine) {
+    public boolean leaderCannotReachWorker(String leader, String machine) {
         return connectivity.missedBy(leader, machine, environment.now());
     }
 
     @Override
-    public String hintedLeader(long leastTerm) {
+    public String leaderHint(long leastTerm) {
         return connectivity.leaderSeenByOthers(leastTerm, environment.now());
     }
 
     @Override
-    public boolean unreachable(String controller) {
+    public boolean peerUnreachable(String controller) {
         return connectivity.unreachable(controller, environment.now());
     }
 
     @Override
-    public boolean leavesOffice(String leader) {
+    public boolean leaderHandsOver(String leader) {
         return connectivity.handsOver(leader, environment.now());
     }
 
     @Override
-    public long abstainMs() {
+    public long electionDelayMs() {
         return connectivity.abstainMs(environment.now());
     }
 
@@ -309,32 +309,32 @@
     }
 
     @Override
-    public boolean permitsStarting() {
+    public boolean permitsTaskStart() {
         return permits(Decision.START);
     }
 
     @Override
-    public boolean permitsPreempting() {
+    public boolean permitsPreemption() {
         return permits(Decision.PREEMPT);
     }
 
     @Override
-    public boolean permitsRenting() {
+    public boolean permitsScaleOut() {
         return permits(Decision.RENT);
     }
 
     @Override
-    public boolean permitsReturning() {
+    public boolean permitsScaleIn() {
         return permits(Decision.RETURN_WORKER);
     }
 
     @Override
-    public boolean permitsGivingUp(String machine) {
+    public boolean permitsRemovingMachine(String machine) {
         return connectivity.permitsGivingUp(machine, environment.now()).allowed();
     }
 
     @Override
-    public boolean permitsPromising() {
+    public boolean permitsUserChanges() {
         return permits(Decision.ACCEPT) && permits(Decision.CONFIRM_CANCELLATION);
     }
 
--- a/src/main/java/stileferry/overload/AdmissionCountShards.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -8,9 +8,10 @@
 import java.util.Map;
 import stileferry.admission.AdmissionCounts;
 import stileferry.admission.AdmissionTotals;
+import stileferry.protocol.KeyValue;
 import stileferry.protocol.MessageCodec;
-import stileferry.storage.CommitQueue;
-import stileferry.storage.KeyValueStoreClient;
+import stileferry.storage.StoredEntry;
+import stileferry.storage.TransactionCounter;
 
 /**
  * The durable count of admissions, in one term of leading. Each transaction that makes accepted jobs durable also puts
@@ -18,7 +19,7 @@
  * those of all transactions, so a count is carried out exactly when its jobs are. A shard costs one change for each
  * transaction with acceptances, however many it holds.
  */
-public final class AdmissionCountShards implements CommitQueue.Counter {
+public final class AdmissionCountShards implements TransactionCounter {
     /** The prefix of the shards' keys; no version before this one reads or writes it. */
     public static final String PREFIX = "n/";
 
@@ -36,15 +37,15 @@
     private final long completeUntil;
     private final int mostBytes;
     private final List<OpenShard> shards = new ArrayList<>();
-    private final Map<CommitQueue.Entry, AdmissionCounts.Cell> uncounted = new IdentityHashMap<>();
+    private final Map<StoredEntry, AdmissionCounts.Cell> uncounted = new IdentityHashMap<>();
 
     /** A shard that this term may write. */
     private final class OpenShard {
         final AdmissionCounts counts = new AdmissionCounts();
-        final CommitQueue.Entry entry;
+        final StoredEntry entry;
 
         OpenShard(String key, long revision) {
-            entry = new CommitQueue.Entry(key, revision, () -> write(counts));
+            entry = new StoredEntry(key, revision, () -> write(counts));
         }
 
         boolean takes(List<AdmissionCounts.Cell> cells) {
@@ -53,7 +54,7 @@
                     .mapToInt(
                             cell -> 2 * (cell.team().length() + cell.jobClass().length()) + 2 * CELL_BYTES)
                     .sum();
-            return !entry.flying() && write(counts).toString().length() + more <= mostBytes;
+            return !entry.inFlight() && write(counts).toString().length() + more <= mostBytes;
         }
     }
 
@@ -63,11 +64,11 @@
      * @param rows all shards
      * @param run the first term of the unbroken run of counting leaders that this one is of
      */
-    public AdmissionCountShards(List<KeyValueStoreClient.Row> rows, long run, double valueKb) {
+    public AdmissionCountShards(List<KeyValue> rows, long run, double valueKb) {
         this.run = run;
         this.mostBytes = (int) (valueKb * 1024 * FILL);
         this.completeUntil = AdmissionTotals.completeUntil(read(rows), run);
-        for (KeyValueStoreClient.Row row : rows) {
+        for (KeyValue row : rows) {
             OpenShard shard = new OpenShard(row.key(), row.revision());
             shard.counts.addAll(readShard(row).counts());
             shards.add(shard);
@@ -75,14 +76,14 @@
     }
 
     /** Has a job counted in the transaction that makes it durable. */
-    public void count(CommitQueue.Entry job, AdmissionCounts.Cell cell) {
+    public void count(StoredEntry job, AdmissionCounts.Cell cell) {
         uncounted.put(job, cell);
     }
 
     @Override
-    public CommitQueue.Entry count(List<CommitQueue.Entry> entries) {
+    public StoredEntry count(List<StoredEntry> entries) {
         List<AdmissionCounts.Cell> cells = new ArrayList<>();
-        for (CommitQueue.Entry entry : entries) {
+        for (StoredEntry entry : entries) {
             AdmissionCounts.Cell cell = uncounted.remove(entry);
             if (cell != null) {
                 cells.add(cell);
@@ -119,11 +120,11 @@
     }
 
     /** The shards as they are stored. */
-    public static List<AdmissionTotals.Shard> read(List<KeyValueStoreClient.Row> rows) {
+    public static List<AdmissionTotals.Shard> read(List<KeyValue> rows) {
         return rows.stream().map(AdmissionCountShards::readShard).toList();
     }
 
-    private static AdmissionTotals.Shard readShard(KeyValueStoreClient.Row row) {
+    private static AdmissionTotals.Shard readShard(KeyValue row) {
         AdmissionCounts counts = new AdmissionCounts();
         for (Map.Entry<String, JsonNode> team : row.value().path(COUNTS).properties()) {
             for (Map.Entry<String, JsonNode> cell : team.getValue().properties()) {
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -9,6 +9,7 @@
 import stileferry.leadership.TermRecord;
 import stileferry.protocol.MessageCodec;
 import stileferry.storage.KeyValueStoreClient;
+import stileferry.storage.ScanResult;
 
 /**
  * Reads the totals of admissions, at any controller that reaches the state service. The shards are read first and the
@@ -42,14 +43,15 @@
         });
     }
 
-    private void readTerm(KeyValueStoreClient.Rows rows, Consumer<AdmissionTotals> then) {
+    private void readTerm(ScanResult rows, Consumer<AdmissionTotals> then) {
         state.get(LeaderElection.TERM_KEY, (status, body) -> {
             if (status != 200 && status != 404 || rows.firstRevision() < toldRevision) {
                 then.accept(null);
                 return;
             }
             List<AdmissionTotals.Shard> shards = AdmissionCountShards.read(rows.rows());
-            long run = status == 200 ? TermRecord.read(body.path("v"), 0).countingSince() : 1; // nobody ever led
+            long run =
+                    status == 200 ? TermRecord.read(body.path("v"), 0).admissionsCountedSince() : 1; // nobody ever led
             toldRevision = rows.firstRevision();
             then.accept(AdmissionTotals.of(shards, run, rows.firstRevision()));
         });
--- a/src/main/java/stileferry/requests/AdministrationHandler.java
+++ b/src/main/java/stileferry/requests/AdministrationHandler.java
@@ -18,6 +18,7 @@
 import stileferry.protocol.Settings;
 import stileferry.scheduling.Placement;
 import stileferry.storage.CommitQueue;
+import stileferry.storage.StoredEntry;
 
 /** The administration API at the leader: the operators' settings, and views of what the leader knows. */
 public final class AdministrationHandler {
@@ -27,7 +28,7 @@
     private final ClusterState cluster;
     private final Placement placement;
     private final CommitQueue ledger;
-    private final CommitQueue.Entry entry;
+    private final StoredEntry entry;
     private final Supplier<ObjectNode> leader;
     private final Consumer<OperatorSettings> taken;
     private OperatorSettings pending;
@@ -43,7 +44,7 @@
         this.cluster = cluster;
         this.placement = placement;
         this.ledger = ledger;
-        this.entry = new CommitQueue.Entry(LeaderElection.OPTIONS_KEY, revision, () -> pending.write());
+        this.entry = new StoredEntry(LeaderElection.OPERATOR_SETTINGS_KEY, revision, () -> pending.write());
         this.leader = leader;
         this.taken = taken;
         this.pending = cluster.operatorSettings();
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -218,7 +218,7 @@
     public double backlogS() {
         return Math.max(
                 ledger.backlog() / cluster.settings().state().writeRps(),
-                state.waiting() / cluster.settings().state().rps());
+                state.queuedRequests() / cluster.settings().state().rps());
     }
 
     private void join(Job job, Consumer<PeerMessage.Response> reply) {
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -49,11 +49,11 @@
      * @param settled whether all workers that can report have reported in this term
      */
     public void pass(boolean regular, boolean settled) {
-        if (cluster.machineTypes().isEmpty() || !links.permitsStarting()) {
+        if (cluster.machineTypes().isEmpty() || !links.permitsTaskStart()) {
             return;
         }
         long now = environment.now();
-        boolean rearranges = settled && links.permitsPreempting();
+        boolean rearranges = settled && links.permitsPreemption();
         boolean preempts = rearranges && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
         List<Job> waiting = placement.pass(now, environment.timeOfDay(), preempts, this::start);
         cluster.reservations().clear();
@@ -61,7 +61,7 @@
             makeRoom(waiting, now);
         }
         waiting.removeIf(job -> placement.keptBack(job, now)); // nothing is rented for it, and it is no lack of room
-        if (settled && regular && !waiting.isEmpty() && links.permitsRenting()) {
+        if (settled && regular && !waiting.isEmpty() && links.permitsScaleOut()) {
             provisioning.rent(waiting);
         }
         if (regular && rearranges) {
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -1,12 +1,9 @@
 package stileferry.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stileferry.protocol.Environment;
@@ -29,7 +26,7 @@
     private static final int GATHERED_FOR_COUNT = 5;
 
     /** The prefix of the records that hold events. */
-    public static final String EVENTS = EventLog.PREFIX;
+    public static final String EVENT_LOG_PREFIX = EventLog.PREFIX;
 
     /** Bytes of a transaction, counted in JSON form, kept well below the service's 64 KiB. */
     private static final int MAX_BYTES = MessageCodec.MAX_BODY * 3 / 4;
@@ -40,93 +37,15 @@
     private final long fenceRevision;
     private final String stampPrefix;
     private final Runnable onLost;
-    private final ArrayDeque<Entry> dirty = new ArrayDeque<>();
+    private final ArrayDeque<StoredEntry> dirty = new ArrayDeque<>();
     private final EventLog events;
-    private Counter counter = entries -> null;
+    private TransactionCounter counter = entries -> null;
     private int keptForCounter;
     private int inFlight;
     private long stamps;
     private boolean waiting;
     private boolean closed;
 
-    /** A small change that shares a record with others. It is written once, and again when its record is given up. */
-    public interface Event {
-        /** Writes it into a record. */
-        void write(ArrayNode into);
-
-        /** Its size in JSON form, at most; no larger for what {@link #kept} returns. */
-        int bytes();
-
-        /** Notes the number of the record that holds it now. */
-        void recorded(long record);
-
-        /** What has to be written again when this record is given up; null: nothing. */
-        Event kept(long record);
-
-        /** Whether it ends what an older record may hold. */
-        boolean ends();
-    }
-
-    /** Keeps an exact count of keys that are written for the first time, in the transactions that write them. */
-    public interface Counter {
-        /**
-         * Counts those of the keys of a transaction that it was told to count.
-         *
-         * @return the key that holds their count and is put with them, not in flight; null: none of them counts
-         */
-        Entry count(List<Entry> entries);
-    }
-
-    /** One key; its value is made anew from the owner's state whenever it is written. */
-    public static final class Entry {
-        final String key;
-        final Supplier<ObjectNode> value;
-        long revision;
-        boolean marked;
-        boolean flying;
-        boolean deleted;
-        private Entry partner;
-        Entry guard;
-        List<Runnable> waiting = new ArrayList<>();
-
-        /** A key with the revision last read (0: does not exist). */
-        public Entry(String key, long revision, Supplier<ObjectNode> value) {
-            this.key = key;
-            this.revision = revision;
-            this.value = value;
-        }
-
-        /**
-         * Names a key that must stand as it does for this one to be written for the first time. Found with
-         * transactions that were carried out late once more: a key that has been put and deleted since looks as if it
-         * had never been.
-         */
-        public Entry guardedBy(Entry other) {
-            guard = other;
-            return this;
-        }
-
-        /** Names a key that must not exist for this one to be written for the first time. */
-        public Entry excludes(String other) {
-            return guardedBy(new Entry(other, 0, MessageCodec::map));
-        }
-
-        /** Whether a transaction with it has no known outcome. */
-        public boolean flying() {
-            return flying;
-        }
-
-        /** The key. */
-        public String key() {
-            return key;
-        }
-
-        /** The value as it would be written now. */
-        public ObjectNode value() {
-            return value.get();
-        }
-    }
-
     /** A ledger for one term, fenced by the leader key at the revision it was written with. */
     public CommitQueue(
             Environment environment,
@@ -145,28 +64,28 @@
     }
 
     /** Sets who counts; called before anything is written. */
-    public void countedBy(Counter newCounter) {
+    public void setTransactionCounter(TransactionCounter newCounter) {
         counter = newCounter;
         keptForCounter = 1;
     }
 
     /** Takes in a record of events that was read from the service, in the order of their numbers. */
-    public void restore(String key, long revision, long number, List<Event> held) {
+    public void restore(String key, long revision, long number, List<StoredEvent> held) {
         events.restore(key, revision, number, held);
     }
 
     /** Writes an event; the action runs once it is durable. */
-    public void log(Event event, Runnable onDurable) {
-        events.add(event, onDurable);
+    public void appendEvent(StoredEvent event, Runnable onDurable) {
+        events.append(event, onDurable);
     }
 
     /** Marks a key as changed; the action runs once the change is durable. */
-    public void put(Entry entry, Runnable onDurable) {
+    public void put(StoredEntry entry, Runnable onDurable) {
         mark(entry, onDurable);
     }
 
     /** Marks a key as changed, before all that waits; the action runs once the change is durable. */
-    public void putFirst(Entry entry, Runnable onDurable) {
+    public void putFirst(StoredEntry entry, Runnable onDurable) {
         mark(entry, onDurable);
         if (dirty.removeLastOccurrence(entry)) {
             dirty.addFirst(entry);
@@ -174,13 +93,13 @@
     }
 
     /** Deletes a key. */
-    public void delete(Entry entry, Runnable onDurable) {
+    public void delete(StoredEntry entry, Runnable onDurable) {
         entry.deleted = true;
         mark(entry, onDurable);
     }
 
     /** Puts one key and deletes another in the same transaction. */
-    public void move(Entry put, Entry delete, Runnable onDurable) {
+    public void putAndDelete(StoredEntry put, StoredEntry delete, Runnable onDurable) {
         put.partner = delete;
         delete.partner = put;
         delete(delete, null);
@@ -203,7 +122,7 @@
         dirty.clear();
     }
 
-    private void mark(Entry entry, Runnable onDurable) {
+    private void mark(StoredEntry entry, Runnable onDurable) {
         if (onDurable != null) {
             entry.waiting.add(onDurable);
         }
@@ -215,14 +134,14 @@
 
     /** Sends what is marked, as far as the service's rate allows; at low load nothing waits for anything else. */
     public void flush() {
-        while (!closed && inFlight < MAX_IN_FLIGHT && (!dirty.isEmpty() || events.waits())) {
-            int wanted = dirty.size() + (events.waits() ? 1 : 0);
-            int room = state.writable();
-            int gathered = Math.max(state.gather(), keptForCounter * GATHERED_FOR_COUNT);
+        while (!closed && inFlight < MAX_IN_FLIGHT && (!dirty.isEmpty() || events.hasPending())) {
+            int wanted = dirty.size() + (events.hasPending() ? 1 : 0);
+            int room = state.availableWrites();
+            int gathered = Math.max(state.batchThreshold(), keptForCounter * GATHERED_FOR_COUNT);
             if (room < Math.min(Math.min(wanted, gathered), state.limits().txnOps())) {
                 if (!waiting) {
                     waiting = true;
-                    state.later(() -> {
+                    state.afterRefill(() -> {
                         waiting = false;
                         flush();
                     });
@@ -246,7 +165,7 @@
     private CompareAndSwapTransaction begin(EventLog.Batch batch) {
         CompareAndSwapTransaction transaction = begin();
         transaction.add(batch.put(), batch.bytes());
-        for (Entry old : batch.deletions()) {
+        for (StoredEntry old : batch.deletions()) {
             old.deleted = true;
             transaction.add(old, 0);
         }
@@ -256,18 +175,18 @@
 
     private CompareAndSwapTransaction pack(int limit) {
         CompareAndSwapTransaction transaction = null;
-        EventLog.Batch batch = events.waits() ? events.next(limit) : null;
+        EventLog.Batch batch = events.hasPending() ? events.nextBatch(limit) : null;
         if (batch != null) {
             transaction = begin(batch);
         }
-        List<Entry> passed = new ArrayList<>();
+        List<StoredEntry> passed = new ArrayList<>();
         for (int n = dirty.size(); n > 0 && !dirty.isEmpty(); n--) {
-            Entry entry = dirty.poll();
+            StoredEntry entry = dirty.poll();
             if (!entry.marked) {
                 continue; // went along with its partner
             }
-            Entry partner = entry.partner != null && entry.partner.marked ? entry.partner : null;
-            if (entry.flying || entry.partner != null && entry.partner.flying) {
+            StoredEntry partner = entry.partner != null && entry.partner.marked ? entry.partner : null;
+            if (entry.inFlight || entry.partner != null && entry.partner.inFlight) {
                 passed.add(entry);
                 continue;
             }
@@ -292,7 +211,7 @@
 
     /** What is counted is durable together with its count: neither can be lost or doubled without the other. */
     private void addCount(CompareAndSwapTransaction transaction) {
-        Entry count = transaction == null ? null : counter.count(List.copyOf(transaction.entries));
+        StoredEntry count = transaction == null ? null : counter.count(List.copyOf(transaction.entries));
         if (count != null) {
             transaction.add(count, -1);
         }
@@ -341,7 +260,7 @@
         if (closed) {
             return;
         }
-        Entry entry = transaction.entries.stream()
+        StoredEntry entry = transaction.entries.stream()
                 .filter(e -> !transaction.deletions.contains(e))
                 .findFirst()
                 .orElse(transaction.entries.get(0));
@@ -368,8 +287,8 @@
 
     private void applied(CompareAndSwapTransaction transaction, long revision) {
         inFlight--;
-        for (Entry entry : transaction.entries) {
-            entry.flying = false;
+        for (StoredEntry entry : transaction.entries) {
+            entry.inFlight = false;
             // what was sent counts: the key may have been marked for deletion since
             entry.revision = transaction.deletions.contains(entry) ? 0 : revision;
         }
--- a/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
+++ b/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
@@ -16,8 +16,8 @@
     /** More than a change takes beside its value, in JSON form. */
     private static final int BYTES_EACH_CHANGE = 200;
 
-    final List<CommitQueue.Entry> entries = new ArrayList<>();
-    final Set<CommitQueue.Entry> deletions = new HashSet<>();
+    final List<StoredEntry> entries = new ArrayList<>();
+    final Set<StoredEntry> deletions = new HashSet<>();
     final List<Runnable> actions = new ArrayList<>();
     final ObjectNode body = MessageCodec.map();
 
@@ -44,9 +44,9 @@
     }
 
     /** Takes a key in as it is now; its size is measured if it is not known (-1). */
-    void add(CommitQueue.Entry entry, int knownBytes) {
+    void add(StoredEntry entry, int knownBytes) {
         entry.marked = false;
-        entry.flying = true;
+        entry.inFlight = true;
         entries.add(entry);
         actions.addAll(entry.waiting);
         entry.waiting = new ArrayList<>();
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -38,9 +38,9 @@
 
     /** One record as it is stored, with what it holds. */
     static final class Slot {
-        final CommitQueue.Entry entry;
+        final StoredEntry entry;
         long number;
-        List<CommitQueue.Event> events = List.of();
+        List<StoredEvent> events = List.of();
 
         /** Records that hold what was set aside of this one. */
         final List<Slot> aside = new ArrayList<>();
@@ -48,20 +48,16 @@
         ObjectNode value = MessageCodec.map();
 
         Slot(String key, long revision, long number) {
-            this.entry = new CommitQueue.Entry(key, revision, () -> this.value);
+            this.entry = new StoredEntry(key, revision, () -> this.value);
             this.number = number;
         }
     }
 
-    private record Pending(CommitQueue.Event event, Runnable onDurable) {}
+    private record Pending(StoredEvent event, Runnable onDurable) {}
 
     /** What one transaction writes of the log, and whether the record it gives up held ends of claims. */
     public record Batch(
-            CommitQueue.Entry put,
-            List<CommitQueue.Entry> deletions,
-            int bytes,
-            List<Runnable> actions,
-            boolean endsGivenUp) {}
+            StoredEntry put, List<StoredEntry> deletions, int bytes, List<Runnable> actions, boolean endsGivenUp) {}
 
     /**
      * A ring of so many records within the service's value limit.
@@ -75,7 +71,7 @@
     }
 
     /** Takes a stored record in. */
-    public void restore(String key, long revision, long number, List<CommitQueue.Event> events) {
+    public void restore(String key, long revision, long number, List<StoredEvent> events) {
         restored = true;
         Slot slot = new Slot(key, revision, number);
         slot.events = events;
@@ -112,13 +108,13 @@
     }
 
     /** Queues an event; the action runs once it is durable. */
-    public void add(CommitQueue.Event event, Runnable onDurable) {
+    public void append(StoredEvent event, Runnable onDurable) {
         pending.add(new Pending(event, onDurable));
-        pendingBytes += event.bytes();
+        pendingBytes += event.maxBytes();
     }
 
     /** Whether anything waits to be written. */
-    public boolean waits() {
+    public boolean hasPending() {
         sweep();
         return !pending.isEmpty() || !older.isEmpty();
     }
@@ -129,32 +125,32 @@
     }
 
     /** The next record, in a transaction that has room for so many changes; null when the ring has to wait. */
-    public Batch next(int changes) {
+    public Batch nextBatch(int changes) {
         sweep();
         int at = (int) ((lastNumber + 1) % slots.length);
         Slot slot = slots[at];
         if (slot == null) {
             slot = new Slot(PREFIX + at, 0, 0);
             slots[at] = slot;
-        } else if (slot.entry.flying() || holdsEnds(slot) && anyFlyingBefore(at)) {
+        } else if (slot.entry.inFlight() || holdsEnds(slot) && anyFlyingBefore(at)) {
             return null;
         }
-        int live = ROW_BYTES
-                + live(slot).stream().mapToInt(CommitQueue.Event::bytes).sum();
+        int live =
+                ROW_BYTES + live(slot).stream().mapToInt(StoredEvent::maxBytes).sum();
         if (live > mostBytes) {
             return setAside(slot);
         }
-        if (slot.aside.stream().anyMatch(a -> a.entry.flying())) {
+        if (slot.aside.stream().anyMatch(a -> a.entry.inFlight())) {
             return null; // what it holds is not certain to be elsewhere yet
         }
         boolean endsGivenUp = holdsEnds(slot);
         long number = ++lastNumber;
-        List<CommitQueue.Event> events = new ArrayList<>();
+        List<StoredEvent> events = new ArrayList<>();
         int bytes = keep(slot.number, slot.events, number, events, ROW_BYTES);
-        List<CommitQueue.Entry> deletions = new ArrayList<>();
+        List<StoredEntry> deletions = new ArrayList<>();
         while (!older.isEmpty() && deletions.size() < changes - 1 && bytes < mostBytes / 2) {
             Slot old = older.peek();
-            if (old.entry.flying()) {
+            if (old.entry.inFlight()) {
                 break;
             }
             int part = Math.min(old.events.size(), Math.max(1, (mostBytes - bytes) / OLD_EVENT_BYTES));
@@ -165,9 +161,9 @@
             }
         }
         List<Runnable> actions = new ArrayList<>();
-        while (!pending.isEmpty() && bytes + pending.peek().event.bytes() <= mostBytes) {
+        while (!pending.isEmpty() && bytes + pending.peek().event.maxBytes() <= mostBytes) {
             Pending next = pending.poll();
-            pendingBytes -= next.event.bytes();
+            pendingBytes -= next.event.maxBytes();
             bytes += take(next.event, number, events);
             if (next.onDurable != null) {
                 actions.add(next.onDurable);
@@ -180,10 +176,10 @@
         return new Batch(slot.entry, deletions, bytes, actions, endsGivenUp);
     }
 
-    private static List<CommitQueue.Event> live(Slot slot) {
-        List<CommitQueue.Event> live = new ArrayList<>();
-        for (CommitQueue.Event event : slot.events) {
-            CommitQueue.Event kept = event.kept(slot.number);
+    private static List<StoredEvent> live(Slot slot) {
+        List<StoredEvent> live = new ArrayList<>();
+        for (StoredEvent event : slot.events) {
+            StoredEvent kept = event.retainedFrom(slot.number);
             if (kept != null) {
                 live.add(kept);
             }
@@ -200,11 +196,11 @@
      */
     private Batch setAside(Slot large) {
         Slot aside = new Slot(asidePrefix + setAside++, 0, lastNumber);
-        aside.entry.guardedBy(large.entry);
-        List<CommitQueue.Event> events = new ArrayList<>();
+        aside.entry.requireUnchanged(large.entry);
+        List<StoredEvent> events = new ArrayList<>();
         int bytes = ROW_BYTES;
-        for (CommitQueue.Event event : live(large)) {
-            if (bytes + event.bytes() > mostBytes) {
+        for (StoredEvent event : live(large)) {
+            if (bytes + event.maxBytes() > mostBytes) {
                 break;
             }
             bytes += take(event, aside.number, events);
@@ -216,7 +212,7 @@
         return new Batch(aside.entry, List.of(), bytes, List.of(), false);
     }
 
-    private static ObjectNode value(long number, List<CommitQueue.Event> events) {
+    private static ObjectNode value(long number, List<StoredEvent> events) {
         ObjectNode value = MessageCodec.map().put("n", number);
         ArrayNode list = value.putArray("e");
         events.forEach(e -> e.write(list.addArray()));
@@ -224,25 +220,24 @@
     }
 
     private static boolean holdsEnds(Slot slot) {
-        return slot.events.stream().anyMatch(CommitQueue.Event::ends);
+        return slot.events.stream().anyMatch(StoredEvent::endsEarlierEvent);
     }
 
     /** Ends may only be given up when every older record certainly is: it might hold what they end. */
     private boolean anyFlyingBefore(int at) {
         for (int back = 1; back <= Math.min(CommitQueue.MAX_IN_FLIGHT, slots.length - 1); back++) {
             Slot before = slots[Math.floorMod(at - back, slots.length)];
-            if (before != null && before.entry.flying()) {
+            if (before != null && before.entry.inFlight()) {
                 return true;
             }
         }
         return false;
     }
 
-    private static int keep(
-            long oldNumber, List<CommitQueue.Event> held, long number, List<CommitQueue.Event> events, int bytes) {
+    private static int keep(long oldNumber, List<StoredEvent> held, long number, List<StoredEvent> events, int bytes) {
         int sum = bytes;
-        for (CommitQueue.Event event : held) {
-            CommitQueue.Event kept = event.kept(oldNumber);
+        for (StoredEvent event : held) {
+            StoredEvent kept = event.retainedFrom(oldNumber);
             if (kept != null) {
                 sum += take(kept, number, events);
             }
@@ -250,9 +245,9 @@
         return sum;
     }
 
-    private static int take(CommitQueue.Event event, long number, List<CommitQueue.Event> events) {
+    private static int take(StoredEvent event, long number, List<StoredEvent> events) {
         events.add(event);
-        event.recorded(number);
-        return event.bytes();
+        event.recordedIn(number);
+        return event.maxBytes();
     }
 }
--- a/src/main/java/stileferry/storage/KeyValueStoreClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
+import stileferry.protocol.KeyValue;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Settings;
 
@@ -32,28 +33,17 @@
     private final RateLimiter writes;
     private final ArrayDeque<Waiting> changes = new ArrayDeque<>();
     private final ArrayDeque<Waiting> reads = new ArrayDeque<>();
-    private final long patienceMs;
+    private final long timeoutMs;
     private boolean pumping;
 
     private record Waiting(int writeCount, Runnable send) {}
 
-    /** One row of a read. */
-    public record Row(String key, JsonNode value, long revision) {}
-
-    /**
-     * A whole prefix as read in pages; null rows mean that the read failed.
-     *
-     * @param revision of the last page
-     * @param firstRevision of the first page; where no row is newer, the rows stood together at it
-     */
-    public record Rows(List<Row> rows, long revision, long firstRevision) {}
-
     /** A client of the service that the settings name. */
     public KeyValueStoreClient(Environment environment, Settings settings) {
         this.environment = environment;
         this.addr = settings.stateAddr();
         this.limits = settings.state();
-        this.patienceMs = Math.round(AMPLE_PATIENCE_MS * settings.slowness());
+        this.timeoutMs = Math.round(AMPLE_PATIENCE_MS * settings.slowness());
         this.requests = new RateLimiter(environment, limits.rps() * SHARE, 0.5);
         this.writes = new RateLimiter(environment, limits.writeRps() * SHARE, 1.0);
     }
@@ -64,57 +54,58 @@
     }
 
     /** Changes worth waiting for when more waits than may be written. */
-    public int gather() {
+    public int batchThreshold() {
         return (int) Math.max(1, Math.min(limits.writeRps() * SHARE, Math.ceil(limits.writeRps() * GATHER_S)));
     }
 
     /** Changes that may be written now without waiting. */
-    public int writable() {
-        return requests.has(1, RESERVE) ? writes.available() : 0;
+    public int availableWrites() {
+        return requests.canAcquire(1, RESERVE) ? writes.availablePermits() : 0;
     }
 
     /** Runs something when there may be room again. */
-    public void later(Runnable task) {
+    public void afterRefill(Runnable task) {
         environment.after(PUMP_MS, task);
     }
 
     /** Reads and writes that wait for their turn. */
-    public int waiting() {
+    public int queuedRequests() {
         return changes.size() + reads.size();
     }
 
     /** How long an ordinary answer is waited for. */
-    public long patienceMs() {
-        return patienceMs;
+    public long timeoutMs() {
+        return timeoutMs;
     }
 
     /** Reads one key. */
     public void get(String key, Environment.Reply reply) {
-        send(0, false, () -> environment.call(addr, "GET", "/kv/" + key, null, patienceMs(), reply));
+        send(0, false, () -> environment.call(addr, "GET", "/kv/" + key, null, timeoutMs(), reply));
     }
 
     /** Reads all keys with a prefix, page by page. */
-    public void scan(String prefix, boolean urgent, Consumer<Rows> done) {
-        page(prefix, "", urgent, new Rows(new ArrayList<>(), 0, 0), done);
+    public void scan(String prefix, boolean urgent, Consumer<ScanResult> done) {
+        page(prefix, "", urgent, new ScanResult(new ArrayList<>(), 0, 0), done);
     }
 
-    private void page(String prefix, String from, boolean urgent, Rows before, Consumer<Rows> done) {
+    private void page(String prefix, String from, boolean urgent, ScanResult before, Consumer<ScanResult> done) {
         String path = "/kv?starts=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&most=500";
         send(
                 0,
                 urgent,
-                () -> environment.call(addr, "GET", path, null, 2 * patienceMs(), (status, body) -> {
+                () -> environment.call(addr, "GET", path, null, 2 * timeoutMs(), (status, body) -> {
                     if (status != 200 || body == null) {
-                        done.accept(new Rows(null, 0, 0));
+                        done.accept(new ScanResult(null, 0, 0));
                         return;
                     }
                     long revision = body.path("ledger_rev").asLong();
-                    List<Row> rows = before.rows();
-                    Rows read = new Rows(rows, revision, from.isEmpty() ? revision : before.firstRevision());
+                    List<KeyValue> rows = before.rows();
+                    ScanResult read =
+                            new ScanResult(rows, revision, from.isEmpty() ? revision : before.firstRevision());
                     String last = from;
                     for (JsonNode row : body.path("rows")) {
                         last = row.path("path").asText();
-                        rows.add(new Row(
+                        rows.add(new KeyValue(
                                 last, row.path("v"), row.path("entry_rev").asLong()));
                     }
                     if (body.path("more").asBoolean() && !last.equals(from)) {
@@ -127,27 +118,27 @@
 
     /** Sends a transaction. */
     public void commit(ObjectNode transaction, int writeCount, boolean urgent, Environment.Reply reply) {
-        send(writeCount, urgent, () -> environment.call(addr, "POST", "/commit", transaction, patienceMs(), reply));
+        send(writeCount, urgent, () -> environment.call(addr, "POST", "/commit", transaction, timeoutMs(), reply));
     }
 
     /** Asks for a lease. */
-    public void lease(long lifeMs, Environment.Reply reply) {
+    public void grantLease(long lifeMs, Environment.Reply reply) {
         send(
                 0,
                 true,
                 () -> environment.call(
-                        addr, "POST", "/leases", MessageCodec.map().put("life_ms", lifeMs), patienceMs(), reply));
+                        addr, "POST", "/leases", MessageCodec.map().put("life_ms", lifeMs), timeoutMs(), reply));
     }
 
     /** Renews a lease; not queued, as its time counts from the sending. */
-    public void touch(String lease, long timeoutMs, Environment.Reply reply) {
-        requests.take(1, -1);
+    public void renewLease(String lease, long timeoutMs, Environment.Reply reply) {
+        requests.tryAcquire(1, -1);
         environment.call(addr, "POST", "/leases/" + lease + "/touch", MessageCodec.map(), timeoutMs, reply);
     }
 
     /** Ends a lease. */
-    public void end(String lease, Environment.Reply reply) {
-        send(0, true, () -> environment.call(addr, "DELETE", "/leases/" + lease, null, patienceMs(), reply));
+    public void revokeLease(String lease, Environment.Reply reply) {
+        send(0, true, () -> environment.call(addr, "DELETE", "/leases/" + lease, null, timeoutMs(), reply));
     }
 
     /** Waits for changes below a prefix. */
@@ -160,14 +151,14 @@
                         "GET",
                         "/watch?starts=" + prefix + "&from=" + from + "&block_ms=" + blockMs,
                         null,
-                        blockMs + 2 * patienceMs(),
+                        blockMs + 2 * timeoutMs(),
                         reply));
     }
 
     private void send(int writeCount, boolean urgent, Runnable send) {
         if (urgent) {
-            requests.take(1, -1);
-            writes.take(writeCount, -1);
+            requests.tryAcquire(1, -1);
+            writes.tryAcquire(writeCount, -1);
             send.run();
             return;
         }
@@ -181,14 +172,16 @@
      * submissions waited for 5 s and more behind them.
      */
     private void pump() {
-        while (!changes.isEmpty() && writes.has(changes.peek().writeCount, 0) && requests.take(1, RESERVE)) {
-            writes.take(changes.peek().writeCount, 0);
+        while (!changes.isEmpty()
+                && writes.canAcquire(changes.peek().writeCount, 0)
+                && requests.tryAcquire(1, RESERVE)) {
+            writes.tryAcquire(changes.peek().writeCount, 0);
             changes.poll().send.run();
         }
-        while (!reads.isEmpty() && requests.take(1, RESERVE)) {
+        while (!reads.isEmpty() && requests.tryAcquire(1, RESERVE)) {
             reads.poll().send.run();
         }
-        if (!pumping && waiting() > 0) {
+        if (!pumping && queuedRequests() > 0) {
             pumping = true;
             environment.after(PUMP_MS, () -> {
                 pumping = false;
--- a/src/main/java/stileferry/storage/RateLimiter.java
+++ b/src/main/java/stileferry/storage/RateLimiter.java
@@ -20,8 +20,8 @@
     }
 
     /** Takes tokens if that leaves the reserve (a share of the burst) untouched. */
-    public boolean take(double count, double reserveShare) {
-        if (!has(count, reserveShare)) {
+    public boolean tryAcquire(double count, double reserveShare) {
+        if (!canAcquire(count, reserveShare)) {
             return false;
         }
         tokens -= count;
@@ -29,13 +29,13 @@
     }
 
     /** Whether tokens could be taken now. */
-    public boolean has(double count, double reserveShare) {
+    public boolean canAcquire(double count, double reserveShare) {
         fill();
         return tokens >= Math.min(count, most) + most * reserveShare || tokens >= most;
     }
 
     /** Whole tokens that are there now. */
-    public int available() {
+    public int availablePermits() {
         fill();
         return (int) Math.max(0, Math.floor(tokens));
     }
--- /dev/null
+++ b/src/main/java/stileferry/storage/TransactionCounter.java
@@ -0,0 +1,13 @@
+package stileferry.storage;
+
+import java.util.List;
+
+/** Keeps an exact count of keys that are written for the first time, in the transactions that write them. */
+public interface TransactionCounter {
+    /**
+     * Counts those of the keys of a transaction that it was told to count.
+     *
+     * @return the key that holds their count and is put with them, not in flight; null: none of them counts
+     */
+    StoredEntry count(List<StoredEntry> entries);
+}
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -27,6 +27,7 @@
 import stileferry.overload.AdmissionCountShards;
 import stileferry.overload.FairAdmission;
 import stileferry.protocol.Environment;
+import stileferry.protocol.KeyValue;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
@@ -34,6 +35,7 @@
 import stileferry.standin.StateService;
 import stileferry.storage.CommitQueue;
 import stileferry.storage.KeyValueStoreClient;
+import stileferry.storage.StoredEntry;
 
 /**
  * A model check of the count of admissions, with the real ledger, count and door: every sequence of events up to a
@@ -151,10 +153,10 @@
             }
         }
 
-        List<KeyValueStoreClient.Row> rows(String prefix) {
-            List<KeyValueStoreClient.Row> rows = new ArrayList<>();
+        List<KeyValue> rows(String prefix) {
+            List<KeyValue> rows = new ArrayList<>();
             store.request("GET", "/kv?starts=" + prefix + "&most=1000", null, (s, body) -> body.path("rows")
-                    .forEach(row -> rows.add(new KeyValueStoreClient.Row(
+                    .forEach(row -> rows.add(new KeyValue(
                             row.path("path").asText(),
                             row.path("v"),
                             row.path("entry_rev").asLong()))));
@@ -202,12 +204,12 @@
                     this, state, LeaderElection.LEADER_KEY, fence, run.term, () -> lostLeadership = true);
             records = new AdmissionCountShards(run.rows(AdmissionCountShards.PREFIX), 1, 8);
             if (run.count == Count.WITH_THE_JOB) {
-                ledger.countedBy(records);
+                ledger.setTransactionCounter(records);
             }
         }
 
         void accept(String id) {
-            CommitQueue.Entry job = new CommitQueue.Entry(Job.key(id), 0, MessageCodec::map);
+            StoredEntry job = new StoredEntry(Job.key(id), 0, MessageCodec::map);
             if (run.count == Count.WITH_THE_JOB) {
                 records.count(job, CELL);
                 ledger.put(job, null);
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -21,8 +21,8 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.storage.CommitQueue;
 import stileferry.storage.EventLog;
+import stileferry.storage.StoredEvent;
 
 /** What is stored of tasks, read again after any write, tells the state at that write. */
 class TaskEventsTest {
@@ -64,7 +64,7 @@
 
     /** Writes one record of the log into a map that stands for the store. */
     private static void write(EventLog log, Map<String, JsonNode> store) {
-        EventLog.Batch batch = log.next(12);
+        EventLog.Batch batch = log.nextBatch(12);
         JsonNode value = batch.put().value();
         assertTrue(
                 value.toString().length() < VALUE_KB * 1024,
@@ -80,7 +80,7 @@
                 .sorted(Comparator.comparingLong(e -> e.getValue().path("n").asLong()))
                 .forEach(entry -> {
                     long n = entry.getValue().path("n").asLong();
-                    List<CommitQueue.Event> events = reader.read(entry.getValue(), n);
+                    List<StoredEvent> events = reader.read(entry.getValue(), n);
                     if (log != null) {
                         log.restore(entry.getKey(), 1, n, events);
                     }
@@ -94,7 +94,7 @@
             TaskAssignment claim = new TaskAssignment(job, index, attempt, "host-" + random.nextInt(20), 1, 0);
             job.assignments().put(index, claim);
             job.completedOrAssigned().set(index);
-            log.add(TaskEvents.claimed(claim), null);
+            log.append(TaskEvents.claimed(claim), null);
         }
     }
 
@@ -122,23 +122,23 @@
                 job.assignments().remove(claim.index());
                 if (random.nextInt(4) == 0) {
                     job.markCompleted(claim.index());
-                    log.add(TaskEvents.done(job, claim.index()), null);
+                    log.append(TaskEvents.done(job, claim.index()), null);
                 } else {
                     job.completedOrAssigned().clear(claim.index());
-                    log.add(TaskEvents.freed(claim), null);
+                    log.append(TaskEvents.freed(claim), null);
                 }
             }
             if (random.nextInt(3) == 0) {
-                while (log.waits()) {
+                while (log.hasPending()) {
                     write(log, store);
                 }
                 Map<String, Job> copy = jobs(8, 60);
                 EventLog next = random.nextInt(50) == 0 ? new EventLog(VALUE_KB, 8, "t") : null;
                 if (next != null && random.nextBoolean()) {
                     // the last but one record of the old leader is lost, and its slot keeps what it held before
-                    EventLog.Batch lost = log.next(12);
+                    EventLog.Batch lost = log.nextBatch(12);
                     assertTrue(lost.deletions().isEmpty());
-                    EventLog.Batch last = log.next(12);
+                    EventLog.Batch last = log.nextBatch(12);
                     if (!last.endsGivenUp()) { // else it waits until the one before is durable
                         store.put(
                                 last.put().key(),
@@ -194,14 +194,14 @@
                                 .orElseThrow());
                 job.assignments().remove(claim.index());
                 job.completedOrAssigned().clear(claim.index());
-                log.add(TaskEvents.freed(claim), null);
+                log.append(TaskEvents.freed(claim), null);
             }
             boolean turn = step % 1000 == 499 || step % 1000 == 950;
             if (!turn && random.nextInt(crowd ? 300 : 3) != 0) {
                 continue;
             }
-            while (log.waits()) {
-                EventLog.Batch batch = log.next(4);
+            while (log.hasPending()) {
+                EventLog.Batch batch = log.nextBatch(4);
                 assertTrue(batch.deletions().size() < 4);
                 JsonNode value = batch.put().value();
                 aside += batch.put().key().startsWith("l/x") ? 1 : 0;
@@ -212,7 +212,7 @@
                 batch.deletions().forEach(e -> store.remove(e.key()));
                 Map<String, Job> copy = jobs(8, 60);
                 Map<String, Long> told = attempts(read(store, copy, null).claims());
-                if (!log.waits()) {
+                if (!log.hasPending()) {
                     List<TaskAssignment> claims = new ArrayList<>();
                     jobs.values().forEach(j -> claims.addAll(j.assignments().values()));
                     assertEquals(attempts(claims), told, "at step " + step);
@@ -244,15 +244,15 @@
             TaskAssignment claim = new TaskAssignment(job, i, (1L << 40) + i, "host-123456", 100, 0);
             job.assignments().put(i, claim);
             claims.add(claim);
-            log.add(TaskEvents.claimed(claim), null);
+            log.append(TaskEvents.claimed(claim), null);
         }
         for (int i = 0; i < 100_000; i += 2) {
             job.assignments().remove(i);
             job.markCompleted(i);
-            log.add(TaskEvents.done(job, i), null);
+            log.append(TaskEvents.done(job, i), null);
         }
         int writes = 0;
-        while (log.waits()) {
+        while (log.hasPending()) {
             write(log, store);
             assertTrue(++writes < 4000, "the log writes the same again and again");
         }
@@ -281,7 +281,7 @@
         assertEquals("{128, 138, 143}", job.completedTasks().toString());
         assertEquals(44, reader.claims().size());
         reader.claims().forEach(c -> job.assignments().put(c.index(), c));
-        while (log.waits()) {
+        while (log.hasPending()) {
             write(log, store);
         }
         assertEquals(1, store.size(), "the older record is gone: " + store.keySet());
