--- a/src/main/java/stileferry/cluster/AgentState.java
+++ b/src/main/java/stileferry/cluster/AgentState.java
@@ -192,7 +192,7 @@
         return expiredIncarnation;
     }
 
-    public void setExpiredIncarnation(long expiredIncarnation) {
+    public void expireIncarnation(long expiredIncarnation) {
         this.expiredIncarnation = expiredIncarnation;
     }
 
--- a/src/main/java/stileferry/cluster/InstanceState.java
+++ b/src/main/java/stileferry/cluster/InstanceState.java
@@ -29,7 +29,7 @@
         return reclaimNoticeS;
     }
 
-    public void setReclaimNoticeS(double reclaimNoticeS) {
+    public void receiveReclaimNotice(double reclaimNoticeS) {
         this.reclaimNoticeS = reclaimNoticeS;
     }
 
@@ -94,7 +94,7 @@
         return idleSince;
     }
 
-    public void setIdleSince(long idleSince) {
+    public void markIdleSince(long idleSince) {
         this.idleSince = idleSince;
     }
 
@@ -102,7 +102,7 @@
         return cordonedUntil;
     }
 
-    public void setCordonedUntil(long cordonedUntil) {
+    public void cordonUntil(long cordonedUntil) {
         this.cordonedUntil = cordonedUntil;
     }
 }
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -111,7 +111,7 @@
                 events -> new HeartbeatHandler(cluster, environment, leadership, term, events, silences, eventLoopLag),
                 t -> new JobCompletion(cluster, ledger, ended, leadership, users, t::stopCancelled),
                 this::changed);
-        this.fleet = tasks.fleet();
+        this.fleet = tasks.heartbeatHandler();
         this.placement = new Placement(cluster);
         this.provisioning = new Autoscaler(cluster, environment, fleet, term, links);
         this.scheduling = new SchedulingPass(cluster, environment, links, placement, provisioning, tasks);
@@ -158,7 +158,7 @@
 
             @Override
             public void cancel(Job job) {
-                tasks.jobEnds().cancel(job);
+                tasks.jobCompletion().cancel(job);
             }
         };
     }
@@ -221,8 +221,8 @@
         // an older version stored that one task of a gang was done, and might have started the others again
         cluster.jobs().values().stream()
                 .filter(job -> job.spec().gang() && job.completedCount() > 0)
-                .forEach(job -> tasks.finishGang(job, null));
-        cluster.jobs().values().forEach(tasks::stopBrokenAttempt);
+                .forEach(job -> tasks.completeGang(job, null));
+        cluster.jobs().values().forEach(tasks::stopIncompleteGangAttempt);
         silences.takeOver(loaded.silences());
         cluster.machines().values().forEach(machine -> links.expected(machine.name(), machine.address()));
         if (leadership.countingSince() > 0) {
@@ -239,7 +239,7 @@
                 term,
                 cluster.jobs().size(),
                 loaded.claims());
-        tasks.jobEnds().endWhatIsOver();
+        tasks.jobCompletion().resumeAfterFailover();
         leadership.cancellations().allRead();
         provisioning.list();
         tick();
@@ -313,11 +313,11 @@
     private void pass(boolean regular) {
         long from = environment.now();
         if (ledger.backlog() <= BACKLOG_TRANSACTIONS * settings.state().txnOps()) {
-            scheduling.pass(regular, settled());
+            scheduling.run(regular, settled());
         }
         passedAt = environment.now();
         passTookMs = passedAt - from;
-        if (placement.cutShort()) {
+        if (placement.stoppedEarly()) {
             changed();
         }
     }
@@ -395,6 +395,6 @@
                 .put("live_jobs", cluster.jobs().size())
                 .put("machines", cluster.machines().size())
                 .put("changes_waiting", ledger.backlog())
-                .set("gangs", tasks.gangCounters().describe());
+                .set("gangs", tasks.gangMetrics().describe());
     }
 }
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -10,7 +10,7 @@
 import stileferry.cluster.LastHeartbeatRecord;
 import stileferry.cluster.TaskAssignment;
 import stileferry.leadership.LeaderElection;
-import stileferry.lifecycle.TaskEvents;
+import stileferry.lifecycle.TaskEventReader;
 import stileferry.overload.AdmissionCountShards;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
@@ -133,13 +133,13 @@
             }
             long revision = status == 200 ? body.path("entry_rev").asLong() : 0;
             buildJobs(rows.get(0));
-            TaskEvents.Reader reader = new TaskEvents.Reader(cluster.jobs());
+            TaskEventReader reader = new TaskEventReader(cluster.jobs());
             buildFromOldParts(rows.get(2), reader);
             buildFromRecords(rows.get(1), reader);
-            List<TaskAssignment> claims = reader.claims();
+            List<TaskAssignment> claims = reader.assignments();
             claims.forEach(cluster::assign);
             List<KeyValueStoreClient.Row> shards = rows.size() > OLD_PREFIXES ? rows.get(OLD_PREFIXES) : List.of();
-            listener.loaded(new Loaded(revision, claims.size(), reader.silences(), shards));
+            listener.loaded(new Loaded(revision, claims.size(), reader.lastHeartbeats(), shards));
         });
     }
 
@@ -158,19 +158,20 @@
         jobs.forEach(job -> cluster.jobs().put(job.spec().id(), job));
     }
 
-    private void buildFromOldParts(List<KeyValueStoreClient.Row> rows, TaskEvents.Reader reader) {
+    private void buildFromOldParts(List<KeyValueStoreClient.Row> rows, TaskEventReader reader) {
         long number = 0;
         for (KeyValueStoreClient.Row row : rows) {
             String[] key = row.key().split("/");
             Job job = key.length == 3 ? cluster.jobs().get(key[1]) : null;
             // what is left of a job that ended is deleted like the others, with nothing kept of it
-            List<CommitQueue.Event> events =
-                    job == null ? List.of() : reader.readChunk(job, Integer.parseInt(key[2]), row.value(), --number);
+            List<CommitQueue.Event> events = job == null
+                    ? List.of()
+                    : reader.readLegacyChunk(job, Integer.parseInt(key[2]), row.value(), --number);
             ledger.restore(row.key(), row.revision(), number, events);
         }
     }
 
-    private void buildFromRecords(List<KeyValueStoreClient.Row> rows, TaskEvents.Reader reader) {
+    private void buildFromRecords(List<KeyValueStoreClient.Row> rows, TaskEventReader reader) {
         rows.sort(Comparator.comparingLong(row -> row.value().path("n").asLong()));
         for (KeyValueStoreClient.Row row : rows) {
             long number = row.value().path("n").asLong();
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -112,7 +112,7 @@
                 continue;
             }
             if (over > machine.agent().expiredIncarnation()) {
-                machine.agent().setExpiredIncarnation(over);
+                machine.agent().expireIncarnation(over);
                 if (machine.agent().heardThisTerm() || !machine.assignments().isEmpty()) {
                     LOG.info(
                             "machine {} is silent, its lease has lapsed with {} tasks",
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -206,7 +206,7 @@
         takeProperties(machine, heartbeat, now);
         if (heartbeat.reclaimNoticeS() >= 0 && machine.instance().reclaimNoticeS() < 0) {
             LOG.info("machine {} will be taken in {} s", machine.name(), heartbeat.reclaimNoticeS());
-            machine.instance().setReclaimNoticeS(heartbeat.reclaimNoticeS());
+            machine.instance().receiveReclaimNotice(heartbeat.reclaimNoticeS());
             leave(machine, now);
         }
         takeTasks(machine, heartbeat, inOrder, now);
@@ -216,7 +216,7 @@
     private void takeSession(Machine machine, Heartbeat heartbeat, long now) {
         boolean newSession = heartbeat.incarnation() > machine.agent().incarnation();
         if (!machine.agent().heardThisTerm() || newSession) {
-            machine.instance().setIdleSince(now);
+            machine.instance().markIdleSince(now);
             events.changed();
         }
         if (!machine.agent().heardThisTerm() && machine.instance().booting()) {
--- a/src/main/java/stileferry/lifecycle/CompletedJobCache.java
+++ b/src/main/java/stileferry/lifecycle/CompletedJobCache.java
@@ -1,11 +1,7 @@
 package stileferry.lifecycle;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
-import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 
 /** Jobs that are over, as far as they were asked for lately. An ended job never changes, so nothing here is stale. */
 public final class CompletedJobCache {
@@ -21,21 +17,6 @@
                 .build();
     }
 
-    /** How a job ended. */
-    public record CompletedJob(String how, int tasksDone) {
-        public static CompletedJob read(JsonNode v) {
-            return new CompletedJob(v.path("how").asText(), v.path("done").asInt());
-        }
-
-        ObjectNode write() {
-            return MessageCodec.map().put("how", how).put("done", tasksDone);
-        }
-
-        public ObjectNode answer(String id) {
-            return Messages.jobState(id, how, tasksDone, 0);
-        }
-    }
-
     public CompletedJob get(String id) {
         return cache.getIfPresent(id);
     }
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -20,10 +20,10 @@
     /** Told of what users may hear. */
     public interface Listener {
         /** A job's end is durable. */
-        void ended(Job job, CompletedJobCache.CompletedJob end);
+        void jobCompleted(Job job, CompletedJob end);
 
         /** A job's cancellation may be confirmed. */
-        void cancelConfirmed(Job job);
+        void cancellationConfirmed(Job job);
     }
 
     /** The consumer stops a claimed task at once. */
@@ -43,7 +43,7 @@
     }
 
     /** Ends the jobs that were over when a term began, and goes on with what was cancelled. */
-    public void endWhatIsOver() {
+    public void resumeAfterFailover() {
         for (Job job : List.copyOf(cluster.jobs().values())) {
             if (job.cancelled()) {
                 cancelDurable(job);
@@ -69,7 +69,7 @@
             return;
         }
         job.setCompleting(true);
-        CompletedJobCache.CompletedJob record = new CompletedJobCache.CompletedJob(how, job.completedCount());
+        CompletedJob record = new CompletedJob(how, job.completedCount());
         CommitQueue.Entry entry =
                 new CommitQueue.Entry(Job.completedKey(job.spec().id()), 0, record::write);
         ledger.move(entry, job.entry(), () -> {
@@ -77,7 +77,7 @@
             leadership.cancellations().over(job.spec().id());
             cluster.jobs().remove(job.spec().id());
             ended.put(job.spec().id(), record);
-            listener.ended(job, record);
+            listener.jobCompleted(job, record);
             if (onDurable != null) {
                 onDurable.run();
             }
@@ -121,7 +121,7 @@
     void confirm(Job job) {
         if (job.cancelReplicated() && !job.cancelConfirmed() && !job.completing() && !job.mayStartUnprompted()) {
             job.setCancelConfirmed(true);
-            listener.cancelConfirmed(job);
+            listener.cancellationConfirmed(job);
         }
     }
 }
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -32,10 +32,10 @@
     private final Environment environment;
     private final CommitQueue ledger;
     private final TermSequence numbers;
-    private final HeartbeatHandler fleet;
-    private final JobCompletion jobEnds;
+    private final HeartbeatHandler heartbeatHandler;
+    private final JobCompletion jobCompletion;
     private final Runnable changed;
-    private final GangMetrics gangCounters = new GangMetrics();
+    private final GangMetrics gangMetrics = new GangMetrics();
     private final long roundMs;
 
     /**
@@ -55,22 +55,22 @@
         this.environment = environment;
         this.ledger = ledger;
         this.numbers = numbers;
-        this.fleet = createFleet.apply(this);
-        this.jobEnds = createJobEnds.apply(this);
+        this.heartbeatHandler = createFleet.apply(this);
+        this.jobCompletion = createJobEnds.apply(this);
         this.changed = changed;
         this.roundMs = cluster.settings().workers().reportRoundMs();
     }
 
-    public HeartbeatHandler fleet() {
-        return fleet;
+    public HeartbeatHandler heartbeatHandler() {
+        return heartbeatHandler;
     }
 
-    public JobCompletion jobEnds() {
-        return jobEnds;
+    public JobCompletion jobCompletion() {
+        return jobCompletion;
     }
 
-    public GangMetrics gangCounters() {
-        return gangCounters;
+    public GangMetrics gangMetrics() {
+        return gangMetrics;
     }
 
     @Override
@@ -92,7 +92,7 @@
         GangAttempt gangAttempt = null;
         if (job.spec().gang()) {
             gangAttempt = new GangAttempt(machines.size());
-            gangCounters.attempted();
+            gangMetrics.attempted();
         }
         for (Machine machine : machines) {
             TaskAssignment claim = new TaskAssignment(
@@ -112,14 +112,14 @@
                 startWhole(claim.job(), claim.gangAttempt());
             }
         } else if (mayStart(claim)) {
-            fleet.commands().sendSoon(machine);
+            heartbeatHandler.commands().sendSoon(machine);
         }
     }
 
     private void startWhole(Job job, GangAttempt attempt) {
         for (TaskAssignment claim : job.assignments().values()) {
             if (claim.gangAttempt() == attempt && mayStart(claim)) {
-                fleet.commands().sendSoon(cluster.machine(claim.machine()));
+                heartbeatHandler.commands().sendSoon(cluster.machine(claim.machine()));
             }
         }
     }
@@ -150,7 +150,7 @@
      */
     private boolean allHear(Job gang) {
         for (TaskAssignment claim : gang.assignments().values()) {
-            if (!fleet.failures().hears(cluster.machine(claim.machine()))) {
+            if (!heartbeatHandler.failures().hears(cluster.machine(claim.machine()))) {
                 LOG.info(
                         "gang {} is stopped without saving: {} may not hear it",
                         gang.spec().id(),
@@ -172,7 +172,7 @@
             return;
         }
         cluster.requestStop(claim, graceS, environment.now());
-        fleet.commands().sendSoon(cluster.machine(claim.machine()));
+        heartbeatHandler.commands().sendSoon(cluster.machine(claim.machine()));
     }
 
     @Override
@@ -184,7 +184,7 @@
         long now = environment.now();
         boolean done =
                 status.exitReason() == ExitReason.COMPLETED && !job.spec().service();
-        List<TaskAssignment> others = done && job.spec().gang() ? finishGang(job, claim) : List.of();
+        List<TaskAssignment> others = done && job.spec().gang() ? completeGang(job, claim) : List.of();
         machine.agent().outcomesNotDurable().add(status.attemptId());
         job.setStarted(job.started() | (done || status.exitReason() == ExitReason.FAILED));
         logExit(machine, claim, status, now);
@@ -247,7 +247,7 @@
                 judge(machine);
             }
             case INSUFFICIENT_RESOURCES, CONFLICTING_ATTEMPT ->
-                machine.instance().setCordonedUntil(now + roundMs);
+                machine.instance().cordonUntil(now + roundMs);
             case UNKNOWN_JOB -> {
                 RestartBackOff retry = job.retries().computeIfAbsent(claim.index(), i -> new RestartBackOff());
                 retry.backOff(now, 500, 7);
@@ -255,7 +255,7 @@
             default -> {}
         }
         if (job.spec().gang()) {
-            gangCounters.exited(claim, status);
+            gangMetrics.exited(claim, status);
         }
         stopGang(claim, status.checkpointSaved());
     }
@@ -283,7 +283,7 @@
      * Their end is stored at once, in the record of the job's end, so that no leader starts a part of the gang again.
      * Returns the claims that have ended so, which their machines may not clear before that is durable.
      */
-    public List<TaskAssignment> finishGang(Job job, TaskAssignment first) {
+    public List<TaskAssignment> completeGang(Job job, TaskAssignment first) {
         List<TaskAssignment> others = new ArrayList<>(job.assignments().values());
         others.remove(first);
         for (TaskAssignment claim : others) {
@@ -291,7 +291,7 @@
             Machine machine = cluster.machine(claim.machine());
             machine.agent().outcomesNotDurable().add(claim.attemptId());
             machine.instance()
-                    .setIdleSince(
+                    .markIdleSince(
                             machine.assignments().isEmpty()
                                     ? environment.now()
                                     : machine.instance().idleSince());
@@ -306,12 +306,12 @@
 
     @Override
     public void progressed(TaskAssignment claim) {
-        jobEnds.confirm(claim.job());
+        jobCompletion.confirm(claim.job());
     }
 
     @Override
     public void gangRuns(Job job) {
-        gangCounters.started();
+        gangMetrics.started();
         LOG.debug(
                 "all {} tasks of {} of {} run",
                 job.spec().taskCount(),
@@ -329,7 +329,7 @@
      * version may have left claims of different attempts, whose tasks would wait for each other in vain. Neither can be
      * completed, nor can its tasks save, so they stop at once and the gang starts again whole.
      */
-    public void stopBrokenAttempt(Job job) {
+    public void stopIncompleteGangAttempt(Job job) {
         if (job.spec().gang() && !job.assignments().isEmpty() && !job.assignmentsFormOneAttempt()) {
             List.copyOf(job.assignments().values()).forEach(claim -> cluster.requestStop(claim, 0, environment.now()));
         }
@@ -362,7 +362,7 @@
             LOG.debug("{} is not on {} any more: {}", claim.taskId(), claim.machine(), proof);
             settle(claim, false, null);
             if (claim.job().spec().gang()) {
-                gangCounters.gone(claim);
+                gangMetrics.gone(claim);
             }
             stopGang(claim, false);
         }
@@ -373,15 +373,15 @@
         Machine machine = cluster.machine(claim.machine());
         cluster.unassign(claim, done);
         if (machine.assignments().isEmpty()) {
-            machine.instance().setIdleSince(environment.now());
+            machine.instance().markIdleSince(environment.now());
         }
         if (job.unfinishedCount() == 0 && !job.cancelled()) {
-            jobEnds.end(job, "done", onDurable);
+            jobCompletion.end(job, "done", onDurable);
         } else if (job.cancelled() && job.assignments().isEmpty()) {
-            jobEnds.end(job, "cancelled", onDurable);
+            jobCompletion.end(job, "cancelled", onDurable);
         } else {
             ledger.log(done ? TaskEvents.done(job, claim.index()) : TaskEvents.freed(claim), onDurable);
-            jobEnds.confirm(job);
+            jobCompletion.confirm(job);
         }
         changed.run();
     }
--- a/src/main/java/stileferry/requests/AdministrationHandler.java
+++ b/src/main/java/stileferry/requests/AdministrationHandler.java
@@ -189,7 +189,7 @@
                     .put("within_guarantee", job.withinQuota())
                     .put("rank", placement.rank(job))
                     .put("waiting", job.pendingCount())
-                    .put("why", placement.whyWaiting(job, now));
+                    .put("why", placement.pendingReason(job, now));
             bytes += o.toString().length();
         }
         return answer.put("more", more);
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
+import stileferry.lifecycle.CompletedJob;
 import stileferry.lifecycle.CompletedJobCache;
 import stileferry.lifecycle.JobCompletion;
 import stileferry.protocol.Environment;
@@ -96,12 +97,12 @@
     }
 
     @Override
-    public void ended(Job job, CompletedJobCache.CompletedJob end) {
-        answer(job, Responses.ok(200, end.answer(job.spec().id())));
+    public void jobCompleted(Job job, CompletedJob end) {
+        answer(job, Responses.ok(200, end.jobState(job.spec().id())));
     }
 
     @Override
-    public void cancelConfirmed(Job job) {
+    public void cancellationConfirmed(Job job) {
         answer(job, state(job, 200));
     }
 
@@ -141,8 +142,8 @@
     }
 
     /** Looks an id up among the ended jobs; the status is 0 when that can't be told now. */
-    private void lookUp(String id, Consumer<CompletedJobCache.CompletedJob> known, Runnable unknown, Runnable failed) {
-        CompletedJobCache.CompletedJob cached = ended.get(id);
+    private void lookUp(String id, Consumer<CompletedJob> known, Runnable unknown, Runnable failed) {
+        CompletedJob cached = ended.get(id);
         if (cached != null) {
             known.accept(cached);
             return;
@@ -151,7 +152,7 @@
             if (!lead.serving() || status != 200 && status != 404) {
                 failed.run();
             } else if (status == 200) {
-                CompletedJobCache.CompletedJob read = CompletedJobCache.CompletedJob.read(body.path("v"));
+                CompletedJob read = CompletedJob.read(body.path("v"));
                 ended.put(id, read);
                 known.accept(read);
             } else {
@@ -189,13 +190,13 @@
         }
         lookUp(
                 id,
-                e -> reply.accept(Responses.ok(200, e.answer(id))),
+                e -> reply.accept(Responses.ok(200, e.jobState(id))),
                 () -> {
                     Job meanwhile = cluster.jobs().get(id);
                     if (meanwhile != null) {
                         join(meanwhile, reply);
                     } else if (ended.get(id) != null) {
-                        reply.accept(Responses.ok(200, ended.get(id).answer(id)));
+                        reply.accept(Responses.ok(200, ended.get(id).jobState(id)));
                     } else {
                         accept(body, first, reply);
                     }
@@ -296,7 +297,7 @@
         }
         lookUp(
                 id,
-                e -> reply.accept(Responses.ok(200, e.answer(id))),
+                e -> reply.accept(Responses.ok(200, e.jobState(id))),
                 () -> {
                     Job meanwhile = cluster.jobs().get(id);
                     reply.accept(meanwhile != null ? state(meanwhile, 200) : endedMeanwhile(id));
@@ -306,8 +307,8 @@
 
     /** The answer about a job that is not alive and had not ended when that was asked: it may have lived in between. */
     private PeerMessage.Response endedMeanwhile(String id) {
-        CompletedJobCache.CompletedJob now = ended.get(id);
-        return now == null ? Responses.refusal(404, "no such job") : Responses.ok(200, now.answer(id));
+        CompletedJob now = ended.get(id);
+        return now == null ? Responses.refusal(404, "no such job") : Responses.ok(200, now.jobState(id));
     }
 
     public void withdraw(String id, Consumer<PeerMessage.Response> reply) {
@@ -321,7 +322,7 @@
         } else if (job == null) {
             lookUp(
                     id,
-                    e -> reply.accept(Responses.ok(200, e.answer(id))),
+                    e -> reply.accept(Responses.ok(200, e.jobState(id))),
                     () -> reply.accept(cluster.jobs().containsKey(id) ? Responses.unavailable() : endedMeanwhile(id)),
                     () -> reply.accept(Responses.unavailable()));
         } else if (!job.accepted()) {
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -40,7 +40,7 @@
     private static final int STARTS_A_TURN = 400;
 
     private final ClusterState cluster;
-    private boolean cutShort;
+    private boolean stoppedEarly;
     private boolean keptBack;
 
     /** What found no room in a pass. Room only gets less in a pass, so whoever asks for as much finds none either. */
@@ -124,7 +124,7 @@
     /**
      * One pass. The head goes first if it fits, else the fitting job with the lowest rank times position, until
      * nothing fits; where work may be stopped, critical tasks may be kept back for it. Returns the jobs that still wait
-     * for room, in queue order. A pass that starts too much for one turn stops early, and {@link #cutShort} tells so.
+     * for room, in queue order. A pass that starts too much for one turn stops early; see {@link #stoppedEarly}.
      */
     List<Job> pass(long now, long timeOfDay, boolean preempts, BiConsumer<Job, List<Machine>> start) {
         markGuaranteed();
@@ -197,13 +197,13 @@
                 }
             }
         }
-        cutShort = left > 0 || again;
+        stoppedEarly = left > 0 || again;
         return queue;
     }
 
     /** Whether the last pass stopped before everything that fits was started. */
-    public boolean cutShort() {
-        return cutShort;
+    public boolean stoppedEarly() {
+        return stoppedEarly;
     }
 
     /** Requested CPUs, GPUs and memory over the largest machine's, summed. */
@@ -411,7 +411,7 @@
     }
 
     /** Why the next task of this job has not started, in words for operators. */
-    public String whyWaiting(Job job, long now) {
+    public String pendingReason(Job job, long now) {
         if (!cluster.withinTeamLimit(job)) {
             return "its team is at its limit";
         }
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -48,7 +48,7 @@
      * @param regular whether machines may be rented and emptied too, which is done once an interval
      * @param settled whether all workers that can report have reported in this term
      */
-    public void pass(boolean regular, boolean settled) {
+    public void run(boolean regular, boolean settled) {
         if (cluster.machineTypes().isEmpty() || !links.permitsStarting()) {
             return;
         }
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -73,8 +73,8 @@
         batch.deletions().forEach(e -> store.remove(e.key()));
     }
 
-    private static TaskEvents.Reader read(Map<String, JsonNode> store, Map<String, Job> into, EventLog log) {
-        TaskEvents.Reader reader = new TaskEvents.Reader(into);
+    private static TaskEventReader read(Map<String, JsonNode> store, Map<String, Job> into, EventLog log) {
+        TaskEventReader reader = new TaskEventReader(into);
         store.entrySet().stream()
                 .filter(e -> e.getKey().startsWith("l/"))
                 .sorted(Comparator.comparingLong(e -> e.getValue().path("n").asLong()))
@@ -146,15 +146,15 @@
                                         MessageCodec.encode(last.put().value())));
                     }
                 }
-                TaskEvents.Reader reader = read(store, copy, next);
+                TaskEventReader reader = read(store, copy, next);
                 List<TaskAssignment> claims = new ArrayList<>();
                 jobs.values().forEach(j -> claims.addAll(j.assignments().values()));
-                assertEquals(attempts(claims), attempts(reader.claims()), "at step " + step);
+                assertEquals(attempts(claims), attempts(reader.assignments()), "at step " + step);
                 for (Job j : jobs.values()) {
                     assertEquals(j.completedTasks(), copy.get(j.spec().id()).completedTasks(), "at step " + step);
                 }
                 if (next != null) { // a new leader goes on with what it has read
-                    reader.claims().forEach(assignment -> {
+                    reader.assignments().forEach(assignment -> {
                         assignment.job().assignments().put(assignment.index(), assignment);
                         assignment.job().completedOrAssigned().set(assignment.index());
                     });
@@ -211,7 +211,7 @@
                 store.put(batch.put().key(), MessageCodec.decode(MessageCodec.encode(value)));
                 batch.deletions().forEach(e -> store.remove(e.key()));
                 Map<String, Job> copy = jobs(8, 60);
-                Map<String, Long> told = attempts(read(store, copy, null).claims());
+                Map<String, Long> told = attempts(read(store, copy, null).assignments());
                 if (!log.waits()) {
                     List<TaskAssignment> claims = new ArrayList<>();
                     jobs.values().forEach(j -> claims.addAll(j.assignments().values()));
@@ -223,7 +223,7 @@
                 small &= step % 1000 != 950;
                 log = new EventLog(small ? 2 : 16, 64, "t" + step + "-");
                 jobs = jobs(8, 60);
-                read(store, jobs, log).claims().forEach(assignment -> {
+                read(store, jobs, log).assignments().forEach(assignment -> {
                     assignment.job().assignments().put(assignment.index(), assignment);
                     assignment.job().completedOrAssigned().set(assignment.index());
                 });
@@ -257,8 +257,8 @@
             assertTrue(++writes < 4000, "the log writes the same again and again");
         }
         Map<String, Job> copy = jobs(1, 100_000);
-        TaskEvents.Reader reader = read(store, copy, null);
-        assertEquals(50_000, reader.claims().size());
+        TaskEventReader reader = read(store, copy, null);
+        assertEquals(50_000, reader.assignments().size());
         assertEquals(job.completedTasks(), copy.get("job-0").completedTasks());
     }
 
@@ -275,12 +275,12 @@
             claims.addArray().add(128 + i).add(7L << 32).add("host-000001").add(3);
         }
         EventLog log = new EventLog(VALUE_KB, 8, "t");
-        TaskEvents.Reader reader = new TaskEvents.Reader(jobs);
+        TaskEventReader reader = new TaskEventReader(jobs);
         store.put("c/job-0/1", part);
-        log.restore("c/job-0/1", 5, -1, reader.readChunk(job, 1, part, -1));
+        log.restore("c/job-0/1", 5, -1, reader.readLegacyChunk(job, 1, part, -1));
         assertEquals("{128, 138, 143}", job.completedTasks().toString());
-        assertEquals(44, reader.claims().size());
-        reader.claims().forEach(c -> job.assignments().put(c.index(), c));
+        assertEquals(44, reader.assignments().size());
+        reader.assignments().forEach(c -> job.assignments().put(c.index(), c));
         while (log.waits()) {
             write(log, store);
         }
@@ -288,7 +288,7 @@
         Map<String, Job> copy = jobs(1, 200);
         assertEquals(
                 attempts(job.assignments().values()),
-                attempts(read(store, copy, null).claims()));
+                attempts(read(store, copy, null).assignments()));
         assertEquals(job.completedTasks(), copy.get("job-0").completedTasks());
     }
 
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -118,7 +118,7 @@
         do {
             placement.pass(NOW, NOW, false, (job, machines) -> claim(cluster, job, machines.get(0)));
             passes++;
-        } while (placement.cutShort());
+        } while (placement.stoppedEarly());
         int tasks = cluster.machines().values().stream()
                 .mapToInt(m -> m.assignments().size())
                 .sum();
