--- a/src/main/java/stileferry/autoscaling/Autoscaler.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -11,7 +11,7 @@
 /** Dealings with the cloud in one term: rents for what waits, returns what is idle, and watches the list. */
 public final class Autoscaler {
     private final CloudClient cloud;
-    private final CloudInventory list;
+    private final CloudInventory refreshInventory;
     private final ScaleIn returns;
     private final ScaleOut rentals;
 
@@ -20,8 +20,9 @@
         Settings settings = cluster.settings();
         this.cloud = new CloudClient(
                 environment, settings.cloudAddr(), settings.cloud().rps());
-        this.list = new CloudInventory(cluster, environment, cloud, fleet.commands()::announceTerm);
-        this.returns = new ScaleIn(cluster, environment, fleet, cloud, list, links);
+        this.refreshInventory =
+                new CloudInventory(cluster, environment, cloud, fleet.commandDispatcher()::announceTerm);
+        this.returns = new ScaleIn(cluster, environment, fleet, cloud, refreshInventory, links);
         this.rentals = new ScaleOut(cluster, environment, fleet, cloud, term);
     }
 
@@ -30,17 +31,17 @@
     }
 
     /** Reads the list of machines again when it is time. */
-    public void list() {
-        list.list();
+    public void refreshInventory() {
+        refreshInventory.list();
     }
 
     /** Returns what is lost or idle; before the leader is settled only what is certain. */
-    public void returnMachines(boolean settled) {
+    public void scaleIn(boolean settled) {
         returns.returnMachines(settled);
     }
 
     /** Rents for the jobs that wait. */
-    public void rent(List<Job> waiting) {
+    public void scaleOut(List<Job> waiting) {
         rentals.rent(waiting);
     }
 }
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -70,7 +70,7 @@
     void returnMachines(boolean settled) {
         double spare = settled ? spareCpus() : 0;
         boolean mayReturnIdle = settled && links.permitsReturning();
-        Set<Machine> lost = settled ? new HashSet<>(fleet.failures().lost(since)) : Set.of();
+        Set<Machine> lost = settled ? new HashSet<>(fleet.failureDetector().presumedLost(since)) : Set.of();
         for (Machine machine : cluster.machines().values()) {
             if (machine.instance().terminating()) {
                 continue;
@@ -109,7 +109,9 @@
                         since, machine.instance().requestedAt()); // a new leader has not been there to hear it before
         boolean missing = machine.instance().missingSince() != 0
                 && now - machine.instance().missingSince() > listLagMs / 2;
-        if (missing && (fleet.failures().silent(machine) || !machine.agent().heardThisTerm())) {
+        if (missing
+                && (fleet.failureDetector().missedHeartbeats(machine)
+                        || !machine.agent().heardThisTerm())) {
             // Listed before and not listed now: it is gone. Deleting it is free and makes that certain.
             return "it is not listed any more";
         }
@@ -165,7 +167,7 @@
 
     private boolean shallNotBeUsed(Machine machine) {
         return empty(machine)
-                && !fleet.failures().silent(machine)
+                && !fleet.failureDetector().missedHeartbeats(machine)
                 && (machine.instance().reclaimNoticeS() >= 0
                         || machine.instance().quarantined()
                         || machine.instance().draining());
@@ -215,7 +217,7 @@
                 for (String name : names) {
                     Machine machine = cluster.machines().get(name);
                     if (machine != null) {
-                        fleet.deleted(machine);
+                        fleet.machineDeleted(machine);
                     }
                 }
             }
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -79,7 +79,7 @@
     /** Rents for the jobs that wait, after counting the machines that boot. */
     void rent(List<Job> waiting) {
         repeatRentals();
-        unreachable = fleet.failures().unreachableZones(since); // what boots there can't report
+        unreachable = fleet.failureDetector().unreachableZones(since); // what boots there can't report
         List<PlannedMachine> coming = new ArrayList<>();
         Map<String, Integer> perZone = new HashMap<>();
         spotMachines = 0;
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -256,7 +256,7 @@
             answerReport(report, false, reply);
         } else {
             links.reported(report);
-            followerReports.take(report, body, reply);
+            followerReports.receive(report, body, reply);
         }
     }
 
@@ -341,12 +341,12 @@
 
         @Override
         public boolean behind() {
-            return eventLoopLag.behind();
+            return eventLoopLag.overloaded();
         }
 
         @Override
         public boolean strained() {
-            return eventLoopLag.strained();
+            return eventLoopLag.saturated();
         }
     }
 
@@ -384,12 +384,12 @@
 
         @Override
         public long lateMs() {
-            return eventLoopLag.lateMs();
+            return eventLoopLag.lagMs();
         }
 
         @Override
         public boolean behind() {
-            return eventLoopLag.behind();
+            return eventLoopLag.overloaded();
         }
     }
 }
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -223,7 +223,7 @@
                 .filter(job -> job.spec().gang() && job.completedCount() > 0)
                 .forEach(job -> tasks.finishGang(job, null));
         cluster.jobs().values().forEach(tasks::stopBrokenAttempt);
-        silences.takeOver(loaded.silences());
+        silences.restore(loaded.silences());
         cluster.machines().values().forEach(machine -> links.expected(machine.name(), machine.address()));
         if (leadership.countingSince() > 0) {
             admissions = new AdmissionCountShards(
@@ -241,7 +241,7 @@
                 loaded.claims());
         tasks.jobEnds().endWhatIsOver();
         leadership.cancellations().allRead();
-        provisioning.list();
+        provisioning.refreshInventory();
         tick();
     }
 
@@ -256,14 +256,14 @@
         }
         environment.after(
                 Math.round(1000 * cluster.operatorSettings().number(OperatorSettings.PASS_INTERVAL_S)), this::tick);
-        fleet.failures().checkLeases();
-        fleet.commands().probe();
+        fleet.failureDetector().expireLeases();
+        fleet.commandDispatcher().queueProbes();
         users.giveUpWaiting();
         checkSockets();
-        silences.giveUp();
+        silences.refuseExpired();
         if (leadership.sure()) {
-            provisioning.list();
-            provisioning.returnMachines(settled());
+            provisioning.refreshInventory();
+            provisioning.scaleIn(settled());
             if (!rests()) {
                 pass(true);
             }
@@ -307,7 +307,7 @@
      * quarters of a leader's time went into them, each longer than the second between two, while leases lapsed.
      */
     private boolean rests() {
-        return admissions != null && eventLoopLag.strained() && environment.now() - passedAt < PASS_REST * passTookMs;
+        return admissions != null && eventLoopLag.saturated() && environment.now() - passedAt < PASS_REST * passTookMs;
     }
 
     private void pass(boolean regular) {
@@ -327,10 +327,10 @@
     /** Answers a report; null: not with 200. */
     void report(Heartbeat heartbeat, Consumer<byte[]> reply) {
         if (active) {
-            fleet.report(heartbeat, reply);
+            fleet.receive(heartbeat, reply);
         } else {
             boolean known = cancellationsRead || leadership.cancellations().knowsWhatWasBefore();
-            reply.accept(known && leadership.mayRenew() ? fleet.hold(heartbeat) : null);
+            reply.accept(known && leadership.mayRenew() ? fleet.renewBeforeRecovery(heartbeat) : null);
         }
     }
 
@@ -353,7 +353,7 @@
         if (leadership.sure() && !links.handingOver()) {
             ledger.flush();
         }
-        fleet.commands().send();
+        fleet.commandDispatcher().sendQueued();
     }
 
     // ---- users
--- a/src/main/java/stileferry/coordination/LocalAdministration.java
+++ b/src/main/java/stileferry/coordination/LocalAdministration.java
@@ -70,7 +70,7 @@
                 .put("node", node)
                 .put("leader", leadership.leader())
                 .put("term", leadership.term())
-                .put("late_ms", eventLoopLag.lateMs())
-                .put("most_late_ms", eventLoopLag.mostLateMs());
+                .put("late_ms", eventLoopLag.lagMs())
+                .put("most_late_ms", eventLoopLag.maxLagMs());
     }
 }
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -167,7 +167,7 @@
 
     private void announceToSome() {
         int some = LEAST_ANNOUNCEMENTS + (int) (cluster.machines().size() * ANNOUNCE_MS / (2 * reportMs));
-        if (eventLoopLag.behind()) {
+        if (eventLoopLag.overloaded()) {
             some = Math.max(1, some / FEWER_WHEN_BEHIND); // most will come by themselves
         }
         while (!closed && some > 0 && !toAnnounceTo.isEmpty() && mayAsk()) {
@@ -188,7 +188,7 @@
     }
 
     /** Notes machines in doubt, to be asked whether they hear us, and silent ones, whether they are there. */
-    public void probe() {
+    public void queueProbes() {
         long now = environment.now();
         for (Machine machine : cluster.machines().values()) {
             boolean doubtful = machine.agent().unreachableSince() != 0
@@ -206,7 +206,7 @@
     }
 
     /** Sends what was wanted since the last turn; machines not heard lately get it in answer to their reports. */
-    public void send() {
+    public void sendQueued() {
         if (closed) {
             return;
         }
@@ -232,7 +232,7 @@
                     || machine.instance().terminating()
                     || machine.address().isEmpty()
                     || environment.now() - machine.agent().lastHeardAt() > 2 * reportMs
-                    || eventLoopLag.behind() && !hurry(machine)) {
+                    || eventLoopLag.overloaded() && !hurry(machine)) {
                 continue;
             }
             List<WorkerCommand> signals = signals(machine, false);
--- a/src/main/java/stileferry/heartbeat/EventLoopLag.java
+++ b/src/main/java/stileferry/heartbeat/EventLoopLag.java
@@ -25,7 +25,7 @@
     private final Environment environment;
     private final long beatMs;
     private final double behindMs;
-    private double lateMs;
+    private double lagMs;
     private long most;
 
     public EventLoopLag(Environment environment, double reportS) {
@@ -39,29 +39,29 @@
         long due = environment.now() + beatMs;
         environment.after(beatMs, () -> {
             long late = Math.max(0, environment.now() - due);
-            lateMs = Math.max(late, REMEMBERED * lateMs);
+            lagMs = Math.max(late, REMEMBERED * lagMs);
             most = Math.max(most, late);
             start();
         });
     }
 
     /** Whether there is more to do than this process can do in time. */
-    public boolean behind() {
-        return lateMs > behindMs;
+    public boolean overloaded() {
+        return lagMs > behindMs;
     }
 
     /** Whether there is about as much to do as this process can do in time. */
-    public boolean strained() {
-        return lateMs > behindMs * STRAINED_PART;
+    public boolean saturated() {
+        return lagMs > behindMs * STRAINED_PART;
     }
 
     /** By how much the last timers were late, in milliseconds. */
-    public long lateMs() {
-        return Math.round(lateMs);
+    public long lagMs() {
+        return Math.round(lagMs);
     }
 
     /** By how much any timer was late since the start, in milliseconds. */
-    public long mostLateMs() {
+    public long maxLagMs() {
         return most;
     }
 }
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -96,7 +96,7 @@
     }
 
     /** Looks for leases that have lapsed for certain. */
-    public void checkLeases() {
+    public void expireLeases() {
         long now = environment.now();
         long acked = leadership.allAckedAt();
         for (Machine machine : cluster.machines().values()) {
@@ -157,7 +157,7 @@
     }
 
     /** Machines with work that are most likely gone or hang: they neither report nor answer, though their zone does. */
-    public List<Machine> lost(long activeSince) {
+    public List<Machine> presumedLost(long activeSince) {
         long forSpot = environment.now() - Math.round(LOST_AFTER_LEASES * leaseMs);
         long forOthers =
                 Math.min(forSpot, environment.now() - Math.round(LATE_REPORT * reportMs) - DETOURS * DETOUR_MS);
@@ -181,7 +181,7 @@
     /**
      * Whether a command that is sent now can be expected to arrive: the machine reports in time, and heard us before.
      */
-    public boolean hears(Machine machine) {
+    public boolean reachable(Machine machine) {
         return machine.agent().heardThisTerm()
                 && !machine.instance().terminating()
                 && machine.agent().unreachableSince() == 0
@@ -189,7 +189,7 @@
     }
 
     /** True when nothing was heard for longer than reports can take. */
-    public boolean silent(Machine machine) {
+    public boolean missedHeartbeats(Machine machine) {
         return machine.agent().heardThisTerm()
                 && environment.now() - machine.agent().lastHeardAt() > 2 * reportMs;
     }
--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -50,7 +50,7 @@
     }
 
     /** Sends a worker to the leader, or passes its report on. */
-    public void take(Heartbeat report, byte[] body, BiConsumer<Integer, byte[]> reply) {
+    public void receive(Heartbeat report, byte[] body, BiConsumer<Integer, byte[]> reply) {
         redirectOrWait(report, body, environment.now() + NEW_LEADER_MS, reply);
     }
 
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -34,8 +34,8 @@
     private final EventLoopLag eventLoopLag;
     private final long leaseMs;
     private final byte[] nothing;
-    private final FailureDetector failures;
-    private final CommandDispatcher commands;
+    private final FailureDetector failureDetector;
+    private final CommandDispatcher commandDispatcher;
 
     public HeartbeatHandler(
             ClusterState cluster,
@@ -54,8 +54,8 @@
         this.events = events;
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
         this.nothing = MessageCodec.encode(Messages.heartbeatResponse(term, List.of()));
-        this.failures = new FailureDetector(cluster, environment, leadership, term, events, silences);
-        this.commands = new CommandDispatcher(
+        this.failureDetector = new FailureDetector(cluster, environment, leadership, term, events, silences);
+        this.commandDispatcher = new CommandDispatcher(
                 cluster,
                 environment,
                 leadership,
@@ -65,21 +65,21 @@
     }
 
     public void close() {
-        commands.close();
+        commandDispatcher.close();
     }
 
     /** What silent machines are judged by. */
-    public FailureDetector failures() {
-        return failures;
+    public FailureDetector failureDetector() {
+        return failureDetector;
     }
 
     /** What is sent to machines without waiting for their reports. */
-    public CommandDispatcher commands() {
-        return commands;
+    public CommandDispatcher commandDispatcher() {
+        return commandDispatcher;
     }
 
     /** Takes a report and replies with the answer's body; null when this report must not be answered with 200. */
-    public void report(Heartbeat heartbeat, Consumer<byte[]> reply) {
+    public void receive(Heartbeat heartbeat, Consumer<byte[]> reply) {
         Machine machine = mayAnswer(heartbeat) ? cluster.machine(heartbeat.machine()) : null;
         if (machine == null) {
             reply.accept(null);
@@ -128,7 +128,7 @@
         doubt(machine, heartbeat);
         boolean fresh = take(machine, heartbeat, true);
         machine.agent().setLastAnsweredAt(environment.now());
-        List<WorkerCommand> signals = fresh ? commands.signals(machine, true) : List.of();
+        List<WorkerCommand> signals = fresh ? commandDispatcher.signals(machine, true) : List.of();
         machine.agent().setStartsInLastResponse(keys(signals));
         return signals.isEmpty() ? nothing : MessageCodec.encode(Messages.heartbeatResponse(term, signals));
     }
@@ -184,7 +184,7 @@
     }
 
     /** Answers a report before the claims have been read: the lease is renewed, and cancelled jobs are stopped. */
-    public byte[] hold(Heartbeat heartbeat) {
+    public byte[] renewBeforeRecovery(Heartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         machine.setAddress(heartbeat.address());
         machine.agent().setLastAnsweredAt(environment.now());
@@ -237,8 +237,8 @@
         if (!machine.agent().heardThisTerm() && heartbeat.fencingToken() < term) {
             // until it shows our term: this may be a late copy of what a dead machine said
             machine.agent().setUnreachableSince(now);
-            if (!eventLoopLag.behind()) {
-                commands.ask(machine); // its next report will show it too, but work may be waiting
+            if (!eventLoopLag.overloaded()) {
+                commandDispatcher.ask(machine); // its next report will show it too, but work may be waiting
             }
         } else if (machine.agent().fencingToken() < term && heartbeat.fencingToken() >= term) {
             machine.agent().setUnreachableSince(0);
@@ -295,7 +295,7 @@
                 claimed.put(status.taskId(), status);
             } else if (status.phase() != Heartbeat.TaskPhase.EXITED) {
                 machine.agent().setHasOrphanTasks(true);
-                commands.sendSoon(machine);
+                commandDispatcher.sendSoon(machine);
             }
         }
         return claimed;
@@ -325,7 +325,7 @@
                 case RUNNING, SAVING_CHECKPOINT -> running(machine, assignment, now);
                 default -> {}
             }
-            events.progressed(assignment);
+            events.phaseChanged(assignment);
         }
         if (status.phase() == Heartbeat.TaskPhase.EXITED) {
             events.exited(machine, assignment, status);
@@ -349,7 +349,7 @@
                 assignment.job().spec().image(), assignment.job().spec().imageGb());
         if (assignment.job().spec().gang()
                 && assignment.job().runningCount() == assignment.job().spec().taskCount()) {
-            events.gangRuns(assignment.job());
+            events.gangRunning(assignment.job());
         }
     }
 
@@ -359,7 +359,7 @@
             if (assignment.job().spec().gang()) {
                 if (assignment.job().spec().estimateS() - assignment.runtimeMs(now) / 1000.0
                         > machine.instance().reclaimNoticeS()) {
-                    events.stopWhole(
+                    events.stopTaskOrGang(
                             assignment,
                             assignment.job().spec().checkpointSaveS()
                                             <= machine.instance().reclaimNoticeS()
@@ -375,12 +375,12 @@
                 cluster.requestStop(assignment, 0, now); // it would be lost all the same, only later
             }
         }
-        commands.sendSoon(machine);
+        commandDispatcher.sendSoon(machine);
         events.changed();
     }
 
     /** The cloud has confirmed that a machine is gone with all that was on it. */
-    public void deleted(Machine machine) {
+    public void machineDeleted(Machine machine) {
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
             events.gone(assignment, "machine deleted");
         }
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -28,9 +28,9 @@
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
     /** Kinds of events in the records, beside those of tasks. */
-    public static final int SILENT = 3;
+    public static final int LAST_HEARTBEAT_EVENT = 3;
 
-    public static final int HEARD = 4;
+    public static final int HEARD_AGAIN_EVENT = 4;
 
     /** Reports come a quarter late at most, and one may get lost. */
     private static final double NOTE_AFTER_REPORTS = 1.5;
@@ -55,7 +55,7 @@
     private record Silent(LastHeartbeatRecord silence) implements CommitQueue.Event {
         @Override
         public void write(ArrayNode into) {
-            into.add(SILENT)
+            into.add(LAST_HEARTBEAT_EVENT)
                     .add(silence.machine())
                     .add(silence.incarnation())
                     .add(silence.answeredAt())
@@ -87,7 +87,7 @@
     private record Heard(String machine) implements CommitQueue.Event {
         @Override
         public void write(ArrayNode into) {
-            into.add(HEARD).add(machine);
+            into.add(HEARD_AGAIN_EVENT).add(machine);
         }
 
         @Override
@@ -121,7 +121,7 @@
     }
 
     /** Takes in what the former leader noted, once the claims are known. */
-    public void takeOver(Iterable<LastHeartbeatRecord> notes) {
+    public void restore(Iterable<LastHeartbeatRecord> notes) {
         if (clockOffMs < 0) {
             return; // clocks of which nothing is said can't be compared
         }
@@ -172,7 +172,7 @@
     }
 
     /** Refuses what has waited for too long; its worker asks again. */
-    public void giveUp() {
+    public void refuseExpired() {
         long before = environment.now() - DURABLE_MS;
         for (List<Waiting> reports : waiting.values()) {
             reports.removeIf(w -> {
--- a/src/main/java/stileferry/heartbeat/TaskObserver.java
+++ b/src/main/java/stileferry/heartbeat/TaskObserver.java
@@ -14,13 +14,13 @@
     void gone(TaskAssignment claim, String proof);
 
     /** A task is at another stage than before. */
-    void progressed(TaskAssignment claim);
+    void phaseChanged(TaskAssignment claim);
 
     /** All tasks of a gang run. */
-    void gangRuns(Job job);
+    void gangRunning(Job job);
 
     /** A task has to leave its machine; a gang's others have to stop with it. */
-    void stopWhole(TaskAssignment claim, double graceS);
+    void stopTaskOrGang(TaskAssignment claim, double graceS);
 
     /** Something changed that a pass may use. */
     void changed();
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -192,9 +192,9 @@
         /** Takes in an event about a machine's heartbeats; false if this is none. */
         private boolean readHeartbeatEvent(int kind, JsonNode event) {
             String machine = event.path(1).asText();
-            if (kind == LastHeartbeatJournal.SILENT) {
+            if (kind == LastHeartbeatJournal.LAST_HEARTBEAT_EVENT) {
                 silences.put(machine, LastHeartbeatRecord.read(event));
-            } else if (kind == LastHeartbeatJournal.HEARD) {
+            } else if (kind == LastHeartbeatJournal.HEARD_AGAIN_EVENT) {
                 silences.remove(machine);
             } else {
                 return false;
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -112,14 +112,14 @@
                 startWhole(claim.job(), claim.gangAttempt());
             }
         } else if (mayStart(claim)) {
-            fleet.commands().sendSoon(machine);
+            fleet.commandDispatcher().sendSoon(machine);
         }
     }
 
     private void startWhole(Job job, GangAttempt attempt) {
         for (TaskAssignment claim : job.assignments().values()) {
             if (claim.gangAttempt() == attempt && mayStart(claim)) {
-                fleet.commands().sendSoon(cluster.machine(claim.machine()));
+                fleet.commandDispatcher().sendSoon(cluster.machine(claim.machine()));
             }
         }
     }
@@ -150,7 +150,7 @@
      */
     private boolean allHear(Job gang) {
         for (TaskAssignment claim : gang.assignments().values()) {
-            if (!fleet.failures().hears(cluster.machine(claim.machine()))) {
+            if (!fleet.failureDetector().reachable(cluster.machine(claim.machine()))) {
                 LOG.info(
                         "gang {} is stopped without saving: {} may not hear it",
                         gang.spec().id(),
@@ -172,7 +172,7 @@
             return;
         }
         cluster.requestStop(claim, graceS, environment.now());
-        fleet.commands().sendSoon(cluster.machine(claim.machine()));
+        fleet.commandDispatcher().sendSoon(cluster.machine(claim.machine()));
     }
 
     @Override
@@ -305,12 +305,12 @@
     }
 
     @Override
-    public void progressed(TaskAssignment claim) {
+    public void phaseChanged(TaskAssignment claim) {
         jobEnds.confirm(claim.job());
     }
 
     @Override
-    public void gangRuns(Job job) {
+    public void gangRunning(Job job) {
         gangCounters.started();
         LOG.debug(
                 "all {} tasks of {} of {} run",
@@ -320,7 +320,7 @@
     }
 
     @Override
-    public void stopWhole(TaskAssignment claim, double graceS) {
+    public void stopTaskOrGang(TaskAssignment claim, double graceS) {
         stop(claim, graceS);
     }
 
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -62,7 +62,7 @@
         }
         waiting.removeIf(job -> placement.keptBack(job, now)); // nothing is rented for it, and it is no lack of room
         if (settled && regular && !waiting.isEmpty() && links.permitsRenting()) {
-            provisioning.rent(waiting);
+            provisioning.scaleOut(waiting);
         }
         if (regular && rearranges) {
             consolidation.step(waiting, now);
--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -33,7 +33,7 @@
         HeartbeatHandler fleet =
                 new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
         Autoscaler provisioning = new Autoscaler(cluster, environment, fleet, 1, LinkHealth.NONE);
-        provisioning.list();
+        provisioning.refreshInventory();
         w.play(1);
         Job job = new Job(
                 new JobSpec(
@@ -62,10 +62,10 @@
                 0);
         cluster.assign(new TaskAssignment(job, 0, 1, "host-000099", 1, 0));
         w.play(4);
-        provisioning.returnMachines(true);
+        provisioning.scaleIn(true);
         assertFalse(cluster.machine("host-000099").instance().terminating(), "it may report any moment");
         w.play(20);
-        provisioning.returnMachines(true);
+        provisioning.scaleIn(true);
         assertTrue(
                 cluster.machine("host-000099").instance().terminating(),
                 "what neither list nor report shows must end some day");
@@ -123,14 +123,14 @@
             cluster.machine("host-" + i).agent().setHeardThisTerm(true);
             cluster.machine("host-" + i).agent().setLastHeardAt(environment.now());
         }
-        assertEquals(List.of(cluster.machine("host-0")), fleet.failures().lost(since));
+        assertEquals(List.of(cluster.machine("host-0")), fleet.failureDetector().presumedLost(since));
         w.play(7);
-        assertEquals(List.of(), fleet.failures().lost(since), "nobody reports: the network is at fault");
+        assertEquals(List.of(), fleet.failureDetector().presumedLost(since), "nobody reports: the network is at fault");
         for (int i = 2; i < 8; i++) {
             cluster.machine("host-" + i).agent().setLastHeardAt(environment.now());
         }
         // found on a day where the leader could not hear its workers: most had come back by way of the others
-        assertEquals(List.of(), fleet.failures().lost(since), "the rest may be on their way");
+        assertEquals(List.of(), fleet.failureDetector().presumedLost(since), "the rest may be on their way");
         for (int t = 0; t < 5; t++) {
             w.play(2);
             for (int i = 2; i < 8; i++) {
@@ -139,6 +139,6 @@
         }
         assertEquals(
                 List.of(cluster.machine("host-0"), cluster.machine("host-1")),
-                fleet.failures().lost(since));
+                fleet.failureDetector().presumedLost(since));
     }
 }
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -209,7 +209,7 @@
         node.start();
         HeartbeatHandler fleet = new HeartbeatHandler(
                 cluster, node.environment, null, 1, null, null, new EventLoopLag(node.environment, 1));
-        fleet.commands().announceTerm();
+        fleet.commandDispatcher().announceTerm();
         w.play(20);
         int commands = cluster.settings().sockets().commands();
         assertTrue(most[0] <= commands / 2, most[0] + " questions at once, " + commands + " sockets for commands");
