--- a/src/main/java/stileferry/standin/Cloud.java
+++ b/src/main/java/stileferry/standin/Cloud.java
@@ -73,7 +73,7 @@
     }
 
     /** Takes a machine without asking. */
-    public void take(String name) {
+    public void reclaim(String name) {
         Machine machine = machines.remove(name);
         if (machine != null) {
             gone.put(name, machine);
@@ -90,7 +90,7 @@
     }
 
     /** Names of the machines that are up. */
-    public List<String> up() {
+    public List<String> runningMachines() {
         return machines.entrySet().stream()
                 .filter(e -> e.getValue().worker != null)
                 .map(Map.Entry::getKey)
@@ -118,10 +118,10 @@
             rent(body, reply);
         } else if (path.equals("/hosts/delete")) {
             deletions++;
-            body.path("fleet").forEach(n -> take(n.asText()));
+            body.path("fleet").forEach(n -> reclaim(n.asText()));
             reply.done(200, MessageCodec.map());
         } else if (path.startsWith("/hosts?")) {
-            list(Query.of(path), reply);
+            list(QueryString.of(path), reply);
         } else {
             reply.done(400, null);
         }
@@ -158,7 +158,7 @@
         reply.done(200, answer);
     }
 
-    private void list(Query q, Environment.Reply reply) {
+    private void list(QueryString q, Environment.Reply reply) {
         ObjectNode answer = MessageCodec.map().put("more", false);
         ArrayNode list = answer.putArray("fleet");
         goneAt.values().removeIf(at -> now - at > lagMs);
@@ -169,7 +169,7 @@
             if (now - machine.rentedAt >= lagMs) {
                 list.addObject()
                         .put("name_id", name)
-                        .put("addr", machine.worker == null ? "" : machine.worker.addr())
+                        .put("addr", machine.worker == null ? "" : machine.worker.address())
                         .put("hull", type)
                         .put("harbor", machine.zone)
                         .put("tender", machine.spot)
--- a/src/main/java/stileferry/standin/Gangs.java
+++ b/src/main/java/stileferry/standin/GangSimulation.java
@@ -7,7 +7,7 @@
 import stileferry.protocol.JobSpec;
 
 /** What the tasks of gangs know of each other, for all workers of one deployment, after the published protocol. */
-public final class Gangs {
+public final class GangSimulation {
     private final long waitMs;
     private final long peerMs;
     private final Map<String, Gang> gangs = new HashMap<>();
@@ -29,7 +29,7 @@
     }
 
     /** Gangs whose tasks wait so long for the others, and notice within such a time that one is gone. */
-    public Gangs(double waitS, double peerS) {
+    public GangSimulation(double waitS, double peerS) {
         waitMs = Math.round(1000 * waitS);
         peerMs = Math.round(1000 * peerS);
     }
@@ -118,7 +118,7 @@
     }
 
     /** Jobs with tasks of more than one attempt at a time, which must never be. */
-    public List<String> mixed() {
+    public List<String> jobsWithMixedAttempts() {
         Map<String, Integer> attempts = new HashMap<>();
         gangs.values().stream()
                 .filter(g -> !g.members.isEmpty())
--- a/src/main/java/stileferry/standin/StateService.java
+++ b/src/main/java/stileferry/standin/KeyValueStore.java
@@ -13,13 +13,13 @@
 import stileferry.protocol.MessageCodec;
 
 /** A stand-in for the state service, after the published protocol. Time comes from outside; nothing runs by itself. */
-public final class StateService {
+public final class KeyValueStore {
     private int opsMost;
     private int valueBytesMost;
     private final TreeMap<String, Item> items = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private final List<Change> changes = new ArrayList<>();
+    private final List<Change> writtenKeys = new ArrayList<>();
     private long revision;
     private long written;
     private long leaseIds;
@@ -37,12 +37,12 @@
     }
 
     /** A service with the settings' limits on operations in a transaction and on the size of a value. */
-    public StateService(int opsMost, double valueKb) {
-        limit(opsMost, valueKb);
+    public KeyValueStore(int opsMost, double valueKb) {
+        setLimits(opsMost, valueKb);
     }
 
     /** Other limits from now on; what is stored stays readable. */
-    public void limit(int operations, double valueKb) {
+    public void setLimits(int operations, double valueKb) {
         opsMost = operations;
         valueBytesMost = (int) (valueKb * 1024);
     }
@@ -54,7 +54,7 @@
     }
 
     /** How many keys were put or deleted so far. */
-    public long changes() {
+    public long writtenKeys() {
         return written;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** An outage is over: every lease has its full time again. */
-    public void renewAll(long time) {
+    public void renewAllLeases(long time) {
         now = time;
         leases.values().forEach(l -> l.endsAt = now + l.lifeMs);
     }
@@ -97,9 +97,9 @@
                 reply.done(200, n);
             }
         } else if (path.startsWith("/kv?")) {
-            reply.done(200, read(Query.of(path)));
+            reply.done(200, read(QueryString.of(path)));
         } else if (path.startsWith("/watch?")) {
-            Query q = Query.of(path);
+            QueryString q = QueryString.of(path);
             ObjectNode seen = changesSince(q.text("starts"), q.number("from", 0));
             if (!seen.path("events").isEmpty()) {
                 reply.done(200, seen);
@@ -140,13 +140,13 @@
         for (String key : List.copyOf(items.keySet())) {
             if (items.get(key).lease == lease) {
                 items.remove(key);
-                changes.add(new Change(key, null, ++revision));
+                writtenKeys.add(new Change(key, null, ++revision));
             }
         }
         wake();
     }
 
-    private ObjectNode read(Query q) {
+    private ObjectNode read(QueryString q) {
         String prefix = q.text("starts");
         String from = q.text("from");
         long most = Math.min(1000, q.number("most", 1000));
@@ -173,7 +173,7 @@
     private ObjectNode changesSince(String prefix, long from) {
         ObjectNode answer = MessageCodec.map().put("ledger_rev", revision);
         ArrayNode events = answer.putArray("events");
-        for (Change c : changes) {
+        for (Change c : writtenKeys) {
             if (c.revision > from && c.key.startsWith(prefix)) {
                 events.addObject()
                         .put(c.value == null ? "delete" : "put", c.key)
@@ -225,9 +225,9 @@
                                 op.path("v").deepCopy(),
                                 revision,
                                 op.path("mooring").asLong()));
-                changes.add(new Change(op.path("put").asText(), op.path("v"), revision));
+                writtenKeys.add(new Change(op.path("put").asText(), op.path("v"), revision));
             } else if (items.remove(op.path("delete").asText()) != null) {
-                changes.add(new Change(op.path("delete").asText(), null, revision));
+                writtenKeys.add(new Change(op.path("delete").asText(), null, revision));
             }
         }
         reply.done(200, MessageCodec.map().put("ledger_rev", revision));
@@ -242,8 +242,8 @@
                 w.reply.done(200, seen);
             }
         }
-        while (changes.size() > 10_000) {
-            changes.remove(0);
+        while (writtenKeys.size() > 10_000) {
+            writtenKeys.remove(0);
         }
     }
 }
--- a/src/main/java/stileferry/standin/LinkFaults.java
+++ b/src/main/java/stileferry/standin/LinkFaults.java
@@ -6,7 +6,7 @@
     LinkFaults NONE = (from, to) -> Effect.NONE;
 
     /** Names the state service. */
-    String STATE = "state";
+    String KEY_VALUE_STORE = "state";
 
     /** Names the cloud. */
     String CLOUD = "cloud";
@@ -33,7 +33,7 @@
      * What becomes of a request that is sent now.
      *
      * @param from a machine's name, or the address that a controller's connections come from
-     * @param to a machine's or a controller's name, {@link #STATE} or {@link #CLOUD}
+     * @param to a machine's or a controller's name, {@link #KEY_VALUE_STORE} or {@link #CLOUD}
      */
     Effect of(String from, String to);
 }
--- a/src/main/java/stileferry/standin/Query.java
+++ b/src/main/java/stileferry/standin/QueryString.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /** The part of a path behind the question mark. */
-record Query(Map<String, String> values) {
-    static Query of(String path) {
+record QueryString(Map<String, String> values) {
+    static QueryString of(String path) {
         Map<String, String> values = new HashMap<>();
         int mark = path.indexOf('?');
         if (mark >= 0) {
@@ -16,7 +16,7 @@
                 }
             }
         }
-        return new Query(values);
+        return new QueryString(values);
     }
 
     String text(String name) {
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -15,23 +15,23 @@
     private static final long FETCH_MS = 800;
 
     private final String machine;
-    private final String addr;
+    private final String address;
     private final String type;
     private final String zone;
     private final boolean spot;
     private final long leaseMs;
     private final Function<String, JobSpec> directory;
     private final Watcher watcher;
-    private final Gangs gangs;
+    private final GangSimulation gangs;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private long session = 1;
+    private long incarnation = 1;
     private long seq;
     private long token;
     private long leaseFrom;
     private long now;
     private double cpusFree;
     private double memoryFree;
-    private boolean faulty;
+    private boolean setFaulty;
     private boolean immortal;
     private long hangsUntil;
     private double noticeS = -1;
@@ -91,10 +91,10 @@
             long now,
             Function<String, JobSpec> directory,
             Watcher watcher,
-            Gangs gangs) {
+            GangSimulation gangs) {
         this.gangs = gangs;
         this.machine = machine;
-        this.addr = addr;
+        this.address = addr;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
@@ -111,8 +111,8 @@
         return machine;
     }
 
-    public String addr() {
-        return addr;
+    public String address() {
+        return address;
     }
 
     public String type() {
@@ -128,8 +128,8 @@
     }
 
     /** From now on every task that starts fails, or no longer does. */
-    public void faulty(boolean value) {
-        faulty = value;
+    public void setFaulty(boolean value) {
+        setFaulty = value;
     }
 
     /** For tests of the tests: the worker no longer minds its lease, as a broken one might. */
@@ -138,18 +138,18 @@
     }
 
     /** The machine hangs until then: its tasks stay as they are, unless its lease ends. */
-    public void hang(long until) {
+    public void hangUntil(long until) {
         hangsUntil = until;
     }
 
     /** The cloud will take the machine. */
-    public void notice(double seconds) {
+    public void reclaimNotice(double seconds) {
         noticeS = seconds;
         changed = true;
     }
 
     /** True once after something changed that is worth a report. */
-    public boolean takeChanged() {
+    public boolean pollChanged() {
         boolean was = changed;
         changed = false;
         return was;
@@ -172,7 +172,7 @@
         now = time;
         if (now - leaseFrom > leaseMs && !immortal) {
             forgetAll();
-            session++;
+            incarnation++;
             leaseFrom = now;
             changed = true;
         }
@@ -194,7 +194,7 @@
                 }
                 watcher.started(task.name, this);
                 changed = true;
-                if (faulty) {
+                if (setFaulty) {
                     exit(task, "error");
                 }
             } else {
@@ -226,14 +226,14 @@
     }
 
     /** The worker's report, as it stands. */
-    public ObjectNode report() {
+    public ObjectNode heartbeat() {
         ObjectNode n = MessageCodec.map()
                 .put("vessel", machine)
-                .put("addr", addr)
+                .put("addr", address)
                 .put("hull", type)
                 .put("harbor", zone)
                 .put("tender", spot)
-                .put("voyage", session)
+                .put("voyage", incarnation)
                 .put("log_seq", ++seq)
                 .put("helm", token);
         if (noticeS >= 0) {
@@ -258,15 +258,15 @@
     }
 
     /** The session in which the next report is sent. */
-    public long session() {
-        return session;
+    public long incarnation() {
+        return incarnation;
     }
 
     /** Takes the 200 answer to a report that was sent in this session at this time. */
-    public void answered(JsonNode body, long sentSession, long sentAt) {
+    public void heartbeatAnswered(JsonNode body, long sentSession, long sentAt) {
         if (body == null
                 || !body.path("helm").isIntegralNumber()
-                || sentSession != session
+                || sentSession != incarnation
                 || body.path("helm").asLong() < token) {
             return;
         }
@@ -281,11 +281,11 @@
     }
 
     /** Carries direct commands out; the status of the answer, whose body is the report. */
-    public int commands(JsonNode body) {
+    public int receiveCommands(JsonNode body) {
         if (!body.path("helm").isIntegralNumber() || !body.path("voyage").isIntegralNumber()) {
             return 400;
         }
-        if (body.path("helm").asLong() < token || body.path("voyage").asLong() != session) {
+        if (body.path("helm").asLong() < token || body.path("voyage").asLong() != incarnation) {
             return 409;
         }
         accept(body.path("helm").asLong());
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -14,9 +14,9 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.standin.Cloud;
-import stileferry.standin.Gangs;
+import stileferry.standin.GangSimulation;
+import stileferry.standin.KeyValueStore;
 import stileferry.standin.LinkFaults;
-import stileferry.standin.StateService;
 import stileferry.standin.Worker;
 
 /**
@@ -52,12 +52,12 @@
     private final Size size;
     private final List<String> controllers;
     private final List<String> names;
-    private final StateService state = new StateService(20, 8);
+    private final KeyValueStore state = new KeyValueStore(20, 8);
     private final Cloud cloud;
     private final LinkFaults faults;
     private final Worker.Watcher watcher;
     private final Map<String, Worker> workers = new HashMap<>();
-    private final Gangs gangs = new Gangs(GANG_WAIT_S, GANG_PEER_S);
+    private final GangSimulation gangs = new GangSimulation(GANG_WAIT_S, GANG_PEER_S);
     private final Undertow server;
     private int addresses;
     private volatile boolean closed;
@@ -141,7 +141,9 @@
         String path = exchange.getRequestPath();
         boolean toWorker = path.equals("/commands") || path.equals("/inspect");
         boolean toCloud = path.equals("/machine_types") || path.startsWith("/hosts");
-        String to = toCloud ? LinkFaults.CLOUD : !toWorker ? LinkFaults.STATE : worker == null ? "" : worker.machine();
+        String to = toCloud
+                ? LinkFaults.CLOUD
+                : !toWorker ? LinkFaults.KEY_VALUE_STORE : worker == null ? "" : worker.machine();
         Environment.Reply reply = (status, answer) ->
                 UserServer.send(exchange, status, 0, answer == null ? NOTHING : MessageCodec.encode(answer));
         Runnable request = () -> serve(exchange, bytes, toWorker, toCloud, worker, reply);
@@ -174,10 +176,10 @@
         if (toWorker && worker == null) {
             reply.done(404, null);
         } else if (path.equals("/inspect")) {
-            reply.done(200, worker.report());
+            reply.done(200, worker.heartbeat());
         } else if (toWorker) {
-            int status = worker.commands(body);
-            reply.done(status, status == 400 ? null : worker.report());
+            int status = worker.receiveCommands(body);
+            reply.done(status, status == 400 ? null : worker.heartbeat());
         } else if (toCloud) {
             cloud.request(method, full, body, reply);
         } else {
@@ -207,7 +209,7 @@
     }
 
     private void remove(Worker worker) {
-        workers.remove(worker.addr(), worker);
+        workers.remove(worker.address(), worker);
         worker.destroy();
     }
 
@@ -221,7 +223,7 @@
     }
 
     private void report(Worker worker, int to) {
-        if (closed || workers.get(worker.addr()) != worker) {
+        if (closed || workers.get(worker.address()) != worker) {
             return;
         }
         LinkFaults.Effect effect = faults.of(worker.machine(), names.get(to));
@@ -240,12 +242,12 @@
 
     private void send(Worker worker, int to, boolean answerLost) {
         long sentAt = now();
-        long session = worker.session();
+        long session = worker.incarnation();
         loop.http.call(
                 controllers.get(to),
                 "POST",
                 "/v1/report",
-                MessageCodec.encode(worker.report()),
+                MessageCodec.encode(worker.heartbeat()),
                 PATIENCE_MS,
                 (status, bytes) -> {
                     JsonNode body = bytes.length == 0 ? null : MessageCodec.decode(bytes);
@@ -255,7 +257,7 @@
                     if (answerLost) {
                         later(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(to));
                     } else if (status == 200) {
-                        worker.answered(body, session, sentAt);
+                        worker.heartbeatAnswered(body, session, sentAt);
                         later(size.reportMs(), worker, to);
                     } else if (status == 421 && named >= 0 && named != to) {
                         later(BEAT_MS, worker, named);
--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -59,7 +59,7 @@
     private static Outcome play(long seed, Features features) {
         World w = FairAdmissionTest.world(seed, features);
         w.play(20);
-        long changes = w.state.changes();
+        long changes = w.state.writtenKeys();
         FairAdmissionTest.flood(w, 100, FLOOD_S);
         Histogram waits = new Histogram(LONGEST_MS, 2);
         w.users.values().stream()
@@ -68,7 +68,7 @@
         double accepted = waits.getTotalCount();
         return new Outcome(
                 jain(w),
-                (w.state.changes() - changes) / accepted,
+                (w.state.writtenKeys() - changes) / accepted,
                 w.users.values().stream().mapToInt(u -> u.refusals).average().orElse(0),
                 w.users.values().stream().filter(u -> u.end != null).count(),
                 (admittedShare(w, "blue") + admittedShare(w, "free")) / 2,
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -31,7 +31,7 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
-import stileferry.standin.StateService;
+import stileferry.standin.KeyValueStore;
 import stileferry.storage.CommitQueue;
 import stileferry.storage.KeyValueStoreClient;
 
@@ -69,7 +69,7 @@
 
     /** One run: a store, whoever leads, and what is on its way. */
     private static final class Run {
-        final StateService store = new StateService(12, 8);
+        final KeyValueStore store = new KeyValueStore(12, 8);
         final ArrayDeque<Request> requests = new ArrayDeque<>();
         final List<Request> lost = new ArrayList<>();
         final PriorityQueue<Long> wakeAt = new PriorityQueue<>();
@@ -255,7 +255,7 @@
 
     /** Puts a key as nobody's transaction. */
     private static final class ObjectCommit {
-        static void put(StateService store, String key, JsonNode value) {
+        static void put(KeyValueStore store, String key, JsonNode value) {
             var transaction = MessageCodec.map();
             transaction.putArray("if");
             transaction.putArray("apply").addObject().put("put", key).set("v", value);
--- a/src/test/java/stileferry/coordination/AdmissionTroubleTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionTroubleTest.java
@@ -59,7 +59,7 @@
                 w.stateDown = true;
                 w.after(60_000, () -> {
                     w.stateDown = false;
-                    w.state.renewAll(w.now);
+                    w.state.renewAllLeases(w.now);
                 });
             }
             case STATE_SERVICE_SLOW -> w.slowStoreMs = 400;
--- a/src/test/java/stileferry/coordination/GangTest.java
+++ b/src/test/java/stileferry/coordination/GangTest.java
@@ -81,7 +81,7 @@
     @Test
     void itLosesAMachineAndStartsAgainWhole() {
         World w = begun(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
-        w.cloud.take(w.machineInUse());
+        w.cloud.reclaim(w.machineInUse());
         assertTrue(w.running() < 6);
         w.play(25);
         assertEquals(6, w.running(), "it runs again");
@@ -103,7 +103,9 @@
         w.play(20);
         List<String> machines =
                 w.workers.values().stream().map(Worker::machine).sorted().toList();
-        w.workers.get("w-" + machines.get(1) + ":1").faulty(true); // has room for the fifth task, the last one to begin
+        w.workers
+                .get("w-" + machines.get(1) + ":1")
+                .setFaulty(true); // has room for the fifth task, the last one to begin
         int ended = w.ended;
         w.submit(gang(2, JobSpec.Priority.URGENT, 5, true, 100));
         for (int i = 0; i < 400 && w.ended == ended; i++) {
@@ -121,7 +123,7 @@
         w.play(40);
         int ended = w.ended;
         Worker worker = w.workers.get("w-" + w.machineInUse() + ":1");
-        worker.notice(12);
+        worker.reclaimNotice(12);
         w.play(6);
         assertEquals(ended + 6, w.ended, "all have stopped");
         w.play(20);
@@ -141,7 +143,7 @@
         assertEquals(6, w.running());
         Worker other = w.workers.get("w-" + machines.get(1) + ":1");
         long there = w.runningOn(other.machine());
-        other.notice(12);
+        other.reclaimNotice(12);
         w.play(1.2);
         assertEquals(6 - there, w.running(), "what hears the stop is gone");
         w.play(60);
@@ -159,7 +161,7 @@
         }
         assertEquals(0, w.running());
         w.play(afterMs / 1000.0);
-        w.cloud.take(machines.get(0));
+        w.cloud.reclaim(machines.get(0));
         restart(w, w.leader(), 300);
         w.play(60);
         assertEquals("done", w.users.get("job-1").end);
@@ -205,8 +207,8 @@
         Worker first = w.workers.values().stream()
                 .min(Comparator.comparing(Worker::machine))
                 .orElseThrow();
-        first.notice(3);
-        w.copy(MessageCodec.decode(MessageCodec.encode(first.report())), w.leader());
+        first.reclaimNotice(3);
+        w.copy(MessageCodec.decode(MessageCodec.encode(first.heartbeat())), w.leader());
         w.play(10);
         w.slowWritesMs = 0;
         w.play(60);
--- a/src/test/java/stileferry/coordination/HandoverTest.java
+++ b/src/test/java/stileferry/coordination/HandoverTest.java
@@ -85,7 +85,7 @@
         w.stateDown = true;
         w.play(15);
         w.stateDown = false;
-        w.state.renewAll(w.now);
+        w.state.renewAllLeases(w.now);
         w.play(25);
         assertEquals(List.of(), w.violations);
         assertTrue(secondsToRun(w, 50, 30) < 30, "work goes on");
--- a/src/test/java/stileferry/coordination/MeetingsTest.java
+++ b/src/test/java/stileferry/coordination/MeetingsTest.java
@@ -49,7 +49,7 @@
         w.stateDown = true;
         w.after(Math.round(1000 * seconds), () -> {
             w.stateDown = false;
-            w.state.renewAll(w.now);
+            w.state.renewAllLeases(w.now);
         });
     }
 
@@ -208,7 +208,7 @@
 
     /** Machines with tasks of some of the jobs, as addresses. */
     private static List<String> machines(World w, int share) {
-        return w.cloud.up().stream()
+        return w.cloud.runningMachines().stream()
                 .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % share == 0)
                 .map(m -> "w-" + m + ":1")
                 .toList();
@@ -364,7 +364,7 @@
                 for (int i = 0; i < 4; i++) {
                     more(w, 100 + 6 * i, 6);
                     w.play(6);
-                    machines(w, 3).forEach(w.cloud::take);
+                    machines(w, 3).forEach(w.cloud::reclaim);
                     machines(w, 2).forEach(addr -> w.cut(addr, 11_000));
                     leaderEnds(w, 3000);
                     cancelSomeOf(w, 5);
@@ -391,7 +391,7 @@
             }
             case "boundJobsLoseMachines" -> {
                 for (int i = 0; i < 4; i++) {
-                    w.cloud.up().stream().limit(3).toList().forEach(w.cloud::take);
+                    w.cloud.runningMachines().stream().limit(3).toList().forEach(w.cloud::reclaim);
                     w.play(1);
                     leaderEnds(w, 400);
                     w.cutZone(i % 2 == 0 ? "za" : "zb", 6000);
--- a/src/test/java/stileferry/coordination/RulesTest.java
+++ b/src/test/java/stileferry/coordination/RulesTest.java
@@ -61,7 +61,7 @@
         prepare.accept(w);
         SplittableRandom random = w.random.split();
         w.lateCopies = seed % 2 == 0 ? 0.1 : 0;
-        w.after(random.nextLong(Math.round(1000 * seconds)), () -> w.state.limit(4, 2));
+        w.after(random.nextLong(Math.round(1000 * seconds)), () -> w.state.setLimits(4, 2));
         w.play(3);
         int jobs = 0;
         for (double t = 0; t < seconds && w.violations.isEmpty(); t += 2) {
@@ -110,7 +110,7 @@
     private static void trouble(World w, SplittableRandom random) {
         List<World.Node> nodes = List.copyOf(w.nodes.values());
         World.Node node = nodes.get(random.nextInt(3));
-        List<String> machines = w.cloud.up();
+        List<String> machines = w.cloud.runningMachines();
         String machine = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
         String addr = "w-" + machine + ":1";
         switch (random.nextInt(32)) {
@@ -122,7 +122,7 @@
                 w.stateDown = true;
                 w.after(1000 + random.nextLong(15_000), () -> {
                     w.stateDown = false;
-                    w.state.renewAll(w.now);
+                    w.state.renewAllLeases(w.now);
                 });
             }
             case 6 -> {
@@ -131,14 +131,14 @@
             }
             case 7 -> {
                 if (machine != null) {
-                    w.cloud.take(machine);
+                    w.cloud.reclaim(machine);
                 }
             }
             case 8 -> {
                 Worker sick = w.workers.get(addr);
                 if (sick != null) {
-                    sick.faulty(true);
-                    w.after(15_000, () -> sick.faulty(false));
+                    sick.setFaulty(true);
+                    w.after(15_000, () -> sick.setFaulty(false));
                 }
             }
             case 9 -> {
@@ -201,7 +201,7 @@
                         cancelSome(w, random);
                         w.after(15_000 + random.nextLong(15_000), () -> {
                             w.stateDown = false;
-                            w.state.renewAll(w.now);
+                            w.state.renewAllLeases(w.now);
                         });
                     });
                     w.after(14_000, () -> w.refused.remove(leader.settings.node()));
@@ -230,7 +230,9 @@
     /** One direction of a link, or both, or a link that comes and goes. */
     private static void cutLink(World w, SplittableRandom random) {
         String node = "n" + random.nextInt(3);
-        String machine = w.cloud.up().isEmpty() ? "none" : w.cloud.up().get(0);
+        String machine = w.cloud.runningMachines().isEmpty()
+                ? "none"
+                : w.cloud.runningMachines().get(0);
         List<String> ends = List.of(
                 World.STATE,
                 SimulatedNetwork.WORKERS,
@@ -516,7 +518,7 @@
         w.play(3);
         w.submit(job(1, random));
         w.play(200);
-        assertEquals(List.of(), w.cloud.up(), "nothing to do, so all machines are returned");
+        assertEquals(List.of(), w.cloud.runningMachines(), "nothing to do, so all machines are returned");
         int deletions = w.cloud.deletionRequests();
         w.play(60);
         assertEquals(deletions, w.cloud.deletionRequests(), "what is gone is returned once");
@@ -577,7 +579,7 @@
         assertEquals(0, w.running(cancelled));
         assertEquals(who.equals("all") ? ended + running : ended + gone, w.ended, "tasks that ended");
         w.stateDown = false;
-        w.state.renewAll(w.now);
+        w.state.renewAllLeases(w.now);
         w.play(20);
         assertEquals(running - gone, w.starts - w.ended);
         assertEquals(List.of(), w.violations);
--- a/src/test/java/stileferry/coordination/SilenceTest.java
+++ b/src/test/java/stileferry/coordination/SilenceTest.java
@@ -34,7 +34,7 @@
                 .filter(u -> w.machinesOf(u).contains(machine))
                 .toList();
         assertFalse(there.isEmpty());
-        w.deaf.add(deaf.addr());
+        w.deaf.add(deaf.address());
         w.cancel(there.get(0));
         w.play(10); // the worker's own lease
         for (int i = 10; i < 16; i++) {
@@ -46,7 +46,7 @@
             assertTrue(user.wantsCancel || !w.machinesOf(user).isEmpty(), user.spec.id() + " runs nowhere");
         }
         w.play(50);
-        assertFalse(w.cloud.up().contains(machine), "it is of no use and costs money");
+        assertFalse(w.cloud.runningMachines().contains(machine), "it is of no use and costs money");
         assertEquals(List.of(), w.violations);
     }
 
@@ -58,9 +58,9 @@
         w.submit(service(1, 2, 3));
         w.play(20);
         String machine = w.machineInUse();
-        var report = w.workers.get("w-" + machine + ":1").report();
+        var report = w.workers.get("w-" + machine + ":1").heartbeat();
         World.Node first = w.leader();
-        w.cloud.take(machine);
+        w.cloud.reclaim(machine);
         first.crash();
         w.play(6);
         World.Node second = w.leader();
@@ -107,11 +107,11 @@
         w.play(25);
         assertEquals(12, w.running());
         String machine = w.machineInUse();
-        w.cloud.take(machine);
+        w.cloud.reclaim(machine);
         int left = w.running();
         assertTrue(left < 12);
         w.play(9); // the lease is 10 s, and a lapse takes a little longer
-        assertFalse(w.cloud.up().contains(machine));
+        assertFalse(w.cloud.runningMachines().contains(machine));
         w.play(5.5); // another boots for 5 s
         assertEquals(12, w.running(), "the lost tasks run again");
         assertEquals(List.of(), w.violations);
@@ -128,7 +128,7 @@
         w.submit(service(1, 8, 2));
         w.play(50);
         assertEquals(8, w.running());
-        w.cloud.take(w.machineInUse());
+        w.cloud.reclaim(w.machineInUse());
         assertTrue(w.running() < 8);
         w.play(24); // the lease is 30 s, and another boots for 5 s
         assertEquals(8, w.running(), "the lost replicas run again");
@@ -147,7 +147,7 @@
         int ended = w.ended;
         w.play(20);
         assertEquals(ended, w.ended);
-        assertTrue(w.cloud.up().contains(machine));
+        assertTrue(w.cloud.runningMachines().contains(machine));
     }
 
     /**
@@ -188,7 +188,7 @@
             w.submit(service(i, 2, 2));
         }
         w.play(60);
-        List<String> all = w.cloud.up();
+        List<String> all = w.cloud.runningMachines();
         String zone = all.stream().filter(m -> w.zoneOf(m).equals("za")).count() > all.size() / 2 ? "za" : "zb";
         List<String> machines =
                 all.stream().filter(m -> w.zoneOf(m).equals(zone)).toList();
@@ -202,10 +202,12 @@
         for (World.User user : w.users.values()) {
             assertTrue(!user.spec.service() || !w.machinesOf(user).isEmpty(), "services of the zone run elsewhere");
         }
-        assertTrue(w.cloud.up().containsAll(machines), "they are there when the cut ends");
+        assertTrue(w.cloud.runningMachines().containsAll(machines), "they are there when the cut ends");
         assertEquals(
                 machines,
-                w.cloud.up().stream().filter(m -> w.zoneOf(m).equals(zone)).toList(),
+                w.cloud.runningMachines().stream()
+                        .filter(m -> w.zoneOf(m).equals(zone))
+                        .toList(),
                 "nothing was rented in a zone that nobody can reach");
         w.play(10);
         assertEquals(List.of(), w.violations);
@@ -250,7 +252,7 @@
         w.stateDown = true; // so nothing can be noted any more
         w.play(12);
         w.stateDown = false;
-        w.state.renewAll(w.now);
+        w.state.renewAllLeases(w.now);
         w.play(20);
         assertEquals(List.of(), w.violations);
         assertEquals(28, w.running());
--- a/src/test/java/stileferry/coordination/StoredClaims.java
+++ b/src/test/java/stileferry/coordination/StoredClaims.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 import java.util.function.Function;
 import stileferry.protocol.JobSpec;
-import stileferry.standin.StateService;
+import stileferry.standin.KeyValueStore;
 
 /** Checks that the claims of all tasks of a gang are stored before any of them is started. */
 final class StoredClaims {
     private static final int CLAIMED = 0;
 
-    private final StateService state;
+    private final KeyValueStore state;
     private final Function<String, JobSpec> specs;
     private final Set<String> checked = new HashSet<>();
 
-    StoredClaims(StateService state, Function<String, JobSpec> specs) {
+    StoredClaims(KeyValueStore state, Function<String, JobSpec> specs) {
         this.state = state;
         this.specs = specs;
     }
--- a/src/test/java/stileferry/coordination/UpgradeTest.java
+++ b/src/test/java/stileferry/coordination/UpgradeTest.java
@@ -125,7 +125,7 @@
     void theLimitsAreLoweredDuringOrAfterTheRoll(int afterS) {
         World w = servedByTheFormerVersion(20 + afterS);
         SplittableRandom random = w.random.split();
-        w.after(1000L * afterS, () -> w.state.limit(LOWER_OPERATIONS, LOWER_VALUE_KB));
+        w.after(1000L * afterS, () -> w.state.setLimits(LOWER_OPERATIONS, LOWER_VALUE_KB));
         int step = 0;
         for (World.Node node : w.nodes.values()) {
             workAndCancellations(w, 100 + 10 * step++, random);
--- a/src/test/java/stileferry/coordination/World.java
+++ b/src/test/java/stileferry/coordination/World.java
@@ -22,8 +22,8 @@
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
 import stileferry.standin.Cloud;
-import stileferry.standin.Gangs;
-import stileferry.standin.StateService;
+import stileferry.standin.GangSimulation;
+import stileferry.standin.KeyValueStore;
 import stileferry.standin.Worker;
 
 /**
@@ -52,9 +52,9 @@
     public final Map<String, Node> nodes = new LinkedHashMap<>();
     final Map<String, Worker> workers = new HashMap<>();
     public final Map<String, User> users = new LinkedHashMap<>();
-    public final StateService state = new StateService(12, 8);
+    public final KeyValueStore state = new KeyValueStore(12, 8);
     public final Cloud cloud;
-    final Gangs gangs = new Gangs(8, 3);
+    final GangSimulation gangs = new GangSimulation(8, 3);
     private final StoredClaims stored = new StoredClaims(state, id -> users.get(id).spec);
     public long now = 1_000_000;
     boolean stateDown;
@@ -295,7 +295,7 @@
             w.tick(now);
         }
         copiesForNext();
-        gangs.mixed().forEach(id -> violations.add("ran_twice: two attempts of " + id));
+        gangs.jobsWithMixedAttempts().forEach(id -> violations.add("ran_twice: two attempts of " + id));
         for (User user : users.values()) {
             if (quietSince > 0
                     && user.accepted
@@ -371,7 +371,7 @@
     /** A machine hangs: it computes nothing, hears and says nothing, and goes on later with what reached it. */
     void hang(String addr, long ms) {
         if (workers.containsKey(addr)) {
-            workers.get(addr).hang(now + ms);
+            workers.get(addr).hangUntil(now + ms);
             cut(addr, ms);
         }
     }
@@ -382,7 +382,7 @@
 
     /** Cuts all machines of a zone off; the nodes are elsewhere. */
     public void cutZone(String zone, long ms) {
-        workers.values().stream().filter(x -> x.zone().equals(zone)).forEach(x -> cut(x.addr(), ms));
+        workers.values().stream().filter(x -> x.zone().equals(zone)).forEach(x -> cut(x.address(), ms));
     }
 
     String zoneOf(String machine) {
@@ -505,11 +505,11 @@
                         w != null && network.heldUntil(me, addr) <= now,
                         r -> {
                             if (workers.get(addr) == w && path.equals("/inspect")) {
-                                r.done(200, w.report());
+                                r.done(200, w.heartbeat());
                             } else if (workers.get(addr) == w) {
                                 commandsSent += copy.path("signals").isEmpty() ? 0 : 1;
-                                int status = w.commands(copy);
-                                r.done(status, status == 400 ? null : w.report());
+                                int status = w.receiveCommands(copy);
+                                r.done(status, status == 400 ? null : w.heartbeat());
                             }
                         },
                         mine);
@@ -598,18 +598,18 @@
     }
 
     private void remove(Worker w) {
-        workers.remove(w.addr());
+        workers.remove(w.address());
         w.destroy();
     }
 
     private void reportLoop(Worker w, String to) {
-        if (workers.get(w.addr()) != w) {
+        if (workers.get(w.address()) != w) {
             return;
         }
         long sentAt = now;
-        long session = w.session();
-        w.takeChanged();
-        JsonNode report = MessageCodec.decode(MessageCodec.encode(w.report()));
+        long session = w.incarnation();
+        w.pollChanged();
+        JsonNode report = MessageCodec.decode(MessageCodec.encode(w.heartbeat()));
         if (copiesKeptFrom != null && random.nextInt(4) == 0) {
             keptCopies.add(report);
         }
@@ -619,10 +619,10 @@
         }
         Node node = nodes.get(to);
         network.exchange(
-                w.addr(),
+                w.address(),
                 to,
                 4000,
-                node.up() && !mute.contains(w.addr()) && network.heldUntil(w.addr(), to) <= now,
+                node.up() && !mute.contains(w.address()) && network.heldUntil(w.address(), to) <= now,
                 r -> {
                     if (node.up()) {
                         node.environment.turn(
@@ -634,11 +634,11 @@
                     }
                 },
                 (status, body) -> {
-                    if (workers.get(w.addr()) != w) {
+                    if (workers.get(w.address()) != w) {
                         return;
                     }
                     if (status == 200) {
-                        w.answered(MessageCodec.decode(MessageCodec.encode(body)), session, sentAt);
+                        w.heartbeatAnswered(MessageCodec.decode(MessageCodec.encode(body)), session, sentAt);
                         waitForReport(w, to, now + reportMs * 3 / 4 + random.nextLong(reportMs / 2), now + 500);
                     } else if (status == 421
                             && nodes.containsKey(body.path("harbormaster").asText())) {
@@ -660,7 +660,7 @@
     }
 
     private void waitForReport(Worker w, String to, long latest, long earliest) {
-        if (now >= latest || now >= earliest && w.takeChanged()) {
+        if (now >= latest || now >= earliest && w.pollChanged()) {
             reportLoop(w, to);
         } else {
             after(100, () -> waitForReport(w, to, latest, earliest));
--- a/src/test/java/stileferry/coordination/WorldTest.java
+++ b/src/test/java/stileferry/coordination/WorldTest.java
@@ -60,9 +60,9 @@
     }
 
     private static void run(World w, Worker worker, String task) {
-        worker.commands(Messages.directCommands(
+        worker.receiveCommands(Messages.directCommands(
                 HIGH_TERM,
-                worker.session(),
+                worker.incarnation(),
                 List.of(
                         new WorkerCommand(WorkerCommand.Kind.KILL, "job-1/0", 0, 0),
                         new WorkerCommand(WorkerCommand.Kind.RUN, task, 1, 0))));
@@ -72,10 +72,10 @@
     private static void free(World w) {
         for (Worker worker : w.workers.values()) {
             for (var status :
-                    stileferry.protocol.Heartbeat.read(worker.report()).tasks()) {
-                worker.commands(Messages.directCommands(
+                    stileferry.protocol.Heartbeat.read(worker.heartbeat()).tasks()) {
+                worker.receiveCommands(Messages.directCommands(
                         HIGH_TERM,
-                        worker.session(),
+                        worker.incarnation(),
                         List.of(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0))));
             }
         }
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -253,8 +253,8 @@
             }
             w.play(1);
         }
-        int machines = w.cloud.up().size();
-        long before = w.state.changes();
+        int machines = w.cloud.runningMachines().size();
+        long before = w.state.writtenKeys();
         w.cutZone("za", 45_000);
         w.play(12);
         World.Node leader = w.leader();
@@ -277,7 +277,7 @@
         assertEquals(List.of(), w.violations);
         assertTrue(machines > 1000, machines + " machines are up");
         assertTrue(w.users.values().stream().allMatch(u -> u.spec.service() || "done".equals(u.end)), "work is left");
-        long changes = w.state.changes() - before;
+        long changes = w.state.writtenKeys() - before;
         assertTrue(changes < 213 * 50 / 2, changes + " changes in 213 s, at 50 a second");
     }
 
@@ -323,7 +323,7 @@
         assertTrue(w.users.values().stream().allMatch(u -> "done".equals(u.end)), "work is left");
         assertTrue(w.starts > 5000, w.starts + " starts");
         assertTrue(
-                w.state.changes() < w.starts,
-                w.state.changes() + " changes for " + w.starts + " starts and as many ends");
+                w.state.writtenKeys() < w.starts,
+                w.state.writtenKeys() + " changes for " + w.starts + " starts and as many ends");
     }
 }
