--- a/src/main/java/stileferry/autoscaling/Autoscaler.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -19,7 +19,7 @@
             ClusterState cluster, Environment environment, HeartbeatHandler fleet, long term, LinkHealth links) {
         Settings settings = cluster.settings();
         this.cloud = new CloudClient(
-                environment, settings.cloudAddr(), settings.cloud().rps());
+                environment, settings.cloudAddress(), settings.cloud().requestsPerS());
         this.refreshInventory =
                 new CloudInventory(cluster, environment, cloud, fleet.commandDispatcher()::announceTerm);
         this.returns = new ScaleIn(cluster, environment, fleet, cloud, refreshInventory, links);
--- a/src/main/java/stileferry/lifecycle/CompletedJob.java
+++ b/src/main/java/stileferry/lifecycle/CompletedJob.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
+import stileferry.protocol.UserMessages;
 
 /** How a job ended. */
 public record CompletedJob(String outcome, int completedTasks) {
@@ -16,6 +16,6 @@
     }
 
     public ObjectNode jobState(String id) {
-        return Messages.jobState(id, outcome, completedTasks, 0);
+        return UserMessages.jobState(id, outcome, completedTasks, 0);
     }
 }
--- a/src/main/java/stileferry/protocol/JobSpec.java
+++ b/src/main/java/stileferry/protocol/JobSpec.java
@@ -55,81 +55,80 @@
         IDLE
     }
 
-    /** A body that is not a well-formed job. */
-    public static final class Malformed extends Exception {
-        Malformed(String message) {
-            super(message);
-        }
-    }
-
     /** True for ids of the form that users may choose. */
     public static boolean validId(String id) {
         return ID.matcher(id).matches();
     }
 
     /** Reads and checks a submission. */
-    public static JobSpec read(JsonNode body) throws Malformed {
+    public static JobSpec read(JsonNode body) throws InvalidJobSpecException {
         if (body == null || !body.isObject()) {
-            throw new Malformed("the body is not a map");
+            throw new InvalidJobSpecException("the body is not a map");
         }
-        String id = text(body, "name_id");
+        String id = text(body, WireNames.NAME_ID);
         if (!validId(id)) {
-            throw new Malformed("name_id: bad form");
+            throw new InvalidJobSpecException(WireNames.NAME_ID + ": bad form");
         }
-        JsonNode tasks = body.path("passengers");
+        JsonNode tasks = body.path(WireNames.TASKS);
         if (!tasks.isIntegralNumber()
                 || !tasks.canConvertToInt()
                 || tasks.intValue() < 1
                 || tasks.intValue() > MAX_TASKS) {
-            throw new Malformed("passengers: out of range");
+            throw new InvalidJobSpecException(WireNames.TASKS + ": out of range");
         }
-        double cpus = amount(body, "cores");
-        double gpus = amount(body, "gpus");
-        double memory = amount(body, "ram_gb");
-        JsonNode deadline = body.path("moor_by_s");
+        double cpus = amount(body, WireNames.CPUS);
+        double gpus = amount(body, WireNames.GPUS);
+        double memory = amount(body, WireNames.MEMORY_GB);
+        JsonNode deadline = body.path(WireNames.DEADLINE_S);
         return new JobSpec(
                 id,
-                text(body, "berth"),
-                text(body, "crew"),
-                kind(text(body, "craft")),
-                priority(text(body, "precedence")),
+                text(body, WireNames.JOB_CLASS),
+                text(body, WireNames.TEAM),
+                kind(text(body, WireNames.KIND)),
+                priority(text(body, WireNames.PRIORITY)),
                 tasks.intValue(),
                 cpus,
                 gpus,
                 memory,
-                text(body, "cargo"),
-                amount(body, "pull_gb"),
-                machineTypes(body.path("hulls")),
-                nullableText(body, "harbor"),
-                flag(body, "same_place"),
-                flag(body, "apart"),
-                flag(body, "tender"),
-                amount(body, "crossing_s"),
-                amount(body, "waypoint_s"),
-                amount(body, "stow_s"),
-                absent(deadline) ? -1 : amount(body, "moor_by_s"));
+                text(body, WireNames.IMAGE),
+                amount(body, WireNames.IMAGE_GB),
+                machineTypes(body.path(WireNames.MACHINE_TYPES)),
+                nullableText(body, WireNames.ZONE),
+                flag(body, WireNames.ONE_ZONE),
+                flag(body, WireNames.SPREAD_ACROSS_ZONES),
+                flag(body, WireNames.SPOT),
+                amount(body, WireNames.ESTIMATE_S),
+                amount(body, WireNames.CHECKPOINT_INTERVAL_S),
+                amount(body, WireNames.CHECKPOINT_SAVE_S),
+                absent(deadline) ? -1 : amount(body, WireNames.DEADLINE_S));
     }
 
     /** The job in the same form as it was submitted. */
     public ObjectNode write() {
         ObjectNode n = MessageCodec.map();
-        n.put("name_id", id).put("berth", jobClass).put("crew", team).put("craft", kind.wireName);
-        n.put("precedence", priority.name().toLowerCase(java.util.Locale.ROOT)).put("passengers", taskCount);
-        n.put("cores", cpus)
-                .put("gpus", gpus)
-                .put("ram_gb", memoryGb)
-                .put("cargo", image)
-                .put("pull_gb", imageGb);
+        n.put(WireNames.NAME_ID, id)
+                .put(WireNames.JOB_CLASS, jobClass)
+                .put(WireNames.TEAM, team)
+                .put(WireNames.KIND, kind.wireName);
+        n.put(WireNames.PRIORITY, priority.name().toLowerCase(java.util.Locale.ROOT))
+                .put(WireNames.TASKS, taskCount);
+        n.put(WireNames.CPUS, cpus)
+                .put(WireNames.GPUS, gpus)
+                .put(WireNames.MEMORY_GB, memoryGb)
+                .put(WireNames.IMAGE, image)
+                .put(WireNames.IMAGE_GB, imageGb);
         if (machineTypes != null) {
-            machineTypes.forEach(n.putArray("hulls")::add);
+            machineTypes.forEach(n.putArray(WireNames.MACHINE_TYPES)::add);
         }
-        n.put("harbor", zone)
-                .put("same_place", oneZone)
-                .put("apart", spreadAcrossZones)
-                .put("tender", allowsSpot);
-        n.put("crossing_s", estimateS).put("waypoint_s", checkpointIntervalS).put("stow_s", checkpointSaveS);
+        n.put(WireNames.ZONE, zone)
+                .put(WireNames.ONE_ZONE, oneZone)
+                .put(WireNames.SPREAD_ACROSS_ZONES, spreadAcrossZones)
+                .put(WireNames.SPOT, allowsSpot);
+        n.put(WireNames.ESTIMATE_S, estimateS)
+                .put(WireNames.CHECKPOINT_INTERVAL_S, checkpointIntervalS)
+                .put(WireNames.CHECKPOINT_SAVE_S, checkpointSaveS);
         if (deadlineS >= 0) {
-            n.put("moor_by_s", deadlineS);
+            n.put(WireNames.DEADLINE_S, deadlineS);
         }
         return n;
     }
@@ -168,22 +167,22 @@
         return kind == Kind.GANG;
     }
 
-    private static Kind kind(String text) throws Malformed {
+    private static Kind kind(String text) throws InvalidJobSpecException {
         for (Kind kind : Kind.values()) {
             if (kind.wireName.equals(text)) {
                 return kind;
             }
         }
-        throw new Malformed("craft: unknown");
+        throw new InvalidJobSpecException(WireNames.KIND + ": unknown");
     }
 
-    static Priority priority(String text) throws Malformed {
+    static Priority priority(String text) throws InvalidJobSpecException {
         return switch (text) {
             case "critical" -> Priority.CRITICAL;
             case "urgent" -> Priority.URGENT;
             case "normal" -> Priority.NORMAL;
             case "idle" -> Priority.IDLE;
-            default -> throw new Malformed("precedence: unknown");
+            default -> throw new InvalidJobSpecException(WireNames.PRIORITY + ": unknown");
         };
     }
 
@@ -191,46 +190,46 @@
         return node.isMissingNode() || node.isNull();
     }
 
-    private static List<String> machineTypes(JsonNode node) throws Malformed {
+    private static List<String> machineTypes(JsonNode node) throws InvalidJobSpecException {
         if (absent(node)) {
             return null;
         }
         if (!node.isArray()) {
-            throw new Malformed("hulls: not a list");
+            throw new InvalidJobSpecException(WireNames.MACHINE_TYPES + ": not a list");
         }
         List<String> names = new ArrayList<>();
         for (JsonNode name : node) {
             if (!name.isTextual()) {
-                throw new Malformed("hulls: not a list of names");
+                throw new InvalidJobSpecException(WireNames.MACHINE_TYPES + ": not a list of names");
             }
             names.add(name.textValue());
         }
         return List.copyOf(names);
     }
 
-    private static String nullableText(JsonNode body, String name) throws Malformed {
+    private static String nullableText(JsonNode body, String name) throws InvalidJobSpecException {
         return absent(body.path(name)) ? null : text(body, name);
     }
 
-    private static String text(JsonNode body, String name) throws Malformed {
+    private static String text(JsonNode body, String name) throws InvalidJobSpecException {
         JsonNode node = body.path(name);
         if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > 200) {
-            throw new Malformed(name + ": missing or not a text");
+            throw new InvalidJobSpecException(name + ": missing or not a text");
         }
         return node.textValue();
     }
 
-    private static boolean flag(JsonNode body, String name) throws Malformed {
+    private static boolean flag(JsonNode body, String name) throws InvalidJobSpecException {
         if (!body.path(name).isBoolean()) {
-            throw new Malformed(name + ": missing or not true or false");
+            throw new InvalidJobSpecException(name + ": missing or not true or false");
         }
         return body.path(name).booleanValue();
     }
 
-    private static double amount(JsonNode body, String name) throws Malformed {
+    private static double amount(JsonNode body, String name) throws InvalidJobSpecException {
         JsonNode node = body.path(name);
         if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() < 0) {
-            throw new Malformed(name + ": missing, negative or not a number");
+            throw new InvalidJobSpecException(name + ": missing, negative or not a number");
         }
         return node.doubleValue();
     }
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -11,8 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.IoUtils;
 import stileferry.protocol.Environment;
+import stileferry.protocol.InvalidJobSpecException;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
+import stileferry.protocol.WireNames;
 import stileferry.standin.Cloud;
 import stileferry.standin.GangSimulation;
 import stileferry.standin.KeyValueStore;
@@ -144,7 +146,7 @@
         String to = toCloud
                 ? LinkFaults.CLOUD
                 : !toWorker ? LinkFaults.KEY_VALUE_STORE : worker == null ? "" : worker.machine();
-        Environment.Reply reply = (status, answer) ->
+        Environment.ResponseHandler reply = (status, answer) ->
                 UserServer.send(exchange, status, 0, answer == null ? NOTHING : MessageCodec.encode(answer));
         Runnable request = () -> serve(exchange, bytes, toWorker, toCloud, worker, reply);
         switch (faults.of(source, to)) {
@@ -153,7 +155,7 @@
                 if (toWorker) {
                     IoUtils.safeClose(exchange.getConnection());
                 } else {
-                    reply.done(503, null);
+                    reply.onResponse(503, null);
                 }
             }
             case REQUEST_LOST -> {} // its sender gives up and closes the connection
@@ -168,18 +170,18 @@
             boolean toWorker,
             boolean toCloud,
             Worker worker,
-            Environment.Reply reply) {
+            Environment.ResponseHandler reply) {
         JsonNode body = bytes.length == 0 ? MessageCodec.map() : MessageCodec.decode(bytes);
         String path = exchange.getRequestPath();
         String full = exchange.getQueryString().isEmpty() ? path : path + "?" + exchange.getQueryString();
         String method = exchange.getRequestMethod().toString();
         if (toWorker && worker == null) {
-            reply.done(404, null);
+            reply.onResponse(404, null);
         } else if (path.equals("/inspect")) {
-            reply.done(200, worker.heartbeat());
+            reply.onResponse(200, worker.heartbeat());
         } else if (toWorker) {
             int status = worker.receiveCommands(body);
-            reply.done(status, status == 400 ? null : worker.heartbeat());
+            reply.onResponse(status, status == 400 ? null : worker.heartbeat());
         } else if (toCloud) {
             cloud.request(method, full, body, reply);
         } else {
@@ -217,7 +219,7 @@
         JsonNode record = state.value("j/" + id);
         try {
             return record == null ? null : JobSpec.read(record.path("spec"));
-        } catch (JobSpec.Malformed e) {
+        } catch (InvalidJobSpecException e) {
             return null;
         }
     }
@@ -253,7 +255,7 @@
                     JsonNode body = bytes.length == 0 ? null : MessageCodec.decode(bytes);
                     int named = body == null
                             ? -1
-                            : names.indexOf(body.path("harbormaster").asText());
+                            : names.indexOf(body.path(WireNames.LEADER).asText());
                     if (answerLost) {
                         later(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(to));
                     } else if (status == 200) {
