--- a/src/test/java/stileferry/golden/GoldenStoredOlderFormsTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredOlderFormsTest.java
@@ -155,7 +155,7 @@
                 [0,"job-104",8,4294967300,"host-000231",1]],"x":"2-0"}},\
                 {"delete":"c/job-104/0"},{"delete":"c/job-104/1"}]}""",
                 commit(fixture, 1));
-        fixture.user(PeerMessage.RequestKind.WITHDRAW, "job-104", "");
+        fixture.user(PeerMessage.RequestKind.CANCEL, "job-104", "");
         String cancelled = fixture.store.value("j/job-104");
         assertTrue(
                 cancelled.startsWith(
--- a/src/test/java/stileferry/golden/SimulatedController.java
+++ b/src/test/java/stileferry/golden/SimulatedController.java
@@ -119,7 +119,8 @@
     /** What the controller tells operators in one of its views. */
     Heard view(String name) {
         Heard heard = new Heard();
-        environment.turn(() -> coordinator.admin("GET", name, new byte[0], heard::takeFromUserSide));
+        environment.turn(
+                () -> coordinator.handleAdministrationRequest("GET", name, new byte[0], heard::takeFromUserSide));
         return heard;
     }
 
