--- /dev/null
+++ b/src/main/java/stileferry/coordination/ConnectionBudgetWarning.java
@@ -0,0 +1,30 @@
+package stileferry.coordination;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stileferry.protocol.Settings;
+import stileferry.protocol.SocketBudget;
+
+/** Warns, once in a term, when there are more machines than connections can be kept to. */
+final class ConnectionBudgetWarning {
+    private static final Logger LOG = LoggerFactory.getLogger("leader");
+
+    private final Settings settings;
+    private boolean given;
+
+    ConnectionBudgetWarning(Settings settings) {
+        this.settings = settings;
+    }
+
+    void check(int machines) {
+        SocketBudget sockets = settings.socketBudget();
+        if (!given && sockets.full(machines)) {
+            given = true;
+            LOG.warn(
+                    "too few sockets to keep connections: machines={} max_sockets={} incoming={}",
+                    machines,
+                    settings.maxSockets(),
+                    sockets.incoming());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/stileferry/coordination/ControllerContext.java
@@ -0,0 +1,21 @@
+package stileferry.coordination;
+
+import stileferry.heartbeat.EventLoopLag;
+import stileferry.leadership.LeaderElection;
+import stileferry.lifecycle.CompletedJobCache;
+import stileferry.links.LinkHealth;
+import stileferry.overload.AdmissionControl;
+import stileferry.protocol.Environment;
+import stileferry.protocol.Settings;
+import stileferry.storage.KeyValueStoreClient;
+
+/** What the parts of one controller share, in and outside of its terms of leading. */
+record ControllerContext(
+        Settings settings,
+        Environment environment,
+        KeyValueStoreClient store,
+        LeaderElection election,
+        LinkHealth links,
+        AdmissionControl admission,
+        EventLoopLag eventLoopLag,
+        CompletedJobCache completedJobs) {}
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -4,10 +4,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import stileferry.heartbeat.EventLoopLag;
-import stileferry.heartbeat.FollowerHeartbeats;
 import stileferry.leadership.LeaderElection;
 import stileferry.lifecycle.CompletedJobCache;
 import stileferry.links.LinkHealth;
@@ -16,16 +13,11 @@
 import stileferry.overload.FairAdmission;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Features;
-import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MachineType;
-import stileferry.protocol.MessageCodec;
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
-import stileferry.protocol.UserMessages;
-import stileferry.requests.BatchResponder;
 import stileferry.requests.RequestMetrics;
-import stileferry.requests.Responses;
 import stileferry.storage.KeyValueStoreClient;
 
 /**
@@ -33,28 +25,23 @@
  * turn. Given the same calls and the same {@link Environment}, it does the same.
  */
 public final class Coordinator implements LeaderElection.Listener {
-    private static final Logger LOG = LoggerFactory.getLogger("coordinator");
-
-    /** A node is ready for this long after it last saw a leader, so that a change of leader resets nobody. */
+    /** A controller is ready for this long after it last saw a leader, so that a failover resets nobody. */
     private static final long READY_GRACE_MS = 8000;
 
-    private static final long TYPES_MS = 60_000;
-
-    private final Settings settings;
+    private final ControllerContext controller;
     private final Environment environment;
-    private final KeyValueStoreClient state;
-    private final LeaderElection leadership;
-    private final CompletedJobCache ended;
-    private final RequestMetrics counters = new RequestMetrics();
+    private final LeaderElection election;
     private final LinkHealth links;
     private final AdmissionControl admission;
-    private final EventLoopLag eventLoopLag;
-
-    private final FollowerHeartbeats followerReports;
+    private final MachineTypeCatalog machineTypes;
+    private final HeartbeatRouter heartbeats;
+    private final UserRequestRouter userRequests;
+    private final PeerMessageHandler peerMessages;
     private final LocalAdministration localAdministration;
 
-    private List<MachineType> types = List.of();
+    /** Null while this controller does not lead. */
     private Leader leader;
+
     private long leaderSeenAt = Long.MIN_VALUE / 2;
 
     /** A coordinator for one controller, without optional parts. */
@@ -63,53 +50,58 @@
     }
 
     /** A coordinator for one controller. */
-    public Coordinator(Settings settings, Features features, Environment plain) {
-        this.settings = settings;
-        this.ended = new CompletedJobCache(settings.maxSockets());
+    public Coordinator(Settings settings, Features features, Environment plainEnvironment) {
         this.links = features.partialCuts()
-                ? new LinkMonitor(settings, plain, LeaderElection.leaseDurationMs(settings))
+                ? new LinkMonitor(settings, plainEnvironment, LeaderElection.leaseDurationMs(settings))
                 : LinkHealth.NONE;
-        this.environment = links.observedEnvironment(plain);
-        this.state = new KeyValueStoreClient(environment, settings);
+        this.environment = links.observedEnvironment(plainEnvironment);
+        KeyValueStoreClient store = new KeyValueStoreClient(environment, settings);
         this.admission =
-                features.fairAdmission() ? new FairAdmission(settings, environment, state) : AdmissionControl.NONE;
-        this.leadership = new LeaderElection(environment, state, settings, this, links, admission.countsAdmissions());
-        this.eventLoopLag = new EventLoopLag(environment, settings.workers().heartbeatIntervalS());
-        this.followerReports = new FollowerHeartbeats(
-                settings, environment, leadership, links, (report, reply) -> answerReport(report, false, reply));
-        this.localAdministration = new LocalAdministration(
-                settings.controllerName(), leadership, links, admission, counters, eventLoopLag);
+                features.fairAdmission() ? new FairAdmission(settings, environment, store) : AdmissionControl.NONE;
+        this.election = new LeaderElection(environment, store, settings, this, links, admission.countsAdmissions());
+        this.controller = new ControllerContext(
+                settings,
+                environment,
+                store,
+                election,
+                links,
+                admission,
+                new EventLoopLag(environment, settings.workers().heartbeatIntervalS()),
+                new CompletedJobCache(settings.maxSockets()));
+        this.machineTypes = new MachineTypeCatalog(environment, settings.cloudAddress(), this::machineTypesRead);
+        RequestMetrics metrics = new RequestMetrics();
+        this.heartbeats = new HeartbeatRouter(controller, this::leader);
+        this.userRequests = new UserRequestRouter(controller, this::leader, heartbeats, metrics);
+        this.peerMessages = new PeerMessageHandler(controller, this::leader, userRequests);
+        this.localAdministration = new LocalAdministration(controller, metrics);
     }
 
     /** Begins to follow or run for the leadership. */
     public void start() {
-        eventLoopLag.start();
-        leadership.start();
-        askTypes();
-        links.start(new LinkHost());
-        admission.start(new AdmissionHost());
+        controller.eventLoopLag().start();
+        election.start();
+        machineTypes.refresh();
+        links.start(new LinkHost(election, controller.store(), controller.eventLoopLag()));
+        admission.start(new AdmissionHost(this::leader, election, controller.eventLoopLag()));
+    }
+
+    private void machineTypesRead(List<MachineType> types) {
+        if (leader != null) {
+            leader.setMachineTypes(types);
+        }
     }
 
-    private void askTypes() {
-        environment.request(settings.cloudAddress(), "GET", "/machine_types", null, 5000, (status, body) -> {
-            List<MachineType> read = status == 200 && body != null ? MachineType.readAll(body) : List.of();
-            if (!read.isEmpty()) {
-                types = read;
-                if (leader != null) {
-                    leader.types(read);
-                }
-            }
-            environment.schedule(
-                    types.isEmpty() ? 1000 + environment.random().nextLong(1000) : TYPES_MS, this::askTypes);
-        });
+    private Leader leader() {
+        return leader;
     }
 
+    // ---- leadership
+
     @Override
     public void elected(long term, long leaderRevision) {
-        leader = new Leader(
-                settings, environment, state, leadership, ended, types, term, leaderRevision, eventLoopLag, links);
+        leader = new Leader(controller, machineTypes.types(), term, leaderRevision);
         admission.elected(term);
-        links.elected(term, leader::changesInFlight);
+        links.elected(term, leader::transactionsInFlight);
     }
 
     @Override
@@ -127,11 +119,9 @@
         environment.setLogLevel(OperatorSettings.read(stored).text(OperatorSettings.LOG_LEVEL));
     }
 
-    /** Called after each batch of commands. */
-    public void endOfBatch() {
-        if (leader != null) {
-            leader.endOfTurn();
-        }
+    /** Whether this controller leads. */
+    public boolean leads() {
+        return leader != null;
     }
 
     /** Whether users should be sent here: a leader is, or was just now, within reach. */
@@ -139,8 +129,8 @@
         long now = environment.now();
         if (leader != null && leader.active()) {
             leaderSeenAt = now;
-        } else if (leadership.leaderPeer() != null) {
-            leaderSeenAt = Math.max(leaderSeenAt, leadership.leaderLastHeardAt());
+        } else if (election.leaderPeer() != null) {
+            leaderSeenAt = Math.max(leaderSeenAt, election.leaderLastHeardAt());
         }
         return now - leaderSeenAt < READY_GRACE_MS && !admission.shedsUsers();
     }
@@ -150,29 +140,19 @@
         return links;
     }
 
-    /** Whether this node leads. */
-    public boolean leads() {
-        return leader != null;
-    }
+    // ---- requests
 
-    // ---- users
+    /** Called after each batch of commands. */
+    public void endOfBatch() {
+        if (leader != null) {
+            leader.endOfTurn();
+        }
+    }
 
-    /** Takes a user's request: here when this node leads, else by way of the leader. */
+    /** Takes a user's request: here when this controller leads, else by way of the leader. */
     public void handleUserRequest(
-            PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
-        long since = environment.now();
-        pass(ask, id, body, answer -> {
-            long took = environment.now() - since;
-            counters.record(ask, answer.status(), took);
-            if (ask == PeerMessage.RequestKind.SUBMIT) {
-                LOG.debug(
-                        "a submission was answered {} after {} ms, led by {}",
-                        answer.status(),
-                        took,
-                        leadership.leader());
-            }
-            reply.accept(answer);
-        });
+            PeerMessage.RequestKind kind, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
+        userRequests.handle(new PeerMessage.ForwardedRequest(kind, id, body), reply);
     }
 
     /** Takes an operator's request; the path is what follows the prefix, with its query. */
@@ -183,215 +163,18 @@
         }
     }
 
-    private void pass(PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
-        if (leader != null) {
-            lead(ask, id, body, reply);
-            return;
-        }
-        Settings.Peer peer = leadership.leaderPeer();
-        if (peer == null || links.peerUnreachable(peer.name())) {
-            reply.accept(Responses.unavailable());
-            return;
-        }
-        if (ask == PeerMessage.RequestKind.SUBMIT) {
-            admission.admit(body, reply, answer -> forward(peer, ask, id, body, answer));
-        } else {
-            forward(peer, ask, id, body, reply);
-        }
-    }
-
-    private void forward(
-            Settings.Peer peer,
-            PeerMessage.RequestKind ask,
-            String id,
-            byte[] body,
-            Consumer<PeerMessage.Response> reply) {
-        // shorter than the users' own patience: 2 s for a question, 5 s for a change
-        long patience = ask == PeerMessage.RequestKind.STATUS ? 1500 : 4000;
-        PeerMessage.ForwardedRequest request = new PeerMessage.ForwardedRequest(ask, id, body);
-        Consumer<PeerMessage> answered = answer ->
-                reply.accept(answer instanceof PeerMessage.Response response ? response : Responses.unavailable());
-        if (ask != PeerMessage.RequestKind.ADMINISTRATION && admission.acceptsBatches(peer)) {
-            admission.forward(peer, request, patience, answered);
-        } else {
-            environment.sendToPeer(peer, request, patience, answered);
-        }
-    }
-
     /** Seconds after which a request that met the limit on requests in progress is worth a try; 0: it may pass it. */
-    public int retryAfterS(PeerMessage.RequestKind ask, byte[] body) {
-        return admission.retryAfterS(ask, body);
-    }
-
-    private void lead(PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
-        switch (ask) {
-            case SUBMIT -> admission.admit(body, reply, answer -> leader.users().submit(body, answer));
-            case STATUS -> leader.users().status(id, reply);
-            case CANCEL -> leader.users().cancel(id, reply);
-            case ADMINISTRATION -> {
-                String[] parts = id.split("[ ?]", 3);
-                String from = parts.length > 2 && parts[2].startsWith("from=") ? parts[2].substring(5) : "";
-                leader.admin(parts[0], parts.length > 1 ? parts[1] : "", from, body, reply);
-            }
-            case HEARTBEAT -> {
-                Heartbeat report = Heartbeat.read(body, leader::lastReport);
-                if (report == null) {
-                    reply.accept(Responses.refusal(400, "not a report"));
-                } else {
-                    answerReport(
-                            report,
-                            true,
-                            (status, answer) -> reply.accept(new PeerMessage.Response(status, 0, answer)));
-                }
-            }
-        }
+    public int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
+        return admission.retryAfterS(kind, body);
     }
 
-    // ---- workers
-
-    /** Takes a worker's report. */
+    /** Takes a worker's heartbeat; the reply is an HTTP status and a body. */
     public void handleHeartbeat(byte[] body, BiConsumer<Integer, byte[]> reply) {
-        Heartbeat report = leader == null ? Heartbeat.read(body) : Heartbeat.read(body, leader::lastReport);
-        if (report == null) {
-            reply.accept(400, MessageCodec.encode(UserMessages.error("not a report")));
-        } else if (leader != null) {
-            answerReport(report, false, reply);
-        } else {
-            links.heartbeatReceived(report);
-            followerReports.receive(report, body, reply);
-        }
-    }
-
-    private void answerReport(Heartbeat report, boolean relayed, BiConsumer<Integer, byte[]> reply) {
-        if (report.fencingToken() > leadership.term()) {
-            leadership.observeTerm(report.fencingToken(), "");
-        }
-        Consumer<byte[]> answered = answer -> {
-            if (answer == null) {
-                reply.accept(503, MessageCodec.encode(UserMessages.error("not entitled to answer this report")));
-            } else {
-                links.heartbeatAnswered(report, relayed);
-                reply.accept(200, answer);
-            }
-        };
-        if (leader == null) {
-            answered.accept(null);
-        } else {
-            leader.report(report, answered);
-        }
-    }
-
-    // ---- other controllers
-
-    /** Takes a record from another controller. */
-    public void handlePeerMessage(PeerMessage record, Consumer<PeerMessage> reply) {
-        if (record instanceof PeerMessage.TermAnnouncement announcement) {
-            if (announcement.leading()) {
-                links.announcementReceived(announcement.leader(), announcement);
-            }
-            reply.accept(leadership.receive(announcement));
-        } else if (record instanceof PeerMessage.ForwardedRequest request) {
-            leadOrRefuse(request, reply::accept);
-        } else if (record instanceof PeerMessage.RequestBatch batch && leader != null) {
-            BatchResponder.to(batch.requests(), environment, this::leadOrRefuse, reply);
-        } else if (record instanceof PeerMessage.AdmissionExchange exchange) {
-            PeerMessage answer = admission.exchange(exchange);
-            reply.accept(answer == null ? Responses.unavailable() : answer);
-        } else if (record instanceof PeerMessage.LinkView linkView) {
-            PeerMessage answer = links.receiveView(linkView);
-            reply.accept(answer == null ? Responses.unavailable() : answer);
-        } else {
-            LOG.debug("a record that nobody asked for: {}", record);
-            reply.accept(Responses.unavailable());
-        }
-    }
-
-    private void leadOrRefuse(PeerMessage.ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
-        if (leader == null) {
-            reply.accept(Responses.unavailable());
-        } else {
-            lead(request.kind(), request.id(), request.body(), reply);
-        }
-    }
-
-    /** What the division of admissions calls. */
-    private final class AdmissionHost implements AdmissionControl.Host {
-        @Override
-        public boolean mayAcceptChanges() {
-            return leader != null && leader.promising();
-        }
-
-        @Override
-        public long term() {
-            return leadership.term();
-        }
-
-        @Override
-        public Settings.Peer leaderPeer() {
-            return leadership.leaderPeer();
-        }
-
-        @Override
-        public boolean knowsJob(String id) {
-            return leader != null && leader.knows(id);
-        }
-
-        @Override
-        public double backlogS() {
-            return leader == null ? 0 : leader.users().backlogS();
-        }
-
-        @Override
-        public boolean overloaded() {
-            return eventLoopLag.overloaded();
-        }
-
-        @Override
-        public boolean nearlyOverloaded() {
-            return eventLoopLag.saturated();
-        }
+        heartbeats.handle(body, reply);
     }
 
-    /** What the watching of links calls. */
-    private final class LinkHost implements LinkHealth.Host {
-        @Override
-        public boolean leading() {
-            return leadership.leading();
-        }
-
-        @Override
-        public long term() {
-            return leadership.term();
-        }
-
-        @Override
-        public String leader() {
-            return leadership.leader();
-        }
-
-        @Override
-        public void observeTerm(long term, String name) {
-            leadership.observeTerm(term, name);
-        }
-
-        @Override
-        public void probeStore() {
-            state.get(LeaderElection.TERM_KEY, (status, body) -> {});
-        }
-
-        @Override
-        public void releaseLeadership() {
-            leadership.resign();
-        }
-
-        @Override
-        public long eventLoopLagMs() {
-            return eventLoopLag.lagMs();
-        }
-
-        @Override
-        public boolean behind() {
-            return eventLoopLag.overloaded();
-        }
+    /** Takes a message from another controller. */
+    public void handlePeerMessage(PeerMessage message, Consumer<PeerMessage> reply) {
+        peerMessages.handle(message, reply);
     }
 }
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -9,17 +9,13 @@
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
-import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.heartbeat.LastHeartbeatJournal;
 import stileferry.leadership.LeaderElection;
 import stileferry.leadership.TermSequence;
-import stileferry.lifecycle.CompletedJobCache;
 import stileferry.lifecycle.JobCompletion;
 import stileferry.lifecycle.TaskLifecycle;
 import stileferry.links.LinkHealth;
-import stileferry.overload.AdmissionCountShards;
-import stileferry.overload.FairAdmission;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MachineType;
@@ -27,363 +23,291 @@
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
-import stileferry.protocol.SubmissionHeader;
 import stileferry.requests.AdministrationHandler;
+import stileferry.requests.AdministrationRequest;
+import stileferry.requests.AdministrationViews;
 import stileferry.requests.JobRequestHandler;
+import stileferry.requests.OperatorSettingsHandler;
+import stileferry.requests.Responses;
 import stileferry.scheduling.Placement;
 import stileferry.scheduling.SchedulingPass;
 import stileferry.storage.CommitQueue;
-import stileferry.storage.KeyValueStoreClient;
 
 /** One term of leading: reads what is durable, then serves users, workers and the queue until it is closed. */
 final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
-    private static final long COALESCE_MS = 20;
-
-    /** Passes rest for so many times as long as they take, so that reports and renewals get their turns. */
-    private static final long PASS_REST = 5;
-
-    /** Transactions that may wait for the state service before no more is taken. */
-    private static final int BACKLOG_TRANSACTIONS = 4;
+    private static final double MS_PER_S = 1000;
 
     private final Settings settings;
     private final Environment environment;
-    private final LeaderElection leadership;
+    private final LeaderElection election;
     private final LinkHealth links;
     private final long term;
-    private final CommitQueue ledger;
+    private final TermSequence sequence;
     private final ClusterState cluster;
-    private final StateRecovery loader;
-    private final TaskLifecycle tasks;
-    private final HeartbeatHandler fleet;
-    private final LastHeartbeatJournal silences;
+    private final CommitQueue commitQueue;
+    private final StateRecovery recovery;
+    private final TaskLifecycle taskLifecycle;
+    private final HeartbeatHandler heartbeats;
+    private final LastHeartbeatJournal heartbeatJournal;
     private final Placement placement;
-    private final Autoscaler provisioning;
-    private final SchedulingPass scheduling;
-    private final EventLoopLag eventLoopLag;
-    private final JobRequestHandler users;
-    private final long roundMs;
+    private final Autoscaler autoscaler;
+    private final SchedulingLoop schedulingLoop;
+    private final JobRequestHandler jobRequests;
+    private final AdmissionCounting admissionCounting;
+    private final ConnectionBudgetWarning connectionBudgetWarning;
+    private final long heartbeatRoundMs;
 
-    private AdministrationHandler admin;
+    /** Null until all that is durable has been read. */
+    private AdministrationHandler administration;
 
-    private AdmissionCountShards admissions; // null: this leader does not count
-    private boolean active;
+    private Phase phase = Phase.READING_JOBS;
+    private boolean closed;
+    private long activeAt;
 
-    /** The jobs were read, so that all cancellations before this term are known. */
-    private boolean cancellationsRead;
+    /** How far a term has come. */
+    private enum Phase {
+        READING_JOBS,
+        /** All cancellations before this term are known, so workers' leases may be renewed. */
+        READING_TASKS,
+        /** Everything that is durable has been read. */
+        ACTIVE
+    }
 
-    private long activeAt;
-    private boolean closed;
-    private boolean passAsked;
-    private boolean socketsAreFew;
-    private long passTookMs;
-    private long passedAt;
-
-    Leader(
-            Settings settings,
-            Environment environment,
-            KeyValueStoreClient state,
-            LeaderElection leadership,
-            CompletedJobCache ended,
-            List<MachineType> types,
-            long term,
-            long leaderRevision,
-            EventLoopLag eventLoopLag,
-            LinkHealth links) {
-        this.links = links;
-        this.settings = settings;
-        this.environment = environment;
-        this.leadership = leadership;
+    /** Begins a term by reading what is durable; {@code leaderRevision} is that of the leader key, for fencing. */
+    Leader(ControllerContext controller, List<MachineType> machineTypes, long term, long leaderRevision) {
+        this.settings = controller.settings();
+        this.environment = controller.environment();
+        this.election = controller.election();
+        this.links = controller.links();
         this.term = term;
-        this.ledger = new CommitQueue(
-                environment, state, LeaderElection.LEADER_KEY, leaderRevision, term, leadership::resign);
+        this.sequence = new TermSequence(term);
+        this.commitQueue = new CommitQueue(
+                environment, controller.store(), LeaderElection.LEADER_KEY, leaderRevision, term, election::resign);
         this.cluster = new ClusterState(settings, links);
-        this.cluster.setMachineTypes(types);
-        this.silences = new LastHeartbeatJournal(cluster, environment, ledger, leadership, term);
-        TermSequence numbers = new TermSequence(term);
-        this.users = new JobRequestHandler(cluster, environment, state, ledger, ended, forUsers(numbers));
-        this.tasks = new TaskLifecycle(
+        this.cluster.setMachineTypes(machineTypes);
+        this.admissionCounting = new AdmissionCounting(settings);
+        this.connectionBudgetWarning = new ConnectionBudgetWarning(settings);
+        this.heartbeatJournal = new LastHeartbeatJournal(cluster, environment, commitQueue, election, term);
+        this.jobRequests = new JobRequestHandler(
                 cluster,
                 environment,
-                ledger,
-                numbers,
-                events -> new HeartbeatHandler(cluster, environment, leadership, term, events, silences, eventLoopLag),
-                t -> new JobCompletion(cluster, ledger, ended, leadership, users, t::stopCancelled),
-                this::changed);
-        this.fleet = tasks.heartbeatHandler();
+                controller.store(),
+                commitQueue,
+                controller.completedJobs(),
+                new JobRequestCallbacks());
+        this.taskLifecycle = taskLifecycle(controller);
+        this.heartbeats = taskLifecycle.heartbeatHandler();
         this.placement = new Placement(cluster);
-        this.provisioning = new Autoscaler(cluster, environment, fleet, term, links);
-        this.scheduling = new SchedulingPass(cluster, environment, links, placement, provisioning, tasks);
-        this.eventLoopLag = eventLoopLag;
-        this.roundMs = settings.workers().heartbeatRoundMs();
-        this.loader = new StateRecovery(
-                environment, state, cluster, ledger, forLoader(), leadership.admissionsCountedSince() > 0);
-        loader.load();
+        this.autoscaler = new Autoscaler(cluster, environment, heartbeats, term, links);
+        this.schedulingLoop = schedulingLoop(controller);
+        this.heartbeatRoundMs = settings.workers().heartbeatRoundMs();
+        this.recovery = new StateRecovery(
+                environment,
+                controller.store(),
+                cluster,
+                commitQueue,
+                new RecoveryListener(),
+                election.admissionsCountedSince() > 0);
+        recovery.load();
     }
 
-    private JobRequestHandler.LeaderCallbacks forUsers(TermSequence numbers) {
-        return new JobRequestHandler.LeaderCallbacks() {
-            @Override
-            public boolean mayAnswer() {
-                return Leader.this.serving();
-            }
-
-            @Override
-            public boolean mayAcceptChanges() {
-                return Leader.this.promising();
-            }
-
-            @Override
-            public boolean bypassesBacklog(byte[] submission) {
-                return admissions != null && SubmissionHeader.isCritical(submission);
-            }
-
-            @Override
-            public void beforeFirstWrite(Job job) {
-                if (admissions != null) {
-                    admissions.count(job.entry(), FairAdmission.cell(settings, job.spec()));
-                }
-            }
-
-            @Override
-            public long nextSequenceNumber() {
-                return numbers.next();
-            }
-
-            @Override
-            public void jobAccepted() {
-                Leader.this.changed();
-            }
-
-            @Override
-            public void cancel(Job job) {
-                tasks.jobCompletion().cancel(job);
-            }
-        };
+    private TaskLifecycle taskLifecycle(ControllerContext controller) {
+        return new TaskLifecycle(
+                cluster,
+                environment,
+                commitQueue,
+                sequence,
+                events -> new HeartbeatHandler(
+                        cluster, environment, election, term, events, heartbeatJournal, controller.eventLoopLag()),
+                lifecycle -> new JobCompletion(
+                        cluster,
+                        commitQueue,
+                        controller.completedJobs(),
+                        election,
+                        jobRequests,
+                        lifecycle::stopCancelled),
+                this::requestPass);
     }
 
-    private StateRecovery.Listener forLoader() {
-        return new StateRecovery.Listener() {
-            @Override
-            public void cancelledBefore(List<String> jobs) {
-                Leader.this.cancelledBefore(jobs);
-            }
-
-            @Override
-            public void options(OperatorSettings options) {
-                takeOptions(options);
-            }
-
-            @Override
-            public void loaded(StateRecovery.Loaded loaded) {
-                begin(loaded);
-            }
-        };
+    private SchedulingLoop schedulingLoop(ControllerContext controller) {
+        SchedulingPass schedulingPass =
+                new SchedulingPass(cluster, environment, links, placement, autoscaler, taskLifecycle);
+        return new SchedulingLoop(
+                environment,
+                controller.eventLoopLag(),
+                cluster,
+                commitQueue,
+                placement,
+                schedulingPass,
+                new SchedulingHost());
     }
 
+    /** Ends the term; what was not answered is refused. */
     void close() {
         closed = true;
-        loader.close();
-        ledger.close();
-        fleet.close();
-        provisioning.close();
-        silences.close();
-        users.close();
+        recovery.close();
+        commitQueue.close();
+        heartbeats.close();
+        autoscaler.close();
+        heartbeatJournal.close();
+        jobRequests.close();
     }
 
+    /** Whether everything that is durable has been read. */
     boolean active() {
-        return active;
+        return phase == Phase.ACTIVE;
     }
 
     /** The machine types are known from now on, or have changed. */
-    void types(List<MachineType> types) {
+    void setMachineTypes(List<MachineType> types) {
         cluster.setMachineTypes(types);
         for (Machine machine : cluster.machines().values()) {
             machine.setType(cluster.machineType(machine.typeName()));
             cluster.freeCapacity().update(machine);
         }
-        changed();
+        requestPass();
     }
 
-    // ---- taking over
-
-    /** From here on leases may be renewed, long before all records have been read: what is to be stopped is known. */
-    private void cancelledBefore(List<String> jobs) {
-        jobs.forEach(leadership.cancellations()::addCancelled);
-        cancellationsRead = true;
-    }
+    // ---- failover
 
     /** Everything that is durable has been read. */
-    private void begin(StateRecovery.Loaded loaded) {
-        admin = new AdministrationHandler(
-                cluster, placement, ledger, loaded.optionsRevision(), this::describe, this::takeOptions);
-        // an older version stored that one task of a gang was done, and might have started the others again
-        cluster.jobs().values().stream()
-                .filter(job -> job.spec().gang() && job.completedCount() > 0)
-                .forEach(job -> tasks.completeGang(job, null));
-        cluster.jobs().values().forEach(tasks::stopIncompleteGangAttempt);
-        silences.restore(loaded.silences());
+    private void begin(StateRecovery.Recovered recovered) {
+        administration = new AdministrationHandler(
+                new OperatorSettingsHandler(
+                        cluster, commitQueue, recovered.operatorSettingsRevision(), this::setOperatorSettings),
+                new AdministrationViews(cluster, placement, environment),
+                this::describe);
+        completeBrokenGangs();
+        heartbeatJournal.restore(recovered.lastHeartbeats());
         cluster.machines().values().forEach(machine -> links.workerExpected(machine.name(), machine.address()));
-        if (leadership.admissionsCountedSince() > 0) {
-            admissions = new AdmissionCountShards(
-                    loaded.admissionShards(),
-                    leadership.admissionsCountedSince(),
-                    settings.keyValueStore().maxValueKb());
-            ledger.setTransactionCounter(admissions);
+        if (election.admissionsCountedSince() > 0) {
+            admissionCounting.start(recovered.admissionShards(), election.admissionsCountedSince(), commitQueue);
         }
-        active = true;
+        phase = Phase.ACTIVE;
         activeAt = environment.now();
         LOG.info(
-                "term {}: {} live jobs, {} tasks may be on machines",
+                "leader ready: term={} jobs={} assignments={}",
                 term,
                 cluster.jobs().size(),
-                loaded.claims());
-        tasks.jobCompletion().resumeAfterFailover();
-        leadership.cancellations().allCancelledJobsRead();
-        provisioning.refreshInventory();
+                recovered.assignments());
+        taskLifecycle.jobCompletion().resumeAfterFailover();
+        election.cancellations().allCancelledJobsRead();
+        autoscaler.refreshInventory();
         tick();
     }
 
-    private void takeOptions(OperatorSettings options) {
-        cluster.setOperatorSettings(options);
-        environment.setLogLevel(options.text(OperatorSettings.LOG_LEVEL));
+    private void completeBrokenGangs() {
+        // an older version stored that one task of a gang was done, and might have started the others again
+        cluster.jobs().values().stream()
+                .filter(job -> job.spec().gang() && job.completedCount() > 0)
+                .forEach(job -> taskLifecycle.completeGang(job, null));
+        cluster.jobs().values().forEach(taskLifecycle::stopIncompleteGangAttempt);
+    }
+
+    private void setOperatorSettings(OperatorSettings operatorSettings) {
+        cluster.setOperatorSettings(operatorSettings);
+        environment.setLogLevel(operatorSettings.text(OperatorSettings.LOG_LEVEL));
     }
 
+    // ---- regular work
+
     private void tick() {
         if (closed) {
             return;
         }
-        environment.schedule(
-                Math.round(1000 * cluster.operatorSettings().number(OperatorSettings.PASS_INTERVAL_S)), this::tick);
-        fleet.failureDetector().expireLeases();
-        fleet.commandDispatcher().queueProbes();
-        users.answerOverdue();
-        checkSockets();
-        silences.refuseExpired();
-        if (leadership.leaseHeld()) {
-            provisioning.refreshInventory();
-            provisioning.scaleIn(settled());
-            if (!rests()) {
-                pass(true);
-            }
+        double intervalS = cluster.operatorSettings().number(OperatorSettings.PASS_INTERVAL_S);
+        environment.schedule(Math.round(MS_PER_S * intervalS), this::tick);
+        heartbeats.failureDetector().expireLeases();
+        heartbeats.commandDispatcher().queueProbes();
+        jobRequests.answerOverdue();
+        connectionBudgetWarning.check(cluster.machines().size());
+        heartbeatJournal.refuseExpired();
+        if (election.leaseHeld()) {
+            autoscaler.refreshInventory();
+            autoscaler.scaleIn(allWorkersHeard());
+            schedulingLoop.runRegular(admissionCounting.started());
             endOfTurn();
         }
     }
 
-    private void checkSockets() {
-        if (!socketsAreFew && settings.socketBudget().full(cluster.machines().size())) {
-            socketsAreFew = true;
-            LOG.warn(
-                    "{} machines: max_sockets ({}) leaves {} connections for them and all users, so they are not kept",
-                    cluster.machines().size(),
-                    settings.maxSockets(),
-                    settings.socketBudget().incoming());
-        }
-    }
-
-    /** After one report round, what has not reported is taken for absent where that only costs a chance. */
-    private boolean settled() {
-        return environment.now() - activeAt > roundMs;
+    /** After one round of heartbeats, what has not sent one is taken for absent where that only costs a chance. */
+    private boolean allWorkersHeard() {
+        return environment.now() - activeAt > heartbeatRoundMs;
     }
 
-    // ---- passes
-
-    private void changed() {
-        if (!passAsked && active) {
-            passAsked = true;
-            environment.schedule(Math.max(COALESCE_MS, PASS_REST * passTookMs), () -> {
-                passAsked = false;
-                if (!closed && leadership.leaseHeld()) {
-                    pass(false);
-                    endOfTurn();
-                }
-            });
+    private void requestPass() {
+        if (active()) {
+            schedulingLoop.requestPass();
         }
     }
 
-    /**
-     * Whether a strained leader that divides admissions rests from regular passes too. Found on overloaded days: three
-     * quarters of a leader's time went into them, each longer than the second between two, while leases lapsed.
-     */
-    private boolean rests() {
-        return admissions != null && eventLoopLag.saturated() && environment.now() - passedAt < PASS_REST * passTookMs;
-    }
-
-    private void pass(boolean regular) {
-        long from = environment.now();
-        if (ledger.backlog() <= BACKLOG_TRANSACTIONS * settings.keyValueStore().maxTransactionOperations()) {
-            scheduling.run(regular, settled());
+    /** Everything that piled up in a turn goes out together. */
+    void endOfTurn() {
+        if (closed) {
+            return;
         }
-        passedAt = environment.now();
-        passTookMs = passedAt - from;
-        if (placement.stoppedEarly()) {
-            changed();
+        if (election.leaseHeld() && !links.handingOver()) {
+            commitQueue.flush();
         }
+        heartbeats.commandDispatcher().sendQueued();
     }
 
-    // ---- workers and peers
+    // ---- workers and other controllers
 
-    /** Answers a report; null: not with 200. */
-    void report(Heartbeat heartbeat, Consumer<byte[]> reply) {
-        if (active) {
-            fleet.receive(heartbeat, reply);
-        } else {
-            boolean known = cancellationsRead || leadership.cancellations().knowsEarlierCancellations();
-            reply.accept(known && leadership.mayRenewWorkerLeases() ? fleet.renewBeforeRecovery(heartbeat) : null);
+    /** Answers a heartbeat; null: not with 200. */
+    void receive(Heartbeat heartbeat, Consumer<byte[]> reply) {
+        if (active()) {
+            heartbeats.receive(heartbeat, reply);
+            return;
         }
-    }
-
-    /** Transactions that were sent and have no known outcome. */
-    int changesInFlight() {
-        return ledger.inFlight();
+        boolean cancellationsKnown =
+                phase == Phase.READING_TASKS || election.cancellations().knowsEarlierCancellations();
+        boolean renews = cancellationsKnown && election.mayRenewWorkerLeases();
+        reply.accept(renews ? heartbeats.renewBeforeRecovery(heartbeat) : null);
     }
 
     /** The last that was heard from a machine; null: nothing. */
-    Heartbeat lastReport(String name) {
-        Machine machine = cluster.machines().get(name);
+    Heartbeat lastHeartbeat(String machineName) {
+        Machine machine = cluster.machines().get(machineName);
         return machine == null ? null : machine.agent().lastHeartbeat();
     }
 
-    /** Everything that piled up in a turn goes out together. */
-    void endOfTurn() {
-        if (closed) {
-            return;
-        }
-        if (leadership.leaseHeld() && !links.handingOver()) {
-            ledger.flush();
-        }
-        fleet.commandDispatcher().sendQueued();
+    /** Transactions that were sent and have no known outcome. */
+    int transactionsInFlight() {
+        return commitQueue.inFlight();
     }
 
-    // ---- users
+    // ---- users and operators
 
-    private boolean serving() {
-        return active && !closed && leadership.leaseHeld();
+    private boolean mayAnswer() {
+        return active() && !closed && election.leaseHeld();
     }
 
     /** Whether jobs may be accepted and cancelled. */
-    boolean promising() {
-        return serving() && links.permitsUserChanges();
+    boolean mayAcceptChanges() {
+        return mayAnswer() && links.permitsUserChanges();
     }
 
     /** Whether a job is known: accepted, about to be, or over and asked for lately. */
-    boolean knows(String id) {
+    boolean knowsJob(String id) {
         return cluster.jobs().containsKey(id)
-                || users.knowsCompleted(id)
+                || jobRequests.knowsCompleted(id)
                 || cluster.unreadableJobs().contains(id);
     }
 
-    /** Dealings with users; what is asked before the claims have been read is refused there. */
-    JobRequestHandler users() {
-        return users;
+    /** Users' requests about jobs; refused there until everything has been read. */
+    JobRequestHandler jobRequests() {
+        return jobRequests;
     }
 
-    void admin(String method, String path, String from, byte[] body, Consumer<PeerMessage.Response> reply) {
-        if (!serving()) {
-            reply.accept(AdministrationHandler.unavailable());
+    /** Answers an operator's request. */
+    void administer(AdministrationRequest request, Consumer<PeerMessage.Response> reply) {
+        if (!mayAnswer()) {
+            reply.accept(Responses.noLeader());
         } else {
-            admin.request(method, path, from, body, environment.now(), environment.timeOfDay(), reply);
+            administration.handle(request, reply);
         }
     }
 
@@ -391,10 +315,85 @@
         return MessageCodec.map()
                 .put("leader", settings.controllerName())
                 .put("term", term)
-                .put("active_s", (environment.now() - activeAt) / 1000.0)
+                .put("active_s", (environment.now() - activeAt) / MS_PER_S)
                 .put("live_jobs", cluster.jobs().size())
                 .put("machines", cluster.machines().size())
-                .put("changes_waiting", ledger.backlog())
-                .set("gangs", tasks.gangMetrics().describe());
+                .put("changes_waiting", commitQueue.backlog())
+                .set("gangs", taskLifecycle.gangMetrics().describe());
+    }
+
+    /** What users' requests call. */
+    private final class JobRequestCallbacks implements JobRequestHandler.LeaderCallbacks {
+        @Override
+        public boolean mayAnswer() {
+            return Leader.this.mayAnswer();
+        }
+
+        @Override
+        public boolean mayAcceptChanges() {
+            return Leader.this.mayAcceptChanges();
+        }
+
+        @Override
+        public boolean bypassesBacklog(byte[] submission) {
+            return admissionCounting.bypassesBacklog(submission);
+        }
+
+        @Override
+        public void beforeFirstWrite(Job job) {
+            admissionCounting.count(job);
+        }
+
+        @Override
+        public long nextSequenceNumber() {
+            return sequence.next();
+        }
+
+        @Override
+        public void jobAccepted() {
+            requestPass();
+        }
+
+        @Override
+        public void cancel(Job job) {
+            taskLifecycle.jobCompletion().cancel(job);
+        }
+    }
+
+    /** What the scheduling loop calls. */
+    private final class SchedulingHost implements SchedulingLoop.Host {
+        @Override
+        public boolean mayRun() {
+            return !closed && election.leaseHeld();
+        }
+
+        @Override
+        public boolean allWorkersHeard() {
+            return Leader.this.allWorkersHeard();
+        }
+
+        @Override
+        public void afterRequestedPass() {
+            endOfTurn();
+        }
+    }
+
+    /** What the recovery of durable state calls. */
+    private final class RecoveryListener implements StateRecovery.Listener {
+        @Override
+        public void cancelledJobs(List<String> jobs) {
+            jobs.forEach(election.cancellations()::addCancelled);
+            phase = Phase.READING_TASKS;
+        }
+
+        @Override
+        public void operatorSettings(OperatorSettings operatorSettings) {
+            setOperatorSettings(operatorSettings);
+        }
+
+        @Override
+        public void recovered(StateRecovery.Recovered recovered) {
+            begin(recovered);
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/stileferry/coordination/MachineTypeCatalog.java
@@ -0,0 +1,45 @@
+package stileferry.coordination;
+
+import java.util.List;
+import java.util.function.Consumer;
+import stileferry.protocol.Environment;
+import stileferry.protocol.MachineType;
+
+/** The machine types that the cloud rents, read again and again. */
+final class MachineTypeCatalog {
+    private static final long REQUEST_TIMEOUT_MS = 5000;
+    private static final long REFRESH_MS = 60_000;
+    private static final long RETRY_MS = 1000;
+    private static final long RETRY_JITTER_MS = 1000;
+
+    private final Environment environment;
+    private final String cloudAddress;
+    private final Consumer<List<MachineType>> onRead;
+    private List<MachineType> types = List.of();
+
+    /** {@code onRead} is told whenever the types have been read. */
+    MachineTypeCatalog(Environment environment, String cloudAddress, Consumer<List<MachineType>> onRead) {
+        this.environment = environment;
+        this.cloudAddress = cloudAddress;
+        this.onRead = onRead;
+    }
+
+    /** The types as they were read last; empty: not yet. */
+    List<MachineType> types() {
+        return types;
+    }
+
+    /** Reads the types now and from now on. */
+    void refresh() {
+        environment.request(cloudAddress, "GET", "/machine_types", null, REQUEST_TIMEOUT_MS, (status, body) -> {
+            List<MachineType> read = status == 200 && body != null ? MachineType.readAll(body) : List.of();
+            if (!read.isEmpty()) {
+                types = read;
+                onRead.accept(read);
+            }
+            environment.schedule(
+                    types.isEmpty() ? RETRY_MS + environment.random().nextLong(RETRY_JITTER_MS) : REFRESH_MS,
+                    this::refresh);
+        });
+    }
+}
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -2,7 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stileferry.cluster.ClusterState;
@@ -20,57 +22,62 @@
 import stileferry.storage.KeyValueStoreClient;
 import stileferry.storage.StoredEvent;
 
-/** Reads all that is durable when a term of leading begins, and builds the jobs and claims from it. */
+/** Reads all that is durable when a term of leading begins, and builds jobs and task assignments from it. */
 final class StateRecovery {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
     private static final long RETRY_MS = 300;
 
-    /** Records of an older form, read and then replaced. */
-    private static final String OLD_PARTS = "c/";
-
-    /** Prefixes that are always read; the count of admissions comes after them. */
-    private static final int OLD_PREFIXES = 3;
+    /** Records of an older form, read and then replaced: a part of one job's tasks each. */
+    private static final String LEGACY_CHUNK_PREFIX = "c/";
 
     private final Environment environment;
-    private final KeyValueStoreClient state;
+    private final KeyValueStoreClient store;
     private final ClusterState cluster;
-    private final CommitQueue ledger;
+    private final CommitQueue commitQueue;
     private final Listener listener;
     private final List<String> prefixes;
     private boolean closed;
 
     /** Told what was read. */
     interface Listener {
-        /** The jobs that were cancelled before, long before everything has been read. */
-        void cancelledBefore(List<String> jobs);
+        /** The jobs that were cancelled in earlier terms, long before everything has been read. */
+        void cancelledJobs(List<String> jobs);
 
         /** The operators' settings. */
-        void options(OperatorSettings options);
+        void operatorSettings(OperatorSettings settings);
 
-        /** Everything is on the board. */
-        void loaded(Loaded loaded);
+        /** Everything is in the cluster state. */
+        void recovered(Recovered recovered);
     }
 
-    /** What was read beside jobs and claims. */
-    record Loaded(
-            long optionsRevision, int claims, Iterable<LastHeartbeatRecord> silences, List<KeyValue> admissionShards) {}
-
-    /** {@code countsAdmissions}: whether the count of admissions is read too. */
+    /**
+     * What was read beside jobs and task assignments.
+     *
+     * @param operatorSettingsRevision the revision of the settings' record; 0: there is none
+     * @param assignments how many task assignments were read
+     */
+    record Recovered(
+            long operatorSettingsRevision,
+            int assignments,
+            Iterable<LastHeartbeatRecord> lastHeartbeats,
+            List<KeyValue> admissionShards) {}
+
+    /** {@code readsAdmissionShards}: whether the count of admissions is read too. */
     StateRecovery(
             Environment environment,
-            KeyValueStoreClient state,
+            KeyValueStoreClient store,
             ClusterState cluster,
-            CommitQueue ledger,
+            CommitQueue commitQueue,
             Listener listener,
-            boolean countsAdmissions) {
+            boolean readsAdmissionShards) {
         this.environment = environment;
-        this.state = state;
+        this.store = store;
         this.cluster = cluster;
-        this.ledger = ledger;
+        this.commitQueue = commitQueue;
         this.listener = listener;
-        this.prefixes = new ArrayList<>(List.of(Job.PREFIX, CommitQueue.EVENT_LOG_PREFIX, OLD_PARTS));
-        if (countsAdmissions) {
+        this.prefixes = new ArrayList<>(List.of(Job.PREFIX, CommitQueue.EVENT_LOG_PREFIX, LEGACY_CHUNK_PREFIX));
+        if (readsAdmissionShards) {
             prefixes.add(AdmissionCountShards.PREFIX);
         }
     }
@@ -79,69 +86,78 @@
         closed = true;
     }
 
+    /** Reads everything, and all of it again when a read fails. */
     void load() {
-        read(prefixes, new ArrayList<>());
+        read(prefixes, new HashMap<>());
     }
 
-    /** Reads one prefix after the other; starts again when a read fails. */
-    private void read(List<String> left, List<List<KeyValue>> done) {
-        if (left.isEmpty()) {
-            readOptions(done);
+    /** Reads one prefix after the other. */
+    private void read(List<String> prefixesLeft, Map<String, List<KeyValue>> rowsByPrefix) {
+        if (prefixesLeft.isEmpty()) {
+            readOperatorSettings(rowsByPrefix);
             return;
         }
-        state.scan(left.get(0), true, read -> {
+        String prefix = prefixesLeft.get(0);
+        store.scan(prefix, true, scan -> {
             if (closed) {
                 return;
             }
-            if (read.rows() == null) {
+            if (scan.rows() == null) {
                 environment.schedule(RETRY_MS, this::load);
                 return;
             }
-            if (left.get(0).equals(Job.PREFIX)) {
-                listener.cancelledBefore(cancelled(read.rows()));
+            if (prefix.equals(Job.PREFIX)) {
+                listener.cancelledJobs(cancelledJobs(scan.rows()));
             }
-            done.add(read.rows());
-            read(left.subList(1, left.size()), done);
+            rowsByPrefix.put(prefix, scan.rows());
+            read(prefixesLeft.subList(1, prefixesLeft.size()), rowsByPrefix);
         });
     }
 
-    private static List<String> cancelled(List<KeyValue> jobs) {
+    private static List<String> cancelledJobs(List<KeyValue> jobs) {
         List<String> ids = new ArrayList<>();
         for (KeyValue row : jobs) {
             if (row.value().path("cancelled").asBoolean()) {
-                ids.add(id(row));
+                ids.add(jobId(row));
             }
         }
         return ids;
     }
 
-    private static String id(KeyValue job) {
-        return job.key().substring(Job.PREFIX.length());
+    private static String jobId(KeyValue row) {
+        return row.key().substring(Job.PREFIX.length());
     }
 
-    private void readOptions(List<List<KeyValue>> rows) {
-        state.get(LeaderElection.OPERATOR_SETTINGS_KEY, (status, body) -> {
+    private void readOperatorSettings(Map<String, List<KeyValue>> rowsByPrefix) {
+        store.get(LeaderElection.OPERATOR_SETTINGS_KEY, (status, body) -> {
             if (closed) {
                 return;
             }
             if (status == 200) {
-                listener.options(OperatorSettings.read(body.path("v")));
+                listener.operatorSettings(OperatorSettings.read(body.path("v")));
             } else if (status != 404) {
                 environment.schedule(RETRY_MS, this::load);
                 return;
             }
             long revision = status == 200 ? body.path("entry_rev").asLong() : 0;
-            buildJobs(rows.get(0));
-            TaskEventReader reader = new TaskEventReader(cluster.jobs());
-            buildFromOldParts(rows.get(2), reader);
-            buildFromRecords(rows.get(1), reader);
-            List<TaskAssignment> claims = reader.assignments();
-            claims.forEach(cluster::assign);
-            List<KeyValue> shards = rows.size() > OLD_PREFIXES ? rows.get(OLD_PREFIXES) : List.of();
-            listener.loaded(new Loaded(revision, claims.size(), reader.lastHeartbeats(), shards));
+            build(rowsByPrefix, revision);
         });
     }
 
+    private void build(Map<String, List<KeyValue>> rowsByPrefix, long operatorSettingsRevision) {
+        buildJobs(rowsByPrefix.get(Job.PREFIX));
+        TaskEventReader reader = new TaskEventReader(cluster.jobs());
+        restoreLegacyChunks(rowsByPrefix.get(LEGACY_CHUNK_PREFIX), reader);
+        restoreEventLog(rowsByPrefix.get(CommitQueue.EVENT_LOG_PREFIX), reader);
+        List<TaskAssignment> assignments = reader.assignments();
+        assignments.forEach(cluster::assign);
+        listener.recovered(new Recovered(
+                operatorSettingsRevision,
+                assignments.size(),
+                reader.lastHeartbeats(),
+                rowsByPrefix.getOrDefault(AdmissionCountShards.PREFIX, List.of())));
+    }
+
     private void buildJobs(List<KeyValue> rows) {
         List<Job> jobs = new ArrayList<>();
         for (KeyValue row : rows) {
@@ -149,15 +165,15 @@
                 jobs.add(Job.read(row.value(), row.revision()));
             } catch (InvalidJobSpecException e) {
                 // its user was told that it is accepted, so nobody may hear that it is unknown
-                LOG.error("the record {} can't be read, its job can't run: {}", row.key(), e.getMessage());
-                cluster.unreadableJobs().add(id(row));
+                LOG.error("job record unreadable, its job can't run: key={} reason={}", row.key(), e.getMessage());
+                cluster.unreadableJobs().add(jobId(row));
             }
         }
-        jobs.sort(Comparator.comparingLong(j -> j.acceptanceOrder()));
+        jobs.sort(Comparator.comparingLong(job -> job.acceptanceOrder()));
         jobs.forEach(job -> cluster.jobs().put(job.spec().id(), job));
     }
 
-    private void buildFromOldParts(List<KeyValue> rows, TaskEventReader reader) {
+    private void restoreLegacyChunks(List<KeyValue> rows, TaskEventReader reader) {
         long number = 0;
         for (KeyValue row : rows) {
             String[] key = row.key().split("/");
@@ -166,15 +182,19 @@
             List<StoredEvent> events = job == null
                     ? List.of()
                     : reader.readLegacyChunk(job, Integer.parseInt(key[2]), row.value(), --number);
-            ledger.restore(row.key(), row.revision(), number, events);
+            commitQueue.restore(row.key(), row.revision(), number, events);
         }
     }
 
-    private void buildFromRecords(List<KeyValue> rows, TaskEventReader reader) {
-        rows.sort(Comparator.comparingLong(row -> row.value().path("n").asLong()));
+    private void restoreEventLog(List<KeyValue> rows, TaskEventReader reader) {
+        rows.sort(Comparator.comparingLong(StateRecovery::recordNumber));
         for (KeyValue row : rows) {
-            long number = row.value().path("n").asLong();
-            ledger.restore(row.key(), row.revision(), number, reader.read(row.value(), number));
+            long number = recordNumber(row);
+            commitQueue.restore(row.key(), row.revision(), number, reader.read(row.value(), number));
         }
     }
+
+    private static long recordNumber(KeyValue row) {
+        return row.value().path("n").asLong();
+    }
 }
--- /dev/null
+++ b/src/main/java/stileferry/coordination/UserRequestRouter.java
@@ -0,0 +1,108 @@
+package stileferry.coordination;
+
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessage.ForwardedRequest;
+import stileferry.protocol.PeerMessage.RequestKind;
+import stileferry.protocol.Settings;
+import stileferry.requests.AdministrationRequest;
+import stileferry.requests.RequestMetrics;
+import stileferry.requests.Responses;
+
+/** Takes users' requests to the leader, here or at another controller. */
+final class UserRequestRouter {
+    private static final Logger LOG = LoggerFactory.getLogger("coordinator");
+
+    /** Shorter than the users' own patience with a question, which is 2 s. */
+    private static final long STATUS_FORWARD_TIMEOUT_MS = 1500;
+
+    /** Shorter than the users' own patience with a change, which is 5 s. */
+    private static final long CHANGE_FORWARD_TIMEOUT_MS = 4000;
+
+    private final ControllerContext controller;
+    private final Supplier<Leader> leader;
+    private final HeartbeatRouter heartbeats;
+    private final RequestMetrics metrics;
+
+    /** {@code leader} gives null while this controller does not lead. */
+    UserRequestRouter(
+            ControllerContext controller, Supplier<Leader> leader, HeartbeatRouter heartbeats, RequestMetrics metrics) {
+        this.controller = controller;
+        this.leader = leader;
+        this.heartbeats = heartbeats;
+        this.metrics = metrics;
+    }
+
+    /** Answers a request that came to this controller: here when it leads, else by way of the leader. */
+    void handle(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
+        long receivedAt = controller.environment().now();
+        route(request, response -> {
+            long tookMs = controller.environment().now() - receivedAt;
+            metrics.record(request.kind(), response.status(), tookMs);
+            if (request.kind() == RequestKind.SUBMIT) {
+                LOG.debug(
+                        "submission answered: status={} took_ms={} leader={}",
+                        response.status(),
+                        tookMs,
+                        controller.election().leader());
+            }
+            reply.accept(response);
+        });
+    }
+
+    private void route(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
+        Leader current = leader.get();
+        if (current != null) {
+            handleAsLeader(current, request, reply);
+            return;
+        }
+        Settings.Peer peer = controller.election().leaderPeer();
+        if (peer == null || controller.links().peerUnreachable(peer.name())) {
+            reply.accept(Responses.unavailable());
+            return;
+        }
+        if (request.kind() == RequestKind.SUBMIT) {
+            controller.admission().admit(request.body(), reply, answer -> forward(peer, request, answer));
+        } else {
+            forward(peer, request, reply);
+        }
+    }
+
+    private void forward(Settings.Peer peer, ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
+        long timeoutMs = request.kind() == RequestKind.STATUS ? STATUS_FORWARD_TIMEOUT_MS : CHANGE_FORWARD_TIMEOUT_MS;
+        Consumer<PeerMessage> onAnswer = answer ->
+                reply.accept(answer instanceof PeerMessage.Response response ? response : Responses.unavailable());
+        boolean batched = request.kind() != RequestKind.ADMINISTRATION
+                && controller.admission().acceptsBatches(peer);
+        if (batched) {
+            controller.admission().forward(peer, request, timeoutMs, onAnswer);
+        } else {
+            controller.environment().sendToPeer(peer, request, timeoutMs, onAnswer);
+        }
+    }
+
+    /** Answers a request that another controller has forwarded; refused when this one does not lead. */
+    void handleForwarded(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
+        Leader current = leader.get();
+        if (current == null) {
+            reply.accept(Responses.unavailable());
+        } else {
+            handleAsLeader(current, request, reply);
+        }
+    }
+
+    private void handleAsLeader(Leader current, ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
+        switch (request.kind()) {
+            case SUBMIT ->
+                controller.admission().admit(request.body(), reply, answer -> current.jobRequests()
+                        .submit(request.body(), answer));
+            case STATUS -> current.jobRequests().status(request.id(), reply);
+            case CANCEL -> current.jobRequests().cancel(request.id(), reply);
+            case ADMINISTRATION -> current.administer(AdministrationRequest.read(request.id(), request.body()), reply);
+            case HEARTBEAT -> heartbeats.handleForwarded(request.body(), reply);
+        }
+    }
+}
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -33,7 +33,7 @@
         boolean overloaded();
 
         /** Whether there is about as much to do as can be done in time. */
-        boolean nearlyOverloaded();
+        boolean saturated();
     }
 
     /** Whether what is accepted is counted. */
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -26,7 +26,6 @@
 import stileferry.protocol.Settings;
 import stileferry.protocol.SubmissionHeader;
 import stileferry.protocol.UserMessages;
-import stileferry.requests.AdministrationHandler;
 import stileferry.requests.JobRequestHandler;
 import stileferry.requests.Responses;
 import stileferry.storage.KeyValueStoreClient;
@@ -135,7 +134,7 @@
         door.learn(host.term());
         long now = environment.now();
         if (controller != null) {
-            strainedAt = host.nearlyOverloaded() ? now : strainedAt;
+            strainedAt = host.saturated() ? now : strainedAt;
             controller.step(pressure(), now);
             door.take(controller.table(), now, now);
             logClosed();
@@ -316,7 +315,7 @@
     public boolean describe(Consumer<PeerMessage.Response> reply) {
         totals.read(read -> {
             if (read == null) {
-                reply.accept(AdministrationHandler.unavailable());
+                reply.accept(Responses.noLeader());
             } else {
                 ObjectNode view = MessageCodec.map();
                 view.set("totals", AdmissionTotalsReader.describe(read));
@@ -353,9 +352,7 @@
             list.addObject()
                     .put("team", flow.team())
                     .put("class", flow.jobClass())
-                    .put(
-                            "priority",
-                            JobSpec.Priority.values()[flow.tier()].name().toLowerCase(java.util.Locale.ROOT))
+                    .put("priority", JobSpec.Priority.values()[flow.tier()].wireName())
                     .put("waiting", waiting.getValue().waiting())
                     .put("waiting_least", waiting.getValue().lower())
                     .put("waiting_most", waiting.getValue().upper())
--- a/src/main/java/stileferry/protocol/JobSpec.java
+++ b/src/main/java/stileferry/protocol/JobSpec.java
@@ -42,17 +42,28 @@
 
         private final String wireName;
 
-        Kind(String word) {
-            this.wireName = word;
+        Kind(String wireName) {
+            this.wireName = wireName;
         }
     }
 
     /** Priorities, the most urgent first. */
     public enum Priority {
-        CRITICAL,
-        URGENT,
-        NORMAL,
-        IDLE
+        CRITICAL("critical"),
+        URGENT("urgent"),
+        NORMAL("normal"),
+        IDLE("idle");
+
+        private final String wireName;
+
+        Priority(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The word that stands for it in messages and in the administration API. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** True for ids of the form that users may choose. */
@@ -110,8 +121,7 @@
                 .put(WireNames.JOB_CLASS, jobClass)
                 .put(WireNames.TEAM, team)
                 .put(WireNames.KIND, kind.wireName);
-        n.put(WireNames.PRIORITY, priority.name().toLowerCase(java.util.Locale.ROOT))
-                .put(WireNames.TASKS, taskCount);
+        n.put(WireNames.PRIORITY, priority.wireName).put(WireNames.TASKS, taskCount);
         n.put(WireNames.CPUS, cpus)
                 .put(WireNames.GPUS, gpus)
                 .put(WireNames.MEMORY_GB, memoryGb)
@@ -177,13 +187,12 @@
     }
 
     static Priority priority(String text) throws InvalidJobSpecException {
-        return switch (text) {
-            case "critical" -> Priority.CRITICAL;
-            case "urgent" -> Priority.URGENT;
-            case "normal" -> Priority.NORMAL;
-            case "idle" -> Priority.IDLE;
-            default -> throw new InvalidJobSpecException(WireNames.PRIORITY + ": unknown");
-        };
+        for (Priority priority : Priority.values()) {
+            if (priority.wireName.equals(text)) {
+                return priority;
+            }
+        }
+        throw new InvalidJobSpecException(WireNames.PRIORITY + ": unknown");
     }
 
     private static boolean absent(JsonNode node) {
--- a/src/main/java/stileferry/requests/BatchResponder.java
+++ b/src/main/java/stileferry/requests/BatchResponder.java
@@ -8,16 +8,16 @@
 import stileferry.protocol.PeerMessage;
 
 /**
- * Gathers the leader's answers to a batch. Questions that take long are answered 503, so that the others don't wait.
+ * Gathers the leader's answers to a batch. In a batch of status requests those that take long are answered 503, so that
+ * the others don't wait.
  */
 public final class BatchResponder {
-    /** Most questions are answered at once; one about an ended job may need a read. */
-    private static final long LONGEST_QUESTION_MS = 500;
+    /** Most are answered at once; one about a completed job may need a read. */
+    private static final long STATUS_TIMEOUT_MS = 500;
 
     private final PeerMessage.Response[] answers;
     private final Consumer<PeerMessage> reply;
-    private int missing;
-    private boolean sent;
+    private int unanswered;
 
     /** Has each request of a batch answered, and replies as soon as all of them are. */
     public static void to(
@@ -27,43 +27,36 @@
             Consumer<PeerMessage> reply) {
         BatchResponder batch = new BatchResponder(environment, requests, reply);
         for (int i = 0; i < requests.size(); i++) {
-            int number = i;
-            handler.accept(requests.get(i), answer -> batch.answer(number, answer));
+            int index = i;
+            handler.accept(requests.get(i), answer -> batch.answer(index, answer));
         }
     }
 
     private BatchResponder(
             Environment environment, List<PeerMessage.ForwardedRequest> requests, Consumer<PeerMessage> reply) {
         this.answers = new PeerMessage.Response[requests.size()];
-        this.missing = answers.length;
+        this.unanswered = answers.length;
         this.reply = reply;
-        boolean questions = requests.stream().allMatch(r -> r.kind() == PeerMessage.RequestKind.STATUS);
-        if (questions) {
-            environment.schedule(LONGEST_QUESTION_MS, this::giveUp);
+        boolean onlyStatus = requests.stream().allMatch(request -> request.kind() == PeerMessage.RequestKind.STATUS);
+        if (onlyStatus) {
+            environment.schedule(STATUS_TIMEOUT_MS, this::refuseUnanswered);
         }
     }
 
-    private void answer(int request, PeerMessage.Response answer) {
-        if (answers[request] != null) {
+    private void answer(int index, PeerMessage.Response answer) {
+        if (answers[index] != null) {
             return;
         }
-        answers[request] = answer;
-        missing--;
-        if (missing == 0) {
-            send();
+        answers[index] = answer;
+        unanswered--;
+        if (unanswered == 0) {
+            reply.accept(new PeerMessage.ResponseBatch(Arrays.asList(answers)));
         }
     }
 
-    private void giveUp() {
+    private void refuseUnanswered() {
         for (int i = 0; i < answers.length; i++) {
             answer(i, Responses.unavailable());
         }
     }
-
-    private void send() {
-        if (!sent) {
-            sent = true;
-            reply.accept(new PeerMessage.ResponseBatch(Arrays.asList(answers)));
-        }
-    }
 }
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -1,10 +1,5 @@
 package stileferry.requests;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
 import java.util.function.Consumer;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
@@ -17,31 +12,24 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
+import stileferry.protocol.Submission;
 import stileferry.protocol.UserMessages;
-import stileferry.protocol.WireNames;
 import stileferry.storage.CommitQueue;
 import stileferry.storage.KeyValueStoreClient;
 
-/** Dealings with users in one term: they hear accepted, cancelled or done only when it is durable. */
+/** Users' requests about jobs in one term: users hear accepted, cancelled or done only when it is durable. */
 public final class JobRequestHandler implements JobCompletion.Listener {
-    /** The share of the value limit that a job's record may take; the rest is for what is added later. */
-    private static final double MAX_RECORD_SHARE = 0.9;
-
-    /** Seconds of the state service's rates that may wait before submissions are refused. */
+    /** Seconds of the key-value store's rates that may wait before submissions are refused. */
     public static final double MAX_BACKLOG_S = 2;
 
-    /** Users wait this long for a change to be durable: less than their own patience of 5 s. */
-    private static final long DURABILITY_TIMEOUT_MS = 3000;
-
     private final ClusterState cluster;
     private final Environment environment;
-    private final KeyValueStoreClient state;
-    private final CommitQueue ledger;
-    private final CompletedJobCache ended;
-    private final LeaderCallbacks lead;
-
-    /** Jobs whose users wait for something to be durable. */
-    private final Set<Job> awaited = new LinkedHashSet<>();
+    private final KeyValueStoreClient store;
+    private final CommitQueue commitQueue;
+    private final CompletedJobCache completedJobs;
+    private final LeaderCallbacks leader;
+    private final PendingReplies pendingReplies;
+    private final SubmissionCheck submissionCheck;
 
     /** What the leader does for its users. */
     public interface LeaderCallbacks {
@@ -67,255 +55,183 @@
         void cancel(Job job);
     }
 
+    /** A handler for one term; the completed jobs outlive it. */
     public JobRequestHandler(
             ClusterState cluster,
             Environment environment,
-            KeyValueStoreClient state,
-            CommitQueue ledger,
-            CompletedJobCache ended,
-            LeaderCallbacks lead) {
+            KeyValueStoreClient store,
+            CommitQueue commitQueue,
+            CompletedJobCache completedJobs,
+            LeaderCallbacks leader) {
         this.cluster = cluster;
         this.environment = environment;
-        this.state = state;
-        this.ledger = ledger;
-        this.ended = ended;
-        this.lead = lead;
+        this.store = store;
+        this.commitQueue = commitQueue;
+        this.completedJobs = completedJobs;
+        this.leader = leader;
+        this.pendingReplies = new PendingReplies(environment);
+        this.submissionCheck = new SubmissionCheck(cluster);
     }
 
     /** Tells all who wait that nothing more will be known here. */
     public void close() {
         for (Job job : cluster.jobs().values()) {
-            answer(job, Responses.unavailable());
+            pendingReplies.answer(job, Responses.unavailable());
         }
     }
 
-    /** Answers all who wait for this job. */
-    void answer(Job job, PeerMessage.Response answer) {
-        List<Consumer<PeerMessage.Response>> waiting = job.pendingReplies();
-        job.setPendingReplies(new ArrayList<>());
-        job.setRepliesPendingSince(0);
-        awaited.remove(job);
-        waiting.forEach(w -> w.accept(answer));
+    /** Users whose change is not durable in time hear at once that it isn't known yet, and when to come back. */
+    public void answerOverdue() {
+        pendingReplies.refuseOverdue(leader.mayAnswer());
     }
 
     @Override
-    public void jobCompleted(Job job, CompletedJob end) {
-        answer(job, Responses.ok(200, end.jobState(job.spec().id())));
+    public void jobCompleted(Job job, CompletedJob completed) {
+        pendingReplies.answer(job, JobResponses.completed(job.spec().id(), completed));
     }
 
     @Override
     public void cancellationConfirmed(Job job) {
-        answer(job, state(job, 200));
-    }
-
-    private void await(Job job, Consumer<PeerMessage.Response> reply) {
-        job.pendingReplies().add(reply);
-        if (job.repliesPendingSince() == 0) {
-            job.setRepliesPendingSince(environment.now());
-            awaited.add(job);
-        }
+        pendingReplies.answer(job, JobResponses.state(job));
     }
 
-    /** Users whose change is not durable in time hear at once that it isn't known yet, and when to come back. */
-    public void answerOverdue() {
-        long now = environment.now();
-        boolean sure = lead.mayAnswer();
-        for (Job job : List.copyOf(awaited)) {
-            if (!sure || now - job.repliesPendingSince() > DURABILITY_TIMEOUT_MS) {
-                answer(job, Responses.unavailable());
-            }
-        }
-    }
-
-    /** Where a job stands, as its user may hear it. */
-    PeerMessage.Response state(Job job, int status) {
-        if (!job.accepted() || job.cancelled() && !job.cancelConfirmed()) {
-            return Responses.unavailable(); // the outcome of what would change the answer is not known yet
-        }
-        int running = job.cancelled() ? 0 : job.runningCount();
-        String tide = job.cancelled() ? "cancelled" : running > 0 ? "running" : "pending";
-        int done = job.completing() ? Math.max(0, job.completedCount() - 1) : job.completedCount();
-        return Responses.ok(status, UserMessages.jobState(job.spec().id(), tide, done, running));
+    /** Whether a job's end was looked up or came up lately. */
+    public boolean knowsCompleted(String id) {
+        return completedJobs.get(id) != null;
     }
 
-    /** A job that was accepted and whose record nobody can read: known, and not over. */
-    private static PeerMessage.Response unreadable(String id) {
-        return Responses.ok(200, UserMessages.jobState(id, "pending", 0, 0));
+    /** Seconds of the key-value store's rates that wait. */
+    public double backlogS() {
+        Settings.KeyValueStoreLimits limits = cluster.settings().keyValueStore();
+        return Math.max(commitQueue.backlog() / limits.writesPerS(), store.queuedRequests() / limits.requestsPerS());
     }
 
-    /** Looks an id up among the ended jobs; the status is 0 when that can't be told now. */
-    private void lookUp(String id, Consumer<CompletedJob> known, Runnable unknown, Runnable failed) {
-        CompletedJob cached = ended.get(id);
-        if (cached != null) {
-            known.accept(cached);
-            return;
-        }
-        state.get(Job.completedKey(id), (status, body) -> {
-            if (!lead.mayAnswer() || status != 200 && status != 404) {
-                failed.run();
-            } else if (status == 200) {
-                CompletedJob read = CompletedJob.read(body.path("v"));
-                ended.put(id, read);
-                known.accept(read);
-            } else {
-                unknown.run();
-            }
-        });
-    }
+    // ---- submit
 
+    /** Accepts a job, or answers with the state of the job of this id. */
     public void submit(byte[] bytes, Consumer<PeerMessage.Response> reply) {
-        if (!lead.mayAcceptChanges()) {
+        if (!leader.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
             return;
         }
-        JsonNode body = MessageCodec.decode(bytes);
-        String id = body == null ? "" : body.path(WireNames.NAME_ID).asText("");
-        if (!JobSpec.validId(id)) {
+        Submission submission = Submission.read(bytes);
+        if (submission == null) {
             reply.accept(Responses.refusal(400, "not a map with a valid job id"));
             return;
         }
+        String id = submission.jobId();
         Job job = cluster.jobs().get(id);
         if (job != null) {
-            join(job, reply);
+            answerIdempotent(job, reply);
             return;
         }
         if (cluster.unreadableJobs().contains(id)) {
-            reply.accept(unreadable(id));
+            reply.accept(JobResponses.unreadable(id));
             return;
         }
-        long behindS = behindS();
-        boolean first = lead.bypassesBacklog(bytes);
-        if (behindS > 0 && !first) { // it would only wait, and everything behind it
+        boolean urgent = leader.bypassesBacklog(bytes);
+        int retryAfterS = retryAfterBacklogS();
+        if (retryAfterS > 0 && !urgent) { // it would only wait, and everything behind it
             reply.accept(new PeerMessage.Response(
-                    503, (int) behindS, MessageCodec.encode(UserMessages.error("too much to do, try again"))));
+                    503, retryAfterS, MessageCodec.encode(UserMessages.error("too much to do, try again"))));
             return;
         }
-        lookUp(
-                id,
-                e -> reply.accept(Responses.ok(200, e.jobState(id))),
-                () -> {
-                    Job meanwhile = cluster.jobs().get(id);
-                    if (meanwhile != null) {
-                        join(meanwhile, reply);
-                    } else if (ended.get(id) != null) {
-                        reply.accept(Responses.ok(200, ended.get(id).jobState(id)));
-                    } else {
-                        accept(body, first, reply);
-                    }
-                },
-                () -> reply.accept(Responses.unavailable()));
+        answerIfCompleted(id, reply, () -> submitUnknown(submission, urgent, reply));
     }
 
-    /** Whether a job's end was looked up or came up lately. */
-    public boolean knowsCompleted(String id) {
-        return ended.get(id) != null;
-    }
-
-    /** Seconds after which a submission is worth another try when the state service can't take it soon; 0: it can. */
-    private long behindS() {
+    /** Seconds after which a submission is worth another try when the key-value store is behind; 0: it is not. */
+    private int retryAfterBacklogS() {
         double seconds = backlogS();
-        return seconds < MAX_BACKLOG_S ? 0 : (long) Math.ceil(seconds);
+        return seconds < MAX_BACKLOG_S ? 0 : (int) Math.ceil(seconds);
     }
 
-    /** Seconds of the state service's rates that wait. */
-    public double backlogS() {
-        return Math.max(
-                ledger.backlog() / cluster.settings().keyValueStore().writesPerS(),
-                state.queuedRequests() / cluster.settings().keyValueStore().requestsPerS());
+    /** Takes a job that had not ended when that was asked; the same job may have come, or ended, in between. */
+    private void submitUnknown(Submission submission, boolean urgent, Consumer<PeerMessage.Response> reply) {
+        String id = submission.jobId();
+        Job submittedMeanwhile = cluster.jobs().get(id);
+        CompletedJob completedMeanwhile = completedJobs.get(id);
+        if (submittedMeanwhile != null) {
+            answerIdempotent(submittedMeanwhile, reply);
+        } else if (completedMeanwhile != null) {
+            reply.accept(JobResponses.completed(id, completedMeanwhile));
+        } else {
+            check(submission, urgent, reply);
+        }
     }
 
-    private void join(Job job, Consumer<PeerMessage.Response> reply) {
+    private void answerIdempotent(Job job, Consumer<PeerMessage.Response> reply) {
         if (job.accepted()) {
-            reply.accept(state(job, 200));
+            reply.accept(JobResponses.state(job));
         } else {
-            await(job, reply);
+            pendingReplies.add(job, reply);
         }
     }
 
-    private void accept(JsonNode body, boolean first, Consumer<PeerMessage.Response> reply) {
+    private void check(Submission submission, boolean urgent, Consumer<PeerMessage.Response> reply) {
         JobSpec spec;
         try {
-            spec = JobSpec.read(body);
+            spec = submission.jobSpec();
         } catch (InvalidJobSpecException e) {
             reply.accept(Responses.refusal(400, e.getMessage()));
             return;
         }
-        Settings.Team team = cluster.settings().team(spec.team());
-        if (team == null) {
-            reply.accept(Responses.refusal(422, "unknown team"));
-            return;
-        }
-        if (cluster.machineTypes().isEmpty()) {
-            reply.accept(Responses.unavailable());
-            return;
-        }
-        if (cluster.machineTypes().stream().noneMatch(spec::fitsType)) {
-            reply.accept(Responses.refusal(422, "a task fits no allowed machine type"));
-            return;
-        }
-        if (!spec.canRunTogether(cluster.machineTypes())) {
-            reply.accept(Responses.refusal(422, "its tasks can't all run at the same time"));
-            return;
-        }
-        double tasks = spec.kind() == JobSpec.Kind.ARRAY ? 1 : spec.taskCount();
-        if (team.cpusMax() > 0 && tasks * spec.cpus() > team.cpusMax()
-                || team.gpusMax() > 0 && tasks * spec.gpus() > team.gpusMax()) {
-            reply.accept(Responses.refusal(422, "more than the team's limit"));
+        PeerMessage.Response refusal = submissionCheck.refusal(spec);
+        if (refusal != null) {
+            reply.accept(refusal);
             return;
         }
-        Job job = new Job(spec, lead.nextSequenceNumber(), environment.timeOfDay(), 0);
-        if (job.entry().value().toString().length()
-                > cluster.settings().keyValueStore().maxValueKb() * 1024 * MAX_RECORD_SHARE) {
-            reply.accept(Responses.refusal(422, "its description is larger than can be kept"));
+        Job job = new Job(spec, leader.nextSequenceNumber(), environment.timeOfDay(), 0);
+        PeerMessage.Response recordRefusal = submissionCheck.recordRefusal(job);
+        if (recordRefusal != null) {
+            reply.accept(recordRefusal);
             return;
         }
-        await(job, reply);
-        cluster.jobs().put(spec.id(), job);
-        lead.beforeFirstWrite(job);
+        accept(job, urgent, reply);
+    }
+
+    private void accept(Job job, boolean urgent, Consumer<PeerMessage.Response> reply) {
+        String id = job.spec().id();
+        pendingReplies.add(job, reply);
+        cluster.jobs().put(id, job);
+        leader.beforeFirstWrite(job);
         Runnable onDurable = () -> {
             job.setAccepted(true);
-            answer(job, Responses.ok(201, UserMessages.jobState(spec.id(), "pending", 0, 0)));
-            lead.jobAccepted();
+            pendingReplies.answer(job, JobResponses.accepted(id));
+            leader.jobAccepted();
         };
-        if (first) {
-            ledger.putFirst(job.entry(), onDurable);
+        if (urgent) {
+            commitQueue.putFirst(job.entry(), onDurable);
         } else {
-            ledger.put(job.entry(), onDurable);
+            commitQueue.put(job.entry(), onDurable);
         }
     }
 
+    // ---- status and cancel
+
+    /** Answers with the state of a job. */
     public void status(String id, Consumer<PeerMessage.Response> reply) {
-        if (!lead.mayAnswer()) {
+        if (!leader.mayAnswer()) {
             reply.accept(Responses.unavailable());
             return;
         }
         Job job = cluster.jobs().get(id);
         if (job != null) {
-            reply.accept(state(job, 200));
+            reply.accept(JobResponses.state(job));
             return;
         }
         if (cluster.unreadableJobs().contains(id)) {
-            reply.accept(unreadable(id));
+            reply.accept(JobResponses.unreadable(id));
             return;
         }
-        lookUp(
-                id,
-                e -> reply.accept(Responses.ok(200, e.jobState(id))),
-                () -> {
-                    Job meanwhile = cluster.jobs().get(id);
-                    reply.accept(meanwhile != null ? state(meanwhile, 200) : endedMeanwhile(id));
-                },
-                () -> reply.accept(Responses.unavailable()));
-    }
-
-    /** The answer about a job that is not alive and had not ended when that was asked: it may have lived in between. */
-    private PeerMessage.Response endedMeanwhile(String id) {
-        CompletedJob now = ended.get(id);
-        return now == null ? Responses.refusal(404, "no such job") : Responses.ok(200, now.jobState(id));
+        answerIfCompleted(id, reply, () -> {
+            Job submittedMeanwhile = cluster.jobs().get(id);
+            reply.accept(submittedMeanwhile != null ? JobResponses.state(submittedMeanwhile) : completedMeanwhile(id));
+        });
     }
 
+    /** Cancels a job; answered when its cancellation, or its end, is durable. */
     public void cancel(String id, Consumer<PeerMessage.Response> reply) {
-        if (!lead.mayAcceptChanges()) {
+        if (!leader.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
             return;
         }
@@ -323,20 +239,48 @@
         if (job == null && cluster.unreadableJobs().contains(id)) {
             reply.accept(Responses.unavailable());
         } else if (job == null) {
-            lookUp(
+            answerIfCompleted(
                     id,
-                    e -> reply.accept(Responses.ok(200, e.jobState(id))),
-                    () -> reply.accept(cluster.jobs().containsKey(id) ? Responses.unavailable() : endedMeanwhile(id)),
-                    () -> reply.accept(Responses.unavailable()));
+                    reply,
+                    () -> reply.accept(
+                            cluster.jobs().containsKey(id) ? Responses.unavailable() : completedMeanwhile(id)));
         } else if (!job.accepted()) {
             reply.accept(Responses.unavailable());
         } else if (job.cancelConfirmed()) {
-            reply.accept(state(job, 200));
+            reply.accept(JobResponses.state(job));
         } else {
-            await(job, reply); // answered when the job's end, or the cancellation, is durable
+            pendingReplies.add(job, reply);
             if (!job.completing() && !job.cancelled()) {
-                lead.cancel(job);
+                leader.cancel(job);
             }
         }
     }
+
+    // ---- jobs that are over
+
+    /** Answers if a job of this id has ended, or if that can't be told now; else goes on. */
+    private void answerIfCompleted(String id, Consumer<PeerMessage.Response> reply, Runnable notCompleted) {
+        CompletedJob cached = completedJobs.get(id);
+        if (cached != null) {
+            reply.accept(JobResponses.completed(id, cached));
+            return;
+        }
+        store.get(Job.completedKey(id), (status, body) -> {
+            if (!leader.mayAnswer() || status != 200 && status != 404) {
+                reply.accept(Responses.unavailable());
+            } else if (status == 200) {
+                CompletedJob completed = CompletedJob.read(body.path("v"));
+                completedJobs.put(id, completed);
+                reply.accept(JobResponses.completed(id, completed));
+            } else {
+                notCompleted.run();
+            }
+        });
+    }
+
+    /** The answer about a job that is not alive and had not ended when that was asked: it may have lived in between. */
+    private PeerMessage.Response completedMeanwhile(String id) {
+        CompletedJob completed = completedJobs.get(id);
+        return completed == null ? Responses.refusal(404, "no such job") : JobResponses.completed(id, completed);
+    }
 }
--- a/src/main/java/stileferry/requests/RequestMetrics.java
+++ b/src/main/java/stileferry/requests/RequestMetrics.java
@@ -10,28 +10,30 @@
 
 /** What one controller has answered since its start, and how long that took. */
 public final class RequestMetrics {
-    private static final long LONGEST_MS = 60_000;
+    private static final long MAX_MS = 60_000;
 
     private final Map<PeerMessage.RequestKind, Histogram> times = new EnumMap<>(PeerMessage.RequestKind.class);
     private final Map<String, Long> answers = new TreeMap<>();
 
-    public void record(PeerMessage.RequestKind ask, int status, long tookMs) {
-        times.computeIfAbsent(ask, a -> new Histogram(LONGEST_MS, 2))
-                .recordValue(Math.min(LONGEST_MS, Math.max(0, tookMs)));
-        answers.merge(ask.wireName() + " " + status, 1L, Long::sum);
+    /** Counts one answer. */
+    public void record(PeerMessage.RequestKind kind, int status, long tookMs) {
+        times.computeIfAbsent(kind, k -> new Histogram(MAX_MS, 2)).recordValue(Math.min(MAX_MS, Math.max(0, tookMs)));
+        answers.merge(kind.wireName() + " " + status, 1L, Long::sum);
     }
 
+    /** The view of the administration API. */
     public ObjectNode describe() {
-        ObjectNode n = MessageCodec.map();
-        ObjectNode counts = n.putObject("answers");
+        ObjectNode view = MessageCodec.map();
+        ObjectNode counts = view.putObject("answers");
         answers.forEach(counts::put);
-        ObjectNode list = n.putObject("times_ms");
-        times.forEach((ask, histogram) -> list.putObject(ask.wireName())
+        ObjectNode timesView = view.putObject("times_ms");
+        times.forEach((kind, histogram) -> timesView
+                .putObject(kind.wireName())
                 .put("count", histogram.getTotalCount())
                 .put("p50", histogram.getValueAtPercentile(50))
                 .put("p90", histogram.getValueAtPercentile(90))
                 .put("p99", histogram.getValueAtPercentile(99))
                 .put("max", histogram.getMaxValue()));
-        return n;
+        return view;
     }
 }
