--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -12,111 +12,115 @@
 import stileferry.protocol.UserMessages;
 import stileferry.protocol.WorkerMessages;
 
-/** What becomes of a worker's report at a controller that does not lead. */
+/** Takes workers' heartbeats at a controller that does not lead: redirects, forwards or keeps them. */
 public final class FollowerHeartbeats {
-    /** A report waits this long at most for a new leader that is about to be known: half of its worker's patience. */
-    private static final long NEW_LEADER_MS = 2000;
+    /** A heartbeat waits this long at most for the new leader of a handover: half of its worker's timeout. */
+    private static final long NEW_LEADER_WAIT_MS = 2000;
 
-    private static final long NEW_LEADER_LOOK_MS = 50;
+    private static final long NEW_LEADER_CHECK_MS = 50;
 
-    /** The leader's answer to a passed-on report is waited for so long at most: the worker's patience is 4 s. */
-    private static final long PASS_ON_MS = 3000;
+    /** Timeout for the leader's answer to a forwarded heartbeat: the worker's own is 4 s. */
+    private static final long FORWARD_TIMEOUT_MS = 3000;
+
+    /** Part of a lease for which workers are turned away without a leader before their leases are kept alive. */
+    private static final int LEADERLESS_LEASE_DIVISOR = 8;
 
     private final Environment environment;
     private final LeaderElection leadership;
     private final LinkHealth links;
-    private final BiConsumer<Heartbeat, BiConsumer<Integer, byte[]>> leads;
-    private final WorkerRedirects redirects;
+    private final BiConsumer<Heartbeat, BiConsumer<Integer, byte[]>> leaderHandler;
+    private final WorkerRedirects workerRedirects;
     private final LeaderlessLeaseRenewal leaderlessRenewal;
-    private final long reportMs;
+    private final long heartbeatIntervalMs;
     private final long leaseMs;
     private final long startedAt;
 
-    /** The last argument answers a report when this node has come to lead meanwhile. */
+    /**
+     * Heartbeats at this controller.
+     *
+     * @param leaderHandler answers a heartbeat when this controller has come to lead meanwhile
+     */
     public FollowerHeartbeats(
             Settings settings,
             Environment environment,
             LeaderElection leadership,
             LinkHealth links,
-            BiConsumer<Heartbeat, BiConsumer<Integer, byte[]>> leads) {
+            BiConsumer<Heartbeat, BiConsumer<Integer, byte[]>> leaderHandler) {
         this.environment = environment;
         this.leadership = leadership;
         this.links = links;
-        this.leads = leads;
-        this.redirects = new WorkerRedirects(settings, environment, links);
+        this.leaderHandler = leaderHandler;
+        this.workerRedirects = new WorkerRedirects(settings, environment, links);
         this.leaderlessRenewal = new LeaderlessLeaseRenewal(environment, leadership, settings.peers());
-        this.reportMs = Math.round(settings.workers().heartbeatIntervalS() * 1000);
+        this.heartbeatIntervalMs = Math.round(settings.workers().heartbeatIntervalS() * 1000);
         this.leaseMs = Math.round(settings.workers().leaseS() * 1000);
         this.startedAt = environment.now();
     }
 
-    /** Sends a worker to the leader, or passes its report on. */
-    public void receive(Heartbeat report, byte[] body, BiConsumer<Integer, byte[]> reply) {
-        redirectOrWait(report, body, environment.now() + NEW_LEADER_MS, reply);
+    /** Takes a heartbeat in; {@code body} is what the worker sent, to be forwarded as it is. */
+    public void receive(Heartbeat heartbeat, byte[] body, BiConsumer<Integer, byte[]> reply) {
+        redirectOrWait(heartbeat, body, environment.now() + NEW_LEADER_WAIT_MS, reply);
     }
 
-    /**
-     * Found with cuts of links: a worker that came here while the leadership was being handed over was sent to the
-     * former leader, which it could not reach, and its lease lapsed meanwhile.
-     */
-    private void redirectOrWait(Heartbeat report, byte[] body, long until, BiConsumer<Integer, byte[]> reply) {
-        Settings.Peer peer = leadership.leaderPeer();
+    /** During a handover a heartbeat waits for the new leader: its worker may not reach the former one. */
+    private void redirectOrWait(Heartbeat heartbeat, byte[] body, long waitUntil, BiConsumer<Integer, byte[]> reply) {
+        Settings.Peer leader = leadership.leaderPeer();
         if (leadership.leading()) {
-            leads.accept(report, reply);
-        } else if (peer != null && links.leaderHandsOver(peer.name()) && environment.now() < until) {
-            environment.schedule(NEW_LEADER_LOOK_MS, () -> redirectOrWait(report, body, until, reply));
+            leaderHandler.accept(heartbeat, reply);
+        } else if (leader != null && links.leaderHandsOver(leader.name()) && environment.now() < waitUntil) {
+            environment.schedule(NEW_LEADER_CHECK_MS, () -> redirectOrWait(heartbeat, body, waitUntil, reply));
         } else {
-            redirect(report, body, reply);
+            redirect(heartbeat, body, reply);
         }
     }
 
-    /** Names the leader; a worker that comes back all the same can't reach it, so its report is passed on. */
-    private void redirect(Heartbeat report, byte[] body, BiConsumer<Integer, byte[]> reply) {
-        Settings.Peer peer = leadership.leaderPeer();
-        if (peer == null) {
-            sendToHintedLeader(report, reply);
+    /** Redirects to the leader; the heartbeat of a worker that can't reach it is forwarded. */
+    private void redirect(Heartbeat heartbeat, byte[] body, BiConsumer<Integer, byte[]> reply) {
+        Settings.Peer leader = leadership.leaderPeer();
+        if (leader == null) {
+            redirectToHintedLeader(heartbeat, reply);
             return;
         }
-        if (redirects.sendsAway(report.machine(), peer.name())) {
-            reply.accept(421, MessageCodec.encode(WorkerMessages.redirect(peer.name())));
+        if (workerRedirects.shouldRedirect(heartbeat.machine(), leader.name())) {
+            reply.accept(421, MessageCodec.encode(WorkerMessages.redirect(leader.name())));
         } else {
-            passOn(report, body, peer, reply);
+            forward(heartbeat, body, leader, reply);
         }
     }
 
-    private void passOn(Heartbeat report, byte[] body, Settings.Peer peer, BiConsumer<Integer, byte[]> reply) {
-        if (links.peerUnreachable(peer.name())) {
-            withoutLeader(report, reply);
+    private void forward(Heartbeat heartbeat, byte[] body, Settings.Peer leader, BiConsumer<Integer, byte[]> reply) {
+        if (links.peerUnreachable(leader.name())) {
+            answerWithoutLeader(heartbeat, reply);
             return;
         }
         environment.sendToPeer(
-                peer,
-                new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.HEARTBEAT, report.machine(), body),
-                Math.min(PASS_ON_MS, reportMs),
+                leader,
+                new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.HEARTBEAT, heartbeat.machine(), body),
+                Math.min(FORWARD_TIMEOUT_MS, heartbeatIntervalMs),
                 answer -> {
                     if (answer instanceof PeerMessage.Response response) {
                         reply.accept(response.status(), response.body());
                     } else {
-                        withoutLeader(report, reply);
+                        answerWithoutLeader(heartbeat, reply);
                     }
                 });
     }
 
-    /** This node can't tell who leads, as it reaches neither the state service nor the leader; others may. */
-    private void sendToHintedLeader(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
+    /** This controller reaches neither the store nor the leader; another may have said who leads. */
+    private void redirectToHintedLeader(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {
         String hinted = links.leaderHint(leadership.term());
         if (hinted.isEmpty()) {
-            withoutLeader(report, reply);
+            answerWithoutLeader(heartbeat, reply);
         } else {
             reply.accept(421, MessageCodec.encode(WorkerMessages.redirect(hinted)));
         }
     }
 
-    /** Nobody to send a worker to: for a short time that is no matter, later its lease has to be kept alive. */
-    private void withoutLeader(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
-        if (!leadership.leading()
-                && environment.now() - Math.max(startedAt, leadership.leaderLastHeardAt()) > leaseMs / 8) {
-            leaderlessRenewal.requestRenewal(report, reply);
+    /** No leader is known: after a short time the worker's lease has to be kept alive. */
+    private void answerWithoutLeader(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {
+        long leaderLastKnownAt = Math.max(startedAt, leadership.leaderLastHeardAt());
+        if (!leadership.leading() && environment.now() - leaderLastKnownAt > leaseMs / LEADERLESS_LEASE_DIVISOR) {
+            leaderlessRenewal.requestRenewal(heartbeat, reply);
         } else {
             reply.accept(503, MessageCodec.encode(UserMessages.error("no leader known")));
         }
--- a/src/main/java/stileferry/heartbeat/TaskObserver.java
+++ b/src/main/java/stileferry/heartbeat/TaskObserver.java
@@ -5,23 +5,23 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.Heartbeat;
 
-/** What becomes known of claimed tasks. */
+/** Hears what heartbeats, expired leases and deleted machines tell about assigned tasks. */
 public interface TaskObserver {
-    /** The task has exited; its claim is to be settled. */
-    void exited(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus state);
+    /** The task has exited; its assignment is to be settled. */
+    void exited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status);
 
-    /** It is proven that the task is not on its machine and can't come there any more. */
-    void gone(TaskAssignment claim, String proof);
+    /** It is proven that the task is not on its machine and can't start there any more; {@code proof} says by what. */
+    void gone(TaskAssignment assignment, String proof);
 
-    /** A task is at another stage than before. */
-    void phaseChanged(TaskAssignment claim);
+    /** The task has entered another phase. */
+    void phaseChanged(TaskAssignment assignment);
 
     /** All tasks of a gang run. */
     void gangRunning(Job job);
 
-    /** A task has to leave its machine; a gang's others have to stop with it. */
-    void stopTaskOrGang(TaskAssignment claim, double graceS);
+    /** The task has to leave its machine within a grace period; the other tasks of a gang stop with it. */
+    void stopTaskOrGang(TaskAssignment assignment, double graceS);
 
-    /** Something changed that a pass may use. */
+    /** Something changed that a scheduling pass may use. */
     void changed();
 }
