--- /dev/null
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -0,0 +1,154 @@
+package stileferry.heartbeat;
+
+import java.util.ArrayList;
+import java.util.List;
+import stileferry.cluster.AgentState;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
+import stileferry.leadership.LeaderElection;
+import stileferry.protocol.Environment;
+import stileferry.protocol.Heartbeat;
+import stileferry.protocol.JobSpec;
+import stileferry.protocol.WorkerCommand;
+
+/** Decides which commands a worker needs: what it should do and has not been seen to have done. */
+final class CommandPlanner {
+    private final Environment environment;
+    private final LeaderElection leadership;
+    private final long term;
+    private final long cancelMs;
+
+    /** How commands reach a worker. */
+    enum Delivery {
+        /** In the response to a heartbeat. */
+        HEARTBEAT_RESPONSE,
+
+        /** In a request of their own, which may overtake a heartbeat's response. */
+        DIRECT
+    }
+
+    CommandPlanner(ClusterState cluster, Environment environment, LeaderElection leadership, long term) {
+        this.environment = environment;
+        this.leadership = leadership;
+        this.term = term;
+        this.cancelMs = Math.round(cluster.settings().workers().cancelS() * 1000);
+    }
+
+    /**
+     * All commands that the worker needs. A controller that is not sure to lead only stops tasks of cancelled jobs.
+     * Starts are counted as sent, so the result has to be sent.
+     */
+    List<WorkerCommand> commandsFor(Machine machine, Delivery delivery) {
+        List<WorkerCommand> commands = new ArrayList<>();
+        if (!leadership.leaseHeld()) {
+            addKillsOfCancelledTasks(machine, commands);
+            return commands;
+        }
+        for (Heartbeat.TaskStatus status : machine.reportedTasks()) {
+            if (!assigned(machine, status)) {
+                addForUnassignedTask(machine, status, delivery, commands);
+            }
+        }
+        long now = environment.now();
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (assignment.startable()
+                    && assignment.incarnation() == machine.agent().incarnation()) {
+                addForAssignment(machine, assignment, delivery, now, commands);
+            }
+        }
+        return commands;
+    }
+
+    /** Whether tasks of durably cancelled jobs may be on the machine. */
+    boolean hasCancelledTasks(Machine machine) {
+        return machine.assignments().values().stream()
+                .anyMatch(assignment -> assignment.job().cancelDurable());
+    }
+
+    /**
+     * Whether the machine's commands should not wait for its next heartbeat, although a direct request costs as much
+     * as several heartbeats: a critical task waits to start there, or a task has to stop.
+     */
+    boolean urgent(Machine machine) {
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (assignment.stopping()
+                    || assignment.phase() == null && assignment.job().spec().priority() == JobSpec.Priority.CRITICAL) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private static boolean assigned(Machine machine, Heartbeat.TaskStatus status) {
+        TaskAssignment assignment = machine.assignments().get(status.taskId());
+        return assignment != null && assignment.attempt() == status.attempt();
+    }
+
+    private void addForUnassignedTask(
+            Machine machine, Heartbeat.TaskStatus status, Delivery delivery, List<WorkerCommand> commands) {
+        if (status.phase() != Heartbeat.TaskPhase.EXITED) {
+            commands.add(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0));
+        } else if (delivery == Delivery.HEARTBEAT_RESPONSE && clearable(machine, status)) {
+            commands.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, status.taskId(), status.attempt(), 0));
+        }
+    }
+
+    /**
+     * Whether an exited task may be cleared in a heartbeat's response. A direct clear could overtake a response that
+     * repeats the start, and after a clear a repeated start runs the task once more.
+     */
+    private boolean clearable(Machine machine, Heartbeat.TaskStatus status) {
+        AgentState agent = machine.agent();
+        return machine.acknowledgedTerm(term)
+                && !agent.outcomesNotDurable().contains(status.attemptId())
+                && !agent.unansweredStarts().containsKey(status.attemptId());
+    }
+
+    private void addForAssignment(
+            Machine machine, TaskAssignment assignment, Delivery delivery, long now, List<WorkerCommand> commands) {
+        if (needsStart(machine, assignment, delivery, now)) {
+            commands.add(new WorkerCommand(WorkerCommand.Kind.RUN, assignment.taskId(), assignment.attempt(), 0));
+            assignment.setStartsSent(assignment.startsSent() + 1);
+            if (delivery == Delivery.DIRECT) {
+                machine.agent().unansweredStarts().merge(assignment.attemptId(), 1, Integer::sum);
+            }
+        }
+        if (needsKill(assignment)) {
+            commands.add(new WorkerCommand(
+                    WorkerCommand.Kind.KILL, assignment.taskId(), assignment.attempt(), assignment.stopGraceS()));
+        }
+    }
+
+    private boolean needsStart(Machine machine, TaskAssignment assignment, Delivery delivery, long now) {
+        if (assignment.phase() != null) {
+            return false;
+        }
+        if (!assignment.stopping()) {
+            return true;
+        }
+        // An unanswered direct start of a stopped task does no harm once the worker knows the attempt.
+        boolean cancelledLongAgo = assignment.job().cancelled() && now - assignment.stopRequestedAt() > cancelMs / 2;
+        return delivery == Delivery.HEARTBEAT_RESPONSE
+                && machine.agent().unansweredStarts().containsKey(assignment.attemptId())
+                && !cancelledLongAgo;
+    }
+
+    private static boolean needsKill(TaskAssignment assignment) {
+        boolean savingInGracePeriod =
+                assignment.phase() == Heartbeat.TaskPhase.SAVING_CHECKPOINT && assignment.stopGraceS() > 0;
+        return assignment.stopping() && assignment.phase() != Heartbeat.TaskPhase.EXITED && !savingInGracePeriod;
+    }
+
+    /** Whoever leads, a job whose cancellation is durable stays cancelled, so its tasks may be stopped by anyone. */
+    private static void addKillsOfCancelledTasks(Machine machine, List<WorkerCommand> commands) {
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (assignment.job().cancelDurable()
+                    && assignment.stopping()
+                    && assignment.incarnation() == machine.agent().incarnation()
+                    && assignment.phase() != Heartbeat.TaskPhase.EXITED) {
+                commands.add(new WorkerCommand(WorkerCommand.Kind.KILL, assignment.taskId(), assignment.attempt(), 0));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
@@ -0,0 +1,131 @@
+package stileferry.heartbeat;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stileferry.cluster.AgentState;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
+import stileferry.protocol.Environment;
+import stileferry.protocol.Heartbeat;
+
+/** Reconciles what the leader knows of a machine with what its agent reports. */
+final class HeartbeatReconciliation {
+    private static final Logger LOG = LoggerFactory.getLogger("fleet");
+
+    private final ClusterState cluster;
+    private final Environment environment;
+    private final long term;
+    private final TaskObserver taskObserver;
+    private final CommandDispatcher commandDispatcher;
+    private final EventLoopLag eventLoopLag;
+    private final TaskReconciliation taskReconciliation;
+    private final ReclaimNoticeHandler reclaimNoticeHandler;
+
+    /** How a status came from an agent. */
+    enum Origin {
+        /** In a heartbeat: an agent has one in flight, so they come in order. */
+        HEARTBEAT,
+
+        /** In the answer to a direct request. */
+        DIRECT_REQUEST
+    }
+
+    HeartbeatReconciliation(
+            ClusterState cluster,
+            Environment environment,
+            long term,
+            TaskObserver taskObserver,
+            CommandDispatcher commandDispatcher,
+            EventLoopLag eventLoopLag) {
+        this.cluster = cluster;
+        this.environment = environment;
+        this.term = term;
+        this.taskObserver = taskObserver;
+        this.commandDispatcher = commandDispatcher;
+        this.eventLoopLag = eventLoopLag;
+        this.taskReconciliation = new TaskReconciliation(term, taskObserver, commandDispatcher);
+        this.reclaimNoticeHandler = new ReclaimNoticeHandler(cluster, taskObserver, commandDispatcher);
+    }
+
+    /** Takes a status in; false when it is outdated, as something newer was heard before. */
+    boolean reconcile(Machine machine, Heartbeat heartbeat, Origin origin) {
+        if (outdated(machine.agent(), heartbeat)) {
+            return false;
+        }
+        long now = environment.now();
+        updateIncarnation(machine, heartbeat, now);
+        updateTerm(machine, heartbeat, now);
+        updateAgent(machine.agent(), heartbeat, now);
+        updateInstance(machine, heartbeat);
+        takeReclaimNotice(machine, heartbeat, now);
+        taskReconciliation.reconcile(machine, heartbeat, origin, now);
+        return true;
+    }
+
+    private static boolean outdated(AgentState agent, Heartbeat heartbeat) {
+        return heartbeat.incarnation() < agent.incarnation()
+                || heartbeat.incarnation() == agent.incarnation() && heartbeat.sequence() <= agent.sequence()
+                || heartbeat.incarnation() <= agent.expiredIncarnation();
+    }
+
+    private void updateIncarnation(Machine machine, Heartbeat heartbeat, long now) {
+        AgentState agent = machine.agent();
+        boolean newIncarnation = heartbeat.incarnation() > agent.incarnation();
+        if (!agent.heardThisTerm() || newIncarnation) {
+            machine.instance().markIdleSince(now);
+            taskObserver.changed();
+        }
+        if (!agent.heardThisTerm() && machine.instance().booting()) {
+            LOG.info(
+                    "machine up: machine={} zone={} boot_s={}",
+                    machine.name(),
+                    heartbeat.zone(),
+                    (now - machine.instance().requestedAt()) / 1000);
+        }
+        if (newIncarnation) {
+            agent.setIncarnationSeenAt(now);
+            agent.unansweredStarts().clear();
+            agent.outcomesNotDurable().clear();
+        }
+    }
+
+    private void updateTerm(Machine machine, Heartbeat heartbeat, long now) {
+        AgentState agent = machine.agent();
+        if (!agent.heardThisTerm() && heartbeat.fencingToken() < term) {
+            // Until it shows our term this may be a late copy, sent by a machine that is gone.
+            agent.setUnreachableSince(now);
+            if (!eventLoopLag.overloaded()) {
+                commandDispatcher.queueProbe(machine); // its next heartbeat shows it too, but work may be waiting
+            }
+        } else if (agent.fencingToken() < term && heartbeat.fencingToken() >= term) {
+            agent.setUnreachableSince(0);
+            taskObserver.changed();
+        }
+    }
+
+    private static void updateAgent(AgentState agent, Heartbeat heartbeat, long now) {
+        agent.setHeardThisTerm(true);
+        agent.setLastHeardAt(now);
+        agent.setIncarnation(heartbeat.incarnation());
+        agent.setSequence(heartbeat.sequence());
+        agent.setFencingToken(heartbeat.fencingToken());
+    }
+
+    private void updateInstance(Machine machine, Heartbeat heartbeat) {
+        machine.instance().setBooting(false);
+        machine.setAddress(heartbeat.address());
+        machine.setTypeName(heartbeat.machineType());
+        machine.setType(cluster.machineType(heartbeat.machineType()));
+        machine.setSpot(heartbeat.spot());
+        cluster.setZone(machine, heartbeat.zone());
+        cluster.freeCapacity().update(machine);
+    }
+
+    private void takeReclaimNotice(Machine machine, Heartbeat heartbeat, long now) {
+        if (heartbeat.reclaimNoticeS() >= 0 && machine.instance().reclaimNoticeS() < 0) {
+            LOG.info("reclaim notice: machine={} notice_s={}", machine.name(), heartbeat.reclaimNoticeS());
+            machine.instance().receiveReclaimNotice(heartbeat.reclaimNoticeS());
+            reclaimNoticeHandler.evictTasks(machine, now);
+        }
+    }
+}
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -16,42 +16,45 @@
 import stileferry.storage.StoredEvent;
 
 /**
- * Machines that have fallen silent, noted in the state service, so that the next leader need not begin to wait for
- * their leases anew. A note says when a report of the machine was last answered. Before the machine's next report is
- * answered, it is durable that the note no longer holds; so whoever reads a note that stands knows that its writer
- * renewed nothing since.
+ * Journals in the store when machines that missed heartbeats were last answered, so that the next leader need not wait
+ * for their leases anew. Before the machine's next heartbeat is answered, it is durable that its record no longer
+ * holds; so whoever reads a record that holds knows that its writer renewed nothing since.
  *
- * <p>Only the very next leader may go by a note: every leader notes for itself what it knows. Leaderless renewal
- * answers without a look at notes, but only with the consent of every controller's process, so a process remembers when
- * it last consented, or that it did not live yet.
+ * <p>Only the very next leader may go by a record: every leader journals for itself what it knows. Leaderless renewal
+ * answers without a look at records, but only with the consent of every controller's process, so a process remembers
+ * when it last consented, or that it did not live yet.
  */
 public final class LastHeartbeatJournal {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
-    /** Kinds of events in the records, beside those of tasks. */
+    /** Kind of event: when a machine that missed heartbeats was last answered. */
     public static final int LAST_HEARTBEAT_EVENT = 3;
 
+    /** Kind of event: a machine was heard again. */
     public static final int HEARD_AGAIN_EVENT = 4;
 
-    /** Reports come a quarter late at most, and one may get lost. */
-    private static final double NOTE_AFTER_REPORTS = 1.5;
+    /** Heartbeat intervals after which the last heartbeat is recorded: heartbeats come a quarter late at most. */
+    private static final double RECORD_AFTER_HEARTBEATS = 1.5;
 
-    /** A report waits this long at most until it may be answered: less than the 4 s that its worker waits. */
-    private static final long DURABLE_MS = 3000;
+    /** A heartbeat waits this long at most until it may be answered: less than the 4 s that its worker waits. */
+    private static final long MAX_WAIT_MS = 3000;
 
     /** Bytes of an event in JSON form beside the machine's name. */
     private static final int BYTES = 64;
 
     private final ClusterState cluster;
     private final Environment environment;
-    private final CommitQueue ledger;
+    private final CommitQueue commitQueue;
     private final LeaderElection leadership;
     private final long term;
-    private final long reportMs;
-    private final double clockOffMs;
-    private final Map<Machine, List<Waiting>> waiting = new LinkedHashMap<>(); // in an order that a seed repeats
+    private final long heartbeatIntervalMs;
+    private final double clockErrorMs;
 
-    private record Waiting(long since, Runnable answer, Runnable refuse) {}
+    /** In the order in which machines were heard again, so that runs with the same seed are the same. */
+    private final Map<Machine, List<PendingHeartbeat>> pending = new LinkedHashMap<>();
+
+    /** A heartbeat that waits until it is durable that its machine was heard again. */
+    private record PendingHeartbeat(long receivedAt, Runnable answer, Runnable refuse) {}
 
     private record Silent(LastHeartbeatRecord silence) implements StoredEvent {
         @Override
@@ -111,85 +114,97 @@
     }
 
     public LastHeartbeatJournal(
-            ClusterState cluster, Environment environment, CommitQueue ledger, LeaderElection leadership, long term) {
+            ClusterState cluster,
+            Environment environment,
+            CommitQueue commitQueue,
+            LeaderElection leadership,
+            long term) {
         this.cluster = cluster;
         this.environment = environment;
-        this.ledger = ledger;
+        this.commitQueue = commitQueue;
         this.leadership = leadership;
         this.term = term;
-        this.reportMs = Math.round(cluster.settings().workers().heartbeatIntervalS() * 1000);
-        this.clockOffMs = cluster.settings().clockErrorMs();
+        this.heartbeatIntervalMs = Math.round(cluster.settings().workers().heartbeatIntervalS() * 1000);
+        this.clockErrorMs = cluster.settings().clockErrorMs();
     }
 
-    /** Takes in what the former leader noted, once the claims are known. */
-    public void restore(Iterable<LastHeartbeatRecord> notes) {
-        if (clockOffMs < 0) {
-            return; // clocks of which nothing is said can't be compared
+    /**
+     * Takes in what the former leader recorded, once the assignments are known. Does nothing if the settings don't
+     * bound the difference of the controllers' clocks.
+     */
+    public void restore(Iterable<LastHeartbeatRecord> records) {
+        if (clockErrorMs < 0) {
+            return;
         }
-        int taken = 0;
-        for (LastHeartbeatRecord record : notes) {
+        int restored = 0;
+        for (LastHeartbeatRecord record : records) {
             Machine machine = cluster.machines().get(record.machine());
             if (machine == null || record.term() != term - 1) {
                 continue;
             }
-            long ago = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockOffMs);
-            machine.agent()
-                    .setAnsweredByPreviousLeaderAt(
-                            Math.max(environment.now() - ago, leadership.consentedToLeaderlessRenewalAt()));
+            long agoMs = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockErrorMs);
+            long answeredAt = Math.max(environment.now() - agoMs, leadership.consentedToLeaderlessRenewalAt());
+            machine.agent().setAnsweredByPreviousLeaderAt(answeredAt);
             machine.agent().setAnsweredByPreviousLeaderIncarnation(record.incarnation());
-            taken++;
+            restored++;
         }
-        if (taken > 0) {
-            LOG.info("{} machines were silent before this leader began", taken);
+        if (restored > 0) {
+            LOG.info("last heartbeats restored: machines={}", restored);
         }
     }
 
-    /** Notes a machine whose last report, of this session, was answered then, if it is silent for long enough. */
-    void note(Machine machine, long session, long answeredAt) {
-        long ago = environment.now() - answeredAt;
+    /** Records when a machine's incarnation was last answered, if it has missed heartbeats since. */
+    void recordLastHeartbeat(Machine machine, long incarnation, long answeredAt) {
+        long agoMs = environment.now() - answeredAt;
         if (machine.agent().lastHeartbeatRecord() == null
                 && !machine.assignments().isEmpty()
-                && ago > NOTE_AFTER_REPORTS * reportMs
+                && agoMs > RECORD_AFTER_HEARTBEATS * heartbeatIntervalMs
                 && leadership.leaseHeld()) {
-            machine.agent()
-                    .setLastHeartbeatRecord(
-                            new LastHeartbeatRecord(machine.name(), session, environment.timeOfDay() - ago, term));
-            ledger.appendEvent(new Silent(machine.agent().lastHeartbeatRecord()), null);
+            LastHeartbeatRecord record =
+                    new LastHeartbeatRecord(machine.name(), incarnation, environment.timeOfDay() - agoMs, term);
+            machine.agent().setLastHeartbeatRecord(record);
+            commitQueue.appendEvent(new Silent(record), null);
         }
     }
 
-    /** Answers a report of a machine that was noted as soon as it is durable that it is silent no more. */
-    void heard(Machine machine, Runnable answer, Runnable refuse) {
-        List<Waiting> before = waiting.get(machine);
-        if (before != null) {
-            before.add(new Waiting(environment.now(), answer, refuse));
+    /**
+     * Makes it durable that a machine's record no longer holds, and answers its heartbeat then.
+     *
+     * @param refuse runs instead of {@code answer} when that takes too long
+     */
+    void heardAgain(Machine machine, Runnable answer, Runnable refuse) {
+        PendingHeartbeat heartbeat = new PendingHeartbeat(environment.now(), answer, refuse);
+        List<PendingHeartbeat> sameMachine = pending.get(machine);
+        if (sameMachine != null) {
+            sameMachine.add(heartbeat);
             return;
         }
-        waiting.put(machine, new ArrayList<>(List.of(new Waiting(environment.now(), answer, refuse))));
-        LastHeartbeatRecord silence = machine.agent().lastHeartbeatRecord();
-        ledger.appendEvent(new Heard(machine.name()), () -> {
-            silence.setObsolete(true);
+        pending.put(machine, new ArrayList<>(List.of(heartbeat)));
+        LastHeartbeatRecord record = machine.agent().lastHeartbeatRecord();
+        commitQueue.appendEvent(new Heard(machine.name()), () -> {
+            record.setObsolete(true);
             machine.agent().setLastHeartbeatRecord(null);
-            waiting.remove(machine).forEach(w -> w.answer.run());
+            pending.remove(machine).forEach(waiting -> waiting.answer.run());
         });
     }
 
-    /** Refuses what has waited for too long; its worker asks again. */
+    /** Refuses heartbeats that have waited too long; their workers send them again. */
     public void refuseExpired() {
-        long before = environment.now() - DURABLE_MS;
-        for (List<Waiting> reports : waiting.values()) {
-            reports.removeIf(w -> {
-                if (w.since < before) {
-                    w.refuse.run();
+        long receivedBefore = environment.now() - MAX_WAIT_MS;
+        for (List<PendingHeartbeat> heartbeats : pending.values()) {
+            heartbeats.removeIf(heartbeat -> {
+                boolean expired = heartbeat.receivedAt < receivedBefore;
+                if (expired) {
+                    heartbeat.refuse.run();
                 }
-                return w.since < before;
+                return expired;
             });
         }
     }
 
-    /** Refuses all that waits. */
+    /** Refuses all heartbeats that wait. */
     public void close() {
-        waiting.values().forEach(reports -> reports.forEach(w -> w.refuse.run()));
-        waiting.clear();
+        pending.values().forEach(heartbeats -> heartbeats.forEach(heartbeat -> heartbeat.refuse.run()));
+        pending.clear();
     }
 }
--- /dev/null
+++ b/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
@@ -0,0 +1,40 @@
+package stileferry.heartbeat;
+
+import stileferry.cluster.AgentState;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
+import stileferry.leadership.LeaderElection;
+import stileferry.protocol.Heartbeat;
+
+/** Decides whether a heartbeat may be answered, which renews its worker's lease. */
+final class LeaseRenewalPolicy {
+    private final ClusterState cluster;
+    private final LeaderElection leadership;
+
+    LeaseRenewalPolicy(ClusterState cluster, LeaderElection leadership) {
+        this.cluster = cluster;
+        this.leadership = leadership;
+    }
+
+    boolean mayAnswer(Heartbeat heartbeat) {
+        if (!leadership.mayRenewWorkerLeases()) {
+            return false; // another leader may have confirmed cancellations that are unknown here
+        }
+        if (cluster.deletedMachines().contains(heartbeat.machine())) {
+            return false; // sent before the machine was deleted
+        }
+        Machine machine = cluster.machine(heartbeat.machine());
+        if (machine.instance().terminating()
+                || heartbeat.incarnation() <= machine.agent().expiredIncarnation()) {
+            return false; // its tasks count as gone, or are about to
+        }
+        return !lateCopy(machine.agent(), heartbeat);
+    }
+
+    /** A worker has one heartbeat in flight, so nobody waits for the answer to an older one. */
+    private static boolean lateCopy(AgentState agent, Heartbeat heartbeat) {
+        return heartbeat.incarnation() < agent.incarnation()
+                || heartbeat.incarnation() == agent.heartbeatIncarnation()
+                        && heartbeat.sequence() <= agent.heartbeatSequence();
+    }
+}
--- /dev/null
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -0,0 +1,120 @@
+package stileferry.heartbeat;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stileferry.cluster.AgentState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
+import stileferry.protocol.Heartbeat;
+
+/** Reconciles the tasks that an agent reports with the assignments to its machine. */
+final class TaskReconciliation {
+    private static final Logger LOG = LoggerFactory.getLogger("fleet");
+
+    private final long term;
+    private final TaskObserver taskObserver;
+    private final CommandDispatcher commandDispatcher;
+
+    TaskReconciliation(long term, TaskObserver taskObserver, CommandDispatcher commandDispatcher) {
+        this.term = term;
+        this.taskObserver = taskObserver;
+        this.commandDispatcher = commandDispatcher;
+    }
+
+    void reconcile(Machine machine, Heartbeat heartbeat, HeartbeatReconciliation.Origin origin, long now) {
+        AgentState agent = machine.agent();
+        agent.setLastHeartbeat(heartbeat);
+        Map<String, Heartbeat.TaskStatus> assignedTasks = assignedTasks(machine, heartbeat);
+        agent.setReconciled(heartbeat.tasks().size() == machine.assignments().size()
+                && assignedTasks.size() == machine.assignments().size());
+        for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
+            Heartbeat.TaskStatus status = assignedTasks.get(assignment.taskId());
+            if (assignment.incarnation() < heartbeat.incarnation()) {
+                taskObserver.gone(assignment, "session");
+            } else if (status != null) {
+                if (status.phase() == Heartbeat.TaskPhase.EXITED || assignment.stopping()) {
+                    agent.setReconciled(false);
+                }
+                updatePhase(machine, assignment, status, now);
+            } else if (origin == HeartbeatReconciliation.Origin.HEARTBEAT && neverStarted(machine, assignment)) {
+                taskObserver.gone(assignment, "never started");
+            }
+        }
+    }
+
+    /** The reported tasks that are assigned, by task; all others that have not exited are orphans, to be killed. */
+    private Map<String, Heartbeat.TaskStatus> assignedTasks(Machine machine, Heartbeat heartbeat) {
+        machine.agent().setHasOrphanTasks(false);
+        Map<String, Heartbeat.TaskStatus> assignedTasks = new HashMap<>();
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+            TaskAssignment assignment = machine.assignments().get(status.taskId());
+            if (assignment != null
+                    && assignment.durable()
+                    && assignment.attempt() == status.attempt()
+                    && assignment.incarnation() == heartbeat.incarnation()) {
+                assignedTasks.put(status.taskId(), status);
+            } else if (status.phase() != Heartbeat.TaskPhase.EXITED) {
+                machine.agent().setHasOrphanTasks(true);
+                commandDispatcher.sendSoon(machine);
+            }
+        }
+        return assignedTasks;
+    }
+
+    /**
+     * Whether a stopped task that a heartbeat does not name can't start any more. A worker has one heartbeat in flight:
+     * every response with a start in it was carried out or dropped before this heartbeat, no direct start is
+     * unanswered, and former leaders are not obeyed any more.
+     */
+    private boolean neverStarted(Machine machine, TaskAssignment assignment) {
+        return assignment.stopping()
+                && assignment.durable()
+                && assignment.phase() == null
+                && machine.acknowledgedTerm(term)
+                && !machine.agent().unansweredStarts().containsKey(assignment.attemptId());
+    }
+
+    private void updatePhase(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
+        if (assignment.phase() != status.phase()) {
+            assignment.setPhase(status.phase());
+            switch (status.phase()) {
+                case WAITING_FOR_GANG -> cacheImage(machine, assignment);
+                case RUNNING, SAVING_CHECKPOINT -> markRunning(machine, assignment, now);
+                default -> {}
+            }
+            taskObserver.phaseChanged(assignment);
+        }
+        if (status.phase() == Heartbeat.TaskPhase.EXITED) {
+            taskObserver.exited(machine, assignment, status);
+        }
+    }
+
+    private void markRunning(Machine machine, TaskAssignment assignment, long now) {
+        if (assignment.runningSince() != 0) {
+            return;
+        }
+        assignment.setRunningSince(now);
+        Job job = assignment.job();
+        LOG.debug(
+                "task running: task={} class={} machine={} zone={} assigned_ms_ago={}",
+                assignment.taskId(),
+                job.spec().jobClass(),
+                machine.name(),
+                machine.zone(),
+                assignment.assignedAt() == 0 ? -1 : now - assignment.assignedAt());
+        job.setStarted(true);
+        cacheImage(machine, assignment);
+        if (job.spec().gang() && job.runningCount() == job.spec().taskCount()) {
+            taskObserver.gangRunning(job);
+        }
+    }
+
+    private static void cacheImage(Machine machine, TaskAssignment assignment) {
+        machine.cacheImage(
+                assignment.job().spec().image(), assignment.job().spec().imageGb());
+    }
+}
--- /dev/null
+++ b/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
@@ -0,0 +1,73 @@
+package stileferry.heartbeat;
+
+import java.util.HashSet;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stileferry.cluster.AgentState;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
+import stileferry.protocol.Environment;
+import stileferry.protocol.Heartbeat;
+
+/**
+ * Suspects agents whose heartbeats arrive but which do not receive the answers. It shows when a lease expires although
+ * the agent was answered in time, or when starts in an answer were neither carried out nor refused. A suspected machine
+ * gets no work until it has answered a direct request.
+ */
+final class UnreachableAgentDetector {
+    private static final Logger LOG = LoggerFactory.getLogger("fleet");
+
+    private final Environment environment;
+    private final long term;
+    private final long leaseMs;
+
+    UnreachableAgentDetector(ClusterState cluster, Environment environment, long term) {
+        this.environment = environment;
+        this.term = term;
+        this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
+    }
+
+    /** Judges the agent by its next heartbeat, before that is reconciled. */
+    void check(Machine machine, Heartbeat heartbeat) {
+        AgentState agent = machine.agent();
+        if (!machine.acknowledgedTerm(term) || agent.unreachableSince() != 0) {
+            return;
+        }
+        boolean leaseExpired = leaseExpiredAlthoughAnswered(agent, heartbeat);
+        if (leaseExpired || ignoredStarts(machine, heartbeat)) {
+            LOG.info(
+                    "agent suspected unreachable: machine={} reason={}",
+                    machine.name(),
+                    leaseExpired ? "its lease expired although it was answered" : "it ignored starts");
+            agent.setUnreachableSince(environment.now());
+        }
+    }
+
+    private boolean leaseExpiredAlthoughAnswered(AgentState agent, Heartbeat heartbeat) {
+        return heartbeat.incarnation() > agent.incarnation()
+                && agent.incarnation() > 0
+                && agent.lastAnsweredAt() != 0
+                && environment.now() - agent.lastAnsweredAt() < leaseMs;
+    }
+
+    private static boolean ignoredStarts(Machine machine, Heartbeat heartbeat) {
+        AgentState agent = machine.agent();
+        if (heartbeat.incarnation() != agent.incarnation()
+                || heartbeat.sequence() <= agent.sequence()
+                || agent.startsInLastResponse().isEmpty()) {
+            return false;
+        }
+        Set<String> reportedAttempts = new HashSet<>();
+        heartbeat.tasks().forEach(task -> reportedAttempts.add(task.attemptId()));
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (assignment.phase() == null
+                    && agent.startsInLastResponse().contains(assignment.attemptId())
+                    && !reportedAttempts.contains(assignment.attemptId())) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
