--- a/src/main/java/stileferry/autoscaling/Autoscaler.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -8,40 +8,49 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Settings;
 
-/** Dealings with the cloud in one term: rents for what waits, returns what is idle, and watches the list. */
+/** Scales the cluster in one term: requests machines for waiting jobs, deletes idle ones, reads the cloud's list. */
 public final class Autoscaler {
     private final CloudClient cloud;
-    private final CloudInventory refreshInventory;
-    private final ScaleIn returns;
-    private final ScaleOut rentals;
+    private final CloudInventory inventory;
+    private final ScaleIn scaleIn;
+    private final ScaleOut scaleOut;
 
     public Autoscaler(
-            ClusterState cluster, Environment environment, HeartbeatHandler fleet, long term, LinkHealth links) {
+            ClusterState cluster,
+            Environment environment,
+            HeartbeatHandler heartbeatHandler,
+            long term,
+            LinkHealth links) {
         Settings settings = cluster.settings();
         this.cloud = new CloudClient(
                 environment, settings.cloudAddress(), settings.cloud().requestsPerS());
-        this.refreshInventory =
-                new CloudInventory(cluster, environment, cloud, fleet.commandDispatcher()::announceTerm);
-        this.returns = new ScaleIn(cluster, environment, fleet, cloud, refreshInventory, links);
-        this.rentals = new ScaleOut(cluster, environment, fleet, cloud, term);
+        this.inventory =
+                new CloudInventory(cluster, environment, cloud, heartbeatHandler.commandDispatcher()::announceTerm);
+        this.scaleIn = new ScaleIn(cluster, environment, heartbeatHandler, cloud, inventory, links);
+        this.scaleOut = new ScaleOut(cluster, environment, heartbeatHandler.failureDetector(), cloud, term);
     }
 
+    /** Drops the answers of all calls that are under way. */
     public void close() {
         cloud.close();
     }
 
-    /** Reads the list of machines again when it is time. */
+    /** Reads the cloud's list of machines again when it is time. */
     public void refreshInventory() {
-        refreshInventory.list();
+        inventory.refresh();
     }
 
-    /** Returns what is lost or idle; before the leader is settled only what is certain. */
+    /**
+     * Deletes machines that are lost, idle or not to be used.
+     *
+     * @param settled whether this leader has had time to hear from all machines; before, only what is certain counts
+     */
     public void scaleIn(boolean settled) {
-        returns.returnMachines(settled);
+        scaleIn.scaleIn(settled);
     }
 
-    /** Rents for the jobs that wait. */
+    /** Requests machines for the tasks of these jobs that wait, the first jobs first. */
     public void scaleOut(List<Job> waiting) {
-        rentals.rent(waiting);
+        scaleOut.scaleOut(waiting);
     }
 }
--- a/src/main/java/stileferry/autoscaling/CloudClient.java
+++ b/src/main/java/stileferry/autoscaling/CloudClient.java
@@ -4,21 +4,23 @@
 import stileferry.protocol.Environment;
 import stileferry.storage.RateLimiter;
 
-/** Calls to the cloud within its rate, for one term. */
+/** Calls the cloud within its rate limit, for one term. */
 final class CloudClient {
-    private static final double RATE_SHARE = 0.8;
+    /** Part of the cloud's rate limit that this client uses. */
+    private static final double RATE_PART = 0.8;
+
     private static final double BURST_S = 1.5;
     private static final long TIMEOUT_MS = 5000;
 
     private final Environment environment;
     private final String address;
-    private final RateLimiter budget;
+    private final RateLimiter rateLimiter;
     private boolean closed;
 
     CloudClient(Environment environment, String address, double callsPerSecond) {
         this.environment = environment;
         this.address = address;
-        this.budget = new RateLimiter(environment, callsPerSecond * RATE_SHARE, BURST_S);
+        this.rateLimiter = new RateLimiter(environment, callsPerSecond * RATE_PART, BURST_S);
     }
 
     /** From now on no answer is passed on. */
@@ -26,11 +28,12 @@
         closed = true;
     }
 
-    /** Takes one call from the budget; false when none is left now. */
-    boolean mayCall() {
-        return budget.tryAcquire(1, 0);
+    /** Takes a permit for one call; false when the rate limit allows none now. */
+    boolean tryAcquire() {
+        return rateLimiter.tryAcquire(1, 0);
     }
 
+    /** Calls the cloud, for which a permit was acquired before. */
     void call(String method, String path, ObjectNode body, Environment.ResponseHandler reply) {
         environment.request(address, method, path, body, TIMEOUT_MS, (status, answer) -> {
             if (!closed) {
--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -1,5 +1,6 @@
 package stileferry.autoscaling;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -7,133 +8,157 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stileferry.cluster.ClusterState;
+import stileferry.cluster.InstanceState;
 import stileferry.cluster.Machine;
 import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 
-/** Reads the cloud's list of machines again and again. It lags, so what it lacks proves nothing. */
+/** Reads the cloud's list of machines regularly. The list lags, so a machine that it lacks need not be gone. */
 final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
-    private static final long LEAST_PAUSE_MS = 2000;
-    private static final long PAGE_PAUSE_MS = 100;
+    private static final int OK = 200;
+    private static final int PAGE_SIZE = 500;
+    private static final long MIN_REFRESH_INTERVAL_MS = 2000;
 
-    /** The share of the cloud's rate that reading the list may take. */
-    private static final double MOST_OF_RATE = 0.5;
+    /** Pause until the next page is tried: a long list has more pages than the cloud takes calls at once. */
+    private static final long RETRY_PAGE_MS = 100;
+
+    /** Part of the cloud's rate limit that reading the list may take. */
+    private static final double MAX_RATE_PART = 0.5;
+
+    private static final long NEVER = -1;
 
     private final ClusterState cluster;
     private final Environment environment;
     private final CloudClient cloud;
-    private final Runnable firstRead;
-    private boolean listing;
-    private long listedAt = -1;
-    private boolean listedOnce;
+    private final Runnable onFirstRefresh;
+    private boolean refreshing;
+    private long refreshedAt = NEVER;
+    private boolean complete;
 
     /** Pages of the last list. */
     private int pages;
 
     /** The action runs when the list has been read for the first time. */
-    CloudInventory(ClusterState cluster, Environment environment, CloudClient cloud, Runnable firstRead) {
+    CloudInventory(ClusterState cluster, Environment environment, CloudClient cloud, Runnable onFirstRefresh) {
         this.cluster = cluster;
         this.environment = environment;
         this.cloud = cloud;
-        this.firstRead = firstRead;
+        this.onFirstRefresh = onFirstRefresh;
     }
 
-    /** Whether the list has been read in this term. */
-    boolean known() {
-        return listedOnce;
+    /** Whether the whole list has been read in this term. */
+    boolean complete() {
+        return complete;
     }
 
     /** Reads the list again when it is time. */
-    void list() {
-        long now = environment.now();
-        long pagesMs = Math.round(pages * 1000 / (cluster.settings().cloud().requestsPerS() * MOST_OF_RATE));
-        long every = Math.max(
-                LEAST_PAUSE_MS,
-                Math.max(pagesMs, Math.round(cluster.settings().cloud().listLagS() * 500)));
-        if (!listing && (listedAt < 0 || now - listedAt > every) && cloud.mayCall()) {
-            listing = true;
+    void refresh() {
+        if (!refreshing && refreshDue() && cloud.tryAcquire()) {
+            refreshing = true;
             pages = 0;
-            page("", new ArrayList<>());
+            readPage("", new ArrayList<>());
         }
     }
 
-    /**
-     * Reads the next page when the cloud's rate allows it. A list of thousands of machines has more pages than the
-     * cloud takes calls at once: sent in a row, some were refused, and the list was never read to its end.
-     */
-    private void nextPage(String from, List<CloudMessages.ListedMachine> seen) {
-        if (cloud.mayCall()) {
-            page(from, seen);
+    private boolean refreshDue() {
+        return refreshedAt == NEVER || environment.now() - refreshedAt > refreshIntervalMs();
+    }
+
+    /** Half the list's lag, but not so often that reading takes more than its part of the rate limit. */
+    private long refreshIntervalMs() {
+        long ratedMs = Math.round(pages * 1000 / (cluster.settings().cloud().requestsPerS() * MAX_RATE_PART));
+        long halfLagMs = Math.round(cluster.settings().cloud().listLagS() * 500);
+        return Math.max(MIN_REFRESH_INTERVAL_MS, Math.max(ratedMs, halfLagMs));
+    }
+
+    /** Reads the page after this machine as soon as the cloud's rate limit allows it. */
+    private void readNextPage(String lastMachine, List<CloudMessages.ListedMachine> listed) {
+        if (cloud.tryAcquire()) {
+            readPage(lastMachine, listed);
         } else {
-            environment.schedule(PAGE_PAUSE_MS, () -> nextPage(from, seen));
+            environment.schedule(RETRY_PAGE_MS, () -> readNextPage(lastMachine, listed));
         }
     }
 
-    private void page(String from, List<CloudMessages.ListedMachine> seen) {
+    private void readPage(String lastMachine, List<CloudMessages.ListedMachine> listed) {
         pages++;
-        cloud.call("GET", "/hosts?most=500" + (from.isEmpty() ? "" : "&from=" + from), null, (status, body) -> {
-            if (status != 200 || body == null) {
-                listing = false;
-                listedAt = environment.now();
-                return;
-            }
-            seen.addAll(CloudMessages.listedMachines(body));
-            if (body.path("more").asBoolean() && !seen.isEmpty()) {
-                nextPage(seen.get(seen.size() - 1).name(), seen);
-                return;
-            }
-            listing = false;
-            listedAt = environment.now();
-            compare(seen);
-        });
+        String path = "/hosts?most=" + PAGE_SIZE + (lastMachine.isEmpty() ? "" : "&from=" + lastMachine);
+        cloud.call("GET", path, null, (status, body) -> takePage(status, body, listed));
     }
 
-    private void compare(List<CloudMessages.ListedMachine> list) {
+    private void takePage(int status, JsonNode body, List<CloudMessages.ListedMachine> listed) {
+        if (status != OK || body == null) {
+            refreshEnded();
+            return;
+        }
+        listed.addAll(CloudMessages.listedMachines(body));
+        if (body.path("more").asBoolean() && !listed.isEmpty()) {
+            readNextPage(listed.get(listed.size() - 1).name(), listed);
+            return;
+        }
+        refreshEnded();
+        reconcile(listed);
+    }
+
+    private void refreshEnded() {
+        refreshing = false;
+        refreshedAt = environment.now();
+    }
+
+    private void reconcile(List<CloudMessages.ListedMachine> listed) {
         long now = environment.now();
         Set<String> names = new HashSet<>();
-        for (CloudMessages.ListedMachine listed : list) {
-            if (cluster.deletedMachines().contains(listed.name())) {
+        for (CloudMessages.ListedMachine machine : listed) {
+            if (cluster.deletedMachines().contains(machine.name())) {
                 continue; // the list lags behind the deletion
             }
-            names.add(listed.name());
-            update(listed, now);
+            names.add(machine.name());
+            update(machine, now);
+        }
+        markMissing(names, now);
+        if (!complete) {
+            complete = true;
+            onFirstRefresh.run();
         }
+    }
+
+    private void markMissing(Set<String> listedNames, long now) {
         for (Machine machine : cluster.machines().values()) {
-            if (machine.instance().listed()
-                    && !names.contains(machine.name())
-                    && machine.instance().missingSince() == 0) {
-                machine.instance().setMissingSince(now);
+            InstanceState instance = machine.instance();
+            if (instance.listed() && !listedNames.contains(machine.name()) && instance.missingSince() == 0) {
+                instance.setMissingSince(now);
             }
         }
-        if (!listedOnce) {
-            listedOnce = true;
-            firstRead.run();
-        }
     }
 
     private void update(CloudMessages.ListedMachine listed, long now) {
         Machine machine = cluster.machine(listed.name());
-        machine.instance().setListed(true);
-        machine.instance().setMissingSince(0);
+        InstanceState instance = machine.instance();
+        instance.setListed(true);
+        instance.setMissingSince(0);
         if (machine.type() == null || machine.address().isEmpty()) {
-            machine.setAddress(machine.address().isEmpty() ? listed.address() : machine.address());
-            machine.setTypeName(listed.type());
-            machine.setType(cluster.machineType(listed.type()));
-            machine.setSpot(listed.spot());
-            cluster.setZone(machine, listed.zone());
+            updateProperties(machine, listed);
         }
-        if (machine.instance().requestedAt() == 0) {
-            machine.instance().setRequestedAt(now - Math.round(listed.ageS() * 1000));
+        if (instance.requestedAt() == 0) {
+            instance.setRequestedAt(now - Math.round(listed.ageS() * 1000));
         }
         if (!machine.agent().heardThisTerm()) {
-            machine.instance().setBooting(listed.state().equals("booting"));
+            instance.setBooting(listed.state().equals("booting"));
         }
-        if (listed.state().equals("failed") && !machine.instance().terminating()) {
-            LOG.info("machine {} has failed", machine.name());
-            machine.instance().setTerminating(true);
+        if (listed.state().equals("failed") && !instance.terminating()) {
+            LOG.info("machine failed: machine={}", machine.name());
+            instance.setTerminating(true);
             cluster.freeCapacity().update(machine);
         }
     }
+
+    private void updateProperties(Machine machine, CloudMessages.ListedMachine listed) {
+        machine.setAddress(machine.address().isEmpty() ? listed.address() : machine.address());
+        machine.setTypeName(listed.type());
+        machine.setType(cluster.machineType(listed.type()));
+        machine.setSpot(listed.spot());
+        cluster.setZone(machine, listed.zone());
+    }
 }
--- a/src/main/java/stileferry/autoscaling/PlannedMachine.java
+++ b/src/main/java/stileferry/autoscaling/PlannedMachine.java
@@ -1,62 +1,55 @@
 package stileferry.autoscaling;
 
 import stileferry.protocol.JobSpec;
-import stileferry.protocol.MachineType;
 
-/** Room that exists, is coming, or would have to be rented. */
+/** The free capacity of a machine that boots, was requested or is to be requested. */
 final class PlannedMachine {
+    /** Sums of amounts may be off by this much. */
     private static final double ROUNDING = 1e-6;
 
-    private final MachineType type;
-    private final String zone;
-    private final boolean spot;
-    private double cpus;
-    double gpus;
-    double memory;
-
-    PlannedMachine(MachineType type, String zone, boolean spot) {
-        this.type = type;
-        this.zone = zone;
-        this.spot = spot;
-        this.cpus = type.cpus();
-        this.gpus = type.gpus();
-        this.memory = type.memoryGb();
+    private final InstancePool pool;
+    private double freeCpus;
+    private double freeGpus;
+    private double freeMemoryGb;
+
+    PlannedMachine(InstancePool pool) {
+        this.pool = pool;
+        this.freeCpus = pool.type().cpus();
+        this.freeGpus = pool.type().gpus();
+        this.freeMemoryGb = pool.type().memoryGb();
     }
 
+    /** Whether a task may run on this machine, and fits beside those that were placed here. */
     boolean fits(JobSpec spec) {
-        return (spec.allowsSpot() || !spot)
-                && (spec.zone() == null || spec.zone().equals(zone))
-                && spec.fitsType(type)
-                && spec.cpus() <= cpus + ROUNDING
-                && spec.gpus() <= gpus + ROUNDING
-                && spec.memoryGb() <= memory + ROUNDING;
+        return (spec.allowsSpot() || !pool.spot())
+                && (spec.zone() == null || spec.zone().equals(pool.zone()))
+                && spec.fitsType(pool.type())
+                && spec.cpus() <= freeCpus + ROUNDING
+                && spec.gpus() <= freeGpus + ROUNDING
+                && spec.memoryGb() <= freeMemoryGb + ROUNDING;
     }
 
-    /** Takes as many tasks as fit, and returns how many. */
-    int take(JobSpec spec, int tasks) {
-        int taken = 0;
-        while (taken < tasks && fits(spec)) {
-            cpus -= spec.cpus();
-            gpus -= spec.gpus();
-            memory -= spec.memoryGb();
-            taken++;
+    /** Places as many of the tasks as fit, and returns how many. */
+    int place(JobSpec spec, int tasks) {
+        int placed = 0;
+        while (placed < tasks && fits(spec)) {
+            freeCpus -= spec.cpus();
+            freeGpus -= spec.gpus();
+            freeMemoryGb -= spec.memoryGb();
+            placed++;
         }
-        return taken;
-    }
-
-    public MachineType type() {
-        return type;
+        return placed;
     }
 
-    public String zone() {
-        return zone;
+    InstancePool pool() {
+        return pool;
     }
 
-    public boolean spot() {
-        return spot;
+    String zone() {
+        return pool.zone();
     }
 
-    public double cpus() {
-        return cpus;
+    double freeCpus() {
+        return freeCpus;
     }
 }
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -57,7 +57,7 @@
         boolean[] read = new boolean[1];
         CloudInventory list = new CloudInventory(cluster, node.environment, cloud, () -> read[0] = true);
         for (int i = 0; i < 20 && !read[0]; i++) {
-            list.list();
+            list.refresh();
             w.play(1);
         }
         assertTrue(read[0], "the list was read to its end");
