--- a/src/main/java/stileferry/standin/Cloud.java
+++ b/src/main/java/stileferry/standin/Cloud.java
@@ -20,79 +20,96 @@
     private final double memoryGb;
     private final double bootS;
     private final List<String> zones;
-    private final int perZone;
-    private final long lagMs;
-    private final BiFunction<String, String, Worker> boot;
-    private final Consumer<Worker> remove;
-    private final TreeMap<String, Machine> machines = new TreeMap<>();
-    private final Map<String, Machine> gone = new HashMap<>();
-    private final Map<String, Long> goneAt = new HashMap<>();
-    private final Map<String, List<String>> requests = new HashMap<>();
-    private int created;
-    private int deletions;
+    private final int machinesPerPool;
+    private final long listLagMs;
+    private final BiFunction<String, String, Worker> bootWorker;
+    private final Consumer<Worker> removeWorker;
+    private final TreeMap<String, Instance> instances = new TreeMap<>();
+
+    /** Instances that are gone and may still be listed. */
+    private final Map<String, Instance> goneInstances = new HashMap<>();
+
+    private final Map<String, List<String>> namesByRequest = new HashMap<>();
+    private int createdInstances;
+    private int deletionRequests;
     private long now;
 
-    private static final class Machine {
-        String zone;
-        boolean spot;
-        long rentedAt;
-        long upAt;
-        Worker worker;
+    private static final class Instance {
+        private final String zone;
+        private final boolean spot;
+        private final long createdAt;
+        private final long bootsAt;
+        private long goneAt;
+        private Worker worker;
+
+        Instance(String zone, boolean spot, long createdAt, long bootsAt) {
+            this.zone = zone;
+            this.spot = spot;
+            this.createdAt = createdAt;
+            this.bootsAt = bootsAt;
+        }
     }
 
-    /** A cloud with so many machines of its type in each zone; it is told how machines come and go. */
+    /**
+     * A cloud without machines.
+     *
+     * @param machinesPerPool machines that can be had in each zone, as spot instances and on demand each
+     * @param listLagMs by how much the list of machines lags
+     * @param bootWorker starts the worker of a machine that has booted, from its name and {@code zone|spot}
+     * @param removeWorker ends the worker of a machine that is gone
+     */
     public Cloud(
             String type,
             double cpus,
             double memoryGb,
             double bootS,
             List<String> zones,
-            int perZone,
-            long lagMs,
-            BiFunction<String, String, Worker> boot,
-            Consumer<Worker> remove) {
+            int machinesPerPool,
+            long listLagMs,
+            BiFunction<String, String, Worker> bootWorker,
+            Consumer<Worker> removeWorker) {
         this.type = type;
         this.cpus = cpus;
         this.memoryGb = memoryGb;
         this.bootS = bootS;
         this.zones = zones;
-        this.perZone = perZone;
-        this.lagMs = lagMs;
-        this.boot = boot;
-        this.remove = remove;
+        this.machinesPerPool = machinesPerPool;
+        this.listLagMs = listLagMs;
+        this.bootWorker = bootWorker;
+        this.removeWorker = removeWorker;
     }
 
-    /** Lets time pass: machines come up. */
+    /** Lets time pass: machines boot. */
     public void tick(long time) {
         now = time;
-        machines.forEach((name, machine) -> {
-            if (machine.worker == null && now >= machine.upAt) {
-                machine.worker = boot.apply(name, machine.zone + "|" + machine.spot);
+        instances.forEach((name, instance) -> {
+            if (instance.worker == null && now >= instance.bootsAt) {
+                instance.worker = bootWorker.apply(name, instance.zone + "|" + instance.spot);
             }
         });
     }
 
-    /** Takes a machine without asking. */
+    /** Takes a machine away without notice. */
     public void reclaim(String name) {
-        Machine machine = machines.remove(name);
-        if (machine != null) {
-            gone.put(name, machine);
-            goneAt.put(name, now);
-            if (machine.worker != null) {
-                remove.accept(machine.worker);
+        Instance instance = instances.remove(name);
+        if (instance != null) {
+            instance.goneAt = now;
+            goneInstances.put(name, instance);
+            if (instance.worker != null) {
+                removeWorker.accept(instance.worker);
             }
         }
     }
 
-    /** How many deletions were asked for. */
+    /** How many deletions were requested. */
     public int deletionRequests() {
-        return deletions;
+        return deletionRequests;
     }
 
-    /** Names of the machines that are up. */
+    /** Names of the machines that have booted. */
     public List<String> runningMachines() {
-        return machines.entrySet().stream()
-                .filter(e -> e.getValue().worker != null)
+        return instances.entrySet().stream()
+                .filter(entry -> entry.getValue().worker != null)
                 .map(Map.Entry::getKey)
                 .toList();
     }
@@ -100,83 +117,89 @@
     /** Carries a request out. */
     public void request(String method, String path, JsonNode body, Environment.ResponseHandler reply) {
         if (path.equals("/machine_types")) {
-            ObjectNode answer = MessageCodec.map();
-            ObjectNode t = answer.putArray("hulls")
-                    .addObject()
-                    .put("sku", type)
-                    .put("cores", cpus)
-                    .put("gpus", 0)
-                    .put("ram_gb", memoryGb)
-                    .put("local_gb", 50.0)
-                    .put("fetch_gb_per_s", 1.0)
-                    .put("rate", 1.0)
-                    .put("spot_price", 0.4)
-                    .put("startup_s", bootS);
-            zones.forEach(t.putArray("harbors")::add);
-            reply.onResponse(200, answer);
+            reply.onResponse(200, machineTypes());
         } else if (path.equals("/hosts")) {
-            rent(body, reply);
+            create(body, reply);
         } else if (path.equals("/hosts/delete")) {
-            deletions++;
-            body.path("fleet").forEach(n -> reclaim(n.asText()));
+            deletionRequests++;
+            body.path("fleet").forEach(name -> reclaim(name.asText()));
             reply.onResponse(200, MessageCodec.map());
         } else if (path.startsWith("/hosts?")) {
-            list(QueryString.of(path), reply);
+            reply.onResponse(200, list(QueryString.of(path).text("from")));
         } else {
             reply.onResponse(400, null);
         }
     }
 
-    private void rent(JsonNode body, Environment.ResponseHandler reply) {
+    private ObjectNode machineTypes() {
+        ObjectNode answer = MessageCodec.map();
+        ObjectNode machineType = answer.putArray("hulls")
+                .addObject()
+                .put("sku", type)
+                .put("cores", cpus)
+                .put("gpus", 0)
+                .put("ram_gb", memoryGb)
+                .put("local_gb", 50.0)
+                .put("fetch_gb_per_s", 1.0)
+                .put("rate", 1.0)
+                .put("spot_price", 0.4)
+                .put("startup_s", bootS);
+        zones.forEach(machineType.putArray("harbors")::add);
+        return answer;
+    }
+
+    /** Creates machines once for each request's id, and answers a repeated request the same. */
+    private void create(JsonNode body, Environment.ResponseHandler reply) {
         String request = body.path("charter").asText();
-        List<String> names = requests.get(request);
+        List<String> names = namesByRequest.get(request);
         if (names == null) {
-            names = new ArrayList<>();
-            String zone = body.path("harbor").asText();
-            boolean spot = body.path("tender").asBoolean();
-            long there = machines.values().stream()
-                    .filter(m -> m.zone.equals(zone) && m.spot == spot)
-                    .count();
-            for (int i = 0; i < body.path("count").asInt() && there + i < perZone; i++) {
-                Machine machine = new Machine();
-                machine.zone = zone;
-                machine.spot = spot;
-                machine.rentedAt = now;
-                machine.upAt = now + Math.round(bootS * 1000);
-                String name = String.format("host-%06d", created++);
-                machines.put(name, machine);
-                names.add(name);
-            }
+            names = createInstances(
+                    body.path("harbor").asText(),
+                    body.path("tender").asBoolean(),
+                    body.path("count").asInt());
             if (names.isEmpty()) {
                 reply.onResponse(503, MessageCodec.map().put("error", "no capacity"));
                 return;
             }
-            requests.put(request, names);
+            namesByRequest.put(request, names);
         }
         ObjectNode answer = MessageCodec.map();
         names.forEach(answer.putArray("fleet")::add);
         reply.onResponse(200, answer);
     }
 
-    private void list(QueryString q, Environment.ResponseHandler reply) {
+    private List<String> createInstances(String zone, boolean spot, int count) {
+        List<String> names = new ArrayList<>();
+        long existing = instances.values().stream()
+                .filter(instance -> instance.zone.equals(zone) && instance.spot == spot)
+                .count();
+        for (int i = 0; i < count && existing + i < machinesPerPool; i++) {
+            String name = String.format("host-%06d", createdInstances++);
+            instances.put(name, new Instance(zone, spot, now, now + Math.round(bootS * 1000)));
+            names.add(name);
+        }
+        return names;
+    }
+
+    /** All machines after this one, as they were before the list's lag. */
+    private ObjectNode list(String from) {
         ObjectNode answer = MessageCodec.map().put("more", false);
         ArrayNode list = answer.putArray("fleet");
-        goneAt.values().removeIf(at -> now - at > lagMs);
-        gone.keySet().retainAll(goneAt.keySet());
-        TreeMap<String, Machine> listed = new TreeMap<>(machines);
-        listed.putAll(gone); // the list lags: what is gone is still in it for a while
-        listed.tailMap(q.text("from"), false).forEach((name, machine) -> {
-            if (now - machine.rentedAt >= lagMs) {
+        goneInstances.values().removeIf(instance -> now - instance.goneAt > listLagMs);
+        TreeMap<String, Instance> listed = new TreeMap<>(instances);
+        listed.putAll(goneInstances);
+        listed.tailMap(from, false).forEach((name, instance) -> {
+            if (now - instance.createdAt >= listLagMs) {
                 list.addObject()
                         .put("name_id", name)
-                        .put("addr", machine.worker == null ? "" : machine.worker.address())
+                        .put("addr", instance.worker == null ? "" : instance.worker.address())
                         .put("hull", type)
-                        .put("harbor", machine.zone)
-                        .put("tender", machine.spot)
-                        .put("tide", machine.worker == null ? "booting" : "running")
-                        .put("age_s", (now - machine.rentedAt) / 1000.0);
+                        .put("harbor", instance.zone)
+                        .put("tender", instance.spot)
+                        .put("tide", instance.worker == null ? "booting" : "running")
+                        .put("age_s", (now - instance.createdAt) / 1000.0);
             }
         });
-        reply.onResponse(200, answer);
+        return answer;
     }
 }
--- a/src/main/java/stileferry/standin/GangSimulation.java
+++ b/src/main/java/stileferry/standin/GangSimulation.java
@@ -4,127 +4,180 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import stileferry.protocol.ExitReason;
+import stileferry.protocol.Heartbeat.TaskPhase;
 import stileferry.protocol.JobSpec;
 
 /** What the tasks of gangs know of each other, for all workers of one deployment, after the published protocol. */
 public final class GangSimulation {
+    private static final long NEVER = -1;
+
     private final long waitMs;
     private final long peerMs;
     private final Map<String, Gang> gangs = new HashMap<>();
 
-    /** Progress of jobs that is safe, in milliseconds. */
-    private final Map<String, Long> saved = new HashMap<>();
+    /** Saved progress of jobs, in milliseconds. */
+    private final Map<String, Long> savedProgressMs = new HashMap<>();
 
+    /** One attempt of a gang. */
     private static final class Gang {
-        final JobSpec spec;
-        final Map<String, Worker.Task> members = new HashMap<>();
-        long startedAt = -1;
-        long lostAt = -1;
-        long firstKillAt = -1;
-        int told;
+        private final JobSpec spec;
+        private final Map<String, WorkerTask> members = new HashMap<>();
+        private long startedAt = NEVER;
+
+        /** When the first task was lost whose progress had not been saved. */
+        private long memberLostAt = NEVER;
+
+        /** When the first task began to save. */
+        private long saveBegunAt = NEVER;
+
+        private int savingTasks;
 
         Gang(JobSpec spec) {
             this.spec = spec;
         }
+
+        boolean started() {
+            return startedAt != NEVER;
+        }
+
+        boolean memberLost() {
+            return memberLostAt != NEVER;
+        }
+
+        boolean saving() {
+            return saveBegunAt != NEVER;
+        }
+
+        boolean complete() {
+            return members.size() == spec.taskCount();
+        }
+
+        /** Whether all tasks save, and none is lost, so that the save succeeds. */
+        boolean allSaving() {
+            return savingTasks == spec.taskCount() && !memberLost();
+        }
+
+        /** When progress ended: when the save began, if one has begun. */
+        long progressEndedAt(long now) {
+            return saving() ? saveBegunAt : now;
+        }
     }
 
-    /** Gangs whose tasks wait so long for the others, and notice within such a time that one is gone. */
+    /**
+     * Gangs of one deployment.
+     *
+     * @param waitS seconds that a task waits for the others
+     * @param peerS seconds within which a task notices that another one is lost
+     */
     public GangSimulation(double waitS, double peerS) {
         waitMs = Math.round(1000 * waitS);
         peerMs = Math.round(1000 * peerS);
     }
 
-    private static String key(Worker.Task task) {
-        return task.spec.id() + "#" + task.attempt;
+    private static String key(WorkerTask task) {
+        return task.spec().id() + "#" + task.attempt();
     }
 
-    private Gang of(Worker.Task task) {
-        return gangs.computeIfAbsent(key(task), k -> new Gang(task.spec));
+    private Gang gangOf(WorkerTask task) {
+        return gangs.computeIfAbsent(key(task), key -> new Gang(task.spec()));
     }
 
     /** A task has its image; it waits, and when it is the last, all of them start. */
-    void ready(Worker.Task task, long now) {
-        Gang gang = of(task);
-        gang.members.put(task.name, task);
-        task.state = "waiting";
-        task.until = now + waitMs;
-        if (gang.members.size() == gang.spec.taskCount() && gang.startedAt < 0) {
+    void imagePulled(WorkerTask task, long now) {
+        Gang gang = gangOf(task);
+        gang.members.put(task.taskId(), task);
+        task.enter(TaskPhase.WAITING_FOR_GANG, now + waitMs);
+        if (gang.complete() && !gang.started()) {
             gang.startedAt = now;
-            for (Worker.Task t : gang.members.values()) {
-                t.state = "running";
-                t.worker.changed();
+            for (WorkerTask member : gang.members.values()) {
+                member.enter(TaskPhase.RUNNING);
+                member.worker().markChanged();
             }
         }
     }
 
-    private long left(Gang gang) {
-        return Math.round(1000 * gang.spec.estimateS()) - saved.getOrDefault(gang.spec.id(), 0L);
-    }
-
     /** Lets time pass for a task that has its image; the reason for which it exits now, or null. */
-    String tick(Worker.Task task, long now) {
-        Gang gang = of(task);
-        if (gang.startedAt < 0) {
-            return now >= task.until ? "incomplete" : null;
-        }
-        if (gang.firstKillAt >= 0) { // a save is under way
-            boolean all = gang.told == gang.spec.taskCount() && gang.lostAt < 0;
-            if (task.state.equals("saving") && all && now >= task.until) {
-                saved.merge(gang.spec.id(), gang.firstKillAt - gang.startedAt, Long::sum);
-                gang.startedAt = gang.firstKillAt; // once only
-                task.kept = true;
-                return "halted";
-            }
-            return !all && now >= gang.firstKillAt + peerMs ? "peers" : null;
+    ExitReason tick(WorkerTask task, long now) {
+        Gang gang = gangOf(task);
+        if (!gang.started()) {
+            return now >= task.phaseEndsAt() ? ExitReason.GANG_INCOMPLETE : null;
+        }
+        if (gang.saving()) {
+            return tickSaving(gang, task, now);
         }
-        if (gang.lostAt >= 0) {
-            return now >= gang.lostAt + peerMs / 2 ? "peers" : null;
+        if (gang.memberLost()) {
+            return noticedLoss(gang, now) ? ExitReason.GANG_MEMBER_LOST : null;
         }
-        if (now >= gang.startedAt + left(gang)) {
-            for (Worker.Task t : new ArrayList<>(gang.members.values())) {
-                t.worker.exit(t, "done");
+        if (now >= gang.startedAt + remainingMs(gang.spec)) {
+            for (WorkerTask member : new ArrayList<>(gang.members.values())) {
+                member.worker().exit(member, ExitReason.COMPLETED);
             }
         }
         return null;
     }
 
-    /** A running task is told to save; whether it does so. */
-    boolean save(Worker.Task task, long now) {
-        Gang gang = of(task);
-        boolean noticedLoss = gang.lostAt >= 0 && now >= gang.lostAt + peerMs / 2;
-        if (gang.startedAt < 0 || noticedLoss) {
+    private ExitReason tickSaving(Gang gang, WorkerTask task, long now) {
+        if (!gang.allSaving()) {
+            return now >= gang.saveBegunAt + peerMs ? ExitReason.GANG_MEMBER_LOST : null;
+        }
+        if (task.phase() == TaskPhase.SAVING_CHECKPOINT && now >= task.phaseEndsAt()) {
+            savedProgressMs.merge(gang.spec.id(), gang.saveBegunAt - gang.startedAt, Long::sum);
+            gang.startedAt = gang.saveBegunAt; // so that the other tasks add nothing
+            task.markCheckpointSaved();
+            return ExitReason.STOPPED;
+        }
+        return null;
+    }
+
+    private long remainingMs(JobSpec spec) {
+        return Math.round(1000 * spec.estimateS()) - savedProgressMs.getOrDefault(spec.id(), 0L);
+    }
+
+    private boolean noticedLoss(Gang gang, long now) {
+        return gang.memberLost() && now >= gang.memberLostAt + peerMs / 2;
+    }
+
+    /** A running task is to save its checkpoint; whether it does so. */
+    boolean beginSave(WorkerTask task, long now) {
+        Gang gang = gangOf(task);
+        if (!gang.started() || noticedLoss(gang, now)) {
             return false;
         }
-        gang.firstKillAt = gang.firstKillAt < 0 ? now : gang.firstKillAt;
-        gang.told++;
+        gang.saveBegunAt = gang.progressEndedAt(now);
+        gang.savingTasks++;
         return true;
     }
 
-    /** A task is not on its machine any more. */
-    void gone(Worker.Task task, String why, long now) {
-        Gang gang = of(task);
-        gang.members.remove(task.name, task);
-        if (gang.startedAt >= 0 && !why.equals("done") && !task.kept && gang.lostAt < 0) {
-            gang.lostAt = now;
-            long every = Math.round(1000 * gang.spec.checkpointIntervalS());
-            long ran = saved.getOrDefault(gang.spec.id(), 0L)
-                    + (gang.firstKillAt < 0 ? now : gang.firstKillAt)
-                    - gang.startedAt;
-            saved.put(gang.spec.id(), every > 0 ? ran / every * every : 0);
+    /** A task that had its image has exited. */
+    void memberExited(WorkerTask task, long now) {
+        Gang gang = gangOf(task);
+        gang.members.remove(task.taskId(), task);
+        boolean completed = task.exitReason() == ExitReason.COMPLETED;
+        if (gang.started() && !completed && !task.checkpointSaved() && !gang.memberLost()) {
+            gang.memberLostAt = now;
+            keepRegularCheckpoints(gang, now);
         }
         if (gang.members.isEmpty()) {
             gangs.remove(key(task));
         }
     }
 
+    /** Of a gang that lost a task only the progress up to its last regular checkpoint is kept. */
+    private void keepRegularCheckpoints(Gang gang, long now) {
+        long intervalMs = Math.round(1000 * gang.spec.checkpointIntervalS());
+        long progressMs = savedProgressMs.getOrDefault(gang.spec.id(), 0L) + gang.progressEndedAt(now) - gang.startedAt;
+        savedProgressMs.put(gang.spec.id(), intervalMs > 0 ? progressMs / intervalMs * intervalMs : 0);
+    }
+
     /** Jobs with tasks of more than one attempt at a time, which must never be. */
     public List<String> jobsWithMixedAttempts() {
-        Map<String, Integer> attempts = new HashMap<>();
+        Map<String, Integer> attemptsByJob = new HashMap<>();
         gangs.values().stream()
-                .filter(g -> !g.members.isEmpty())
-                .forEach(g -> attempts.merge(g.spec.id(), 1, Integer::sum));
-        return attempts.entrySet().stream()
-                .filter(e -> e.getValue() > 1)
+                .filter(gang -> !gang.members.isEmpty())
+                .forEach(gang -> attemptsByJob.merge(gang.spec.id(), 1, Integer::sum));
+        return attemptsByJob.entrySet().stream()
+                .filter(entry -> entry.getValue() > 1)
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/src/main/java/stileferry/standin/KeyValueStore.java
+++ b/src/main/java/stileferry/standin/KeyValueStore.java
@@ -8,242 +8,311 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 
-/** A stand-in for the state service, after the published protocol. Time comes from outside; nothing runs by itself. */
+/**
+ * A stand-in for the consensus-backed key-value store, after the published protocol. Time comes from outside; nothing
+ * runs by itself.
+ */
 public final class KeyValueStore {
-    private int opsMost;
-    private int valueBytesMost;
-    private final TreeMap<String, Item> items = new TreeMap<>();
+    private static final String KEY_PATH = "/kv/";
+    private static final String LEASE_PATH = "/leases/";
+    private static final int MAX_ROWS = 1000;
+
+    /** Changes that are kept for watches that begin at an earlier revision. */
+    private static final int MAX_KEPT_CHANGES = 10_000;
+
+    /** Comparisons that a transaction may have for each operation that it may have. */
+    private static final int COMPARISONS_PER_OPERATION = 4;
+
+    private int maxOperations;
+    private int maxValueBytes;
+    private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private final List<Change> writtenKeys = new ArrayList<>();
+    private final List<Change> changes = new ArrayList<>();
     private long revision;
-    private long written;
-    private long leaseIds;
+    private long writtenKeys;
+    private long lastLeaseId;
     private long now;
 
-    private record Item(JsonNode value, long revision, long lease) {}
+    private record Entry(JsonNode value, long revision, long lease) {}
 
+    /** A key that was put, or deleted if the value is null. */
     private record Change(String key, JsonNode value, long revision) {}
 
-    private record Watch(String prefix, long from, long until, Environment.ResponseHandler reply) {}
+    private record Watch(String prefix, long afterRevision, long until, Environment.ResponseHandler reply) {}
 
     private static final class Lease {
-        long lifeMs;
-        long endsAt;
+        private final long durationMs;
+        private long expiresAt;
+
+        Lease(long durationMs) {
+            this.durationMs = durationMs;
+        }
+
+        void renew(long now) {
+            expiresAt = now + durationMs;
+        }
     }
 
-    /** A service with the settings' limits on operations in a transaction and on the size of a value. */
-    public KeyValueStore(int opsMost, double valueKb) {
-        setLimits(opsMost, valueKb);
+    /** A store with limits on the operations of a transaction and on the size of a value. */
+    public KeyValueStore(int maxOperations, double maxValueKb) {
+        setLimits(maxOperations, maxValueKb);
     }
 
     /** Other limits from now on; what is stored stays readable. */
     public void setLimits(int operations, double valueKb) {
-        opsMost = operations;
-        valueBytesMost = (int) (valueKb * 1024);
+        maxOperations = operations;
+        maxValueBytes = (int) (valueKb * 1024);
     }
 
     /** The value of a key, or null. */
     public JsonNode value(String key) {
-        Item item = items.get(key);
-        return item == null ? null : item.value;
+        Entry entry = entries.get(key);
+        return entry == null ? null : entry.value;
     }
 
-    /** How many keys were put or deleted so far. */
+    /** How many keys were put or deleted by transactions so far. */
     public long writtenKeys() {
-        return written;
+        return writtenKeys;
     }
 
-    /** Lets time pass: leases end and watches run out. */
+    /** Lets time pass: leases and watches expire. */
     public void tick(long time) {
         now = time;
-        for (Iterator<Map.Entry<Long, Lease>> it = leases.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<Long, Lease> entry = it.next();
-            if (entry.getValue().endsAt <= now) {
-                it.remove();
-                dropKeys(entry.getKey());
+        for (Iterator<Map.Entry<Long, Lease>> iterator = leases.entrySet().iterator(); iterator.hasNext(); ) {
+            Map.Entry<Long, Lease> lease = iterator.next();
+            if (lease.getValue().expiresAt <= now) {
+                iterator.remove();
+                deleteEntriesOf(lease.getKey());
             }
         }
-        for (Watch w : List.copyOf(watches)) {
-            if (w.until <= now) {
-                watches.remove(w);
-                w.reply.onResponse(200, changesSince(w.prefix, w.from));
+        for (Watch watch : List.copyOf(watches)) {
+            if (watch.until <= now) {
+                watches.remove(watch);
+                watch.reply.onResponse(200, changesSince(watch.prefix, watch.afterRevision));
             }
         }
     }
 
-    /** An outage is over: every lease has its full time again. */
+    /** Gives every lease its full time again, as after an outage. */
     public void renewAllLeases(long time) {
         now = time;
-        leases.values().forEach(l -> l.endsAt = now + l.lifeMs);
+        leases.values().forEach(lease -> lease.renew(now));
     }
 
-    /** Carries a request out. */
+    /** Carries a request out; the reply to a watch comes later. */
     public void request(String method, String path, JsonNode body, Environment.ResponseHandler reply) {
-        if (path.startsWith("/kv/")) {
-            Item item = items.get(path.substring(4));
-            if (item == null) {
-                reply.onResponse(404, MessageCodec.map().put("ledger_rev", revision));
-            } else {
-                ObjectNode n = MessageCodec.map().put("path", path.substring(4)).put("entry_rev", item.revision);
-                n.set("v", item.value);
-                if (item.lease != 0) {
-                    n.put("mooring", item.lease);
-                }
-                reply.onResponse(200, n);
-            }
+        if (path.startsWith(KEY_PATH)) {
+            get(path.substring(KEY_PATH.length()), reply);
         } else if (path.startsWith("/kv?")) {
-            reply.onResponse(200, read(QueryString.of(path)));
+            reply.onResponse(200, list(QueryString.of(path)));
         } else if (path.startsWith("/watch?")) {
-            QueryString q = QueryString.of(path);
-            ObjectNode seen = changesSince(q.text("starts"), q.number("from", 0));
-            if (!seen.path("events").isEmpty()) {
-                reply.onResponse(200, seen);
-            } else {
-                watches.add(new Watch(q.text("starts"), q.number("from", 0), now + q.number("block_ms", 0), reply));
-            }
+            watch(QueryString.of(path), reply);
         } else if (path.equals("/commit")) {
             commit(body, reply);
         } else if (path.equals("/leases")) {
-            Lease lease = new Lease();
-            lease.lifeMs = body.path("life_ms").asLong();
-            lease.endsAt = now + lease.lifeMs;
-            leases.put(++leaseIds, lease);
-            reply.onResponse(200, MessageCodec.map().put("mooring", leaseIds));
-        } else if (path.startsWith("/leases/")) {
-            String[] parts = path.split("/");
-            lease(method, Long.parseLong(parts[2]), reply);
+            grantLease(body.path("life_ms").asLong(), reply);
+        } else if (path.startsWith(LEASE_PATH)) {
+            changeLease(
+                    method, Long.parseLong(path.substring(LEASE_PATH.length()).split("/")[0]), reply);
         } else {
             reply.onResponse(400, null);
         }
     }
 
-    private void lease(String method, long id, Environment.ResponseHandler reply) {
-        Lease lease = leases.get(id);
-        if (lease == null) {
-            reply.onResponse(404, null);
-        } else if (method.equals("DELETE")) {
-            leases.remove(id);
-            dropKeys(id);
-            reply.onResponse(200, MessageCodec.map());
-        } else {
-            lease.endsAt = now + lease.lifeMs;
-            reply.onResponse(200, MessageCodec.map());
+    private void get(String key, Environment.ResponseHandler reply) {
+        Entry entry = entries.get(key);
+        if (entry == null) {
+            reply.onResponse(404, MessageCodec.map().put("ledger_rev", revision));
+            return;
         }
-    }
-
-    private void dropKeys(long lease) {
-        for (String key : List.copyOf(items.keySet())) {
-            if (items.get(key).lease == lease) {
-                items.remove(key);
-                writtenKeys.add(new Change(key, null, ++revision));
-            }
+        ObjectNode answer = MessageCodec.map().put("path", key).put("entry_rev", entry.revision);
+        answer.set("v", entry.value);
+        if (entry.lease != 0) {
+            answer.put("mooring", entry.lease);
         }
-        wake();
+        reply.onResponse(200, answer);
     }
 
-    private ObjectNode read(QueryString q) {
-        String prefix = q.text("starts");
-        String from = q.text("from");
-        long most = Math.min(1000, q.number("most", 1000));
+    private ObjectNode list(QueryString query) {
+        String prefix = query.text("starts");
+        String from = query.text("from");
+        long limit = Math.min(MAX_ROWS, query.number("most", MAX_ROWS));
         ObjectNode answer = MessageCodec.map().put("ledger_rev", revision);
         ArrayNode rows = answer.putArray("rows");
+        SortedMap<String, Entry> following =
+                from.isEmpty() ? entries.tailMap(prefix, true) : entries.tailMap(from, false);
         boolean more = false;
-        for (Map.Entry<String, Item> entry :
-                items.tailMap(from.isEmpty() ? prefix : from, from.isEmpty()).entrySet()) {
-            if (!entry.getKey().startsWith(prefix)) {
+        for (Map.Entry<String, Entry> row : following.entrySet()) {
+            if (!row.getKey().startsWith(prefix)) {
                 break;
             }
-            if (rows.size() == most) {
+            if (rows.size() == limit) {
                 more = true;
                 break;
             }
             rows.addObject()
-                    .put("path", entry.getKey())
-                    .put("entry_rev", entry.getValue().revision)
-                    .set("v", entry.getValue().value);
+                    .put("path", row.getKey())
+                    .put("entry_rev", row.getValue().revision)
+                    .set("v", row.getValue().value);
         }
         return answer.put("more", more);
     }
 
-    private ObjectNode changesSince(String prefix, long from) {
+    private void watch(QueryString query, Environment.ResponseHandler reply) {
+        String prefix = query.text("starts");
+        long afterRevision = query.number("from", 0);
+        ObjectNode events = changesSince(prefix, afterRevision);
+        if (events.path("events").isEmpty()) {
+            watches.add(new Watch(prefix, afterRevision, now + query.number("block_ms", 0), reply));
+        } else {
+            reply.onResponse(200, events);
+        }
+    }
+
+    private ObjectNode changesSince(String prefix, long afterRevision) {
         ObjectNode answer = MessageCodec.map().put("ledger_rev", revision);
         ArrayNode events = answer.putArray("events");
-        for (Change c : writtenKeys) {
-            if (c.revision > from && c.key.startsWith(prefix)) {
+        for (Change change : changes) {
+            if (change.revision > afterRevision && change.key.startsWith(prefix)) {
                 events.addObject()
-                        .put(c.value == null ? "delete" : "put", c.key)
-                        .put("entry_rev", c.revision);
+                        .put(change.value == null ? "delete" : "put", change.key)
+                        .put("entry_rev", change.revision);
             }
         }
         return answer;
     }
 
-    private void commit(JsonNode body, Environment.ResponseHandler reply) {
-        JsonNode apply = body.path("apply");
-        if (apply.size() > opsMost
-                || body.path("if").size() > 4 * opsMost
-                || body.toString().length() > MessageCodec.MAX_BODY) {
-            reply.onResponse(400, MessageCodec.map().put("error", "transaction too large"));
-            return;
+    private void notifyWatches() {
+        for (Watch watch : List.copyOf(watches)) {
+            ObjectNode events = changesSince(watch.prefix, watch.afterRevision);
+            if (!events.path("events").isEmpty()) {
+                watches.remove(watch);
+                watch.reply.onResponse(200, events);
+            }
         }
-        ArrayNode failed = MessageCodec.list();
-        for (JsonNode c : body.path("if")) {
-            Item item = items.get(c.path("path").asText());
-            if ((item == null ? 0 : item.revision) != c.path("entry_rev").asLong()) {
-                failed.add(c.path("path"));
+        while (changes.size() > MAX_KEPT_CHANGES) {
+            changes.remove(0);
+        }
+    }
+
+    private void grantLease(long durationMs, Environment.ResponseHandler reply) {
+        Lease lease = new Lease(durationMs);
+        lease.renew(now);
+        leases.put(++lastLeaseId, lease);
+        reply.onResponse(200, MessageCodec.map().put("mooring", lastLeaseId));
+    }
+
+    /** Deletes a lease, or renews it. */
+    private void changeLease(String method, long id, Environment.ResponseHandler reply) {
+        Lease lease = leases.get(id);
+        if (lease == null) {
+            reply.onResponse(404, null);
+        } else if (method.equals("DELETE")) {
+            leases.remove(id);
+            deleteEntriesOf(id);
+            reply.onResponse(200, MessageCodec.map());
+        } else {
+            lease.renew(now);
+            reply.onResponse(200, MessageCodec.map());
+        }
+    }
+
+    private void deleteEntriesOf(long lease) {
+        for (String key : List.copyOf(entries.keySet())) {
+            if (entries.get(key).lease == lease) {
+                entries.remove(key);
+                changes.add(new Change(key, null, ++revision));
             }
         }
+        notifyWatches();
+    }
+
+    private void commit(JsonNode body, Environment.ResponseHandler reply) {
+        JsonNode operations = body.path("apply");
+        if (tooLarge(body)) {
+            refuse("transaction too large", reply);
+            return;
+        }
+        ArrayNode failed = failedComparisons(body.path("if"));
         if (!failed.isEmpty()) {
             reply.onResponse(409, MessageCodec.map().put("ledger_rev", revision).set("failed", failed));
             return;
         }
-        for (JsonNode op : apply) {
-            long lease = op.path("mooring").asLong();
-            if (op.has("put") && op.path("v").toString().length() > valueBytesMost) {
-                reply.onResponse(400, MessageCodec.map().put("error", "value too large"));
-                return;
+        String error = firstError(operations);
+        if (error != null) {
+            refuse(error, reply);
+            return;
+        }
+        apply(operations);
+        reply.onResponse(200, MessageCodec.map().put("ledger_rev", revision));
+        notifyWatches();
+    }
+
+    private boolean tooLarge(JsonNode body) {
+        return body.path("apply").size() > maxOperations
+                || body.path("if").size() > COMPARISONS_PER_OPERATION * maxOperations
+                || body.toString().length() > MessageCodec.MAX_BODY;
+    }
+
+    private static void refuse(String error, Environment.ResponseHandler reply) {
+        reply.onResponse(400, MessageCodec.map().put("error", error));
+    }
+
+    private ArrayNode failedComparisons(JsonNode comparisons) {
+        ArrayNode failed = MessageCodec.list();
+        for (JsonNode comparison : comparisons) {
+            Entry entry = entries.get(comparison.path("path").asText());
+            long actual = entry == null ? 0 : entry.revision;
+            if (actual != comparison.path("entry_rev").asLong()) {
+                failed.add(comparison.path("path"));
+            }
+        }
+        return failed;
+    }
+
+    /** What is wrong with the first invalid operation; null: all are valid. */
+    private String firstError(JsonNode operations) {
+        for (JsonNode operation : operations) {
+            if (operation.has("put") && operation.path("v").toString().length() > maxValueBytes) {
+                return "value too large";
             }
+            long lease = operation.path("mooring").asLong();
             if (lease != 0 && !leases.containsKey(lease)) {
-                reply.onResponse(400, MessageCodec.map().put("error", "no such lease"));
-                return;
+                return "no such lease";
             }
         }
-        written += apply.size();
-        if (!apply.isEmpty()) {
+        return null;
+    }
+
+    private void apply(JsonNode operations) {
+        writtenKeys += operations.size();
+        if (!operations.isEmpty()) {
             revision++;
         }
-        for (JsonNode op : apply) {
-            if (op.has("put")) {
-                items.put(
-                        op.path("put").asText(),
-                        new Item(
-                                op.path("v").deepCopy(),
-                                revision,
-                                op.path("mooring").asLong()));
-                writtenKeys.add(new Change(op.path("put").asText(), op.path("v"), revision));
-            } else if (items.remove(op.path("delete").asText()) != null) {
-                writtenKeys.add(new Change(op.path("delete").asText(), null, revision));
+        for (JsonNode operation : operations) {
+            if (operation.has("put")) {
+                put(operation);
+            } else {
+                String key = operation.path("delete").asText();
+                if (entries.remove(key) != null) {
+                    changes.add(new Change(key, null, revision));
+                }
             }
         }
-        reply.onResponse(200, MessageCodec.map().put("ledger_rev", revision));
-        wake();
     }
 
-    private void wake() {
-        for (Watch w : List.copyOf(watches)) {
-            ObjectNode seen = changesSince(w.prefix, w.from);
-            if (!seen.path("events").isEmpty()) {
-                watches.remove(w);
-                w.reply.onResponse(200, seen);
-            }
-        }
-        while (writtenKeys.size() > 10_000) {
-            writtenKeys.remove(0);
-        }
+    private void put(JsonNode operation) {
+        String key = operation.path("put").asText();
+        JsonNode value = operation.path("v");
+        entries.put(
+                key,
+                new Entry(value.deepCopy(), revision, operation.path("mooring").asLong()));
+        changes.add(new Change(key, value, revision));
     }
 }
--- a/src/main/java/stileferry/standin/LinkFaults.java
+++ b/src/main/java/stileferry/standin/LinkFaults.java
@@ -1,11 +1,11 @@
 package stileferry.standin;
 
-/** Breaks links between the stand-ins and the controllers, each direction apart, to try out what that does. */
+/** Injects faults into the links between the stand-ins and the controllers, each direction by itself. */
 public interface LinkFaults {
-    /** No link is broken. */
+    /** No link has a fault. */
     LinkFaults NONE = (from, to) -> Effect.NONE;
 
-    /** Names the state service. */
+    /** Names the key-value store. */
     String KEY_VALUE_STORE = "state";
 
     /** Names the cloud. */
@@ -16,16 +16,16 @@
         /** It is carried out and answered. */
         NONE,
 
-        /** It is turned down at once. */
+        /** It is refused at once. */
         REFUSED,
 
-        /** It vanishes. */
+        /** It is lost on its way. */
         REQUEST_LOST,
 
-        /** It is carried out, and its answer vanishes. */
+        /** It is carried out, and its answer is lost. */
         ANSWER_LOST,
 
-        /** It comes late. */
+        /** It is carried out and answered, but late. */
         SLOW
     }
 
--- a/src/main/java/stileferry/standin/QueryString.java
+++ b/src/main/java/stileferry/standin/QueryString.java
@@ -3,27 +3,28 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The part of a path behind the question mark. */
-record QueryString(Map<String, String> values) {
+/** The parameters of a path's query string; values are taken as they are, without decoding. */
+record QueryString(Map<String, String> parameters) {
     static QueryString of(String path) {
-        Map<String, String> values = new HashMap<>();
-        int mark = path.indexOf('?');
-        if (mark >= 0) {
-            for (String pair : path.substring(mark + 1).split("&")) {
-                int equals = pair.indexOf('=');
+        Map<String, String> parameters = new HashMap<>();
+        int start = path.indexOf('?');
+        if (start >= 0) {
+            for (String parameter : path.substring(start + 1).split("&")) {
+                int equals = parameter.indexOf('=');
                 if (equals > 0) {
-                    values.put(pair.substring(0, equals), pair.substring(equals + 1));
+                    parameters.put(parameter.substring(0, equals), parameter.substring(equals + 1));
                 }
             }
         }
-        return new QueryString(values);
+        return new QueryString(parameters);
     }
 
+    /** A parameter's value; empty when it is missing. */
     String text(String name) {
-        return values.getOrDefault(name, "");
+        return parameters.getOrDefault(name, "");
     }
 
     long number(String name, long missing) {
-        return values.containsKey(name) ? Long.parseLong(values.get(name)) : missing;
+        return parameters.containsKey(name) ? Long.parseLong(parameters.get(name)) : missing;
     }
 }
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -1,18 +1,22 @@
 package stileferry.standin;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import stileferry.protocol.ExitReason;
+import stileferry.protocol.Heartbeat.TaskPhase;
 import stileferry.protocol.JobSpec;
-import stileferry.protocol.MessageCodec;
+import stileferry.protocol.WorkerCommand;
 
 /** A stand-in for the worker on one machine, after the published protocol. Time comes from outside. */
 public final class Worker {
-    private static final long FETCH_MS = 800;
+    private static final long IMAGE_PULL_MS = 800;
+
+    /** Sums of amounts may be off by this much. */
+    private static final double ROUNDING = 1e-6;
 
     private final String machine;
     private final String address;
@@ -20,24 +24,24 @@
     private final String zone;
     private final boolean spot;
     private final long leaseMs;
-    private final Function<String, JobSpec> directory;
+    private final Function<String, JobSpec> specs;
     private final Watcher watcher;
     private final GangSimulation gangs;
-    private final Map<String, Task> tasks = new LinkedHashMap<>();
+    private final Map<String, WorkerTask> tasksByAttempt = new LinkedHashMap<>();
     private long incarnation = 1;
-    private long seq;
-    private long token;
-    private long leaseFrom;
+    private long sequence;
+    private long fencingToken;
+    private long leaseRenewedAt;
     private long now;
-    private double cpusFree;
-    private double memoryFree;
-    private boolean setFaulty;
-    private boolean immortal;
+    private double freeCpus;
+    private double freeMemoryGb;
+    private boolean faulty;
+    private boolean ignoresLease;
     private long hangsUntil;
-    private double noticeS = -1;
+    private double reclaimNoticeS = -1;
     private boolean changed;
 
-    /** Told what really happens on the machine. */
+    /** Learns what really happens on the machine. */
     public interface Watcher {
         /** Watches nothing. */
         Watcher NOBODY = new Watcher() {
@@ -55,33 +59,14 @@
         void ended(String task, Worker worker);
     }
 
-    /** One start of a task on this machine. */
-    static final class Task {
-        final Worker worker;
-        final String name;
-        final long attempt;
-        final JobSpec spec;
-        String state = "pulling";
-        String why = "";
-        boolean kept;
-        long until;
-
-        Task(Worker worker, String name, long attempt, JobSpec spec) {
-            this.worker = worker;
-            this.name = name;
-            this.attempt = attempt;
-            this.spec = spec;
-        }
-
-        boolean there() {
-            return state.equals("running") || state.equals("saving") || state.equals("waiting");
-        }
-    }
-
-    /** A worker that begins now. */
+    /**
+     * A worker that begins now.
+     *
+     * @param specs finds the spec of a job by its id; null: unknown
+     */
     public Worker(
             String machine,
-            String addr,
+            String address,
             String type,
             String zone,
             boolean spot,
@@ -89,22 +74,22 @@
             double memoryGb,
             long leaseMs,
             long now,
-            Function<String, JobSpec> directory,
+            Function<String, JobSpec> specs,
             Watcher watcher,
             GangSimulation gangs) {
-        this.gangs = gangs;
         this.machine = machine;
-        this.address = addr;
+        this.address = address;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
-        this.cpusFree = cpus;
-        this.memoryFree = memoryGb;
+        this.freeCpus = cpus;
+        this.freeMemoryGb = memoryGb;
         this.leaseMs = leaseMs;
-        this.leaseFrom = now;
+        this.leaseRenewedAt = now;
         this.now = now;
-        this.directory = directory;
+        this.specs = specs;
         this.watcher = watcher;
+        this.gangs = gangs;
     }
 
     public String machine() {
@@ -127,226 +112,222 @@
         return spot;
     }
 
+    /** The incarnation in which the next heartbeat is sent. */
+    public long incarnation() {
+        return incarnation;
+    }
+
     /** From now on every task that starts fails, or no longer does. */
     public void setFaulty(boolean value) {
-        setFaulty = value;
+        faulty = value;
     }
 
     /** For tests of the tests: the worker no longer minds its lease, as a broken one might. */
     public void ignoreLease() {
-        immortal = true;
+        ignoresLease = true;
     }
 
-    /** The machine hangs until then: its tasks stay as they are, unless its lease ends. */
-    public void hangUntil(long until) {
-        hangsUntil = until;
+    /** The machine hangs until then: its tasks stay as they are, unless its lease expires. */
+    public void hangUntil(long time) {
+        hangsUntil = time;
     }
 
-    /** The cloud will take the machine. */
+    /** The cloud will reclaim the machine. */
     public void reclaimNotice(double seconds) {
-        noticeS = seconds;
+        reclaimNoticeS = seconds;
         changed = true;
     }
 
-    /** True once after something changed that is worth a report. */
+    /** True once after something changed that is worth a heartbeat. */
     public boolean pollChanged() {
-        boolean was = changed;
+        boolean wasChanged = changed;
         changed = false;
-        return was;
+        return wasChanged;
     }
 
     /** The machine is gone with all that was on it. */
     public void destroy() {
-        forgetAll();
+        removeAllTasks();
     }
 
-    private void forgetAll() {
-        for (Task task : List.copyOf(tasks.values())) {
-            exit(task, "halted");
+    private void removeAllTasks() {
+        for (WorkerTask task : List.copyOf(tasksByAttempt.values())) {
+            exit(task, ExitReason.STOPPED);
         }
-        tasks.clear();
+        tasksByAttempt.clear();
     }
 
-    /** Lets time pass: the lease may end, images arrive, tasks complete. */
+    /** Lets time pass: the lease may expire, images arrive, tasks complete. */
     public void tick(long time) {
         now = time;
-        if (now - leaseFrom > leaseMs && !immortal) {
-            forgetAll();
+        if (now - leaseRenewedAt > leaseMs && !ignoresLease) {
+            removeAllTasks();
             incarnation++;
-            leaseFrom = now;
+            leaseRenewedAt = now;
             changed = true;
         }
-        for (Task task : List.copyOf(tasks.values())) {
-            boolean inGang = task.spec != null && task.spec.gang() && task.there();
-            if (task.state.equals("exited") || now < task.until && !inGang || now < hangsUntil) {
-                continue;
+        for (WorkerTask task : List.copyOf(tasksByAttempt.values())) {
+            if (!task.exited() && now >= hangsUntil) {
+                tick(task);
             }
-            if (inGang) {
-                String why = gangs.tick(task, now);
-                if (why != null) {
-                    exit(task, why);
-                }
-            } else if (task.state.equals("pulling")) {
-                task.state = "running";
-                task.until = task.spec.service() ? Long.MAX_VALUE : now + Math.round(task.spec.estimateS() * 1000);
-                if (task.spec.gang()) {
-                    gangs.ready(task, now);
-                }
-                watcher.started(task.name, this);
-                changed = true;
-                if (setFaulty) {
-                    exit(task, "error");
-                }
-            } else {
-                exit(task, task.state.equals("saving") ? "halted" : "done");
+        }
+    }
+
+    private void tick(WorkerTask task) {
+        if (task.spec().gang() && task.started()) {
+            ExitReason reason = gangs.tick(task, now);
+            if (reason != null) {
+                exit(task, reason);
             }
+        } else if (now >= task.phaseEndsAt()) {
+            endPhase(task);
         }
     }
 
-    void changed() {
-        changed = true;
+    private void endPhase(WorkerTask task) {
+        switch (task.phase()) {
+            case PULLING_IMAGE -> start(task);
+            case SAVING_CHECKPOINT -> exit(task, ExitReason.STOPPED);
+            default -> exit(task, ExitReason.COMPLETED);
+        }
     }
 
-    void exit(Task task, String why) {
-        if (task.state.equals("exited")) {
-            return;
+    private void start(WorkerTask task) {
+        JobSpec spec = task.spec();
+        if (spec.gang()) {
+            gangs.imagePulled(task, now);
+        } else {
+            long endsAt = spec.service() ? Long.MAX_VALUE : now + Math.round(spec.estimateS() * 1000);
+            task.enter(TaskPhase.RUNNING, endsAt);
         }
-        boolean there = task.there();
-        task.state = "exited";
-        task.why = why;
-        cpusFree += task.spec.cpus();
-        memoryFree += task.spec.memoryGb();
+        watcher.started(task.taskId(), this);
         changed = true;
-        if (there) {
-            if (task.spec.gang()) {
-                gangs.gone(task, why, now);
-            }
-            watcher.ended(task.name, this);
+        if (faulty) {
+            exit(task, ExitReason.FAILED);
         }
     }
 
-    /** The worker's report, as it stands. */
-    public ObjectNode heartbeat() {
-        ObjectNode n = MessageCodec.map()
-                .put("vessel", machine)
-                .put("addr", address)
-                .put("hull", type)
-                .put("harbor", zone)
-                .put("tender", spot)
-                .put("voyage", incarnation)
-                .put("log_seq", ++seq)
-                .put("helm", token);
-        if (noticeS >= 0) {
-            n.put("recall_s", noticeS);
-        } else {
-            n.putNull("recall_s");
+    /** Something changed that is worth a heartbeat. */
+    void markChanged() {
+        changed = true;
+    }
+
+    /** Ends a task; it stays in the heartbeats until it is cleared. */
+    void exit(WorkerTask task, ExitReason reason) {
+        if (task.exited()) {
+            return;
         }
-        ArrayNode list = n.putArray("passengers");
-        for (Task task : tasks.values()) {
-            ObjectNode o = list.addObject()
-                    .put("passenger", task.name)
-                    .put("launch", task.attempt)
-                    .put("tide", task.state);
-            if (task.state.equals("exited")) {
-                o.put("landing_cause", task.why);
-                if (task.kept) {
-                    o.put("kept", true);
-                }
+        boolean started = task.started();
+        task.exit(reason);
+        freeCpus += task.spec().cpus();
+        freeMemoryGb += task.spec().memoryGb();
+        changed = true;
+        if (started) {
+            if (task.spec().gang()) {
+                gangs.memberExited(task, now);
             }
+            watcher.ended(task.taskId(), this);
         }
-        return n;
     }
 
-    /** The session in which the next report is sent. */
-    public long incarnation() {
-        return incarnation;
+    /** The worker's next heartbeat. */
+    public ObjectNode heartbeat() {
+        return WorkerWireFormat.heartbeat(this, ++sequence, fencingToken, reclaimNoticeS, tasksByAttempt.values());
     }
 
-    /** Takes the 200 answer to a report that was sent in this session at this time. */
-    public void heartbeatAnswered(JsonNode body, long sentSession, long sentAt) {
+    /** Takes the 200 answer to a heartbeat that was sent in this incarnation at this time. */
+    public void heartbeatAnswered(JsonNode body, long sentIncarnation, long sentAt) {
         if (body == null
-                || !body.path("helm").isIntegralNumber()
-                || sentSession != incarnation
-                || body.path("helm").asLong() < token) {
+                || !WorkerWireFormat.hasFencingToken(body)
+                || sentIncarnation != incarnation
+                || WorkerWireFormat.fencingToken(body) < fencingToken) {
             return;
         }
-        accept(body.path("helm").asLong());
-        leaseFrom = Math.max(leaseFrom, sentAt);
-        execute(body.path("signals"));
+        accept(WorkerWireFormat.fencingToken(body));
+        leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
+        WorkerWireFormat.commands(body).forEach(this::execute);
     }
 
-    private void accept(long seen) {
-        changed |= seen > token;
-        token = seen;
+    private void accept(long token) {
+        changed |= token > fencingToken;
+        fencingToken = token;
     }
 
-    /** Carries direct commands out; the status of the answer, whose body is the report. */
+    /** Carries direct commands out; the status of the answer, whose body is a heartbeat unless it is 400. */
     public int receiveCommands(JsonNode body) {
-        if (!body.path("helm").isIntegralNumber() || !body.path("voyage").isIntegralNumber()) {
+        if (!WorkerWireFormat.hasFencingToken(body) || !WorkerWireFormat.hasIncarnation(body)) {
             return 400;
         }
-        if (body.path("helm").asLong() < token || body.path("voyage").asLong() != incarnation) {
+        if (WorkerWireFormat.fencingToken(body) < fencingToken || WorkerWireFormat.incarnation(body) != incarnation) {
             return 409;
         }
-        accept(body.path("helm").asLong());
-        execute(body.path("signals"));
+        accept(WorkerWireFormat.fencingToken(body));
+        WorkerWireFormat.commands(body).forEach(this::execute);
         return 200;
     }
 
-    private void execute(JsonNode signals) {
-        for (JsonNode s : signals) {
-            String name = s.path("passenger").asText();
-            long attempt = s.path("launch").asLong();
-            String key = name + "#" + attempt;
-            Task task = tasks.get(key);
-            switch (s.path("signal").asText()) {
-                case "run" -> {
-                    if (task == null) {
-                        run(name, attempt, key);
-                    }
+    private void execute(WorkerCommand command) {
+        WorkerTask task = tasksByAttempt.get(command.attemptId());
+        switch (command.kind()) {
+            case RUN -> {
+                if (task == null) {
+                    run(command);
                 }
-                case "kill" -> {
-                    if (task != null && !task.state.equals("exited")) {
-                        kill(task, s.path("ashore_s").asDouble());
-                    }
+            }
+            case KILL -> {
+                if (task != null && !task.exited()) {
+                    kill(task, command.graceS());
                 }
-                case "clear" -> {
-                    if (task != null && task.state.equals("exited")) {
-                        tasks.remove(key);
-                    }
+            }
+            case CLEAR -> {
+                if (task != null && task.exited()) {
+                    tasksByAttempt.remove(command.attemptId());
                 }
-                default -> {}
             }
         }
     }
 
-    private void kill(Task task, double graceS) {
-        boolean saves = task.state.equals("running")
-                && task.spec.checkpointIntervalS() > 0
-                && graceS >= task.spec.checkpointSaveS()
-                && (!task.spec.gang() || gangs.save(task, now));
+    private void kill(WorkerTask task, double graceS) {
+        JobSpec spec = task.spec();
+        boolean saves = task.phase() == TaskPhase.RUNNING
+                && spec.checkpointIntervalS() > 0
+                && graceS >= spec.checkpointSaveS()
+                && (!spec.gang() || gangs.beginSave(task, now));
         if (saves) {
-            task.state = "saving";
-            task.until = now + Math.round(task.spec.checkpointSaveS() * 1000);
-        } else if (!task.state.equals("saving") || graceS == 0) {
-            exit(task, "halted");
+            task.enter(TaskPhase.SAVING_CHECKPOINT, now + Math.round(spec.checkpointSaveS() * 1000));
+        } else if (task.phase() != TaskPhase.SAVING_CHECKPOINT || graceS == 0) {
+            exit(task, ExitReason.STOPPED);
         }
     }
 
-    private void run(String name, long attempt, String key) {
-        JobSpec spec = directory.apply(name.substring(0, name.indexOf('/')));
+    private void run(WorkerCommand command) {
+        String jobId = command.taskId().substring(0, command.taskId().indexOf('/'));
+        JobSpec spec = specs.apply(jobId);
         changed = true;
-        Task task = new Task(this, name, attempt, spec);
-        tasks.put(key, task);
-        boolean busy =
-                tasks.values().stream().anyMatch(o -> o != task && o.name.equals(name) && !o.state.equals("exited"));
-        if (spec == null || busy || spec.cpus() > cpusFree + 1e-6 || spec.memoryGb() > memoryFree + 1e-6) {
-            task.state = "exited";
-            task.why = spec == null ? "unknown" : busy ? "busy" : "full";
+        WorkerTask task = new WorkerTask(this, command.taskId(), command.attempt(), spec);
+        ExitReason refusal = refusal(task);
+        tasksByAttempt.put(command.attemptId(), task);
+        if (refusal != null) {
+            task.exit(refusal);
             return;
         }
-        cpusFree -= spec.cpus();
-        memoryFree -= spec.memoryGb();
-        task.until = now + FETCH_MS;
+        freeCpus -= spec.cpus();
+        freeMemoryGb -= spec.memoryGb();
+        task.setPhaseEndsAt(now + IMAGE_PULL_MS);
+    }
+
+    /** Why a task can't start here; null: it can. */
+    private ExitReason refusal(WorkerTask task) {
+        JobSpec spec = task.spec();
+        if (spec == null) {
+            return ExitReason.UNKNOWN_JOB;
+        }
+        boolean otherAttempt = tasksByAttempt.values().stream()
+                .anyMatch(other -> other.taskId().equals(task.taskId()) && !other.exited());
+        if (otherAttempt) {
+            return ExitReason.CONFLICTING_ATTEMPT;
+        }
+        boolean fits = spec.cpus() <= freeCpus + ROUNDING && spec.memoryGb() <= freeMemoryGb + ROUNDING;
+        return fits ? null : ExitReason.INSUFFICIENT_RESOURCES;
     }
 }
