--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -104,7 +104,7 @@
             if (machine.instance().listed()
                     && !names.contains(machine.name())
                     && machine.instance().missingSince() == 0) {
-                machine.instance().setMissingSince(now);
+                machine.instance().markMissing(now);
             }
         }
         if (!listedOnce) {
@@ -115,8 +115,7 @@
 
     private void update(CloudMessages.ListedMachine listed, long now) {
         Machine machine = cluster.machine(listed.name());
-        machine.instance().setListed(true);
-        machine.instance().setMissingSince(0);
+        machine.instance().markListed();
         if (machine.type() == null || machine.address().isEmpty()) {
             machine.setAddress(machine.address().isEmpty() ? listed.address() : machine.address());
             machine.setTypeName(listed.type());
@@ -132,7 +131,7 @@
         }
         if (listed.state().equals("failed") && !machine.instance().terminating()) {
             LOG.info("machine {} has failed", machine.name());
-            machine.instance().setTerminating(true);
+            machine.instance().terminate();
             cluster.freeCapacity().update(machine);
         }
     }
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -94,7 +94,7 @@
                         machine.name(),
                         machine.assignments().size(),
                         why);
-                machine.instance().setTerminating(true);
+                machine.instance().terminate();
                 cluster.freeCapacity().update(machine);
             }
         }
--- a/src/main/java/stileferry/cluster/AgentState.java
+++ b/src/main/java/stileferry/cluster/AgentState.java
@@ -6,67 +6,39 @@
 import java.util.Set;
 import stileferry.protocol.Heartbeat;
 
-/** What the leader knows, in one term, of the agent on a machine: its heartbeats, its lease and what it was sent. */
+/**
+ * What the leader knows, in one term, of the agent on a machine: its heartbeats, its lease and what it was sent. An
+ * agent's status comes in heartbeats and in the answers to commands; both are numbered in one sequence per incarnation.
+ * Times are milliseconds on the controller's steady clock.
+ */
 public final class AgentState {
-    /** Heard from in this term. */
     private boolean heardThisTerm;
-
+    private long lastHeardAt;
     private long incarnation;
-
-    /** When this session was first seen, which must have begun by then. */
     private long incarnationSeenAt;
-
     private long sequence;
-
     private long fencingToken;
+    private Heartbeat lastHeartbeat;
+    private boolean reconciled;
+    private boolean hasOrphanTasks;
 
-    private long lastHeardAt;
-
-    /** The newest report, without the answers to commands: what is not newer than that is a copy. */
     private long heartbeatIncarnation;
-
     private long heartbeatSequence;
 
-    /** The starts in the last answer to a report. */
-    private Set<String> startsInLastResponse = Set.of();
-
-    /** Since when nothing proves that this machine hears us; 0: it does, as far as we know. */
-    private long unreachableSince;
-
-    /** When a report of this machine was last answered in this term; 0: never. */
     private long lastAnsweredAt;
-
-    /** Its silence as it is noted in the state service; null: not noted. */
-    private LastHeartbeatRecord lastHeartbeatRecord;
-
-    /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
     private long answeredByPreviousLeaderAt = -1;
-
-    /** The session of which that is known. */
     private long answeredByPreviousLeaderIncarnation;
-
-    /** The highest session that is proven to be over, or will be as soon as the machine is heard again. */
+    private LastHeartbeatRecord lastHeartbeatRecord;
     private long expiredIncarnation;
+    private long unreachableSince;
 
-    /** The newest that was heard from it, in a report or in an answer; null: nothing. */
-    private Heartbeat lastHeartbeat;
-
-    /**
-     * The last report told of every claim, all of them as they should be, and of nothing else. As long as reports tell
-     * the same there is nothing to take in and nothing to say.
-     */
-    private boolean reconciled;
-
-    /** Reported tasks that no claim stands for: they are killed, and nothing starts here before they are gone. */
-    private boolean hasOrphanTasks;
-
-    /** Starts whose outcome is not durable yet, so that they may not be cleared. */
+    private Set<String> startsInLastResponse = Set.of();
     private final Set<String> outcomesNotDurable = new HashSet<>();
-
-    /** Direct start commands without an answer: such a command may be carried out at any time. */
     private final Map<String, Integer> unansweredStarts = new HashMap<>();
 
-    /** Heard from in this term. */
+    // ---- status
+
+    /** Whether it was heard from in this term. */
     public boolean heardThisTerm() {
         return heardThisTerm;
     }
@@ -75,163 +47,195 @@
         this.heardThisTerm = heardThisTerm;
     }
 
-    public long incarnation() {
-        return incarnation;
+    /** When it was last heard from; 0: not in this term. */
+    public long lastHeardAt() {
+        return lastHeardAt;
     }
 
-    public void setIncarnation(long incarnation) {
-        this.incarnation = incarnation;
+    public void markHeard(long now) {
+        lastHeardAt = now;
+    }
+
+    /** The incarnation of the newest status; 0: none was heard. */
+    public long incarnation() {
+        return incarnation;
     }
 
-    /** When this session was first seen, which must have begun by then. */
+    /** When this incarnation was first seen, so that its lease began by then. */
     public long incarnationSeenAt() {
         return incarnationSeenAt;
     }
 
-    public void setIncarnationSeenAt(long incarnationSeenAt) {
-        this.incarnationSeenAt = incarnationSeenAt;
+    /** A new incarnation was seen: what was sent to an older one can't be carried out any more. */
+    public void beginIncarnation(long now) {
+        incarnationSeenAt = now;
+        unansweredStarts.clear();
+        outcomesNotDurable.clear();
     }
 
+    /** The number of the newest status in its incarnation. */
     public long sequence() {
         return sequence;
     }
 
-    public void setSequence(long sequence) {
-        this.sequence = sequence;
-    }
-
+    /** The fencing token of the newest status: the highest term that the agent has acknowledged. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    public void setFencingToken(long fencingToken) {
-        this.fencingToken = fencingToken;
+    /** Takes in the newest status, but for its tasks, which follow with {@link #setLastHeartbeat}. */
+    public void recordStatus(Heartbeat status, long now) {
+        heardThisTerm = true;
+        lastHeardAt = now;
+        incarnation = status.incarnation();
+        sequence = status.sequence();
+        fencingToken = status.fencingToken();
     }
 
-    public long lastHeardAt() {
-        return lastHeardAt;
+    /** Takes in a heartbeat that differs from the newest status by its number only, and is answered at once. */
+    public void recordUnchanged(Heartbeat heartbeat, long now) {
+        sequence = heartbeat.sequence();
+        lastHeartbeat = heartbeat;
+        lastHeardAt = now;
+        lastAnsweredAt = now;
+        startsInLastResponse = Set.of();
     }
 
-    public void setLastHeardAt(long lastHeardAt) {
-        this.lastHeardAt = lastHeardAt;
+    /** The newest status, from a heartbeat or from the answer to a command; null: none was heard. */
+    public Heartbeat lastHeartbeat() {
+        return lastHeartbeat;
     }
 
-    /** The newest report, without the answers to commands: what is not newer than that is a copy. */
-    public long heartbeatIncarnation() {
-        return heartbeatIncarnation;
+    public void setLastHeartbeat(Heartbeat lastHeartbeat) {
+        this.lastHeartbeat = lastHeartbeat;
     }
 
-    public void setHeartbeatIncarnation(long heartbeatIncarnation) {
-        this.heartbeatIncarnation = heartbeatIncarnation;
+    /**
+     * Whether the newest status named every assignment of the machine, each in the state that is wanted, and no other
+     * task. As long as heartbeats say the same there is nothing to take in and nothing to send.
+     */
+    public boolean reconciled() {
+        return reconciled;
     }
 
-    public long heartbeatSequence() {
-        return heartbeatSequence;
+    public void setReconciled(boolean reconciled) {
+        this.reconciled = reconciled;
     }
 
-    public void setHeartbeatSequence(long heartbeatSequence) {
-        this.heartbeatSequence = heartbeatSequence;
+    /** Whether it reports tasks without an assignment: they are killed, and nothing starts before they are gone. */
+    public boolean hasOrphanTasks() {
+        return hasOrphanTasks;
     }
 
-    /** The starts in the last answer to a report. */
-    public Set<String> startsInLastResponse() {
-        return startsInLastResponse;
+    public void setHasOrphanTasks(boolean hasOrphanTasks) {
+        this.hasOrphanTasks = hasOrphanTasks;
     }
 
-    public void setStartsInLastResponse(Set<String> startsInLastResponse) {
-        this.startsInLastResponse = startsInLastResponse;
+    // ---- heartbeats
+
+    /** Notes the number of the newest heartbeat. */
+    public void recordHeartbeatNumber(Heartbeat heartbeat) {
+        heartbeatIncarnation = heartbeat.incarnation();
+        heartbeatSequence = heartbeat.sequence();
     }
 
-    /** Since when nothing proves that this machine hears us; 0: it does, as far as we know. */
-    public long unreachableSince() {
-        return unreachableSince;
+    /** The incarnation of the newest heartbeat, not counting answers to commands: what is not newer is a late copy. */
+    public long heartbeatIncarnation() {
+        return heartbeatIncarnation;
     }
 
-    public void setUnreachableSince(long unreachableSince) {
-        this.unreachableSince = unreachableSince;
+    /** The sequence number of the newest heartbeat, not counting answers to commands. */
+    public long heartbeatSequence() {
+        return heartbeatSequence;
     }
 
-    /** When a report of this machine was last answered in this term; 0: never. */
+    // ---- its lease
+
+    /** When a heartbeat of it was last answered in this term; 0: never. */
     public long lastAnsweredAt() {
         return lastAnsweredAt;
     }
 
-    public void setLastAnsweredAt(long lastAnsweredAt) {
-        this.lastAnsweredAt = lastAnsweredAt;
+    public void markAnswered(long now) {
+        lastAnsweredAt = now;
     }
 
-    /** Its silence as it is noted in the state service; null: not noted. */
-    public LastHeartbeatRecord lastHeartbeatRecord() {
-        return lastHeartbeatRecord;
+    /** When a heartbeat was last answered before this leader began, if the previous leader noted it; -1: unknown. */
+    public long answeredByPreviousLeaderAt() {
+        return answeredByPreviousLeaderAt;
     }
 
-    public void setLastHeartbeatRecord(LastHeartbeatRecord lastHeartbeatRecord) {
-        this.lastHeartbeatRecord = lastHeartbeatRecord;
+    /** The incarnation whose heartbeat the previous leader answered then. */
+    public long answeredByPreviousLeaderIncarnation() {
+        return answeredByPreviousLeaderIncarnation;
     }
 
-    /** When a report of it was last answered before this leader began, if the former leader noted it; -1: unknown. */
-    public long answeredByPreviousLeaderAt() {
-        return answeredByPreviousLeaderAt;
+    /** The previous leader noted that it last answered this incarnation then. */
+    public void recordAnsweredByPreviousLeader(long answeredIncarnation, long answeredAt) {
+        answeredByPreviousLeaderIncarnation = answeredIncarnation;
+        answeredByPreviousLeaderAt = answeredAt;
     }
 
-    public void setAnsweredByPreviousLeaderAt(long answeredByPreviousLeaderAt) {
-        this.answeredByPreviousLeaderAt = answeredByPreviousLeaderAt;
+    /** The note in the store of when its last heartbeat was answered; null: there is none. */
+    public LastHeartbeatRecord lastHeartbeatRecord() {
+        return lastHeartbeatRecord;
     }
 
-    /** The session of which that is known. */
-    public long answeredByPreviousLeaderIncarnation() {
-        return answeredByPreviousLeaderIncarnation;
+    public void keepLastHeartbeatRecord(LastHeartbeatRecord noted) {
+        lastHeartbeatRecord = noted;
     }
 
-    public void setAnsweredByPreviousLeaderIncarnation(long answeredByPreviousLeaderIncarnation) {
-        this.answeredByPreviousLeaderIncarnation = answeredByPreviousLeaderIncarnation;
+    /** The note in the store, if there is one, is not needed any more. */
+    public void discardLastHeartbeatRecord() {
+        if (lastHeartbeatRecord != null) {
+            lastHeartbeatRecord.markObsolete();
+            lastHeartbeatRecord = null;
+        }
     }
 
-    /** The highest session that is proven to be over, or will be as soon as the machine is heard again. */
+    /** The highest incarnation whose lease is proven to have expired, or will have once the agent is heard again. */
     public long expiredIncarnation() {
         return expiredIncarnation;
     }
 
-    public void expireIncarnation(long expiredIncarnation) {
-        this.expiredIncarnation = expiredIncarnation;
+    public void expireIncarnation(long expired) {
+        expiredIncarnation = expired;
     }
 
-    /** The newest that was heard from it, in a report or in an answer; null: nothing. */
-    public Heartbeat lastHeartbeat() {
-        return lastHeartbeat;
-    }
+    // ---- what it was sent
 
-    public void setLastHeartbeat(Heartbeat lastHeartbeat) {
-        this.lastHeartbeat = lastHeartbeat;
+    /** Since when nothing proves that the agent hears this leader; 0: it does, as far as is known. */
+    public long unreachableSince() {
+        return unreachableSince;
     }
 
-    /**
-     * The last report told of every claim, all of them as they should be, and of nothing else. As long as reports tell
-     * the same there is nothing to take in and nothing to say.
-     */
-    public boolean reconciled() {
-        return reconciled;
+    public void markUnreachable(long now) {
+        unreachableSince = now;
     }
 
-    public void setReconciled(boolean reconciled) {
-        this.reconciled = reconciled;
+    /** It has shown that it hears this leader. */
+    public void markReachable() {
+        unreachableSince = 0;
     }
 
-    /** Reported tasks that no claim stands for: they are killed, and nothing starts here before they are gone. */
-    public boolean hasOrphanTasks() {
-        return hasOrphanTasks;
+    /** The attempts whose start was commanded in the last answer to a heartbeat. */
+    public Set<String> startsInLastResponse() {
+        return startsInLastResponse;
     }
 
-    public void setHasOrphanTasks(boolean hasOrphanTasks) {
-        this.hasOrphanTasks = hasOrphanTasks;
+    public void setStartsInLastResponse(Set<String> attemptIds) {
+        startsInLastResponse = attemptIds;
     }
 
-    /** Starts whose outcome is not durable yet, so that they may not be cleared. */
+    /** The attempts whose outcome is not durable yet, so that they may not be cleared. */
     public Set<String> outcomesNotDurable() {
         return outcomesNotDurable;
     }
 
-    /** Direct start commands without an answer: such a command may be carried out at any time. */
+    /**
+     * The attempts whose start was commanded directly and not answered, with the number of such commands, any of which
+     * may be carried out at any time.
+     */
     public Map<String, Integer> unansweredStarts() {
         return unansweredStarts;
     }
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -15,13 +15,16 @@
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.Settings;
 
-/** What the leader knows in one term: the jobs that are not over, the machines, and the teams' use. */
+/** What the leader knows in one term: the jobs that are not completed, the machines, and what teams use. */
 public final class ClusterState {
-    private static final double EPSILON = 1e-6;
-    private static final int LEAST_DELETED_REMEMBERED = 4096;
+    /** Sums of CPUs and GPUs may be off by this much. */
+    private static final double ROUNDING = 1e-6;
 
-    /** Deleted machines that are remembered for each that is there: lists and reports of them come late. */
-    private static final int DELETED_REMEMBERED_EACH = 4;
+    /** Deleted machines that are remembered whatever the size: lists and heartbeats of them come late. */
+    private static final int MIN_DELETED_REMEMBERED = 4096;
+
+    /** Deleted machines that are remembered for each machine there is. */
+    private static final int DELETED_REMEMBERED_PER_MACHINE = 4;
 
     private final Settings settings;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -29,27 +32,23 @@
     private final FreeCapacityIndex freeCapacity = new FreeCapacityIndex();
     private final CapacityReservations reservations = new CapacityReservations();
 
-    /** Accepted jobs whose records can't be read. */
     private final Set<String> unreadableJobs = new HashSet<>();
 
-    /** Claims whose tasks were told to stop. */
     private final Set<TaskAssignment> stoppingTasks = new LinkedHashSet<>();
 
     private List<MachineType> machineTypes = List.of();
 
-    /** The operators' settings in force. */
     private OperatorSettings operatorSettings = OperatorSettings.defaults();
 
-    /** Machines whose deletion was confirmed: late lists and late reports still name them, but they are gone. */
     private final Set<String> deletedMachines = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > Math.max(LEAST_DELETED_REMEMBERED, DELETED_REMEMBERED_EACH * machines.size());
+            return size() > Math.max(MIN_DELETED_REMEMBERED, DELETED_REMEMBERED_PER_MACHINE * machines.size());
         }
     });
 
     private final LinkHealth links;
-    private final Map<String, double[]> usageByTeam = new HashMap<>();
+    private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private final int[] assignmentsByPriority = new int[JobSpec.Priority.values().length];
 
     public ClusterState(Settings settings) {
@@ -60,10 +59,11 @@
         this.settings = settings;
         this.links = links;
         for (Settings.Team team : settings.teams()) {
-            usageByTeam.put(team.name(), new double[3]);
+            usageByTeam.put(team.name(), new TeamUsage());
         }
     }
 
+    /** The machine type of this name; null: the cloud does not offer it. */
     public MachineType machineType(String name) {
         for (MachineType type : machineTypes) {
             if (type.name().equals(name)) {
@@ -73,78 +73,67 @@
         return null;
     }
 
+    /** The machine of this name, which is added if it is not known yet. */
     public Machine machine(String name) {
         return machines.computeIfAbsent(name, Machine::new);
     }
 
     /** Counts a task that may be on a machine from now on. */
-    public void assign(TaskAssignment claim) {
-        claim.job().assignments().put(claim.index(), claim);
-        claim.job().completedOrAssigned().set(claim.index());
-        Machine machine = machine(claim.machine());
-        machine.assignments().put(claim.taskId(), claim);
-        machine.addUsage(claim, 1);
+    public void assign(TaskAssignment assignment) {
+        Job job = assignment.job();
+        job.addAssignment(assignment);
+        Machine machine = machine(assignment.machine());
+        machine.addAssignment(assignment);
         freeCapacity.update(machine);
-        claim.job().tasksInZone().merge(machine.zone(), 1, Integer::sum);
-        count(claim, 1);
-    }
-
-    /** Ends a claim after proof that its task is not on its machine. */
-    public void unassign(TaskAssignment claim, boolean done) {
-        claim.job().assignments().remove(claim.index(), claim);
-        stoppingTasks.remove(claim);
-        if (done) {
-            claim.job().markCompleted(claim.index());
-        } else {
-            claim.job().completedOrAssigned().clear(claim.index());
-        }
-        Machine machine = machine(claim.machine());
-        machine.assignments().remove(claim.taskId(), claim);
-        machine.addUsage(claim, -1);
+        job.countInZone(machine.zone(), 1);
+        countUsage(job.spec(), 1);
+    }
+
+    /** Settles an assignment after proof that its task is not on its machine. */
+    public void unassign(TaskAssignment assignment, boolean taskCompleted) {
+        Job job = assignment.job();
+        stoppingTasks.remove(assignment);
+        job.removeAssignment(assignment, taskCompleted);
+        Machine machine = machine(assignment.machine());
+        machine.removeAssignment(assignment);
         freeCapacity.update(machine);
-        claim.job().tasksInZone().merge(machine.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
-        count(claim, -1);
+        job.countInZone(machine.zone(), -1);
+        countUsage(job.spec(), -1);
     }
 
-    /** Wants a claimed task to stop; a shorter time to save replaces a longer one. */
-    public void requestStop(TaskAssignment claim, double graceS, long now) {
-        claim.requestStop(graceS, now);
-        machine(claim.machine()).agent().setReconciled(false);
-        stoppingTasks.add(claim);
+    /** Requests that an assigned task stops; a shorter grace period replaces a longer one. */
+    public void requestStop(TaskAssignment assignment, double graceS, long now) {
+        assignment.requestStop(graceS, now);
+        machine(assignment.machine()).agent().setReconciled(false);
+        stoppingTasks.add(assignment);
     }
 
-    /** Forgets a machine that is gone. */
+    /** Forgets a machine whose deletion was confirmed. */
     public void forget(Machine machine) {
         freeCapacity.remove(machine);
-        if (machine.agent().lastHeartbeatRecord() != null) {
-            machine.agent().lastHeartbeatRecord().setObsolete(true);
-            machine.agent().setLastHeartbeatRecord(null);
-        }
+        machine.agent().discardLastHeartbeatRecord();
         machines.remove(machine.name());
         deletedMachines.add(machine.name());
         links.workerGone(machine.name());
     }
 
-    /** Takes in a machine's zone when it becomes known after claims on it were read. */
+    /** Takes in a machine's zone, which may become known after the assignments on it. */
     public void setZone(Machine machine, String zone) {
         if (!machine.zone().equals(zone)) {
-            for (TaskAssignment claim : machine.assignments().values()) {
-                claim.job().tasksInZone().merge(machine.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
-                claim.job().tasksInZone().merge(zone, 1, Integer::sum);
+            for (TaskAssignment assignment : machine.assignments().values()) {
+                assignment.job().countInZone(machine.zone(), -1);
+                assignment.job().countInZone(zone, 1);
             }
             machine.setZone(zone);
         }
     }
 
-    private void count(TaskAssignment claim, int sign) {
-        assignmentsByPriority[claim.job().spec().priority().ordinal()] += sign;
-        double[] sums = usageByTeam.get(claim.job().spec().team());
-        if (sums == null) {
-            return; // a team that the settings no longer name has no limit to keep
+    private void countUsage(JobSpec spec, int sign) {
+        assignmentsByPriority[spec.priority().ordinal()] += sign;
+        TeamUsage usage = usageByTeam.get(spec.team());
+        if (usage != null) { // a team that the settings no longer name has no limit to keep
+            usage.count(spec, sign);
         }
-        sums[2] += sign;
-        sums[0] = sums[2] == 0 ? 0 : sums[0] + sign * claim.job().spec().cpus();
-        sums[1] = sums[2] == 0 ? 0 : sums[1] + sign * claim.job().spec().gpus();
     }
 
     /** Whether any task of a lower priority may be on a machine. */
@@ -157,41 +146,45 @@
         return false;
     }
 
+    /** The CPUs of a team's tasks that may be on machines; 0 for a team that the settings don't name. */
     public double cpusInUse(String team) {
-        double[] sums = usageByTeam.get(team);
-        return sums == null ? 0 : sums[0];
+        TeamUsage usage = usageByTeam.get(team);
+        return usage == null ? 0 : usage.cpus();
     }
 
+    /** The GPUs of a team's tasks that may be on machines; 0 for a team that the settings don't name. */
     public double gpusInUse(String team) {
-        double[] sums = usageByTeam.get(team);
-        return sums == null ? 0 : sums[1];
+        TeamUsage usage = usageByTeam.get(team);
+        return usage == null ? 0 : usage.gpus();
     }
 
     /** Whether one more task of the job keeps its team within its limit. */
     public boolean withinTeamLimit(Job job) {
         Settings.Team team = settings.team(job.spec().team());
         return team == null
-                || (team.cpusMax() == 0 || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + EPSILON)
+                || (team.cpusMax() == 0 || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + ROUNDING)
                         && (team.gpusMax() == 0
-                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + EPSILON);
+                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + ROUNDING);
     }
 
-    /** Whether the team runs more than its guarantee, even after giving back so much. */
-    public boolean exceedsQuota(String name, double givenBackCpus, double givenBackGpus) {
-        Settings.Team team = settings.team(name);
+    /** Whether a team uses more than its quota, even after giving back so much. */
+    public boolean exceedsQuota(String teamName, double givenBackCpus, double givenBackGpus) {
+        Settings.Team team = settings.team(teamName);
         return team != null
-                && (cpusInUse(name) - givenBackCpus > team.cpus() + EPSILON
-                        || gpusInUse(name) - givenBackGpus > team.gpus() + EPSILON);
+                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + ROUNDING
+                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + ROUNDING);
     }
 
     public Settings settings() {
         return settings;
     }
 
+    /** The jobs that are not completed, by id, in the order in which they were submitted. */
     public Map<String, Job> jobs() {
         return jobs;
     }
 
+    /** The machines, by name, in the order of their names. */
     public Map<String, Machine> machines() {
         return machines;
     }
@@ -204,22 +197,23 @@
         return reservations;
     }
 
-    /** Accepted jobs whose records can't be read. */
+    /** The ids of accepted jobs whose records can't be read. */
     public Set<String> unreadableJobs() {
         return unreadableJobs;
     }
 
-    /** Claims whose tasks were told to stop. */
+    /** The assignments whose tasks are to stop, the first requested first. */
     public Set<TaskAssignment> stoppingTasks() {
         return stoppingTasks;
     }
 
+    /** The machine types that the cloud offers; empty while they are unknown. */
     public List<MachineType> machineTypes() {
         return machineTypes;
     }
 
-    public void setMachineTypes(List<MachineType> types) {
-        this.machineTypes = types;
+    public void setMachineTypes(List<MachineType> machineTypes) {
+        this.machineTypes = machineTypes;
     }
 
     /** The operators' settings in force. */
@@ -227,11 +221,11 @@
         return operatorSettings;
     }
 
-    public void setOperatorSettings(OperatorSettings options) {
-        this.operatorSettings = options;
+    public void setOperatorSettings(OperatorSettings operatorSettings) {
+        this.operatorSettings = operatorSettings;
     }
 
-    /** Machines whose deletion was confirmed: late lists and late reports still name them, but they are gone. */
+    /** Machines whose deletion was confirmed: late lists and late heartbeats still name them, but they are gone. */
     public Set<String> deletedMachines() {
         return deletedMachines;
     }
--- a/src/main/java/stileferry/cluster/FreeCapacityIndex.java
+++ b/src/main/java/stileferry/cluster/FreeCapacityIndex.java
@@ -7,59 +7,64 @@
 import java.util.function.Consumer;
 
 /**
- * Machines by the CPUs that are free on them, so that a search looks only at machines with room. It holds every
- * machine that was heard and whose type is known; whoever searches checks everything else.
+ * Machines by their free CPUs, so that a search visits only those with enough. It holds every machine that was heard
+ * from, whose type is known and that is not terminating; whoever searches checks everything else.
  */
 public final class FreeCapacityIndex {
-    private static final double EPSILON = 1e-6;
+    private static final int NOT_HELD = -1;
 
-    /** Machines with at least so many whole CPUs free, and less than one more. */
-    private final List<Set<Machine>> byFree = new ArrayList<>();
+    /** Sums of CPUs may be off by this much. */
+    private static final double ROUNDING = 1e-6;
+
+    /** In slot n the machines with n to less than n + 1 CPUs free. */
+    private final List<Set<Machine>> slots = new ArrayList<>();
 
     private long machinesVisited;
 
-    /** Takes in that a machine's claims, type or standing have changed. */
+    /** Takes in that a machine's assignments, type or state have changed. */
     public void update(Machine machine) {
-        int slot = machine.agent().heardThisTerm()
-                        && machine.type() != null
-                        && !machine.instance().terminating()
-                ? slot(machine.type().cpus() - machine.usedCpus())
-                : -1;
+        int slot = holds(machine) ? slot(machine.freeCpus()) : NOT_HELD;
         if (slot == machine.capacitySlot()) {
             return;
         }
         remove(machine);
-        if (slot >= 0) {
-            while (byFree.size() <= slot) {
-                byFree.add(new TreeSet<>());
+        if (slot != NOT_HELD) {
+            while (slots.size() <= slot) {
+                slots.add(new TreeSet<>());
             }
-            byFree.get(slot).add(machine);
+            slots.get(slot).add(machine);
             machine.setCapacitySlot(slot);
         }
     }
 
+    private static boolean holds(Machine machine) {
+        return machine.agent().heardThisTerm()
+                && machine.type() != null
+                && !machine.instance().terminating();
+    }
+
     /** Forgets a machine. */
     void remove(Machine machine) {
-        if (machine.capacitySlot() >= 0) {
-            byFree.get(machine.capacitySlot()).remove(machine);
-            machine.setCapacitySlot(-1);
+        if (machine.capacitySlot() != NOT_HELD) {
+            slots.get(machine.capacitySlot()).remove(machine);
+            machine.setCapacitySlot(NOT_HELD);
         }
     }
 
-    private static int slot(double free) {
-        return Math.max(0, (int) Math.floor(free + EPSILON));
+    private static int slot(double freeCpus) {
+        return Math.max(0, (int) Math.floor(freeCpus + ROUNDING));
     }
 
-    /** Shows every machine that may have so many CPUs free, the fullest first. */
-    public void visitWithAtLeast(double cpus, Consumer<Machine> look) {
-        for (int slot = slot(cpus); slot < byFree.size(); slot++) {
-            Set<Machine> set = byFree.get(slot);
-            machinesVisited += set.size();
-            set.forEach(look);
+    /** Visits every machine that may have so many CPUs free, those with the fewest free CPUs first. */
+    public void visitWithAtLeast(double cpus, Consumer<Machine> visitor) {
+        for (int slot = slot(cpus); slot < slots.size(); slot++) {
+            Set<Machine> machines = slots.get(slot);
+            machinesVisited += machines.size();
+            machines.forEach(visitor);
         }
     }
 
-    /** Machines shown since the start, the measure of a search's work. */
+    /** The number of visits since the start, the measure of the searches' work. */
     public long machinesVisited() {
         return machinesVisited;
     }
--- a/src/main/java/stileferry/cluster/InstanceState.java
+++ b/src/main/java/stileferry/cluster/InstanceState.java
@@ -1,38 +1,23 @@
 package stileferry.cluster;
 
-/** What the leader knows, in one term, of a machine as an instance that the cloud rents out. */
+/**
+ * What the leader knows, in one term, of a machine as an instance that the cloud rents out. The conditions are
+ * independent of each other: a machine that boots for too long is terminated while it boots, and a quarantined one may
+ * be drained too. Times are milliseconds on the controller's steady clock.
+ */
 public final class InstanceState {
-    /** Seconds until the cloud takes the machine, or -1. */
-    private double reclaimNoticeS = -1;
-
     private long requestedAt;
-
-    /** Known to be coming up, since this leader rented it or the list said so. */
     private boolean booting;
-
     private boolean listed;
-
     private long missingSince;
-
+    private long idleSince;
+    private double reclaimNoticeS = -1;
+    private long cordonedUntil;
     private boolean draining;
-
     private boolean quarantined;
-
     private boolean terminating;
 
-    private long idleSince;
-
-    private long cordonedUntil;
-
-    /** Seconds until the cloud takes the machine, or -1. */
-    public double reclaimNoticeS() {
-        return reclaimNoticeS;
-    }
-
-    public void receiveReclaimNotice(double reclaimNoticeS) {
-        this.reclaimNoticeS = reclaimNoticeS;
-    }
-
+    /** When it was asked of the cloud; 0: unknown. */
     public long requestedAt() {
         return requestedAt;
     }
@@ -41,7 +26,7 @@
         this.requestedAt = requestedAt;
     }
 
-    /** Known to be coming up, since this leader rented it or the list said so. */
+    /** Whether it is known to come up, since this leader rented it or the cloud's list said so. */
     public boolean booting() {
         return booting;
     }
@@ -50,59 +35,85 @@
         this.booting = booting;
     }
 
+    /** Whether the cloud's list has named it in this term. */
     public boolean listed() {
         return listed;
     }
 
-    public void setListed(boolean listed) {
-        this.listed = listed;
+    /** The cloud's list names it. */
+    public void markListed() {
+        listed = true;
+        missingSince = 0;
     }
 
+    /** Since when the cloud's lists do not name it any more; 0: they do, or it was never listed. */
     public long missingSince() {
         return missingSince;
     }
 
-    public void setMissingSince(long missingSince) {
-        this.missingSince = missingSince;
+    /** The cloud's list does not name it any more. */
+    public void markMissing(long now) {
+        missingSince = now;
     }
 
-    public boolean draining() {
-        return draining;
+    /** Since when no task may be on it; meaningless while one may. */
+    public long idleSince() {
+        return idleSince;
     }
 
-    public void setDraining(boolean draining) {
-        this.draining = draining;
+    public void markIdleSince(long since) {
+        idleSince = since;
     }
 
-    public boolean quarantined() {
-        return quarantined;
+    /** The seconds of the cloud's notice before it reclaims the machine, as it was first reported; -1: no notice. */
+    public double reclaimNoticeS() {
+        return reclaimNoticeS;
     }
 
-    public void setQuarantined(boolean quarantined) {
-        this.quarantined = quarantined;
+    /** The machine has reported a notice that the cloud reclaims it in so many seconds. */
+    public void receiveReclaimNotice(double seconds) {
+        reclaimNoticeS = seconds;
     }
 
-    public boolean terminating() {
-        return terminating;
+    /** No new tasks start on it before this time. */
+    public long cordonedUntil() {
+        return cordonedUntil;
     }
 
-    public void setTerminating(boolean terminating) {
-        this.terminating = terminating;
+    public void cordonUntil(long time) {
+        cordonedUntil = time;
     }
 
-    public long idleSince() {
-        return idleSince;
+    /** Whether it is drained so that it can be returned: nothing new starts on it. */
+    public boolean draining() {
+        return draining;
     }
 
-    public void markIdleSince(long idleSince) {
-        this.idleSince = idleSince;
+    public void drain() {
+        draining = true;
     }
 
-    public long cordonedUntil() {
-        return cordonedUntil;
+    /** It takes new tasks again. */
+    public void endDrain() {
+        draining = false;
+    }
+
+    /** Whether it fails its tasks: nothing new starts on it, and it is returned once it is empty. */
+    public boolean quarantined() {
+        return quarantined;
+    }
+
+    public void quarantine() {
+        quarantined = true;
+    }
+
+    /** Whether it is to be deleted at the cloud: its heartbeats are not answered any more. */
+    public boolean terminating() {
+        return terminating;
     }
 
-    public void cordonUntil(long cordonedUntil) {
-        this.cordonedUntil = cordonedUntil;
+    /** It is to be deleted at the cloud; this can't be undone. */
+    public void terminate() {
+        terminating = true;
     }
 }
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -2,383 +2,373 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
 import java.util.BitSet;
+import java.util.Collections;
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.InvalidJobSpecException;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.PeerMessage;
 import stileferry.storage.StoredEntry;
 
-/** An accepted job that is not over, and what is known of its tasks. */
+/**
+ * A job that is not completed, and what the leader knows of its tasks. Tasks are numbered from 0. A task is pending,
+ * assigned to a machine, or completed. Times are milliseconds on the controller's steady clock, unless they are said to
+ * be times of day.
+ */
 public final class Job {
     public static final String PREFIX = "j/";
 
+    private static final String COMPLETED_PREFIX = "e/";
+
     private final JobSpec spec;
     private final long acceptanceOrder;
     private final long acceptedAt;
-    private final BitSet completedTasks = new BitSet();
-
-    /** Tasks that are done or claimed. */
-    private final BitSet completedOrAssigned = new BitSet();
-
-    private final Map<Integer, TaskAssignment> assignments = new HashMap<>();
-    private final Map<Integer, RestartBackOff> retries = new HashMap<>();
-    private final Map<String, Integer> tasksInZone = new HashMap<>();
-
-    /** Machines that failed a task of this job. */
-    private final Set<String> failedMachines = new HashSet<>();
-
-    /** Users waiting for the acceptance, or for the cancellation, to be durable. */
-    private List<Consumer<PeerMessage.Response>> pendingReplies = new ArrayList<>();
-
-    /** Since when the first of them waits; 0: nobody does. */
-    private long repliesPendingSince;
-
     private final StoredEntry entry;
 
-    /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
-    private int legacyChunkTasks = 1;
-
-    /** A task of it was seen running, or is done. */
+    private JobPhase phase = JobPhase.SUBMITTED;
+    private CancellationPhase cancellation = CancellationPhase.NONE;
     private boolean started;
 
-    private boolean accepted;
-    private boolean cancelled;
-    private boolean cancelDurable;
-
-    /** Enough controllers know that it is cancelled. */
-    private boolean cancelReplicated;
-
-    /** Users may hear that it is cancelled. */
-    private boolean cancelConfirmed;
+    private final CompletedTasks completedTasks;
+    private final BitSet completedOrAssigned = new BitSet();
 
-    private boolean completing;
+    /** The number of tasks in one part of a record of the first stored form; 1 for jobs without such parts. */
+    private int legacyChunkTasks = 1;
 
-    /** Its end is durable. */
-    private boolean completed;
+    private final Map<Integer, TaskAssignment> assignments = new HashMap<>();
+    private final Map<Integer, TaskAssignment> assignmentsView = Collections.unmodifiableMap(assignments);
+    private final Map<String, Integer> tasksInZone = new HashMap<>();
+    private final Set<String> zonesView = Collections.unmodifiableSet(tasksInZone.keySet());
 
-    /** The highest attempt of a gang of which a task has ended without being done; 0: none. */
-    private long lastFailedAttempt;
+    private final FailureHistory failures = new FailureHistory();
 
     private boolean withinQuota;
-
-    /** Since when room is being made for it where its image is; 0: not so. */
     private long heldBackSince;
 
-    private int successes;
-    private int completedCount;
-    private int[] completionRecords;
-
-    public Job(JobSpec spec, long order, long acceptedAt, long revision) {
+    /**
+     * A submitted job.
+     *
+     * @param acceptanceOrder its place in the order of submissions
+     * @param acceptedAt the time of day of its submission
+     * @param revision the revision of its stored record; 0 if it is not stored
+     */
+    public Job(JobSpec spec, long acceptanceOrder, long acceptedAt, long revision) {
         this.spec = spec;
-        this.acceptanceOrder = order;
+        this.acceptanceOrder = acceptanceOrder;
         this.acceptedAt = acceptedAt;
+        this.completedTasks = new CompletedTasks(spec.taskCount());
         this.entry = new StoredEntry(key(spec.id()), revision, this::write).requireAbsent(completedKey(spec.id()));
     }
 
+    // ---- the stored record
+
     public static String key(String id) {
         return PREFIX + id;
     }
 
+    /** The key under which the end of the job is stored. */
     public static String completedKey(String id) {
-        return "e/" + id;
+        return COMPLETED_PREFIX + id;
     }
 
-    public static Job read(JsonNode v, long revision) throws InvalidJobSpecException {
+    /**
+     * Reads a stored job, which is accepted, and whose cancellation is durable if it is cancelled.
+     *
+     * @throws InvalidJobSpecException if what its user submitted can't be read
+     */
+    public static Job read(JsonNode value, long revision) throws InvalidJobSpecException {
         Job job = new Job(
-                JobSpec.read(v.path("spec")),
-                v.path("order").asLong(),
-                v.path("at").asLong(),
+                JobSpec.read(value.path("spec")),
+                value.path("order").asLong(),
+                value.path("at").asLong(),
                 revision);
-        job.legacyChunkTasks = Math.max(1, v.path("chunk").asInt(1));
-        job.accepted = true;
-        job.cancelled = v.path("cancelled").asBoolean();
-        job.cancelDurable = job.cancelled;
+        job.legacyChunkTasks = Math.max(1, value.path("chunk").asInt(1));
+        job.markAccepted();
+        if (value.path("cancelled").asBoolean()) {
+            job.markCancellationDurable();
+        }
         return job;
     }
 
     private ObjectNode write() {
-        ObjectNode v = MessageCodec.map()
+        ObjectNode value = MessageCodec.map()
                 .put("order", acceptanceOrder)
                 .put("at", acceptedAt)
-                .put("cancelled", cancelled);
+                .put("cancelled", cancelled());
         if (legacyChunkTasks > 1) {
-            v.put("chunk", legacyChunkTasks);
+            value.put("chunk", legacyChunkTasks);
         }
-        v.set("spec", spec.write());
-        return v;
+        value.set("spec", spec.write());
+        return value;
     }
 
-    /** Takes in that a task is done. */
-    public void markCompleted(int index) {
-        completedOrAssigned.set(index);
-        started = true;
-        if (!completedTasks.get(index)) {
-            completedTasks.set(index);
-            completedCount++;
-        }
+    /** What is stored of it while it is not completed. */
+    public StoredEntry entry() {
+        return entry;
     }
 
-    public int completedCount() {
-        return completedCount;
+    public JobSpec spec() {
+        return spec;
     }
 
-    /** The number of the record that says that a task is done. */
-    public int completionRecord(int index) {
-        return completionRecords == null ? 0 : completionRecords[index];
+    public long acceptanceOrder() {
+        return acceptanceOrder;
     }
 
-    public void completionRecord(int from, int to, int number) {
-        if (completionRecords == null) {
-            completionRecords = new int[spec.taskCount()];
-        }
-        java.util.Arrays.fill(completionRecords, from, to + 1, number);
+    /** The time of day of its submission, in milliseconds. */
+    public long acceptedAt() {
+        return acceptedAt;
     }
 
-    /** The next task that waits and may start now; -1 when there is none. */
-    public int nextPendingTask(long now) {
-        if (cancelled || completing || !accepted || spec.gang() && !gangReady(now)) {
-            return -1;
-        }
-        for (int i = completedOrAssigned.nextClearBit(0);
-                i < spec.taskCount();
-                i = completedOrAssigned.nextClearBit(i + 1)) {
-            RestartBackOff retry = retries.get(i);
-            if (retry == null || retry.notBefore() <= now) {
-                return i;
-            }
-        }
-        return -1;
+    /** The number of tasks in one part of a record of the first stored form; 1 for jobs without such parts. */
+    public int legacyChunkTasks() {
+        return legacyChunkTasks;
     }
 
-    /** A gang starts whole: not while a task of it may be on a machine, or has to pause after a failure. */
-    private boolean gangReady(long now) {
-        if (!assignments.isEmpty()) {
-            return false;
-        }
-        for (RestartBackOff retry : retries.values()) {
-            if (retry.notBefore() > now) {
-                return false;
-            }
-        }
-        return true;
-    }
+    // ---- phases
 
-    /** Whether all tasks are claimed under one attempt number. */
-    public boolean assignmentsFormOneAttempt() {
-        return assignments.size() == spec.taskCount()
-                && assignments.values().stream()
-                                .mapToLong(claim -> claim.attempt())
-                                .distinct()
-                                .count()
-                        == 1;
+    /** Its record is durable. */
+    public void markAccepted() {
+        advanceTo(JobPhase.ACCEPTED);
     }
 
-    public int pendingCount() {
-        return cancelled || completing || !accepted ? 0 : spec.taskCount() - completedOrAssigned.cardinality();
+    /** All of its tasks are settled; its end is about to be stored. */
+    public void markCompleting() {
+        advanceTo(JobPhase.COMPLETING);
     }
 
-    public int unfinishedCount() {
-        return spec.taskCount() - completedCount;
+    /** The record of its end is durable. */
+    public void markCompleted() {
+        advanceTo(JobPhase.COMPLETED);
     }
 
-    public int runningCount() {
-        int running = 0;
-        for (TaskAssignment claim : assignments.values()) {
-            if (claim.runningSince() != 0) {
-                running++;
-            }
+    private void advanceTo(JobPhase next) {
+        if (phase.compareTo(next) < 0) {
+            phase = next;
         }
-        return running;
     }
 
-    /** Whether a task that was sent to a machine may begin there without another word. */
-    public boolean mayStartUnprompted() {
-        for (TaskAssignment claim : assignments.values()) {
-            if (claim.phase() == null || claim.phase() == Heartbeat.TaskPhase.PULLING_IMAGE) {
-                return true;
-            }
-        }
-        return false;
+    public boolean accepted() {
+        return phase.compareTo(JobPhase.ACCEPTED) >= 0;
     }
 
-    public JobSpec spec() {
-        return spec;
+    public boolean completing() {
+        return phase.compareTo(JobPhase.COMPLETING) >= 0;
     }
 
-    public long acceptanceOrder() {
-        return acceptanceOrder;
+    /** Whether the record of its end is durable. */
+    public boolean completed() {
+        return phase == JobPhase.COMPLETED;
     }
 
-    public long acceptedAt() {
-        return acceptedAt;
+    /** A user cancels it. */
+    public void requestCancellation() {
+        advanceTo(CancellationPhase.REQUESTED);
     }
 
-    public BitSet completedTasks() {
-        return completedTasks;
+    /** The cancellation is durable. */
+    public void markCancellationDurable() {
+        advanceTo(CancellationPhase.DURABLE);
     }
 
-    /** Tasks that are done or claimed. */
-    public BitSet completedOrAssigned() {
-        return completedOrAssigned;
+    /** Enough controllers know of the cancellation. */
+    public void markCancellationReplicated() {
+        advanceTo(CancellationPhase.REPLICATED);
     }
 
-    public Map<Integer, TaskAssignment> assignments() {
-        return assignments;
+    /** Users may hear of the cancellation. */
+    public void markCancellationConfirmed() {
+        advanceTo(CancellationPhase.CONFIRMED);
     }
 
-    public Map<Integer, RestartBackOff> retries() {
-        return retries;
+    private void advanceTo(CancellationPhase next) {
+        if (cancellation.compareTo(next) < 0) {
+            cancellation = next;
+        }
     }
 
-    public Map<String, Integer> tasksInZone() {
-        return tasksInZone;
+    /** Whether a user has cancelled it, durably or not. */
+    public boolean cancelled() {
+        return cancellation != CancellationPhase.NONE;
     }
 
-    /** Machines that failed a task of this job. */
-    public Set<String> failedMachines() {
-        return failedMachines;
+    public boolean cancellationDurable() {
+        return cancellation.compareTo(CancellationPhase.DURABLE) >= 0;
     }
 
-    /** Users waiting for the acceptance, or for the cancellation, to be durable. */
-    public List<Consumer<PeerMessage.Response>> pendingReplies() {
-        return pendingReplies;
+    /** Whether enough controllers know of the cancellation. */
+    public boolean cancellationReplicated() {
+        return cancellation.compareTo(CancellationPhase.REPLICATED) >= 0;
     }
 
-    public void setPendingReplies(List<Consumer<PeerMessage.Response>> waiting) {
-        this.pendingReplies = waiting;
+    /** Whether users may hear of the cancellation. */
+    public boolean cancellationConfirmed() {
+        return cancellation == CancellationPhase.CONFIRMED;
     }
 
-    /** Since when the first of them waits; 0: nobody does. */
-    public long repliesPendingSince() {
-        return repliesPendingSince;
+    /** A task of it was seen running, or has failed. */
+    public void markStarted() {
+        started = true;
     }
 
-    public void setRepliesPendingSince(long waitingSince) {
-        this.repliesPendingSince = waitingSince;
+    /** Whether a task of it was seen running, has failed or has completed. */
+    public boolean started() {
+        return started;
     }
 
-    public StoredEntry entry() {
-        return entry;
-    }
+    // ---- completed tasks
 
-    /** Tasks in one part of the older form of record; 1 for jobs without such parts. */
-    public int legacyChunkTasks() {
-        return legacyChunkTasks;
+    /** Takes in that a task has completed. */
+    public void markTaskCompleted(int index) {
+        completedOrAssigned.set(index);
+        started = true;
+        completedTasks.add(index);
     }
 
-    public void setLegacyChunkTasks(int chunkTasks) {
-        this.legacyChunkTasks = chunkTasks;
+    /** The completed tasks; to add one use {@link #markTaskCompleted}. */
+    public CompletedTasks completedTasks() {
+        return completedTasks;
     }
 
-    /** A task of it was seen running, or is done. */
-    public boolean started() {
-        return started;
+    public int completedCount() {
+        return completedTasks.count();
     }
 
-    public void setStarted(boolean begun) {
-        this.started = begun;
+    public int unfinishedCount() {
+        return spec.taskCount() - completedTasks.count();
     }
 
-    public boolean accepted() {
-        return accepted;
+    // ---- pending tasks
+
+    /** The next pending task that may start now; -1: none. */
+    public int nextPendingTask(long now) {
+        if (!schedulable() || spec.gang() && !gangSchedulable(now)) {
+            return -1;
+        }
+        for (int index = nextUnassignedTask(0); index < spec.taskCount(); index = nextUnassignedTask(index + 1)) {
+            if (failures.mayStart(index, now)) {
+                return index;
+            }
+        }
+        return -1;
     }
 
-    public void setAccepted(boolean accepted) {
-        this.accepted = accepted;
+    /** The first task from this one on that is neither completed nor assigned; the task count or more: none. */
+    public int nextUnassignedTask(int from) {
+        return completedOrAssigned.nextClearBit(from);
     }
 
-    public boolean cancelled() {
-        return cancelled;
+    private boolean schedulable() {
+        return phase == JobPhase.ACCEPTED && !cancelled();
     }
 
-    public void setCancelled(boolean cancelled) {
-        this.cancelled = cancelled;
+    /** A gang starts whole: not while a task of it may be on a machine, or has to pause after a failure. */
+    private boolean gangSchedulable(long now) {
+        return assignments.isEmpty() && !failures.anyTaskPauses(now);
     }
 
-    public boolean cancelDurable() {
-        return cancelDurable;
+    /** The number of pending tasks, including those that have to pause after a failure. */
+    public int pendingCount() {
+        return schedulable() ? spec.taskCount() - completedOrAssigned.cardinality() : 0;
     }
 
-    public void setCancelDurable(boolean cancelDurable) {
-        this.cancelDurable = cancelDurable;
+    // ---- assigned tasks
+
+    /** The assignments that are not settled, by task. The view can't be changed. */
+    public Map<Integer, TaskAssignment> assignments() {
+        return assignmentsView;
     }
 
-    /** Enough controllers know that it is cancelled. */
-    public boolean cancelReplicated() {
-        return cancelReplicated;
+    /** Whether this assignment is not settled. */
+    public boolean holds(TaskAssignment assignment) {
+        return assignments.get(assignment.index()) == assignment;
     }
 
-    public void setCancelReplicated(boolean cancelKnown) {
-        this.cancelReplicated = cancelKnown;
+    /** Notes an assignment. Use {@link ClusterState#assign}, which also counts it on its machine and for its team. */
+    public void addAssignment(TaskAssignment assignment) {
+        assignments.put(assignment.index(), assignment);
+        completedOrAssigned.set(assignment.index());
     }
 
-    /** Users may hear that it is cancelled. */
-    public boolean cancelConfirmed() {
-        return cancelConfirmed;
+    /** Settles an assignment. Use {@link ClusterState#unassign}, which also counts it out everywhere else. */
+    public void removeAssignment(TaskAssignment assignment, boolean taskCompleted) {
+        assignments.remove(assignment.index(), assignment);
+        if (taskCompleted) {
+            markTaskCompleted(assignment.index());
+        } else {
+            completedOrAssigned.clear(assignment.index());
+        }
     }
 
-    public void setCancelConfirmed(boolean cancelTold) {
-        this.cancelConfirmed = cancelTold;
+    /** Whether all tasks are assigned under one attempt number. */
+    public boolean assignmentsFormOneAttempt() {
+        return assignments.size() == spec.taskCount()
+                && assignments.values().stream()
+                                .mapToLong(assignment -> assignment.attempt())
+                                .distinct()
+                                .count()
+                        == 1;
     }
 
-    public boolean completing() {
-        return completing;
+    public int runningCount() {
+        int running = 0;
+        for (TaskAssignment assignment : assignments.values()) {
+            if (assignment.runningSince() != 0) {
+                running++;
+            }
+        }
+        return running;
     }
 
-    public void setCompleting(boolean ending) {
-        this.completing = ending;
+    /** Whether a task that was sent to a machine may start there without another command. */
+    public boolean mayStartUnprompted() {
+        for (TaskAssignment assignment : assignments.values()) {
+            if (assignment.phase() == null || assignment.phase() == Heartbeat.TaskPhase.PULLING_IMAGE) {
+                return true;
+            }
+        }
+        return false;
     }
 
-    /** Its end is durable. */
-    public boolean completed() {
-        return completed;
+    /** The zones with assigned tasks; "" stands for machines whose zone is not known yet. The view can't be changed. */
+    public Set<String> zones() {
+        return zonesView;
     }
 
-    public void setCompleted(boolean over) {
-        this.completed = over;
+    public int tasksInZone(String zone) {
+        return tasksInZone.getOrDefault(zone, 0);
     }
 
-    /** The highest attempt of a gang of which a task has ended without being done; 0: none. */
-    public long lastFailedAttempt() {
-        return lastFailedAttempt;
+    void countInZone(String zone, int change) {
+        tasksInZone.merge(zone, change, (before, added) -> before + added == 0 ? null : before + added);
     }
 
-    public void setLastFailedAttempt(long endedAttempt) {
-        this.lastFailedAttempt = endedAttempt;
+    /** How its tasks have fared. */
+    public FailureHistory failures() {
+        return failures;
     }
 
+    // ---- marks of the scheduler
+
+    /** Whether it fits into its team's quota together with the team's earlier jobs, as of the last pass. */
     public boolean withinQuota() {
         return withinQuota;
     }
 
-    public void setWithinQuota(boolean withinGuarantee) {
-        this.withinQuota = withinGuarantee;
+    public void setWithinQuota(boolean withinQuota) {
+        this.withinQuota = withinQuota;
     }
 
-    /** Since when room is being made for it where its image is; 0: not so. */
+    /** Since when its tasks wait for capacity on machines that hold its image; 0: they never did. */
     public long heldBackSince() {
         return heldBackSince;
     }
 
-    public void setHeldBackSince(long keptBackAt) {
-        this.heldBackSince = keptBackAt;
-    }
-
-    public int successes() {
-        return successes;
-    }
-
-    /** Counts a task that completed. */
-    public void countSuccess() {
-        successes++;
+    /** Its tasks wait from now on for capacity on machines that hold its image. */
+    public void holdBack(long now) {
+        heldBackSince = now;
     }
 }
--- a/src/main/java/stileferry/cluster/LastHeartbeatRecord.java
+++ b/src/main/java/stileferry/cluster/LastHeartbeatRecord.java
@@ -2,26 +2,33 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** One machine's silence: when a report of it was last answered, and by which leader. */
+/** A note of when a machine's last heartbeat was answered, and in which leader's term. */
 public final class LastHeartbeatRecord {
     private final String machine;
     private final long incarnation;
     private final long answeredAt;
     private final long term;
 
-    /** The number of the stored record that holds it. */
     private long recordNumber;
-
-    /** It need not be stored any more. */
     private boolean obsolete;
 
-    public LastHeartbeatRecord(String machine, long session, long answeredAt, long term) {
+    /** A note that is not stored yet; {@code answeredAt}: the time of day in milliseconds. */
+    public LastHeartbeatRecord(String machine, long incarnation, long answeredAt, long term) {
         this.machine = machine;
-        this.incarnation = session;
+        this.incarnation = incarnation;
         this.answeredAt = answeredAt;
         this.term = term;
     }
 
+    /** Reads the stored event. */
+    public static LastHeartbeatRecord read(JsonNode event) {
+        return new LastHeartbeatRecord(
+                event.path(1).asText(),
+                event.path(2).asLong(),
+                event.path(3).asLong(),
+                event.path(4).asLong());
+    }
+
     /** Notes the number of the stored record that holds it now. */
     public void stored(long number) {
         recordNumber = number;
@@ -32,22 +39,16 @@
         return recordNumber == number;
     }
 
-    public static LastHeartbeatRecord read(JsonNode e) {
-        return new LastHeartbeatRecord(
-                e.path(1).asText(),
-                e.path(2).asLong(),
-                e.path(3).asLong(),
-                e.path(4).asLong());
-    }
-
     public String machine() {
         return machine;
     }
 
+    /** The incarnation of the machine's agent that was answered. */
     public long incarnation() {
         return incarnation;
     }
 
+    /** When the heartbeat was answered, as a time of day in milliseconds. */
     public long answeredAt() {
         return answeredAt;
     }
@@ -56,12 +57,12 @@
         return term;
     }
 
-    /** It need not be stored any more. */
+    /** Whether it need not be stored any more. */
     public boolean obsolete() {
         return obsolete;
     }
 
-    public void setObsolete(boolean over) {
-        this.obsolete = over;
+    void markObsolete() {
+        obsolete = true;
     }
 }
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -1,15 +1,20 @@
 package stileferry.cluster;
 
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import stileferry.protocol.Heartbeat;
+import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 
-/** A machine and everything that may be on it. */
+/**
+ * A machine: its type and place, the tasks that may be on it, the capacity that these leave free, and what is known of
+ * its agent and of it as an instance.
+ */
 public final class Machine implements Comparable<Machine> {
-    /** Sums of amounts may be off by this much. */
+    /** Sums of CPUs, GPUs and GB may be off by this much. */
     private static final double ROUNDING = 1e-6;
 
     private final String name;
@@ -22,22 +27,21 @@
     private final AgentState agent = new AgentState();
     private final InstanceState instance = new InstanceState();
     private final Map<String, TaskAssignment> assignments = new LinkedHashMap<>();
+    private final Map<String, TaskAssignment> assignmentsView = Collections.unmodifiableMap(assignments);
 
-    /** Images that tasks here were seen with, the latest last, with their sizes. */
+    /** Images that tasks here were seen with, the latest last, with their sizes in GB. */
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
 
-    /** Images of the tasks that may be here, with how many need them. */
-    private final Map<String, Integer> pulls = new HashMap<>();
+    /** Images of the assigned tasks, with how many need them. */
+    private final Map<String, Integer> imagesOfAssignments = new HashMap<>();
 
-    /** Jobs that failed here since a task last succeeded here. */
     private final Map<String, Integer> failuresByJob = new HashMap<>();
-
-    /** Where the index of rooms holds this machine; kept by the index. */
+    private final Map<String, Integer> failuresByJobView = Collections.unmodifiableMap(failuresByJob);
     private int capacitySlot = -1;
 
-    private double cpusUsed;
-    private double gpusUsed;
-    private double memoryUsed;
+    private double usedCpus;
+    private double usedGpus;
+    private double usedMemoryGb;
     private double slowdownSum;
     private int slowdownCount;
 
@@ -55,11 +59,12 @@
         return instance;
     }
 
-    /** True when the worker has taken this leader's term, so that no older leader is obeyed or renews its lease. */
+    /** Whether its agent has acknowledged a term, so that no older leader is obeyed or renews its lease. */
     public boolean acknowledgedTerm(long term) {
         return agent.fencingToken() >= term;
     }
 
+    /** Whether new tasks may start on it, as far as the machine itself is concerned. */
     public boolean schedulable() {
         return agent.heardThisTerm()
                 && type != null
@@ -71,12 +76,12 @@
                 && agent.unreachableSince() == 0;
     }
 
-    /** The tasks that it was last said to have. */
+    /** The tasks in its newest status. */
     public List<Heartbeat.TaskStatus> reportedTasks() {
         return agent.lastHeartbeat() == null ? List.of() : agent.lastHeartbeat().tasks();
     }
 
-    /** Whether a report tells nothing but that the machine is still there as it was. */
+    /** Whether a heartbeat tells nothing but that the machine is still there as it was. */
     public boolean unchangedSince(Heartbeat heartbeat) {
         return agent.reconciled()
                 && heartbeat.tasks() == agent.lastHeartbeat().tasks()
@@ -92,75 +97,98 @@
         return name.compareTo(other.name);
     }
 
-    /** CPUs of all tasks that may be here. */
+    /** The CPUs of all tasks that may be on it. */
     public double usedCpus() {
-        return cpusUsed;
+        return usedCpus;
+    }
+
+    /** The CPUs that the tasks that may be on it leave free; the type must be known. */
+    public double freeCpus() {
+        return type.cpus() - usedCpus;
     }
 
-    /** Counts a task that may be here, or no longer is. */
-    void addUsage(TaskAssignment claim, int sign) {
+    /** Counts a task that may be on it from now on. */
+    void addAssignment(TaskAssignment assignment) {
+        assignments.put(assignment.taskId(), assignment);
+        countUsage(assignment.job().spec(), 1);
+    }
+
+    /** Counts out a task that is proven not to be on it any more. */
+    void removeAssignment(TaskAssignment assignment) {
+        assignments.remove(assignment.taskId(), assignment);
+        countUsage(assignment.job().spec(), -1);
+    }
+
+    private void countUsage(JobSpec spec, int sign) {
         agent.setReconciled(false);
         boolean empty = assignments.isEmpty();
-        cpusUsed = empty ? 0 : cpusUsed + sign * claim.job().spec().cpus();
-        gpusUsed = empty ? 0 : gpusUsed + sign * claim.job().spec().gpus();
-        memoryUsed = empty ? 0 : memoryUsed + sign * claim.job().spec().memoryGb();
-        pulls.merge(claim.job().spec().image(), sign, (a, b) -> a + b <= 0 ? null : a + b);
+        usedCpus = empty ? 0 : usedCpus + sign * spec.cpus();
+        usedGpus = empty ? 0 : usedGpus + sign * spec.gpus();
+        usedMemoryGb = empty ? 0 : usedMemoryGb + sign * spec.memoryGb();
+        imagesOfAssignments.merge(
+                spec.image(), sign, (before, change) -> before + change <= 0 ? null : before + change);
     }
 
-    /** Whether a task of this job fits beside all that may be here. */
+    /** Whether a task of this job fits beside all that may be on it. */
     public boolean fits(Job job) {
         return fits(job.spec().cpus(), job.spec().gpus(), job.spec().memoryGb());
     }
 
-    /** Whether so much fits beside all that may be here. */
+    /** Whether so much fits beside all that may be on it. */
     boolean fits(double cpus, double gpus, double memoryGb) {
-        return cpusUsed + cpus <= type.cpus() + ROUNDING
-                && gpusUsed + gpus <= type.gpus() + ROUNDING
-                && memoryUsed + memoryGb <= type.memoryGb() + ROUNDING;
+        return usedCpus + cpus <= type.cpus() + ROUNDING
+                && usedGpus + gpus <= type.gpus() + ROUNDING
+                && usedMemoryGb + memoryGb <= type.memoryGb() + ROUNDING;
     }
 
-    /** How many tasks of this job would fit beside the tasks of its priority and above. */
+    /** How many tasks of this job would fit if all tasks of lower priority were preempted. */
     public int tasksFittingWithPreemption(Job job) {
-        double cpus = type.cpus() - cpusUsed;
-        double gpus = type.gpus() - gpusUsed;
-        double memory = type.memoryGb() - memoryUsed;
+        double freeCpus = freeCpus();
+        double freeGpus = type.gpus() - usedGpus;
+        double freeMemoryGb = type.memoryGb() - usedMemoryGb;
         for (TaskAssignment assignment : assignments.values()) {
             if (assignment.job().spec().priority().compareTo(job.spec().priority()) > 0) {
-                cpus += assignment.job().spec().cpus();
-                gpus += assignment.job().spec().gpus();
-                memory += assignment.job().spec().memoryGb();
+                freeCpus += assignment.job().spec().cpus();
+                freeGpus += assignment.job().spec().gpus();
+                freeMemoryGb += assignment.job().spec().memoryGb();
             }
         }
         return Math.min(
-                fitting(cpus, job.spec().cpus()),
+                fitting(freeCpus, job.spec().cpus()),
                 Math.min(
-                        fitting(gpus, job.spec().gpus()),
-                        fitting(memory, job.spec().memoryGb())));
+                        fitting(freeGpus, job.spec().gpus()),
+                        fitting(freeMemoryGb, job.spec().memoryGb())));
     }
 
     private static int fitting(double free, double wanted) {
         return wanted == 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + ROUNDING) / wanted);
     }
 
+    /**
+     * Takes in the bounded slowdown of a task that has completed on it.
+     *
+     * @param thresholdS shorter runs count as being this long
+     */
     public void recordSlowdown(double runS, double waitS, double thresholdS) {
         slowdownSum += Math.max(1, (runS + waitS) / Math.max(runS, thresholdS));
         slowdownCount++;
     }
 
-    /** Average bounded slowdown of the tasks finished here; 1 without history. */
+    /** The average bounded slowdown of the tasks that completed on it; 1 without history. */
     public double slowdown() {
         return slowdownCount == 0 ? 1 : slowdownSum / slowdownCount;
     }
 
-    public void cacheImage(String image, double gb) {
-        images.put(image, gb);
-        double sum = 0;
+    /** An image of so many GB was used on it: the least recently used ones give way if the cache is full. */
+    public void cacheImage(String image, double sizeGb) {
+        images.put(image, sizeGb);
+        double cachedGb = 0;
         for (double size : images.values()) {
-            sum += size;
+            cachedGb += size;
         }
-        while (type != null && sum > type.cacheGb() && images.size() > 1) {
-            String eldest = images.keySet().iterator().next();
-            sum -= images.remove(eldest);
+        while (type != null && cachedGb > type.cacheGb() && images.size() > 1) {
+            String leastRecentlyUsed = images.keySet().iterator().next();
+            cachedGb -= images.remove(leastRecentlyUsed);
         }
     }
 
@@ -168,30 +196,31 @@
         return images.containsKey(image);
     }
 
-    /** Images that tasks which may be here still wait for. */
+    /** The number of images that assigned tasks need and the machine does not hold yet. */
     public int imagesBeingPulled() {
-        int fetching = 0;
-        for (String image : pulls.keySet()) {
-            fetching += images.containsKey(image) ? 0 : 1;
+        int missing = 0;
+        for (String image : imagesOfAssignments.keySet()) {
+            missing += images.containsKey(image) ? 0 : 1;
         }
-        return fetching;
+        return missing;
     }
 
-    /** How near an image is: 2, it is here; 1, a task that may be here fetches it; 0, neither. */
+    /** How near an image is: 2, the machine holds it; 1, an assigned task pulls it; 0, neither. */
     public int imageLocality(String image) {
-        return images.containsKey(image) ? 2 : pulls.containsKey(image) ? 1 : 0;
+        return images.containsKey(image) ? 2 : imagesOfAssignments.containsKey(image) ? 1 : 0;
     }
 
     public String name() {
         return name;
     }
 
+    /** Where its agent takes commands, as host:port; "" while it is unknown. */
     public String address() {
         return address;
     }
 
-    public void setAddress(String addr) {
-        this.address = addr;
+    public void setAddress(String address) {
+        this.address = address;
     }
 
     public String typeName() {
@@ -202,6 +231,7 @@
         this.typeName = typeName;
     }
 
+    /** Its type; null while it is unknown, or if the cloud does not offer that type. */
     public MachineType type() {
         return type;
     }
@@ -210,11 +240,13 @@
         this.type = type;
     }
 
+    /** Its zone; "" while it is unknown. */
     public String zone() {
         return zone;
     }
 
-    public void setZone(String zone) {
+    /** Use {@link ClusterState#setZone}, which also counts the tasks in their new zone. */
+    void setZone(String zone) {
         this.zone = zone;
     }
 
@@ -226,21 +258,31 @@
         this.spot = spot;
     }
 
+    /** The assignments that are not settled, by task id, the oldest first. The view can't be changed. */
     public Map<String, TaskAssignment> assignments() {
-        return assignments;
+        return assignmentsView;
     }
 
-    /** Jobs that failed here since a task last succeeded here. */
+    /** How often tasks of each job failed on it since a task last succeeded there. The view can't be changed. */
     public Map<String, Integer> failuresByJob() {
-        return failuresByJob;
+        return failuresByJobView;
+    }
+
+    public void recordFailureOf(String jobId) {
+        failuresByJob.merge(jobId, 1, Integer::sum);
+    }
+
+    /** A task has succeeded on it. */
+    public void forgetFailures() {
+        failuresByJob.clear();
     }
 
-    /** Where the index of rooms holds this machine; kept by the index. */
-    public int capacitySlot() {
+    /** Where the index of free capacity holds it; -1: nowhere. Only the index may change it. */
+    int capacitySlot() {
         return capacitySlot;
     }
 
-    public void setCapacitySlot(int roomSlot) {
-        this.capacitySlot = roomSlot;
+    void setCapacitySlot(int capacitySlot) {
+        this.capacitySlot = capacitySlot;
     }
 }
--- a/src/main/java/stileferry/cluster/TaskAssignment.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -3,8 +3,8 @@
 import stileferry.protocol.Heartbeat;
 
 /**
- * A task that may be on a machine. It is made durable before the machine hears of it, and stands until there is
- * proof that the task is not there.
+ * One attempt of a task, assigned to a machine. It is made durable before the machine hears of it, and is settled only
+ * by proof that the task is not there. Times are milliseconds on the controller's steady clock.
  */
 public final class TaskAssignment {
     private final Job job;
@@ -14,58 +14,50 @@
     private final long incarnation;
     private final String taskId;
 
-    /** What tells this start of this task from all others. */
     private final String attemptId;
-
-    /** When this leader decided; 0 for a claim read from the state service. */
     private final long assignedAt;
 
     private boolean durable;
 
-    /** The start of its gang that it belongs to; null for other jobs, and for claims read from the state service. */
     private GangAttempt gangAttempt;
 
-    /** The number of the stored record that holds this claim. */
     private long recordNumber;
-
-    /** Commands to start that were sent in any way, so that the machine may know the attempt. */
-    private int startsSent;
-
-    /** Where the machine last said the task stands; null: not seen there yet. */
+    private boolean startSent;
     private Heartbeat.TaskPhase phase;
-
-    /** When it was first reported running, by this leader's clock; 0: not yet. */
     private long runningSince;
-
-    /** Started as the first task of a job that had waited too long: not to be stopped for others at once. */
     private boolean startedOverdue;
-
-    /** Set when the task is to stop; the time in seconds that it may take to save, or -1. */
     private double stopGraceS = -1;
-
     private long stopRequestedAt;
 
-    public TaskAssignment(Job job, int index, long attempt, String machine, long session, long orderedAt) {
+    /**
+     * An assignment that is not durable yet.
+     *
+     * @param index the task's number in its job
+     * @param incarnation the incarnation of the machine's agent that is to run the task
+     * @param assignedAt when this leader decided; 0 for an assignment read from the store
+     */
+    public TaskAssignment(Job job, int index, long attempt, String machine, long incarnation, long assignedAt) {
         this.job = job;
         this.index = index;
         this.attempt = attempt;
         this.machine = machine;
-        this.incarnation = session;
+        this.incarnation = incarnation;
         this.taskId = job.spec().id() + "/" + index;
         this.attemptId = taskId + "#" + attempt;
-        this.assignedAt = orderedAt;
+        this.assignedAt = assignedAt;
     }
 
-    /** Whether the machine may hear of it: it is durable, and so are all claims of its gang's attempt. */
+    /** Whether the machine may hear of it: it is durable, and so are all assignments of its gang's attempt. */
     public boolean startable() {
         return durable && (gangAttempt == null || gangAttempt.startable());
     }
 
+    /** Whether the task is to stop. */
     public boolean stopping() {
         return stopGraceS >= 0;
     }
 
-    /** Asks for a stop; a shorter time to save replaces a longer one. */
+    /** Requests a stop; a shorter grace period replaces a longer one. */
     void requestStop(double graceS, long now) {
         if (stopGraceS < 0 || graceS < stopGraceS) {
             stopGraceS = graceS;
@@ -73,14 +65,14 @@
         }
     }
 
-    /** Work that a stop would lose, in milliseconds: all of it, or what came after the last checkpoint. */
+    /** The work that a stop would lose, in milliseconds: all of it, or what came after the last checkpoint. */
     long lostWorkMs(long now) {
         long ran = runtimeMs(now);
         long checkpoint = Math.round(job.spec().checkpointIntervalS() * 1000);
         return checkpoint > 0 ? Math.min(ran, checkpoint) : ran;
     }
 
-    /** What a stop costs in all, in milliseconds: a gang stops whole, and each stop costs something. */
+    /** The work that preempting it would lose, in milliseconds, and 1 for the stop: a gang stops whole. */
     public long preemptionCostMs(long now) {
         return (1 + lostWorkMs(now)) * (job.spec().gang() ? job.assignments().size() : 1);
     }
@@ -94,6 +86,7 @@
         return job;
     }
 
+    /** The task's number in its job, from 0. */
     public int index() {
         return index;
     }
@@ -106,6 +99,7 @@
         return machine;
     }
 
+    /** The incarnation of the machine's agent that is to run the task. */
     public long incarnation() {
         return incarnation;
     }
@@ -114,83 +108,89 @@
         return taskId;
     }
 
-    /** What tells this start of this task from all others. */
+    /** The task's id and the attempt, which no other assignment has. */
     public String attemptId() {
         return attemptId;
     }
 
-    /** When this leader decided; 0 for a claim read from the state service. */
+    /** When this leader decided; 0 for an assignment read from the store. */
     public long assignedAt() {
         return assignedAt;
     }
 
+    /** Whether it is stored, so that the next leader will know it. */
     public boolean durable() {
         return durable;
     }
 
-    public void setDurable(boolean durable) {
-        this.durable = durable;
+    public void markDurable() {
+        durable = true;
     }
 
-    /** The start of its gang that it belongs to; null for other jobs, and for claims read from the state service. */
+    /** Its gang's attempt; null for other jobs, and for assignments read from the store. */
     public GangAttempt gangAttempt() {
         return gangAttempt;
     }
 
-    public void setGangAttempt(GangAttempt gangAttempt) {
-        this.gangAttempt = gangAttempt;
+    /** It becomes a part of its gang's attempt. */
+    public void joinGangAttempt(GangAttempt attempt) {
+        gangAttempt = attempt;
     }
 
-    /** The number of the stored record that holds this claim. */
-    public long recordNumber() {
-        return recordNumber;
+    /** Notes the number of the stored record that holds it now. */
+    public void stored(long number) {
+        recordNumber = number;
     }
 
-    public void setRecordNumber(long record) {
-        this.recordNumber = record;
+    /** Whether the stored record of this number holds it. */
+    public boolean storedIn(long number) {
+        return recordNumber == number;
     }
 
-    /** Commands to start that were sent in any way, so that the machine may know the attempt. */
-    public int startsSent() {
-        return startsSent;
+    /** Whether a command to start was sent in any way, so that the machine may know the attempt. */
+    public boolean startSent() {
+        return startSent;
     }
 
-    public void setStartsSent(int runsSent) {
-        this.startsSent = runsSent;
+    /** A command to start is sent to the machine. */
+    public void markStartSent() {
+        startSent = true;
     }
 
-    /** Where the machine last said the task stands; null: not seen there yet. */
+    /** The phase that the machine last reported; null: it has not reported the task yet. */
     public Heartbeat.TaskPhase phase() {
         return phase;
     }
 
-    public void setPhase(Heartbeat.TaskPhase stage) {
-        this.phase = stage;
+    public void recordPhase(Heartbeat.TaskPhase reported) {
+        phase = reported;
     }
 
-    /** When it was first reported running, by this leader's clock; 0: not yet. */
+    /** When it was first reported running to this leader; 0: not yet. */
     public long runningSince() {
         return runningSince;
     }
 
-    public void setRunningSince(long runningAt) {
-        this.runningSince = runningAt;
+    public void markRunning(long now) {
+        runningSince = now;
     }
 
-    /** Started as the first task of a job that had waited too long: not to be stopped for others at once. */
+    /** Whether it was started as the first task of an overdue job, and so is not to be preempted at once. */
     public boolean startedOverdue() {
         return startedOverdue;
     }
 
-    public void setStartedOverdue(boolean overdue) {
-        this.startedOverdue = overdue;
+    /** It is the first task of an overdue job. */
+    public void markStartedOverdue() {
+        startedOverdue = true;
     }
 
-    /** Set when the task is to stop; the time in seconds that it may take to save, or -1. */
+    /** The grace period in seconds within which a stopping task may save a checkpoint; -1: it is not to stop. */
     public double stopGraceS() {
         return stopGraceS;
     }
 
+    /** When the stop was requested, or its grace period last shortened; 0: it was not. */
     public long stopRequestedAt() {
         return stopRequestedAt;
     }
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -114,7 +114,7 @@
                                     && !lateCancel)) {
                 // For a stopped task an unanswered start is made harmless by letting the worker know the attempt.
                 signals.add(new WorkerCommand(WorkerCommand.Kind.RUN, assignment.taskId(), assignment.attempt(), 0));
-                assignment.setStartsSent(assignment.startsSent() + 1);
+                assignment.markStartSent();
                 if (!inAnswer) {
                     machine.agent().unansweredStarts().merge(assignment.attemptId(), 1, Integer::sum);
                 }
@@ -130,13 +130,13 @@
     }
 
     private static boolean hasCancelled(Machine machine) {
-        return machine.assignments().values().stream().anyMatch(c -> c.job().cancelDurable());
+        return machine.assignments().values().stream().anyMatch(c -> c.job().cancellationDurable());
     }
 
     /** Whoever leads, a job whose cancellation is durable stays cancelled, and its tasks have to go. */
     private static void stopCancelled(Machine machine, List<WorkerCommand> signals) {
         for (TaskAssignment assignment : machine.assignments().values()) {
-            if (assignment.job().cancelDurable()
+            if (assignment.job().cancellationDurable()
                     && assignment.stopping()
                     && assignment.incarnation() == machine.agent().incarnation()
                     && assignment.phase() != Heartbeat.TaskPhase.EXITED) {
@@ -310,7 +310,7 @@
                         leadership.observeTerm(heartbeat.fencingToken(), "");
                         return;
                     }
-                    machine.agent().setUnreachableSince(0); // it has heard this
+                    machine.agent().markReachable(); // it has heard this
                     answers.answered(machine, heartbeat);
                     if (status == 409 && tries > 1 && heartbeat.incarnation() != session) {
                         command(machine, heartbeat.incarnation(), List.of(), tries - 1, timeoutMs);
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -84,8 +84,7 @@
         if (machine == null) {
             reply.accept(null);
         } else if (machine.agent().lastHeartbeatRecord() != null) {
-            machine.agent()
-                    .setLastHeardAt(environment.now()); // it is there, so it is not given up, however long this takes
+            machine.agent().markHeard(environment.now()); // it is there, so it is not given up, however long this takes
             silences.heard(
                     machine,
                     () -> reply.accept(mayAnswer(heartbeat) ? answer(machine, heartbeat) : null),
@@ -114,20 +113,15 @@
     }
 
     private byte[] answer(Machine machine, Heartbeat heartbeat) {
-        machine.agent().setHeartbeatIncarnation(heartbeat.incarnation());
-        machine.agent().setHeartbeatSequence(heartbeat.sequence());
+        machine.agent().recordHeartbeatNumber(heartbeat);
         if (machine.unchangedSince(heartbeat)
                 && heartbeat.sequence() > machine.agent().sequence()) {
-            machine.agent().setSequence(heartbeat.sequence());
-            machine.agent().setLastHeartbeat(heartbeat);
-            machine.agent().setLastHeardAt(environment.now());
-            machine.agent().setLastAnsweredAt(machine.agent().lastHeardAt());
-            machine.agent().setStartsInLastResponse(Set.of());
+            machine.agent().recordUnchanged(heartbeat, environment.now());
             return nothing;
         }
         doubt(machine, heartbeat);
         boolean fresh = take(machine, heartbeat, true);
-        machine.agent().setLastAnsweredAt(environment.now());
+        machine.agent().markAnswered(environment.now());
         List<WorkerCommand> signals = fresh ? commandDispatcher.signals(machine, true) : List.of();
         machine.agent().setStartsInLastResponse(keys(signals));
         return signals.isEmpty() ? nothing : MessageCodec.encode(WorkerMessages.heartbeatResponse(term, signals));
@@ -155,7 +149,7 @@
                     "machine {} reports but seems not to hear: {}",
                     machine.name(),
                     lapsedUnderAnswers ? "its lease lapsed while it was answered" : "it left starts alone");
-            machine.agent().setUnreachableSince(environment.now());
+            machine.agent().markUnreachable(environment.now());
         }
     }
 
@@ -187,7 +181,7 @@
     public byte[] renewBeforeRecovery(Heartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         machine.setAddress(heartbeat.address());
-        machine.agent().setLastAnsweredAt(environment.now());
+        machine.agent().markAnswered(environment.now());
         List<WorkerCommand> stops = leadership.cancellations().killCommandsFor(heartbeat);
         return stops.isEmpty() ? nothing : MessageCodec.encode(WorkerMessages.heartbeatResponse(term, stops));
     }
@@ -227,32 +221,26 @@
                     (now - machine.instance().requestedAt()) / 1000);
         }
         if (newSession) {
-            machine.agent().setIncarnationSeenAt(now);
-            machine.agent().unansweredStarts().clear();
-            machine.agent().outcomesNotDurable().clear();
+            machine.agent().beginIncarnation(now);
         }
     }
 
     private void takeTerm(Machine machine, Heartbeat heartbeat, long now) {
         if (!machine.agent().heardThisTerm() && heartbeat.fencingToken() < term) {
             // until it shows our term: this may be a late copy of what a dead machine said
-            machine.agent().setUnreachableSince(now);
+            machine.agent().markUnreachable(now);
             if (!eventLoopLag.overloaded()) {
                 commandDispatcher.ask(machine); // its next report will show it too, but work may be waiting
             }
         } else if (machine.agent().fencingToken() < term && heartbeat.fencingToken() >= term) {
-            machine.agent().setUnreachableSince(0);
+            machine.agent().markReachable();
             events.changed();
         }
     }
 
     private void takeProperties(Machine machine, Heartbeat heartbeat, long now) {
-        machine.agent().setHeardThisTerm(true);
+        machine.agent().recordStatus(heartbeat, now);
         machine.instance().setBooting(false);
-        machine.agent().setLastHeardAt(now);
-        machine.agent().setIncarnation(heartbeat.incarnation());
-        machine.agent().setSequence(heartbeat.sequence());
-        machine.agent().setFencingToken(heartbeat.fencingToken());
         machine.setAddress(heartbeat.address());
         machine.setTypeName(heartbeat.machineType());
         machine.setType(cluster.machineType(heartbeat.machineType()));
@@ -316,7 +304,7 @@
 
     private void see(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
         if (assignment.phase() != status.phase()) {
-            assignment.setPhase(status.phase());
+            assignment.recordPhase(status.phase());
             switch (status.phase()) {
                 case WAITING_FOR_GANG ->
                     machine.cacheImage(
@@ -336,7 +324,7 @@
         if (assignment.runningSince() != 0) {
             return;
         }
-        assignment.setRunningSince(now);
+        assignment.markRunning(now);
         LOG.debug(
                 "{} of {} runs on {} in {}, ordered {} ms ago",
                 assignment.taskId(),
@@ -344,7 +332,7 @@
                 machine.name(),
                 machine.zone(),
                 assignment.assignedAt() == 0 ? -1 : now - assignment.assignedAt());
-        assignment.job().setStarted(true);
+        assignment.job().markStarted();
         machine.cacheImage(
                 assignment.job().spec().image(), assignment.job().spec().imageGb());
         if (assignment.job().spec().gang()
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -13,6 +13,7 @@
 import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
 import stileferry.storage.CommitQueue;
+import stileferry.storage.EndEvent;
 import stileferry.storage.StoredEvent;
 
 /**
@@ -84,8 +85,7 @@
         }
     }
 
-    /** Needed only while an older record holds the silence, and older records are given up first. */
-    private record Heard(String machine) implements StoredEvent {
+    private record Heard(String machine) implements EndEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(HEARD_AGAIN_EVENT).add(machine);
@@ -95,19 +95,6 @@
         public int maxBytes() {
             return BYTES + machine.length();
         }
-
-        @Override
-        public void recordedIn(long record) {}
-
-        @Override
-        public StoredEvent retainedFrom(long record) {
-            return null;
-        }
-
-        @Override
-        public boolean endsEarlierEvent() {
-            return true;
-        }
     }
 
     public LastHeartbeatJournal(
@@ -134,9 +121,9 @@
             }
             long ago = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockOffMs);
             machine.agent()
-                    .setAnsweredByPreviousLeaderAt(
+                    .recordAnsweredByPreviousLeader(
+                            record.incarnation(),
                             Math.max(environment.now() - ago, leadership.consentedToLeaderlessRenewalAt()));
-            machine.agent().setAnsweredByPreviousLeaderIncarnation(record.incarnation());
             taken++;
         }
         if (taken > 0) {
@@ -152,7 +139,7 @@
                 && ago > NOTE_AFTER_REPORTS * reportMs
                 && leadership.leaseHeld()) {
             machine.agent()
-                    .setLastHeartbeatRecord(
+                    .keepLastHeartbeatRecord(
                             new LastHeartbeatRecord(machine.name(), session, environment.timeOfDay() - ago, term));
             ledger.appendEvent(new Silent(machine.agent().lastHeartbeatRecord()), null);
         }
@@ -166,10 +153,8 @@
             return;
         }
         waiting.put(machine, new ArrayList<>(List.of(new Waiting(environment.now(), answer, refuse))));
-        LastHeartbeatRecord silence = machine.agent().lastHeartbeatRecord();
         ledger.appendEvent(new Heard(machine.name()), () -> {
-            silence.setObsolete(true);
-            machine.agent().setLastHeartbeatRecord(null);
+            machine.agent().discardLastHeartbeatRecord();
             waiting.remove(machine).forEach(w -> w.answer.run());
         });
     }
--- a/src/main/java/stileferry/lifecycle/CompletedJob.java
+++ b/src/main/java/stileferry/lifecycle/CompletedJob.java
@@ -5,16 +5,25 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.UserMessages;
 
-/** How a job ended. */
+/**
+ * What is stored of a completed job, for good.
+ *
+ * @param outcome {@link #DONE} or {@link #CANCELLED}
+ * @param completedTasks the number of its tasks that completed
+ */
 public record CompletedJob(String outcome, int completedTasks) {
-    public static CompletedJob read(JsonNode v) {
-        return new CompletedJob(v.path("how").asText(), v.path("done").asInt());
+    static final String DONE = "done";
+    static final String CANCELLED = "cancelled";
+
+    public static CompletedJob read(JsonNode value) {
+        return new CompletedJob(value.path("how").asText(), value.path("done").asInt());
     }
 
     ObjectNode write() {
         return MessageCodec.map().put("how", outcome).put("done", completedTasks);
     }
 
+    /** What users hear of the job. */
     public ObjectNode jobState(String id) {
         return UserMessages.jobState(id, outcome, completedTasks, 0);
     }
--- a/src/main/java/stileferry/lifecycle/GangMetrics.java
+++ b/src/main/java/stileferry/lifecycle/GangMetrics.java
@@ -9,52 +9,51 @@
 public final class GangMetrics {
     private long attempts;
     private long started;
-    private long saved;
+    private long stoppedAndSaved;
     private long incomplete;
-    private long lost;
+    private long lostATask;
     private long failed;
 
-    /** A gang's claims were decided on. */
-    void attempted() {
+    /** A gang was assigned to machines. */
+    void countAttempt() {
         attempts++;
     }
 
     /** All tasks of a gang run. */
-    void started() {
+    void countStarted() {
         started++;
     }
 
-    /** A task of a gang has exited without being done. */
-    void exited(TaskAssignment claim, Heartbeat.TaskStatus task) {
-        if (!isFirstOfItsAttempt(claim)) {
+    /** A task of a gang has exited without completing. */
+    void countExit(TaskAssignment assignment, Heartbeat.TaskStatus status) {
+        if (!isFirstOfItsAttempt(assignment)) {
             return;
         }
-        switch (task.exitReason()) {
-            case STOPPED -> saved += task.checkpointSaved() ? 1 : 0;
+        switch (status.exitReason()) {
+            case STOPPED -> stoppedAndSaved += status.checkpointSaved() ? 1 : 0;
             case GANG_INCOMPLETE -> incomplete++;
-            case GANG_MEMBER_LOST -> lost++;
+            case GANG_MEMBER_LOST -> lostATask++;
             default -> failed++;
         }
     }
 
-    /** A task of a gang is gone with its machine or its lease. */
-    void gone(TaskAssignment claim) {
-        lost += isFirstOfItsAttempt(claim) ? 1 : 0;
+    /** A task of a gang was lost with its machine or by lease expiry. */
+    void countLost(TaskAssignment assignment) {
+        lostATask += isFirstOfItsAttempt(assignment) ? 1 : 0;
     }
 
-    private static boolean isFirstOfItsAttempt(TaskAssignment claim) {
-        boolean first = claim.job().lastFailedAttempt() != claim.attempt();
-        claim.job().setLastFailedAttempt(claim.attempt());
-        return first;
+    private static boolean isFirstOfItsAttempt(TaskAssignment assignment) {
+        return assignment.job().failures().recordFailedAttempt(assignment.attempt());
     }
 
+    /** The counts in the form of the administration's views. */
     public ObjectNode describe() {
         return MessageCodec.map()
                 .put("attempts", attempts)
                 .put("started", started)
-                .put("stopped_and_saved", saved)
+                .put("stopped_and_saved", stoppedAndSaved)
                 .put("incomplete", incomplete)
-                .put("lost_a_task", lost)
+                .put("lost_a_task", lostATask)
                 .put("failed", failed);
     }
 }
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -9,118 +9,125 @@
 import stileferry.storage.CommitQueue;
 import stileferry.storage.StoredEntry;
 
-/** Ends of jobs, done or cancelled. Users hear of them when they are durable, of cancellations when enough know. */
+/**
+ * Completes and cancels jobs in one term. Users hear of a completion once it is durable, of a cancellation once enough
+ * controllers know it too and no task can start any more.
+ */
 public final class JobCompletion {
     private final ClusterState cluster;
-    private final CommitQueue ledger;
-    private final CompletedJobCache ended;
-    private final LeaderElection leadership;
+    private final CommitQueue commitQueue;
+    private final CompletedJobCache completedJobs;
+    private final LeaderElection leaderElection;
     private final Listener listener;
     private final Consumer<TaskAssignment> stop;
 
-    /** Told of what users may hear. */
+    /** Notified of what users may hear. */
     public interface Listener {
-        /** A job's end is durable. */
-        void jobCompleted(Job job, CompletedJob end);
+        /** A job's completion is durable. */
+        void jobCompleted(Job job, CompletedJob completed);
 
         /** A job's cancellation may be confirmed. */
         void cancellationConfirmed(Job job);
     }
 
-    /** The consumer stops a claimed task at once. */
+    /** The completions of one term; {@code stop} stops an assigned task at once. */
     public JobCompletion(
             ClusterState cluster,
-            CommitQueue ledger,
-            CompletedJobCache ended,
-            LeaderElection leadership,
+            CommitQueue commitQueue,
+            CompletedJobCache completedJobs,
+            LeaderElection leaderElection,
             Listener listener,
             Consumer<TaskAssignment> stop) {
         this.cluster = cluster;
-        this.ledger = ledger;
-        this.ended = ended;
-        this.leadership = leadership;
+        this.commitQueue = commitQueue;
+        this.completedJobs = completedJobs;
+        this.leaderElection = leaderElection;
         this.listener = listener;
         this.stop = stop;
     }
 
-    /** Ends the jobs that were over when a term began, and goes on with what was cancelled. */
+    /** After a failover, completes the jobs that the former leader left to complete, and resumes cancellations. */
     public void resumeAfterFailover() {
         for (Job job : List.copyOf(cluster.jobs().values())) {
             if (job.cancelled()) {
-                cancelDurable(job);
+                cancellationDurable(job);
             } else if (job.unfinishedCount() == 0) {
-                end(job, "done");
+                complete(job, CompletedJob.DONE, null);
             }
         }
     }
 
-    private void stopAll(Job job) {
-        for (TaskAssignment claim : List.copyOf(job.assignments().values())) {
-            stop.accept(claim);
-        }
-    }
-
-    void end(Job job, String how) {
-        end(job, how, null);
-    }
-
-    /** Moves a job among the ended ones; what else is stored of it goes afterwards. */
-    void end(Job job, String how, Runnable onDurable) {
+    /**
+     * Moves a job's record to the completed jobs; what else is stored of it is deleted later. Does nothing if it is
+     * being moved already.
+     *
+     * @param onDurable run when that is durable; may be null
+     */
+    void complete(Job job, String outcome, Runnable onDurable) {
         if (job.completing()) {
             return;
         }
-        job.setCompleting(true);
-        CompletedJob record = new CompletedJob(how, job.completedCount());
-        StoredEntry entry = new StoredEntry(Job.completedKey(job.spec().id()), 0, record::write);
-        ledger.putAndDelete(entry, job.entry(), () -> {
-            job.setCompleted(true);
-            leadership.cancellations().allTasksGone(job.spec().id());
-            cluster.jobs().remove(job.spec().id());
-            ended.put(job.spec().id(), record);
-            listener.jobCompleted(job, record);
+        job.markCompleting();
+        String id = job.spec().id();
+        CompletedJob completed = new CompletedJob(outcome, job.completedCount());
+        StoredEntry entry = new StoredEntry(Job.completedKey(id), 0, completed::write);
+        commitQueue.putAndDelete(entry, job.entry(), () -> {
+            job.markCompleted();
+            leaderElection.cancellations().allTasksGone(id);
+            cluster.jobs().remove(id);
+            completedJobs.put(id, completed);
+            listener.jobCompleted(job, completed);
             if (onDurable != null) {
                 onDurable.run();
             }
         });
     }
 
+    /** Cancels a job that is neither cancelled nor completing. */
     public void cancel(Job job) {
-        job.setCancelled(true);
-        for (TaskAssignment claim : List.copyOf(job.assignments().values())) {
-            if (claim.startsSent() == 0) {
-                cluster.unassign(claim, false); // no machine has heard of it
-                ledger.appendEvent(TaskEvents.freed(claim), null);
-            }
-        }
+        job.requestCancellation();
+        settleWhatWasNeverSent(job);
         if (job.assignments().isEmpty()) {
-            end(job, "cancelled");
-            return;
+            complete(job, CompletedJob.CANCELLED, null);
+        } else {
+            commitQueue.put(job.entry(), () -> cancellationDurable(job));
+        }
+    }
+
+    private void settleWhatWasNeverSent(Job job) {
+        for (TaskAssignment assignment : List.copyOf(job.assignments().values())) {
+            if (!assignment.startSent()) {
+                cluster.unassign(assignment, false);
+                commitQueue.appendEvent(TaskEvents.settled(assignment), null);
+            }
         }
-        ledger.put(job.entry(), () -> cancelDurable(job));
     }
 
-    /** A cancellation is durable: the tasks are stopped, and the user hears of it when that is allowed. */
-    void cancelDurable(Job job) {
-        job.setCancelDurable(true);
-        stopAll(job);
+    /** A cancellation is durable: the tasks are stopped, and the other controllers hear of it. */
+    private void cancellationDurable(Job job) {
+        job.markCancellationDurable();
+        List.copyOf(job.assignments().values()).forEach(stop);
         if (job.assignments().isEmpty()) {
-            end(job, "cancelled");
+            complete(job, CompletedJob.CANCELLED, null);
             return;
         }
-        leadership.confirmCancellation(job.spec().id(), () -> {
-            job.setCancelReplicated(true);
-            confirm(job);
+        leaderElection.confirmCancellation(job.spec().id(), () -> {
+            job.markCancellationReplicated();
+            confirmCancellation(job);
         });
     }
 
     /**
-     * Tells a job's user that it is cancelled, once enough controllers know that (whoever renews leases may have to
-     * stop its tasks) and no task of it can begin any more. Found with cuts between the leader and the workers: a stop
-     * that did not arrive let a task begin whose image came after its user had been told.
+     * Confirms a job's cancellation to its users, if enough controllers know it (whoever renews leases may have to stop
+     * its tasks) and no task of it can start any more: while a machine can't be reached, one that still pulls its image
+     * would start later.
      */
-    void confirm(Job job) {
-        if (job.cancelReplicated() && !job.cancelConfirmed() && !job.completing() && !job.mayStartUnprompted()) {
-            job.setCancelConfirmed(true);
+    void confirmCancellation(Job job) {
+        if (job.cancellationReplicated()
+                && !job.cancellationConfirmed()
+                && !job.completing()
+                && !job.mayStartUnprompted()) {
+            job.markCancellationConfirmed();
             listener.cancellationConfirmed(job);
         }
     }
--- /dev/null
+++ b/src/main/java/stileferry/lifecycle/MachineQuarantine.java
@@ -0,0 +1,60 @@
+package stileferry.lifecycle;
+
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stileferry.cluster.ClusterState;
+import stileferry.cluster.Job;
+import stileferry.cluster.Machine;
+import stileferry.cluster.TaskAssignment;
+
+/**
+ * Quarantines machines that fail their tasks: when tasks of two jobs have failed on a machine since one succeeded, or
+ * one job has failed there twice that succeeds elsewhere. A job that fails everywhere counts against no machine.
+ */
+final class MachineQuarantine {
+    private static final Logger LOG = LoggerFactory.getLogger("leader");
+
+    /** Failures, counted as {@link #weight} says, at which a machine is taken to be faulty. */
+    private static final int FAULTY_AT = 2;
+
+    /** A job that has failed on so many machines is taken to be at fault itself. */
+    static final int JOB_AT_FAULT_MACHINES = 3;
+
+    private final ClusterState cluster;
+    private final Consumer<TaskAssignment> stop;
+
+    /** {@code stop} stops an assigned task, which may save a checkpoint. */
+    MachineQuarantine(ClusterState cluster, Consumer<TaskAssignment> stop) {
+        this.cluster = cluster;
+        this.stop = stop;
+    }
+
+    /** A task of this job has failed on the machine. */
+    void recordFailure(Machine machine, Job job) {
+        job.failures().recordFailureOn(machine.name());
+        machine.recordFailureOf(job.spec().id());
+        int weight = 0;
+        for (Map.Entry<String, Integer> failures : machine.failuresByJob().entrySet()) {
+            weight += weight(cluster.jobs().get(failures.getKey()), failures.getValue());
+        }
+        if (weight >= FAULTY_AT && !machine.instance().quarantined()) {
+            LOG.info("machine quarantined: machine={}", machine.name());
+            machine.instance().quarantine();
+            List.copyOf(machine.assignments().values()).forEach(stop);
+        }
+    }
+
+    /** What a job's failures on one machine count against it; the job is null when it has completed since. */
+    private static int weight(Job job, int failures) {
+        if (job == null) {
+            return 1;
+        }
+        if (job.failures().machineCount() >= JOB_AT_FAULT_MACHINES) {
+            return 0;
+        }
+        return job.failures().successes() > 0 ? Math.min(FAULTY_AT, failures) : 1;
+    }
+}
--- a/src/main/java/stileferry/lifecycle/TaskEventReader.java
+++ b/src/main/java/stileferry/lifecycle/TaskEventReader.java
@@ -12,55 +12,33 @@
 import stileferry.heartbeat.LastHeartbeatJournal;
 import stileferry.storage.StoredEvent;
 
-/** Reads stored records, in the order in which they were written. */
+/**
+ * Reads stored event records back after a failover, in the order in which they were written. What their events say of
+ * jobs that are not given to it, which have completed, is skipped.
+ */
 public final class TaskEventReader {
     private final Map<String, Job> jobs;
     private final Map<Job, Map<Integer, TaskAssignment>> assignments = new LinkedHashMap<>(); // so that seeds repeat
     private final Map<String, LastHeartbeatRecord> lastHeartbeats = new HashMap<>();
 
+    /** Reads events of these jobs, by id, and marks their completed tasks. */
     public TaskEventReader(Map<String, Job> jobs) {
         this.jobs = jobs;
     }
 
-    /** Takes one record in and returns its events. */
-    public List<StoredEvent> read(JsonNode record, long number) {
+    /** Takes in one record and returns its events of tasks. */
+    public List<StoredEvent> read(JsonNode record, long recordNumber) {
         List<StoredEvent> events = new ArrayList<>();
-        for (JsonNode e : record.path("e")) {
-            int kind = e.path(0).asInt(-1);
-            if (readHeartbeatEvent(kind, e)) {
-                continue;
-            }
-            Job job = jobs.get(e.path(1).asText());
-            int index = e.path(2).asInt(-1);
-            if (job == null || index < 0 || index >= job.spec().taskCount()) {
-                continue; // the job is over
-            }
-            switch (kind) {
-                case TaskEvents.CLAIMED ->
-                    events.add(claim(
-                            job,
-                            index,
-                            e.path(3).asLong(),
-                            e.path(4).asText(),
-                            e.path(5).asLong(),
-                            number));
-                case TaskEvents.FREED -> {
-                    TaskAssignment claim = of(job).get(index);
-                    if (claim != null && claim.attempt() == e.path(3).asLong()) {
-                        of(job).remove(index);
-                    }
-                    events.add(new TaskEvents.Freed(job, index, e.path(3).asLong()));
-                }
-                case TaskEvents.DONE ->
-                    events.add(done(
-                            job, index, Math.min(e.path(3).asInt(), job.spec().taskCount() - 1), number));
-                default -> {}
+        for (JsonNode event : record.path("e")) {
+            int kind = event.path(0).asInt(-1);
+            if (!readHeartbeatEvent(kind, event)) {
+                readTaskEvent(kind, event, recordNumber, events);
             }
         }
         return events;
     }
 
-    /** Takes in an event about a machine's heartbeats; false if this is none. */
+    /** Takes in an event about a machine's heartbeats; false if it is none. */
     private boolean readHeartbeatEvent(int kind, JsonNode event) {
         String machine = event.path(1).asText();
         if (kind == LastHeartbeatJournal.LAST_HEARTBEAT_EVENT) {
@@ -73,69 +51,108 @@
         return true;
     }
 
-    /** Reads the older form: one part of a job's tasks, a bitmap of those done and the claims. */
-    public List<StoredEvent> readLegacyChunk(Job job, int chunk, JsonNode v, long number) {
+    private void readTaskEvent(int kind, JsonNode event, long recordNumber, List<StoredEvent> into) {
+        Job job = jobs.get(event.path(1).asText());
+        int index = event.path(2).asInt(-1);
+        if (job == null || index < 0 || index >= job.spec().taskCount()) {
+            return;
+        }
+        switch (kind) {
+            case TaskEvents.ASSIGNED -> {
+                long attempt = event.path(3).asLong();
+                String machine = event.path(4).asText();
+                long incarnation = event.path(5).asLong();
+                into.add(assign(job, index, attempt, machine, incarnation, recordNumber));
+            }
+            case TaskEvents.SETTLED -> into.add(settle(job, index, event.path(3).asLong()));
+            case TaskEvents.COMPLETED -> {
+                int last = Math.min(event.path(3).asInt(), job.spec().taskCount() - 1);
+                into.add(complete(job, index, last, recordNumber));
+            }
+            default -> {}
+        }
+    }
+
+    /**
+     * Takes in a record of the first stored form: one part of a job's tasks, with a bitmap of the completed ones and
+     * the assignments.
+     */
+    public List<StoredEvent> readLegacyChunk(Job job, int chunk, JsonNode record, long recordNumber) {
         List<StoredEvent> events = new ArrayList<>();
-        int from = chunk * job.legacyChunkTasks();
-        String hex = v.path("done").asText();
-        for (int i = 0; i < 4 * hex.length() && from + i < job.spec().taskCount(); i++) {
-            // two digits a byte, the lowest bit first
-            int digit = Character.digit(hex.charAt(i / 8 * 2 + (i % 8 < 4 ? 1 : 0)), 16);
-            if ((digit >> i % 4 & 1) != 0) {
-                events.add(done(job, from + i, from + i, number));
+        int first = chunk * job.legacyChunkTasks();
+        String hexadecimal = record.path("done").asText();
+        for (int bit = 0;
+                bit < 4 * hexadecimal.length() && first + bit < job.spec().taskCount();
+                bit++) {
+            if (bitSet(hexadecimal, bit)) {
+                events.add(complete(job, first + bit, first + bit, recordNumber));
             }
         }
-        for (JsonNode c : v.path("claims")) {
-            int index = c.path(0).asInt(-1);
+        for (JsonNode claim : record.path("claims")) {
+            int index = claim.path(0).asInt(-1);
             if (index >= 0 && index < job.spec().taskCount()) {
-                events.add(claim(
-                        job,
-                        index,
-                        c.path(1).asLong(),
-                        c.path(2).asText(),
-                        c.path(3).asLong(),
-                        number));
+                long attempt = claim.path(1).asLong();
+                String machine = claim.path(2).asText();
+                long incarnation = claim.path(3).asLong();
+                events.add(assign(job, index, attempt, machine, incarnation, recordNumber));
             }
         }
         return events;
     }
 
-    private StoredEvent claim(Job job, int index, long attempt, String machine, long session, long number) {
-        TaskAssignment claim = new TaskAssignment(job, index, attempt, machine, session, 0);
-        claim.setDurable(true);
-        claim.setStartsSent(1);
-        claim.setRecordNumber(number);
-        of(job).put(index, claim);
-        return new TaskEvents.Claimed(claim);
+    /** Whether a bit is set in a bitmap of two hexadecimal digits a byte, the lowest bit of a byte first. */
+    private static boolean bitSet(String hexadecimal, int bit) {
+        int highDigit = bit / 8 * 2;
+        int digit = Character.digit(hexadecimal.charAt(bit % 8 < 4 ? highDigit + 1 : highDigit), 16);
+        return (digit >> bit % 4 & 1) != 0;
+    }
+
+    private StoredEvent assign(Job job, int index, long attempt, String machine, long incarnation, long recordNumber) {
+        TaskAssignment assignment = new TaskAssignment(job, index, attempt, machine, incarnation, 0);
+        assignment.markDurable();
+        assignment.markStartSent(); // the former leader may have sent it
+        assignment.stored(recordNumber);
+        assignmentsOf(job).put(index, assignment);
+        return new TaskEvents.Assigned(assignment);
+    }
+
+    private StoredEvent settle(Job job, int index, long attempt) {
+        TaskAssignment assignment = assignmentsOf(job).get(index);
+        if (assignment != null && assignment.attempt() == attempt) {
+            assignmentsOf(job).remove(index);
+        }
+        return new TaskEvents.Settled(job, index, attempt);
     }
 
-    private StoredEvent done(Job job, int from, int to, long number) {
-        for (int i = from; i <= to; i++) {
-            job.markCompleted(i);
-            of(job).remove(i);
+    private StoredEvent complete(Job job, int from, int to, long recordNumber) {
+        for (int index = from; index <= to; index++) {
+            job.markTaskCompleted(index);
+            assignmentsOf(job).remove(index);
         }
-        TaskEvents.Done done = new TaskEvents.Done(job, from, to);
-        done.recordedIn(number);
-        return done;
+        TaskEvents.Completed completed = new TaskEvents.Completed(job, from, to);
+        completed.recordedIn(recordNumber);
+        return completed;
     }
 
-    private Map<Integer, TaskAssignment> of(Job job) {
-        return assignments.computeIfAbsent(job, j -> new HashMap<>());
+    private Map<Integer, TaskAssignment> assignmentsOf(Job job) {
+        return assignments.computeIfAbsent(job, any -> new HashMap<>());
     }
 
-    /** The silences of machines that stand after all records. */
+    /** The notes of machines' last heartbeats that stand after all records. */
     public Iterable<LastHeartbeatRecord> lastHeartbeats() {
         return lastHeartbeats.values();
     }
 
-    /** The claims that stand after all records. */
+    /** The assignments that are not settled after all records. */
     public List<TaskAssignment> assignments() {
-        List<TaskAssignment> all = new ArrayList<>();
-        assignments.values().forEach(of -> of.values().forEach(assignment -> {
-            if (!assignment.job().completedTasks().get(assignment.index())) {
-                all.add(assignment);
+        List<TaskAssignment> unsettled = new ArrayList<>();
+        for (Map<Integer, TaskAssignment> ofOneJob : assignments.values()) {
+            for (TaskAssignment assignment : ofOneJob.values()) {
+                if (!assignment.job().completedTasks().contains(assignment.index())) {
+                    unsettled.add(assignment);
+                }
             }
-        }));
-        return all;
+        }
+        return unsettled;
     }
 }
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -3,13 +3,16 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import stileferry.cluster.Job;
 import stileferry.cluster.TaskAssignment;
+import stileferry.storage.EndEvent;
 import stileferry.storage.StoredEvent;
 
-/** What is stored of tasks: claims, their ends, and tasks that are done; and how all events are read again. */
-public final class TaskEvents {
-    static final int CLAIMED = 0;
-    static final int FREED = 1;
-    static final int DONE = 2;
+/** The stored events of tasks. Each is an array that begins with the event's kind and the job's id. */
+final class TaskEvents {
+    /** Kinds of events, beside those of machines' heartbeats. */
+    static final int ASSIGNED = 0;
+
+    static final int SETTLED = 1;
+    static final int COMPLETED = 2;
 
     /** Bytes of an event in JSON form beside its texts: brackets, quotes and numbers. */
     private static final int BYTES = 48;
@@ -17,47 +20,49 @@
     private TaskEvents() {}
 
     /** A task may be on a machine from now on. */
-    static StoredEvent claimed(TaskAssignment claim) {
-        return new Claimed(claim);
+    static StoredEvent assigned(TaskAssignment assignment) {
+        return new Assigned(assignment);
+    }
+
+    /** An assignment is settled, and its task is pending again. */
+    static StoredEvent settled(TaskAssignment assignment) {
+        return new Settled(assignment.job(), assignment.index(), assignment.attempt());
     }
 
-    /** A claim has ended, and its task waits again. */
-    static StoredEvent freed(TaskAssignment claim) {
-        return new Freed(claim.job(), claim.index(), claim.attempt());
+    /** A task has completed. */
+    static StoredEvent completed(Job job, int index) {
+        return new Completed(job, index, index);
     }
 
-    /** A task is done. */
-    static StoredEvent done(Job job, int index) {
-        return new Done(job, index, index);
+    private static int bytes(Job job) {
+        return BYTES + job.spec().id().length();
     }
 
-    /** Event 0: a task may be on a machine from now on. */
-    record Claimed(TaskAssignment claim) implements StoredEvent {
+    /** Event 0: an assignment, kept until it is settled. */
+    record Assigned(TaskAssignment assignment) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
-            into.add(CLAIMED)
-                    .add(claim.job().spec().id())
-                    .add(claim.index())
-                    .add(claim.attempt())
-                    .add(claim.machine())
-                    .add(claim.incarnation());
+            into.add(ASSIGNED)
+                    .add(assignment.job().spec().id())
+                    .add(assignment.index())
+                    .add(assignment.attempt())
+                    .add(assignment.machine())
+                    .add(assignment.incarnation());
         }
 
         @Override
         public int maxBytes() {
-            return BYTES + claim.job().spec().id().length() + claim.machine().length();
+            return TaskEvents.bytes(assignment.job()) + assignment.machine().length();
         }
 
         @Override
         public void recordedIn(long record) {
-            claim.setRecordNumber(record);
+            assignment.stored(record);
         }
 
         @Override
         public StoredEvent retainedFrom(long record) {
-            return claim.recordNumber() == record && claim.job().assignments().get(claim.index()) == claim
-                    ? this
-                    : null;
+            return assignment.storedIn(record) && assignment.job().holds(assignment) ? this : null;
         }
 
         @Override
@@ -66,66 +71,53 @@
         }
     }
 
-    /** Event 1: an assignment is settled. */
-    record Freed(Job job, int index, long attempt) implements StoredEvent {
+    /** Event 1: the assignment of this attempt is settled. */
+    record Settled(Job job, int index, long attempt) implements EndEvent {
         @Override
         public void write(ArrayNode into) {
-            into.add(FREED).add(job.spec().id()).add(index).add(attempt);
+            into.add(SETTLED).add(job.spec().id()).add(index).add(attempt);
         }
 
         @Override
         public int maxBytes() {
-            return BYTES + job.spec().id().length();
-        }
-
-        @Override
-        public void recordedIn(long record) {}
-
-        @Override
-        public StoredEvent retainedFrom(long record) {
-            return null;
-        }
-
-        @Override
-        public boolean endsEarlierEvent() {
-            return true;
+            return TaskEvents.bytes(job);
         }
     }
 
-    /** Event 2: these tasks of a job, in a row, have completed. */
-    record Done(Job job, int from, int to) implements StoredEvent {
+    /** Event 2: these tasks, both ends included, have completed. Kept until their job is completed. */
+    record Completed(Job job, int from, int to) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
-            into.add(DONE).add(job.spec().id()).add(from).add(to);
+            into.add(COMPLETED).add(job.spec().id()).add(from).add(to);
         }
 
         @Override
         public int maxBytes() {
-            return BYTES + job.spec().id().length();
+            return TaskEvents.bytes(job);
         }
 
         @Override
         public void recordedIn(long record) {
-            job.completionRecord(from, to, (int) record);
+            job.completedTasks().stored(from, to, (int) record);
         }
 
         @Override
         public boolean endsEarlierEvent() {
-            return false; // said again for as long as its job lives
+            return false; // it ends assignments too, but is kept for as long as its job is there
         }
 
-        /** Together with its neighbours that are done by now, so that a long job takes ever fewer events. */
+        /** Together with its neighbours that have completed by now, so that a long job takes ever fewer events. */
         @Override
         public StoredEvent retainedFrom(long record) {
             if (job.completed()) {
                 return null;
             }
-            for (int i = from; i <= to; i++) {
-                if (job.completionRecord(i) == (int) record) {
-                    return new Done(
+            for (int index = from; index <= to; index++) {
+                if (job.completedTasks().recordOf(index) == (int) record) {
+                    return new Completed(
                             job,
-                            job.completedTasks().previousClearBit(from) + 1,
-                            job.completedTasks().nextClearBit(to) - 1);
+                            job.completedTasks().firstOfRun(from),
+                            job.completedTasks().lastOfRun(to));
                 }
             }
             return null;
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -9,7 +9,6 @@
 import stileferry.cluster.GangAttempt;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
-import stileferry.cluster.RestartBackOff;
 import stileferry.cluster.TaskAssignment;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.heartbeat.TaskObserver;
@@ -20,45 +19,56 @@
 import stileferry.storage.CommitQueue;
 
 /**
- * The life of tasks in one term, from their claim over start and stop to the proof that they are gone. A gang's tasks
- * live and end together.
+ * The lifecycle of tasks in one term: from the assignment over start and stop to the proof that settles it. A gang's
+ * tasks start, stop and complete together.
  */
 public final class TaskLifecycle implements TaskObserver {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
+    /** Bounded slowdown counts shorter runs as being this long, as in the paper that {@code Placement} names. */
     private static final double SLOWDOWN_THRESHOLD_S = 60;
 
+    private static final long FAILED_FIRST_PAUSE_MS = 1000;
+    private static final int FAILED_MOST_DOUBLINGS = 6;
+    private static final long UNKNOWN_JOB_FIRST_PAUSE_MS = 500;
+    private static final int UNKNOWN_JOB_MOST_DOUBLINGS = 7;
+
     private final ClusterState cluster;
     private final Environment environment;
-    private final CommitQueue ledger;
-    private final TermSequence numbers;
+    private final CommitQueue commitQueue;
+    private final TermSequence termSequence;
     private final HeartbeatHandler heartbeatHandler;
     private final JobCompletion jobCompletion;
+    private final MachineQuarantine quarantine;
     private final Runnable changed;
     private final GangMetrics gangMetrics = new GangMetrics();
-    private final long roundMs;
+    private final long heartbeatRoundMs;
 
     /**
-     * @param createFleet makes the fleet, which tells this lifecycle of its tasks
-     * @param createJobEnds makes the ends of jobs, which stop their tasks here
-     * @param changed run when something changed that a pass may use
+     * The lifecycle of one term.
+     *
+     * @param createHeartbeatHandler makes the handler of heartbeats, which notifies this lifecycle of its tasks
+     * @param createJobCompletion makes the completion of jobs, which stops their tasks here
+     * @param changed run when something has changed that a scheduling pass may use
      */
     public TaskLifecycle(
             ClusterState cluster,
             Environment environment,
-            CommitQueue ledger,
-            TermSequence numbers,
-            Function<TaskObserver, HeartbeatHandler> createFleet,
-            Function<TaskLifecycle, JobCompletion> createJobEnds,
+            CommitQueue commitQueue,
+            TermSequence termSequence,
+            Function<TaskObserver, HeartbeatHandler> createHeartbeatHandler,
+            Function<TaskLifecycle, JobCompletion> createJobCompletion,
             Runnable changed) {
         this.cluster = cluster;
         this.environment = environment;
-        this.ledger = ledger;
-        this.numbers = numbers;
-        this.heartbeatHandler = createFleet.apply(this);
-        this.jobCompletion = createJobEnds.apply(this);
+        this.commitQueue = commitQueue;
+        this.termSequence = termSequence;
+        this.heartbeatHandler = createHeartbeatHandler.apply(this);
+        this.jobCompletion = createJobCompletion.apply(this);
+        this.quarantine = new MachineQuarantine(
+                cluster, assignment -> stop(assignment, assignment.job().spec().checkpointSaveS()));
         this.changed = changed;
-        this.roundMs = cluster.settings().workers().heartbeatRoundMs();
+        this.heartbeatRoundMs = cluster.settings().workers().heartbeatRoundMs();
     }
 
     public HeartbeatHandler heartbeatHandler() {
@@ -78,311 +88,306 @@
         changed.run();
     }
 
-    /** Stops a task whose job was cancelled. */
-    public void stopCancelled(TaskAssignment claim) {
-        stopOne(claim, 0);
-    }
+    // ---- start
 
-    /** Starts the next waiting task of a job, or all tasks of a gang, on these machines. */
+    /** Assigns the next pending task of a job, or all tasks of a gang, to these machines and starts them there. */
     public void start(Job job, List<Machine> machines, boolean overdue) {
         long now = environment.now();
         int index = job.nextPendingTask(now);
-        // The tasks of a gang find each other by their attempt, so it is the same for all of them.
-        long attempt = numbers.next();
+        long attempt = termSequence.next(); // one for all tasks of a gang, which find each other by it
         GangAttempt gangAttempt = null;
         if (job.spec().gang()) {
             gangAttempt = new GangAttempt(machines.size());
-            gangMetrics.attempted();
+            gangMetrics.countAttempt();
         }
         for (Machine machine : machines) {
-            TaskAssignment claim = new TaskAssignment(
+            TaskAssignment assignment = new TaskAssignment(
                     job, index, attempt, machine.name(), machine.agent().incarnation(), now);
-            claim.setStartedOverdue(overdue);
-            claim.setGangAttempt(gangAttempt);
-            cluster.assign(claim);
-            ledger.appendEvent(TaskEvents.claimed(claim), () -> claimDurable(claim, machine));
-            index = job.completedOrAssigned().nextClearBit(index);
+            if (overdue) {
+                assignment.markStartedOverdue();
+            }
+            assignment.joinGangAttempt(gangAttempt);
+            cluster.assign(assignment);
+            commitQueue.appendEvent(TaskEvents.assigned(assignment), () -> assignmentDurable(assignment, machine));
+            index = job.nextUnassignedTask(index);
         }
     }
 
-    private void claimDurable(TaskAssignment claim, Machine machine) {
-        claim.setDurable(true);
-        if (claim.gangAttempt() != null) {
-            if (claim.gangAttempt().assignmentDurable()) {
-                startWhole(claim.job(), claim.gangAttempt());
+    private void assignmentDurable(TaskAssignment assignment, Machine machine) {
+        assignment.markDurable();
+        GangAttempt gangAttempt = assignment.gangAttempt();
+        if (gangAttempt == null) {
+            if (mayStart(assignment)) {
+                heartbeatHandler.commandDispatcher().sendSoon(machine);
             }
-        } else if (mayStart(claim)) {
-            heartbeatHandler.commandDispatcher().sendSoon(machine);
+        } else if (gangAttempt.assignmentDurable()) {
+            startGang(assignment.job(), gangAttempt);
         }
     }
 
-    private void startWhole(Job job, GangAttempt attempt) {
-        for (TaskAssignment claim : job.assignments().values()) {
-            if (claim.gangAttempt() == attempt && mayStart(claim)) {
-                heartbeatHandler.commandDispatcher().sendSoon(cluster.machine(claim.machine()));
+    private void startGang(Job job, GangAttempt attempt) {
+        for (TaskAssignment assignment : job.assignments().values()) {
+            if (assignment.gangAttempt() == attempt && mayStart(assignment)) {
+                heartbeatHandler.commandDispatcher().sendSoon(cluster.machine(assignment.machine()));
             }
         }
     }
 
-    private static boolean mayStart(TaskAssignment claim) {
-        return claim.job().assignments().get(claim.index()) == claim
-                && !claim.stopping()
-                && !claim.job().cancelled();
+    private static boolean mayStart(TaskAssignment assignment) {
+        return assignment.job().holds(assignment)
+                && !assignment.stopping()
+                && !assignment.job().cancelled();
+    }
+
+    @Override
+    public void phaseChanged(TaskAssignment assignment) {
+        jobCompletion.confirmCancellation(assignment.job());
+    }
+
+    @Override
+    public void gangRunning(Job job) {
+        gangMetrics.countStarted();
+        LOG.debug(
+                "gang running: job={} tasks={} class={}",
+                job.spec().id(),
+                job.spec().taskCount(),
+                job.spec().jobClass());
+    }
+
+    // ---- stop
+
+    /** Stops a task whose job was cancelled. */
+    public void stopCancelled(TaskAssignment assignment) {
+        stopOne(assignment, 0);
+    }
+
+    @Override
+    public void stopTaskOrGang(TaskAssignment assignment, double graceS) {
+        stop(assignment, graceS);
     }
 
     /**
-     * Stops a claimed task. A gang is stopped whole: its tasks can save only together, and one that is left alone loses
-     * what it did.
+     * Stops an assigned task within a grace period in seconds. A gang is stopped whole: its tasks can save a checkpoint
+     * only together, and one that is left alone loses what it did.
      */
-    public void stop(TaskAssignment claim, double graceS) {
-        if (claim.job().spec().gang()) {
-            double together = graceS > 0 && !allHear(claim.job()) ? 0 : graceS;
-            stopOne(claim, together);
-            stopOthers(claim, together);
+    public void stop(TaskAssignment assignment, double graceS) {
+        if (assignment.job().spec().gang()) {
+            double gangGraceS = graceS > 0 && !allReachable(assignment.job()) ? 0 : graceS;
+            stopOne(assignment, gangGraceS);
+            stopOthers(assignment, gangGraceS);
         } else {
-            stopOne(claim, graceS);
+            stopOne(assignment, graceS);
         }
     }
 
     /**
-     * Whether all tasks of a gang can be expected to hear a stop in time. If one does not, the others can't save;
-     * told to, they would only wait for it, and what they did since their last checkpoint is lost all the same.
+     * Whether all tasks of a gang can be expected to hear a stop in time. If one does not, the others can't save a
+     * checkpoint: they would only wait for it, and lose what came after their last checkpoint all the same.
      */
-    private boolean allHear(Job gang) {
-        for (TaskAssignment claim : gang.assignments().values()) {
-            if (!heartbeatHandler.failureDetector().reachable(cluster.machine(claim.machine()))) {
+    private boolean allReachable(Job gang) {
+        for (TaskAssignment assignment : gang.assignments().values()) {
+            if (!heartbeatHandler.failureDetector().reachable(cluster.machine(assignment.machine()))) {
                 LOG.info(
-                        "gang {} is stopped without saving: {} may not hear it",
+                        "gang stopped without checkpoint: job={} unreachable_machine={}",
                         gang.spec().id(),
-                        claim.machine());
+                        assignment.machine());
                 return false;
             }
         }
         return true;
     }
 
-    /** One that its machine has never heard of is simply not there. */
-    private void stopOne(TaskAssignment claim, double graceS) {
-        if (claim.job().assignments().get(claim.index()) != claim) {
-            return; // ended with its gang; counted out twice it would let its team beyond its limit
+    private void stopOne(TaskAssignment assignment, double graceS) {
+        if (!assignment.job().holds(assignment)) {
+            return; // settled with its gang; counted out twice it would let its team beyond its limit
         }
-        if (claim.startsSent() == 0) {
-            LOG.debug("{} is not on {}: it was never sent", claim.taskId(), claim.machine());
-            settle(claim, false, null);
+        if (!assignment.startSent()) {
+            logSettled(assignment, "never sent");
+            settle(assignment, false, null);
             return;
         }
-        cluster.requestStop(claim, graceS, environment.now());
-        heartbeatHandler.commandDispatcher().sendSoon(cluster.machine(claim.machine()));
+        cluster.requestStop(assignment, graceS, environment.now());
+        heartbeatHandler.commandDispatcher().sendSoon(cluster.machine(assignment.machine()));
+    }
+
+    private void stopOthers(TaskAssignment assignment, double graceS) {
+        for (TaskAssignment other : List.copyOf(assignment.job().assignments().values())) {
+            if (other != assignment && (!other.stopping() || graceS < other.stopGraceS())) {
+                stopOne(other, graceS);
+            }
+        }
+    }
+
+    /**
+     * Stops the rest of a gang of which one task does not run any more, so that it starts again whole. If that task had
+     * saved a checkpoint, so do the others. Otherwise none of them can: they would only wait for the missing one.
+     */
+    private void stopRestOfGang(TaskAssignment ended, boolean checkpointSaved) {
+        if (ended.job().spec().gang()) {
+            stopOthers(ended, checkpointSaved ? ended.job().spec().checkpointSaveS() : 0);
+        }
     }
 
+    /**
+     * Stops a gang at once that was read with fewer assignments than tasks, which was not started or has lost a task;
+     * or, as an older version may have left it, with assignments of different attempts, whose tasks would wait for each
+     * other in vain. Neither can complete or save a checkpoint; the gang starts again whole.
+     */
+    public void stopIncompleteGangAttempt(Job job) {
+        if (job.spec().gang() && !job.assignments().isEmpty() && !job.assignmentsFormOneAttempt()) {
+            long now = environment.now();
+            List.copyOf(job.assignments().values()).forEach(assignment -> cluster.requestStop(assignment, 0, now));
+        }
+    }
+
+    // ---- exit
+
     @Override
-    public void exited(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus status) {
-        Job job = claim.job();
-        if (job.assignments().get(claim.index()) != claim) {
-            return; // ended with its gang
+    public void exited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status) {
+        Job job = assignment.job();
+        if (!job.holds(assignment)) {
+            return; // settled with its gang
         }
         long now = environment.now();
-        boolean done =
+        boolean completed =
                 status.exitReason() == ExitReason.COMPLETED && !job.spec().service();
-        List<TaskAssignment> others = done && job.spec().gang() ? completeGang(job, claim) : List.of();
+        List<TaskAssignment> others = completed && job.spec().gang() ? completeGang(job, assignment) : List.of();
         machine.agent().outcomesNotDurable().add(status.attemptId());
-        job.setStarted(job.started() | (done || status.exitReason() == ExitReason.FAILED));
-        logExit(machine, claim, status, now);
-        if (done) {
-            succeeded(machine, claim, now);
+        if (completed || status.exitReason() == ExitReason.FAILED) {
+            job.markStarted();
+        }
+        logExit(machine, assignment, status, now);
+        if (completed) {
+            recordSuccess(machine, assignment, now);
         } else {
-            failed(machine, claim, status, now);
+            recordFailure(machine, assignment, status, now);
         }
-        settle(claim, done, () -> {
+        settle(assignment, completed, () -> {
             machine.agent().outcomesNotDurable().remove(status.attemptId());
-            others.forEach(this::mayClear);
+            others.forEach(this::outcomeDurable);
         });
     }
 
-    private void logExit(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus status, long now) {
-        if (claim.assignedAt() > 0 && claim.runningSince() > 0) {
+    private void logExit(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
+        if (assignment.assignedAt() > 0 && assignment.runningSince() > 0) {
             LOG.debug(
-                    "{} of {} exited on {}: {}, ordered {} ms after its job, running {} ms later, for {} ms",
-                    claim.taskId(),
-                    claim.job().spec().jobClass(),
+                    "task exited: task={} class={} machine={} reason={} assigned_after_ms={} started_after_ms={}"
+                            + " ran_ms={}",
+                    assignment.taskId(),
+                    assignment.job().spec().jobClass(),
                     machine.name(),
                     status.exitReason(),
-                    claim.assignedAt()
+                    assignment.assignedAt()
                             - now
                             + environment.timeOfDay()
-                            - claim.job().acceptedAt(),
-                    claim.runningSince() - claim.assignedAt(),
-                    now - claim.runningSince());
+                            - assignment.job().acceptedAt(),
+                    assignment.runningSince() - assignment.assignedAt(),
+                    now - assignment.runningSince());
         }
     }
 
-    private static void succeeded(Machine machine, TaskAssignment claim, long now) {
-        if (claim.assignedAt() > 0 && claim.runningSince() > 0) {
+    private static void recordSuccess(Machine machine, TaskAssignment assignment, long now) {
+        if (assignment.assignedAt() > 0 && assignment.runningSince() > 0) {
             machine.recordSlowdown(
-                    (now - claim.runningSince()) / 1000.0,
-                    (claim.runningSince() - claim.assignedAt()) / 1000.0,
+                    (now - assignment.runningSince()) / 1000.0,
+                    (assignment.runningSince() - assignment.assignedAt()) / 1000.0,
                     SLOWDOWN_THRESHOLD_S);
         }
-        claim.job().countSuccess();
-        claim.job().retries().remove(claim.index());
-        machine.failuresByJob().clear();
+        assignment.job().failures().recordSuccess(assignment.index());
+        machine.forgetFailures();
     }
 
-    /** The outcome of a task that ended with its gang is durable. */
-    private void mayClear(TaskAssignment claim) {
-        Machine machine = cluster.machines().get(claim.machine());
-        if (machine != null) {
-            machine.agent().outcomesNotDurable().remove(claim.attemptId());
-        }
-    }
-
-    private void failed(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus status, long now) {
-        Job job = claim.job();
+    private void recordFailure(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
+        Job job = assignment.job();
         switch (status.exitReason()) {
             case FAILED -> {
-                RestartBackOff retry = job.retries().computeIfAbsent(claim.index(), i -> new RestartBackOff());
-                retry.backOff(now, 1000, 6);
-                job.failedMachines().add(machine.name());
-                machine.failuresByJob().merge(job.spec().id(), 1, Integer::sum);
-                judge(machine);
+                job.failures().backOff(assignment.index(), now, FAILED_FIRST_PAUSE_MS, FAILED_MOST_DOUBLINGS);
+                quarantine.recordFailure(machine, job);
             }
             case INSUFFICIENT_RESOURCES, CONFLICTING_ATTEMPT ->
-                machine.instance().cordonUntil(now + roundMs);
-            case UNKNOWN_JOB -> {
-                RestartBackOff retry = job.retries().computeIfAbsent(claim.index(), i -> new RestartBackOff());
-                retry.backOff(now, 500, 7);
-            }
+                machine.instance().cordonUntil(now + heartbeatRoundMs);
+            case UNKNOWN_JOB ->
+                job.failures().backOff(assignment.index(), now, UNKNOWN_JOB_FIRST_PAUSE_MS, UNKNOWN_JOB_MOST_DOUBLINGS);
             default -> {}
         }
         if (job.spec().gang()) {
-            gangMetrics.exited(claim, status);
+            gangMetrics.countExit(assignment, status);
         }
-        stopGang(claim, status.checkpointSaved());
+        stopRestOfGang(assignment, status.checkpointSaved());
     }
 
     /**
-     * One task of a gang that does not run stops and requeues them all. If it had saved, so do the others. Else none of
-     * them can: told to save they would only wait for the missing one, and hold their machines until they give up.
-     */
-    private void stopGang(TaskAssignment claim, boolean saved) {
-        if (claim.job().spec().gang()) {
-            stopOthers(claim, saved ? claim.job().spec().checkpointSaveS() : 0);
-        }
-    }
-
-    private void stopOthers(TaskAssignment claim, double graceS) {
-        for (TaskAssignment other : List.copyOf(claim.job().assignments().values())) {
-            if (other != claim && (!other.stopping() || graceS < other.stopGraceS())) {
-                stopOne(other, graceS);
-            }
-        }
-    }
-
-    /**
-     * The tasks of a gang complete together: when one is done, all are, also one whose machine is gone before it tells.
-     * Their end is stored at once, in the record of the job's end, so that no leader starts a part of the gang again.
-     * Returns the claims that have ended so, which their machines may not clear before that is durable.
+     * Completes all tasks of a gang of which one has completed, also one whose machine is gone before it reports. That
+     * is stored at once, in the record of the job's completion, so that no leader starts a part of the gang again.
+     *
+     * @param first the assignment of the completed task, which is left to the caller; null: there is none
+     * @return the assignments settled, whose machines may not clear them before the job's completion is durable
      */
     public List<TaskAssignment> completeGang(Job job, TaskAssignment first) {
         List<TaskAssignment> others = new ArrayList<>(job.assignments().values());
         others.remove(first);
-        for (TaskAssignment claim : others) {
-            cluster.unassign(claim, true);
-            Machine machine = cluster.machine(claim.machine());
-            machine.agent().outcomesNotDurable().add(claim.attemptId());
-            machine.instance()
-                    .markIdleSince(
-                            machine.assignments().isEmpty()
-                                    ? environment.now()
-                                    : machine.instance().idleSince());
+        for (TaskAssignment other : others) {
+            cluster.unassign(other, true);
+            Machine machine = cluster.machine(other.machine());
+            machine.agent().outcomesNotDurable().add(other.attemptId());
+            markIdleIfEmpty(machine);
         }
-        for (int i = 0; i < job.spec().taskCount(); i++) {
-            if (first == null || i != first.index()) {
-                job.markCompleted(i);
+        for (int index = 0; index < job.spec().taskCount(); index++) {
+            if (first == null || index != first.index()) {
+                job.markTaskCompleted(index);
             }
         }
         return others;
     }
 
-    @Override
-    public void phaseChanged(TaskAssignment claim) {
-        jobCompletion.confirm(claim.job());
-    }
-
-    @Override
-    public void gangRunning(Job job) {
-        gangMetrics.started();
-        LOG.debug(
-                "all {} tasks of {} of {} run",
-                job.spec().taskCount(),
-                job.spec().id(),
-                job.spec().jobClass());
-    }
-
-    @Override
-    public void stopTaskOrGang(TaskAssignment claim, double graceS) {
-        stop(claim, graceS);
-    }
-
-    /**
-     * An attempt of a gang that was read with fewer claims than tasks was not started, or has lost a task; and an older
-     * version may have left claims of different attempts, whose tasks would wait for each other in vain. Neither can be
-     * completed, nor can its tasks save, so they stop at once and the gang starts again whole.
-     */
-    public void stopIncompleteGangAttempt(Job job) {
-        if (job.spec().gang() && !job.assignments().isEmpty() && !job.assignmentsFormOneAttempt()) {
-            List.copyOf(job.assignments().values()).forEach(claim -> cluster.requestStop(claim, 0, environment.now()));
+    /** The outcome of a task that completed with its gang is durable, so its machine may clear it. */
+    private void outcomeDurable(TaskAssignment assignment) {
+        Machine machine = cluster.machines().get(assignment.machine());
+        if (machine != null) {
+            machine.agent().outcomesNotDurable().remove(assignment.attemptId());
         }
     }
 
-    /**
-     * A machine is faulty when tasks of two jobs failed on it since one succeeded, or one job failed on it again and
-     * again that succeeds elsewhere. A job that fails everywhere speaks against no machine.
-     */
-    private void judge(Machine machine) {
-        int weight = 0;
-        for (var failure : machine.failuresByJob().entrySet()) {
-            Job job = cluster.jobs().get(failure.getKey());
-            if (job == null || job.failedMachines().size() < 3) {
-                weight += job != null && job.successes() > 0 ? Math.min(2, failure.getValue()) : 1;
-            }
-        }
-        if (weight >= 2 && !machine.instance().quarantined()) {
-            LOG.info("machine {} fails its tasks and is taken out of use", machine.name());
-            machine.instance().setQuarantined(true);
-            for (TaskAssignment claim : List.copyOf(machine.assignments().values())) {
-                stop(claim, claim.job().spec().checkpointSaveS());
+    @Override
+    public void gone(TaskAssignment assignment, String proof) {
+        if (assignment.job().holds(assignment)) {
+            logSettled(assignment, proof);
+            settle(assignment, false, null);
+            if (assignment.job().spec().gang()) {
+                gangMetrics.countLost(assignment);
             }
+            stopRestOfGang(assignment, false);
         }
     }
 
-    @Override
-    public void gone(TaskAssignment claim, String proof) {
-        if (claim.job().assignments().get(claim.index()) == claim) {
-            LOG.debug("{} is not on {} any more: {}", claim.taskId(), claim.machine(), proof);
-            settle(claim, false, null);
-            if (claim.job().spec().gang()) {
-                gangMetrics.gone(claim);
-            }
-            stopGang(claim, false);
-        }
+    private static void logSettled(TaskAssignment assignment, String proof) {
+        LOG.debug(
+                "task assignment settled: task={} machine={} proof={}",
+                assignment.taskId(),
+                assignment.machine(),
+                proof);
     }
 
-    private void settle(TaskAssignment claim, boolean done, Runnable onDurable) {
-        Job job = claim.job();
-        Machine machine = cluster.machine(claim.machine());
-        cluster.unassign(claim, done);
-        if (machine.assignments().isEmpty()) {
-            machine.instance().markIdleSince(environment.now());
-        }
+    private void settle(TaskAssignment assignment, boolean completed, Runnable onDurable) {
+        Job job = assignment.job();
+        cluster.unassign(assignment, completed);
+        markIdleIfEmpty(cluster.machine(assignment.machine()));
         if (job.unfinishedCount() == 0 && !job.cancelled()) {
-            jobCompletion.end(job, "done", onDurable);
+            jobCompletion.complete(job, CompletedJob.DONE, onDurable);
         } else if (job.cancelled() && job.assignments().isEmpty()) {
-            jobCompletion.end(job, "cancelled", onDurable);
+            jobCompletion.complete(job, CompletedJob.CANCELLED, onDurable);
         } else {
-            ledger.appendEvent(done ? TaskEvents.done(job, claim.index()) : TaskEvents.freed(claim), onDurable);
-            jobCompletion.confirm(job);
+            commitQueue.appendEvent(
+                    completed ? TaskEvents.completed(job, assignment.index()) : TaskEvents.settled(assignment),
+                    onDurable);
+            jobCompletion.confirmCancellation(job);
         }
         changed.run();
     }
+
+    private void markIdleIfEmpty(Machine machine) {
+        if (machine.assignments().isEmpty()) {
+            machine.instance().markIdleSince(environment.now());
+        }
+    }
 }
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -1,10 +1,9 @@
 package stileferry.requests;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Set;
+import java.util.Map;
 import java.util.function.Consumer;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
@@ -41,7 +40,7 @@
     private final Leader lead;
 
     /** Jobs whose users wait for something to be durable. */
-    private final Set<Job> awaited = new LinkedHashSet<>();
+    private final Map<Job, PendingReplies> pendingReplies = new LinkedHashMap<>();
 
     /** What the leader does for its users. */
     public interface Leader {
@@ -91,11 +90,10 @@
 
     /** Answers all who wait for this job. */
     void answer(Job job, PeerMessage.Response answer) {
-        List<Consumer<PeerMessage.Response>> waiting = job.pendingReplies();
-        job.setPendingReplies(new ArrayList<>());
-        job.setRepliesPendingSince(0);
-        awaited.remove(job);
-        waiting.forEach(w -> w.accept(answer));
+        PendingReplies waiting = pendingReplies.remove(job);
+        if (waiting != null) {
+            waiting.answer(answer);
+        }
     }
 
     @Override
@@ -109,19 +107,18 @@
     }
 
     private void await(Job job, Consumer<PeerMessage.Response> reply) {
-        job.pendingReplies().add(reply);
-        if (job.repliesPendingSince() == 0) {
-            job.setRepliesPendingSince(environment.now());
-            awaited.add(job);
-        }
+        pendingReplies
+                .computeIfAbsent(job, waiting -> new PendingReplies(environment.now()))
+                .add(reply);
     }
 
     /** Users whose change is not durable in time hear at once that it isn't known yet, and when to come back. */
     public void giveUpWaiting() {
         long now = environment.now();
         boolean sure = lead.serving();
-        for (Job job : List.copyOf(awaited)) {
-            if (!sure || now - job.repliesPendingSince() > DURABLE_MS) {
+        for (Job job : List.copyOf(pendingReplies.keySet())) {
+            PendingReplies waiting = pendingReplies.get(job);
+            if (waiting != null && (!sure || now - waiting.since() > DURABLE_MS)) {
                 answer(job, Responses.unavailable());
             }
         }
@@ -129,7 +126,7 @@
 
     /** Where a job stands, as its user may hear it. */
     PeerMessage.Response state(Job job, int status) {
-        if (!job.accepted() || job.cancelled() && !job.cancelConfirmed()) {
+        if (!job.accepted() || job.cancelled() && !job.cancellationConfirmed()) {
             return Responses.unavailable(); // the outcome of what would change the answer is not known yet
         }
         int running = job.cancelled() ? 0 : job.runningCount();
@@ -273,7 +270,7 @@
         cluster.jobs().put(spec.id(), job);
         lead.accepting(job);
         Runnable onDurable = () -> {
-            job.setAccepted(true);
+            job.markAccepted();
             answer(job, Responses.ok(201, UserMessages.jobState(spec.id(), "pending", 0, 0)));
             lead.changed();
         };
@@ -330,7 +327,7 @@
                     () -> reply.accept(Responses.unavailable()));
         } else if (!job.accepted()) {
             reply.accept(Responses.unavailable());
-        } else if (job.cancelConfirmed()) {
+        } else if (job.cancellationConfirmed()) {
             reply.accept(state(job, 200));
         } else {
             await(job, reply); // answered when the job's end, or the cancellation, is durable
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -93,7 +93,7 @@
             if (room >= wanted) {
                 return;
             }
-            machine.instance().setDraining(false);
+            machine.instance().endDrain();
             room += free(machine);
         }
     }
@@ -114,7 +114,7 @@
                     machine.name(),
                     machine.assignments().size(),
                     elsewhere);
-            machine.instance().setDraining(true);
+            machine.instance().drain();
             free = elsewhere - machine.usedCpus();
         }
     }
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -53,7 +53,7 @@
             if (spec.gang()
                     || spec.oneZone()
                     || spec.spreadAcrossZones()
-                    || !job.failedMachines().isEmpty()) {
+                    || job.failures().machineCount() > 0) {
                 return false; // it may have been kept away by what concerns no other job
             }
             specs.add(spec);
@@ -255,7 +255,7 @@
         }
         long patience = Math.round(500 * startAim(job));
         if (now - job.heldBackSince() > KEPT_BACK_AGAIN * patience) {
-            job.setHeldBackSince(now); // another task, or the same lost once more
+            job.holdBack(now); // another task, or the same lost once more
         }
         return now - job.heldBackSince() <= patience && roomCanBeMadeAtImage(job, now);
     }
@@ -319,7 +319,7 @@
     private List<Machine> tryAll(Job job, Predicate<Machine> usable, long now) {
         List<Machine> machines = new ArrayList<>();
         List<TaskAssignment> tried = new ArrayList<>();
-        int index = job.completedOrAssigned().nextClearBit(0);
+        int index = job.nextUnassignedTask(0);
         while (index < job.spec().taskCount()) {
             Machine machine = choose(job, usable, now);
             if (machine == null) {
@@ -331,7 +331,7 @@
                     job, index, 0, machine.name(), machine.agent().incarnation(), now);
             cluster.assign(claim);
             tried.add(claim);
-            index = job.completedOrAssigned().nextClearBit(index);
+            index = job.nextUnassignedTask(index);
         }
         tried.forEach(c -> cluster.unassign(c, false));
         return machines;
@@ -378,9 +378,7 @@
             return machine.spot(); // leaves room on ordinary machines for work that may not go elsewhere
         }
         if (job.spec().service()) {
-            int byZone = Integer.compare(
-                    job.tasksInZone().getOrDefault(machine.zone(), 0),
-                    job.tasksInZone().getOrDefault(than.zone(), 0));
+            int byZone = Integer.compare(job.tasksInZone(machine.zone()), job.tasksInZone(than.zone()));
             if (byZone != 0) {
                 return byZone < 0;
             }
@@ -436,21 +434,20 @@
                 && (spec.zone() == null || spec.zone().equals(machine.zone()))
                 && (spec.allowsSpot() || !machine.spot())
                 && zoneAllowed(job, machine.zone())
-                && (!job.failedMachines().contains(machine.name())
-                        || job.failedMachines().size() >= 3);
+                && (!job.failures().failedOn(machine.name()) || job.failures().machineCount() >= 3);
     }
 
     /** Zone rules against all tasks of the job that may be on machines. */
     static boolean zoneAllowed(Job job, String zone) {
         if (job.spec().oneZone()) {
-            for (String used : job.tasksInZone().keySet()) {
+            for (String used : job.zones()) {
                 if (!used.equals(zone)) {
                     return false;
                 }
             }
         }
         // tasks on machines whose zone is not known yet (after a change of leader) may be in this one
-        int here = job.tasksInZone().getOrDefault(zone, 0) + job.tasksInZone().getOrDefault("", 0);
+        int here = job.tasksInZone(zone) + job.tasksInZone("");
         return !job.spec().spreadAcrossZones() || here < (job.spec().taskCount() + 1) / 2;
     }
 }
--- /dev/null
+++ b/src/main/java/stileferry/storage/EndEvent.java
@@ -0,0 +1,20 @@
+package stileferry.storage;
+
+/**
+ * An event that ends what an older record holds. It is not retained when its own record is given up: records are given
+ * up in the order of their numbers, so the older one is gone by then.
+ */
+public interface EndEvent extends StoredEvent {
+    @Override
+    default void recordedIn(long record) {}
+
+    @Override
+    default StoredEvent retainedFrom(long record) {
+        return null;
+    }
+
+    @Override
+    default boolean endsEarlierEvent() {
+        return true;
+    }
+}
--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -121,20 +121,20 @@
         w.play(7); // more than half a lease
         for (int i = 1; i < 8; i++) {
             cluster.machine("host-" + i).agent().setHeardThisTerm(true);
-            cluster.machine("host-" + i).agent().setLastHeardAt(environment.now());
+            cluster.machine("host-" + i).agent().markHeard(environment.now());
         }
         assertEquals(List.of(cluster.machine("host-0")), fleet.failureDetector().presumedLost(since));
         w.play(7);
         assertEquals(List.of(), fleet.failureDetector().presumedLost(since), "nobody reports: the network is at fault");
         for (int i = 2; i < 8; i++) {
-            cluster.machine("host-" + i).agent().setLastHeardAt(environment.now());
+            cluster.machine("host-" + i).agent().markHeard(environment.now());
         }
         // found on a day where the leader could not hear its workers: most had come back by way of the others
         assertEquals(List.of(), fleet.failureDetector().presumedLost(since), "the rest may be on their way");
         for (int t = 0; t < 5; t++) {
             w.play(2);
             for (int i = 2; i < 8; i++) {
-                cluster.machine("host-" + i).agent().setLastHeardAt(environment.now());
+                cluster.machine("host-" + i).agent().markHeard(environment.now());
             }
         }
         assertEquals(
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -19,6 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.cluster.Job;
 import stileferry.cluster.TaskAssignment;
+import stileferry.cluster.TestJob;
+import stileferry.protocol.InvalidJobSpecException;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.storage.EventLog;
@@ -27,143 +29,173 @@
 /** What is stored of tasks, read again after any write, tells the state at that write. */
 class TaskEventsTest {
     private static final double VALUE_KB = 8;
+    private static final int SLOTS = 8;
+    private static final int JOBS = 8;
+    private static final int TASKS = 60;
 
-    private static JobSpec spec(int number, int tasks) {
-        return new JobSpec(
-                "job-" + number,
-                "any",
-                "red",
-                JobSpec.Kind.ARRAY,
-                JobSpec.Priority.NORMAL,
-                tasks,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                10,
-                0,
-                0,
-                -1);
-    }
+    private final Map<String, JsonNode> store = new HashMap<>();
 
     private static Map<String, Job> jobs(int count, int tasks) {
         Map<String, Job> jobs = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
-            Job job = new Job(spec(i, tasks), i, 2, 0);
-            job.setAccepted(true);
+            Job job = TestJob.number(i).tasks(tasks).accepted(i, 2);
             jobs.put(job.spec().id(), job);
         }
         return jobs;
     }
 
-    /** Writes one record of the log into a map that stands for the store. */
-    private static void write(EventLog log, Map<String, JsonNode> store) {
-        EventLog.Batch batch = log.nextBatch(12);
+    private static JsonNode encodedAndDecoded(JsonNode value) {
+        return MessageCodec.decode(MessageCodec.encode(value));
+    }
+
+    /** Writes one record of the log into the store. */
+    private void write(EventLog log) {
+        write(log.nextBatch(12), VALUE_KB);
+    }
+
+    private void write(EventLog.Batch batch, double limitKb) {
         JsonNode value = batch.put().value();
         assertTrue(
-                value.toString().length() < VALUE_KB * 1024,
+                value.toString().length() < limitKb * 1024,
                 "a record of " + value.toString().length());
-        store.put(batch.put().key(), MessageCodec.decode(MessageCodec.encode(value)));
-        batch.deletions().forEach(e -> store.remove(e.key()));
+        store.put(batch.put().key(), encodedAndDecoded(value));
+        batch.deletions().forEach(entry -> store.remove(entry.key()));
     }
 
-    private static TaskEventReader read(Map<String, JsonNode> store, Map<String, Job> into, EventLog log) {
-        TaskEventReader reader = new TaskEventReader(into);
+    /** Reads the store's records; the log, unless it is null, goes on from them. */
+    private TaskEventReader read(Map<String, Job> jobs, EventLog log) {
+        TaskEventReader reader = new TaskEventReader(jobs);
         store.entrySet().stream()
-                .filter(e -> e.getKey().startsWith("l/"))
-                .sorted(Comparator.comparingLong(e -> e.getValue().path("n").asLong()))
+                .filter(entry -> entry.getKey().startsWith("l/"))
+                .sorted(Comparator.comparingLong(
+                        entry -> entry.getValue().path("n").asLong()))
                 .forEach(entry -> {
-                    long n = entry.getValue().path("n").asLong();
-                    List<StoredEvent> events = reader.read(entry.getValue(), n);
+                    long number = entry.getValue().path("n").asLong();
+                    List<StoredEvent> events = reader.read(entry.getValue(), number);
                     if (log != null) {
-                        log.restore(entry.getKey(), 1, n, events);
+                        log.restore(entry.getKey(), 1, number, events);
                     }
                 });
         return reader;
     }
 
-    private static void claimSome(Job job, long attempt, SplittableRandom random, EventLog log) {
-        int index = job.completedOrAssigned().nextClearBit(random.nextInt(60));
-        if (index < 60) {
-            TaskAssignment claim = new TaskAssignment(job, index, attempt, "host-" + random.nextInt(20), 1, 0);
-            job.assignments().put(index, claim);
-            job.completedOrAssigned().set(index);
-            log.append(TaskEvents.claimed(claim), null);
-        }
-    }
-
-    private static Map<String, Long> attempts(Iterable<TaskAssignment> claims) {
+    private static Map<String, Long> attempts(Iterable<TaskAssignment> assignments) {
         Map<String, Long> attempts = new TreeMap<>();
-        claims.forEach(c -> attempts.put(c.taskId(), c.attempt()));
+        assignments.forEach(assignment -> attempts.put(assignment.taskId(), assignment.attempt()));
         return attempts;
     }
 
+    private static Map<String, Long> attempts(Map<String, Job> jobs) {
+        List<TaskAssignment> assignments = new ArrayList<>();
+        jobs.values().forEach(job -> assignments.addAll(job.assignments().values()));
+        return attempts(assignments);
+    }
+
+    /** Jobs whose tasks are assigned and settled at random, while the log of that is written. */
+    private final class RandomHistory {
+        final SplittableRandom random;
+        Map<String, Job> jobs = jobs(JOBS, TASKS);
+        EventLog log;
+        long attempt;
+
+        RandomHistory(long seed, EventLog log) {
+            this.random = new SplittableRandom(seed);
+            this.log = log;
+        }
+
+        Job anyJob() {
+            return jobs.get("job-" + random.nextInt(JOBS));
+        }
+
+        void assignOne(Job job) {
+            attempt++;
+            int index = job.nextUnassignedTask(random.nextInt(TASKS));
+            if (index < TASKS) {
+                TaskAssignment assignment = new TaskAssignment(job, index, attempt, "host-" + random.nextInt(20), 1, 0);
+                job.addAssignment(assignment);
+                log.append(TaskEvents.assigned(assignment), null);
+            }
+        }
+
+        void settle(TaskAssignment assignment, boolean completed) {
+            assignment.job().removeAssignment(assignment, completed);
+            log.append(
+                    completed
+                            ? TaskEvents.completed(assignment.job(), assignment.index())
+                            : TaskEvents.settled(assignment),
+                    null);
+        }
+
+        TaskAssignment anyAssignment(Job job) {
+            return job.assignments()
+                    .get(job.assignments().keySet().stream()
+                            .skip(random.nextInt(job.assignments().size()))
+                            .findFirst()
+                            .orElseThrow());
+        }
+
+        void writeAll() {
+            while (log.hasPending()) {
+                write(log);
+            }
+        }
+
+        /** A new leader goes on with what it has read. */
+        void failOver(Map<String, Job> readJobs, TaskEventReader reader, EventLog next) {
+            reader.assignments().forEach(assignment -> assignment.job().addAssignment(assignment));
+            jobs = readJobs;
+            log = next;
+        }
+    }
+
     /** A small ring that goes round many times, read again and taken over at random moments. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void theRingAlwaysTellsTheWholeState(long seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        Map<String, JsonNode> store = new HashMap<>();
-        Map<String, Job> jobs = jobs(8, 60);
-        EventLog log = new EventLog(VALUE_KB, 8, "t");
-        long attempt = 0;
+        RandomHistory history = new RandomHistory(seed, new EventLog(VALUE_KB, SLOTS, "t"));
         for (int step = 0; step < 3000; step++) {
-            Job job = jobs.get("job-" + random.nextInt(8));
-            if (job.assignments().isEmpty() || random.nextInt(5) < 2) {
-                claimSome(job, ++attempt, random, log);
+            Job job = history.anyJob();
+            if (job.assignments().isEmpty() || history.random.nextInt(5) < 2) {
+                history.assignOne(job);
             } else {
-                TaskAssignment claim = job.assignments().values().iterator().next();
-                job.assignments().remove(claim.index());
-                if (random.nextInt(4) == 0) {
-                    job.markCompleted(claim.index());
-                    log.append(TaskEvents.done(job, claim.index()), null);
-                } else {
-                    job.completedOrAssigned().clear(claim.index());
-                    log.append(TaskEvents.freed(claim), null);
-                }
+                TaskAssignment oldest = job.assignments().values().iterator().next();
+                history.settle(oldest, history.random.nextInt(4) == 0);
             }
-            if (random.nextInt(3) == 0) {
-                while (log.hasPending()) {
-                    write(log, store);
-                }
-                Map<String, Job> copy = jobs(8, 60);
-                EventLog next = random.nextInt(50) == 0 ? new EventLog(VALUE_KB, 8, "t") : null;
-                if (next != null && random.nextBoolean()) {
-                    // the last but one record of the old leader is lost, and its slot keeps what it held before
-                    EventLog.Batch lost = log.nextBatch(12);
-                    assertTrue(lost.deletions().isEmpty());
-                    EventLog.Batch last = log.nextBatch(12);
-                    if (!last.endsGivenUp()) { // else it waits until the one before is durable
-                        store.put(
-                                last.put().key(),
-                                MessageCodec.decode(
-                                        MessageCodec.encode(last.put().value())));
-                    }
-                }
-                TaskEventReader reader = read(store, copy, next);
-                List<TaskAssignment> claims = new ArrayList<>();
-                jobs.values().forEach(j -> claims.addAll(j.assignments().values()));
-                assertEquals(attempts(claims), attempts(reader.assignments()), "at step " + step);
-                for (Job j : jobs.values()) {
-                    assertEquals(j.completedTasks(), copy.get(j.spec().id()).completedTasks(), "at step " + step);
-                }
-                if (next != null) { // a new leader goes on with what it has read
-                    reader.assignments().forEach(assignment -> {
-                        assignment.job().assignments().put(assignment.index(), assignment);
-                        assignment.job().completedOrAssigned().set(assignment.index());
-                    });
-                    jobs = copy;
-                    log = next;
-                }
+            if (history.random.nextInt(3) == 0) {
+                history.writeAll();
+                readAgain(history, step);
             }
         }
-        assertEquals(8, store.size());
+        assertEquals(SLOTS, store.size());
+    }
+
+    private void readAgain(RandomHistory history, int step) {
+        Map<String, Job> readJobs = jobs(JOBS, TASKS);
+        EventLog next = history.random.nextInt(50) == 0 ? new EventLog(VALUE_KB, SLOTS, "t") : null;
+        if (next != null && history.random.nextBoolean()) {
+            loseLastButOneRecord(history.log);
+        }
+        TaskEventReader reader = read(readJobs, next);
+        assertEquals(attempts(history.jobs), attempts(reader.assignments()), "at step " + step);
+        for (Job job : history.jobs.values()) {
+            assertEquals(
+                    job.completedTasks().indexes(),
+                    readJobs.get(job.spec().id()).completedTasks().indexes(),
+                    "at step " + step);
+        }
+        if (next != null) {
+            history.failOver(readJobs, reader, next);
+        }
+    }
+
+    /** The last but one record of the old leader is lost, and its slot keeps what it held before. */
+    private void loseLastButOneRecord(EventLog log) {
+        EventLog.Batch lost = log.nextBatch(12);
+        assertTrue(lost.deletions().isEmpty());
+        EventLog.Batch last = log.nextBatch(12);
+        if (!last.endsGivenUp()) { // else it waits until the one before is durable
+            store.put(last.put().key(), encodedAndDecoded(last.put().value()));
+        }
     }
 
     /**
@@ -174,156 +206,125 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void recordsOfALargerLimitAreReplacedBySmallOnes(long seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        Map<String, JsonNode> store = new HashMap<>();
-        Map<String, Job> jobs = jobs(8, 60);
+        RandomHistory history = new RandomHistory(seed, limitedLog(false, ""));
         boolean small = false;
-        EventLog log = new EventLog(16, 64, "t");
-        long attempt = 0;
-        int aside = 0;
+        int recordsAside = 0;
         for (int step = 0; step < 4000; step++) {
-            Job job = jobs.get("job-" + random.nextInt(8));
-            boolean crowd = step % 1000 < 500; // many tasks at once, most of which stay while the ring goes round
+            int phase = step % 1000;
+            boolean crowd = phase < 500; // many tasks at once, most of which stay while the ring goes round
+            Job job = history.anyJob();
             if (job.assignments().size() < (crowd ? 55 : 40)) {
-                claimSome(job, ++attempt, random, log);
+                history.assignOne(job);
             } else {
-                TaskAssignment claim = job.assignments()
-                        .get(job.assignments().keySet().stream()
-                                .skip(random.nextInt(job.assignments().size()))
-                                .findFirst()
-                                .orElseThrow());
-                job.assignments().remove(claim.index());
-                job.completedOrAssigned().clear(claim.index());
-                log.append(TaskEvents.freed(claim), null);
+                history.settle(history.anyAssignment(job), false);
             }
-            boolean turn = step % 1000 == 499 || step % 1000 == 950;
-            if (!turn && random.nextInt(crowd ? 300 : 3) != 0) {
+            boolean limitChanges = phase == 499 || phase == 950;
+            if (!limitChanges && history.random.nextInt(crowd ? 300 : 3) != 0) {
                 continue;
             }
-            while (log.hasPending()) {
-                EventLog.Batch batch = log.nextBatch(4);
-                assertTrue(batch.deletions().size() < 4);
-                JsonNode value = batch.put().value();
-                aside += batch.put().key().startsWith("l/x") ? 1 : 0;
-                assertTrue(
-                        value.toString().length() < (small ? 2 : 16) * 1024,
-                        "a record of " + value.toString().length());
-                store.put(batch.put().key(), MessageCodec.decode(MessageCodec.encode(value)));
-                batch.deletions().forEach(e -> store.remove(e.key()));
-                Map<String, Job> copy = jobs(8, 60);
-                Map<String, Long> told = attempts(read(store, copy, null).assignments());
-                if (!log.hasPending()) {
-                    List<TaskAssignment> claims = new ArrayList<>();
-                    jobs.values().forEach(j -> claims.addAll(j.assignments().values()));
-                    assertEquals(attempts(claims), told, "at step " + step);
-                }
+            recordsAside += writeAllWithin(small, history, step);
+            if (limitChanges || history.random.nextInt(60) == 0) {
+                small = limitChanges ? phase == 499 : small;
+                Map<String, Job> readJobs = jobs(JOBS, TASKS);
+                EventLog next = limitedLog(small, step + "-");
+                history.failOver(readJobs, read(readJobs, next), next);
             }
-            if (turn || random.nextInt(60) == 0) {
-                small = turn ? !crowd || step % 1000 == 499 : small;
-                small &= step % 1000 != 950;
-                log = new EventLog(small ? 2 : 16, 64, "t" + step + "-");
-                jobs = jobs(8, 60);
-                read(store, jobs, log).assignments().forEach(assignment -> {
-                    assignment.job().assignments().put(assignment.index(), assignment);
-                    assignment.job().completedOrAssigned().set(assignment.index());
-                });
+        }
+        assertTrue(recordsAside > 0, "nothing was too large");
+    }
+
+    private static double limitKb(boolean small) {
+        return small ? 2 : 16;
+    }
+
+    private static EventLog limitedLog(boolean small, String term) {
+        return new EventLog(limitKb(small), 64, "t" + term);
+    }
+
+    /** Writes all that waits, checks what is stored, and returns how many records went beside the ring. */
+    private int writeAllWithin(boolean small, RandomHistory history, int step) {
+        int recordsAside = 0;
+        while (history.log.hasPending()) {
+            EventLog.Batch batch = history.log.nextBatch(4);
+            assertTrue(batch.deletions().size() < 4);
+            recordsAside += batch.put().key().startsWith("l/x") ? 1 : 0;
+            write(batch, limitKb(small));
+            Map<String, Long> stored = attempts(read(jobs(JOBS, TASKS), null).assignments());
+            if (!history.log.hasPending()) {
+                assertEquals(attempts(history.jobs), stored, "at step " + step);
             }
         }
-        assertTrue(aside > 0, "nothing was too large");
+        return recordsAside;
     }
 
-    /** The largest job there may be, with every task claimed at once and half of them done, fits the ring. */
+    /** The largest job there may be, with every task assigned at once and half of them completed, fits the ring. */
     @Test
     void aHundredThousandTasksFit() {
-        Map<String, JsonNode> store = new HashMap<>();
-        Map<String, Job> jobs = jobs(1, 100_000);
-        Job job = jobs.get("job-0");
+        Job job = jobs(1, 100_000).get("job-0");
         EventLog log = new EventLog(VALUE_KB, 1024, "t");
-        List<TaskAssignment> claims = new ArrayList<>();
         for (int i = 0; i < 100_000; i++) {
-            TaskAssignment claim = new TaskAssignment(job, i, (1L << 40) + i, "host-123456", 100, 0);
-            job.assignments().put(i, claim);
-            claims.add(claim);
-            log.append(TaskEvents.claimed(claim), null);
+            TaskAssignment assignment = new TaskAssignment(job, i, (1L << 40) + i, "host-123456", 100, 0);
+            job.addAssignment(assignment);
+            log.append(TaskEvents.assigned(assignment), null);
         }
         for (int i = 0; i < 100_000; i += 2) {
-            job.assignments().remove(i);
-            job.markCompleted(i);
-            log.append(TaskEvents.done(job, i), null);
+            job.removeAssignment(job.assignments().get(i), true);
+            log.append(TaskEvents.completed(job, i), null);
         }
         int writes = 0;
         while (log.hasPending()) {
-            write(log, store);
+            write(log);
             assertTrue(++writes < 4000, "the log writes the same again and again");
         }
-        Map<String, Job> copy = jobs(1, 100_000);
-        TaskEventReader reader = read(store, copy, null);
+        Map<String, Job> readJobs = jobs(1, 100_000);
+        TaskEventReader reader = read(readJobs, null);
         assertEquals(50_000, reader.assignments().size());
-        assertEquals(job.completedTasks(), copy.get("job-0").completedTasks());
+        assertEquals(
+                job.completedTasks().indexes(),
+                readJobs.get("job-0").completedTasks().indexes());
+    }
+
+    /** A job as it is stored with parts of 128 tasks each. */
+    private static Job jobWithLegacyChunks(int tasks) throws InvalidJobSpecException {
+        ObjectNode stored = MessageCodec.map().put("order", 0).put("at", 2).put("chunk", 128);
+        stored.set("spec", TestJob.number(0).tasks(tasks).spec().write());
+        return Job.read(stored, 0);
     }
 
-    /** Records of the first version: a part of a job's tasks each, with a bitmap in hexadecimal and the claims. */
+    /** Records of the first version: a part of a job's tasks each, with a bitmap in hexadecimal and the assignments. */
     @Test
-    void olderRecordsAreReadAndReplaced() {
-        Map<String, JsonNode> store = new HashMap<>();
-        Map<String, Job> jobs = jobs(1, 200);
-        Job job = jobs.get("job-0");
-        job.setLegacyChunkTasks(128);
+    void legacyRecordsAreReadAndReplaced() throws InvalidJobSpecException {
+        Job job = jobWithLegacyChunks(200);
         ObjectNode part = MessageCodec.map().put("done", "0184"); // tasks 0, 10 and 15 of this part
         ArrayNode claims = part.putArray("claims");
         for (int i = 16; i < 60; i++) {
             claims.addArray().add(128 + i).add(7L << 32).add("host-000001").add(3);
         }
-        EventLog log = new EventLog(VALUE_KB, 8, "t");
-        TaskEventReader reader = new TaskEventReader(jobs);
+        EventLog log = new EventLog(VALUE_KB, SLOTS, "t");
+        TaskEventReader reader = new TaskEventReader(Map.of("job-0", job));
         store.put("c/job-0/1", part);
         log.restore("c/job-0/1", 5, -1, reader.readLegacyChunk(job, 1, part, -1));
-        assertEquals("{128, 138, 143}", job.completedTasks().toString());
+        assertEquals("{128, 138, 143}", job.completedTasks().indexes().toString());
         assertEquals(44, reader.assignments().size());
-        reader.assignments().forEach(c -> job.assignments().put(c.index(), c));
+        reader.assignments().forEach(job::addAssignment);
         while (log.hasPending()) {
-            write(log, store);
+            write(log);
         }
         assertEquals(1, store.size(), "the older record is gone: " + store.keySet());
-        Map<String, Job> copy = jobs(1, 200);
+        Map<String, Job> readJobs = jobs(1, 200);
         assertEquals(
                 attempts(job.assignments().values()),
-                attempts(read(store, copy, null).assignments()));
-        assertEquals(job.completedTasks(), copy.get("job-0").completedTasks());
+                attempts(read(readJobs, null).assignments()));
+        assertEquals(
+                job.completedTasks().indexes(),
+                readJobs.get("job-0").completedTasks().indexes());
     }
 
     @Test
-    void aGangWaitsUntilNoneOfItIsLeft() {
-        JobSpec s = spec(1, 3);
-        Job job = new Job(
-                new JobSpec(
-                        s.id(),
-                        s.jobClass(),
-                        s.team(),
-                        JobSpec.Kind.GANG,
-                        s.priority(),
-                        3,
-                        1,
-                        0,
-                        1,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        10,
-                        0,
-                        0,
-                        -1),
-                1,
-                2,
-                0);
-        job.setAccepted(true);
+    void aGangIsPendingOnlyWhenNoneOfItIsAssigned() {
+        Job job = TestJob.number(1).kind(JobSpec.Kind.GANG).tasks(3).accepted(1, 2);
         assertEquals(0, job.nextPendingTask(0));
-        job.assignments().put(1, new TaskAssignment(job, 1, 1, "m", 1, 0));
-        job.completedOrAssigned().set(1);
+        job.addAssignment(new TaskAssignment(job, 1, 1, "m", 1, 0));
         assertEquals(-1, job.nextPendingTask(0), "a gang starts whole or not at all");
     }
 }
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -59,7 +59,7 @@
         machine.setType(cluster.machineTypes().get(0));
         cluster.setZone(machine, zone);
         machine.agent().setHeardThisTerm(true);
-        machine.agent().setLastHeardAt(NOW);
+        machine.agent().markHeard(NOW);
         cluster.freeCapacity().update(machine);
         return machine;
     }
@@ -94,16 +94,16 @@
                 jobs,
                 0,
                 0);
-        job.setAccepted(true);
+        job.markAccepted();
         cluster.jobs().put(job.spec().id(), job);
         return job;
     }
 
     private TaskAssignment run(Job job, long since) {
-        TaskAssignment claim = new TaskAssignment(job, job.completedOrAssigned().nextClearBit(0), jobs, "m", 1, since);
-        claim.setDurable(true);
-        claim.setStartsSent(1);
-        claim.setRunningSince(since);
+        TaskAssignment claim = new TaskAssignment(job, job.nextUnassignedTask(0), jobs, "m", 1, since);
+        claim.markDurable();
+        claim.markStartSent();
+        claim.markRunning(since);
         cluster.assign(claim);
         return claim;
     }
@@ -173,7 +173,7 @@
                 jobs,
                 0,
                 0);
-        job.setAccepted(true);
+        job.markAccepted();
         cluster.jobs().put(job.spec().id(), job);
         return job;
     }
@@ -194,7 +194,7 @@
         List<Machine> started = new ArrayList<>();
         placement.pass(NOW, 1000, false, (job, machines) -> {
             started.addAll(machines);
-            job.setCancelled(true);
+            job.requestCancellation();
         });
         assertEquals(6, started.size());
         assertEquals(Set.of(first, second), Set.copyOf(started));
@@ -218,7 +218,7 @@
                 Set.copyOf(stops.stream().map(s -> s.victim().machine()).toList()));
         placement.pass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
-            job.setCancelled(true);
+            job.requestCancellation();
         });
         assertEquals(3, started.size(), "it does not wait for longer than half its time to start");
     }
@@ -237,19 +237,19 @@
         assertEquals(2, stops.size());
         stops.forEach(stop -> cluster.requestStop(stop.victim(), 5, NOW));
         cluster.unassign(second, false);
-        idle.setCancelled(true);
+        idle.requestCancellation();
         Job normal = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
         Job critical = job("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         List<Job> started = new ArrayList<>();
         placement.pass(NOW, 1000, true, (job, machines) -> {
             started.add(job);
-            job.setCancelled(true);
+            job.requestCancellation();
         });
         assertEquals(List.of(critical), started, "neither the gang, which lacks room, nor the less urgent job");
         cluster.reservations().remove(gang);
         placement.pass(NOW, 1000, true, (job, machines) -> {
             started.add(job);
-            job.setCancelled(true);
+            job.requestCancellation();
         });
         assertEquals(List.of(critical, normal), started);
     }
@@ -279,7 +279,7 @@
                 0.3,
                 -1);
         Job idle = new Job(saving, jobs, 0, 0);
-        idle.setAccepted(true);
+        idle.markAccepted();
         cluster.jobs().put(saving.id(), idle);
         run(idle, 10_000);
         urgentGangInOneZone(2);
@@ -311,10 +311,10 @@
         run(gang, 80_000);
         Machine other = machine("other");
         TaskAssignment elsewhere = new TaskAssignment(gang, 1, jobs, other.name(), 1, 80_000);
-        elsewhere.setRunningSince(80_000);
+        elsewhere.markRunning(80_000);
         cluster.assign(elsewhere);
         TaskAssignment array = run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 70_000);
-        other.instance().setDraining(true);
+        other.instance().drain();
         job("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         assertEquals(
                 List.of(array), decide().stream().map(Preemption.Stop::victim).toList());
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -16,8 +16,17 @@
 
     private RandomCluster() {}
 
-    /** A cluster with so many machines. */
+    /** A cluster with so many machines, some of them quarantined. */
     public static ClusterState cluster(int machines, SplittableRandom random) {
+        return cluster(machines, random, true);
+    }
+
+    /** A cluster with so many machines, none of them quarantined. */
+    static ClusterState healthyCluster(int machines, SplittableRandom random) {
+        return cluster(machines, random, false);
+    }
+
+    private static ClusterState cluster(int machines, SplittableRandom random, boolean quarantinesSome) {
         ClusterState cluster = new ClusterState(settings());
         cluster.setMachineTypes(List.of(
                 new MachineType("small", 8, 0, 32, 9, 0.3, 1, 0.4, 10, List.of("za", "zb")),
@@ -28,7 +37,7 @@
             machine.setTypeName(machine.type().name());
             machine.setSpot(random.nextBoolean());
             machine.agent().setHeardThisTerm(true);
-            machine.agent().setLastHeardAt(NOW);
+            machine.agent().markHeard(NOW);
             cluster.setZone(machine, random.nextBoolean() ? "za" : "zb");
             for (int n = random.nextInt(3); n > 0; n--) {
                 machine.cacheImage("img" + random.nextInt(5), 2);
@@ -36,7 +45,9 @@
             for (int n = random.nextInt(4); n > 0; n--) {
                 machine.recordSlowdown(10, random.nextInt(120), 60);
             }
-            machine.instance().setQuarantined(random.nextInt(40) == 0);
+            if (random.nextInt(40) == 0 && quarantinesSome) {
+                machine.instance().quarantine();
+            }
             cluster.freeCapacity().update(machine);
         }
         return cluster;
@@ -89,7 +100,7 @@
                 number,
                 NOW,
                 0);
-        job.setAccepted(true);
+        job.markAccepted();
         cluster.jobs().put(job.spec().id(), job);
         return job;
     }
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -66,8 +66,7 @@
     }
 
     private static String claim(ClusterState cluster, Job job, Machine machine) {
-        TaskAssignment claim =
-                new TaskAssignment(job, job.completedOrAssigned().nextClearBit(0), 1, machine.name(), 1, NOW);
+        TaskAssignment claim = new TaskAssignment(job, job.nextUnassignedTask(0), 1, machine.name(), 1, NOW);
         cluster.assign(claim);
         return claim.taskId() + " on " + machine.name();
     }
@@ -150,8 +149,7 @@
     @Test
     void anImageIsFetchedWhereNoOtherIs() {
         SplittableRandom random = new SplittableRandom(3);
-        ClusterState cluster = RandomCluster.cluster(60, random);
-        cluster.machines().values().forEach(m -> m.instance().setQuarantined(false));
+        ClusterState cluster = RandomCluster.healthyCluster(60, random);
         Placement placement = new Placement(cluster);
         int most = 0;
         for (int i = 0; i < 30; i++) {
@@ -177,7 +175,7 @@
                     0,
                     -1);
             Job job = new Job(spec, i, NOW, 0);
-            job.setAccepted(true);
+            job.markAccepted();
             cluster.jobs().put(spec.id(), job);
         }
         placement.pass(NOW, NOW, false, (job, machines) -> claim(cluster, job, machines.get(0)));
