--- a/src/main/java/stileferry/cluster/FailureHistory.java
+++ b/src/main/java/stileferry/cluster/FailureHistory.java
@@ -7,6 +7,8 @@
 
 /** How the tasks of one job have fared in this leader's term: where they failed, and which of them have to pause. */
 public final class FailureHistory {
+    private static final int JOB_AT_FAULT_MACHINES = 3;
+
     private final Map<Integer, RestartBackOff> backOffs = new HashMap<>();
     private final Set<String> machines = new HashSet<>();
     private int successes;
@@ -51,9 +53,14 @@
         return machines.contains(machine);
     }
 
-    /** The number of machines on which a task of the job has failed. */
-    public int machineCount() {
-        return machines.size();
+    /** Whether a task of the job has failed on any machine. */
+    public boolean failedAnywhere() {
+        return !machines.isEmpty();
+    }
+
+    /** Whether tasks of the job have failed on so many machines that the job itself is taken to be faulty. */
+    public boolean jobAtFault() {
+        return machines.size() >= JOB_AT_FAULT_MACHINES;
     }
 
     /** Notes that a task of this attempt of a gang has ended without completing; true if it is the first of it. */
--- a/src/main/java/stileferry/lifecycle/MachineQuarantine.java
+++ b/src/main/java/stileferry/lifecycle/MachineQuarantine.java
@@ -20,9 +20,6 @@
     /** Failures, counted as {@link #weight} says, at which a machine is taken to be faulty. */
     private static final int FAULTY_AT = 2;
 
-    /** A job that has failed on so many machines is taken to be at fault itself. */
-    static final int JOB_AT_FAULT_MACHINES = 3;
-
     private final ClusterState cluster;
     private final Consumer<TaskAssignment> stop;
 
@@ -52,7 +49,7 @@
         if (job == null) {
             return 1;
         }
-        if (job.failures().machineCount() >= JOB_AT_FAULT_MACHINES) {
+        if (job.failures().jobAtFault()) {
             return 0;
         }
         return job.failures().successes() > 0 ? Math.min(FAULTY_AT, failures) : 1;
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -13,21 +13,21 @@
 import stileferry.protocol.OperatorSettings;
 
 /**
- * Empties machines that the work no longer needs, so that they can be returned: nothing new starts there, arrays run
- * out, and services move to machines that hold their image, where they start at once. As much is given back to the
- * work as waits.
+ * Drains machines that the work no longer needs, so that they can be returned: nothing new starts there, arrays run
+ * out, and services move to machines that hold their image, where they start at once. When jobs wait, as many drains
+ * end as their tasks need.
  */
 final class Consolidation {
     private static final Logger LOG = LoggerFactory.getLogger("consolidation");
 
     /** Boot times for which next to nothing may have waited. */
-    private static final double CALM_BOOTS = 1.0;
+    private static final double CALM_BOOT_TIMES = 1.0;
 
     /** Share of all CPUs that may be waited for in calm times: with many jobs, one or the other always waits. */
     private static final double CALM_SHARE = 0.01;
 
-    /** Share of the machines that are emptied at the same time: each holds images that are missed. */
-    private static final double EMPTYING_SHARE = 0.03;
+    /** Share of the machines that are drained at the same time: each holds images that are missed. */
+    private static final double DRAINING_SHARE = 0.03;
 
     /** Share of the machines from which one service task each may move in one step. */
     private static final double MOVING_SHARE = 0.01;
@@ -36,124 +36,148 @@
     private static final long MIN_RUN_MS = 35_000;
 
     private final ClusterState cluster;
-    private final Placement placement;
-    private final Consumer<TaskAssignment> mover;
+    private final PlacementConstraints constraints;
+    private final Consumer<TaskAssignment> evict;
     private long calmSince;
 
-    Consolidation(ClusterState cluster, Placement placement, long now, Consumer<TaskAssignment> mover) {
+    /** Which machines are drained, which may be, and what these and the others offer. */
+    private static final class Usage {
+        final List<Machine> draining = new ArrayList<>();
+
+        /** Ordinary machines with work, which may be drained. */
+        final List<Machine> candidates = new ArrayList<>();
+
+        /** CPUs of all schedulable machines with work. */
+        double totalCpus;
+
+        /** Free CPUs of the candidates. */
+        double freeCpus;
+    }
+
+    /** {@code now}: when the leader began; {@code evict} stops a task, which starts elsewhere. */
+    Consolidation(ClusterState cluster, Placement placement, long now, Consumer<TaskAssignment> evict) {
         this.cluster = cluster;
-        this.placement = placement;
+        this.constraints = placement.constraints();
         this.calmSince = now;
-        this.mover = mover;
+        this.evict = evict;
     }
 
     /** One step, after a regular pass that left these jobs waiting. */
-    void step(List<Job> waiting, long now) {
-        double wanted = 0;
+    void run(List<Job> waiting, long now) {
+        double wantedCpus = wantedCpus(waiting);
+        Usage usage = usage();
+        if (wantedCpus > CALM_SHARE * usage.totalCpus) {
+            calmSince = now;
+        }
+        if (wantedCpus > 0) {
+            endDrains(usage.draining, wantedCpus);
+        } else {
+            moveServiceTasks(usage.draining, now);
+            startDrains(usage, now);
+        }
+    }
+
+    private double wantedCpus(List<Job> waiting) {
+        double wantedCpus = 0;
         for (Job job : waiting) {
             if (cluster.withinTeamLimit(job)) {
-                wanted += job.pendingCount() * job.spec().cpus();
+                wantedCpus += job.pendingCount() * job.spec().cpus();
             }
         }
-        List<Machine> emptying = new ArrayList<>();
-        List<Machine> others = new ArrayList<>();
-        double all = 0;
-        double free = 0;
+        return wantedCpus;
+    }
+
+    private Usage usage() {
+        Usage usage = new Usage();
         for (Machine machine : cluster.machines().values()) {
             if (machine.instance().draining() && !machine.instance().terminating()) {
-                emptying.add(machine);
+                usage.draining.add(machine);
             } else if (machine.schedulable() && !machine.assignments().isEmpty()) {
-                all += machine.type().cpus();
+                usage.totalCpus += machine.type().cpus();
                 if (!machine.spot()) {
-                    others.add(machine);
-                    free += free(machine);
+                    usage.candidates.add(machine);
+                    usage.freeCpus += machine.freeCpus();
                 }
             }
         }
-        if (wanted > CALM_SHARE * all) {
-            calmSince = now;
-        }
-        if (wanted > 0) {
-            giveBack(emptying, wanted);
-        } else {
-            move(emptying, now);
-            choose(others, 1 + (int) (cluster.machines().size() * EMPTYING_SHARE) - emptying.size(), free, all, now);
-        }
-    }
-
-    private static double free(Machine machine) {
-        return machine.type().cpus() - machine.usedCpus();
+        return usage;
     }
 
-    /** Lets machines be used again, those with most work first, until they have room for what waits. */
-    private void giveBack(List<Machine> emptying, double wanted) {
-        emptying.sort(Comparator.comparingDouble(m -> -m.usedCpus()));
-        double room = 0;
-        for (Machine machine : emptying) {
-            if (room >= wanted) {
+    /** Lets machines take new tasks again, those with most work first, until they have capacity for what waits. */
+    private static void endDrains(List<Machine> draining, double wantedCpus) {
+        draining.sort(Comparator.comparingDouble(machine -> -machine.usedCpus()));
+        double freeCpus = 0;
+        for (Machine machine : draining) {
+            if (freeCpus >= wantedCpus) {
                 return;
             }
             machine.instance().endDrain();
-            room += free(machine);
+            freeCpus += machine.freeCpus();
         }
     }
 
-    /** Chooses the machines with least work, as long as that work fits elsewhere and enough stays free. */
-    private void choose(List<Machine> machines, int most, double freeNow, double all, long now) {
-        machines.sort(Comparator.comparingDouble(Machine::usedCpus).thenComparing(m -> m));
-        double free = freeNow;
-        for (Machine machine : machines.subList(0, Math.max(0, Math.min(most, machines.size())))) {
-            double keep = Math.max(
-                    machine.type().cpus(), all * cluster.operatorSettings().number(OperatorSettings.EMPTY_SHARE));
-            double elsewhere = free - free(machine);
-            if (now - calmSince < CALM_BOOTS * 1000 * machine.type().bootS() || elsewhere < machine.usedCpus() + keep) {
+    /** Drains the machines with least work, as long as that work fits elsewhere and enough stays free. */
+    private void startDrains(Usage usage, long now) {
+        int mostMore = 1 + (int) (cluster.machines().size() * DRAINING_SHARE) - usage.draining.size();
+        List<Machine> candidates = usage.candidates;
+        candidates.sort(Comparator.comparingDouble(Machine::usedCpus).thenComparing(machine -> machine));
+        double freeCpus = usage.freeCpus;
+        for (Machine machine : candidates.subList(0, Math.max(0, Math.min(mostMore, candidates.size())))) {
+            double keepFree = Math.max(
+                    machine.type().cpus(),
+                    usage.totalCpus * cluster.operatorSettings().number(OperatorSettings.EMPTY_SHARE));
+            double freeElsewhere = freeCpus - machine.freeCpus();
+            if (now - calmSince < CALM_BOOT_TIMES * 1000 * machine.type().bootS()
+                    || freeElsewhere < machine.usedCpus() + keepFree) {
                 return;
             }
             LOG.info(
-                    "emptying machine {} with {} tasks, {} CPUs are free elsewhere",
+                    "machine draining: machine={} tasks={} free_cpus_elsewhere={}",
                     machine.name(),
                     machine.assignments().size(),
-                    elsewhere);
+                    freeElsewhere);
             machine.instance().drain();
-            free = elsewhere - machine.usedCpus();
+            freeCpus = freeElsewhere - machine.usedCpus();
         }
     }
 
-    /** Moves one service task of a machine at a time, once only services are left there. */
-    private void move(List<Machine> emptying, long now) {
-        int moves = 1 + (int) (cluster.machines().size() * MOVING_SHARE);
-        for (Machine from : emptying) {
-            TaskAssignment next = moves == 0 ? null : next(from, now);
-            if (next != null && elsewhere(next, from, now)) {
-                mover.accept(next);
-                moves--;
+    /** Moves one service task of a drained machine at a time, once only services are left there. */
+    private void moveServiceTasks(List<Machine> draining, long now) {
+        int movesLeft = 1 + (int) (cluster.machines().size() * MOVING_SHARE);
+        for (Machine machine : draining) {
+            TaskAssignment task = movesLeft == 0 ? null : movableTask(machine, now);
+            if (task != null && fitsElsewhere(task, machine, now)) {
+                evict.accept(task);
+                movesLeft--;
             }
         }
     }
 
-    private static TaskAssignment next(Machine from, long now) {
-        TaskAssignment next = null;
-        for (TaskAssignment assignment : from.assignments().values()) {
+    /** The task to move from a machine next; null: none may, or not all that is left there may. */
+    private static TaskAssignment movableTask(Machine machine, long now) {
+        TaskAssignment last = null;
+        for (TaskAssignment assignment : machine.assignments().values()) {
             if (!assignment.job().spec().service()
                     || assignment.stopping()
                     || assignment.runningSince() == 0
-                    || now - assignment.runningSince() < MIN_RUN_MS) {
+                    || assignment.runtimeMs(now) < MIN_RUN_MS) {
                 return null;
             }
-            next = assignment;
+            last = assignment;
         }
-        return next;
+        return last;
     }
 
-    private boolean elsewhere(TaskAssignment claim, Machine from, long now) {
+    private boolean fitsElsewhere(TaskAssignment assignment, Machine from, long now) {
+        Job job = assignment.job();
         boolean[] found = new boolean[1];
         cluster.freeCapacity()
                 .visitWithAtLeast(
-                        claim.job().spec().cpus(),
+                        job.spec().cpus(),
                         machine -> found[0] |= machine != from
-                                && machine.hasImage(claim.job().spec().image())
-                                && machine.fits(claim.job())
-                                && placement.allowed(claim.job(), machine, now));
+                                && machine.hasImage(job.spec().image())
+                                && machine.fits(job)
+                                && constraints.allow(job, machine, now));
         return found[0];
     }
 }
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -12,7 +12,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.OperatorSettings;
 
-/** One pass over the queue: what fits is started, room is made, machines are rented and emptied. */
+/** A scheduling pass: starts what fits, preempts, and on regular passes rents and drains machines. */
 public final class SchedulingPass {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
@@ -21,7 +21,7 @@
     private final LinkHealth links;
     private final Placement placement;
     private final Preemption preemption;
-    private final Autoscaler provisioning;
+    private final Autoscaler autoscaler;
     private final Consolidation consolidation;
     private final TaskLifecycle tasks;
 
@@ -30,42 +30,43 @@
             Environment environment,
             LinkHealth links,
             Placement placement,
-            Autoscaler provisioning,
+            Autoscaler autoscaler,
             TaskLifecycle tasks) {
         this.cluster = cluster;
         this.environment = environment;
         this.links = links;
         this.placement = placement;
         this.preemption = new Preemption(cluster, placement);
-        this.provisioning = provisioning;
-        this.consolidation = new Consolidation(cluster, placement, environment.now(), claim -> tasks.stop(claim, 0));
+        this.autoscaler = autoscaler;
+        this.consolidation =
+                new Consolidation(cluster, placement, environment.now(), assignment -> tasks.stop(assignment, 0));
         this.tasks = tasks;
     }
 
     /**
-     * Carries a pass out.
+     * Runs one pass.
      *
-     * @param regular whether machines may be rented and emptied too, which is done once an interval
-     * @param settled whether all workers that can report have reported in this term
+     * @param regular whether machines may be rented and drained too, which is done once an interval
+     * @param settled whether all machines that can report have reported in this term
      */
     public void run(boolean regular, boolean settled) {
         if (cluster.machineTypes().isEmpty() || !links.permitsTaskStart()) {
             return;
         }
         long now = environment.now();
-        boolean rearranges = settled && links.permitsPreemption();
-        boolean preempts = rearranges && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
+        boolean mayRearrange = settled && links.permitsPreemption();
+        boolean preempts = mayRearrange && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
         List<Job> waiting = placement.pass(now, environment.timeOfDay(), preempts, this::start);
         cluster.reservations().clear();
         if (preempts) {
-            makeRoom(waiting, now);
+            preempt(waiting, now);
         }
-        waiting.removeIf(job -> placement.keptBack(job, now)); // nothing is rented for it, and it is no lack of room
+        waiting.removeIf(job -> placement.imageHoldBack().heldBack(job, now)); // capacity is being freed for it
         if (settled && regular && !waiting.isEmpty() && links.permitsScaleOut()) {
-            provisioning.scaleOut(waiting);
+            autoscaler.scaleOut(waiting);
         }
-        if (regular && rearranges) {
-            consolidation.step(waiting, now);
+        if (regular && mayRearrange) {
+            consolidation.run(waiting, now);
         }
     }
 
@@ -75,11 +76,11 @@
         tasks.start(job, machines, overdue);
     }
 
-    private void makeRoom(List<Job> waiting, long now) {
-        long urgentAfter = Math.round(1000 * cluster.machineTypes().get(0).bootS());
-        for (Preemption.Stop stop : preemption.decide(waiting, now, urgentAfter, environment.timeOfDay())) {
+    private void preempt(List<Job> waiting, long now) {
+        long bootMs = Math.round(1000 * cluster.machineTypes().get(0).bootS());
+        for (Preemption.Stop stop : preemption.decide(waiting, now, bootMs, environment.timeOfDay())) {
             LOG.debug(
-                    "stopping {} to make room for {}",
+                    "task preempted: task={} for_job={}",
                     stop.victim().taskId(),
                     stop.forJob().spec().id());
             tasks.stop(stop.victim(), stop.graceS());
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -35,8 +35,8 @@
             }
             if (cpus <= machine.type().cpus() + 1e-6
                     && memory <= machine.type().memoryGb() + 1e-6
-                    && placement.allowed(job, machine, NOW)
-                    && (best == null || placement.better(job, machine, best))) {
+                    && placement.constraints().allow(job, machine, NOW)
+                    && (best == null || placement.selector().better(job, machine, best))) {
                 best = machine;
             }
         }
@@ -46,7 +46,7 @@
     /** The order of the queue by the words of the design: the head if it fits, else the lowest rank times position. */
     private static List<String> plainPass(ClusterState cluster, Placement placement) {
         List<String> starts = new ArrayList<>();
-        placement.markGuaranteed();
+        placement.queueOrder().markWithinQuota();
         while (true) {
             List<Job> queue = placement.queue(NOW, NOW);
             Job pick = null;
