--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -12,11 +12,12 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
+import stileferry.cluster.TestJob;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
-/** Whose work is stopped to make room for whom, and where. */
+/** Whose tasks are preempted for whom, and where. */
 class PreemptionTest {
     private static final long NOW = 100_000;
 
@@ -64,48 +65,43 @@
         return machine;
     }
 
+    private Job add(TestJob job) {
+        Job accepted = job.accepted(jobs, 0);
+        cluster.jobs().put(accepted.spec().id(), accepted);
+        return accepted;
+    }
+
+    private TestJob next(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
+        return TestJob.number(++jobs)
+                .team(team)
+                .kind(kind)
+                .priority(priority)
+                .tasks(tasks)
+                .cpus(cpus);
+    }
+
     private Job job(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
-        return job("any", team, kind, priority, tasks, cpus);
+        return add(next(team, kind, priority, tasks, cpus));
     }
 
-    private Job job(String of, String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
-        Job job = new Job(
-                new JobSpec(
-                        "job-" + ++jobs,
-                        of,
-                        team,
-                        kind,
-                        priority,
-                        tasks,
-                        cpus,
-                        0,
-                        1,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        60,
-                        0,
-                        0,
-                        -1),
-                jobs,
-                0,
-                0);
-        job.markAccepted();
-        cluster.jobs().put(job.spec().id(), job);
-        return job;
+    private Job swiftJob(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
+        return add(next(team, kind, priority, tasks, cpus).jobClass("swift"));
+    }
+
+    private Job urgentGangInOneZone(int tasks) {
+        return add(next("red", JobSpec.Kind.GANG, JobSpec.Priority.URGENT, tasks, 2)
+                .jobClass("swift")
+                .oneZone(true)
+                .allowsSpot(false));
     }
 
     private TaskAssignment run(Job job, long since) {
-        TaskAssignment claim = new TaskAssignment(job, job.nextUnassignedTask(0), jobs, "m", 1, since);
-        claim.markDurable();
-        claim.markStartSent();
-        claim.markRunning(since);
-        cluster.assign(claim);
-        return claim;
+        TaskAssignment assignment = new TaskAssignment(job, job.nextUnassignedTask(0), jobs, "m", 1, since);
+        assignment.markDurable();
+        assignment.markStartSent();
+        assignment.markRunning(since);
+        cluster.assign(assignment);
+        return assignment;
     }
 
     private List<Preemption.Stop> decide() {
@@ -114,7 +110,7 @@
     }
 
     @Test
-    void theLeastLossGoesFirst() {
+    void theLeastLostWorkIsPreemptedFirst() {
         Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
         run(idle, 10_000);
         TaskAssignment young = run(idle, 90_000);
@@ -125,16 +121,13 @@
         assertEquals(0, stops.get(0).graceS(), "critical work does not wait for others to save");
     }
 
-    /**
-     * Found on the bench: most services that started late fetched their image beside idle work on machines that had
-     * it.
-     */
+    /** Services must not start late by pulling their image while idle work runs on machines that hold it. */
     @Test
-    void aCriticalTaskTakesRoomWhereItsImageIs() {
+    void aCriticalTaskPreemptsWhereItsImageIs() {
         machine.cacheImage("img", 1);
         run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8), 10_000);
         Machine other = machine("other");
-        Job service = job("swift", "red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
+        Job service = swiftJob("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         List<Machine> started = new ArrayList<>();
         List<Job> waiting = placement.pass(NOW, 1000, true, (job, machines) -> started.addAll(machines));
         assertEquals(List.of(), started);
@@ -147,42 +140,9 @@
         assertEquals(List.of(other), started, "it does not wait for longer than half its time to start");
     }
 
-    private Job urgentGangInOneZone(int tasks) {
-        Job job = new Job(
-                new JobSpec(
-                        "job-" + ++jobs,
-                        "swift",
-                        "red",
-                        JobSpec.Kind.GANG,
-                        JobSpec.Priority.URGENT,
-                        tasks,
-                        2,
-                        0,
-                        1,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        true,
-                        false,
-                        false,
-                        60,
-                        0,
-                        0,
-                        -1),
-                jobs,
-                0,
-                0);
-        job.markAccepted();
-        cluster.jobs().put(job.spec().id(), job);
-        return job;
-    }
-
-    /**
-     * Found on the bench: half of the gangs waited for an image longer than their time to start, with room elsewhere.
-     */
+    /** The best machine's zone may have too little capacity, so that a gang would wait for image pulls elsewhere. */
     @Test
-    void aGangGoesToTheZoneWhereLeastOfItHasToFetch() {
+    void aGangGoesToTheZoneWithTheFewestImagePulls() {
         Machine first = machine("zb-1", "zb");
         Machine second = machine("zb-2", "zb");
         first.cacheImage("img", 1);
@@ -201,7 +161,7 @@
     }
 
     @Test
-    void anUrgentGangTakesRoomWhereItsImageIs() {
+    void anUrgentGangPreemptsWhereItsImageIs() {
         machine.cacheImage("img", 1);
         Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
         run(idle, 10_000);
@@ -223,12 +183,9 @@
         assertEquals(3, started.size(), "it does not wait for longer than half its time to start");
     }
 
-    /**
-     * Found on the bench: while room was made for an urgent gang, a less urgent one took what was free of it already,
-     * and was stopped again at once, fifty times a second.
-     */
+    /** Else a less urgent job would take what is free already, and be preempted again at once. */
     @Test
-    void roomThatIsBeingMadeIsKeptFromLessUrgentWork() {
+    void capacityThatIsBeingFreedIsReservedAgainstLessUrgentWork() {
         Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
         run(idle, 10_000);
         TaskAssignment second = run(idle, 10_000);
@@ -245,7 +202,7 @@
             started.add(job);
             job.requestCancellation();
         });
-        assertEquals(List.of(critical), started, "neither the gang, which lacks room, nor the less urgent job");
+        assertEquals(List.of(critical), started, "neither the gang, which lacks capacity, nor the less urgent job");
         cluster.reservations().remove(gang);
         placement.pass(NOW, 1000, true, (job, machines) -> {
             started.add(job);
@@ -254,44 +211,22 @@
         assertEquals(List.of(critical, normal), started);
     }
 
-    /** Found on an incident: gangs with 5 s to start waited while others saved for 5 s, and only then fetched. */
+    /** Else a gang would pull its image only after others have taken as long to save as it may take to start. */
     @Test
-    void aGangThatIsToStartSoonDoesNotWaitForOthersToSave() {
-        JobSpec saving = new JobSpec(
-                "job-" + ++jobs,
-                "any",
-                "blue",
-                JobSpec.Kind.ARRAY,
-                JobSpec.Priority.IDLE,
-                1,
-                8,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                60,
-                20,
-                0.3,
-                -1);
-        Job idle = new Job(saving, jobs, 0, 0);
-        idle.markAccepted();
-        cluster.jobs().put(saving.id(), idle);
+    void aGangThatIsToStartSoonGivesNoTimeForCheckpoints() {
+        Job idle = add(
+                next("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8).checkpoints(20, 0.3));
         run(idle, 10_000);
         urgentGangInOneZone(2);
         assertEquals(
                 List.of(0.0), decide().stream().map(Preemption.Stop::graceS).toList(), "0.3 s to save");
     }
 
-    /** Found on the bench: gangs with 15 s to start waited 15 s, a boot time, before idle work was stopped for them. */
+    /** A machine to be rented would boot too late for it anyway. */
     @Test
     void aGangThatIsToStartSoonDoesNotWaitForAMachineToBoot() {
         run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8), 10_000);
-        Job gang = job("swift", "blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 2);
+        Job gang = swiftJob("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 2);
         List<Job> waiting = placement.pass(NOW, 1000, true, (job, machines) -> {});
         assertEquals(List.of(gang), waiting);
         assertEquals(List.of(), new Preemption(cluster, placement).decide(waiting, NOW, 60_000, 100));
@@ -300,13 +235,13 @@
                 new Preemption(cluster, placement)
                         .decide(waiting, NOW, 60_000, 150)
                         .size());
-        Job array = job("swift", "blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 2, 2);
+        Job array = swiftJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 2, 2);
         assertEquals(List.of(), new Preemption(cluster, placement).decide(List.of(array), NOW, 60_000, 150));
     }
 
-    /** Found on the bench: gangs lost many times what one of their tasks seemed to, when that task was stopped. */
+    /** When one task of a gang is preempted, all are. */
     @Test
-    void whatAGangLosesCountsForAllOfItsTasks() {
+    void theLostWorkOfAGangCountsForAllOfItsTasks() {
         Job gang = job("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 4);
         run(gang, 80_000);
         Machine other = machine("other");
@@ -321,18 +256,18 @@
     }
 
     @Test
-    void aGuaranteeTakesBorrowedRoomBackButNoMore() {
+    void aQuotaTakesBorrowedCapacityBackButNoMore() {
         Job borrowed = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 4, 2);
         for (int i = 0; i < 4; i++) {
             run(borrowed, 10_000);
         }
         job("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 4, 2);
-        assertEquals(3, decide().size(), "blue keeps the 2 CPUs of its own guarantee");
+        assertEquals(3, decide().size(), "blue keeps the 2 CPUs of its own quota");
     }
 
-    /** Found on the bench: a service of another team was stopped again and again for arrays within a guarantee. */
+    /** It would come back at once, and be preempted again and again. */
     @Test
-    void moreUrgentWorkIsNotStoppedForAGuarantee() {
+    void moreUrgentWorkIsNotPreemptedForAQuota() {
         Job service = job("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 8);
         run(service, 10_000);
         job("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
@@ -340,7 +275,7 @@
     }
 
     @Test
-    void equalWorkOfTheSameTeamIsNotStopped() {
+    void equalWorkOfTheSameTeamIsNotPreempted() {
         run(job("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 8), 10_000);
         job("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
         assertTrue(decide().isEmpty());
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -5,6 +5,7 @@
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.TestJob;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
@@ -73,34 +74,23 @@
                 5);
     }
 
+    /** Adds an accepted job. */
     static Job job(ClusterState cluster, int number, SplittableRandom random) {
         boolean service = random.nextInt(4) == 0;
-        Job job = new Job(
-                new JobSpec(
-                        "job-" + number,
-                        random.nextInt(3) == 0 ? "quick" : "any",
-                        "red",
-                        service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY,
-                        JobSpec.Priority.values()[random.nextInt(4)],
-                        1 + random.nextInt(6),
-                        0.5 * (1 + random.nextInt(8)),
-                        0,
-                        1 + random.nextInt(12),
-                        "img" + random.nextInt(5),
-                        2,
-                        random.nextInt(5) == 0 ? List.of("large") : null,
-                        random.nextInt(5) == 0 ? "za" : null,
-                        random.nextInt(6) == 0,
-                        random.nextInt(4) == 0,
-                        random.nextBoolean(),
-                        60,
-                        0,
-                        0,
-                        -1),
-                number,
-                NOW,
-                0);
-        job.markAccepted();
+        Job job = TestJob.number(number)
+                .jobClass(random.nextInt(3) == 0 ? "quick" : "any")
+                .kind(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY)
+                .priority(JobSpec.Priority.values()[random.nextInt(4)])
+                .tasks(1 + random.nextInt(6))
+                .cpus(0.5 * (1 + random.nextInt(8)))
+                .memoryGb(1 + random.nextInt(12))
+                .image("img" + random.nextInt(5), 2)
+                .machineTypes(random.nextInt(5) == 0 ? List.of("large") : null)
+                .zone(random.nextInt(5) == 0 ? "za" : null)
+                .oneZone(random.nextInt(6) == 0)
+                .spreadAcrossZones(random.nextInt(4) == 0)
+                .allowsSpot(random.nextBoolean())
+                .accepted(number, NOW);
         cluster.jobs().put(job.spec().id(), job);
         return job;
     }
