--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -25,24 +25,15 @@
 public final class TaskLifecycle implements TaskObserver {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
-    /** Bounded slowdown counts shorter runs as being this long, as in the paper that {@code Placement} names. */
-    private static final double SLOWDOWN_THRESHOLD_S = 60;
-
-    private static final long FAILED_FIRST_PAUSE_MS = 1000;
-    private static final int FAILED_MOST_DOUBLINGS = 6;
-    private static final long UNKNOWN_JOB_FIRST_PAUSE_MS = 500;
-    private static final int UNKNOWN_JOB_MOST_DOUBLINGS = 7;
-
     private final ClusterState cluster;
     private final Environment environment;
     private final CommitQueue commitQueue;
     private final TermSequence termSequence;
     private final HeartbeatHandler heartbeatHandler;
     private final JobCompletion jobCompletion;
-    private final MachineQuarantine quarantine;
+    private final ExitRecorder exitRecorder;
     private final Runnable changed;
     private final GangMetrics gangMetrics = new GangMetrics();
-    private final long heartbeatRoundMs;
 
     /**
      * The lifecycle of one term.
@@ -65,10 +56,11 @@
         this.termSequence = termSequence;
         this.heartbeatHandler = createHeartbeatHandler.apply(this);
         this.jobCompletion = createJobCompletion.apply(this);
-        this.quarantine = new MachineQuarantine(
+        MachineQuarantine quarantine = new MachineQuarantine(
                 cluster, assignment -> stop(assignment, assignment.job().spec().checkpointSaveS()));
+        this.exitRecorder = new ExitRecorder(
+                environment, quarantine, cluster.settings().workers().heartbeatRoundMs());
         this.changed = changed;
-        this.heartbeatRoundMs = cluster.settings().workers().heartbeatRoundMs();
     }
 
     public HeartbeatHandler heartbeatHandler() {
@@ -256,9 +248,9 @@
         if (completed || status.exitReason() == ExitReason.FAILED) {
             job.markStarted();
         }
-        logExit(machine, assignment, status, now);
+        exitRecorder.log(machine, assignment, status, now);
         if (completed) {
-            recordSuccess(machine, assignment, now);
+            exitRecorder.recordSuccess(machine, assignment, now);
         } else {
             recordFailure(machine, assignment, status, now);
         }
@@ -268,49 +260,9 @@
         });
     }
 
-    private void logExit(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
-        if (assignment.assignedAt() > 0 && assignment.runningSince() > 0) {
-            LOG.debug(
-                    "task exited: task={} class={} machine={} reason={} assigned_after_ms={} started_after_ms={}"
-                            + " ran_ms={}",
-                    assignment.taskId(),
-                    assignment.job().spec().jobClass(),
-                    machine.name(),
-                    status.exitReason(),
-                    assignment.assignedAt()
-                            - now
-                            + environment.timeOfDay()
-                            - assignment.job().acceptedAt(),
-                    assignment.runningSince() - assignment.assignedAt(),
-                    now - assignment.runningSince());
-        }
-    }
-
-    private static void recordSuccess(Machine machine, TaskAssignment assignment, long now) {
-        if (assignment.assignedAt() > 0 && assignment.runningSince() > 0) {
-            machine.recordSlowdown(
-                    (now - assignment.runningSince()) / 1000.0,
-                    (assignment.runningSince() - assignment.assignedAt()) / 1000.0,
-                    SLOWDOWN_THRESHOLD_S);
-        }
-        assignment.job().failures().recordSuccess(assignment.index());
-        machine.forgetFailures();
-    }
-
     private void recordFailure(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
-        Job job = assignment.job();
-        switch (status.exitReason()) {
-            case FAILED -> {
-                job.failures().backOff(assignment.index(), now, FAILED_FIRST_PAUSE_MS, FAILED_MOST_DOUBLINGS);
-                quarantine.recordFailure(machine, job);
-            }
-            case INSUFFICIENT_RESOURCES, CONFLICTING_ATTEMPT ->
-                machine.instance().cordonUntil(now + heartbeatRoundMs);
-            case UNKNOWN_JOB ->
-                job.failures().backOff(assignment.index(), now, UNKNOWN_JOB_FIRST_PAUSE_MS, UNKNOWN_JOB_MOST_DOUBLINGS);
-            default -> {}
-        }
-        if (job.spec().gang()) {
+        exitRecorder.recordFailure(machine, assignment, status, now);
+        if (assignment.job().spec().gang()) {
             gangMetrics.countExit(assignment, status);
         }
         stopRestOfGang(assignment, status.checkpointSaved());
