--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -128,7 +128,7 @@
         for (Machine machine : cluster.machines().values()) {
             InstanceState instance = machine.instance();
             if (instance.listed() && !listedNames.contains(machine.name()) && instance.missingSince() == 0) {
-                instance.setMissingSince(now);
+                instance.markMissing(now);
             }
         }
     }
@@ -136,8 +136,7 @@
     private void update(CloudMessages.ListedMachine listed, long now) {
         Machine machine = cluster.machine(listed.name());
         InstanceState instance = machine.instance();
-        instance.setListed(true);
-        instance.setMissingSince(0);
+        instance.markListed();
         if (machine.type() == null || machine.address().isEmpty()) {
             updateProperties(machine, listed);
         }
@@ -149,7 +148,7 @@
         }
         if (listed.state().equals("failed") && !instance.terminating()) {
             LOG.info("machine failed: machine={}", machine.name());
-            instance.setTerminating(true);
+            instance.terminate();
             cluster.freeCapacity().update(machine);
         }
     }
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -70,7 +70,7 @@
                 machine.name(),
                 machine.assignments().size(),
                 reason);
-        machine.instance().setTerminating(true);
+        machine.instance().terminate();
         cluster.freeCapacity().update(machine);
     }
 
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -227,7 +227,7 @@
             leadership.observeTerm(heartbeat.fencingToken(), "");
             return;
         }
-        request.machine.agent().setUnreachableSince(0);
+        request.machine.agent().markReachable();
         statusListener.statusReceived(request.machine, heartbeat);
         if (status == CONFLICT && request.attempts > 1 && heartbeat.incarnation() != request.incarnation) {
             send(new DirectRequest(
--- a/src/main/java/stileferry/heartbeat/CommandPlanner.java
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -63,7 +63,7 @@
     /** Whether tasks of durably cancelled jobs may be on the machine. */
     boolean hasCancelledTasks(Machine machine) {
         return machine.assignments().values().stream()
-                .anyMatch(assignment -> assignment.job().cancelDurable());
+                .anyMatch(assignment -> assignment.job().cancellationDurable());
     }
 
     /**
@@ -109,7 +109,7 @@
             Machine machine, TaskAssignment assignment, Delivery delivery, long now, List<WorkerCommand> commands) {
         if (needsStart(machine, assignment, delivery, now)) {
             commands.add(new WorkerCommand(WorkerCommand.Kind.RUN, assignment.taskId(), assignment.attempt(), 0));
-            assignment.setStartsSent(assignment.startsSent() + 1);
+            assignment.markStartSent();
             if (delivery == Delivery.DIRECT) {
                 machine.agent().unansweredStarts().merge(assignment.attemptId(), 1, Integer::sum);
             }
@@ -143,7 +143,7 @@
     /** Whoever leads, a job whose cancellation is durable stays cancelled, so its tasks may be stopped by anyone. */
     private static void addKillsOfCancelledTasks(Machine machine, List<WorkerCommand> commands) {
         for (TaskAssignment assignment : machine.assignments().values()) {
-            if (assignment.job().cancelDurable()
+            if (assignment.job().cancellationDurable()
                     && assignment.stopping()
                     && assignment.incarnation() == machine.agent().incarnation()
                     && assignment.phase() != Heartbeat.TaskPhase.EXITED) {
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -88,7 +88,7 @@
             reply.accept(answer(machine, heartbeat));
             return;
         }
-        machine.agent().setLastHeardAt(environment.now()); // so it is not given up, however long the store takes
+        machine.agent().markHeard(environment.now()); // so it is not given up, however long the store takes
         journal.heardAgain(
                 machine,
                 () -> reply.accept(leaseRenewalPolicy.mayAnswer(heartbeat) ? answer(machine, heartbeat) : null),
@@ -97,29 +97,20 @@
 
     private byte[] answer(Machine machine, Heartbeat heartbeat) {
         AgentState agent = machine.agent();
-        agent.setHeartbeatIncarnation(heartbeat.incarnation());
-        agent.setHeartbeatSequence(heartbeat.sequence());
+        agent.recordHeartbeatNumber(heartbeat);
         if (machine.unchangedSince(heartbeat) && heartbeat.sequence() > agent.sequence()) {
-            return answerUnchanged(agent, heartbeat);
+            agent.recordUnchanged(heartbeat, environment.now());
+            return emptyResponse;
         }
         unreachableAgentDetector.check(machine, heartbeat);
         boolean fresh = reconciliation.reconcile(machine, heartbeat, HeartbeatReconciliation.Origin.HEARTBEAT);
-        agent.setLastAnsweredAt(environment.now());
+        agent.markAnswered(environment.now());
         List<WorkerCommand> commands =
                 fresh ? commandPlanner.commandsFor(machine, CommandPlanner.Delivery.HEARTBEAT_RESPONSE) : List.of();
         agent.setStartsInLastResponse(startedAttempts(commands));
         return response(commands);
     }
 
-    private byte[] answerUnchanged(AgentState agent, Heartbeat heartbeat) {
-        agent.setSequence(heartbeat.sequence());
-        agent.setLastHeartbeat(heartbeat);
-        agent.setLastHeardAt(environment.now());
-        agent.setLastAnsweredAt(agent.lastHeardAt());
-        agent.setStartsInLastResponse(Set.of());
-        return emptyResponse;
-    }
-
     private byte[] response(List<WorkerCommand> commands) {
         return commands.isEmpty()
                 ? emptyResponse
@@ -144,7 +135,7 @@
     public byte[] renewBeforeRecovery(Heartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         machine.setAddress(heartbeat.address());
-        machine.agent().setLastAnsweredAt(environment.now());
+        machine.agent().markAnswered(environment.now());
         return response(leadership.cancellations().killCommandsFor(heartbeat));
     }
 
--- a/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
@@ -55,7 +55,7 @@
         long now = environment.now();
         updateIncarnation(machine, heartbeat, now);
         updateTerm(machine, heartbeat, now);
-        updateAgent(machine.agent(), heartbeat, now);
+        machine.agent().recordStatus(heartbeat, now);
         updateInstance(machine, heartbeat);
         takeReclaimNotice(machine, heartbeat, now);
         taskReconciliation.reconcile(machine, heartbeat, origin, now);
@@ -83,9 +83,7 @@
                     (now - machine.instance().requestedAt()) / 1000);
         }
         if (newIncarnation) {
-            agent.setIncarnationSeenAt(now);
-            agent.unansweredStarts().clear();
-            agent.outcomesNotDurable().clear();
+            agent.beginIncarnation(now);
         }
     }
 
@@ -93,24 +91,16 @@
         AgentState agent = machine.agent();
         if (!agent.heardThisTerm() && heartbeat.fencingToken() < term) {
             // Until it shows our term this may be a late copy, sent by a machine that is gone.
-            agent.setUnreachableSince(now);
+            agent.markUnreachable(now);
             if (!eventLoopLag.overloaded()) {
                 commandDispatcher.queueProbe(machine); // its next heartbeat shows it too, but work may be waiting
             }
         } else if (agent.fencingToken() < term && heartbeat.fencingToken() >= term) {
-            agent.setUnreachableSince(0);
+            agent.markReachable();
             taskObserver.changed();
         }
     }
 
-    private static void updateAgent(AgentState agent, Heartbeat heartbeat, long now) {
-        agent.setHeardThisTerm(true);
-        agent.setLastHeardAt(now);
-        agent.setIncarnation(heartbeat.incarnation());
-        agent.setSequence(heartbeat.sequence());
-        agent.setFencingToken(heartbeat.fencingToken());
-    }
-
     private void updateInstance(Machine machine, Heartbeat heartbeat) {
         machine.instance().setBooting(false);
         machine.setAddress(heartbeat.address());
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -13,6 +13,7 @@
 import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
 import stileferry.storage.CommitQueue;
+import stileferry.storage.EndEvent;
 import stileferry.storage.StoredEvent;
 
 /**
@@ -87,8 +88,7 @@
         }
     }
 
-    /** Needed only while an older record holds the silence, and older records are given up first. */
-    private record Heard(String machine) implements StoredEvent {
+    private record Heard(String machine) implements EndEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(HEARD_AGAIN_EVENT).add(machine);
@@ -98,19 +98,6 @@
         public int maxBytes() {
             return BYTES + machine.length();
         }
-
-        @Override
-        public void recordedIn(long record) {}
-
-        @Override
-        public StoredEvent retainedFrom(long record) {
-            return null;
-        }
-
-        @Override
-        public boolean endsEarlierEvent() {
-            return true;
-        }
     }
 
     public LastHeartbeatJournal(
@@ -144,8 +131,7 @@
             }
             long agoMs = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockErrorMs);
             long answeredAt = Math.max(environment.now() - agoMs, leadership.consentedToLeaderlessRenewalAt());
-            machine.agent().setAnsweredByPreviousLeaderAt(answeredAt);
-            machine.agent().setAnsweredByPreviousLeaderIncarnation(record.incarnation());
+            machine.agent().recordAnsweredByPreviousLeader(record.incarnation(), answeredAt);
             restored++;
         }
         if (restored > 0) {
@@ -162,7 +148,7 @@
                 && leadership.leaseHeld()) {
             LastHeartbeatRecord record =
                     new LastHeartbeatRecord(machine.name(), incarnation, environment.timeOfDay() - agoMs, term);
-            machine.agent().setLastHeartbeatRecord(record);
+            machine.agent().keepLastHeartbeatRecord(record);
             commitQueue.appendEvent(new Silent(record), null);
         }
     }
@@ -180,10 +166,8 @@
             return;
         }
         pending.put(machine, new ArrayList<>(List.of(heartbeat)));
-        LastHeartbeatRecord record = machine.agent().lastHeartbeatRecord();
         commitQueue.appendEvent(new Heard(machine.name()), () -> {
-            record.setObsolete(true);
-            machine.agent().setLastHeartbeatRecord(null);
+            machine.agent().discardLastHeartbeatRecord();
             pending.remove(machine).forEach(waiting -> waiting.answer.run());
         });
     }
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -80,7 +80,7 @@
 
     private void updatePhase(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
         if (assignment.phase() != status.phase()) {
-            assignment.setPhase(status.phase());
+            assignment.recordPhase(status.phase());
             switch (status.phase()) {
                 case WAITING_FOR_GANG -> cacheImage(machine, assignment);
                 case RUNNING, SAVING_CHECKPOINT -> markRunning(machine, assignment, now);
@@ -97,7 +97,7 @@
         if (assignment.runningSince() != 0) {
             return;
         }
-        assignment.setRunningSince(now);
+        assignment.markRunning(now);
         Job job = assignment.job();
         LOG.debug(
                 "task running: task={} class={} machine={} zone={} assigned_ms_ago={}",
@@ -106,7 +106,7 @@
                 machine.name(),
                 machine.zone(),
                 assignment.assignedAt() == 0 ? -1 : now - assignment.assignedAt());
-        job.setStarted(true);
+        job.markStarted();
         cacheImage(machine, assignment);
         if (job.spec().gang() && job.runningCount() == job.spec().taskCount()) {
             taskObserver.gangRunning(job);
--- a/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
+++ b/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
@@ -41,7 +41,7 @@
                     "agent suspected unreachable: machine={} reason={}",
                     machine.name(),
                     leaseExpired ? "its lease expired although it was answered" : "it ignored starts");
-            agent.setUnreachableSince(environment.now());
+            agent.markUnreachable(environment.now());
         }
     }
 
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -195,7 +195,7 @@
         cluster.jobs().put(id, job);
         leader.beforeFirstWrite(job);
         Runnable onDurable = () -> {
-            job.setAccepted(true);
+            job.markAccepted();
             pendingReplies.answer(job, JobResponses.accepted(id));
             leader.jobAccepted();
         };
@@ -246,7 +246,7 @@
                             cluster.jobs().containsKey(id) ? Responses.unavailable() : completedMeanwhile(id)));
         } else if (!job.accepted()) {
             reply.accept(Responses.unavailable());
-        } else if (job.cancelConfirmed()) {
+        } else if (job.cancellationConfirmed()) {
             reply.accept(JobResponses.state(job));
         } else {
             pendingReplies.add(job, reply);
--- a/src/main/java/stileferry/requests/JobResponses.java
+++ b/src/main/java/stileferry/requests/JobResponses.java
@@ -15,7 +15,7 @@
 
     /** The state of a live job. */
     static PeerMessage.Response state(Job job) {
-        if (!job.accepted() || job.cancelled() && !job.cancelConfirmed()) {
+        if (!job.accepted() || job.cancelled() && !job.cancellationConfirmed()) {
             return Responses.unavailable(); // the outcome of what would change the answer is not known yet
         }
         int running = job.cancelled() ? 0 : job.runningCount();
--- a/src/main/java/stileferry/requests/PendingReplies.java
+++ b/src/main/java/stileferry/requests/PendingReplies.java
@@ -1,9 +1,9 @@
 package stileferry.requests;
 
 import java.util.ArrayList;
-import java.util.LinkedHashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Set;
+import java.util.Map;
 import java.util.function.Consumer;
 import stileferry.cluster.Job;
 import stileferry.protocol.Environment;
@@ -16,8 +16,11 @@
 
     private final Environment environment;
 
-    /** The jobs that somebody waits for, by when the first of them began to wait. */
-    private final Set<Job> awaitedJobs = new LinkedHashSet<>();
+    /** Who waits, by job, in the order in which the first of each began to wait. */
+    private final Map<Job, Waiters> waitersByJob = new LinkedHashMap<>();
+
+    /** The replies that wait for one job, and when the first of them came, in milliseconds on the steady clock. */
+    private record Waiters(long since, List<Consumer<PeerMessage.Response>> replies) {}
 
     PendingReplies(Environment environment) {
         this.environment = environment;
@@ -25,27 +28,26 @@
 
     /** Keeps a reply until the job is answered. */
     void add(Job job, Consumer<PeerMessage.Response> reply) {
-        job.pendingReplies().add(reply);
-        if (job.repliesPendingSince() == 0) {
-            job.setRepliesPendingSince(environment.now());
-            awaitedJobs.add(job);
-        }
+        waitersByJob
+                .computeIfAbsent(job, key -> new Waiters(environment.now(), new ArrayList<>()))
+                .replies
+                .add(reply);
     }
 
     /** Answers all who wait for this job. */
     void answer(Job job, PeerMessage.Response response) {
-        List<Consumer<PeerMessage.Response>> replies = job.pendingReplies();
-        job.setPendingReplies(new ArrayList<>());
-        job.setRepliesPendingSince(0);
-        awaitedJobs.remove(job);
-        replies.forEach(reply -> reply.accept(response));
+        Waiters waiters = waitersByJob.remove(job);
+        if (waiters != null) {
+            waiters.replies.forEach(reply -> reply.accept(response));
+        }
     }
 
     /** Refuses those who have waited too long, or all of them when nothing may be told any more. */
     void refuseOverdue(boolean mayAnswer) {
         long now = environment.now();
-        for (Job job : List.copyOf(awaitedJobs)) {
-            if (!mayAnswer || now - job.repliesPendingSince() > DURABILITY_TIMEOUT_MS) {
+        for (Job job : List.copyOf(waitersByJob.keySet())) {
+            Waiters waiters = waitersByJob.get(job);
+            if (waiters != null && (!mayAnswer || now - waiters.since > DURABILITY_TIMEOUT_MS)) {
                 answer(job, Responses.unavailable());
             }
         }
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -5,6 +5,7 @@
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.TestJob;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
@@ -16,8 +17,17 @@
 
     private RandomCluster() {}
 
-    /** A cluster with so many machines. */
+    /** A cluster with so many machines, some of them quarantined. */
     public static ClusterState cluster(int machines, SplittableRandom random) {
+        return cluster(machines, random, true);
+    }
+
+    /** A cluster with so many machines, none of them quarantined. */
+    static ClusterState healthyCluster(int machines, SplittableRandom random) {
+        return cluster(machines, random, false);
+    }
+
+    private static ClusterState cluster(int machines, SplittableRandom random, boolean quarantinesSome) {
         ClusterState cluster = new ClusterState(settings());
         cluster.setMachineTypes(List.of(
                 new MachineType("small", 8, 0, 32, 9, 0.3, 1, 0.4, 10, List.of("za", "zb")),
@@ -28,7 +38,7 @@
             machine.setTypeName(machine.type().name());
             machine.setSpot(random.nextBoolean());
             machine.agent().setHeardThisTerm(true);
-            machine.agent().setLastHeardAt(NOW);
+            machine.agent().markHeard(NOW);
             cluster.setZone(machine, random.nextBoolean() ? "za" : "zb");
             for (int n = random.nextInt(3); n > 0; n--) {
                 machine.cacheImage("img" + random.nextInt(5), 2);
@@ -36,7 +46,9 @@
             for (int n = random.nextInt(4); n > 0; n--) {
                 machine.recordSlowdown(10, random.nextInt(120), 60);
             }
-            machine.instance().setQuarantined(random.nextInt(40) == 0);
+            if (random.nextInt(40) == 0 && quarantinesSome) {
+                machine.instance().quarantine();
+            }
             cluster.freeCapacity().update(machine);
         }
         return cluster;
@@ -62,34 +74,23 @@
                 5);
     }
 
+    /** Adds an accepted job. */
     static Job job(ClusterState cluster, int number, SplittableRandom random) {
         boolean service = random.nextInt(4) == 0;
-        Job job = new Job(
-                new JobSpec(
-                        "job-" + number,
-                        random.nextInt(3) == 0 ? "quick" : "any",
-                        "red",
-                        service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY,
-                        JobSpec.Priority.values()[random.nextInt(4)],
-                        1 + random.nextInt(6),
-                        0.5 * (1 + random.nextInt(8)),
-                        0,
-                        1 + random.nextInt(12),
-                        "img" + random.nextInt(5),
-                        2,
-                        random.nextInt(5) == 0 ? List.of("large") : null,
-                        random.nextInt(5) == 0 ? "za" : null,
-                        random.nextInt(6) == 0,
-                        random.nextInt(4) == 0,
-                        random.nextBoolean(),
-                        60,
-                        0,
-                        0,
-                        -1),
-                number,
-                NOW,
-                0);
-        job.setAccepted(true);
+        Job job = TestJob.number(number)
+                .jobClass(random.nextInt(3) == 0 ? "quick" : "any")
+                .kind(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY)
+                .priority(JobSpec.Priority.values()[random.nextInt(4)])
+                .tasks(1 + random.nextInt(6))
+                .cpus(0.5 * (1 + random.nextInt(8)))
+                .memoryGb(1 + random.nextInt(12))
+                .image("img" + random.nextInt(5), 2)
+                .machineTypes(random.nextInt(5) == 0 ? List.of("large") : null)
+                .zone(random.nextInt(5) == 0 ? "za" : null)
+                .oneZone(random.nextInt(6) == 0)
+                .spreadAcrossZones(random.nextInt(4) == 0)
+                .allowsSpot(random.nextBoolean())
+                .accepted(number, NOW);
         cluster.jobs().put(job.spec().id(), job);
         return job;
     }
