--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -377,7 +377,7 @@
 
         @Override
         public void probeStore() {
-            state.get(LeaderElection.TERM_KEY, (status, body) -> {});
+            state.get(LeaderElection.TERM_KEY, result -> {});
         }
 
         @Override
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -120,17 +120,17 @@
     }
 
     private void readOptions(List<List<KeyValue>> rows) {
-        state.get(LeaderElection.OPERATOR_SETTINGS_KEY, (status, body) -> {
+        state.get(LeaderElection.OPERATOR_SETTINGS_KEY, result -> {
             if (closed) {
                 return;
             }
-            if (status == 200) {
-                listener.options(OperatorSettings.read(body.path("v")));
-            } else if (status != 404) {
+            if (result.found()) {
+                listener.options(OperatorSettings.read(result.row().value()));
+            } else if (result.unknown()) {
                 environment.schedule(RETRY_MS, this::load);
                 return;
             }
-            long revision = status == 200 ? body.path("entry_rev").asLong() : 0;
+            long revision = result.found() ? result.row().revision() : 0;
             buildJobs(rows.get(0));
             TaskEventReader reader = new TaskEventReader(cluster.jobs());
             buildFromOldParts(rows.get(2), reader);
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -1,14 +1,14 @@
 package stileferry.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
 import stileferry.protocol.KeyValue;
-import stileferry.protocol.MessageCodec;
+import stileferry.protocol.KeyValueStoreProtocol.CommitRequest;
+import stileferry.protocol.KeyValueStoreProtocol.CommitResult;
+import stileferry.protocol.KeyValueStoreProtocol.LeaseRenewal;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 import stileferry.storage.KeyValueStoreClient;
@@ -266,7 +266,7 @@
             LOG.info("giving up term {}", term);
             String old = lease;
             stepDown();
-            state.revokeLease(old, (status, body) -> {});
+            state.revokeLease(old, () -> {});
         }
     }
 
@@ -293,29 +293,29 @@
             if (round != forRound || leading) {
                 return;
             }
-            if (rows.rows() == null) {
+            if (rows.failed()) {
                 later(400, forRound, () -> look(forRound));
                 return;
             }
             TermRecord stored = TermRecord.NONE;
-            JsonNode holder = null;
+            LeaderRecord holder = null;
             for (KeyValue row : rows.rows()) {
                 if (row.key().equals(LEADER_KEY)) {
-                    holder = row.value();
+                    holder = LeaderRecord.read(row);
                 } else if (row.key().equals(OPERATOR_SETTINGS_KEY)) {
                     listener.operatorSettings(row.value());
                 } else if (row.key().equals(TERM_KEY)) {
-                    stored = TermRecord.read(row.value(), row.revision());
+                    stored = TermRecord.read(row);
                 }
             }
             if (holder == null) {
                 observeTerm(stored.term(), "");
                 runOrAbstain(forRound, stored);
-            } else if (holder.path("node").asText().equals(settings.controllerName())) {
+            } else if (holder.node().equals(settings.controllerName())) {
                 // left by this node's former life, or by an attempt that was given up: nobody uses it
-                state.revokeLease(holder.path("lease").asText(), (s, b) -> later(60, forRound, () -> look(forRound)));
+                state.revokeLease(holder.leaseId(), () -> later(60, forRound, () -> look(forRound)));
             } else {
-                observeTerm(holder.path("term").asLong(), holder.path("node").asText());
+                observeTerm(holder.term(), holder.node());
                 watch(forRound, rows.revision());
             }
         });
@@ -332,14 +332,14 @@
     }
 
     private void watch(int forRound, long revision) {
-        state.watch(PREFIX, revision, WATCH_MS, (status, body) -> {
+        state.watch(PREFIX, revision, WATCH_MS, result -> {
             if (round != forRound || leading) {
                 return;
             }
-            if (status != 200 || body == null) {
+            if (result == null) {
                 later(400, forRound, () -> look(forRound));
-            } else if (body.path("events").isEmpty()) {
-                watch(forRound, Math.max(revision, body.path("ledger_rev").asLong()));
+            } else if (!result.changed()) {
+                watch(forRound, Math.max(revision, result.revision()));
             } else {
                 look(forRound);
             }
@@ -348,39 +348,32 @@
 
     private void run(int forRound, TermRecord stored) {
         long sentAt = environment.now();
-        state.grantLease(leaseDurationMs, (status, body) -> {
+        state.grantLease(leaseDurationMs, granted -> {
             if (round != forRound || leading) {
                 return;
             }
-            if (status != 200 || body == null) {
+            if (granted == null) {
                 later(400, forRound, () -> look(forRound));
                 return;
             }
-            String mine = body.path("mooring").asText();
             TermRecord next = stored.next(Math.max(term, stored.term()) + 1, countsAdmissions);
-            ObjectNode t = MessageCodec.map();
-            ArrayNode conditions = t.putArray("if");
-            conditions.addObject().put("path", LEADER_KEY).put("entry_rev", 0);
-            conditions.addObject().put("path", TERM_KEY).put("entry_rev", stored.revision());
-            ArrayNode apply = t.putArray("apply");
-            ObjectNode put = apply.addObject().put("put", LEADER_KEY);
-            put.set(
-                    "v",
-                    MessageCodec.map()
-                            .put("node", settings.controllerName())
-                            .put("term", next.term())
-                            .put("lease", mine));
-            put.set("mooring", body.path("mooring"));
-            apply.addObject().put("put", TERM_KEY).set("v", next.write());
-            state.commit(t, 2, true, (s, b) -> {
+            CommitRequest request = new CommitRequest()
+                    .compare(LEADER_KEY, 0)
+                    .compare(TERM_KEY, stored.revision())
+                    .put(
+                            LEADER_KEY,
+                            new LeaderRecord(settings.controllerName(), next.term(), granted.id()).write(),
+                            granted)
+                    .put(TERM_KEY, next.write());
+            state.commit(request, true, result -> {
                 if (round != forRound || leading) {
                     return;
                 }
-                if (s == 200) {
-                    win(next, b.path("ledger_rev").asLong(), mine, sentAt);
+                if (result.outcome() == CommitResult.Outcome.APPLIED) {
+                    win(next, result.revision(), granted.id(), sentAt);
                 } else {
                     // if the outcome is unknown, the next look finds the key and ends its lease
-                    state.revokeLease(mine, (s2, b2) -> {});
+                    state.revokeLease(granted.id(), () -> {});
                     later(100, forRound, () -> look(forRound));
                 }
             });
@@ -389,7 +382,7 @@
 
     private void win(TermRecord won, long revision, String wonLease, long sentAt) {
         if (won.term() < term) { // a higher term was heard meanwhile: this one would be ignored
-            state.revokeLease(wonLease, (s, b) -> {});
+            state.revokeLease(wonLease, () -> {});
             int now = ++round;
             later(100, now, () -> look(now));
             return;
@@ -423,20 +416,23 @@
         }
         long sentAt = environment.now();
         boolean wasSure = leaseHeld();
-        state.renewLease(lease, leaseDurationMs, (status, body) -> {
+        state.renewLease(lease, leaseDurationMs, renewal -> {
             if (round != forRound || !leading) {
                 return;
             }
-            if (status == 200) {
+            if (renewal.outcome() == LeaseRenewal.Outcome.RENEWED) {
                 if (!leaseHeld()) {
                     LOG.info("the state service answers again, still leading in term {}", term);
                 }
                 trust(sentAt);
-            } else if (status == 404) {
+            } else if (renewal.outcome() == LeaseRenewal.Outcome.EXPIRED) {
                 LOG.info("the lease of term {} has ended", term);
                 stepDown();
             } else if (wasSure && !leaseHeld()) {
-                LOG.info("not sure to lead any more: the lease of term {} could not be renewed ({})", term, status);
+                LOG.info(
+                        "not sure to lead any more: the lease of term {} could not be renewed ({})",
+                        term,
+                        renewal.status());
             }
         });
         environment.schedule(leaseDurationMs / 5, () -> renew(forRound));
--- a/src/main/java/stileferry/leadership/TermRecord.java
+++ b/src/main/java/stileferry/leadership/TermRecord.java
@@ -1,7 +1,7 @@
 package stileferry.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import stileferry.protocol.KeyValue;
 import stileferry.protocol.MessageCodec;
 
 /**
@@ -17,11 +17,15 @@
     /** Nothing is stored. */
     static final TermRecord NONE = new TermRecord(0, 0, 0);
 
+    private static final String TERM = "term";
     private static final String COUNTING_SINCE = "counting_since";
 
-    public static TermRecord read(JsonNode value, long revision) {
+    /** Reads the record as it is stored. */
+    public static TermRecord read(KeyValue row) {
         return new TermRecord(
-                value.path("term").asLong(), value.path(COUNTING_SINCE).asLong(), revision);
+                row.value().path(TERM).asLong(),
+                row.value().path(COUNTING_SINCE).asLong(),
+                row.revision());
     }
 
     /** The record of the next term, whose leader counts or not. */
@@ -31,7 +35,7 @@
     }
 
     ObjectNode write() {
-        ObjectNode value = MessageCodec.map().put("term", term);
+        ObjectNode value = MessageCodec.map().put(TERM, term);
         return admissionsCountedSince > 0 ? value.put(COUNTING_SINCE, admissionsCountedSince) : value;
     }
 }
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -44,14 +44,13 @@
     }
 
     private void readTerm(ScanResult rows, Consumer<AdmissionTotals> then) {
-        state.get(LeaderElection.TERM_KEY, (status, body) -> {
-            if (status != 200 && status != 404 || rows.firstRevision() < toldRevision) {
+        state.get(LeaderElection.TERM_KEY, result -> {
+            if (result.unknown() || rows.firstRevision() < toldRevision) {
                 then.accept(null);
                 return;
             }
             List<AdmissionTotals.Shard> shards = AdmissionCountShards.read(rows.rows());
-            long run =
-                    status == 200 ? TermRecord.read(body.path("v"), 0).admissionsCountedSince() : 1; // nobody ever led
+            long run = result.found() ? TermRecord.read(result.row()).admissionsCountedSince() : 1; // nobody ever led
             toldRevision = rows.firstRevision();
             then.accept(AdmissionTotals.of(shards, run, rows.firstRevision()));
         });
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -150,11 +150,11 @@
             known.accept(cached);
             return;
         }
-        state.get(Job.completedKey(id), (status, body) -> {
-            if (!lead.serving() || status != 200 && status != 404) {
+        state.get(Job.completedKey(id), result -> {
+            if (!lead.serving() || result.unknown()) {
                 failed.run();
-            } else if (status == 200) {
-                CompletedJob read = CompletedJob.read(body.path("v"));
+            } else if (result.found()) {
+                CompletedJob read = CompletedJob.read(result.row().value());
                 ended.put(id, read);
                 known.accept(read);
             } else {
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -1,12 +1,12 @@
 package stileferry.storage;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stileferry.protocol.Environment;
+import stileferry.protocol.KeyValue;
 import stileferry.protocol.MessageCodec;
 
 /**
@@ -221,26 +221,26 @@
         if (closed) {
             return;
         }
-        state.commit(transaction.body, transaction.entries.size(), false, (status, body) -> {
+        state.commit(transaction.request, false, result -> {
             if (closed) {
                 return;
             }
-            switch (status) {
-                case 200 -> applied(transaction, body.path("ledger_rev").asLong());
-                case 409 -> {
+            switch (result.outcome()) {
+                case APPLIED -> applied(transaction, result.revision());
+                case CONFLICT -> {
                     if (transaction.ambiguous) {
                         verify(transaction);
                     } else {
                         lost();
                     }
                 }
-                case 400 -> {
-                    LOG.error("the state service calls a transaction malformed: {}", body);
+                case INVALID -> {
+                    LOG.error("the state service calls a transaction malformed: {}", result.detail());
                     lost();
                 }
-                default -> {
-                    // 429 and 503 say that nothing was done; silence says nothing at all
-                    transaction.ambiguous |= status != 429 && status != 503 && status != Environment.NOT_SENT;
+                case NOT_APPLIED -> again(transaction, () -> send(transaction));
+                case AMBIGUOUS -> {
+                    transaction.ambiguous = true;
                     again(transaction, () -> send(transaction));
                 }
             }
@@ -264,25 +264,25 @@
                 .filter(e -> !transaction.deletions.contains(e))
                 .findFirst()
                 .orElse(transaction.entries.get(0));
-        state.get(entry.key, (status, body) -> {
+        state.get(entry.key, result -> {
             if (closed) {
                 return;
             }
             boolean deleted = transaction.deletions.contains(entry);
-            if (status == 404 && deleted) {
+            if (result.unknown()) {
+                again(transaction, () -> verify(transaction));
+            } else if (deleted && !result.found()) {
                 applied(transaction, 0);
-            } else if (status == 200 && !deleted && stamp(body).equals(transaction.stamp)) {
-                applied(transaction, body.path("entry_rev").asLong());
-            } else if (status == 200 || status == 404) {
-                lost();
+            } else if (!deleted && result.found() && stamp(result.row()).equals(transaction.stamp)) {
+                applied(transaction, result.row().revision());
             } else {
-                again(transaction, () -> verify(transaction));
+                lost();
             }
         });
     }
 
-    private static String stamp(JsonNode body) {
-        return body.path("v").path("x").asText();
+    private static String stamp(KeyValue row) {
+        return row.value().path(CompareAndSwapTransaction.STAMP).asText();
     }
 
     private void applied(CompareAndSwapTransaction transaction, long revision) {
--- a/src/main/java/stileferry/storage/KeyValueStoreClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -1,191 +1,237 @@
 package stileferry.storage;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
 import stileferry.protocol.KeyValue;
+import stileferry.protocol.KeyValueStoreProtocol;
+import stileferry.protocol.KeyValueStoreProtocol.CommitRequest;
+import stileferry.protocol.KeyValueStoreProtocol.CommitResult;
+import stileferry.protocol.KeyValueStoreProtocol.LeaseGrant;
+import stileferry.protocol.KeyValueStoreProtocol.LeaseRenewal;
+import stileferry.protocol.KeyValueStoreProtocol.ReadResult;
+import stileferry.protocol.KeyValueStoreProtocol.ScanPage;
+import stileferry.protocol.KeyValueStoreProtocol.WatchResult;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Settings;
 
-/** The state service's requests, kept under its rates; leadership goes first and has a reserve. */
+/**
+ * The client of the consensus-backed key-value store, kept under the store's published rates. Urgent requests, which
+ * are the leadership's, are sent at once and have a reserve; others queue, writes before reads.
+ */
 public final class KeyValueStoreClient {
     /** Share of the published rates that one controller allows itself; the others need a little too. */
-    private static final double SHARE = 0.85;
+    private static final double RATE_SHARE = 0.85;
 
-    private static final double RESERVE = 0.2;
+    /** Share of the request burst that only urgent requests may use. */
+    private static final double URGENT_RESERVE = 0.2;
 
-    /** Seconds of the rate of changes that are gathered for a transaction under load. */
-    private static final double GATHER_S = 0.15;
+    /** Urgent requests are sent whatever the rate, and lend from it up to a whole burst. */
+    private static final double OVERDRAFT = -1;
 
-    private static final long PUMP_MS = 20;
+    private static final double REQUEST_BURST_S = 0.5;
+    private static final double WRITE_BURST_S = 1.0;
 
-    /** An answer that waits for this process to read it is no lost one. */
-    private static final long AMPLE_PATIENCE_MS = 1500;
+    /** Seconds of the write rate that are gathered for one transaction under load. */
+    private static final double BATCH_S = 0.15;
+
+    private static final long QUEUE_POLL_MS = 20;
+
+    /** A request's timeout on an ample share of a core. */
+    private static final long TIMEOUT_MS = 1500;
+
+    private static final int SCAN_PAGE_ROWS = 500;
 
     private final Environment environment;
-    private final String addr;
+    private final String address;
     private final Settings.KeyValueStoreLimits limits;
-    private final RateLimiter requests;
-    private final RateLimiter writes;
-    private final ArrayDeque<Waiting> changes = new ArrayDeque<>();
-    private final ArrayDeque<Waiting> reads = new ArrayDeque<>();
+    private final RateLimiter requestRate;
+    private final RateLimiter writeRate;
+    private final ArrayDeque<QueuedRequest> queuedWrites = new ArrayDeque<>();
+    private final ArrayDeque<QueuedRequest> queuedReads = new ArrayDeque<>();
     private final long timeoutMs;
-    private boolean pumping;
+    private boolean pollScheduled;
 
-    private record Waiting(int writeCount, Runnable send) {}
+    private record QueuedRequest(int writes, Runnable send) {}
 
-    /** A client of the service that the settings name. */
+    /** A client of the store that the settings name. */
     public KeyValueStoreClient(Environment environment, Settings settings) {
         this.environment = environment;
-        this.addr = settings.keyValueStoreAddress();
+        this.address = settings.keyValueStoreAddress();
         this.limits = settings.keyValueStore();
-        this.timeoutMs = Math.round(AMPLE_PATIENCE_MS * settings.slowness());
-        this.requests = new RateLimiter(environment, limits.requestsPerS() * SHARE, 0.5);
-        this.writes = new RateLimiter(environment, limits.writesPerS() * SHARE, 1.0);
+        this.timeoutMs = Math.round(TIMEOUT_MS * settings.slowness());
+        this.requestRate = new RateLimiter(environment, limits.requestsPerS() * RATE_SHARE, REQUEST_BURST_S);
+        this.writeRate = new RateLimiter(environment, limits.writesPerS() * RATE_SHARE, WRITE_BURST_S);
     }
 
-    /** The service's limits. */
+    /** The store's limits. */
     public Settings.KeyValueStoreLimits limits() {
         return limits;
     }
 
-    /** Changes worth waiting for when more waits than may be written. */
+    /** Changes worth gathering for one transaction when more wait than may be written. */
     public int batchThreshold() {
-        return (int) Math.max(1, Math.min(limits.writesPerS() * SHARE, Math.ceil(limits.writesPerS() * GATHER_S)));
+        return (int) Math.max(1, Math.min(limits.writesPerS() * RATE_SHARE, Math.ceil(limits.writesPerS() * BATCH_S)));
     }
 
     /** Changes that may be written now without waiting. */
     public int availableWrites() {
-        return requests.canAcquire(1, RESERVE) ? writes.availablePermits() : 0;
+        return requestRate.canAcquire(1, URGENT_RESERVE) ? writeRate.availablePermits() : 0;
     }
 
-    /** Runs something when there may be room again. */
+    /** Runs a task when the rates may have room again. */
     public void afterRefill(Runnable task) {
-        environment.schedule(PUMP_MS, task);
+        environment.schedule(QUEUE_POLL_MS, task);
     }
 
     /** Reads and writes that wait for their turn. */
     public int queuedRequests() {
-        return changes.size() + reads.size();
-    }
-
-    /** How long an ordinary answer is waited for. */
-    public long timeoutMs() {
-        return timeoutMs;
+        return queuedWrites.size() + queuedReads.size();
     }
 
     /** Reads one key. */
-    public void get(String key, Environment.ResponseHandler reply) {
-        send(0, false, () -> environment.request(addr, "GET", "/kv/" + key, null, timeoutMs(), reply));
+    public void get(String key, Consumer<ReadResult> reply) {
+        String path = KeyValueStoreProtocol.keyPath(key);
+        send(
+                0,
+                false,
+                () -> environment.request(
+                        address,
+                        "GET",
+                        path,
+                        null,
+                        timeoutMs,
+                        (status, body) -> reply.accept(KeyValueStoreProtocol.readResult(status, body))));
     }
 
     /** Reads all keys with a prefix, page by page. */
-    public void scan(String prefix, boolean urgent, Consumer<ScanResult> done) {
-        page(prefix, "", urgent, new ScanResult(new ArrayList<>(), 0, 0), done);
+    public void scan(String prefix, boolean urgent, Consumer<ScanResult> reply) {
+        scanPage(prefix, "", urgent, new ScanResult(new ArrayList<>(), 0, 0), reply);
     }
 
-    private void page(String prefix, String from, boolean urgent, ScanResult before, Consumer<ScanResult> done) {
-        String path = "/kv?starts=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&most=500";
+    private void scanPage(String prefix, String after, boolean urgent, ScanResult before, Consumer<ScanResult> reply) {
+        String path = KeyValueStoreProtocol.scanPath(prefix, after, SCAN_PAGE_ROWS);
         send(
                 0,
                 urgent,
-                () -> environment.request(addr, "GET", path, null, 2 * timeoutMs(), (status, body) -> {
-                    if (status != 200 || body == null) {
-                        done.accept(new ScanResult(null, 0, 0));
+                () -> environment.request(address, "GET", path, null, 2 * timeoutMs, (status, body) -> {
+                    ScanPage page = KeyValueStoreProtocol.scanPage(status, body);
+                    if (page == null) {
+                        reply.accept(ScanResult.FAILED);
                         return;
                     }
-                    long revision = body.path("ledger_rev").asLong();
-                    List<KeyValue> rows = before.rows();
-                    ScanResult read =
-                            new ScanResult(rows, revision, from.isEmpty() ? revision : before.firstRevision());
-                    String last = from;
-                    for (JsonNode row : body.path("rows")) {
-                        last = row.path("path").asText();
-                        rows.add(new KeyValue(
-                                last, row.path("v"), row.path("entry_rev").asLong()));
-                    }
-                    if (body.path("more").asBoolean() && !last.equals(from)) {
-                        page(prefix, last, urgent, read, done);
+                    ScanResult result = before.with(page, after.isEmpty());
+                    String last = page.rows().isEmpty() ? after : lastKey(page);
+                    if (page.more() && !last.equals(after)) {
+                        scanPage(prefix, last, urgent, result, reply);
                     } else {
-                        done.accept(read);
+                        reply.accept(result);
                     }
                 }));
     }
 
+    private static String lastKey(ScanPage page) {
+        List<KeyValue> rows = page.rows();
+        return rows.get(rows.size() - 1).key();
+    }
+
     /** Sends a transaction. */
-    public void commit(ObjectNode transaction, int writeCount, boolean urgent, Environment.ResponseHandler reply) {
-        send(writeCount, urgent, () -> environment.request(addr, "POST", "/commit", transaction, timeoutMs(), reply));
+    public void commit(CommitRequest request, boolean urgent, Consumer<CommitResult> reply) {
+        send(
+                request.changes(),
+                urgent,
+                () -> environment.request(
+                        address,
+                        "POST",
+                        KeyValueStoreProtocol.COMMIT_PATH,
+                        request.body(),
+                        timeoutMs,
+                        (status, body) -> reply.accept(KeyValueStoreProtocol.commitResult(status, body))));
     }
 
-    /** Asks for a lease. */
-    public void grantLease(long lifeMs, Environment.ResponseHandler reply) {
+    /** Asks for a lease; null stands for none. */
+    public void grantLease(long durationMs, Consumer<LeaseGrant> reply) {
         send(
                 0,
                 true,
                 () -> environment.request(
-                        addr, "POST", "/leases", MessageCodec.map().put("life_ms", lifeMs), timeoutMs(), reply));
-    }
-
-    /** Renews a lease; not queued, as its time counts from the sending. */
-    public void renewLease(String lease, long timeoutMs, Environment.ResponseHandler reply) {
-        requests.tryAcquire(1, -1);
-        environment.request(addr, "POST", "/leases/" + lease + "/touch", MessageCodec.map(), timeoutMs, reply);
-    }
-
-    /** Ends a lease. */
-    public void revokeLease(String lease, Environment.ResponseHandler reply) {
-        send(0, true, () -> environment.request(addr, "DELETE", "/leases/" + lease, null, timeoutMs(), reply));
+                        address,
+                        "POST",
+                        KeyValueStoreProtocol.LEASES_PATH,
+                        KeyValueStoreProtocol.leaseRequest(durationMs),
+                        timeoutMs,
+                        (status, body) -> reply.accept(KeyValueStoreProtocol.leaseGrant(status, body))));
+    }
+
+    /** Renews a lease; never queued, as the renewed time counts from the sending. */
+    public void renewLease(String leaseId, long renewalTimeoutMs, Consumer<LeaseRenewal> reply) {
+        requestRate.tryAcquire(1, OVERDRAFT);
+        environment.request(
+                address,
+                "POST",
+                KeyValueStoreProtocol.leaseRenewalPath(leaseId),
+                MessageCodec.map(),
+                renewalTimeoutMs,
+                (status, body) -> reply.accept(KeyValueStoreProtocol.leaseRenewal(status)));
+    }
+
+    /** Ends a lease; the action runs whatever the outcome. */
+    public void revokeLease(String leaseId, Runnable then) {
+        String path = KeyValueStoreProtocol.leasePath(leaseId);
+        send(
+                0,
+                true,
+                () -> environment.request(address, "DELETE", path, null, timeoutMs, (status, body) -> then.run()));
     }
 
-    /** Waits for changes below a prefix. */
-    public void watch(String prefix, long from, long blockMs, Environment.ResponseHandler reply) {
+    /** Waits for changes below a prefix; null stands for a failed request. */
+    public void watch(String prefix, long afterRevision, long blockMs, Consumer<WatchResult> reply) {
+        String path = KeyValueStoreProtocol.watchPath(prefix, afterRevision, blockMs);
         send(
                 0,
                 true,
                 () -> environment.request(
-                        addr,
+                        address,
                         "GET",
-                        "/watch?starts=" + prefix + "&from=" + from + "&block_ms=" + blockMs,
+                        path,
                         null,
-                        blockMs + 2 * timeoutMs(),
-                        reply));
+                        blockMs + 2 * timeoutMs,
+                        (status, body) -> reply.accept(KeyValueStoreProtocol.watchResult(status, body))));
     }
 
-    private void send(int writeCount, boolean urgent, Runnable send) {
+    private void send(int writes, boolean urgent, Runnable send) {
         if (urgent) {
-            requests.tryAcquire(1, -1);
-            writes.tryAcquire(writeCount, -1);
+            requestRate.tryAcquire(1, OVERDRAFT);
+            writeRate.tryAcquire(writes, OVERDRAFT);
             send.run();
             return;
         }
-        (writeCount > 0 ? changes : reads).add(new Waiting(writeCount, send));
-        pump();
-    }
-
-    /**
-     * Sends what the rates allow; reads may be many, so what is to be durable goes first. A change that waits for the
-     * rate of changes holds no reads up: found with floods on a state service that takes few changes, where users'
-     * submissions waited for 5 s and more behind them.
-     */
-    private void pump() {
-        while (!changes.isEmpty()
-                && writes.canAcquire(changes.peek().writeCount, 0)
-                && requests.tryAcquire(1, RESERVE)) {
-            writes.tryAcquire(changes.peek().writeCount, 0);
-            changes.poll().send.run();
+        (writes > 0 ? queuedWrites : queuedReads).add(new QueuedRequest(writes, send));
+        sendQueued();
+    }
+
+    /** Sends what the rates allow. A write that waits for the write rate holds no reads up. */
+    private void sendQueued() {
+        while (!queuedWrites.isEmpty()
+                && writeRate.canAcquire(queuedWrites.peek().writes, 0)
+                && requestRate.tryAcquire(1, URGENT_RESERVE)) {
+            writeRate.tryAcquire(queuedWrites.peek().writes, 0);
+            queuedWrites.poll().send.run();
         }
-        while (!reads.isEmpty() && requests.tryAcquire(1, RESERVE)) {
-            reads.poll().send.run();
+        while (!queuedReads.isEmpty() && requestRate.tryAcquire(1, URGENT_RESERVE)) {
+            queuedReads.poll().send.run();
         }
-        if (!pumping && queuedRequests() > 0) {
-            pumping = true;
-            environment.schedule(PUMP_MS, () -> {
-                pumping = false;
-                pump();
+        pollLater();
+    }
+
+    private void pollLater() {
+        if (!pollScheduled && queuedRequests() > 0) {
+            pollScheduled = true;
+            environment.schedule(QUEUE_POLL_MS, () -> {
+                pollScheduled = false;
+                sendQueued();
             });
         }
     }
