--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -3,116 +3,96 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessage.CancellationKnowledge;
+import stileferry.protocol.PeerMessage.TermAnnouncement;
 import stileferry.protocol.Settings;
 import stileferry.protocol.WorkerCommand;
 
 /**
  * Cancelled jobs as this process knows them, and how far its knowledge goes. A controller that renews workers' leases
- * without being sure to lead must know every cancellation that another one may have confirmed, or tasks of cancelled
- * jobs would outlive {@code cancel_s} on the leases that it renews.
+ * without holding the leader's lease must know every cancellation that another one may have confirmed, or tasks of
+ * cancelled jobs would outlive {@code cancel_s} on the leases that it renews.
  *
  * <p>Of n processes, a leader confirms a cancellation to a user only when it and n/2 others know it. A process counts
- * as informed once a leader that was sure told it every cancellation since the process began. An informed process
- * does not know a cancellation only if it was not among those told; so n - n/2 informed processes together know all
- * of them (docs/design.md, "Cancellations"). Only processes that say that they keep this count.
+ * as informed once a leader that held its lease named to it every cancellation since the process began. An informed
+ * process does not know a cancellation only if it was not among those who acknowledged it; so n - n/2 informed
+ * processes together know all of them (docs/design.md, "Cancellations"). Only processes that say that they keep this
+ * count.
  */
 public final class CancellationQuorum {
     /** Jobs are remembered for so many times as long as their tasks may last after the last that was heard of them. */
     private static final int REMEMBERED = 2;
 
+    /** Stands for a time that has not come. */
+    static final long NEVER = -1;
+
     private final Environment environment;
-    private final long process;
+    private final long processId;
     private final long rememberedMs;
 
-    /** The jobs, and when each was last heard of, the latest last. */
-    private final Map<String, Long> known = new LinkedHashMap<>();
+    /** Cancelled jobs, and when each was last heard of, the latest last. */
+    private final Map<String, Long> cancelledJobs = new LinkedHashMap<>();
 
-    private final Peer[] peers;
+    private final PeerCancellationState[] peers;
     private boolean informed;
 
     // of the term in which this node leads
 
-    /** Jobs whose cancellation is durable and whose tasks may be on machines, with what waits for others to know. */
-    private final Map<String, Confirmation> standing = new LinkedHashMap<>();
-
-    private boolean complete;
-
-    /** What was heard from another controller, in this node's term where it leads. */
-    private static final class Peer {
-        long process;
-        boolean informed;
-
-        /** In this term: it answered, and with which form of record. */
-        boolean answered;
-
-        boolean tells;
-
-        /** When it was asked last of all times at which it answered, informed, that it knows of no higher term. */
-        long affirmedAt = -1;
-    }
-
-    private static final class Confirmation {
-        final Set<Integer> toldTo = new LinkedHashSet<>();
-        Runnable then;
+    /** Jobs whose cancellation is durable and whose tasks may be on machines. */
+    private final Map<String, CancellationConfirmation> confirmations = new LinkedHashMap<>();
 
-        Confirmation(Runnable then) {
-            this.then = then;
-        }
-    }
+    private boolean allCancelledJobsRead;
 
     CancellationQuorum(Environment environment, Settings settings) {
         this.environment = environment;
-        this.process = 1 + environment.random().nextLong(Long.MAX_VALUE - 1);
-        this.peers = new Peer[settings.peers().size()];
-        for (int i = 0; i < peers.length; i++) {
-            peers[i] = new Peer();
-        }
-        this.rememberedMs = Math.round(1000
-                * REMEMBERED
-                * (settings.workers().cancelS() + settings.workers().leaseS()));
+        this.processId = 1 + environment.random().nextLong(Long.MAX_VALUE - 1);
+        this.peers = new PeerCancellationState[settings.peers().size()];
+        Arrays.setAll(peers, index -> new PeerCancellationState());
+        double lastS = settings.workers().cancelS() + settings.workers().leaseS();
+        this.rememberedMs = Math.round(1000 * REMEMBERED * lastS);
     }
 
     /** Processes that must be informed for all of them together to know every cancellation. */
-    static int enough(int processes) {
+    static int informedQuorum(int processes) {
         return processes - processes / 2;
     }
 
     // ---- what is known
 
     /** Takes in that a job's cancellation is durable. */
-    public void addCancelled(String id) {
-        known.remove(id);
-        known.put(id, environment.now());
+    public void addCancelled(String jobId) {
+        cancelledJobs.remove(jobId);
+        cancelledJobs.put(jobId, environment.now());
     }
 
-    /** Stops for the tasks of cancelled jobs that a report tells of. */
-    public List<WorkerCommand> killCommandsFor(Heartbeat report) {
-        List<WorkerCommand> stops = new ArrayList<>();
-        for (Heartbeat.TaskStatus status : report.tasks()) {
-            int slash = status.taskId().indexOf('/');
-            if (status.phase() != Heartbeat.TaskPhase.EXITED
-                    && slash > 0
-                    && known.containsKey(status.taskId().substring(0, slash))) {
-                stops.add(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0));
+    /** Kill commands for the tasks of cancelled jobs that a heartbeat reports. */
+    public List<WorkerCommand> killCommandsFor(Heartbeat heartbeat) {
+        List<WorkerCommand> commands = new ArrayList<>();
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+            if (status.phase() != Heartbeat.TaskPhase.EXITED && isOfCancelledJob(status.taskId())) {
+                commands.add(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0));
             }
         }
-        return stops;
+        return commands;
     }
 
-    /** Whether this process and what others said in this node's term hold every cancellation before this term. */
+    private boolean isOfCancelledJob(String taskId) {
+        int slash = taskId.indexOf('/');
+        return slash > 0 && cancelledJobs.containsKey(taskId.substring(0, slash));
+    }
+
+    /** Whether this process and those that answered in this node's term know every cancellation before this term. */
     public boolean knowsEarlierCancellations() {
-        int count = informed ? 1 : 0;
-        for (Peer peer : peers) {
-            count += peer.answered && peer.informed ? 1 : 0;
+        int informedProcesses = informed ? 1 : 0;
+        for (PeerCancellationState peer : peers) {
+            informedProcesses += peer.informed ? 1 : 0;
         }
-        return count >= enough(peers.length + 1);
+        return informedProcesses >= informedQuorum(peers.length + 1);
     }
 
     boolean informed() {
@@ -120,174 +100,175 @@
     }
 
     /**
-     * Until when it is certain that no later leader has confirmed anything: enough informed processes knew of none. A
-     * later leader confirms only what n/2 others know, and whoever knows it has heard of its term.
+     * Until when no later leader has certainly confirmed anything: enough informed processes knew of none. A later
+     * leader confirms only what n/2 others know, and whoever knows it has heard of its term.
      */
-    long nothingMissedUntil() {
-        int others = enough(peers.length + 1) - 1;
+    long noOtherConfirmationUntil() {
+        int others = informedQuorum(peers.length + 1) - 1;
         if (!informed) {
-            return -1;
+            return NEVER;
         }
         if (others == 0) {
             return environment.now();
         }
-        long[] affirmed =
-                Arrays.stream(peers).mapToLong(p -> p.affirmedAt).sorted().toArray();
-        return affirmed[affirmed.length - others];
+        long[] ascending = Arrays.stream(peers)
+                .mapToLong(peer -> peer.knewNoHigherTermAt)
+                .sorted()
+                .toArray();
+        return ascending[ascending.length - others];
     }
 
     // ---- leading
 
     /** This node leads from now on; what it must know it has yet to read. */
-    void begin() {
-        end();
-        for (Peer peer : peers) {
-            peer.answered = false;
-            peer.tells = false;
-            peer.informed = false;
-            peer.affirmedAt = -1;
+    void beginTerm() {
+        endTerm();
+        for (PeerCancellationState peer : peers) {
+            peer.beginTerm();
         }
     }
 
     /** All cancelled jobs have been read and were handed over by {@link #confirm}. */
     public void allCancelledJobsRead() {
         informed = true;
-        complete = true;
+        allCancelledJobsRead = true;
     }
 
     /** This node no longer leads; nothing that waits is confirmed. */
-    void end() {
-        complete = false;
-        standing.clear();
+    void endTerm() {
+        allCancelledJobsRead = false;
+        confirmations.clear();
     }
 
     /** Tells others of a job whose cancellation is durable; the action runs when enough of them know. */
-    void confirm(String id, Runnable then) {
-        addCancelled(id);
-        standing.put(id, new Confirmation(then));
-        confirmed(id);
+    void confirm(String jobId, Runnable onConfirmed) {
+        addCancelled(jobId);
+        CancellationConfirmation confirmation = new CancellationConfirmation(onConfirmed);
+        confirmations.put(jobId, confirmation);
+        confirmIfKnownToQuorum(confirmation);
     }
 
     /** No task of this job is on a machine any more. */
-    public void allTasksGone(String id) {
-        standing.remove(id);
+    public void allTasksGone(String jobId) {
+        confirmations.remove(jobId);
     }
 
-    /** Whether anything waits for a controller to be told, in a new message. */
-    boolean tells(int peer) {
-        for (Confirmation confirmation : standing.values()) {
-            if (confirmation.then != null && !confirmation.toldTo.contains(peer)) {
-                return true;
-            }
-        }
-        return false;
+    /** Whether an unconfirmed cancellation has not been acknowledged by a peer. */
+    boolean hasUnacknowledged(int peer) {
+        return confirmations.values().stream()
+                .anyMatch(confirmation -> !confirmation.confirmed() && !confirmation.acknowledgedBy.contains(peer));
     }
 
-    private void confirmed(String id) {
-        Confirmation confirmation = standing.get(id);
-        if (confirmation == null || confirmation.then == null) {
+    private void confirmIfKnownToQuorum(CancellationConfirmation confirmation) {
+        if (confirmation.confirmed()) {
             return;
         }
         int others = 0;
-        for (int i = 0; i < peers.length; i++) {
-            // a controller of an older version is never informed, so it can't be taken for one that knows
-            others += confirmation.toldTo.contains(i) || peers[i].answered && !peers[i].tells ? 1 : 0;
+        for (int peer = 0; peer < peers.length; peer++) {
+            // an older version is never informed, so it can't be taken for one that knows
+            boolean counts = peers[peer].version == PeerCancellationState.Version.WITHOUT_CANCELLATIONS;
+            others += counts || confirmation.acknowledgedBy.contains(peer) ? 1 : 0;
         }
         if (others >= (peers.length + 1) / 2) {
-            Runnable then = confirmation.then;
-            confirmation.then = null;
-            then.run();
+            confirmation.confirm();
+        }
+    }
+
+    private void confirmAllKnownToQuorum() {
+        for (String jobId : List.copyOf(confirmations.keySet())) {
+            CancellationConfirmation confirmation = confirmations.get(jobId);
+            if (confirmation != null) { // an earlier confirmation's action may have removed it
+                confirmIfKnownToQuorum(confirmation);
+            }
         }
     }
 
     // ---- what controllers tell each other
 
-    /** What to tell another controller; {@code sure}: this node leads, and nobody else can. */
-    PeerMessage.CancellationKnowledge words(int peer, boolean sure) {
-        boolean all = complete && sure && standing.size() <= PeerMessage.MAX_CANCELLED_JOBS;
-        for (Peer p : peers) {
-            all &= p.answered && p.tells; // who does not tell may lead one day and confirm what nobody else knows
-        }
-        List<String> ids = new ArrayList<>();
-        standing.forEach((id, confirmation) -> {
-            if (ids.size() < PeerMessage.MAX_CANCELLED_JOBS && !confirmation.toldTo.contains(peer)) {
-                ids.add(id);
+    /** What to announce to a peer; {@code leaseHeld}: this node leads, and nobody else can. */
+    CancellationKnowledge knowledgeFor(int peer, boolean leaseHeld) {
+        boolean complete = allCancelledJobsRead
+                && leaseHeld
+                && confirmations.size() <= PeerMessage.MAX_CANCELLED_JOBS
+                // an older version may lead one day and confirm what nobody else knows
+                && Arrays.stream(peers)
+                        .allMatch(other -> other.version == PeerCancellationState.Version.WITH_CANCELLATIONS);
+        List<String> jobIds = new ArrayList<>();
+        addConfirmations(jobIds, peer, false);
+        addConfirmations(jobIds, peer, true);
+        return new CancellationKnowledge(processId, peers[peer].processId, informed, complete, jobIds);
+    }
+
+    private void addConfirmations(List<String> jobIds, int peer, boolean acknowledged) {
+        confirmations.forEach((jobId, confirmation) -> {
+            if (jobIds.size() < PeerMessage.MAX_CANCELLED_JOBS
+                    && confirmation.acknowledgedBy.contains(peer) == acknowledged) {
+                jobIds.add(jobId);
             }
         });
-        for (String id : standing.keySet()) {
-            if (ids.size() < PeerMessage.MAX_CANCELLED_JOBS
-                    && standing.get(id).toldTo.contains(peer)) {
-                ids.add(id);
-            }
-        }
-        return new PeerMessage.CancellationKnowledge(process, peers[peer].process, informed, all, ids);
     }
 
-    /** The answer to what another controller said. */
-    PeerMessage.CancellationKnowledge answer(PeerMessage.TermAnnouncement heard) {
-        boolean leader = heard.leading()
-                && heard.knowledge() != null
-                && heard.knowledge().complete();
-        List<String> ids = leader ? List.of() : lately();
-        return new PeerMessage.CancellationKnowledge(
-                process,
-                heard.knowledge() == null ? 0 : heard.knowledge().process(),
-                informed && ids.size() <= PeerMessage.MAX_CANCELLED_JOBS,
+    /** What to answer to an announcement. */
+    CancellationKnowledge knowledgeInReplyTo(TermAnnouncement received) {
+        CancellationKnowledge theirs = received.knowledge();
+        boolean fromCompleteLeader = received.leading() && theirs != null && theirs.complete();
+        List<String> jobIds = fromCompleteLeader ? List.of() : recentlyCancelled();
+        return new CancellationKnowledge(
+                processId,
+                theirs == null ? 0 : theirs.process(),
+                informed && jobIds.size() <= PeerMessage.MAX_CANCELLED_JOBS,
                 false,
-                ids.subList(0, Math.min(ids.size(), PeerMessage.MAX_CANCELLED_JOBS)));
+                jobIds.subList(0, Math.min(jobIds.size(), PeerMessage.MAX_CANCELLED_JOBS)));
     }
 
-    private List<String> lately() {
-        long before = environment.now() - rememberedMs;
-        known.values().removeIf(at -> at < before);
-        return List.copyOf(known.keySet());
+    private List<String> recentlyCancelled() {
+        long oldest = environment.now() - rememberedMs;
+        cancelledJobs.values().removeIf(heardAt -> heardAt < oldest);
+        return List.copyOf(cancelledJobs.keySet());
     }
 
-    /** Takes in what another controller says by itself; {@code current}: it speaks for a term that is not outdated. */
-    void heard(PeerMessage.TermAnnouncement term, boolean current) {
-        PeerMessage.CancellationKnowledge knowledge = term.knowledge();
-        take(term);
+    /** Takes in an announcement; {@code current}: its term is not outdated. */
+    void receive(TermAnnouncement received, boolean current) {
+        CancellationKnowledge knowledge = received.knowledge();
+        merge(received);
         if (knowledge == null) {
             return;
         }
-        // what was said to a former life of this process says nothing of what was confirmed since
-        informed |= current && term.leading() && knowledge.complete() && knowledge.addressee() == process;
+        // what was announced to an earlier process of this node says nothing of what was confirmed since
+        informed |= current && received.leading() && knowledge.complete() && knowledge.addressee() == processId;
     }
 
-    private void take(PeerMessage.TermAnnouncement term) {
-        if (term.knowledge() == null) {
-            informed &= !term.leading(); // a leader of an older version confirms what nobody else knows
+    private void merge(TermAnnouncement received) {
+        if (received.knowledge() == null) {
+            informed &= !received.leading(); // a leader of an older version confirms what nobody else knows
         } else {
-            term.knowledge().cancelled().forEach(this::addCancelled);
+            received.knowledge().cancelled().forEach(this::addCancelled);
         }
     }
 
-    /** Takes in what another controller answered to words that were sent then, with these jobs in them. */
-    void answered(
-            int from,
-            PeerMessage.TermAnnouncement answer,
-            long sentAt,
-            long term,
-            PeerMessage.CancellationKnowledge said) {
-        Peer peer = peers[from];
-        PeerMessage.CancellationKnowledge knowledge = answer.knowledge();
-        peer.answered = true;
-        peer.tells = knowledge != null;
-        peer.process = knowledge == null ? 0 : knowledge.process();
-        peer.informed = knowledge != null && knowledge.informed();
-        take(answer);
-        if (answer.term() != term) {
+    /** Takes in a peer's reply to what was announced to it at {@code sentAt}. */
+    void receiveReply(int from, TermAnnouncement reply, long sentAt, TermAnnouncement sent) {
+        PeerCancellationState peer = peers[from];
+        peer.receiveReply(reply.knowledge());
+        merge(reply);
+        if (reply.term() != sent.term()) {
             return;
         }
         if (peer.informed) {
-            peer.affirmedAt = Math.max(peer.affirmedAt, sentAt);
+            peer.knewNoHigherTermAt = Math.max(peer.knewNoHigherTermAt, sentAt);
         }
-        for (String id : said.cancelled()) {
-            Confirmation confirmation = standing.get(id);
-            if (confirmation != null && knowledge != null) {
-                confirmation.toldTo.add(from);
+        if (peer.version == PeerCancellationState.Version.WITH_CANCELLATIONS) {
+            acknowledge(from, sent.knowledge().cancelled());
+        }
+        confirmAllKnownToQuorum();
+    }
+
+    private void acknowledge(int peer, List<String> jobIds) {
+        for (String jobId : jobIds) {
+            CancellationConfirmation confirmation = confirmations.get(jobId);
+            if (confirmation != null) {
+                confirmation.acknowledgedBy.add(peer);
             }
         }
-        List.copyOf(standing.keySet()).forEach(this::confirmed);
     }
 }
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -9,105 +9,126 @@
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessage.TermAnnouncement;
 import stileferry.protocol.Settings;
 import stileferry.protocol.UserMessages;
 import stileferry.protocol.WorkerMessages;
 
 /**
- * Keeps workers' leases alive while nobody can lead, as when the state service is down and the leader has crashed.
+ * Renews workers' leases while nobody can lead, as when the key-value store is down and the leader has crashed.
  *
- * <p>A report may be answered with the worker's own token, and without commands but stops of cancelled jobs' tasks,
- * once every other controller has said, after the report arrived, that it does not lead, and enough of them are
- * informed to know every cancellation together ({@link CancellationQuorum}). A leader of that token is then gone for
- * good,
- * since nobody resumes a term and later terms are higher; so nobody counts on that lease lapsing. A later leader
- * counts a lapse only from when the worker accepted its term, or every controller acknowledged it.
+ * <p>A heartbeat may be answered with the worker's own fencing token, and without commands but kills of cancelled jobs'
+ * tasks, once every other controller has said, after the heartbeat arrived, that it does not lead, and enough of them
+ * are informed to know every cancellation together ({@link CancellationQuorum}). A leader of that token is then gone
+ * for good, since nobody resumes a term and later terms are higher; so nobody counts on that lease's expiry. A later
+ * leader counts a lease expiry only from when the worker accepted its term, or every controller acknowledged it.
  */
 public final class LeaderlessLeaseRenewal {
     private static final Logger LOG = LoggerFactory.getLogger("renewal");
-    private static final long ANSWER_MS = 800;
+    private static final long POLL_TIMEOUT_MS = 800;
 
     private final Environment environment;
-    private final LeaderElection leadership;
+    private final LeaderElection election;
     private final List<Settings.Peer> peers;
-    private List<Waiting> waiting = new ArrayList<>();
-    private boolean asking;
-    private boolean active;
+    private List<WaitingHeartbeat> waiting = new ArrayList<>();
+    private boolean polling;
+    private boolean renewing;
 
-    private record Waiting(Heartbeat report, BiConsumer<Integer, byte[]> reply) {}
+    private record WaitingHeartbeat(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {}
 
-    public LeaderlessLeaseRenewal(Environment environment, LeaderElection leadership, List<Settings.Peer> peers) {
+    /** One question to all peers whether anybody leads, on behalf of a batch of heartbeats. */
+    private final class Poll {
+        private final List<WaitingHeartbeat> batch;
+        private int repliesLeft = peers.size();
+        private boolean nobodyLeads = true;
+        private int informedPeers;
+
+        Poll(List<WaitingHeartbeat> batch) {
+            this.batch = batch;
+        }
+
+        void send() {
+            for (int peer = 0; peer < peers.size(); peer++) {
+                TermAnnouncement announcement = election.announcements().announcementTo(peer);
+                environment.sendToPeer(peers.get(peer), announcement, POLL_TIMEOUT_MS, this::receive);
+            }
+            if (peers.isEmpty()) {
+                answer(batch, mayRenew());
+            }
+        }
+
+        private void receive(PeerMessage record) {
+            if (record instanceof TermAnnouncement reply) {
+                take(reply);
+            } else {
+                nobodyLeads = false; // silence does not say that it doesn't lead
+            }
+            if (--repliesLeft == 0) {
+                answer(batch, mayRenew());
+            }
+        }
+
+        private void take(TermAnnouncement reply) {
+            election.announcements().observe(reply);
+            election.cancellations().receive(reply, false);
+            nobodyLeads &= !reply.leading();
+            if (reply.knowledge() != null && reply.knowledge().informed()) {
+                informedPeers++;
+            }
+        }
+
+        /** Whether nobody leads, and the processes together know every cancellation. */
+        private boolean mayRenew() {
+            int informed = informedPeers + (election.cancellations().informed() ? 1 : 0);
+            return nobodyLeads
+                    && !election.leading()
+                    && informed >= CancellationQuorum.informedQuorum(peers.size() + 1);
+        }
+    }
+
+    public LeaderlessLeaseRenewal(Environment environment, LeaderElection election, List<Settings.Peer> peers) {
         this.environment = environment;
-        this.leadership = leadership;
+        this.election = election;
         this.peers = peers;
     }
 
-    /** Takes a report that no leader can be found for. */
-    public void requestRenewal(Heartbeat report, BiConsumer<Integer, byte[]> reply) {
-        waiting.add(new Waiting(report, reply));
-        ask();
+    /** Takes a heartbeat that no leader can be found for; it is answered with 200 or 503. */
+    public void requestRenewal(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {
+        waiting.add(new WaitingHeartbeat(heartbeat, reply));
+        poll();
     }
 
-    private void ask() {
-        if (asking || waiting.isEmpty()) {
+    private void poll() {
+        if (polling || waiting.isEmpty()) {
             return;
         }
-        asking = true;
-        List<Waiting> batch = waiting;
+        polling = true;
+        List<WaitingHeartbeat> batch = waiting;
         waiting = new ArrayList<>();
-        int[] open = {peers.size()};
-        boolean[] alone = {true};
-        int[] informed = {0};
-        leadership.consent();
-        for (int i = 0; i < peers.size(); i++) {
-            environment.sendToPeer(peers.get(i), leadership.words(i), ANSWER_MS, record -> {
-                if (record instanceof PeerMessage.TermAnnouncement announcement) {
-                    leadership.observeTerm(announcement);
-                    leadership.cancellations().heard(announcement, false);
-                    alone[0] &= !announcement.leading();
-                    informed[0] += announcement.knowledge() != null
-                                    && announcement.knowledge().informed()
-                            ? 1
-                            : 0;
-                } else {
-                    alone[0] = false; // silence does not say that it doesn't lead
-                }
-                if (--open[0] == 0) {
-                    answer(batch, alone[0] && entitled(informed[0]));
-                }
-            });
-        }
-        if (peers.isEmpty()) {
-            answer(batch, entitled(0));
-        }
-    }
-
-    /** Nobody here leads either, and together the processes know every cancellation. */
-    private boolean entitled(int informedPeers) {
-        int informed = informedPeers + (leadership.cancellations().informed() ? 1 : 0);
-        return !leadership.leading() && informed >= CancellationQuorum.enough(peers.size() + 1);
+        election.announcements().consentToLeaderlessRenewal();
+        new Poll(batch).send();
     }
 
-    private void answer(List<Waiting> batch, boolean entitled) {
-        asking = false;
-        if (entitled != active) {
-            active = entitled;
-            LOG.info(
-                    entitled
-                            ? "no controller leads and all cancellations are known: keeping workers' leases alive"
-                            : "no longer keeping workers' leases alive");
+    private void answer(List<WaitingHeartbeat> batch, boolean mayRenew) {
+        polling = false;
+        if (mayRenew != renewing) {
+            renewing = mayRenew;
+            LOG.info(mayRenew ? "leaderless lease renewal started" : "leaderless lease renewal stopped");
         }
-        for (Waiting waiting : batch) {
-            if (entitled) {
-                waiting.reply.accept(
-                        200,
-                        MessageCodec.encode(WorkerMessages.heartbeatResponse(
-                                waiting.report.fencingToken(),
-                                leadership.cancellations().killCommandsFor(waiting.report))));
+        for (WaitingHeartbeat heartbeat : batch) {
+            if (mayRenew) {
+                renew(heartbeat);
             } else {
-                waiting.reply.accept(503, MessageCodec.encode(UserMessages.error("no leader known")));
+                heartbeat.reply.accept(503, MessageCodec.encode(UserMessages.error("no leader known")));
             }
         }
-        ask();
+        poll();
+    }
+
+    private void renew(WaitingHeartbeat waitingHeartbeat) {
+        Heartbeat heartbeat = waitingHeartbeat.heartbeat;
+        byte[] response = MessageCodec.encode(WorkerMessages.heartbeatResponse(
+                heartbeat.fencingToken(), election.cancellations().killCommandsFor(heartbeat)));
+        waitingHeartbeat.reply.accept(200, response);
     }
 }
