--- a/src/main/java/stileferry/coordination/LinkHost.java
+++ b/src/main/java/stileferry/coordination/LinkHost.java
@@ -39,7 +39,7 @@
 
     @Override
     public void probeStore() {
-        store.get(LeaderElection.TERM_KEY, (status, body) -> {});
+        store.get(LeaderElection.TERM_KEY, result -> {});
     }
 
     @Override
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -129,17 +129,17 @@
     }
 
     private void readOperatorSettings(Map<String, List<KeyValue>> rowsByPrefix) {
-        store.get(LeaderElection.OPERATOR_SETTINGS_KEY, (status, body) -> {
+        store.get(LeaderElection.OPERATOR_SETTINGS_KEY, result -> {
             if (closed) {
                 return;
             }
-            if (status == 200) {
-                listener.operatorSettings(OperatorSettings.read(body.path("v")));
-            } else if (status != 404) {
+            if (result.found()) {
+                listener.operatorSettings(OperatorSettings.read(result.row().value()));
+            } else if (result.unknown()) {
                 environment.schedule(RETRY_MS, this::load);
                 return;
             }
-            long revision = status == 200 ? body.path("entry_rev").asLong() : 0;
+            long revision = result.found() ? result.row().revision() : 0;
             build(rowsByPrefix, revision);
         });
     }
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -265,11 +265,11 @@
             reply.accept(JobResponses.completed(id, cached));
             return;
         }
-        store.get(Job.completedKey(id), (status, body) -> {
-            if (!leader.mayAnswer() || status != 200 && status != 404) {
+        store.get(Job.completedKey(id), result -> {
+            if (!leader.mayAnswer() || result.unknown()) {
                 reply.accept(Responses.unavailable());
-            } else if (status == 200) {
-                CompletedJob completed = CompletedJob.read(body.path("v"));
+            } else if (result.found()) {
+                CompletedJob completed = CompletedJob.read(result.row().value());
                 completedJobs.put(id, completed);
                 reply.accept(JobResponses.completed(id, completed));
             } else {
