--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -10,7 +10,7 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
-import stileferry.coordination.World;
+import stileferry.coordination.SimulatedCluster;
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.links.LinkHealth;
@@ -25,10 +25,10 @@
      */
     @Test
     void aNewLeaderGivesUnlistedMachinesTimeToReport() {
-        World w = new World(1);
-        World.Node node = w.nodes.get("n0");
+        SimulatedCluster w = new SimulatedCluster(1);
+        SimulatedCluster.Node node = w.nodes.get("n0");
         node.start();
-        World.SimulatedEnvironment environment = node.environment;
+        SimulatedCluster.SimulatedEnvironment environment = node.environment;
         ClusterState cluster = new ClusterState(node.settings);
         HeartbeatHandler fleet =
                 new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
@@ -77,10 +77,10 @@
      */
     @Test
     void aNewLeaderGivesUpSpotMachinesThatDoNotReport() {
-        World w = new World(2);
-        World.Node node = w.nodes.get("n0");
+        SimulatedCluster w = new SimulatedCluster(2);
+        SimulatedCluster.Node node = w.nodes.get("n0");
         node.start();
-        World.SimulatedEnvironment environment = node.environment;
+        SimulatedCluster.SimulatedEnvironment environment = node.environment;
         ClusterState cluster = new ClusterState(node.settings);
         HeartbeatHandler fleet =
                 new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import stileferry.cluster.ClusterState;
-import stileferry.coordination.World;
+import stileferry.coordination.SimulatedCluster;
 import stileferry.protocol.MessageCodec;
 import stileferry.scheduling.RandomCluster;
 
@@ -33,8 +33,8 @@
     /** Found by reading for 4,000 machines: pages sent in a row were refused, so the list was never read whole. */
     @Test
     void aListOfManyPagesIsReadWithinTheCloudsRate() {
-        World w = new World(9);
-        World.Node node = w.nodes.get("n0");
+        SimulatedCluster w = new SimulatedCluster(9);
+        SimulatedCluster.Node node = w.nodes.get("n0");
         node.start();
         int pages = 9;
         w.cloudCalls = path -> {
@@ -52,7 +52,7 @@
             return page.put("more", number + 1 < pages);
         };
         ClusterState cluster = new ClusterState(node.settings);
-        CloudClient cloud = new CloudClient(node.environment, World.CLOUD, 1.5);
+        CloudClient cloud = new CloudClient(node.environment, SimulatedCluster.CLOUD, 1.5);
         long from = w.now;
         boolean[] read = new boolean[1];
         CloudInventory list = new CloudInventory(cluster, node.environment, cloud, () -> read[0] = true);
--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionHistory.java
@@ -21,14 +21,14 @@
     private static final long ASK_MS = 2000;
 
     final List<String> problems = new ArrayList<>();
-    private final World world;
+    private final SimulatedCluster world;
     private final Map<Long, String> toldAt = new TreeMap<>();
     private final Map<String, Long> lastTold = new TreeMap<>();
     private final Map<String, Long> minutes = new TreeMap<>();
     private final Set<String> jobs = new HashSet<>();
     int answers;
 
-    AdmissionHistory(World world) {
+    AdmissionHistory(SimulatedCluster world) {
         this.world = world;
         world.after(LOOK_MS, this::look);
         world.after(ASK_MS, this::ask);
@@ -85,7 +85,7 @@
 
     private void ask() {
         world.after(ASK_MS, this::ask);
-        for (World.Node node : world.nodes.values()) {
+        for (SimulatedCluster.Node node : world.nodes.values()) {
             if (node.up()) {
                 node.environment.turn(() -> node.coordinator.handleAdministrationRequest(
                         "GET", "admission", new byte[0], answer -> told(node.settings.controllerName(), answer)));
@@ -113,7 +113,7 @@
     /** Counts what users heard, by team and minute. */
     Map<String, Long> admissionsByTeamAndMinute(long from) {
         minutes.clear();
-        for (World.User user : world.users.values()) {
+        for (SimulatedCluster.User user : world.users.values()) {
             if (user.accepted && user.acceptedAt >= from) {
                 minutes.merge(user.spec.team() + " " + (user.acceptedAt - from) / 60_000, 1L, Long::sum);
             }
--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -24,7 +24,7 @@
     private record Outcome(
             double jain, double changesEach, double refusalsEach, double done, double smallTeams, double waitP95S) {}
 
-    private static double admittedShare(World w, String team) {
+    private static double admittedShare(SimulatedCluster w, String team) {
         long asked = w.users.values().stream()
                 .filter(u -> u.spec.team().equals(team))
                 .count();
@@ -35,7 +35,7 @@
     }
 
     /** Jain's index of what the teams were given, where a team that was given all counts as one that has the mean. */
-    private static double jain(World w) {
+    private static double jain(SimulatedCluster w) {
         long least = FairAdmissionTest.TEAMS.stream()
                         .mapToLong(team -> accepted(w, team))
                         .sum()
@@ -50,14 +50,14 @@
         return squares == 0 ? 0 : sum * sum / (FairAdmissionTest.TEAMS.size() * squares);
     }
 
-    private static long accepted(World w, String team) {
+    private static long accepted(SimulatedCluster w, String team) {
         return w.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
     }
 
     private static Outcome play(long seed, Features features) {
-        World w = FairAdmissionTest.world(seed, features);
+        SimulatedCluster w = FairAdmissionTest.world(seed, features);
         w.play(20);
         long changes = w.state.writtenKeys();
         FairAdmissionTest.flood(w, 100, FLOOD_S);
--- a/src/test/java/stileferry/coordination/AdmissionTroubleTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -8,7 +8,7 @@
 import static stileferry.coordination.FairAdmissionTest.flood;
 import static stileferry.coordination.FairAdmissionTest.submit;
 import static stileferry.coordination.FairAdmissionTest.world;
-import static stileferry.coordination.RulesTest.restart;
+import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
 import stileferry.protocol.Features;
 
 /** Controllers, the state service and links that fail in the middle of a burst. */
-class AdmissionTroubleTest {
+class AdmissionUnderFaultsTest {
     /** What happens to the leader in the middle of a burst. */
     enum Trouble {
         ENDS,
@@ -37,13 +37,13 @@
         COMMITS_CARRIED_OUT_LATE
     }
 
-    private static void bring(World w, Trouble trouble) {
-        World.Node leader = w.leader();
+    private static void bring(SimulatedCluster w, Trouble trouble) {
+        SimulatedCluster.Node leader = w.leader();
         String name = leader.settings.controllerName();
         switch (trouble) {
             case ENDS -> restart(w, leader, 4000);
             case FREEZES_AND_WAKES -> leader.environment.freeze(8000);
-            case LOSES_THE_STATE_SERVICE -> w.network.blockBoth(name, World.STATE, Mode.LOST);
+            case LOSES_THE_STATE_SERVICE -> w.network.blockBoth(name, SimulatedCluster.STATE, Mode.LOST);
             case IS_REFUSED_ALONE -> w.refused.add(name);
             case ALL_END -> w.nodes.values().forEach(node -> restart(w, node, 3000));
             case FIVE_LEADERS -> {
@@ -73,7 +73,7 @@
         }
     }
 
-    private static void mend(World w) {
+    private static void mend(SimulatedCluster w) {
         w.network.restoreAll();
         w.refused.clear();
         w.slowStoreMs = 0;
@@ -85,7 +85,7 @@
     @ParameterizedTest
     @EnumSource(Trouble.class)
     void troubleInTheMiddleOfABurst(Trouble trouble) {
-        World w = world(40 + trouble.ordinal(), ON);
+        SimulatedCluster w = world(40 + trouble.ordinal(), ON);
         AdmissionHistory history = new AdmissionHistory(w);
         w.play(20);
         int next = flood(w, 100, 20);
@@ -113,7 +113,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void tenMinutesOfThreeTimesTheCapacity(long seed) {
-        World w = world(seed, ON);
+        SimulatedCluster w = world(seed, ON);
         AdmissionHistory history = new AdmissionHistory(w);
         SplittableRandom random = w.random.split();
         w.play(20);
@@ -168,7 +168,7 @@
     @ParameterizedTest
     @MethodSource("seedsOfDays")
     void noRuleIsBrokenWithFairAdmission(long seed) {
-        RulesTest.allIsDone(RulesTest.day(seed, 120, w -> {
+        InvariantsUnderFaultsTest.allIsDone(InvariantsUnderFaultsTest.day(seed, 120, w -> {
             w.features = new Features(seed % 4 == 0, true);
             if (seed % 3 == 0) {
                 w.withoutFeatures.add("n" + seed % 2);
--- a/src/test/java/stileferry/coordination/CutMeasurement.java
+++ b/src/test/java/stileferry/coordination/CutMeasurement.java
@@ -28,24 +28,24 @@
     /** What one cut led to. */
     private record Outcome(double worstS, int late, int restarted, long terms) {}
 
-    private static String name(World.Node node) {
+    private static String name(SimulatedCluster.Node node) {
         return node.settings.controllerName();
     }
 
-    private static void peers(World w, World.Node leader, Mode mode) {
+    private static void peers(SimulatedCluster w, SimulatedCluster.Node leader, Mode mode) {
         w.nodes.values().stream()
                 .filter(n -> n != leader)
                 .forEach(n -> w.network.blockBoth(name(leader), name(n), mode));
     }
 
-    private static Outcome play(long seed, Features features, BiConsumer<World, World.Node> cut) {
-        World w = PartialCutsTest.busy(seed, features);
+    private static Outcome play(long seed, Features features, BiConsumer<SimulatedCluster, SimulatedCluster.Node> cut) {
+        SimulatedCluster w = PartialCutsTest.busy(seed, features);
         cut.accept(w, w.leader());
         long terms = w.state.value("a/term").path("term").asLong();
-        List<World.User> users = new ArrayList<>();
+        List<SimulatedCluster.User> users = new ArrayList<>();
         int starts = w.starts;
         for (int i = 0; i < CUT_S; i++) {
-            users.add(w.submit(RulesTest.array(100 + i, "any", JobSpec.Priority.NORMAL, 1, 1)));
+            users.add(w.submit(InvariantsUnderFaultsTest.array(100 + i, "any", JobSpec.Priority.NORMAL, 1, 1)));
             w.play(1);
         }
         long changed = w.state.value("a/term").path("term").asLong() - terms;
@@ -61,7 +61,7 @@
         return new Outcome(Arrays.stream(waits).max().orElse(0), late, restarted, changed);
     }
 
-    private static void compare(String title, BiConsumer<World, World.Node> cut) {
+    private static void compare(String title, BiConsumer<SimulatedCluster, SimulatedCluster.Node> cut) {
         StringBuilder line = new StringBuilder(String.format("%-44s", title));
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
             List<Outcome> outcomes = LongStream.range(0, SEEDS)
@@ -81,13 +81,13 @@
     /** False suspicions and changes of leadership in an hour without cuts, on a quiet or an overloaded process. */
     private static void hour(long turnMs) {
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
-            World w = PartialCutsTest.busy(800, features);
+            SimulatedCluster w = PartialCutsTest.busy(800, features);
             if (turnMs > 0) {
                 w.nodes.keySet().forEach(node -> w.turnMs.put(node, turnMs));
             }
             long terms = w.state.value("a/term").path("term").asLong();
             for (int i = 0; i < 360; i++) {
-                w.submit(RulesTest.array(1000 + i, "any", JobSpec.Priority.NORMAL, 1, 1));
+                w.submit(InvariantsUnderFaultsTest.array(1000 + i, "any", JobSpec.Priority.NORMAL, 1, 1));
                 w.play(10);
             }
             System.out.println("an hour without cuts, turns of " + turnMs + " ms, features " + features.on()
@@ -106,7 +106,7 @@
         System.out.println("worst wait (s), tasks of " + CUT_S
                 + " that waited over 5 s, tasks started again, new terms; off | on");
         compare("none", (w, l) -> {});
-        compare("leader - state service", (w, l) -> w.network.blockBoth(name(l), World.STATE, Mode.LOST));
+        compare("leader - state service", (w, l) -> w.network.blockBoth(name(l), SimulatedCluster.STATE, Mode.LOST));
         compare("leader - workers, lost", (w, l) -> w.network.blockBoth(name(l), SimulatedNetwork.WORKERS, Mode.LOST));
         compare(
                 "leader - workers, refused",
@@ -119,7 +119,7 @@
             peers(w, node, Mode.LOST);
         });
         compare("leader - state service and controllers", (w, node) -> {
-            w.network.blockBoth(name(node), World.STATE, Mode.LOST);
+            w.network.blockBoth(name(node), SimulatedCluster.STATE, Mode.LOST);
             peers(w, node, Mode.LOST);
         });
         hour(0);
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.RulesTest.restart;
+import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -25,8 +25,8 @@
 
     static final List<String> TEAMS = List.of("red", "blue", "free");
 
-    static World world(long seed, Features features) {
-        World w = new World(seed, 2, 2, 40, WRITES_PER_S);
+    static SimulatedCluster world(long seed, Features features) {
+        SimulatedCluster w = new SimulatedCluster(seed, 2, 2, 40, WRITES_PER_S);
         w.features = features;
         return w;
     }
@@ -56,12 +56,12 @@
                 -1);
     }
 
-    static World.User submit(World w, int number, String team) {
+    static SimulatedCluster.User submit(SimulatedCluster w, int number, String team) {
         return w.submit(job(number, team, JobSpec.Priority.NORMAL, 2));
     }
 
     /** Fifteen jobs a second of one team and one every two seconds of each other team. */
-    static int flood(World w, int from, int seconds) {
+    static int flood(SimulatedCluster w, int from, int seconds) {
         int number = from;
         for (int second = 0; second < seconds; second++) {
             for (int i = 0; i < 15; i++) {
@@ -76,17 +76,17 @@
         return number;
     }
 
-    private static long accepted(World w, String team) {
+    private static long accepted(SimulatedCluster w, String team) {
         return w.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
     }
 
-    private static long submitted(World w, String team) {
+    private static long submitted(SimulatedCluster w, String team) {
         return w.users.values().stream().filter(u -> u.spec.team().equals(team)).count();
     }
 
-    private static JsonNode view(World w, World.Node node) {
+    private static JsonNode view(SimulatedCluster w, SimulatedCluster.Node node) {
         PeerMessage.Response[] answer = new PeerMessage.Response[1];
         node.environment.turn(() ->
                 node.coordinator.handleAdministrationRequest("GET", "admission", new byte[0], a -> answer[0] = a));
@@ -94,7 +94,7 @@
         return answer[0] == null || answer[0].status() != 200 ? null : MessageCodec.decode(answer[0].body());
     }
 
-    static void check(World w, AdmissionHistory history) {
+    static void check(SimulatedCluster w, AdmissionHistory history) {
         assertEquals(List.of(), w.violations);
         assertEquals(List.of(), history.problems);
     }
@@ -102,7 +102,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void oneHouseThatFloodsTakesNothingFromTheOthers(long seed) {
-        World w = world(seed, ON);
+        SimulatedCluster w = world(seed, ON);
         AdmissionHistory history = new AdmissionHistory(w);
         w.play(20);
         flood(w, 100, 60);
@@ -117,13 +117,13 @@
     /** The same ids again and again, at every controller: they are one demand, and each is admitted once. */
     @Test
     void oneIdThatReachesAllControllersAtOnceIsAdmittedOnce() {
-        World w = world(4, ON);
+        SimulatedCluster w = world(4, ON);
         AdmissionHistory history = new AdmissionHistory(w);
         w.play(20);
         w.closeLooks = true;
         for (int i = 0; i < 10; i++) {
-            World.User user = submit(w, 100 + i, TEAMS.get(i % 3));
-            for (World.Node node : w.nodes.values()) {
+            SimulatedCluster.User user = submit(w, 100 + i, TEAMS.get(i % 3));
+            for (SimulatedCluster.Node node : w.nodes.values()) {
                 w.after(w.random.nextLong(5), () -> w.submitAt(user, node));
             }
             w.play(0.5);
@@ -136,7 +136,7 @@
     /** Jobs that can never fit are told so, and take no share from those that can. */
     @Test
     void jobsThatCanNeverRunAreRefusedAtOnceAndNotCounted() {
-        World w = world(5, ON);
+        SimulatedCluster w = world(5, ON);
         AdmissionHistory history = new AdmissionHistory(w);
         w.play(20);
         JobSpec good = job(50, "blue", JobSpec.Priority.NORMAL, 2);
@@ -145,12 +145,12 @@
                 .put("cores", 1000.0));
         int[] refused = new int[1];
         for (int i = 0; i < 40; i++) {
-            World.Node node = w.nodes.get("n" + i % 3);
+            SimulatedCluster.Node node = w.nodes.get("n" + i % 3);
             node.environment.turn(() -> node.coordinator.handleUserRequest(
                     PeerMessage.RequestKind.SUBMIT, "", tooLarge, a -> refused[0] += a.status() == 422 ? 1 : 0));
             w.play(0.2);
         }
-        World.User user = w.submit(good);
+        SimulatedCluster.User user = w.submit(good);
         w.play(5);
         check(w, history);
         assertTrue(user.accepted);
@@ -163,9 +163,9 @@
     void servicesAreAdmittedBeforeArrays() {
         long[] worstMs = new long[2];
         for (int burst = 0; burst < 2; burst++) {
-            World w = world(90, ON);
+            SimulatedCluster w = world(90, ON);
             w.play(20);
-            List<World.User> services = new ArrayList<>();
+            List<SimulatedCluster.User> services = new ArrayList<>();
             int number = 1000;
             for (int second = 0; second < 60; second++) {
                 for (int i = 0; burst == 1 && i < 15; i++) {
@@ -197,7 +197,7 @@
         double[] refusals = new double[2];
         long[] done = new long[2];
         for (int on = 0; on < 2; on++) {
-            World w = world(91, on == 1 ? ON : Features.NONE);
+            SimulatedCluster w = world(91, on == 1 ? ON : Features.NONE);
             w.play(20);
             flood(w, 100, 120);
             assertEquals(List.of(), w.violations);
@@ -214,11 +214,11 @@
     /** A follower whose leader has ended must not refuse by its word: nobody knows what the next one will say. */
     @Test
     void noTableOfAFormerTermIsHonoured() {
-        World w = world(92, ON);
+        SimulatedCluster w = world(92, ON);
         w.play(20);
         flood(w, 100, 20);
-        World.Node former = w.leader();
-        World.Node follower =
+        SimulatedCluster.Node former = w.leader();
+        SimulatedCluster.Node follower =
                 w.nodes.values().stream().filter(n -> n != former).findFirst().orElseThrow();
         assertTrue(view(w, follower).path("here").path("holds_table").asBoolean());
         long term = view(w, follower).path("here").path("table_term").asLong();
@@ -226,7 +226,7 @@
         for (int i = 0; i < 30 && (w.leader() == null || w.leader() == former); i++) {
             w.play(0.5);
         }
-        for (World.Node node : w.nodes.values()) {
+        for (SimulatedCluster.Node node : w.nodes.values()) {
             if (node.up()) {
                 JsonNode here = view(w, node).path("here");
                 boolean old = here.path("table_term").asLong() == term;
@@ -238,7 +238,7 @@
     /** Where it is on at some controllers only, or an older version leads, totals say so, and are never wrong. */
     @Test
     void olderVersionsLeadInTurns() {
-        World w = world(93, ON);
+        SimulatedCluster w = world(93, ON);
         w.withoutFeatures.add("n0");
         w.play(20);
         int number = 100;
@@ -249,7 +249,7 @@
                 submit(w, number++, TEAMS.get(i % 3));
             }
             w.play(6);
-            for (World.Node node : w.nodes.values()) {
+            for (SimulatedCluster.Node node : w.nodes.values()) {
                 if (node.up() && !node.settings.controllerName().equals("n0")) {
                     JsonNode seen = view(w, node);
                     JsonNode totals = seen == null ? MessageCodec.map() : seen.path("totals");
@@ -277,13 +277,13 @@
     /** Cancelled while it is being admitted, and a gang: counted like any other, once. */
     @Test
     void cancelledWhileBeingAdmittedAndGangs() {
-        World w = world(94, ON);
+        SimulatedCluster w = world(94, ON);
         AdmissionHistory history = new AdmissionHistory(w);
         w.play(20);
         for (int i = 0; i < 20; i++) {
-            World.User user = submit(w, 100 + i, TEAMS.get(i % 3));
+            SimulatedCluster.User user = submit(w, 100 + i, TEAMS.get(i % 3));
             w.after(w.random.nextLong(300), () -> w.cancel(user));
-            w.submit(RulesTest.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
+            w.submit(InvariantsUnderFaultsTest.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
             w.play(1);
         }
         w.play(90);
@@ -294,7 +294,7 @@
     /** The checks must be able to fail: a count too many and a team without admissions are seen. */
     @Test
     void aDoubledCountAndAStarvedTeamAreSeen() {
-        World w = world(95, ON);
+        SimulatedCluster w = world(95, ON);
         AdmissionHistory history = new AdmissionHistory(w);
         w.play(20);
         submit(w, 100, "red");
--- a/src/test/java/stileferry/coordination/GangTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.RulesTest.array;
-import static stileferry.coordination.RulesTest.restart;
+import static stileferry.coordination.InvariantsUnderFaultsTest.array;
+import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -19,7 +19,7 @@
 import stileferry.standin.Worker;
 
 /** Jobs whose tasks run all at the same time or not at all. */
-class GangTest {
+class GangSchedulingTest {
     private static JobSpec gang(int number, JobSpec.Priority priority, int tasks, boolean oneZone, double runS) {
         return new JobSpec(
                 "job-" + number,
@@ -69,8 +69,8 @@
                 -1);
     }
 
-    private static World begun(long seed, JobSpec spec) {
-        World w = new World(seed);
+    private static SimulatedCluster begun(long seed, JobSpec spec) {
+        SimulatedCluster w = new SimulatedCluster(seed);
         w.play(3);
         w.submit(spec);
         w.play(20);
@@ -80,7 +80,7 @@
 
     @Test
     void itLosesAMachineAndStartsAgainWhole() {
-        World w = begun(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
+        SimulatedCluster w = begun(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
         w.cloud.reclaim(w.machineInUse());
         assertTrue(w.running() < 6);
         w.play(25);
@@ -97,7 +97,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void theOthersOfALostTaskStopAtOnceInsteadOfSaving(long seed) {
-        World w = new World(seed);
+        SimulatedCluster w = new SimulatedCluster(seed);
         w.play(3);
         w.submit(gang(1, JobSpec.Priority.URGENT, 5, true, 2));
         w.play(20);
@@ -119,7 +119,7 @@
     /** Its tasks save together or not at all, so all of them hear of a notice that concerns one machine. */
     @Test
     void aNoticeForOneMachineStopsItWholeAndSaved() {
-        World w = begun(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
+        SimulatedCluster w = begun(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         w.play(40);
         int ended = w.ended;
         Worker worker = w.workers.get("w-" + w.machineInUse() + ":1");
@@ -136,7 +136,7 @@
     /** Where one machine can't hear the stop, the others can't save; they do not wait for it. */
     @Test
     void aStopThatNotAllCanHearDoesNotWaitForASave() {
-        World w = begun(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
+        SimulatedCluster w = begun(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         List<String> machines = List.copyOf(w.machinesOf(w.users.get("job-1")));
         w.cut("w-" + machines.get(0) + ":1", 7000);
         w.play(5);
@@ -154,7 +154,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 20, 60, 150, 400, 900})
     void itEndsWholeWhateverIsLostThen(int afterMs) {
-        World w = begun(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
+        SimulatedCluster w = begun(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
         List<String> machines = List.copyOf(w.machinesOf(w.users.get("job-1")));
         for (int i = 0; i < 600 && w.running() == 6; i++) {
             w.play(0.05);
@@ -172,7 +172,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void aLeaderThatEndsAsItStartsLeavesNoPart(long seed) {
-        World w = begun(10 + seed, gang(1, JobSpec.Priority.NORMAL, 2, false, 200));
+        SimulatedCluster w = begun(10 + seed, gang(1, JobSpec.Priority.NORMAL, 2, false, 200));
         w.slowStoreMs = 100;
         for (int i = 2; i < 8; i++) {
             w.submit(gang(i, JobSpec.Priority.NORMAL, 7, i % 2 == 0, 5));
@@ -194,11 +194,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void anAttemptGivenUpBeforeItWasStoredDoesNotLetTheNextOneStartEarly(long seed) {
-        World w = new World(60 + seed);
+        SimulatedCluster w = new SimulatedCluster(60 + seed);
         w.play(3);
         w.submit(gangOfSmall(1, 80, 2));
         w.play(25); // all machines are up and free again
-        World.User second = w.submit(gangOfSmall(2, 40, 5));
+        SimulatedCluster.User second = w.submit(gangOfSmall(2, 40, 5));
         for (int i = 0; i < 100 && !second.accepted; i++) {
             w.play(0.02);
         }
@@ -221,8 +221,8 @@
      */
     @Test
     void claimsOfDifferentAttemptsAreStoppedAndTheGangStartsWhole() {
-        World w = begun(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
-        w.nodes.values().forEach(World.Node::crash);
+        SimulatedCluster w = begun(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
+        w.nodes.values().forEach(SimulatedCluster.Node::crash);
         int changed = 0;
         for (int slot = 0; slot < 1024; slot++) {
             JsonNode record = w.state.value("l/" + slot);
@@ -234,7 +234,7 @@
             }
         }
         assertEquals(1, changed);
-        w.nodes.values().forEach(World.Node::start);
+        w.nodes.values().forEach(SimulatedCluster.Node::start);
         w.play(90);
         assertEquals(List.of(), w.violations);
         assertEquals("done", w.users.get("job-1").end);
@@ -243,7 +243,7 @@
     /** Room is made for all its tasks at once, in the one zone where it may be. */
     @Test
     void lessUrgentWorkMakesRoomForAllOfIt() {
-        World w = new World(30);
+        SimulatedCluster w = new SimulatedCluster(30);
         w.play(3);
         for (int i = 0; i < 40; i++) {
             w.submit(array(100 + i, "any", JobSpec.Priority.IDLE, 4, 400));
@@ -258,7 +258,7 @@
 
     @Test
     void whatCanNeverStandTogetherIsRefused() {
-        World w = new World(31);
+        SimulatedCluster w = new SimulatedCluster(31);
         w.play(3);
         w.submit(new JobSpec(
                 "job-1",
@@ -303,7 +303,7 @@
                 0,
                 -1)); // in one zone, with at most half of it in each
         w.play(10);
-        for (World.User user : w.users.values()) {
+        for (SimulatedCluster.User user : w.users.values()) {
             assertFalse(user.accepted, user.spec.id());
             assertNull(user.end);
         }
--- a/src/test/java/stileferry/coordination/WorldTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksTest.java
@@ -14,7 +14,7 @@
 import stileferry.standin.Worker;
 
 /** The checks of the simulated world must be able to fail; here nobody but the test gives commands and answers. */
-class WorldTest {
+class InvariantChecksTest {
     private static final long HIGH_TERM = 1L << 40;
 
     private static JobSpec spec(int number, String team, int tasks, String zone, boolean oneZone) {
@@ -42,17 +42,17 @@
     }
 
     /** A world with machines up, and a job that nobody but the test will start. */
-    private static World with(JobSpec spec) {
-        World w = new World(1);
+    private static SimulatedCluster with(JobSpec spec) {
+        SimulatedCluster w = new SimulatedCluster(1);
         w.play(3);
-        w.submit(RulesTest.service(1, 8, 8));
+        w.submit(InvariantsUnderFaultsTest.service(1, 8, 8));
         w.play(30);
-        w.nodes.values().forEach(World.Node::crash);
+        w.nodes.values().forEach(SimulatedCluster.Node::crash);
         w.users.put(spec.id(), w.new User(spec));
         return w;
     }
 
-    private static Worker in(World w, String zone, int number) {
+    private static Worker in(SimulatedCluster w, String zone, int number) {
         return w.workers.values().stream()
                 .filter(x -> x.zone().equals(zone))
                 .skip(number)
@@ -60,7 +60,7 @@
                 .orElseThrow();
     }
 
-    private static void run(World w, Worker worker, String task) {
+    private static void run(SimulatedCluster w, Worker worker, String task) {
         worker.receiveCommands(WorkerMessages.directCommands(
                 HIGH_TERM,
                 worker.incarnation(),
@@ -70,7 +70,7 @@
         w.play(0.95); // it has its image, and leases stand
     }
 
-    private static void free(World w) {
+    private static void free(SimulatedCluster w) {
         for (Worker worker : w.workers.values()) {
             for (var status :
                     stileferry.protocol.Heartbeat.read(worker.heartbeat()).tasks()) {
@@ -82,13 +82,13 @@
         }
     }
 
-    private static void assertNoticed(World w, String rule) {
+    private static void assertNoticed(SimulatedCluster w, String rule) {
         assertTrue(w.violations.stream().anyMatch(v -> v.startsWith(rule)), rule + " not noticed: " + w.violations);
     }
 
     @Test
     void theWrongZone() {
-        World w = with(spec(9, "free", 2, "za", false));
+        SimulatedCluster w = with(spec(9, "free", 2, "za", false));
         free(w);
         run(w, in(w, "zb", 0), "job-9/0");
         assertNoticed(w, "wrong_place");
@@ -96,7 +96,7 @@
 
     @Test
     void tasksApartThatMustBeTogether() {
-        World w = with(spec(9, "free", 2, null, true));
+        SimulatedCluster w = with(spec(9, "free", 2, null, true));
         free(w);
         run(w, in(w, "za", 0), "job-9/0");
         assertEquals(List.of(), w.violations);
@@ -106,7 +106,7 @@
 
     @Test
     void aTeamBeyondItsLimit() {
-        World w = with(spec(9, "blue", 7, null, false)); // 28 CPUs of 24
+        SimulatedCluster w = with(spec(9, "blue", 7, null, false)); // 28 CPUs of 24
         free(w);
         for (int i = 0; i < 7 && w.violations.isEmpty(); i++) {
             run(w, in(w, i % 4 < 2 ? "za" : "zb", i % 2), "job-9/" + i);
@@ -116,7 +116,7 @@
 
     @Test
     void oneTaskTwice() {
-        World w = with(spec(9, "free", 1, null, false));
+        SimulatedCluster w = with(spec(9, "free", 1, null, false));
         free(w);
         run(w, in(w, "za", 0), "job-9/0");
         run(w, in(w, "zb", 0), "job-9/0");
@@ -125,7 +125,7 @@
 
     @Test
     void aStartOfAGangWhoseClaimsAreNotStored() {
-        World w = with(spec(9, "free", 1, null, false));
+        SimulatedCluster w = with(spec(9, "free", 1, null, false));
         JobSpec gang = new JobSpec(
                 "job-10",
                 "any",
@@ -148,7 +148,7 @@
                 0,
                 -1);
         List<String> noticed = new ArrayList<>();
-        new StoredClaims(w.state, id -> gang)
+        new StoredAssignments(w.state, id -> gang)
                 .checkStarts(
                         WorkerMessages.directCommands(
                                 HIGH_TERM, 1, List.of(new WorkerCommand(WorkerCommand.Kind.RUN, "job-10/0", 1, 0))),
@@ -159,8 +159,8 @@
 
     @Test
     void anAnswerThatGoesBack() {
-        World w = with(spec(9, "free", 2, null, false));
-        World.User user = w.users.get("job-9");
+        SimulatedCluster w = with(spec(9, "free", 2, null, false));
+        SimulatedCluster.User user = w.users.get("job-9");
         w.told(user, RequestKind.STATUS, w.now, 200, UserMessages.jobState("job-9", "done", 2, 0));
         assertEquals(List.of(), w.violations);
         w.told(user, RequestKind.STATUS, w.now + 1, 200, UserMessages.jobState("job-9", "running", 1, 1));
@@ -169,16 +169,16 @@
 
     @Test
     void doneBeforeItIs() {
-        World w = with(spec(9, "free", 2, null, false));
+        SimulatedCluster w = with(spec(9, "free", 2, null, false));
         w.told(w.users.get("job-9"), RequestKind.STATUS, w.now, 200, UserMessages.jobState("job-9", "done", 1, 0));
         assertNoticed(w, "not_done");
     }
 
     @Test
     void aStartAfterAConfirmedCancellation() {
-        World w = with(spec(9, "free", 1, null, false));
+        SimulatedCluster w = with(spec(9, "free", 1, null, false));
         free(w);
-        World.User user = w.users.get("job-9");
+        SimulatedCluster.User user = w.users.get("job-9");
         user.wantsCancel = true;
         w.told(user, RequestKind.CANCEL, w.now, 200, UserMessages.jobState("job-9", "cancelled", 0, 0));
         run(w, in(w, "za", 0), "job-9/0");
@@ -187,11 +187,11 @@
 
     @Test
     void aJobLeftBesideFreeRoom() {
-        World w = new World(1);
+        SimulatedCluster w = new SimulatedCluster(1);
         w.play(3);
-        w.submit(RulesTest.service(1, 1, 2));
+        w.submit(InvariantsUnderFaultsTest.service(1, 1, 2));
         w.play(30);
-        World.User user = w.new User(spec(9, "free", 1, null, false)); // as if its acceptance had been lost
+        SimulatedCluster.User user = w.new User(spec(9, "free", 1, null, false)); // as if its acceptance had been lost
         w.users.put("job-9", user);
         user.accepted = true;
         w.quietSince = w.now;
--- a/src/test/java/stileferry/coordination/RulesTest.java
+++ b/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
@@ -18,7 +18,7 @@
 import stileferry.standin.Worker;
 
 /** Seeded random days in a simulated world; every rule is checked at every step. */
-class RulesTest {
+class InvariantsUnderFaultsTest {
     private static JobSpec job(int number, SplittableRandom random) {
         JobSpec.Kind kind = random.nextInt(5) == 0
                 ? JobSpec.Kind.SERVICE
@@ -52,12 +52,12 @@
     }
 
     /** A day with users at work and one trouble after the other, until all is quiet again at the end. */
-    static World day(long seed, double seconds) {
+    static SimulatedCluster day(long seed, double seconds) {
         return day(seed, seconds, w -> {});
     }
 
-    static World day(long seed, double seconds, Consumer<World> prepare) {
-        World w = new World(seed);
+    static SimulatedCluster day(long seed, double seconds, Consumer<SimulatedCluster> prepare) {
+        SimulatedCluster w = new SimulatedCluster(seed);
         prepare.accept(w);
         SplittableRandom random = w.random.split();
         w.lateCopies = seed % 2 == 0 ? 0.1 : 0;
@@ -69,7 +69,7 @@
                 w.submit(job(jobs++, random));
             }
             if (random.nextInt(8) == 0 && !w.users.isEmpty()) {
-                List<World.User> open = w.users.values().stream()
+                List<SimulatedCluster.User> open = w.users.values().stream()
                         .filter(u -> u.accepted && !u.wantsCancel)
                         .toList();
                 if (!open.isEmpty()) {
@@ -98,7 +98,7 @@
         w.after(45_000, w.network::restoreAll); // links that came and went
         w.quietSince = w.now;
         w.play(90); // until every submission has been answered or given up
-        for (World.User user : List.copyOf(w.users.values())) {
+        for (SimulatedCluster.User user : List.copyOf(w.users.values())) {
             if (user.spec.service() && user.accepted && !user.wantsCancel) {
                 w.cancel(user);
             }
@@ -107,9 +107,9 @@
         return w;
     }
 
-    private static void trouble(World w, SplittableRandom random) {
-        List<World.Node> nodes = List.copyOf(w.nodes.values());
-        World.Node node = nodes.get(random.nextInt(3));
+    private static void trouble(SimulatedCluster w, SplittableRandom random) {
+        List<SimulatedCluster.Node> nodes = List.copyOf(w.nodes.values());
+        SimulatedCluster.Node node = nodes.get(random.nextInt(3));
         List<String> machines = w.cloud.runningMachines();
         String machine = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
         String addr = "w-" + machine + ":1";
@@ -163,13 +163,13 @@
             }
             case 16, 17 -> { // a zone is cut off, and the leader may crash meanwhile
                 w.cutZone(random.nextBoolean() ? "za" : "zb", 1000 + random.nextLong(25_000));
-                World.Node leader = w.leader();
+                SimulatedCluster.Node leader = w.leader();
                 if (leader != null && random.nextBoolean()) {
                     w.after(random.nextLong(15_000), () -> restart(w, leader, random.nextBoolean() ? 200 : 5000));
                 }
             }
             case 18, 19 -> { // one controller, or all of them, is given little processor time
-                for (World.Node slow : random.nextBoolean() ? nodes : List.of(node)) {
+                for (SimulatedCluster.Node slow : random.nextBoolean() ? nodes : List.of(node)) {
                     w.turnMs.put(slow.settings.controllerName(), 5 + random.nextLong(60));
                 }
                 w.after(1000 + random.nextLong(30_000), w.turnMs::clear);
@@ -192,7 +192,7 @@
                 w.after(1000 + random.nextLong(30_000), () -> w.copiesForNext = false);
             }
             case 25 -> { // the leader is refused, and then everybody for longer than a cancellation's time
-                World.Node leader = w.leader();
+                SimulatedCluster.Node leader = w.leader();
                 if (leader != null) {
                     w.refused.add(leader.settings.controllerName());
                     cancelSome(w, random);
@@ -209,7 +209,7 @@
             }
             case 26 -> nodes.forEach(n -> restart(w, n, 5000 + random.nextLong(12_000))); // for longer than a lease
             case 27 -> { // jobs are cancelled while the leader changes
-                World.Node leader = w.leader();
+                SimulatedCluster.Node leader = w.leader();
                 if (leader != null) {
                     cancelSome(w, random);
                     w.after(random.nextLong(300), () -> restart(w, leader, random.nextBoolean() ? 300 : 5000));
@@ -228,13 +228,13 @@
     }
 
     /** One direction of a link, or both, or a link that comes and goes. */
-    private static void cutLink(World w, SplittableRandom random) {
+    private static void cutLink(SimulatedCluster w, SplittableRandom random) {
         String node = "n" + random.nextInt(3);
         String machine = w.cloud.runningMachines().isEmpty()
                 ? "none"
                 : w.cloud.runningMachines().get(0);
         List<String> ends = List.of(
-                World.STATE,
+                SimulatedCluster.STATE,
                 SimulatedNetwork.WORKERS,
                 SimulatedNetwork.WORKERS,
                 "n" + random.nextInt(3),
@@ -257,8 +257,8 @@
         }
     }
 
-    private static void cancelSome(World w, SplittableRandom random) {
-        List<World.User> open = w.users.values().stream()
+    private static void cancelSome(SimulatedCluster w, SplittableRandom random) {
+        List<SimulatedCluster.User> open = w.users.values().stream()
                 .filter(u -> u.accepted && u.end == null && !u.wantsCancel)
                 .toList();
         for (int i = 0; i < Math.min(3, open.size()); i++) {
@@ -266,7 +266,7 @@
         }
     }
 
-    static void restart(World w, World.Node node, long afterMs) {
+    static void restart(SimulatedCluster w, SimulatedCluster.Node node, long afterMs) {
         if (node.up()) {
             node.crash();
             w.after(afterMs, node::start);
@@ -299,7 +299,7 @@
         return LongStream.range(0, Integer.getInteger("days", 20)).map(i -> 1000 + i);
     }
 
-    static void allIsDone(World w) {
+    static void allIsDone(SimulatedCluster w) {
         assertEquals(List.of(), w.violations);
         List<String> open = w.users.values().stream()
                 .filter(u -> u.accepted && u.end == null)
@@ -317,7 +317,7 @@
     void aLeaderThatIsBehindSparesCommands() {
         int[] commands = new int[2];
         for (int slow = 0; slow < 2; slow++) {
-            World w = new World(77);
+            SimulatedCluster w = new SimulatedCluster(77);
             w.play(3);
             w.submit(array(1, "any", JobSpec.Priority.NORMAL, 8, 1));
             w.play(25);
@@ -332,7 +332,7 @@
             w.play(120);
             commands[slow] = w.commandsSent - before;
             assertEquals(List.of(), w.violations);
-            for (World.User user : w.users.values()) {
+            for (SimulatedCluster.User user : w.users.values()) {
                 assertEquals("done", user.end, user.spec.id());
             }
         }
@@ -390,11 +390,11 @@
     /** A record that can't be read is still a job that somebody was told is accepted. */
     @Test
     void anUnreadableRecordIsNotUnknown() {
-        World w = new World(34);
+        SimulatedCluster w = new SimulatedCluster(34);
         w.play(3);
         w.submit(service(1, 1, 1));
         w.play(10);
-        w.nodes.values().forEach(World.Node::crash);
+        w.nodes.values().forEach(SimulatedCluster.Node::crash);
         w.state.request(
                 "POST",
                 "/commit",
@@ -416,11 +416,11 @@
     /** The checks must be able to fail: with all nodes gone nobody answers for a job. */
     @Test
     void aForgottenJobIsNoticed() {
-        World w = new World(35);
+        SimulatedCluster w = new SimulatedCluster(35);
         w.play(3);
         w.submit(service(1, 1, 1));
         w.play(10);
-        w.nodes.values().forEach(World.Node::crash);
+        w.nodes.values().forEach(SimulatedCluster.Node::crash);
         w.quietSince = w.now;
         w.play(74);
         assertEquals(List.of(), w.violations);
@@ -431,7 +431,7 @@
     /** Twice as much work as room for five minutes, and more of the urgent class than all machines can do. */
     @Test
     void everybodyIsServedWhenThereIsMoreWorkThanRoom() {
-        World w = new World(36);
+        SimulatedCluster w = new SimulatedCluster(36);
         SplittableRandom random = w.random.split();
         w.play(3);
         int jobs = 0;
@@ -442,7 +442,7 @@
             w.play(5);
         }
         w.play(240);
-        for (World.User user : w.users.values()) {
+        for (SimulatedCluster.User user : w.users.values()) {
             assertTrue(
                     user.startedAt > 0 && user.startedAt - user.submittedAt < 240_000,
                     user.spec.id() + " of " + user.spec.jobClass() + " with " + user.spec.taskCount()
@@ -453,8 +453,8 @@
 
     @Test
     void theSameSeedPlaysTheSameDay() {
-        World a = day(77, 60);
-        World b = day(77, 60);
+        SimulatedCluster a = day(77, 60);
+        SimulatedCluster b = day(77, 60);
         assertEquals(a.starts, b.starts);
         assertEquals(a.finished, b.finished);
         assertEquals(a.now, b.now);
@@ -463,7 +463,7 @@
     /** The checks must be able to fail: a worker that outlives its lease breaks a proof that the service relies on. */
     @Test
     void aFalseProofIsCaught() {
-        World w = new World(100, 9, 2, 40);
+        SimulatedCluster w = new SimulatedCluster(100, 9, 2, 40);
         w.play(3);
         for (int i = 0; i < 12; i++) {
             w.submit(new JobSpec(
@@ -499,7 +499,7 @@
     /** Found on the bench: a record deleted while its last change was under way made the leader's next commit fail. */
     @Test
     void aLeaderWithoutTroublesKeepsItsTerm() {
-        World w = new World(6);
+        SimulatedCluster w = new SimulatedCluster(6);
         SplittableRandom random = w.random.split();
         w.play(3);
         for (int i = 0; i < 60; i++) {
@@ -513,7 +513,7 @@
     /** Found on the bench: machines that were returned came back from the lagging list and counted as booting. */
     @Test
     void aReturnedMachineIsNotTakenForABootingOne() {
-        World w = new World(8);
+        SimulatedCluster w = new SimulatedCluster(8);
         SplittableRandom random = w.random.split();
         w.play(3);
         w.submit(job(1, random));
@@ -534,7 +534,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"leader", "follower", "nobody", "all"})
     void tasksOutliveAnOutageInWhichAControllerCrashes(String who) {
-        World w = new World(12);
+        SimulatedCluster w = new SimulatedCluster(12);
         w.play(3);
         SplittableRandom random = w.random.split();
         for (int i = 0; i < 40; i++) {
@@ -547,7 +547,7 @@
         int running = w.starts - w.ended;
         int ended = w.ended;
         assertTrue(running > 3, "too little runs: " + running);
-        World.User cancelled = w.users.values().stream()
+        SimulatedCluster.User cancelled = w.users.values().stream()
                 .filter(u -> w.running(u) > 0)
                 .findFirst()
                 .orElseThrow();
@@ -559,7 +559,7 @@
         assertTrue(cancelled.cancelledAt > 0, "not confirmed");
         w.stateDown = true;
         w.play(1);
-        World.Node leader = w.leader();
+        SimulatedCluster.Node leader = w.leader();
         w.nodes.values().stream()
                 .filter(n -> who.equals("all") || who.equals("leader") && n == leader)
                 .toList()
@@ -587,13 +587,13 @@
 
     @Test
     void aLeaderIsFoundSoonAfterACrash() {
-        World w = new World(5);
+        SimulatedCluster w = new SimulatedCluster(5);
         w.play(10);
-        World.Node first = w.leader();
+        SimulatedCluster.Node first = w.leader();
         assertTrue(first != null, "nobody leads");
         first.crash();
         w.play(5);
-        World.Node second = w.leader();
+        SimulatedCluster.Node second = w.leader();
         assertTrue(second != null && second != first, "nobody else leads after 5 s");
         assertFalse(first.up());
     }
--- a/src/test/java/stileferry/coordination/OptionsTest.java
+++ b/src/test/java/stileferry/coordination/OperatorSettingsTest.java
@@ -13,7 +13,7 @@
 import stileferry.protocol.PeerMessage;
 
 /** The operators' settings: their bounds, and how they are stored. */
-class OptionsTest {
+class OperatorSettingsTest {
     @Test
     void aChangeIsTakenWholeOrNotAtAll() throws InvalidOperatorSettingException {
         OperatorSettings changed = OperatorSettings.defaults()
@@ -47,23 +47,23 @@
     /** Settings reach every controller without a restart, and outlive the loss of all of them. */
     @Test
     void allControllersTakeSettingsUpAndKeepThem() {
-        World w = new World(9);
+        SimulatedCluster w = new SimulatedCluster(9);
         w.play(5);
         ObjectNode body = MessageCodec.map().put("revision", 0);
         body.putObject("change").put("log_level", "debug").put("spare_share", 0.4);
         PeerMessage.Response[] answer = new PeerMessage.Response[1];
-        World.Node any = w.nodes.get("n1");
+        SimulatedCluster.Node any = w.nodes.get("n1");
         any.environment.turn(() -> any.coordinator.handleAdministrationRequest(
                 "POST", "settings", MessageCodec.encode(body), a -> answer[0] = a));
         w.play(2);
         assertEquals(200, answer[0].status());
         w.nodes.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.settings.controllerName()));
-        w.nodes.values().forEach(World.Node::crash);
+        w.nodes.values().forEach(SimulatedCluster.Node::crash);
         w.play(1);
-        w.nodes.values().forEach(World.Node::start);
+        w.nodes.values().forEach(SimulatedCluster.Node::start);
         w.play(12);
         w.nodes.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.settings.controllerName()));
-        World.Node again = w.nodes.get("n2");
+        SimulatedCluster.Node again = w.nodes.get("n2");
         again.environment.turn(() ->
                 again.coordinator.handleAdministrationRequest("GET", "settings", new byte[0], a -> answer[0] = a));
         w.play(1);
--- a/src/test/java/stileferry/coordination/MeetingsTest.java
+++ b/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.RulesTest.array;
-import static stileferry.coordination.RulesTest.restart;
-import static stileferry.coordination.RulesTest.service;
+import static stileferry.coordination.InvariantsUnderFaultsTest.array;
+import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
+import static stileferry.coordination.InvariantsUnderFaultsTest.service;
 
 import java.util.List;
 import java.util.SplittableRandom;
@@ -17,13 +17,13 @@
 import stileferry.standin.Worker;
 
 /** Two troubles at a time, each meeting brought about on purpose; every rule is checked at every step. */
-class MeetingsTest {
+class OverlappingFaultsTest {
     private static final long[] SEEDS =
             LongStream.range(1, 1 + Long.getLong("meetings", 2)).toArray();
 
     /** Eight jobs of long tasks that run. */
-    private static World busy(long seed) {
-        World w = new World(seed);
+    private static SimulatedCluster busy(long seed) {
+        SimulatedCluster w = new SimulatedCluster(seed);
         w.play(3);
         for (int i = 0; i < 6; i++) {
             w.submit(array(i, "any", JobSpec.Priority.NORMAL, 2, 300));
@@ -35,17 +35,17 @@
         return w;
     }
 
-    private static void cancelSome(World w) {
+    private static void cancelSome(SimulatedCluster w) {
         for (int i = 0; i < 5; i++) {
             w.cancel(w.users.get("job-" + i));
         }
     }
 
-    private static long confirmed(World w) {
+    private static long confirmed(SimulatedCluster w) {
         return w.users.values().stream().filter(u -> u.cancelledAt > 0).count();
     }
 
-    private static void outageFrom(World w, double seconds) {
+    private static void outageFrom(SimulatedCluster w, double seconds) {
         w.stateDown = true;
         w.after(Math.round(1000 * seconds), () -> {
             w.stateDown = false;
@@ -53,7 +53,7 @@
         });
     }
 
-    private static void settled(World w) {
+    private static void settled(SimulatedCluster w) {
         w.quietSince = w.now;
         w.play(90);
         assertEquals(List.of(), w.violations);
@@ -78,8 +78,8 @@
         "108,refusedPeers,yes"
     })
     void cancellationsOfAnotherLeaderBeforeALongOutage(long seed, String how, String then) {
-        World w = busy(seed);
-        World.Node old = w.leader();
+        SimulatedCluster w = busy(seed);
+        SimulatedCluster.Node old = w.leader();
         if (how.equals("alone")) {
             w.alone.add(old.settings.controllerName());
         } else {
@@ -87,7 +87,7 @@
             w.peersRefuse = how.equals("refusedPeers");
         }
         w.play(4);
-        World.Node next = w.nodes.values().stream()
+        SimulatedCluster.Node next = w.nodes.values().stream()
                 .filter(n -> n != old && n.coordinator.leads())
                 .findFirst()
                 .orElseThrow();
@@ -119,10 +119,11 @@
     }
 
     /** One-task jobs, four a second, a quarter of them cancelled, some at once. */
-    private static void oneTaskJobs(World w, int from, double seconds) {
+    private static void oneTaskJobs(SimulatedCluster w, int from, double seconds) {
         SplittableRandom random = w.random.split();
         for (int i = 0; i < seconds * 4; i++) {
-            World.User user = w.submit(array(from + i, "any", JobSpec.Priority.NORMAL, 1, 1 + random.nextInt(3)));
+            SimulatedCluster.User user =
+                    w.submit(array(from + i, "any", JobSpec.Priority.NORMAL, 1, 1 + random.nextInt(3)));
             if (i % 4 == 3) {
                 w.after(random.nextLong(3000), () -> w.cancel(user));
             }
@@ -138,7 +139,7 @@
     @ParameterizedTest
     @CsvSource({"201,0.4,0", "202,0.4,0", "203,0.2,0.2", "204,0,0.4", "205,0.5,0"})
     void lateTransactionsUnderOneTaskJobs(long seed, double late, double unanswered) {
-        World w = busy(seed);
+        SimulatedCluster w = busy(seed);
         w.lateWrites = late;
         w.unansweredWrites = unanswered;
         oneTaskJobs(w, 100, 40);
@@ -153,8 +154,8 @@
     }
 
     /** Two teams at their limits and a third one, with services, arrays of a few tasks and jobs bound to one zone. */
-    private static World crowded(long seed) {
-        World w = new World(seed);
+    private static SimulatedCluster crowded(long seed) {
+        SimulatedCluster w = new SimulatedCluster(seed);
         w.play(3);
         for (int i = 0; i < 24; i++) {
             String team = i % 3 == 0 ? "red" : i % 3 == 1 ? "blue" : "free";
@@ -187,18 +188,18 @@
         return w;
     }
 
-    private static World.Node node(World w, int i) {
+    private static SimulatedCluster.Node node(SimulatedCluster w, int i) {
         return w.nodes.get("n" + i);
     }
 
     /** Breaks off what a leader does, if there is one, and starts it again. */
-    private static void leaderEnds(World w, long afterMs) {
+    private static void leaderEnds(SimulatedCluster w, long afterMs) {
         if (w.leader() != null) {
             restart(w, w.leader(), afterMs);
         }
     }
 
-    private static void cancelSomeOf(World w, int every) {
+    private static void cancelSomeOf(SimulatedCluster w, int every) {
         w.users.values().stream()
                 .filter(u -> u.accepted && u.end == null && w.running(u) > 0)
                 .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % every == 0)
@@ -207,20 +208,20 @@
     }
 
     /** Machines with tasks of some of the jobs, as addresses. */
-    private static List<String> machines(World w, int share) {
+    private static List<String> machines(SimulatedCluster w, int share) {
         return w.cloud.runningMachines().stream()
                 .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % share == 0)
                 .map(m -> "w-" + m + ":1")
                 .toList();
     }
 
-    private static void more(World w, int from, int jobs) {
+    private static void more(SimulatedCluster w, int from, int jobs) {
         for (int i = from; i < from + jobs; i++) {
             w.submit(array(i, "any", JobSpec.Priority.NORMAL, 1 + i % 3, 3 + i % 9));
         }
     }
 
-    private static void bringAbout(World w, String meeting) {
+    private static void bringAbout(SimulatedCluster w, String meeting) {
         SplittableRandom random = w.random.split();
         switch (meeting) {
             case "limitsWhileMachinesCantBeAsked" -> {
@@ -249,7 +250,7 @@
                 }
             }
             case "cancelledAsTheLeaderIsRefused" -> {
-                World.Node leader = w.leader();
+                SimulatedCluster.Node leader = w.leader();
                 w.after(random.nextLong(40), () -> w.refused.add(leader.settings.controllerName()));
                 cancelSomeOf(w, 2);
                 w.play(1);
@@ -332,12 +333,12 @@
                     leaderEnds(w, 100);
                     cancelSomeOf(w, 4);
                     w.play(0.3);
-                    w.nodes.values().forEach(World.Node::crash);
+                    w.nodes.values().forEach(SimulatedCluster.Node::crash);
                     int one = i % 3;
                     w.after(150, () -> node(w, one).start());
                     w.after(
                             2500,
-                            () -> w.nodes.values().stream().filter(n -> !n.up()).forEach(World.Node::start));
+                            () -> w.nodes.values().stream().filter(n -> !n.up()).forEach(SimulatedCluster.Node::start));
                     w.play(6);
                 }
             }
@@ -374,7 +375,7 @@
             case "questionsMeetTheLastTask" -> {
                 w.closeLooks = true;
                 for (int i = 100; i < 160; i++) {
-                    World.User user = w.submit(array(i, "any", JobSpec.Priority.NORMAL, 1, 2));
+                    SimulatedCluster.User user = w.submit(array(i, "any", JobSpec.Priority.NORMAL, 1, 2));
                     if (i % 2 == 0) { // it runs 2 s from when it has its image
                         w.after(2500 + random.nextLong(800), () -> w.cancel(user));
                     }
@@ -431,7 +432,7 @@
             })
     void noRuleIsBrokenWhereTroublesMeet(String meeting) {
         for (long seed : SEEDS) {
-            World w = crowded(seed);
+            SimulatedCluster w = crowded(seed);
             int before = w.starts;
             bringAbout(w, meeting);
             assertEquals(List.of(), w.violations, "seed " + seed);
@@ -447,7 +448,7 @@
             w.play(150);
             assertEquals(List.of(), w.violations, "seed " + seed);
             assertTrue(w.starts > before, "nothing happened");
-            for (World.User user : w.users.values()) {
+            for (SimulatedCluster.User user : w.users.values()) {
                 assertTrue(
                         !user.accepted
                                 || user.end != null
@@ -460,13 +461,13 @@
     /** The checks must be able to fail: a worker that minds neither its lease nor commands keeps a cancelled task. */
     @Test
     void aTaskThatOutlivesItsCancellationIsNoticed() {
-        World w = busy(301);
-        World.User user = w.users.get("job-0");
+        SimulatedCluster w = busy(301);
+        SimulatedCluster.User user = w.users.get("job-0");
         w.workers.values().forEach(Worker::ignoreLease);
         w.cutZone("za", 60_000); // single machines would be given up by their deletion
         w.cutZone("zb", 60_000);
         w.cancel(user);
-        w.play(World.CANCEL_S - 1);
+        w.play(SimulatedCluster.CANCEL_S - 1);
         assertEquals(List.of(), w.violations);
         w.play(3);
         assertTrue(w.violations.stream().anyMatch(v -> v.startsWith("ran_cancelled")), "nobody noticed");
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.RulesTest.array;
-import static stileferry.coordination.RulesTest.service;
+import static stileferry.coordination.InvariantsUnderFaultsTest.array;
+import static stileferry.coordination.InvariantsUnderFaultsTest.service;
 import static stileferry.coordination.SimulatedNetwork.WORKERS;
 
 import java.util.List;
@@ -27,8 +27,8 @@
     private static final double BOUND_REST_S = 20;
 
     /** Services and long arrays run, and somebody leads. */
-    static World busy(long seed, Features features) {
-        World w = new World(seed);
+    static SimulatedCluster busy(long seed, Features features) {
+        SimulatedCluster w = new SimulatedCluster(seed);
         w.features = features;
         w.play(3);
         for (int i = 0; i < 4; i++) {
@@ -41,25 +41,25 @@
         return w;
     }
 
-    private static long term(World w) {
+    private static long term(SimulatedCluster w) {
         return w.state.value("a/term").path("term").asLong();
     }
 
-    static String name(World.Node node) {
+    static String name(SimulatedCluster.Node node) {
         return node.settings.controllerName();
     }
 
-    static List<World.Node> others(World w, World.Node node) {
+    static List<SimulatedCluster.Node> others(SimulatedCluster w, SimulatedCluster.Node node) {
         return w.nodes.values().stream().filter(n -> n != node).toList();
     }
 
     /** After the troubles everything that was asked for runs or is done, and no rule was broken. */
-    static void mended(World w) {
+    static void mended(SimulatedCluster w) {
         w.network.restoreAll();
         w.quietSince = w.now;
         w.play(90);
         assertEquals(List.of(), w.violations);
-        for (World.User user : w.users.values()) {
+        for (SimulatedCluster.User user : w.users.values()) {
             if (user.accepted && user.end == null) {
                 assertEquals(
                         user.spec.taskCount() - user.tasksDone.size(), w.running(user), user.spec.id() + " runs whole");
@@ -67,7 +67,7 @@
         }
     }
 
-    private static int endedDuring(World w, double seconds) {
+    private static int endedDuring(SimulatedCluster w, double seconds) {
         int before = w.ended;
         w.play(seconds);
         assertEquals(List.of(), w.violations);
@@ -75,8 +75,8 @@
     }
 
     /** How long it takes until a new job runs, in seconds, at most so many. */
-    static double secondsToRun(World w, int number, double most) {
-        World.User user = w.submit(service(number, 1, 1));
+    static double secondsToRun(SimulatedCluster w, int number, double most) {
+        SimulatedCluster.User user = w.submit(service(number, 1, 1));
         long from = w.now;
         while (user.startedAt == 0 && w.now - from < most * 1000 && w.violations.isEmpty()) {
             w.play(0.1);
@@ -88,9 +88,9 @@
     @ParameterizedTest
     @EnumSource(Mode.class)
     void theLeaderLosesTheStateServiceButKeepsWorkersAndPeers(Mode mode) {
-        World w = busy(501, ON);
-        World.Node old = w.leader();
-        w.network.blockBoth(name(old), World.STATE, mode);
+        SimulatedCluster w = busy(501, ON);
+        SimulatedCluster.Node old = w.leader();
+        w.network.blockBoth(name(old), SimulatedCluster.STATE, mode);
         assertEquals(0, endedDuring(w, 15), "no task is lost");
         if (mode != Mode.SLOW) {
             assertTrue(w.leader() != null && w.leader() != old, "another controller leads");
@@ -105,8 +105,8 @@
             value = Mode.class,
             names = {"LOST", "REFUSED"})
     void theLeaderKeepsTheStateServiceButReachesNoWorker(Mode mode) {
-        World w = busy(502, ON);
-        World.Node old = w.leader();
+        SimulatedCluster w = busy(502, ON);
+        SimulatedCluster.Node old = w.leader();
         w.network.blockBoth(name(old), WORKERS, mode);
         assertEquals(0, endedDuring(w, 30), "no task is lost");
         assertNotEquals(old, w.leader(), "the leadership went to a controller that reaches the workers");
@@ -118,8 +118,8 @@
     /** Before, every lease lapsed and nobody else could lead, as the leader key was renewed all the while. */
     @Test
     void aLeaderThatReachesTheStateServiceAloneReleasesTheLeadership() {
-        World w = busy(503, ON);
-        World.Node old = w.leader();
+        SimulatedCluster w = busy(503, ON);
+        SimulatedCluster.Node old = w.leader();
         w.network.blockBoth(name(old), WORKERS, Mode.LOST);
         others(w, old).forEach(n -> w.network.blockBoth(name(old), name(n), Mode.LOST));
         w.play(25);
@@ -132,10 +132,10 @@
 
     @Test
     void theLeaderReachesHalfTheWorkersAndAPeerTheOtherHalf() {
-        World w = busy(504, ON);
-        World.Node old = w.leader();
-        World.Node peer = others(w, old).get(0);
-        World.Node third = others(w, old).get(1);
+        SimulatedCluster w = busy(504, ON);
+        SimulatedCluster.Node old = w.leader();
+        SimulatedCluster.Node peer = others(w, old).get(0);
+        SimulatedCluster.Node third = others(w, old).get(1);
         int i = 0;
         for (String addr : List.copyOf(w.workers.keySet())) {
             w.network.blockBoth(i % 2 == 1 ? name(old) : name(peer), addr, Mode.REFUSED);
@@ -150,8 +150,8 @@
 
     @Test
     void theLeaderHearsReportsWhileItsAnswersAndCommandsAreLost() {
-        World w = busy(505, ON);
-        World.Node old = w.leader();
+        SimulatedCluster w = busy(505, ON);
+        SimulatedCluster.Node old = w.leader();
         w.network.block(name(old), WORKERS, Mode.LOST);
         w.play(40);
         assertEquals(List.of(), w.violations);
@@ -162,8 +162,8 @@
 
     @Test
     void theLeaderHearsNoReportsWhileItsCommandsArrive() {
-        World w = busy(506, ON);
-        World.Node old = w.leader();
+        SimulatedCluster w = busy(506, ON);
+        SimulatedCluster.Node old = w.leader();
         w.network.block(WORKERS, name(old), Mode.REFUSED);
         assertEquals(0, endedDuring(w, 80), "no task is lost");
         assertNotEquals(old, w.leader());
@@ -174,15 +174,15 @@
     @ParameterizedTest
     @EnumSource(Mode.class)
     void controllersCutFromOneAnotherAloneElectNobodyAndGoOn(Mode mode) {
-        World w = busy(507, ON);
-        World.Node old = w.leader();
-        for (World.Node node : w.nodes.values()) {
+        SimulatedCluster w = busy(507, ON);
+        SimulatedCluster.Node old = w.leader();
+        for (SimulatedCluster.Node node : w.nodes.values()) {
             others(w, node).forEach(b -> w.network.block(name(node), name(b), mode));
         }
         assertEquals(0, endedDuring(w, 60), "no task is lost");
         assertEquals(old, w.leader());
         assertEquals(1, term(w), "no election");
-        World.User user = w.submit(service(60, 1, 1));
+        SimulatedCluster.User user = w.submit(service(60, 1, 1));
         w.play(25);
         assertTrue(user.startedAt > 0, "no start is withheld");
         mended(w);
@@ -191,11 +191,11 @@
     /** What a follower can't pass on to the leader is answered at once, when that is known. */
     @Test
     void usersOfAFollowerThatCannotReachTheLeaderHearSoAtOnce() {
-        World w = busy(508, ON);
-        World.Node leader = w.leader();
+        SimulatedCluster w = busy(508, ON);
+        SimulatedCluster.Node leader = w.leader();
         others(w, leader).forEach(n -> w.network.block(name(n), name(leader), Mode.LOST));
         w.play(8);
-        World.Node follower = others(w, leader).get(0);
+        SimulatedCluster.Node follower = others(w, leader).get(0);
         long asked = w.now;
         long[] took = {-1};
         follower.environment.turn(() ->
@@ -231,8 +231,8 @@
         "10,state+peers"
     })
     void aCutThatComesAndGoes(int periodS, String links) {
-        World w = busy(510 + periodS, ON);
-        World.Node old = w.leader();
+        SimulatedCluster w = busy(510 + periodS, ON);
+        SimulatedCluster.Node old = w.leader();
         long before = term(w);
         double seconds = 80;
         int done = 0;
@@ -254,18 +254,18 @@
                 : 3 * (BOUND_AT_ONCE + seconds / BOUND_REST_S);
         assertTrue(changes <= bound, changes + " changes of leadership, bound " + bound);
         mended(w);
-        for (World.User user : w.users.values()) {
+        for (SimulatedCluster.User user : w.users.values()) {
             assertTrue(
                     user.spec.estimateS() > 1 || user.spec.service() || "done".equals(user.end),
                     user.spec.id() + " is done");
         }
     }
 
-    private static void cut(World w, World.Node node, String links) {
+    private static void cut(SimulatedCluster w, SimulatedCluster.Node node, String links) {
         for (String link : links.split("\\+")) {
             switch (link) {
                 case "workers" -> w.network.blockBoth(name(node), WORKERS, Mode.LOST);
-                case "state" -> w.network.blockBoth(name(node), World.STATE, Mode.LOST);
+                case "state" -> w.network.blockBoth(name(node), SimulatedCluster.STATE, Mode.LOST);
                 default -> others(w, node).forEach(n -> w.network.blockBoth(name(node), name(n), Mode.LOST));
             }
         }
@@ -273,12 +273,12 @@
 
     @Test
     void threeControllersEachWithAnotherBrokenLink() {
-        World w = busy(530, ON);
-        World.Node leader = w.leader();
-        World.Node second = others(w, leader).get(0);
-        World.Node third = others(w, leader).get(1);
+        SimulatedCluster w = busy(530, ON);
+        SimulatedCluster.Node leader = w.leader();
+        SimulatedCluster.Node second = others(w, leader).get(0);
+        SimulatedCluster.Node third = others(w, leader).get(1);
         w.network.blockBoth(name(leader), WORKERS, Mode.LOST);
-        w.network.blockBoth(name(second), World.STATE, Mode.LOST);
+        w.network.blockBoth(name(second), SimulatedCluster.STATE, Mode.LOST);
         w.network.blockBoth(name(third), name(second), Mode.LOST);
         assertEquals(0, endedDuring(w, 40), "no task is lost");
         assertEquals(third, w.leader(), "the only one with the state service and the workers");
@@ -289,13 +289,13 @@
     /** If every controller is poor, the best one still serves. */
     @Test
     void noControllerReachesAnyWorker() {
-        World w = busy(531, ON);
-        World.Node leader = w.leader();
+        SimulatedCluster w = busy(531, ON);
+        SimulatedCluster.Node leader = w.leader();
         w.nodes.values().forEach(n -> w.network.blockBoth(name(n), WORKERS, Mode.LOST));
         w.play(60);
         assertEquals(List.of(), w.violations);
         assertEquals(leader, w.leader(), "nobody is better");
-        World.User user = w.submit(array(70, "any", JobSpec.Priority.NORMAL, 1, 1));
+        SimulatedCluster.User user = w.submit(array(70, "any", JobSpec.Priority.NORMAL, 1, 1));
         w.play(5);
         assertTrue(user.accepted, "users are served");
         mended(w);
@@ -308,8 +308,8 @@
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void aWorkerSilentToOneControllerOnlyIsNotGivenUp(boolean on) {
-        World w = busy(570, on ? ON : Features.NONE);
-        World.Node leader = w.leader();
+        SimulatedCluster w = busy(570, on ? ON : Features.NONE);
+        SimulatedCluster.Node leader = w.leader();
         String machine = w.machineInUse();
         String addr = "w-" + machine + ":1";
         w.network.blockBoth(name(leader), addr, Mode.LOST);
@@ -323,9 +323,9 @@
     /** Views and reports that come over a lease late are old news, whatever they say. */
     @Test
     void lateCopiesOfReportsChangeNothing() {
-        World w = busy(580, ON);
+        SimulatedCluster w = busy(580, ON);
         w.lateCopies = 0.5;
-        World.Node leader = w.leader();
+        SimulatedCluster.Node leader = w.leader();
         assertEquals(0, endedDuring(w, 60), "no task is lost");
         assertEquals(leader, w.leader());
         assertEquals(1, term(w));
--- a/src/test/java/stileferry/coordination/UpgradeTest.java
+++ b/src/test/java/stileferry/coordination/RollingUpgradeTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.RulesTest.array;
-import static stileferry.coordination.RulesTest.restart;
-import static stileferry.coordination.RulesTest.service;
+import static stileferry.coordination.InvariantsUnderFaultsTest.array;
+import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
+import static stileferry.coordination.InvariantsUnderFaultsTest.service;
 
 import java.util.List;
 import java.util.Set;
@@ -18,12 +18,12 @@
  * Controllers are replaced one by one, and back again, while they serve. The older ones are this version's code with
  * the records of the first one, which is where the forms differ; the stored forms are the same.
  */
-class UpgradeTest {
+class RollingUpgradeTest {
     private static final int LOWER_OPERATIONS = 4;
     private static final double LOWER_VALUE_KB = 2;
 
-    private static World servedByTheFormerVersion(long seed) {
-        World w = new World(seed);
+    private static SimulatedCluster servedByTheFormerVersion(long seed) {
+        SimulatedCluster w = new SimulatedCluster(seed);
         w.formerForm.addAll(w.nodes.keySet());
         w.play(3);
         w.submit(service(1, 2, 2));
@@ -60,7 +60,7 @@
     }
 
     /** Ends a controller's process; the next one is of the other version. */
-    private static void replace(World w, World.Node node, long afterMs) {
+    private static void replace(SimulatedCluster w, SimulatedCluster.Node node, long afterMs) {
         String name = node.settings.controllerName();
         if (node.up()) {
             node.crash();
@@ -73,14 +73,14 @@
         }
     }
 
-    private static void workAndCancellations(World w, int from, SplittableRandom random) {
+    private static void workAndCancellations(SimulatedCluster w, int from, SplittableRandom random) {
         w.submit(gang(from, 2 + random.nextInt(4), 2 + random.nextInt(8)));
         w.submit(array(from + 1, "any", JobSpec.Priority.NORMAL, 1 + random.nextInt(20), 3));
-        World.User cancelled = w.submit(gang(from + 2, 3, 60));
+        SimulatedCluster.User cancelled = w.submit(gang(from + 2, 3, 60));
         w.after(random.nextLong(8000), () -> w.cancel(cancelled));
     }
 
-    private static void finishAll(World w) {
+    private static void finishAll(SimulatedCluster w) {
         w.quietSince = w.now;
         w.play(60);
         w.users.values().stream().filter(u -> u.spec.service()).toList().forEach(w::cancel);
@@ -98,13 +98,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void bothVersionsTakeTurnsAtLeading(long seed) {
-        World w = servedByTheFormerVersion(seed);
+        SimulatedCluster w = servedByTheFormerVersion(seed);
         SplittableRandom random = w.random.split();
         Set<String> ledBy = new TreeSet<>();
-        List<World.Node> nodes = List.copyOf(w.nodes.values());
+        List<SimulatedCluster.Node> nodes = List.copyOf(w.nodes.values());
         for (int step = 0; step < 12; step++) {
             workAndCancellations(w, 100 + 10 * step, random);
-            World.Node leader = w.leader();
+            SimulatedCluster.Node leader = w.leader();
             if (leader != null) {
                 ledBy.add(w.formerForm.contains(leader.settings.controllerName()) ? "former" : "this");
             }
@@ -123,11 +123,11 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 3, 6, 10, 14, 20})
     void theLimitsAreLoweredDuringOrAfterTheRoll(int afterS) {
-        World w = servedByTheFormerVersion(20 + afterS);
+        SimulatedCluster w = servedByTheFormerVersion(20 + afterS);
         SplittableRandom random = w.random.split();
         w.after(1000L * afterS, () -> w.state.setLimits(LOWER_OPERATIONS, LOWER_VALUE_KB));
         int step = 0;
-        for (World.Node node : w.nodes.values()) {
+        for (SimulatedCluster.Node node : w.nodes.values()) {
             workAndCancellations(w, 100 + 10 * step++, random);
             replace(w, node, 1500);
             w.play(5);
--- a/src/test/java/stileferry/coordination/World.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -30,7 +30,7 @@
  * A simulated world around real coordinators: one clock, seeded chance, stand-ins for all outside systems, and the
  * rules checked whenever something happens that could break one.
  */
-public final class World {
+public final class SimulatedCluster {
     static final String STATE = "10.9.0.1:1";
     public static final String CLOUD = "10.9.0.2:1";
     static final double CANCEL_S = 20;
@@ -55,7 +55,7 @@
     public final KeyValueStore state = new KeyValueStore(12, 8);
     public final Cloud cloud;
     final GangSimulation gangs = new GangSimulation(8, 3);
-    private final StoredClaims stored = new StoredClaims(state, id -> users.get(id).spec);
+    private final StoredAssignments stored = new StoredAssignments(state, id -> users.get(id).spec);
     public long now = 1_000_000;
     boolean stateDown;
     double lostAnswers;
@@ -206,17 +206,17 @@
         }
     }
 
-    public World(long seed) {
+    public SimulatedCluster(long seed) {
         this(seed, 5, REPORT_S, 40);
     }
 
     /** A world with so many machines of each kind in each of two zones, and a limit for the team that has one. */
-    public World(long seed, int machines, double reportS, double redMax) {
+    public SimulatedCluster(long seed, int machines, double reportS, double redMax) {
         this(seed, machines, reportS, redMax, WRITES_PER_S);
     }
 
     /** A world whose state service takes so many changes a second. */
-    World(long seed, int machines, double reportS, double redMax, double writesPerS) {
+    SimulatedCluster(long seed, int machines, double reportS, double redMax, double writesPerS) {
         random = new SplittableRandom(seed);
         reportMs = Math.round(reportS * 1000);
         leaseMs = 5 * reportMs;
@@ -409,10 +409,10 @@
         /** Carries a command out; a slow owner is busy for a while with each, and the next ones wait. */
         void turn(Runnable command) {
             long takes = turnMs.getOrDefault(node.settings.controllerName(), 0L);
-            long wait = Math.max(0, busyUntil - World.this.now);
-            busyUntil = World.this.now + wait + takes;
+            long wait = Math.max(0, busyUntil - SimulatedCluster.this.now);
+            busyUntil = SimulatedCluster.this.now + wait + takes;
             if (wait > 0) {
-                World.this.after(wait, () -> carryOut(command));
+                SimulatedCluster.this.after(wait, () -> carryOut(command));
             } else {
                 carryOut(command);
             }
@@ -420,7 +420,7 @@
 
         /** The process stands still; what reaches it waits. */
         void freeze(long ms) {
-            frozenUntil = World.this.now + ms;
+            frozenUntil = SimulatedCluster.this.now + ms;
             busyUntil = Math.max(busyUntil, frozenUntil);
         }
 
@@ -453,7 +453,7 @@
 
         @Override
         public void schedule(long delayMs, Runnable task) {
-            World.this.after(delayMs, () -> turn(task));
+            SimulatedCluster.this.after(delayMs, () -> turn(task));
         }
 
         @Override
@@ -475,7 +475,7 @@
                             if (!open && (stateDown || refused.contains(me))) {
                                 r.onResponse(503, null);
                             } else if (commit && random.nextDouble() < lateWrites) {
-                                World.this.after(2000 + random.nextLong(10_000), () -> {
+                                SimulatedCluster.this.after(2000 + random.nextLong(10_000), () -> {
                                     if (!stateDown) {
                                         state.request(method, path, copy, (status, body1) -> {});
                                     }
@@ -483,19 +483,20 @@
                             } else if (commit && random.nextDouble() < unansweredWrites) {
                                 state.request(method, path, copy, (status, body1) -> {});
                             } else if (commit && slowWritesMs > 0) {
-                                World.this.after(random.nextLong(slowWritesMs), () -> carryOut(method, path, copy, r));
+                                SimulatedCluster.this.after(
+                                        random.nextLong(slowWritesMs), () -> carryOut(method, path, copy, r));
                             } else {
                                 carryOut(method, path, copy, r);
                             }
                         },
                         mine);
             } else if (addr.equals(CLOUD) && cloudCalls != null && path.startsWith("/hosts?")) {
-                World.this.after(5, () -> mine.onResponse(200, cloudCalls.apply(path)));
+                SimulatedCluster.this.after(5, () -> mine.onResponse(200, cloudCalls.apply(path)));
             } else if (addr.equals(CLOUD)) {
                 network.exchange(me, CLOUD, timeoutMs, true, r -> cloud.request(method, path, copy, r), mine);
             } else if (hangingCalls != null) {
                 hangingCalls.accept(timeoutMs);
-                World.this.after(timeoutMs, () -> mine.onResponse(NO_ANSWER, null));
+                SimulatedCluster.this.after(timeoutMs, () -> mine.onResponse(NO_ANSWER, null));
             } else {
                 Worker w = workers.get(addr);
                 if (copy != null) {
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -15,7 +15,7 @@
 
     private static final long SLOW_MS = 2500;
 
-    private final World world;
+    private final SimulatedCluster world;
 
     /** Hosts that can't reach others, or be reached, until the time given; packets in between come late. */
     private final Map<String, Long> cutUntil = new HashMap<>();
@@ -54,7 +54,7 @@
         }
     }
 
-    SimulatedNetwork(World world) {
+    SimulatedNetwork(SimulatedCluster world) {
         this.world = world;
     }
 
@@ -103,15 +103,17 @@
         }
         long held = Math.max(0, heldUntil(from, to) - world.now);
         long late = slow.containsKey(to) ? world.random.nextLong(slow.get(to)) : 0;
-        late += from.equals(World.STATE) && world.slowStoreMs > 0 ? world.random.nextLong(world.slowStoreMs) : 0;
+        late += from.equals(SimulatedCluster.STATE) && world.slowStoreMs > 0
+                ? world.random.nextLong(world.slowStoreMs)
+                : 0;
         late += broken(from, to, Mode.SLOW) ? world.random.nextLong(SLOW_MS) : 0;
         world.after(held + late + 1 + world.random.nextLong(6), task);
     }
 
     private boolean cutOff(String from, String to) {
         boolean inside = world.nodes.containsKey(from) && world.nodes.containsKey(to)
-                || from.equals(World.STATE)
-                || to.equals(World.STATE);
+                || from.equals(SimulatedCluster.STATE)
+                || to.equals(SimulatedCluster.STATE);
         return inside && (alone.contains(from) || alone.contains(to));
     }
 
--- a/src/test/java/stileferry/coordination/StoredClaims.java
+++ b/src/test/java/stileferry/coordination/StoredAssignments.java
@@ -9,14 +9,14 @@
 import stileferry.standin.KeyValueStore;
 
 /** Checks that the claims of all tasks of a gang are stored before any of them is started. */
-final class StoredClaims {
+final class StoredAssignments {
     private static final int CLAIMED = 0;
 
     private final KeyValueStore state;
     private final Function<String, JobSpec> specs;
     private final Set<String> checked = new HashSet<>();
 
-    StoredClaims(KeyValueStore state, Function<String, JobSpec> specs) {
+    StoredAssignments(KeyValueStore state, Function<String, JobSpec> specs) {
         this.state = state;
         this.specs = specs;
     }
--- a/src/test/java/stileferry/coordination/SilenceTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.RulesTest.array;
-import static stileferry.coordination.RulesTest.restart;
-import static stileferry.coordination.RulesTest.service;
+import static stileferry.coordination.InvariantsUnderFaultsTest.array;
+import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
+import static stileferry.coordination.InvariantsUnderFaultsTest.service;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,14 +15,14 @@
 import stileferry.standin.Worker;
 
 /** Machines and controllers that are silent, hear nothing or are cut off. */
-class SilenceTest {
+class UnreachableMachinesTest {
     /**
      * Reports arrive, but answers and commands do not: no more work there, its services elsewhere, then it is
      * returned.
      */
     @Test
     void aMachineThatHearsNothingGetsNoWork() {
-        World w = new World(31);
+        SimulatedCluster w = new SimulatedCluster(31);
         w.play(3);
         for (int i = 0; i < 6; i++) {
             w.submit(service(i, 2, 3));
@@ -30,7 +30,7 @@
         w.play(25);
         String machine = w.machineInUse();
         Worker deaf = w.workers.get("w-" + machine + ":1");
-        List<World.User> there = w.users.values().stream()
+        List<SimulatedCluster.User> there = w.users.values().stream()
                 .filter(u -> w.machinesOf(u).contains(machine))
                 .toList();
         assertFalse(there.isEmpty());
@@ -41,7 +41,7 @@
             w.submit(service(i, 1, 1));
         }
         w.play(20);
-        for (World.User user : w.users.values()) {
+        for (SimulatedCluster.User user : w.users.values()) {
             assertFalse(w.machinesOf(user).contains(machine), user.spec.id() + " is on a machine that hears nothing");
             assertTrue(user.wantsCancel || !w.machinesOf(user).isEmpty(), user.spec.id() + " runs nowhere");
         }
@@ -53,17 +53,17 @@
     /** A copy of a report is no sign of life: the machine it tells of may be gone, and a new leader can't know that. */
     @Test
     void lateCopiesMakeNoDeadMachineLookFit() {
-        World w = new World(32);
+        SimulatedCluster w = new SimulatedCluster(32);
         w.play(3);
         w.submit(service(1, 2, 3));
         w.play(20);
         String machine = w.machineInUse();
         var report = w.workers.get("w-" + machine + ":1").heartbeat();
-        World.Node first = w.leader();
+        SimulatedCluster.Node first = w.leader();
         w.cloud.reclaim(machine);
         first.crash();
         w.play(6);
-        World.Node second = w.leader();
+        SimulatedCluster.Node second = w.leader();
         assertTrue(second != null && second != first);
         for (int i = 0; i < 30; i++) {
             w.copy(report, second);
@@ -77,11 +77,11 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aControllerWithItsWorkersOnlyHandsThemOver(boolean leader) {
-        World w = new World(33);
+        SimulatedCluster w = new SimulatedCluster(33);
         w.play(3);
         w.submit(service(1, 3, 3));
         w.play(25);
-        World.Node node = w.nodes.values().stream()
+        SimulatedCluster.Node node = w.nodes.values().stream()
                 .filter(n -> n.coordinator.leads() == leader)
                 .findFirst()
                 .orElseThrow();
@@ -90,7 +90,7 @@
         w.play(60); // six leases
         assertEquals(ended, w.ended, "no task was lost");
         assertFalse(node.coordinator.leads(), "it learns from its workers that another leads");
-        World.Node other = w.leader();
+        SimulatedCluster.Node other = w.leader();
         assertTrue(other != null && other != node);
         w.submit(array(2, "any", JobSpec.Priority.NORMAL, 6, 3));
         w.play(40);
@@ -101,7 +101,7 @@
     /** Found on the bench: tasks of spot machines taken without a word waited for a whole lease. */
     @Test
     void aSpotMachineTakenWithoutAWordIsGivenUpBeforeItsLease() {
-        World w = new World(37);
+        SimulatedCluster w = new SimulatedCluster(37);
         w.play(3);
         w.submit(array(1, "any", JobSpec.Priority.NORMAL, 12, 200));
         w.play(25);
@@ -123,7 +123,7 @@
      */
     @Test
     void anOrdinaryMachineThatDiesIsGivenUpBeforeItsLease() {
-        World w = new World(42, 5, 6, 40);
+        SimulatedCluster w = new SimulatedCluster(42, 5, 6, 40);
         w.play(3);
         w.submit(service(1, 8, 2));
         w.play(50);
@@ -138,7 +138,7 @@
     /** Found on a day with a partition: machines on the detour by way of other controllers were given up. */
     @Test
     void aShortCutCostsNobodyAMachine() {
-        World w = new World(38);
+        SimulatedCluster w = new SimulatedCluster(38);
         w.play(3);
         w.submit(array(1, "any", JobSpec.Priority.NORMAL, 12, 200));
         w.play(25);
@@ -156,7 +156,7 @@
      */
     @Test
     void aCrashDuringACutDoesNotBeginTheLeasesAnew() {
-        World w = new World(39);
+        SimulatedCluster w = new SimulatedCluster(39);
         w.play(3);
         for (int i = 0; i < 4; i++) {
             w.submit(service(i, 2, 2));
@@ -166,7 +166,7 @@
         String zone = w.zoneOf(w.machineInUse());
         w.cutZone(zone, 30_000);
         w.play(5);
-        World.Node first = w.leader();
+        SimulatedCluster.Node first = w.leader();
         restart(w, first, 5000);
         w.play(13); // the lease is 10 s and counts from the last report that was answered; then a machine has to boot
         assertTrue(w.leader() != first);
@@ -182,7 +182,7 @@
      */
     @Test
     void aNewLeaderLeavesTheMachinesOfACutZoneAlone() {
-        World w = new World(41, 9, 2, 40);
+        SimulatedCluster w = new SimulatedCluster(41, 9, 2, 40);
         w.play(3);
         for (int i = 0; i < 14; i++) {
             w.submit(service(i, 2, 2));
@@ -199,7 +199,7 @@
         w.play(10);
         w.submit(array(20, "any", JobSpec.Priority.IDLE, 30, 60));
         w.play(8);
-        for (World.User user : w.users.values()) {
+        for (SimulatedCluster.User user : w.users.values()) {
             assertTrue(!user.spec.service() || !w.machinesOf(user).isEmpty(), "services of the zone run elsewhere");
         }
         assertTrue(w.cloud.runningMachines().containsAll(machines), "they are there when the cut ends");
@@ -216,7 +216,7 @@
     /** What makes the test above hold must not outlive its truth: after a silence that has ended, leases begin anew. */
     @Test
     void aSilenceThatEndedIsNoProofForTheNextLeader() {
-        World w = new World(40, 9, 2, 40);
+        SimulatedCluster w = new SimulatedCluster(40, 9, 2, 40);
         w.play(3);
         for (int i = 0; i < 14; i++) {
             w.submit(service(i, 2, 2));
@@ -241,7 +241,7 @@
      */
     @Test
     void aNewSessionHasALeaseOfItsOwn() {
-        World w = new World(43, 9, 2, 40);
+        SimulatedCluster w = new SimulatedCluster(43, 9, 2, 40);
         w.play(3);
         for (int i = 0; i < 14; i++) {
             w.submit(service(i, 2, 2));
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.TestJob;
-import stileferry.coordination.World;
+import stileferry.coordination.SimulatedCluster;
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.protocol.JobSpec;
@@ -25,7 +25,7 @@
             machine.setAddress(
                     "10.0.0.1:" + machine.name().substring(machine.name().length() - 4));
         });
-        World world = new World(1);
+        SimulatedCluster world = new SimulatedCluster(1);
         int[] open = new int[1];
         int[] most = new int[1];
         int[] asked = new int[1];
@@ -34,7 +34,7 @@
             most[0] = Math.max(most[0], ++open[0]);
             world.after(timeoutMs, () -> open[0]--);
         };
-        World.Node node = world.nodes.get("n0");
+        SimulatedCluster.Node node = world.nodes.get("n0");
         node.start();
         HeartbeatHandler heartbeatHandler = new HeartbeatHandler(
                 cluster, node.environment, null, 1, null, null, new EventLoopLag(node.environment, 1));
@@ -63,8 +63,8 @@
     }
 
     /** Checks of each accepted service how many of its tasks run, given as the first number, of how many. */
-    private static void assertServicesRun(World world, BiPredicate<Long, Integer> enough, String when) {
-        for (World.User user : world.users.values()) {
+    private static void assertServicesRun(SimulatedCluster world, BiPredicate<Long, Integer> enough, String when) {
+        for (SimulatedCluster.User user : world.users.values()) {
             assertTrue(
                     !user.spec.service() || !user.accepted || enough.test(world.running(user), user.spec.taskCount()),
                     user.spec.id() + " has " + world.running(user) + when);
@@ -77,7 +77,7 @@
      */
     @Test
     void aLargeZoneThatIsCutOffStaysWithinTheRates() {
-        World world = new World(7, 525, 6, 0);
+        SimulatedCluster world = new SimulatedCluster(7, 525, 6, 0);
         SplittableRandom random = world.random.split();
         world.play(3);
         int jobs = 0;
@@ -91,7 +91,7 @@
         long changesBefore = world.state.writtenKeys();
         world.cutZone("za", 45_000);
         world.play(12);
-        World.Node leader = world.leader();
+        SimulatedCluster.Node leader = world.leader();
         leader.crash();
         world.after(5000, leader::start);
         world.play(31);
@@ -112,7 +112,7 @@
     /** A day at the grown size: rules, and how much is asked of the state service for thousands of starts and ends. */
     @Test
     void aGrownClusterStaysWithinTheRates() {
-        World world = new World(5, 363, 6, 0);
+        SimulatedCluster world = new SimulatedCluster(5, 363, 6, 0);
         SplittableRandom random = world.random.split();
         world.play(3);
         int jobs = 0;
@@ -129,7 +129,7 @@
             }
             world.play(1);
         }
-        World.Node leader = world.leader();
+        SimulatedCluster.Node leader = world.leader();
         leader.crash();
         world.after(5000, leader::start);
         world.quietSince = world.now;
