--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -10,7 +10,9 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
+import stileferry.coordination.ControllerNode;
 import stileferry.coordination.SimulatedCluster;
+import stileferry.coordination.SimulatedEnvironment;
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.links.LinkHealth;
@@ -26,15 +28,15 @@
     @Test
     void aNewLeaderGivesUnlistedMachinesTimeToReport() {
         SimulatedCluster w = new SimulatedCluster(1);
-        SimulatedCluster.Node node = w.nodes.get("n0");
+        ControllerNode node = w.controllers.get("n0");
         node.start();
-        SimulatedCluster.SimulatedEnvironment environment = node.environment;
+        SimulatedEnvironment environment = node.environment;
         ClusterState cluster = new ClusterState(node.settings);
         HeartbeatHandler fleet =
                 new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
         Autoscaler provisioning = new Autoscaler(cluster, environment, fleet, 1, LinkHealth.NONE);
         provisioning.refreshInventory();
-        w.play(1);
+        w.runFor(1);
         Job job = new Job(
                 new JobSpec(
                         "job-1",
@@ -61,10 +63,10 @@
                 0,
                 0);
         cluster.assign(new TaskAssignment(job, 0, 1, "host-000099", 1, 0));
-        w.play(4);
+        w.runFor(4);
         provisioning.scaleIn(true);
         assertFalse(cluster.machine("host-000099").instance().terminating(), "it may report any moment");
-        w.play(20);
+        w.runFor(20);
         provisioning.scaleIn(true);
         assertTrue(
                 cluster.machine("host-000099").instance().terminating(),
@@ -78,9 +80,9 @@
     @Test
     void aNewLeaderGivesUpSpotMachinesThatDoNotReport() {
         SimulatedCluster w = new SimulatedCluster(2);
-        SimulatedCluster.Node node = w.nodes.get("n0");
+        ControllerNode node = w.controllers.get("n0");
         node.start();
-        SimulatedCluster.SimulatedEnvironment environment = node.environment;
+        SimulatedEnvironment environment = node.environment;
         ClusterState cluster = new ClusterState(node.settings);
         HeartbeatHandler fleet =
                 new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
@@ -118,13 +120,13 @@
             cluster.assign(new TaskAssignment(job, i, 1, machine.name(), 1, 0));
         }
         long since = environment.now();
-        w.play(7); // more than half a lease
+        w.runFor(7); // more than half a lease
         for (int i = 1; i < 8; i++) {
             cluster.machine("host-" + i).agent().setHeardThisTerm(true);
             cluster.machine("host-" + i).agent().markHeard(environment.now());
         }
         assertEquals(List.of(cluster.machine("host-0")), fleet.failureDetector().presumedLost(since));
-        w.play(7);
+        w.runFor(7);
         assertEquals(List.of(), fleet.failureDetector().presumedLost(since), "nobody reports: the network is at fault");
         for (int i = 2; i < 8; i++) {
             cluster.machine("host-" + i).agent().markHeard(environment.now());
@@ -132,7 +134,7 @@
         // found on a day where the leader could not hear its workers: most had come back by way of the others
         assertEquals(List.of(), fleet.failureDetector().presumedLost(since), "the rest may be on their way");
         for (int t = 0; t < 5; t++) {
-            w.play(2);
+            w.runFor(2);
             for (int i = 2; i < 8; i++) {
                 cluster.machine("host-" + i).agent().markHeard(environment.now());
             }
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -7,6 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import stileferry.cluster.ClusterState;
+import stileferry.coordination.ControllerNode;
 import stileferry.coordination.SimulatedCluster;
 import stileferry.protocol.MessageCodec;
 import stileferry.scheduling.RandomCluster;
@@ -34,10 +35,10 @@
     @Test
     void aListOfManyPagesIsReadWithinTheCloudsRate() {
         SimulatedCluster w = new SimulatedCluster(9);
-        SimulatedCluster.Node node = w.nodes.get("n0");
+        ControllerNode node = w.controllers.get("n0");
         node.start();
         int pages = 9;
-        w.cloudCalls = path -> {
+        w.faults.cloudListing = path -> {
             ObjectNode page = MessageCodec.map();
             int number = path.contains("from=") ? Integer.parseInt(path.replaceAll(".*host-", "")) + 1 : 0;
             page.putArray("fleet")
@@ -58,7 +59,7 @@
         CloudInventory list = new CloudInventory(cluster, node.environment, cloud, () -> read[0] = true);
         for (int i = 0; i < 20 && !read[0]; i++) {
             list.refresh();
-            w.play(1);
+            w.runFor(1);
         }
         assertTrue(read[0], "the list was read to its end");
         assertEquals(pages, cluster.machines().size());
--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionHistory.java
@@ -21,22 +21,22 @@
     private static final long ASK_MS = 2000;
 
     final List<String> problems = new ArrayList<>();
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final Map<Long, String> toldAt = new TreeMap<>();
     private final Map<String, Long> lastTold = new TreeMap<>();
     private final Map<String, Long> minutes = new TreeMap<>();
     private final Set<String> jobs = new HashSet<>();
     int answers;
 
-    AdmissionHistory(SimulatedCluster world) {
-        this.world = world;
-        world.after(LOOK_MS, this::look);
-        world.after(ASK_MS, this::ask);
+    AdmissionHistory(SimulatedCluster cluster) {
+        this.cluster = cluster;
+        cluster.after(LOOK_MS, this::look);
+        cluster.after(ASK_MS, this::ask);
     }
 
     private JsonNode rows(String prefix, String from) {
         JsonNode[] answer = new JsonNode[1];
-        world.state.request(
+        cluster.state.request(
                 "GET", "/kv?starts=" + prefix + "&from=" + from + "&most=1000", null, (s, body) -> answer[0] = body);
         return answer[0];
     }
@@ -75,17 +75,17 @@
     }
 
     private void look() {
-        world.after(LOOK_MS, this::look);
+        cluster.after(LOOK_MS, this::look);
         long counted = counted();
         long known = known();
         if (counted != known) {
-            problems.add("at " + world.now + " " + counted + " are counted, " + known + " are known");
+            problems.add("at " + cluster.now + " " + counted + " are counted, " + known + " are known");
         }
     }
 
     private void ask() {
-        world.after(ASK_MS, this::ask);
-        for (SimulatedCluster.Node node : world.nodes.values()) {
+        cluster.after(ASK_MS, this::ask);
+        for (ControllerNode node : cluster.controllers.values()) {
             if (node.up()) {
                 node.environment.turn(() -> node.coordinator.handleAdministrationRequest(
                         "GET", "admission", new byte[0], answer -> told(node.settings.controllerName(), answer)));
@@ -113,7 +113,7 @@
     /** Counts what users heard, by team and minute. */
     Map<String, Long> admissionsByTeamAndMinute(long from) {
         minutes.clear();
-        for (SimulatedCluster.User user : world.users.values()) {
+        for (SimulatedUser user : cluster.users.values()) {
             if (user.accepted && user.acceptedAt >= from) {
                 minutes.merge(user.spec.team() + " " + (user.acceptedAt - from) / 60_000, 1L, Long::sum);
             }
--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -24,54 +24,59 @@
     private record Outcome(
             double jain, double changesEach, double refusalsEach, double done, double smallTeams, double waitP95S) {}
 
-    private static double admittedShare(SimulatedCluster w, String team) {
-        long asked = w.users.values().stream()
+    private static double admittedShare(SimulatedCluster cluster, String team) {
+        long asked = cluster.users.values().stream()
                 .filter(u -> u.spec.team().equals(team))
                 .count();
-        long accepted = w.users.values().stream()
+        long accepted = cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
         return asked == 0 ? 0 : (double) accepted / asked;
     }
 
     /** Jain's index of what the teams were given, where a team that was given all counts as one that has the mean. */
-    private static double jain(SimulatedCluster w) {
+    private static double jain(SimulatedCluster cluster) {
         long least = FairAdmissionTest.TEAMS.stream()
-                        .mapToLong(team -> accepted(w, team))
+                        .mapToLong(team -> accepted(cluster, team))
                         .sum()
                 / FairAdmissionTest.TEAMS.size();
         double sum = 0;
         double squares = 0;
         for (String team : FairAdmissionTest.TEAMS) {
-            double given = admittedShare(w, team) > 0.99 ? Math.max(least, accepted(w, team)) : accepted(w, team);
+            double given = admittedShare(cluster, team) > 0.99
+                    ? Math.max(least, accepted(cluster, team))
+                    : accepted(cluster, team);
             sum += given;
             squares += given * given;
         }
         return squares == 0 ? 0 : sum * sum / (FairAdmissionTest.TEAMS.size() * squares);
     }
 
-    private static long accepted(SimulatedCluster w, String team) {
-        return w.users.values().stream()
+    private static long accepted(SimulatedCluster cluster, String team) {
+        return cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
     }
 
     private static Outcome play(long seed, Features features) {
-        SimulatedCluster w = FairAdmissionTest.world(seed, features);
-        w.play(20);
-        long changes = w.state.writtenKeys();
-        FairAdmissionTest.flood(w, 100, FLOOD_S);
+        SimulatedCluster cluster = FairAdmissionTest.world(seed, features);
+        cluster.runFor(20);
+        long changes = cluster.state.writtenKeys();
+        FairAdmissionTest.flood(cluster, 100, FLOOD_S);
         Histogram waits = new Histogram(LONGEST_MS, 2);
-        w.users.values().stream()
+        cluster.users.values().stream()
                 .filter(u -> u.accepted)
                 .forEach(u -> waits.recordValue(Math.min(LONGEST_MS, u.acceptedAt - u.submittedAt)));
         double accepted = waits.getTotalCount();
         return new Outcome(
-                jain(w),
-                (w.state.writtenKeys() - changes) / accepted,
-                w.users.values().stream().mapToInt(u -> u.refusals).average().orElse(0),
-                w.users.values().stream().filter(u -> u.end != null).count(),
-                (admittedShare(w, "blue") + admittedShare(w, "free")) / 2,
+                jain(cluster),
+                (cluster.state.writtenKeys() - changes) / accepted,
+                cluster.users.values().stream()
+                        .mapToInt(u -> u.rejections)
+                        .average()
+                        .orElse(0),
+                cluster.users.values().stream().filter(u -> u.endState != null).count(),
+                (admittedShare(cluster, "blue") + admittedShare(cluster, "free")) / 2,
                 waits.getValueAtPercentile(95) / 1000.0);
     }
 
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import stileferry.coordination.SimulatedNetwork.Mode;
+import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
 
 /** Controllers, the state service and links that fail in the middle of a burst. */
@@ -37,70 +37,70 @@
         COMMITS_CARRIED_OUT_LATE
     }
 
-    private static void bring(SimulatedCluster w, Trouble trouble) {
-        SimulatedCluster.Node leader = w.leader();
+    private static void bring(SimulatedCluster cluster, Trouble trouble) {
+        ControllerNode leader = cluster.leader();
         String name = leader.settings.controllerName();
         switch (trouble) {
-            case ENDS -> restart(w, leader, 4000);
+            case ENDS -> restart(cluster, leader, 4000);
             case FREEZES_AND_WAKES -> leader.environment.freeze(8000);
-            case LOSES_THE_STATE_SERVICE -> w.network.blockBoth(name, SimulatedCluster.STATE, Mode.LOST);
-            case IS_REFUSED_ALONE -> w.refused.add(name);
-            case ALL_END -> w.nodes.values().forEach(node -> restart(w, node, 3000));
+            case LOSES_THE_STATE_SERVICE -> cluster.network.blockBoth(name, SimulatedCluster.STORE, LinkFault.LOST);
+            case IS_REFUSED_ALONE -> cluster.faults.rejectedByStore.add(name);
+            case ALL_END -> cluster.controllers.values().forEach(node -> restart(cluster, node, 3000));
             case FIVE_LEADERS -> {
                 for (int i = 0; i < 5; i++) {
-                    w.after(6000L * i, () -> {
-                        if (w.leader() != null) {
-                            restart(w, w.leader(), 1000);
+                    cluster.after(6000L * i, () -> {
+                        if (cluster.leader() != null) {
+                            restart(cluster, cluster.leader(), 1000);
                         }
                     });
                 }
             }
             case STATE_SERVICE_DOWN_FOR_A_MINUTE -> {
-                w.stateDown = true;
-                w.after(60_000, () -> {
-                    w.stateDown = false;
-                    w.state.renewAllLeases(w.now);
+                cluster.faults.storeDown = true;
+                cluster.after(60_000, () -> {
+                    cluster.faults.storeDown = false;
+                    cluster.state.renewAllLeases(cluster.now);
                 });
             }
-            case STATE_SERVICE_SLOW -> w.slowStoreMs = 400;
+            case STATE_SERVICE_SLOW -> cluster.faults.storeResponseDelayMs = 400;
             case FOLLOWER_CUT_FROM_THE_LEADER ->
-                w.nodes.keySet().stream()
+                cluster.controllers.keySet().stream()
                         .filter(other -> !other.equals(name))
                         .findFirst()
-                        .ifPresent(other -> w.network.blockBoth(name, other, Mode.LOST));
-            case ANSWERS_OF_COMMITS_LOST -> w.unansweredWrites = 0.3;
-            case COMMITS_CARRIED_OUT_LATE -> w.lateWrites = 0.2;
+                        .ifPresent(other -> cluster.network.blockBoth(name, other, LinkFault.LOST));
+            case ANSWERS_OF_COMMITS_LOST -> cluster.faults.unansweredCommitRate = 0.3;
+            case COMMITS_CARRIED_OUT_LATE -> cluster.faults.lateCommitRate = 0.2;
         }
     }
 
-    private static void mend(SimulatedCluster w) {
-        w.network.restoreAll();
-        w.refused.clear();
-        w.slowStoreMs = 0;
-        w.unansweredWrites = 0;
-        w.lateWrites = 0;
+    private static void mend(SimulatedCluster cluster) {
+        cluster.network.restoreAll();
+        cluster.faults.rejectedByStore.clear();
+        cluster.faults.storeResponseDelayMs = 0;
+        cluster.faults.unansweredCommitRate = 0;
+        cluster.faults.lateCommitRate = 0;
     }
 
     /** No count is doubled or lost, no rule broken, and every team has its admissions afterwards, whatever happened. */
     @ParameterizedTest
     @EnumSource(Trouble.class)
     void troubleInTheMiddleOfABurst(Trouble trouble) {
-        SimulatedCluster w = world(40 + trouble.ordinal(), ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
-        int next = flood(w, 100, 20);
-        bring(w, trouble);
-        next = flood(w, next, 40);
-        mend(w);
-        w.play(25);
-        long from = w.now;
-        flood(w, next, 60);
-        w.play(90);
-        check(w, history);
+        SimulatedCluster cluster = world(40 + trouble.ordinal(), ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
+        int next = flood(cluster, 100, 20);
+        bring(cluster, trouble);
+        next = flood(cluster, next, 40);
+        mend(cluster);
+        cluster.runFor(25);
+        long from = cluster.now;
+        flood(cluster, next, 60);
+        cluster.runFor(90);
+        check(cluster, history);
         var minutes = history.admissionsByTeamAndMinute(from);
         TEAMS.forEach(team -> assertTrue(minutes.getOrDefault(team + " 0", 0L) > 0, team + ": " + minutes));
         assertEquals(history.known(), history.counted());
-        long heard = w.users.values().stream().filter(u -> u.accepted).count();
+        long heard = cluster.users.values().stream().filter(u -> u.accepted).count();
         assertTrue(history.counted() >= heard, heard + " users heard, " + history.counted() + " are counted");
         assertTrue(history.answers > 50, "totals were told " + history.answers + " times only");
     }
@@ -113,30 +113,30 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void tenMinutesOfThreeTimesTheCapacity(long seed) {
-        SimulatedCluster w = world(seed, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        SplittableRandom random = w.random.split();
-        w.play(20);
-        long from = w.now;
+        SimulatedCluster cluster = world(seed, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        SplittableRandom random = cluster.random.split();
+        cluster.runFor(20);
+        long from = cluster.now;
         int number = 100;
         long sureSince = 0;
         List<Integer> calmMinutes = new ArrayList<>();
         boolean calm = true;
         for (int second = 0; second < 600; second++) {
             for (int i = 0; i < 15; i++) {
-                submit(w, number, TEAMS.get(number % 10 < 8 ? 0 : number % 2 + 1));
+                submit(cluster, number, TEAMS.get(number % 10 < 8 ? 0 : number % 2 + 1));
                 number++;
             }
             if (second % 60 == 20) {
                 Trouble trouble = Trouble.values()[random.nextInt(Trouble.values().length)];
-                if (w.leader() != null && trouble != Trouble.STATE_SERVICE_DOWN_FOR_A_MINUTE) {
-                    bring(w, trouble);
-                    w.after(15_000, () -> mend(w));
+                if (cluster.leader() != null && trouble != Trouble.STATE_SERVICE_DOWN_FOR_A_MINUTE) {
+                    bring(cluster, trouble);
+                    cluster.after(15_000, () -> mend(cluster));
                 }
             }
-            w.play(1);
-            sureSince = w.leader() == null ? 0 : sureSince == 0 ? w.now : sureSince;
-            calm |= sureSince > 0 && w.now - sureSince > 15_000;
+            cluster.runFor(1);
+            sureSince = cluster.leader() == null ? 0 : sureSince == 0 ? cluster.now : sureSince;
+            calm |= sureSince > 0 && cluster.now - sureSince > 15_000;
             if (second % 60 == 59) {
                 if (calm) {
                     calmMinutes.add(second / 60);
@@ -144,7 +144,7 @@
                 calm = false;
             }
         }
-        check(w, history);
+        check(cluster, history);
         assertTrue(calmMinutes.size() >= 8, "minutes with a leader: " + calmMinutes);
         everyTeamIsAdmitted(history, from, calmMinutes);
     }
@@ -168,14 +168,14 @@
     @ParameterizedTest
     @MethodSource("seedsOfDays")
     void noRuleIsBrokenWithFairAdmission(long seed) {
-        InvariantsUnderFaultsTest.allIsDone(InvariantsUnderFaultsTest.day(seed, 120, w -> {
-            w.features = new Features(seed % 4 == 0, true);
+        InvariantsUnderFaultsTest.allIsDone(InvariantsUnderFaultsTest.day(seed, 120, cluster -> {
+            cluster.features = new Features(seed % 4 == 0, true);
             if (seed % 3 == 0) {
-                w.withoutFeatures.add("n" + seed % 2);
+                cluster.controllersWithoutFeatures.add("n" + seed % 2);
             }
             if (seed % 5 == 0) {
-                w.formerForm.add("n2");
-                w.withoutFeatures.add("n2");
+                cluster.formerRecordFormat.add("n2");
+                cluster.controllersWithoutFeatures.add("n2");
             }
         }));
     }
--- /dev/null
+++ b/src/test/java/stileferry/coordination/ControllerNode.java
@@ -0,0 +1,37 @@
+package stileferry.coordination;
+
+import stileferry.protocol.Features;
+import stileferry.protocol.Settings;
+
+/** A controller of the simulated cluster, with a process that comes and goes. */
+public final class ControllerNode {
+    private final SimulatedCluster cluster;
+    public final Settings settings;
+    Coordinator coordinator;
+    public SimulatedEnvironment environment;
+
+    ControllerNode(SimulatedCluster cluster, Settings settings) {
+        this.cluster = cluster;
+        this.settings = settings;
+    }
+
+    public void start() {
+        environment = new SimulatedEnvironment(cluster, this);
+        coordinator = new Coordinator(
+                settings,
+                cluster.controllersWithoutFeatures.contains(settings.controllerName())
+                        ? Features.NONE
+                        : cluster.features,
+                environment);
+        environment.turn(coordinator::start);
+    }
+
+    public void crash() {
+        environment.dead = true;
+        coordinator = null;
+    }
+
+    boolean up() {
+        return coordinator != null;
+    }
+}
--- a/src/test/java/stileferry/coordination/CutMeasurement.java
+++ b/src/test/java/stileferry/coordination/CutMeasurement.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.function.BiConsumer;
 import java.util.stream.LongStream;
-import stileferry.coordination.SimulatedNetwork.Mode;
+import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
 import stileferry.protocol.JobSpec;
 import stileferry.transport.LogLevel;
@@ -28,40 +28,40 @@
     /** What one cut led to. */
     private record Outcome(double worstS, int late, int restarted, long terms) {}
 
-    private static String name(SimulatedCluster.Node node) {
+    private static String name(ControllerNode node) {
         return node.settings.controllerName();
     }
 
-    private static void peers(SimulatedCluster w, SimulatedCluster.Node leader, Mode mode) {
-        w.nodes.values().stream()
+    private static void peers(SimulatedCluster cluster, ControllerNode leader, LinkFault mode) {
+        cluster.controllers.values().stream()
                 .filter(n -> n != leader)
-                .forEach(n -> w.network.blockBoth(name(leader), name(n), mode));
+                .forEach(n -> cluster.network.blockBoth(name(leader), name(n), mode));
     }
 
-    private static Outcome play(long seed, Features features, BiConsumer<SimulatedCluster, SimulatedCluster.Node> cut) {
-        SimulatedCluster w = PartialCutsTest.busy(seed, features);
-        cut.accept(w, w.leader());
-        long terms = w.state.value("a/term").path("term").asLong();
-        List<SimulatedCluster.User> users = new ArrayList<>();
-        int starts = w.starts;
+    private static Outcome play(long seed, Features features, BiConsumer<SimulatedCluster, ControllerNode> cut) {
+        SimulatedCluster cluster = PartialCutsTest.busy(seed, features);
+        cut.accept(cluster, cluster.leader());
+        long terms = cluster.state.value("a/term").path("term").asLong();
+        List<SimulatedUser> users = new ArrayList<>();
+        int starts = cluster.tasks.starts;
         for (int i = 0; i < CUT_S; i++) {
-            users.add(w.submit(InvariantsUnderFaultsTest.array(100 + i, "any", JobSpec.Priority.NORMAL, 1, 1)));
-            w.play(1);
+            users.add(cluster.submit(InvariantsUnderFaultsTest.array(100 + i, "any", JobSpec.Priority.NORMAL, 1, 1)));
+            cluster.runFor(1);
         }
-        long changed = w.state.value("a/term").path("term").asLong() - terms;
-        w.network.restoreAll();
-        w.play(60);
+        long changed = cluster.state.value("a/term").path("term").asLong() - terms;
+        cluster.network.restoreAll();
+        cluster.runFor(60);
         double[] waits = users.stream()
                 .mapToDouble(u -> u.startedAt == 0 ? CUT_S + 60 : (u.startedAt - u.submittedAt) / 1000.0)
                 .toArray();
-        int restarted = w.starts
+        int restarted = cluster.tasks.starts
                 - starts
                 - (int) users.stream().filter(u -> u.startedAt > 0).count();
         int late = (int) Arrays.stream(waits).filter(s -> s > LATE_S).count();
         return new Outcome(Arrays.stream(waits).max().orElse(0), late, restarted, changed);
     }
 
-    private static void compare(String title, BiConsumer<SimulatedCluster, SimulatedCluster.Node> cut) {
+    private static void compare(String title, BiConsumer<SimulatedCluster, ControllerNode> cut) {
         StringBuilder line = new StringBuilder(String.format("%-44s", title));
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
             List<Outcome> outcomes = LongStream.range(0, SEEDS)
@@ -81,19 +81,20 @@
     /** False suspicions and changes of leadership in an hour without cuts, on a quiet or an overloaded process. */
     private static void hour(long turnMs) {
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
-            SimulatedCluster w = PartialCutsTest.busy(800, features);
+            SimulatedCluster cluster = PartialCutsTest.busy(800, features);
             if (turnMs > 0) {
-                w.nodes.keySet().forEach(node -> w.turnMs.put(node, turnMs));
+                cluster.controllers.keySet().forEach(node -> cluster.faults.eventLoopTurnMs.put(node, turnMs));
             }
-            long terms = w.state.value("a/term").path("term").asLong();
+            long terms = cluster.state.value("a/term").path("term").asLong();
             for (int i = 0; i < 360; i++) {
-                w.submit(InvariantsUnderFaultsTest.array(1000 + i, "any", JobSpec.Priority.NORMAL, 1, 1));
-                w.play(10);
+                cluster.submit(InvariantsUnderFaultsTest.array(1000 + i, "any", JobSpec.Priority.NORMAL, 1, 1));
+                cluster.runFor(10);
             }
-            System.out.println("an hour without cuts, turns of " + turnMs + " ms, features " + features.on()
-                    + ": new terms " + (w.state.value("a/term").path("term").asLong() - terms));
+            System.out.println(
+                    "an hour without cuts, turns of " + turnMs + " ms, features " + features.on() + ": new terms "
+                            + (cluster.state.value("a/term").path("term").asLong() - terms));
             if (features.partialCuts()) {
-                w.nodes
+                cluster.controllers
                         .values()
                         .forEach(n -> System.out.println(
                                 "  " + n.coordinator.links().describe().path("counters")));
@@ -105,22 +106,30 @@
         LogLevel.start("error");
         System.out.println("worst wait (s), tasks of " + CUT_S
                 + " that waited over 5 s, tasks started again, new terms; off | on");
-        compare("none", (w, l) -> {});
-        compare("leader - state service", (w, l) -> w.network.blockBoth(name(l), SimulatedCluster.STATE, Mode.LOST));
-        compare("leader - workers, lost", (w, l) -> w.network.blockBoth(name(l), SimulatedNetwork.WORKERS, Mode.LOST));
+        compare("none", (cluster, l) -> {});
+        compare(
+                "leader - state service",
+                (cluster, l) -> cluster.network.blockBoth(name(l), SimulatedCluster.STORE, LinkFault.LOST));
+        compare(
+                "leader - workers, lost",
+                (cluster, l) -> cluster.network.blockBoth(name(l), SimulatedNetwork.WORKERS, LinkFault.LOST));
         compare(
                 "leader - workers, refused",
-                (w, l) -> w.network.blockBoth(name(l), SimulatedNetwork.WORKERS, Mode.REFUSED));
-        compare("leader > workers", (w, l) -> w.network.block(name(l), SimulatedNetwork.WORKERS, Mode.LOST));
-        compare("workers > leader", (w, l) -> w.network.block(SimulatedNetwork.WORKERS, name(l), Mode.LOST));
-        compare("leader - controllers", (w, l) -> peers(w, l, Mode.LOST));
-        compare("leader - workers and controllers", (w, node) -> {
-            w.network.blockBoth(name(node), SimulatedNetwork.WORKERS, Mode.LOST);
-            peers(w, node, Mode.LOST);
+                (cluster, l) -> cluster.network.blockBoth(name(l), SimulatedNetwork.WORKERS, LinkFault.REFUSED));
+        compare(
+                "leader > workers",
+                (cluster, l) -> cluster.network.block(name(l), SimulatedNetwork.WORKERS, LinkFault.LOST));
+        compare(
+                "workers > leader",
+                (cluster, l) -> cluster.network.block(SimulatedNetwork.WORKERS, name(l), LinkFault.LOST));
+        compare("leader - controllers", (cluster, l) -> peers(cluster, l, LinkFault.LOST));
+        compare("leader - workers and controllers", (cluster, node) -> {
+            cluster.network.blockBoth(name(node), SimulatedNetwork.WORKERS, LinkFault.LOST);
+            peers(cluster, node, LinkFault.LOST);
         });
-        compare("leader - state service and controllers", (w, node) -> {
-            w.network.blockBoth(name(node), SimulatedCluster.STATE, Mode.LOST);
-            peers(w, node, Mode.LOST);
+        compare("leader - state service and controllers", (cluster, node) -> {
+            cluster.network.blockBoth(name(node), SimulatedCluster.STORE, LinkFault.LOST);
+            peers(cluster, node, LinkFault.LOST);
         });
         hour(0);
         hour(BUSY_TURN_MS);
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -26,9 +26,9 @@
     static final List<String> TEAMS = List.of("red", "blue", "free");
 
     static SimulatedCluster world(long seed, Features features) {
-        SimulatedCluster w = new SimulatedCluster(seed, 2, 2, 40, WRITES_PER_S);
-        w.features = features;
-        return w;
+        SimulatedCluster cluster = new SimulatedCluster(seed, 2, 2, 40, WRITES_PER_S);
+        cluster.features = features;
+        return cluster;
     }
 
     static JobSpec job(int number, String team, JobSpec.Priority priority, double runS) {
@@ -56,103 +56,105 @@
                 -1);
     }
 
-    static SimulatedCluster.User submit(SimulatedCluster w, int number, String team) {
-        return w.submit(job(number, team, JobSpec.Priority.NORMAL, 2));
+    static SimulatedUser submit(SimulatedCluster cluster, int number, String team) {
+        return cluster.submit(job(number, team, JobSpec.Priority.NORMAL, 2));
     }
 
     /** Fifteen jobs a second of one team and one every two seconds of each other team. */
-    static int flood(SimulatedCluster w, int from, int seconds) {
+    static int flood(SimulatedCluster cluster, int from, int seconds) {
         int number = from;
         for (int second = 0; second < seconds; second++) {
             for (int i = 0; i < 15; i++) {
-                submit(w, number++, "red");
+                submit(cluster, number++, "red");
             }
             if (second % 2 == 0) {
-                submit(w, number++, "blue");
-                submit(w, number++, "free");
+                submit(cluster, number++, "blue");
+                submit(cluster, number++, "free");
             }
-            w.play(1);
+            cluster.runFor(1);
         }
         return number;
     }
 
-    private static long accepted(SimulatedCluster w, String team) {
-        return w.users.values().stream()
+    private static long accepted(SimulatedCluster cluster, String team) {
+        return cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
     }
 
-    private static long submitted(SimulatedCluster w, String team) {
-        return w.users.values().stream().filter(u -> u.spec.team().equals(team)).count();
+    private static long submitted(SimulatedCluster cluster, String team) {
+        return cluster.users.values().stream()
+                .filter(u -> u.spec.team().equals(team))
+                .count();
     }
 
-    private static JsonNode view(SimulatedCluster w, SimulatedCluster.Node node) {
+    private static JsonNode view(SimulatedCluster cluster, ControllerNode node) {
         PeerMessage.Response[] answer = new PeerMessage.Response[1];
         node.environment.turn(() ->
                 node.coordinator.handleAdministrationRequest("GET", "admission", new byte[0], a -> answer[0] = a));
-        w.play(2);
+        cluster.runFor(2);
         return answer[0] == null || answer[0].status() != 200 ? null : MessageCodec.decode(answer[0].body());
     }
 
-    static void check(SimulatedCluster w, AdmissionHistory history) {
-        assertEquals(List.of(), w.violations);
+    static void check(SimulatedCluster cluster, AdmissionHistory history) {
+        assertEquals(List.of(), cluster.violations);
         assertEquals(List.of(), history.problems);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void oneHouseThatFloodsTakesNothingFromTheOthers(long seed) {
-        SimulatedCluster w = world(seed, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
-        flood(w, 100, 60);
-        w.play(70);
-        check(w, history);
-        assertTrue(accepted(w, "blue") >= 0.9 * submitted(w, "blue"), "blue " + accepted(w, "blue"));
-        assertTrue(accepted(w, "free") >= 0.9 * submitted(w, "free"), "free " + accepted(w, "free"));
-        assertTrue(accepted(w, "red") > 30, "red " + accepted(w, "red"));
-        assertTrue(accepted(w, "red") < submitted(w, "red"), "more was asked than could be taken");
+        SimulatedCluster cluster = world(seed, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
+        flood(cluster, 100, 60);
+        cluster.runFor(70);
+        check(cluster, history);
+        assertTrue(accepted(cluster, "blue") >= 0.9 * submitted(cluster, "blue"), "blue " + accepted(cluster, "blue"));
+        assertTrue(accepted(cluster, "free") >= 0.9 * submitted(cluster, "free"), "free " + accepted(cluster, "free"));
+        assertTrue(accepted(cluster, "red") > 30, "red " + accepted(cluster, "red"));
+        assertTrue(accepted(cluster, "red") < submitted(cluster, "red"), "more was asked than could be taken");
     }
 
     /** The same ids again and again, at every controller: they are one demand, and each is admitted once. */
     @Test
     void oneIdThatReachesAllControllersAtOnceIsAdmittedOnce() {
-        SimulatedCluster w = world(4, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
-        w.closeLooks = true;
+        SimulatedCluster cluster = world(4, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
+        cluster.faults.usersRepeatRequests = true;
         for (int i = 0; i < 10; i++) {
-            SimulatedCluster.User user = submit(w, 100 + i, TEAMS.get(i % 3));
-            for (SimulatedCluster.Node node : w.nodes.values()) {
-                w.after(w.random.nextLong(5), () -> w.submitAt(user, node));
+            SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
+            for (ControllerNode node : cluster.controllers.values()) {
+                cluster.after(cluster.random.nextLong(5), () -> cluster.users.submitAt(user, node));
             }
-            w.play(0.5);
+            cluster.runFor(0.5);
         }
-        w.play(60);
-        check(w, history);
+        cluster.runFor(60);
+        check(cluster, history);
         assertEquals(10, history.counted());
     }
 
     /** Jobs that can never fit are told so, and take no share from those that can. */
     @Test
     void jobsThatCanNeverRunAreRefusedAtOnceAndNotCounted() {
-        SimulatedCluster w = world(5, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
+        SimulatedCluster cluster = world(5, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
         JobSpec good = job(50, "blue", JobSpec.Priority.NORMAL, 2);
         byte[] tooLarge = MessageCodec.encode(((com.fasterxml.jackson.databind.node.ObjectNode)
                         job(51, "free", JobSpec.Priority.NORMAL, 2).write())
                 .put("cores", 1000.0));
         int[] refused = new int[1];
         for (int i = 0; i < 40; i++) {
-            SimulatedCluster.Node node = w.nodes.get("n" + i % 3);
+            ControllerNode node = cluster.controllers.get("n" + i % 3);
             node.environment.turn(() -> node.coordinator.handleUserRequest(
                     PeerMessage.RequestKind.SUBMIT, "", tooLarge, a -> refused[0] += a.status() == 422 ? 1 : 0));
-            w.play(0.2);
+            cluster.runFor(0.2);
         }
-        SimulatedCluster.User user = w.submit(good);
-        w.play(5);
-        check(w, history);
+        SimulatedUser user = cluster.submit(good);
+        cluster.runFor(5);
+        check(cluster, history);
         assertTrue(user.accepted);
         assertTrue(refused[0] > 0);
         assertEquals(1, history.counted());
@@ -163,21 +165,21 @@
     void servicesAreAdmittedBeforeArrays() {
         long[] worstMs = new long[2];
         for (int burst = 0; burst < 2; burst++) {
-            SimulatedCluster w = world(90, ON);
-            w.play(20);
-            List<SimulatedCluster.User> services = new ArrayList<>();
+            SimulatedCluster cluster = world(90, ON);
+            cluster.runFor(20);
+            List<SimulatedUser> services = new ArrayList<>();
             int number = 1000;
             for (int second = 0; second < 60; second++) {
                 for (int i = 0; burst == 1 && i < 15; i++) {
-                    submit(w, number++, TEAMS.get(i % 3));
+                    submit(cluster, number++, TEAMS.get(i % 3));
                 }
                 if (second % 5 == 0) {
-                    services.add(w.submit(job(100 + second, "blue", JobSpec.Priority.CRITICAL, 0)));
+                    services.add(cluster.submit(job(100 + second, "blue", JobSpec.Priority.CRITICAL, 0)));
                 }
-                w.play(1);
+                cluster.runFor(1);
             }
-            w.play(60);
-            assertEquals(List.of(), w.violations);
+            cluster.runFor(60);
+            assertEquals(List.of(), cluster.violations);
             assertTrue(services.stream().allMatch(u -> u.accepted), "a service was not accepted");
             worstMs[burst] = services.stream()
                     .mapToLong(u -> u.acceptedAt - u.submittedAt)
@@ -197,15 +199,17 @@
         double[] refusals = new double[2];
         long[] done = new long[2];
         for (int on = 0; on < 2; on++) {
-            SimulatedCluster w = world(91, on == 1 ? ON : Features.NONE);
-            w.play(20);
-            flood(w, 100, 120);
-            assertEquals(List.of(), w.violations);
-            refusals[on] = w.users.values().stream()
-                    .mapToInt(u -> u.refusals)
+            SimulatedCluster cluster = world(91, on == 1 ? ON : Features.NONE);
+            cluster.runFor(20);
+            flood(cluster, 100, 120);
+            assertEquals(List.of(), cluster.violations);
+            refusals[on] = cluster.users.values().stream()
+                    .mapToInt(u -> u.rejections)
                     .average()
                     .orElse(0);
-            done[on] = w.users.values().stream().filter(u -> u.end != null).count();
+            done[on] = cluster.users.values().stream()
+                    .filter(u -> u.endState != null)
+                    .count();
         }
         assertTrue(refusals[1] < refusals[0] / 2, refusals[0] + " refusals each without, " + refusals[1] + " with");
         assertTrue(done[1] >= 0.9 * done[0], done[0] + " done without, " + done[1] + " with");
@@ -214,21 +218,23 @@
     /** A follower whose leader has ended must not refuse by its word: nobody knows what the next one will say. */
     @Test
     void noTableOfAFormerTermIsHonoured() {
-        SimulatedCluster w = world(92, ON);
-        w.play(20);
-        flood(w, 100, 20);
-        SimulatedCluster.Node former = w.leader();
-        SimulatedCluster.Node follower =
-                w.nodes.values().stream().filter(n -> n != former).findFirst().orElseThrow();
-        assertTrue(view(w, follower).path("here").path("holds_table").asBoolean());
-        long term = view(w, follower).path("here").path("table_term").asLong();
+        SimulatedCluster cluster = world(92, ON);
+        cluster.runFor(20);
+        flood(cluster, 100, 20);
+        ControllerNode former = cluster.leader();
+        ControllerNode follower = cluster.controllers.values().stream()
+                .filter(n -> n != former)
+                .findFirst()
+                .orElseThrow();
+        assertTrue(view(cluster, follower).path("here").path("holds_table").asBoolean());
+        long term = view(cluster, follower).path("here").path("table_term").asLong();
         former.crash();
-        for (int i = 0; i < 30 && (w.leader() == null || w.leader() == former); i++) {
-            w.play(0.5);
+        for (int i = 0; i < 30 && (cluster.leader() == null || cluster.leader() == former); i++) {
+            cluster.runFor(0.5);
         }
-        for (SimulatedCluster.Node node : w.nodes.values()) {
+        for (ControllerNode node : cluster.controllers.values()) {
             if (node.up()) {
-                JsonNode here = view(w, node).path("here");
+                JsonNode here = view(cluster, node).path("here");
                 boolean old = here.path("table_term").asLong() == term;
                 assertFalse(old && here.path("holds_table").asBoolean(), here.toString());
             }
@@ -238,20 +244,20 @@
     /** Where it is on at some controllers only, or an older version leads, totals say so, and are never wrong. */
     @Test
     void olderVersionsLeadInTurns() {
-        SimulatedCluster w = world(93, ON);
-        w.withoutFeatures.add("n0");
-        w.play(20);
+        SimulatedCluster cluster = world(93, ON);
+        cluster.controllersWithoutFeatures.add("n0");
+        cluster.runFor(20);
         int number = 100;
         boolean complete = true;
         long incompleteFrom = -1;
         for (int step = 0; step < 12; step++) {
             for (int i = 0; i < 4; i++) {
-                submit(w, number++, TEAMS.get(i % 3));
+                submit(cluster, number++, TEAMS.get(i % 3));
             }
-            w.play(6);
-            for (SimulatedCluster.Node node : w.nodes.values()) {
+            cluster.runFor(6);
+            for (ControllerNode node : cluster.controllers.values()) {
                 if (node.up() && !node.settings.controllerName().equals("n0")) {
-                    JsonNode seen = view(w, node);
+                    JsonNode seen = view(cluster, node);
                     JsonNode totals = seen == null ? MessageCodec.map() : seen.path("totals");
                     if (totals.path("complete").asBoolean(true)) {
                         assertTrue(seen == null || complete, "complete again: " + totals);
@@ -263,50 +269,50 @@
                     }
                 }
             }
-            if (w.leader() != null) {
-                restart(w, w.leader(), 500);
+            if (cluster.leader() != null) {
+                restart(cluster, cluster.leader(), 500);
             }
         }
-        w.play(70);
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(70);
+        assertEquals(List.of(), cluster.violations);
         assertFalse(complete, "no older version ever led");
-        AdmissionHistory history = new AdmissionHistory(w);
+        AdmissionHistory history = new AdmissionHistory(cluster);
         assertTrue(history.counted() <= history.known(), "more is counted than there is");
     }
 
     /** Cancelled while it is being admitted, and a gang: counted like any other, once. */
     @Test
     void cancelledWhileBeingAdmittedAndGangs() {
-        SimulatedCluster w = world(94, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
+        SimulatedCluster cluster = world(94, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
         for (int i = 0; i < 20; i++) {
-            SimulatedCluster.User user = submit(w, 100 + i, TEAMS.get(i % 3));
-            w.after(w.random.nextLong(300), () -> w.cancel(user));
-            w.submit(InvariantsUnderFaultsTest.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
-            w.play(1);
+            SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
+            cluster.after(cluster.random.nextLong(300), () -> cluster.cancel(user));
+            cluster.submit(InvariantsUnderFaultsTest.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
+            cluster.runFor(1);
         }
-        w.play(90);
-        check(w, history);
+        cluster.runFor(90);
+        check(cluster, history);
         assertTrue(history.counted() >= 20, "counted " + history.counted());
     }
 
     /** The checks must be able to fail: a count too many and a team without admissions are seen. */
     @Test
     void aDoubledCountAndAStarvedTeamAreSeen() {
-        SimulatedCluster w = world(95, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
-        submit(w, 100, "red");
-        w.play(10);
-        check(w, history);
-        JsonNode shard = w.state.value("n/0").deepCopy();
+        SimulatedCluster cluster = world(95, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
+        submit(cluster, 100, "red");
+        cluster.runFor(10);
+        check(cluster, history);
+        JsonNode shard = cluster.state.value("n/0").deepCopy();
         ((com.fasterxml.jackson.databind.node.ObjectNode) shard.path("counts").path("red")).put("*", 2);
         var transaction = MessageCodec.map();
         transaction.putArray("if");
         transaction.putArray("apply").addObject().put("put", "n/0").set("v", shard);
-        w.state.request("POST", "/commit", transaction, (s, b) -> {});
-        w.play(5);
+        cluster.state.request("POST", "/commit", transaction, (s, b) -> {});
+        cluster.runFor(5);
         assertFalse(history.problems.isEmpty(), "a doubled count was not seen");
         assertEquals(0L, history.admissionsByTeamAndMinute(0).getOrDefault("blue 0", 0L));
     }
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -70,24 +70,24 @@
     }
 
     private static SimulatedCluster begun(long seed, JobSpec spec) {
-        SimulatedCluster w = new SimulatedCluster(seed);
-        w.play(3);
-        w.submit(spec);
-        w.play(20);
-        assertEquals(spec.taskCount(), w.running(), "all of it runs");
-        return w;
+        SimulatedCluster cluster = new SimulatedCluster(seed);
+        cluster.runFor(3);
+        cluster.submit(spec);
+        cluster.runFor(20);
+        assertEquals(spec.taskCount(), cluster.tasks.running(), "all of it runs");
+        return cluster;
     }
 
     @Test
     void itLosesAMachineAndStartsAgainWhole() {
-        SimulatedCluster w = begun(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
-        w.cloud.reclaim(w.machineInUse());
-        assertTrue(w.running() < 6);
-        w.play(25);
-        assertEquals(6, w.running(), "it runs again");
-        w.play(60);
-        assertEquals("done", w.users.get("job-1").end);
-        assertEquals(List.of(), w.violations);
+        SimulatedCluster cluster = begun(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
+        cluster.cloud.reclaim(cluster.tasks.machineInUse());
+        assertTrue(cluster.tasks.running() < 6);
+        cluster.runFor(25);
+        assertEquals(6, cluster.tasks.running(), "it runs again");
+        cluster.runFor(60);
+        assertEquals("done", cluster.users.get("job-1").endState);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
@@ -97,94 +97,94 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void theOthersOfALostTaskStopAtOnceInsteadOfSaving(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed);
-        w.play(3);
-        w.submit(gang(1, JobSpec.Priority.URGENT, 5, true, 2));
-        w.play(20);
+        SimulatedCluster cluster = new SimulatedCluster(seed);
+        cluster.runFor(3);
+        cluster.submit(gang(1, JobSpec.Priority.URGENT, 5, true, 2));
+        cluster.runFor(20);
         List<String> machines =
-                w.workers.values().stream().map(Worker::machine).sorted().toList();
-        w.workers
+                cluster.workers.values().stream().map(Worker::machine).sorted().toList();
+        cluster.workers
                 .get("w-" + machines.get(1) + ":1")
                 .setFaulty(true); // has room for the fifth task, the last one to begin
-        int ended = w.ended;
-        w.submit(gang(2, JobSpec.Priority.URGENT, 5, true, 100));
-        for (int i = 0; i < 400 && w.ended == ended; i++) {
-            w.play(0.02);
+        int ended = cluster.tasks.ends;
+        cluster.submit(gang(2, JobSpec.Priority.URGENT, 5, true, 100));
+        for (int i = 0; i < 400 && cluster.tasks.ends == ended; i++) {
+            cluster.runFor(0.02);
         }
-        w.play(1);
-        assertEquals(0, w.running(), "a task has failed, the others are gone");
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(1);
+        assertEquals(0, cluster.tasks.running(), "a task has failed, the others are gone");
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Its tasks save together or not at all, so all of them hear of a notice that concerns one machine. */
     @Test
     void aNoticeForOneMachineStopsItWholeAndSaved() {
-        SimulatedCluster w = begun(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
-        w.play(40);
-        int ended = w.ended;
-        Worker worker = w.workers.get("w-" + w.machineInUse() + ":1");
+        SimulatedCluster cluster = begun(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
+        cluster.runFor(40);
+        int ended = cluster.tasks.ends;
+        Worker worker = cluster.workers.get("w-" + cluster.tasks.machineInUse() + ":1");
         worker.reclaimNotice(12);
-        w.play(6);
-        assertEquals(ended + 6, w.ended, "all have stopped");
-        w.play(20);
-        assertEquals(6, w.running());
-        w.play(65); // 50 s of work were saved
-        assertEquals("done", w.users.get("job-1").end);
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(6);
+        assertEquals(ended + 6, cluster.tasks.ends, "all have stopped");
+        cluster.runFor(20);
+        assertEquals(6, cluster.tasks.running());
+        cluster.runFor(65); // 50 s of work were saved
+        assertEquals("done", cluster.users.get("job-1").endState);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Where one machine can't hear the stop, the others can't save; they do not wait for it. */
     @Test
     void aStopThatNotAllCanHearDoesNotWaitForASave() {
-        SimulatedCluster w = begun(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
-        List<String> machines = List.copyOf(w.machinesOf(w.users.get("job-1")));
-        w.cut("w-" + machines.get(0) + ":1", 7000);
-        w.play(5);
-        assertEquals(6, w.running());
-        Worker other = w.workers.get("w-" + machines.get(1) + ":1");
-        long there = w.runningOn(other.machine());
+        SimulatedCluster cluster = begun(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
+        List<String> machines = List.copyOf(cluster.tasks.machinesOf(cluster.users.get("job-1")));
+        cluster.faults.partition("w-" + machines.get(0) + ":1", 7000);
+        cluster.runFor(5);
+        assertEquals(6, cluster.tasks.running());
+        Worker other = cluster.workers.get("w-" + machines.get(1) + ":1");
+        long there = cluster.tasks.runningOn(other.machine());
         other.reclaimNotice(12);
-        w.play(1.2);
-        assertEquals(6 - there, w.running(), "what hears the stop is gone");
-        w.play(60);
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(1.2);
+        assertEquals(6 - there, cluster.tasks.running(), "what hears the stop is gone");
+        cluster.runFor(60);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** When one task is done all are, and no leader may start the others alone. */
     @ParameterizedTest
     @ValueSource(ints = {0, 20, 60, 150, 400, 900})
     void itEndsWholeWhateverIsLostThen(int afterMs) {
-        SimulatedCluster w = begun(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
-        List<String> machines = List.copyOf(w.machinesOf(w.users.get("job-1")));
-        for (int i = 0; i < 600 && w.running() == 6; i++) {
-            w.play(0.05);
+        SimulatedCluster cluster = begun(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
+        List<String> machines = List.copyOf(cluster.tasks.machinesOf(cluster.users.get("job-1")));
+        for (int i = 0; i < 600 && cluster.tasks.running() == 6; i++) {
+            cluster.runFor(0.05);
         }
-        assertEquals(0, w.running());
-        w.play(afterMs / 1000.0);
-        w.cloud.reclaim(machines.get(0));
-        restart(w, w.leader(), 300);
-        w.play(60);
-        assertEquals("done", w.users.get("job-1").end);
-        assertEquals(List.of(), w.violations);
+        assertEquals(0, cluster.tasks.running());
+        cluster.runFor(afterMs / 1000.0);
+        cluster.cloud.reclaim(machines.get(0));
+        restart(cluster, cluster.leader(), 300);
+        cluster.runFor(60);
+        assertEquals("done", cluster.users.get("job-1").endState);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** The leader ends while the claims of a gang become durable: the next one finishes that attempt or ends it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void aLeaderThatEndsAsItStartsLeavesNoPart(long seed) {
-        SimulatedCluster w = begun(10 + seed, gang(1, JobSpec.Priority.NORMAL, 2, false, 200));
-        w.slowStoreMs = 100;
+        SimulatedCluster cluster = begun(10 + seed, gang(1, JobSpec.Priority.NORMAL, 2, false, 200));
+        cluster.faults.storeResponseDelayMs = 100;
         for (int i = 2; i < 8; i++) {
-            w.submit(gang(i, JobSpec.Priority.NORMAL, 7, i % 2 == 0, 5));
+            cluster.submit(gang(i, JobSpec.Priority.NORMAL, 7, i % 2 == 0, 5));
         }
-        w.play(0.2 + 0.15 * seed);
-        restart(w, w.leader(), 300);
-        w.slowStoreMs = 0;
-        w.play(120);
+        cluster.runFor(0.2 + 0.15 * seed);
+        restart(cluster, cluster.leader(), 300);
+        cluster.faults.storeResponseDelayMs = 0;
+        cluster.runFor(120);
         for (int i = 2; i < 8; i++) {
-            assertEquals("done", w.users.get("job-" + i).end, "job-" + i);
+            assertEquals("done", cluster.users.get("job-" + i).endState, "job-" + i);
         }
-        assertEquals(List.of(), w.violations);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
@@ -194,26 +194,27 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void anAttemptGivenUpBeforeItWasStoredDoesNotLetTheNextOneStartEarly(long seed) {
-        SimulatedCluster w = new SimulatedCluster(60 + seed);
-        w.play(3);
-        w.submit(gangOfSmall(1, 80, 2));
-        w.play(25); // all machines are up and free again
-        SimulatedCluster.User second = w.submit(gangOfSmall(2, 40, 5));
+        SimulatedCluster cluster = new SimulatedCluster(60 + seed);
+        cluster.runFor(3);
+        cluster.submit(gangOfSmall(1, 80, 2));
+        cluster.runFor(25); // all machines are up and free again
+        SimulatedUser second = cluster.submit(gangOfSmall(2, 40, 5));
         for (int i = 0; i < 100 && !second.accepted; i++) {
-            w.play(0.02);
+            cluster.runFor(0.02);
         }
-        w.slowWritesMs = 700;
-        w.play(0.05);
-        Worker first = w.workers.values().stream()
+        cluster.faults.commitDelayMs = 700;
+        cluster.runFor(0.05);
+        Worker first = cluster.workers.values().stream()
                 .min(Comparator.comparing(Worker::machine))
                 .orElseThrow();
         first.reclaimNotice(3);
-        w.copy(MessageCodec.decode(MessageCodec.encode(first.heartbeat())), w.leader());
-        w.play(10);
-        w.slowWritesMs = 0;
-        w.play(60);
-        assertEquals(List.of(), w.violations);
-        assertEquals("done", second.end);
+        cluster.machines.deliverDuplicate(
+                MessageCodec.decode(MessageCodec.encode(first.heartbeat())), cluster.leader());
+        cluster.runFor(10);
+        cluster.faults.commitDelayMs = 0;
+        cluster.runFor(60);
+        assertEquals(List.of(), cluster.violations);
+        assertEquals("done", second.endState);
     }
 
     /**
@@ -221,11 +222,11 @@
      */
     @Test
     void claimsOfDifferentAttemptsAreStoppedAndTheGangStartsWhole() {
-        SimulatedCluster w = begun(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
-        w.nodes.values().forEach(SimulatedCluster.Node::crash);
+        SimulatedCluster cluster = begun(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
+        cluster.controllers.values().forEach(ControllerNode::crash);
         int changed = 0;
         for (int slot = 0; slot < 1024; slot++) {
-            JsonNode record = w.state.value("l/" + slot);
+            JsonNode record = cluster.state.value("l/" + slot);
             for (JsonNode event : record == null ? List.<JsonNode>of() : record.path("e")) {
                 if (event.path(0).asInt() == 0 && event.path(2).asInt() == 5) {
                     ((ArrayNode) event).set(3, event.path(3).asLong() + 7);
@@ -234,33 +235,33 @@
             }
         }
         assertEquals(1, changed);
-        w.nodes.values().forEach(SimulatedCluster.Node::start);
-        w.play(90);
-        assertEquals(List.of(), w.violations);
-        assertEquals("done", w.users.get("job-1").end);
+        cluster.controllers.values().forEach(ControllerNode::start);
+        cluster.runFor(90);
+        assertEquals(List.of(), cluster.violations);
+        assertEquals("done", cluster.users.get("job-1").endState);
     }
 
     /** Room is made for all its tasks at once, in the one zone where it may be. */
     @Test
     void lessUrgentWorkMakesRoomForAllOfIt() {
-        SimulatedCluster w = new SimulatedCluster(30);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(30);
+        cluster.runFor(3);
         for (int i = 0; i < 40; i++) {
-            w.submit(array(100 + i, "any", JobSpec.Priority.IDLE, 4, 400));
+            cluster.submit(array(100 + i, "any", JobSpec.Priority.IDLE, 4, 400));
         }
-        w.play(60);
-        int full = w.running();
-        w.submit(gang(1, JobSpec.Priority.URGENT, 8, true, 10));
-        w.play(14);
-        assertTrue(w.users.get("job-1").startedAt > 0, "it waits, with " + full + " tasks of less urgent work");
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(60);
+        int full = cluster.tasks.running();
+        cluster.submit(gang(1, JobSpec.Priority.URGENT, 8, true, 10));
+        cluster.runFor(14);
+        assertTrue(cluster.users.get("job-1").startedAt > 0, "it waits, with " + full + " tasks of less urgent work");
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
     void whatCanNeverStandTogetherIsRefused() {
-        SimulatedCluster w = new SimulatedCluster(31);
-        w.play(3);
-        w.submit(new JobSpec(
+        SimulatedCluster cluster = new SimulatedCluster(31);
+        cluster.runFor(3);
+        cluster.submit(new JobSpec(
                 "job-1",
                 "any",
                 "blue",
@@ -281,7 +282,7 @@
                 0,
                 0,
                 -1)); // 26 CPUs of 24
-        w.submit(new JobSpec(
+        cluster.submit(new JobSpec(
                 "job-2",
                 "any",
                 "free",
@@ -302,10 +303,10 @@
                 0,
                 0,
                 -1)); // in one zone, with at most half of it in each
-        w.play(10);
-        for (SimulatedCluster.User user : w.users.values()) {
+        cluster.runFor(10);
+        for (SimulatedUser user : cluster.users.values()) {
             assertFalse(user.accepted, user.spec.id());
-            assertNull(user.end);
+            assertNull(user.endState);
         }
     }
 }
--- a/src/test/java/stileferry/coordination/HandoverTest.java
+++ b/src/test/java/stileferry/coordination/HandoverTest.java
@@ -17,95 +17,95 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import stileferry.coordination.SimulatedNetwork.Mode;
+import stileferry.coordination.SimulatedNetwork.LinkFault;
 
 /** Handovers in which a step is the last, comes late, or meets an older version. */
 class HandoverTest {
     /** Brings the leader to hand over, and plays until the nominee has been asked. */
     private static SimulatedCluster handingOver(long seed) {
-        SimulatedCluster w = busy(seed, ON);
-        w.network.blockBoth(name(w.leader()), WORKERS, Mode.LOST);
-        SimulatedCluster.Node old = w.leader();
+        SimulatedCluster cluster = busy(seed, ON);
+        cluster.network.blockBoth(name(cluster.leader()), WORKERS, LinkFault.LOST);
+        ControllerNode old = cluster.leader();
         for (int i = 0; i < 3000 && !old.coordinator.links().handingOver(); i++) {
-            w.play(0.01);
+            cluster.runFor(0.01);
         }
         assertTrue(old.coordinator.links().handingOver(), "no handover began");
-        return w;
+        return cluster;
     }
 
     @Test
     void theNomineeLosesItsLinkDuringTheHandover() {
-        SimulatedCluster w = handingOver(540);
-        SimulatedCluster.Node old = w.leader();
-        others(w, old).forEach(n -> w.network.blockBoth(name(n), SimulatedCluster.STATE, Mode.LOST));
-        w.play(8);
-        assertEquals(List.of(), w.violations);
-        others(w, old).forEach(n -> w.network.restoreBoth(name(n), SimulatedCluster.STATE));
-        w.play(25);
-        assertTrue(secondsToRun(w, 50, 30) < 30, "somebody leads and work goes on");
-        mended(w);
+        SimulatedCluster cluster = handingOver(540);
+        ControllerNode old = cluster.leader();
+        others(cluster, old).forEach(n -> cluster.network.blockBoth(name(n), SimulatedCluster.STORE, LinkFault.LOST));
+        cluster.runFor(8);
+        assertEquals(List.of(), cluster.violations);
+        others(cluster, old).forEach(n -> cluster.network.restoreBoth(name(n), SimulatedCluster.STORE));
+        cluster.runFor(25);
+        assertTrue(secondsToRun(cluster, 50, 30) < 30, "somebody leads and work goes on");
+        mended(cluster);
     }
 
     /** Each step may be the last: the leader's process stands still before, within or after its release. */
     @ParameterizedTest
     @ValueSource(ints = {0, 5, 20, 60, 120, 300, 1000})
     void aLeaderFrozenAroundItsRelease(int afterMs) {
-        SimulatedCluster w = handingOver(541);
-        SimulatedCluster.Node old = w.leader();
-        w.play(afterMs / 1000.0);
+        SimulatedCluster cluster = handingOver(541);
+        ControllerNode old = cluster.leader();
+        cluster.runFor(afterMs / 1000.0);
         old.environment.freeze(12_000);
-        w.play(32);
-        assertEquals(List.of(), w.violations);
-        assertTrue(w.leader() != null, "somebody leads");
-        assertTrue(secondsToRun(w, 50, 30) < 30, "work goes on");
-        mended(w);
+        cluster.runFor(32);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(cluster.leader() != null, "somebody leads");
+        assertTrue(secondsToRun(cluster, 50, 30) < 30, "work goes on");
+        mended(cluster);
     }
 
     @ParameterizedTest
     @CsvSource({"0,100", "30,100", "100,200", "500,100"})
     void aProcessIsBackInASplitSecondDuringAHandover(int afterMs, int awayMs) {
         for (int who = 0; who < 3; who++) {
-            SimulatedCluster w = handingOver(550 + who);
-            w.play(afterMs / 1000.0);
-            restart(w, List.copyOf(w.nodes.values()).get(who), awayMs);
-            w.play(30);
-            assertEquals(List.of(), w.violations);
-            assertTrue(secondsToRun(w, 50, 30) < 30, "work goes on");
-            mended(w);
+            SimulatedCluster cluster = handingOver(550 + who);
+            cluster.runFor(afterMs / 1000.0);
+            restart(cluster, List.copyOf(cluster.controllers.values()).get(who), awayMs);
+            cluster.runFor(30);
+            assertEquals(List.of(), cluster.violations);
+            assertTrue(secondsToRun(cluster, 50, 30) < 30, "work goes on");
+            mended(cluster);
         }
     }
 
     @Test
     void twoCutsThatOverlapWithAnOutageOfTheStateService() {
-        SimulatedCluster w = busy(560, ON);
-        SimulatedCluster.Node leader = w.leader();
-        w.network.blockBoth(name(leader), WORKERS, Mode.LOST);
-        w.play(4);
-        w.network.blockBoth(name(leader), name(others(w, leader).get(0)), Mode.REFUSED);
-        w.stateDown = true;
-        w.play(15);
-        w.stateDown = false;
-        w.state.renewAllLeases(w.now);
-        w.play(25);
-        assertEquals(List.of(), w.violations);
-        assertTrue(secondsToRun(w, 50, 30) < 30, "work goes on");
-        mended(w);
+        SimulatedCluster cluster = busy(560, ON);
+        ControllerNode leader = cluster.leader();
+        cluster.network.blockBoth(name(leader), WORKERS, LinkFault.LOST);
+        cluster.runFor(4);
+        cluster.network.blockBoth(name(leader), name(others(cluster, leader).get(0)), LinkFault.REFUSED);
+        cluster.faults.storeDown = true;
+        cluster.runFor(15);
+        cluster.faults.storeDown = false;
+        cluster.state.renewAllLeases(cluster.now);
+        cluster.runFor(25);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(secondsToRun(cluster, 50, 30) < 30, "work goes on");
+        mended(cluster);
     }
 
     /** A version that knows nothing of views is neither sent any nor handed anything over to. */
     @Test
     void olderVersionsTakeNoPart() {
-        SimulatedCluster w = new SimulatedCluster(590);
-        w.features = ON;
-        w.withoutFeatures.addAll(List.of("n1", "n2"));
-        w.play(3);
-        w.submit(service(6, 2, 2));
-        w.play(30);
-        SimulatedCluster.Node leader = w.leader();
-        w.network.blockBoth(name(leader), WORKERS, Mode.LOST);
-        w.play(40);
-        assertEquals(List.of(), w.violations);
-        assertEquals(leader, w.leader(), "as before");
-        mended(w);
+        SimulatedCluster cluster = new SimulatedCluster(590);
+        cluster.features = ON;
+        cluster.controllersWithoutFeatures.addAll(List.of("n1", "n2"));
+        cluster.runFor(3);
+        cluster.submit(service(6, 2, 2));
+        cluster.runFor(30);
+        ControllerNode leader = cluster.leader();
+        cluster.network.blockBoth(name(leader), WORKERS, LinkFault.LOST);
+        cluster.runFor(40);
+        assertEquals(List.of(), cluster.violations);
+        assertEquals(leader, cluster.leader(), "as before");
+        mended(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/InvariantChecksTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksTest.java
@@ -43,35 +43,35 @@
 
     /** A world with machines up, and a job that nobody but the test will start. */
     private static SimulatedCluster with(JobSpec spec) {
-        SimulatedCluster w = new SimulatedCluster(1);
-        w.play(3);
-        w.submit(InvariantsUnderFaultsTest.service(1, 8, 8));
-        w.play(30);
-        w.nodes.values().forEach(SimulatedCluster.Node::crash);
-        w.users.put(spec.id(), w.new User(spec));
-        return w;
+        SimulatedCluster cluster = new SimulatedCluster(1);
+        cluster.runFor(3);
+        cluster.submit(InvariantsUnderFaultsTest.service(1, 8, 8));
+        cluster.runFor(30);
+        cluster.controllers.values().forEach(ControllerNode::crash);
+        cluster.users.add(spec);
+        return cluster;
     }
 
-    private static Worker in(SimulatedCluster w, String zone, int number) {
-        return w.workers.values().stream()
+    private static Worker in(SimulatedCluster cluster, String zone, int number) {
+        return cluster.workers.values().stream()
                 .filter(x -> x.zone().equals(zone))
                 .skip(number)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void run(SimulatedCluster w, Worker worker, String task) {
+    private static void run(SimulatedCluster cluster, Worker worker, String task) {
         worker.receiveCommands(WorkerMessages.directCommands(
                 HIGH_TERM,
                 worker.incarnation(),
                 List.of(
                         new WorkerCommand(WorkerCommand.Kind.KILL, "job-1/0", 0, 0),
                         new WorkerCommand(WorkerCommand.Kind.RUN, task, 1, 0))));
-        w.play(0.95); // it has its image, and leases stand
+        cluster.runFor(0.95); // it has its image, and leases stand
     }
 
-    private static void free(SimulatedCluster w) {
-        for (Worker worker : w.workers.values()) {
+    private static void free(SimulatedCluster cluster) {
+        for (Worker worker : cluster.workers.values()) {
             for (var status :
                     stileferry.protocol.Heartbeat.read(worker.heartbeat()).tasks()) {
                 worker.receiveCommands(WorkerMessages.directCommands(
@@ -82,50 +82,52 @@
         }
     }
 
-    private static void assertNoticed(SimulatedCluster w, String rule) {
-        assertTrue(w.violations.stream().anyMatch(v -> v.startsWith(rule)), rule + " not noticed: " + w.violations);
+    private static void assertNoticed(SimulatedCluster cluster, String rule) {
+        assertTrue(
+                cluster.violations.stream().anyMatch(v -> v.startsWith(rule)),
+                rule + " not noticed: " + cluster.violations);
     }
 
     @Test
     void theWrongZone() {
-        SimulatedCluster w = with(spec(9, "free", 2, "za", false));
-        free(w);
-        run(w, in(w, "zb", 0), "job-9/0");
-        assertNoticed(w, "wrong_place");
+        SimulatedCluster cluster = with(spec(9, "free", 2, "za", false));
+        free(cluster);
+        run(cluster, in(cluster, "zb", 0), "job-9/0");
+        assertNoticed(cluster, "wrong_place");
     }
 
     @Test
     void tasksApartThatMustBeTogether() {
-        SimulatedCluster w = with(spec(9, "free", 2, null, true));
-        free(w);
-        run(w, in(w, "za", 0), "job-9/0");
-        assertEquals(List.of(), w.violations);
-        run(w, in(w, "zb", 0), "job-9/1");
-        assertNoticed(w, "wrong_place");
+        SimulatedCluster cluster = with(spec(9, "free", 2, null, true));
+        free(cluster);
+        run(cluster, in(cluster, "za", 0), "job-9/0");
+        assertEquals(List.of(), cluster.violations);
+        run(cluster, in(cluster, "zb", 0), "job-9/1");
+        assertNoticed(cluster, "wrong_place");
     }
 
     @Test
     void aTeamBeyondItsLimit() {
-        SimulatedCluster w = with(spec(9, "blue", 7, null, false)); // 28 CPUs of 24
-        free(w);
-        for (int i = 0; i < 7 && w.violations.isEmpty(); i++) {
-            run(w, in(w, i % 4 < 2 ? "za" : "zb", i % 2), "job-9/" + i);
+        SimulatedCluster cluster = with(spec(9, "blue", 7, null, false)); // 28 CPUs of 24
+        free(cluster);
+        for (int i = 0; i < 7 && cluster.violations.isEmpty(); i++) {
+            run(cluster, in(cluster, i % 4 < 2 ? "za" : "zb", i % 2), "job-9/" + i);
         }
-        assertNoticed(w, "quota");
+        assertNoticed(cluster, "quota");
     }
 
     @Test
     void oneTaskTwice() {
-        SimulatedCluster w = with(spec(9, "free", 1, null, false));
-        free(w);
-        run(w, in(w, "za", 0), "job-9/0");
-        run(w, in(w, "zb", 0), "job-9/0");
-        assertNoticed(w, "ran_twice");
+        SimulatedCluster cluster = with(spec(9, "free", 1, null, false));
+        free(cluster);
+        run(cluster, in(cluster, "za", 0), "job-9/0");
+        run(cluster, in(cluster, "zb", 0), "job-9/0");
+        assertNoticed(cluster, "ran_twice");
     }
 
     @Test
     void aStartOfAGangWhoseClaimsAreNotStored() {
-        SimulatedCluster w = with(spec(9, "free", 1, null, false));
+        SimulatedCluster cluster = with(spec(9, "free", 1, null, false));
         JobSpec gang = new JobSpec(
                 "job-10",
                 "any",
@@ -148,7 +150,7 @@
                 0,
                 -1);
         List<String> noticed = new ArrayList<>();
-        new StoredAssignments(w.state, id -> gang)
+        new StoredAssignments(cluster.state, id -> gang)
                 .checkStarts(
                         WorkerMessages.directCommands(
                                 HIGH_TERM, 1, List.of(new WorkerCommand(WorkerCommand.Kind.RUN, "job-10/0", 1, 0))),
@@ -159,46 +161,53 @@
 
     @Test
     void anAnswerThatGoesBack() {
-        SimulatedCluster w = with(spec(9, "free", 2, null, false));
-        SimulatedCluster.User user = w.users.get("job-9");
-        w.told(user, RequestKind.STATUS, w.now, 200, UserMessages.jobState("job-9", "done", 2, 0));
-        assertEquals(List.of(), w.violations);
-        w.told(user, RequestKind.STATUS, w.now + 1, 200, UserMessages.jobState("job-9", "running", 1, 1));
-        assertNoticed(w, "went_back");
+        SimulatedCluster cluster = with(spec(9, "free", 2, null, false));
+        SimulatedUser user = cluster.users.get("job-9");
+        cluster.users.receiveAnswer(
+                user, RequestKind.STATUS, cluster.now, 200, UserMessages.jobState("job-9", "done", 2, 0));
+        assertEquals(List.of(), cluster.violations);
+        cluster.users.receiveAnswer(
+                user, RequestKind.STATUS, cluster.now + 1, 200, UserMessages.jobState("job-9", "running", 1, 1));
+        assertNoticed(cluster, "went_back");
     }
 
     @Test
     void doneBeforeItIs() {
-        SimulatedCluster w = with(spec(9, "free", 2, null, false));
-        w.told(w.users.get("job-9"), RequestKind.STATUS, w.now, 200, UserMessages.jobState("job-9", "done", 1, 0));
-        assertNoticed(w, "not_done");
+        SimulatedCluster cluster = with(spec(9, "free", 2, null, false));
+        cluster.users.receiveAnswer(
+                cluster.users.get("job-9"),
+                RequestKind.STATUS,
+                cluster.now,
+                200,
+                UserMessages.jobState("job-9", "done", 1, 0));
+        assertNoticed(cluster, "not_done");
     }
 
     @Test
     void aStartAfterAConfirmedCancellation() {
-        SimulatedCluster w = with(spec(9, "free", 1, null, false));
-        free(w);
-        SimulatedCluster.User user = w.users.get("job-9");
-        user.wantsCancel = true;
-        w.told(user, RequestKind.CANCEL, w.now, 200, UserMessages.jobState("job-9", "cancelled", 0, 0));
-        run(w, in(w, "za", 0), "job-9/0");
-        assertNoticed(w, "ran_cancelled");
+        SimulatedCluster cluster = with(spec(9, "free", 1, null, false));
+        free(cluster);
+        SimulatedUser user = cluster.users.get("job-9");
+        user.cancelRequested = true;
+        cluster.users.receiveAnswer(
+                user, RequestKind.CANCEL, cluster.now, 200, UserMessages.jobState("job-9", "cancelled", 0, 0));
+        run(cluster, in(cluster, "za", 0), "job-9/0");
+        assertNoticed(cluster, "ran_cancelled");
     }
 
     @Test
     void aJobLeftBesideFreeRoom() {
-        SimulatedCluster w = new SimulatedCluster(1);
-        w.play(3);
-        w.submit(InvariantsUnderFaultsTest.service(1, 1, 2));
-        w.play(30);
-        SimulatedCluster.User user = w.new User(spec(9, "free", 1, null, false)); // as if its acceptance had been lost
-        w.users.put("job-9", user);
+        SimulatedCluster cluster = new SimulatedCluster(1);
+        cluster.runFor(3);
+        cluster.submit(InvariantsUnderFaultsTest.service(1, 1, 2));
+        cluster.runFor(30);
+        SimulatedUser user = cluster.users.add(spec(9, "free", 1, null, false)); // as if its acceptance had been lost
         user.accepted = true;
-        w.quietSince = w.now;
-        for (int i = 0; i < 100 && w.violations.isEmpty(); i++) {
-            user.heardAt = w.now;
-            w.play(1);
+        cluster.faults.endedAt = cluster.now;
+        for (int i = 0; i < 100 && cluster.violations.isEmpty(); i++) {
+            user.lastAnswerAt = cluster.now;
+            cluster.runFor(1);
         }
-        assertNoticed(w, "waiting");
+        assertNoticed(cluster, "waiting");
     }
 }
--- a/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
@@ -53,223 +53,234 @@
 
     /** A day with users at work and one trouble after the other, until all is quiet again at the end. */
     static SimulatedCluster day(long seed, double seconds) {
-        return day(seed, seconds, w -> {});
+        return day(seed, seconds, cluster -> {});
     }
 
     static SimulatedCluster day(long seed, double seconds, Consumer<SimulatedCluster> prepare) {
-        SimulatedCluster w = new SimulatedCluster(seed);
-        prepare.accept(w);
-        SplittableRandom random = w.random.split();
-        w.lateCopies = seed % 2 == 0 ? 0.1 : 0;
-        w.after(random.nextLong(Math.round(1000 * seconds)), () -> w.state.setLimits(4, 2));
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(seed);
+        prepare.accept(cluster);
+        SplittableRandom random = cluster.random.split();
+        cluster.faults.duplicateHeartbeatRate = seed % 2 == 0 ? 0.1 : 0;
+        cluster.after(random.nextLong(Math.round(1000 * seconds)), () -> cluster.state.setLimits(4, 2));
+        cluster.runFor(3);
         int jobs = 0;
-        for (double t = 0; t < seconds && w.violations.isEmpty(); t += 2) {
+        for (double t = 0; t < seconds && cluster.violations.isEmpty(); t += 2) {
             if (random.nextInt(3) != 0) {
-                w.submit(job(jobs++, random));
+                cluster.submit(job(jobs++, random));
             }
-            if (random.nextInt(8) == 0 && !w.users.isEmpty()) {
-                List<SimulatedCluster.User> open = w.users.values().stream()
-                        .filter(u -> u.accepted && !u.wantsCancel)
+            if (random.nextInt(8) == 0 && !cluster.users.isEmpty()) {
+                List<SimulatedUser> open = cluster.users.values().stream()
+                        .filter(u -> u.accepted && !u.cancelRequested)
                         .toList();
                 if (!open.isEmpty()) {
-                    w.cancel(open.get(random.nextInt(open.size())));
+                    cluster.cancel(open.get(random.nextInt(open.size())));
                 }
             }
             if (random.nextInt(5) == 0) {
-                trouble(w, random);
+                trouble(cluster, random);
             }
-            w.play(2);
+            cluster.runFor(2);
         }
-        w.stateDown = false;
-        w.network.restoreAll();
-        w.refused.clear();
-        w.deaf.clear();
-        w.alone.clear();
-        w.slow.clear();
-        w.peersRefuse = false;
-        w.slowStoreMs = 0;
-        w.turnMs.clear();
-        w.lostAnswers = 0;
-        w.lateWrites = 0;
-        w.unansweredWrites = 0;
-        w.mute.clear();
-        w.copiesForNext = false;
-        w.after(45_000, w.network::restoreAll); // links that came and went
-        w.quietSince = w.now;
-        w.play(90); // until every submission has been answered or given up
-        for (SimulatedCluster.User user : List.copyOf(w.users.values())) {
-            if (user.spec.service() && user.accepted && !user.wantsCancel) {
-                w.cancel(user);
+        cluster.faults.storeDown = false;
+        cluster.network.restoreAll();
+        cluster.faults.rejectedByStore.clear();
+        cluster.faults.inboundLoss.clear();
+        cluster.faults.partitionedFromControlPlane.clear();
+        cluster.faults.inboundDelayMs.clear();
+        cluster.faults.peerConnectionsRefused = false;
+        cluster.faults.storeResponseDelayMs = 0;
+        cluster.faults.eventLoopTurnMs.clear();
+        cluster.faults.responseLossRate = 0;
+        cluster.faults.lateCommitRate = 0;
+        cluster.faults.unansweredCommitRate = 0;
+        cluster.faults.heartbeatLoss.clear();
+        cluster.faults.replayHeartbeatsToNextLeader = false;
+        cluster.after(45_000, cluster.network::restoreAll); // links that came and went
+        cluster.faults.endedAt = cluster.now;
+        cluster.runFor(90); // until every submission has been answered or given up
+        for (SimulatedUser user : List.copyOf(cluster.users.values())) {
+            if (user.spec.service() && user.accepted && !user.cancelRequested) {
+                cluster.cancel(user);
             }
         }
-        w.play(200);
-        return w;
+        cluster.runFor(200);
+        return cluster;
     }
 
-    private static void trouble(SimulatedCluster w, SplittableRandom random) {
-        List<SimulatedCluster.Node> nodes = List.copyOf(w.nodes.values());
-        SimulatedCluster.Node node = nodes.get(random.nextInt(3));
-        List<String> machines = w.cloud.runningMachines();
+    private static void trouble(SimulatedCluster cluster, SplittableRandom random) {
+        List<ControllerNode> nodes = List.copyOf(cluster.controllers.values());
+        ControllerNode node = nodes.get(random.nextInt(3));
+        List<String> machines = cluster.cloud.runningMachines();
         String machine = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
         String addr = "w-" + machine + ":1";
         switch (random.nextInt(32)) {
-            case 0, 1 -> restart(w, node, random.nextBoolean() ? 300 : 5000);
-            case 2 -> nodes.forEach(n -> restart(w, n, 1000 + random.nextLong(4000)));
-            case 3 -> w.cut(node.settings.controllerName(), 1000 + random.nextLong(20_000));
-            case 4 -> w.cut(addr, 1000 + random.nextLong(20_000));
+            case 0, 1 -> restart(cluster, node, random.nextBoolean() ? 300 : 5000);
+            case 2 -> nodes.forEach(n -> restart(cluster, n, 1000 + random.nextLong(4000)));
+            case 3 -> cluster.faults.partition(node.settings.controllerName(), 1000 + random.nextLong(20_000));
+            case 4 -> cluster.faults.partition(addr, 1000 + random.nextLong(20_000));
             case 5 -> {
-                w.stateDown = true;
-                w.after(1000 + random.nextLong(15_000), () -> {
-                    w.stateDown = false;
-                    w.state.renewAllLeases(w.now);
+                cluster.faults.storeDown = true;
+                cluster.after(1000 + random.nextLong(15_000), () -> {
+                    cluster.faults.storeDown = false;
+                    cluster.state.renewAllLeases(cluster.now);
                 });
             }
             case 6 -> {
-                w.refused.add(node.settings.controllerName());
-                w.after(1000 + random.nextLong(20_000), () -> w.refused.remove(node.settings.controllerName()));
+                cluster.faults.rejectedByStore.add(node.settings.controllerName());
+                cluster.after(
+                        1000 + random.nextLong(20_000),
+                        () -> cluster.faults.rejectedByStore.remove(node.settings.controllerName()));
             }
             case 7 -> {
                 if (machine != null) {
-                    w.cloud.reclaim(machine);
+                    cluster.cloud.reclaim(machine);
                 }
             }
             case 8 -> {
-                Worker sick = w.workers.get(addr);
+                Worker sick = cluster.workers.get(addr);
                 if (sick != null) {
                     sick.setFaulty(true);
-                    w.after(15_000, () -> sick.setFaulty(false));
+                    cluster.after(15_000, () -> sick.setFaulty(false));
                 }
             }
             case 9 -> {
-                w.deaf.add(addr);
-                w.after(1000 + random.nextLong(40_000), () -> w.deaf.remove(addr));
+                cluster.faults.inboundLoss.add(addr);
+                cluster.after(1000 + random.nextLong(40_000), () -> cluster.faults.inboundLoss.remove(addr));
             }
             case 10 -> {
-                w.alone.add(node.settings.controllerName());
-                w.after(1000 + random.nextLong(30_000), () -> w.alone.remove(node.settings.controllerName()));
+                cluster.faults.partitionedFromControlPlane.add(node.settings.controllerName());
+                cluster.after(
+                        1000 + random.nextLong(30_000),
+                        () -> cluster.faults.partitionedFromControlPlane.remove(node.settings.controllerName()));
             }
             case 11 -> {
-                w.peersRefuse = true;
-                w.after(1000 + random.nextLong(20_000), () -> w.peersRefuse = false);
+                cluster.faults.peerConnectionsRefused = true;
+                cluster.after(1000 + random.nextLong(20_000), () -> cluster.faults.peerConnectionsRefused = false);
             }
             case 12 -> {
-                w.slow.put(node.settings.controllerName(), 400L);
-                w.after(1000 + random.nextLong(20_000), () -> w.slow.remove(node.settings.controllerName()));
+                cluster.faults.inboundDelayMs.put(node.settings.controllerName(), 400L);
+                cluster.after(
+                        1000 + random.nextLong(20_000),
+                        () -> cluster.faults.inboundDelayMs.remove(node.settings.controllerName()));
             }
             case 13 -> {
-                w.slowStoreMs = 30 * 20;
-                w.after(1000 + random.nextLong(30_000), () -> w.slowStoreMs = 0);
+                cluster.faults.storeResponseDelayMs = 30 * 20;
+                cluster.after(1000 + random.nextLong(30_000), () -> cluster.faults.storeResponseDelayMs = 0);
             }
             case 16, 17 -> { // a zone is cut off, and the leader may crash meanwhile
-                w.cutZone(random.nextBoolean() ? "za" : "zb", 1000 + random.nextLong(25_000));
-                SimulatedCluster.Node leader = w.leader();
+                cluster.faults.partitionZone(random.nextBoolean() ? "za" : "zb", 1000 + random.nextLong(25_000));
+                ControllerNode leader = cluster.leader();
                 if (leader != null && random.nextBoolean()) {
-                    w.after(random.nextLong(15_000), () -> restart(w, leader, random.nextBoolean() ? 200 : 5000));
+                    cluster.after(
+                            random.nextLong(15_000), () -> restart(cluster, leader, random.nextBoolean() ? 200 : 5000));
                 }
             }
             case 18, 19 -> { // one controller, or all of them, is given little processor time
-                for (SimulatedCluster.Node slow : random.nextBoolean() ? nodes : List.of(node)) {
-                    w.turnMs.put(slow.settings.controllerName(), 5 + random.nextLong(60));
+                for (ControllerNode slow : random.nextBoolean() ? nodes : List.of(node)) {
+                    cluster.faults.eventLoopTurnMs.put(slow.settings.controllerName(), 5 + random.nextLong(60));
                 }
-                w.after(1000 + random.nextLong(30_000), w.turnMs::clear);
+                cluster.after(1000 + random.nextLong(30_000), cluster.faults.eventLoopTurnMs::clear);
             }
             case 20 -> {
-                w.lateWrites = 0.1 + 0.4 * random.nextDouble();
-                w.after(1000 + random.nextLong(15_000), () -> w.lateWrites = 0);
+                cluster.faults.lateCommitRate = 0.1 + 0.4 * random.nextDouble();
+                cluster.after(1000 + random.nextLong(15_000), () -> cluster.faults.lateCommitRate = 0);
             }
             case 21 -> {
-                w.unansweredWrites = 0.1 + 0.4 * random.nextDouble();
-                w.after(1000 + random.nextLong(15_000), () -> w.unansweredWrites = 0);
+                cluster.faults.unansweredCommitRate = 0.1 + 0.4 * random.nextDouble();
+                cluster.after(1000 + random.nextLong(15_000), () -> cluster.faults.unansweredCommitRate = 0);
             }
             case 22 -> {
-                w.mute.add(addr);
-                w.after(1000 + random.nextLong(30_000), () -> w.mute.remove(addr));
+                cluster.faults.heartbeatLoss.add(addr);
+                cluster.after(1000 + random.nextLong(30_000), () -> cluster.faults.heartbeatLoss.remove(addr));
             }
-            case 23 -> w.hang(addr, 1000 + random.nextLong(25_000));
+            case 23 -> cluster.faults.hang(addr, 1000 + random.nextLong(25_000));
             case 24 -> {
-                w.copiesForNext = true;
-                w.after(1000 + random.nextLong(30_000), () -> w.copiesForNext = false);
+                cluster.faults.replayHeartbeatsToNextLeader = true;
+                cluster.after(
+                        1000 + random.nextLong(30_000), () -> cluster.faults.replayHeartbeatsToNextLeader = false);
             }
             case 25 -> { // the leader is refused, and then everybody for longer than a cancellation's time
-                SimulatedCluster.Node leader = w.leader();
+                ControllerNode leader = cluster.leader();
                 if (leader != null) {
-                    w.refused.add(leader.settings.controllerName());
-                    cancelSome(w, random);
-                    w.after(1000 + random.nextLong(4000), () -> {
-                        w.stateDown = true;
-                        cancelSome(w, random);
-                        w.after(15_000 + random.nextLong(15_000), () -> {
-                            w.stateDown = false;
-                            w.state.renewAllLeases(w.now);
+                    cluster.faults.rejectedByStore.add(leader.settings.controllerName());
+                    cancelSome(cluster, random);
+                    cluster.after(1000 + random.nextLong(4000), () -> {
+                        cluster.faults.storeDown = true;
+                        cancelSome(cluster, random);
+                        cluster.after(15_000 + random.nextLong(15_000), () -> {
+                            cluster.faults.storeDown = false;
+                            cluster.state.renewAllLeases(cluster.now);
                         });
                     });
-                    w.after(14_000, () -> w.refused.remove(leader.settings.controllerName()));
+                    cluster.after(
+                            14_000, () -> cluster.faults.rejectedByStore.remove(leader.settings.controllerName()));
                 }
             }
-            case 26 -> nodes.forEach(n -> restart(w, n, 5000 + random.nextLong(12_000))); // for longer than a lease
+            case 26 ->
+                nodes.forEach(n -> restart(cluster, n, 5000 + random.nextLong(12_000))); // for longer than a lease
             case 27 -> { // jobs are cancelled while the leader changes
-                SimulatedCluster.Node leader = w.leader();
+                ControllerNode leader = cluster.leader();
                 if (leader != null) {
-                    cancelSome(w, random);
-                    w.after(random.nextLong(300), () -> restart(w, leader, random.nextBoolean() ? 300 : 5000));
+                    cancelSome(cluster, random);
+                    cluster.after(
+                            random.nextLong(300), () -> restart(cluster, leader, random.nextBoolean() ? 300 : 5000));
                 }
             }
-            case 28, 29, 30, 31 -> cutLink(w, random);
+            case 28, 29, 30, 31 -> cutLink(cluster, random);
             case 14 -> { // back at once, while the others may just be choosing a leader
-                nodes.forEach(n -> restart(w, n, 100 + random.nextLong(200)));
-                w.after(500 + random.nextLong(2000), () -> restart(w, node, 100));
+                nodes.forEach(n -> restart(cluster, n, 100 + random.nextLong(200)));
+                cluster.after(500 + random.nextLong(2000), () -> restart(cluster, node, 100));
             }
             default -> {
-                w.lostAnswers = 0.2;
-                w.after(4000, () -> w.lostAnswers = 0);
+                cluster.faults.responseLossRate = 0.2;
+                cluster.after(4000, () -> cluster.faults.responseLossRate = 0);
             }
         }
     }
 
     /** One direction of a link, or both, or a link that comes and goes. */
-    private static void cutLink(SimulatedCluster w, SplittableRandom random) {
+    private static void cutLink(SimulatedCluster cluster, SplittableRandom random) {
         String node = "n" + random.nextInt(3);
-        String machine = w.cloud.runningMachines().isEmpty()
+        String machine = cluster.cloud.runningMachines().isEmpty()
                 ? "none"
-                : w.cloud.runningMachines().get(0);
+                : cluster.cloud.runningMachines().get(0);
         List<String> ends = List.of(
-                SimulatedCluster.STATE,
+                SimulatedCluster.STORE,
                 SimulatedNetwork.WORKERS,
                 SimulatedNetwork.WORKERS,
                 "n" + random.nextInt(3),
                 "w-" + machine + ":1");
         String end = ends.get(random.nextInt(ends.size()));
-        SimulatedNetwork.Mode mode = SimulatedNetwork.Mode.values()[random.nextInt(3)];
+        SimulatedNetwork.LinkFault mode = SimulatedNetwork.LinkFault.values()[random.nextInt(3)];
         int ways = random.nextInt(3);
         int times = random.nextInt(3) == 0 ? 4 : 1;
         long periodMs = times == 1 ? 1000 + random.nextLong(30_000) : 1000 + random.nextLong(6000);
         for (int i = 0; i < times; i++) {
-            w.after(2 * i * periodMs, () -> {
+            cluster.after(2 * i * periodMs, () -> {
                 if (ways != 1) {
-                    w.network.block(node, end, mode);
+                    cluster.network.block(node, end, mode);
                 }
                 if (ways != 2) {
-                    w.network.block(end, node, mode);
+                    cluster.network.block(end, node, mode);
                 }
             });
-            w.after((2 * i + 1) * periodMs, () -> w.network.restoreBoth(node, end));
+            cluster.after((2 * i + 1) * periodMs, () -> cluster.network.restoreBoth(node, end));
         }
     }
 
-    private static void cancelSome(SimulatedCluster w, SplittableRandom random) {
-        List<SimulatedCluster.User> open = w.users.values().stream()
-                .filter(u -> u.accepted && u.end == null && !u.wantsCancel)
+    private static void cancelSome(SimulatedCluster cluster, SplittableRandom random) {
+        List<SimulatedUser> open = cluster.users.values().stream()
+                .filter(u -> u.accepted && u.endState == null && !u.cancelRequested)
                 .toList();
         for (int i = 0; i < Math.min(3, open.size()); i++) {
-            w.cancel(open.get(random.nextInt(open.size())));
+            cluster.cancel(open.get(random.nextInt(open.size())));
         }
     }
 
-    static void restart(SimulatedCluster w, SimulatedCluster.Node node, long afterMs) {
+    static void restart(SimulatedCluster cluster, ControllerNode node, long afterMs) {
         if (node.up()) {
             node.crash();
-            w.after(afterMs, node::start);
+            cluster.after(afterMs, node::start);
         }
     }
 
@@ -283,14 +294,14 @@
     @ParameterizedTest
     @MethodSource("seedsOfWatchedLinks")
     void noRuleIsBrokenWithLinksWatched(long seed) {
-        allIsDone(day(seed, 120, w -> {
-            w.features = new Features(true, false);
+        allIsDone(day(seed, 120, cluster -> {
+            cluster.features = new Features(true, false);
             if (seed % 3 == 0) {
-                w.withoutFeatures.add("n" + seed % 2);
+                cluster.controllersWithoutFeatures.add("n" + seed % 2);
             }
             if (seed % 5 == 0) {
-                w.formerForm.add("n2");
-                w.withoutFeatures.add("n2");
+                cluster.formerRecordFormat.add("n2");
+                cluster.controllersWithoutFeatures.add("n2");
             }
         }));
     }
@@ -299,14 +310,14 @@
         return LongStream.range(0, Integer.getInteger("days", 20)).map(i -> 1000 + i);
     }
 
-    static void allIsDone(SimulatedCluster w) {
-        assertEquals(List.of(), w.violations);
-        List<String> open = w.users.values().stream()
-                .filter(u -> u.accepted && u.end == null)
+    static void allIsDone(SimulatedCluster cluster) {
+        assertEquals(List.of(), cluster.violations);
+        List<String> open = cluster.users.values().stream()
+                .filter(u -> u.accepted && u.endState == null)
                 .map(u -> u.spec.toString())
                 .toList();
         assertEquals(List.of(), open, "jobs that are neither done nor cancelled long after the last trouble");
-        assertTrue(w.starts > 20, "too little happened: " + w.starts + " starts");
+        assertTrue(cluster.tasks.starts > 20, "too little happened: " + cluster.tasks.starts + " starts");
     }
 
     /**
@@ -317,23 +328,23 @@
     void aLeaderThatIsBehindSparesCommands() {
         int[] commands = new int[2];
         for (int slow = 0; slow < 2; slow++) {
-            SimulatedCluster w = new SimulatedCluster(77);
-            w.play(3);
-            w.submit(array(1, "any", JobSpec.Priority.NORMAL, 8, 1));
-            w.play(25);
+            SimulatedCluster cluster = new SimulatedCluster(77);
+            cluster.runFor(3);
+            cluster.submit(array(1, "any", JobSpec.Priority.NORMAL, 8, 1));
+            cluster.runFor(25);
             if (slow == 1) {
-                w.nodes.keySet().forEach(name -> w.turnMs.put(name, 70L));
+                cluster.controllers.keySet().forEach(name -> cluster.faults.eventLoopTurnMs.put(name, 70L));
             }
-            w.play(5);
-            int before = w.commandsSent;
+            cluster.runFor(5);
+            int before = cluster.directCommands;
             for (int i = 10; i < 16; i++) {
-                w.submit(array(i, "any", JobSpec.Priority.NORMAL, 4, 3));
+                cluster.submit(array(i, "any", JobSpec.Priority.NORMAL, 4, 3));
             }
-            w.play(120);
-            commands[slow] = w.commandsSent - before;
-            assertEquals(List.of(), w.violations);
-            for (SimulatedCluster.User user : w.users.values()) {
-                assertEquals("done", user.end, user.spec.id());
+            cluster.runFor(120);
+            commands[slow] = cluster.directCommands - before;
+            assertEquals(List.of(), cluster.violations);
+            for (SimulatedUser user : cluster.users.values()) {
+                assertEquals("done", user.endState, user.spec.id());
             }
         }
         assertTrue(commands[1] < commands[0] / 2, commands[1] + " commands instead of " + commands[0]);
@@ -390,12 +401,12 @@
     /** A record that can't be read is still a job that somebody was told is accepted. */
     @Test
     void anUnreadableRecordIsNotUnknown() {
-        SimulatedCluster w = new SimulatedCluster(34);
-        w.play(3);
-        w.submit(service(1, 1, 1));
-        w.play(10);
-        w.nodes.values().forEach(SimulatedCluster.Node::crash);
-        w.state.request(
+        SimulatedCluster cluster = new SimulatedCluster(34);
+        cluster.runFor(3);
+        cluster.submit(service(1, 1, 1));
+        cluster.runFor(10);
+        cluster.controllers.values().forEach(ControllerNode::crash);
+        cluster.state.request(
                 "POST",
                 "/commit",
                 MessageCodec.decode(MessageCodec.encode(MessageCodec.map()
@@ -406,67 +417,67 @@
                                                 .put("put", "j/job-1")
                                                 .set("v", MessageCodec.map().put("spec", "?")))))),
                 (status, body) -> {});
-        w.nodes.values().forEach(n -> w.after(1000, n::start));
-        w.quietSince = w.now;
-        w.play(100);
-        assertEquals(List.of(), w.violations);
-        assertTrue(w.now - w.users.get("job-1").heardAt < 10_000, "nobody answers for it");
+        cluster.controllers.values().forEach(n -> cluster.after(1000, n::start));
+        cluster.faults.endedAt = cluster.now;
+        cluster.runFor(100);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(cluster.now - cluster.users.get("job-1").lastAnswerAt < 10_000, "nobody answers for it");
     }
 
     /** The checks must be able to fail: with all nodes gone nobody answers for a job. */
     @Test
     void aForgottenJobIsNoticed() {
-        SimulatedCluster w = new SimulatedCluster(35);
-        w.play(3);
-        w.submit(service(1, 1, 1));
-        w.play(10);
-        w.nodes.values().forEach(SimulatedCluster.Node::crash);
-        w.quietSince = w.now;
-        w.play(74);
-        assertEquals(List.of(), w.violations);
-        w.play(6);
-        assertTrue(w.violations.stream().anyMatch(v -> v.startsWith("forgotten")), "nobody noticed");
+        SimulatedCluster cluster = new SimulatedCluster(35);
+        cluster.runFor(3);
+        cluster.submit(service(1, 1, 1));
+        cluster.runFor(10);
+        cluster.controllers.values().forEach(ControllerNode::crash);
+        cluster.faults.endedAt = cluster.now;
+        cluster.runFor(74);
+        assertEquals(List.of(), cluster.violations);
+        cluster.runFor(6);
+        assertTrue(cluster.violations.stream().anyMatch(v -> v.startsWith("forgotten")), "nobody noticed");
     }
 
     /** Twice as much work as room for five minutes, and more of the urgent class than all machines can do. */
     @Test
     void everybodyIsServedWhenThereIsMoreWorkThanRoom() {
-        SimulatedCluster w = new SimulatedCluster(36);
-        SplittableRandom random = w.random.split();
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(36);
+        SplittableRandom random = cluster.random.split();
+        cluster.runFor(3);
         int jobs = 0;
         for (int t = 0; t < 300; t += 5) {
             boolean large = jobs % 12 == 0;
-            w.submit(array(jobs++, "day", JobSpec.Priority.NORMAL, large ? 40 : 8 + random.nextInt(6), 40));
-            w.submit(array(jobs++, "night", JobSpec.Priority.IDLE, large ? 30 : 1 + random.nextInt(4), 40));
-            w.play(5);
+            cluster.submit(array(jobs++, "day", JobSpec.Priority.NORMAL, large ? 40 : 8 + random.nextInt(6), 40));
+            cluster.submit(array(jobs++, "night", JobSpec.Priority.IDLE, large ? 30 : 1 + random.nextInt(4), 40));
+            cluster.runFor(5);
         }
-        w.play(240);
-        for (SimulatedCluster.User user : w.users.values()) {
+        cluster.runFor(240);
+        for (SimulatedUser user : cluster.users.values()) {
             assertTrue(
                     user.startedAt > 0 && user.startedAt - user.submittedAt < 240_000,
                     user.spec.id() + " of " + user.spec.jobClass() + " with " + user.spec.taskCount()
                             + " tasks began after " + (user.startedAt - user.submittedAt) / 1000 + " s");
         }
-        assertEquals(List.of(), w.violations);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
     void theSameSeedPlaysTheSameDay() {
         SimulatedCluster a = day(77, 60);
         SimulatedCluster b = day(77, 60);
-        assertEquals(a.starts, b.starts);
-        assertEquals(a.finished, b.finished);
+        assertEquals(a.tasks.starts, b.tasks.starts);
+        assertEquals(a.users.completedJobs, b.users.completedJobs);
         assertEquals(a.now, b.now);
     }
 
     /** The checks must be able to fail: a worker that outlives its lease breaks a proof that the service relies on. */
     @Test
     void aFalseProofIsCaught() {
-        SimulatedCluster w = new SimulatedCluster(100, 9, 2, 40);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(100, 9, 2, 40);
+        cluster.runFor(3);
         for (int i = 0; i < 12; i++) {
-            w.submit(new JobSpec(
+            cluster.submit(new JobSpec(
                     "job-" + i,
                     "any",
                     "free",
@@ -488,40 +499,42 @@
                     0,
                     -1));
         }
-        w.play(15);
-        Worker worker = w.workers.get("w-" + w.machineInUse() + ":1");
+        cluster.runFor(15);
+        Worker worker = cluster.workers.get("w-" + cluster.tasks.machineInUse() + ":1");
         worker.ignoreLease();
-        w.cutZone(worker.zone(), 60_000); // a single machine would be given up by its deletion
-        w.play(40);
-        assertTrue(w.violations.stream().anyMatch(v -> v.startsWith("ran_twice")), "nobody noticed: " + w.violations);
+        cluster.faults.partitionZone(worker.zone(), 60_000); // a single machine would be given up by its deletion
+        cluster.runFor(40);
+        assertTrue(
+                cluster.violations.stream().anyMatch(v -> v.startsWith("ran_twice")),
+                "nobody noticed: " + cluster.violations);
     }
 
     /** Found on the bench: a record deleted while its last change was under way made the leader's next commit fail. */
     @Test
     void aLeaderWithoutTroublesKeepsItsTerm() {
-        SimulatedCluster w = new SimulatedCluster(6);
-        SplittableRandom random = w.random.split();
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(6);
+        SplittableRandom random = cluster.random.split();
+        cluster.runFor(3);
         for (int i = 0; i < 60; i++) {
-            w.submit(job(i, random));
-            w.play(2);
+            cluster.submit(job(i, random));
+            cluster.runFor(2);
         }
-        assertEquals(1, w.state.value("a/term").path("term").asLong());
-        assertEquals(List.of(), w.violations);
+        assertEquals(1, cluster.state.value("a/term").path("term").asLong());
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Found on the bench: machines that were returned came back from the lagging list and counted as booting. */
     @Test
     void aReturnedMachineIsNotTakenForABootingOne() {
-        SimulatedCluster w = new SimulatedCluster(8);
-        SplittableRandom random = w.random.split();
-        w.play(3);
-        w.submit(job(1, random));
-        w.play(200);
-        assertEquals(List.of(), w.cloud.runningMachines(), "nothing to do, so all machines are returned");
-        int deletions = w.cloud.deletionRequests();
-        w.play(60);
-        assertEquals(deletions, w.cloud.deletionRequests(), "what is gone is returned once");
+        SimulatedCluster cluster = new SimulatedCluster(8);
+        SplittableRandom random = cluster.random.split();
+        cluster.runFor(3);
+        cluster.submit(job(1, random));
+        cluster.runFor(200);
+        assertEquals(List.of(), cluster.cloud.runningMachines(), "nothing to do, so all machines are returned");
+        int deletions = cluster.cloud.deletionRequests();
+        cluster.runFor(60);
+        assertEquals(deletions, cluster.cloud.deletionRequests(), "what is gone is returned once");
         assertTrue(deletions > 0 && deletions <= 5, deletions + " deletions");
     }
 
@@ -534,66 +547,68 @@
     @ParameterizedTest
     @ValueSource(strings = {"leader", "follower", "nobody", "all"})
     void tasksOutliveAnOutageInWhichAControllerCrashes(String who) {
-        SimulatedCluster w = new SimulatedCluster(12);
-        w.play(3);
-        SplittableRandom random = w.random.split();
+        SimulatedCluster cluster = new SimulatedCluster(12);
+        cluster.runFor(3);
+        SplittableRandom random = cluster.random.split();
         for (int i = 0; i < 40; i++) {
             JobSpec spec = job(i, random);
             if (spec.service()) {
-                w.submit(spec);
+                cluster.submit(spec);
             }
         }
-        w.play(30);
-        int running = w.starts - w.ended;
-        int ended = w.ended;
+        cluster.runFor(30);
+        int running = cluster.tasks.starts - cluster.tasks.ends;
+        int ended = cluster.tasks.ends;
         assertTrue(running > 3, "too little runs: " + running);
-        SimulatedCluster.User cancelled = w.users.values().stream()
-                .filter(u -> w.running(u) > 0)
+        SimulatedUser cancelled = cluster.users.values().stream()
+                .filter(u -> cluster.tasks.running(u) > 0)
                 .findFirst()
                 .orElseThrow();
-        long gone = w.running(cancelled);
-        w.machinesOf(cancelled)
-                .forEach(m -> w.deaf.add("w-" + m + ":1")); // so its stops come by another than the leader
-        w.cancel(cancelled);
-        w.play(0.5);
-        assertTrue(cancelled.cancelledAt > 0, "not confirmed");
-        w.stateDown = true;
-        w.play(1);
-        SimulatedCluster.Node leader = w.leader();
-        w.nodes.values().stream()
+        long gone = cluster.tasks.running(cancelled);
+        cluster.tasks
+                .machinesOf(cancelled)
+                .forEach(m -> cluster.faults.inboundLoss.add(
+                        "w-" + m + ":1")); // so its stops come by another than the leader
+        cluster.cancel(cancelled);
+        cluster.runFor(0.5);
+        assertTrue(cancelled.cancelConfirmedAt > 0, "not confirmed");
+        cluster.faults.storeDown = true;
+        cluster.runFor(1);
+        ControllerNode leader = cluster.leader();
+        cluster.controllers.values().stream()
                 .filter(n -> who.equals("all") || who.equals("leader") && n == leader)
                 .toList()
-                .forEach(n -> restart(w, n, 4000));
+                .forEach(n -> restart(cluster, n, 4000));
         if (who.equals("follower")) {
             restart(
-                    w,
-                    w.nodes.values().stream()
+                    cluster,
+                    cluster.controllers.values().stream()
                             .filter(n -> n != leader)
                             .findFirst()
                             .orElseThrow(),
                     4000);
         }
-        w.play(2);
-        w.deaf.clear();
-        w.play(58); // six leases
-        assertEquals(0, w.running(cancelled));
-        assertEquals(who.equals("all") ? ended + running : ended + gone, w.ended, "tasks that ended");
-        w.stateDown = false;
-        w.state.renewAllLeases(w.now);
-        w.play(20);
-        assertEquals(running - gone, w.starts - w.ended);
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(2);
+        cluster.faults.inboundLoss.clear();
+        cluster.runFor(58); // six leases
+        assertEquals(0, cluster.tasks.running(cancelled));
+        assertEquals(who.equals("all") ? ended + running : ended + gone, cluster.tasks.ends, "tasks that ended");
+        cluster.faults.storeDown = false;
+        cluster.state.renewAllLeases(cluster.now);
+        cluster.runFor(20);
+        assertEquals(running - gone, cluster.tasks.starts - cluster.tasks.ends);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
     void aLeaderIsFoundSoonAfterACrash() {
-        SimulatedCluster w = new SimulatedCluster(5);
-        w.play(10);
-        SimulatedCluster.Node first = w.leader();
+        SimulatedCluster cluster = new SimulatedCluster(5);
+        cluster.runFor(10);
+        ControllerNode first = cluster.leader();
         assertTrue(first != null, "nobody leads");
         first.crash();
-        w.play(5);
-        SimulatedCluster.Node second = w.leader();
+        cluster.runFor(5);
+        ControllerNode second = cluster.leader();
         assertTrue(second != null && second != first, "nobody else leads after 5 s");
         assertFalse(first.up());
     }
--- a/src/test/java/stileferry/coordination/OperatorSettingsTest.java
+++ b/src/test/java/stileferry/coordination/OperatorSettingsTest.java
@@ -47,32 +47,36 @@
     /** Settings reach every controller without a restart, and outlive the loss of all of them. */
     @Test
     void allControllersTakeSettingsUpAndKeepThem() {
-        SimulatedCluster w = new SimulatedCluster(9);
-        w.play(5);
+        SimulatedCluster cluster = new SimulatedCluster(9);
+        cluster.runFor(5);
         ObjectNode body = MessageCodec.map().put("revision", 0);
         body.putObject("change").put("log_level", "debug").put("spare_share", 0.4);
         PeerMessage.Response[] answer = new PeerMessage.Response[1];
-        SimulatedCluster.Node any = w.nodes.get("n1");
+        ControllerNode any = cluster.controllers.get("n1");
         any.environment.turn(() -> any.coordinator.handleAdministrationRequest(
                 "POST", "settings", MessageCodec.encode(body), a -> answer[0] = a));
-        w.play(2);
+        cluster.runFor(2);
         assertEquals(200, answer[0].status());
-        w.nodes.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.settings.controllerName()));
-        w.nodes.values().forEach(SimulatedCluster.Node::crash);
-        w.play(1);
-        w.nodes.values().forEach(SimulatedCluster.Node::start);
-        w.play(12);
-        w.nodes.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.settings.controllerName()));
-        SimulatedCluster.Node again = w.nodes.get("n2");
+        cluster.controllers
+                .values()
+                .forEach(n -> assertEquals("debug", n.environment.logLevel, n.settings.controllerName()));
+        cluster.controllers.values().forEach(ControllerNode::crash);
+        cluster.runFor(1);
+        cluster.controllers.values().forEach(ControllerNode::start);
+        cluster.runFor(12);
+        cluster.controllers
+                .values()
+                .forEach(n -> assertEquals("debug", n.environment.logLevel, n.settings.controllerName()));
+        ControllerNode again = cluster.controllers.get("n2");
         again.environment.turn(() ->
                 again.coordinator.handleAdministrationRequest("GET", "settings", new byte[0], a -> answer[0] = a));
-        w.play(1);
+        cluster.runFor(1);
         assertEquals(1, MessageCodec.decode(answer[0].body()).path("revision").asLong());
-        w.stateDown = true;
-        w.play(6);
+        cluster.faults.storeDown = true;
+        cluster.runFor(6);
         again.environment.turn(() ->
                 again.coordinator.handleAdministrationRequest("GET", "settings", new byte[0], a -> answer[0] = a));
-        w.play(5);
+        cluster.runFor(5);
         assertEquals(503, answer[0].status(), "nothing is told while nobody is sure to lead");
     }
 }
--- a/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
+++ b/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
@@ -23,41 +23,43 @@
 
     /** Eight jobs of long tasks that run. */
     private static SimulatedCluster busy(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(seed);
+        cluster.runFor(3);
         for (int i = 0; i < 6; i++) {
-            w.submit(array(i, "any", JobSpec.Priority.NORMAL, 2, 300));
+            cluster.submit(array(i, "any", JobSpec.Priority.NORMAL, 2, 300));
         }
-        w.submit(service(6, 2, 2));
-        w.submit(service(7, 2, 2));
-        w.play(25);
-        assertEquals(16, w.running());
-        return w;
+        cluster.submit(service(6, 2, 2));
+        cluster.submit(service(7, 2, 2));
+        cluster.runFor(25);
+        assertEquals(16, cluster.tasks.running());
+        return cluster;
     }
 
-    private static void cancelSome(SimulatedCluster w) {
+    private static void cancelSome(SimulatedCluster cluster) {
         for (int i = 0; i < 5; i++) {
-            w.cancel(w.users.get("job-" + i));
+            cluster.cancel(cluster.users.get("job-" + i));
         }
     }
 
-    private static long confirmed(SimulatedCluster w) {
-        return w.users.values().stream().filter(u -> u.cancelledAt > 0).count();
+    private static long confirmed(SimulatedCluster cluster) {
+        return cluster.users.values().stream()
+                .filter(u -> u.cancelConfirmedAt > 0)
+                .count();
     }
 
-    private static void outageFrom(SimulatedCluster w, double seconds) {
-        w.stateDown = true;
-        w.after(Math.round(1000 * seconds), () -> {
-            w.stateDown = false;
-            w.state.renewAllLeases(w.now);
+    private static void outageFrom(SimulatedCluster cluster, double seconds) {
+        cluster.faults.storeDown = true;
+        cluster.after(Math.round(1000 * seconds), () -> {
+            cluster.faults.storeDown = false;
+            cluster.state.renewAllLeases(cluster.now);
         });
     }
 
-    private static void settled(SimulatedCluster w) {
-        w.quietSince = w.now;
-        w.play(90);
-        assertEquals(List.of(), w.violations);
-        assertTrue(w.running() >= 4, "what nobody cancelled runs on or again: " + w.running());
+    private static void settled(SimulatedCluster cluster) {
+        cluster.faults.endedAt = cluster.now;
+        cluster.runFor(90);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(cluster.tasks.running() >= 4, "what nobody cancelled runs on or again: " + cluster.tasks.running());
     }
 
     /**
@@ -78,56 +80,58 @@
         "108,refusedPeers,yes"
     })
     void cancellationsOfAnotherLeaderBeforeALongOutage(long seed, String how, String then) {
-        SimulatedCluster w = busy(seed);
-        SimulatedCluster.Node old = w.leader();
+        SimulatedCluster cluster = busy(seed);
+        ControllerNode old = cluster.leader();
         if (how.equals("alone")) {
-            w.alone.add(old.settings.controllerName());
+            cluster.faults.partitionedFromControlPlane.add(old.settings.controllerName());
         } else {
-            w.refused.add(old.settings.controllerName());
-            w.peersRefuse = how.equals("refusedPeers");
+            cluster.faults.rejectedByStore.add(old.settings.controllerName());
+            cluster.faults.peerConnectionsRefused = how.equals("refusedPeers");
         }
-        w.play(4);
-        SimulatedCluster.Node next = w.nodes.values().stream()
+        cluster.runFor(4);
+        ControllerNode next = cluster.controllers.values().stream()
                 .filter(n -> n != old && n.coordinator.leads())
                 .findFirst()
                 .orElseThrow();
         if (then.equals("hang")) { // their stops do not arrive; what they report does
-            w.users.values().forEach(u -> w.machinesOf(u).forEach(m -> w.deaf.add("w-" + m + ":1")));
-            w.after(6000, w.deaf::clear);
+            cluster.users.values().forEach(u -> cluster.tasks
+                    .machinesOf(u)
+                    .forEach(m -> cluster.faults.inboundLoss.add("w-" + m + ":1")));
+            cluster.after(6000, cluster.faults.inboundLoss::clear);
         }
-        cancelSome(w);
-        w.play(1.2);
+        cancelSome(cluster);
+        cluster.runFor(1.2);
         if (how.equals("refusedPeers")) { // nobody else could be told, so only what has no task any more is confirmed
-            w.users.values().stream()
-                    .filter(u -> u.cancelledAt > 0)
-                    .forEach(u -> assertEquals(0, w.running(u), u.spec.id()));
+            cluster.users.values().stream()
+                    .filter(u -> u.cancelConfirmedAt > 0)
+                    .forEach(u -> assertEquals(0, cluster.tasks.running(u), u.spec.id()));
         } else {
-            assertTrue(confirmed(w) > 0, "nothing was confirmed");
+            assertTrue(confirmed(cluster) > 0, "nothing was confirmed");
         }
-        outageFrom(w, 30);
+        outageFrom(cluster, 30);
         if (then.equals("yes")) {
-            restart(w, next, 3000);
+            restart(cluster, next, 3000);
         }
-        w.after(14_000, () -> {
-            w.refused.clear();
-            w.alone.clear();
-            w.peersRefuse = false;
+        cluster.after(14_000, () -> {
+            cluster.faults.rejectedByStore.clear();
+            cluster.faults.partitionedFromControlPlane.clear();
+            cluster.faults.peerConnectionsRefused = false;
         });
-        w.play(45);
-        assertEquals(List.of(), w.violations);
-        settled(w);
+        cluster.runFor(45);
+        assertEquals(List.of(), cluster.violations);
+        settled(cluster);
     }
 
     /** One-task jobs, four a second, a quarter of them cancelled, some at once. */
-    private static void oneTaskJobs(SimulatedCluster w, int from, double seconds) {
-        SplittableRandom random = w.random.split();
+    private static void oneTaskJobs(SimulatedCluster cluster, int from, double seconds) {
+        SplittableRandom random = cluster.random.split();
         for (int i = 0; i < seconds * 4; i++) {
-            SimulatedCluster.User user =
-                    w.submit(array(from + i, "any", JobSpec.Priority.NORMAL, 1, 1 + random.nextInt(3)));
+            SimulatedUser user =
+                    cluster.submit(array(from + i, "any", JobSpec.Priority.NORMAL, 1, 1 + random.nextInt(3)));
             if (i % 4 == 3) {
-                w.after(random.nextLong(3000), () -> w.cancel(user));
+                cluster.after(random.nextLong(3000), () -> cluster.cancel(user));
             }
-            w.play(0.25);
+            cluster.runFor(0.25);
         }
     }
 
@@ -139,29 +143,29 @@
     @ParameterizedTest
     @CsvSource({"201,0.4,0", "202,0.4,0", "203,0.2,0.2", "204,0,0.4", "205,0.5,0"})
     void lateTransactionsUnderOneTaskJobs(long seed, double late, double unanswered) {
-        SimulatedCluster w = busy(seed);
-        w.lateWrites = late;
-        w.unansweredWrites = unanswered;
-        oneTaskJobs(w, 100, 40);
-        w.lateWrites = 0;
-        w.unansweredWrites = 0;
-        w.play(15);
-        restart(w, w.leader(), 300);
-        w.play(40);
-        assertEquals(List.of(), w.violations);
-        assertTrue(w.finished > 100, w.finished + " jobs are over");
-        settled(w);
+        SimulatedCluster cluster = busy(seed);
+        cluster.faults.lateCommitRate = late;
+        cluster.faults.unansweredCommitRate = unanswered;
+        oneTaskJobs(cluster, 100, 40);
+        cluster.faults.lateCommitRate = 0;
+        cluster.faults.unansweredCommitRate = 0;
+        cluster.runFor(15);
+        restart(cluster, cluster.leader(), 300);
+        cluster.runFor(40);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(cluster.users.completedJobs > 100, cluster.users.completedJobs + " jobs are over");
+        settled(cluster);
     }
 
     /** Two teams at their limits and a third one, with services, arrays of a few tasks and jobs bound to one zone. */
     private static SimulatedCluster crowded(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(seed);
+        cluster.runFor(3);
         for (int i = 0; i < 24; i++) {
             String team = i % 3 == 0 ? "red" : i % 3 == 1 ? "blue" : "free";
             boolean service = i % 4 == 3;
             boolean bound = i % 5 == 0;
-            w.submit(new JobSpec(
+            cluster.submit(new JobSpec(
                     "job-" + i,
                     "any",
                     team,
@@ -183,220 +187,227 @@
                     0,
                     -1));
         }
-        w.play(25);
-        assertTrue(w.running() > 20, w.running() + " tasks run");
-        return w;
+        cluster.runFor(25);
+        assertTrue(cluster.tasks.running() > 20, cluster.tasks.running() + " tasks run");
+        return cluster;
     }
 
-    private static SimulatedCluster.Node node(SimulatedCluster w, int i) {
-        return w.nodes.get("n" + i);
+    private static ControllerNode node(SimulatedCluster cluster, int i) {
+        return cluster.controllers.get("n" + i);
     }
 
     /** Breaks off what a leader does, if there is one, and starts it again. */
-    private static void leaderEnds(SimulatedCluster w, long afterMs) {
-        if (w.leader() != null) {
-            restart(w, w.leader(), afterMs);
+    private static void leaderEnds(SimulatedCluster cluster, long afterMs) {
+        if (cluster.leader() != null) {
+            restart(cluster, cluster.leader(), afterMs);
         }
     }
 
-    private static void cancelSomeOf(SimulatedCluster w, int every) {
-        w.users.values().stream()
-                .filter(u -> u.accepted && u.end == null && w.running(u) > 0)
+    private static void cancelSomeOf(SimulatedCluster cluster, int every) {
+        cluster.users.values().stream()
+                .filter(u -> u.accepted && u.endState == null && cluster.tasks.running(u) > 0)
                 .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % every == 0)
                 .toList()
-                .forEach(w::cancel);
+                .forEach(cluster::cancel);
     }
 
     /** Machines with tasks of some of the jobs, as addresses. */
-    private static List<String> machines(SimulatedCluster w, int share) {
-        return w.cloud.runningMachines().stream()
+    private static List<String> machines(SimulatedCluster cluster, int share) {
+        return cluster.cloud.runningMachines().stream()
                 .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % share == 0)
                 .map(m -> "w-" + m + ":1")
                 .toList();
     }
 
-    private static void more(SimulatedCluster w, int from, int jobs) {
+    private static void more(SimulatedCluster cluster, int from, int jobs) {
         for (int i = from; i < from + jobs; i++) {
-            w.submit(array(i, "any", JobSpec.Priority.NORMAL, 1 + i % 3, 3 + i % 9));
+            cluster.submit(array(i, "any", JobSpec.Priority.NORMAL, 1 + i % 3, 3 + i % 9));
         }
     }
 
-    private static void bringAbout(SimulatedCluster w, String meeting) {
-        SplittableRandom random = w.random.split();
+    private static void bringAbout(SimulatedCluster cluster, String meeting) {
+        SplittableRandom random = cluster.random.split();
         switch (meeting) {
             case "limitsWhileMachinesCantBeAsked" -> {
-                machines(w, 2).forEach(addr -> w.cut(addr, 16_000));
-                w.play(1);
-                cancelSomeOf(w, 3);
-                w.play(1);
-                leaderEnds(w, 500);
-                more(w, 100, 8);
-                w.play(15);
+                machines(cluster, 2).forEach(addr -> cluster.faults.partition(addr, 16_000));
+                cluster.runFor(1);
+                cancelSomeOf(cluster, 3);
+                cluster.runFor(1);
+                leaderEnds(cluster, 500);
+                more(cluster, 100, 8);
+                cluster.runFor(15);
             }
             case "limitsWhileMachinesHang" -> {
-                machines(w, 2).forEach(addr -> w.hang(addr, 7000));
-                cancelSomeOf(w, 2);
-                w.play(2);
-                leaderEnds(w, 4000);
-                more(w, 100, 8);
-                w.play(15);
+                machines(cluster, 2).forEach(addr -> cluster.faults.hang(addr, 7000));
+                cancelSomeOf(cluster, 2);
+                cluster.runFor(2);
+                leaderEnds(cluster, 4000);
+                more(cluster, 100, 8);
+                cluster.runFor(15);
             }
             case "tasksEndFarApartAcrossLeaders" -> {
                 for (int i = 0; i < 6; i++) {
-                    more(w, 100 + 4 * i, 4);
-                    w.play(3);
-                    leaderEnds(w, 300);
-                    w.play(4);
+                    more(cluster, 100 + 4 * i, 4);
+                    cluster.runFor(3);
+                    leaderEnds(cluster, 300);
+                    cluster.runFor(4);
                 }
             }
             case "cancelledAsTheLeaderIsRefused" -> {
-                SimulatedCluster.Node leader = w.leader();
-                w.after(random.nextLong(40), () -> w.refused.add(leader.settings.controllerName()));
-                cancelSomeOf(w, 2);
-                w.play(1);
-                outageFrom(w, 28);
-                w.play(35);
+                ControllerNode leader = cluster.leader();
+                cluster.after(
+                        random.nextLong(40),
+                        () -> cluster.faults.rejectedByStore.add(leader.settings.controllerName()));
+                cancelSomeOf(cluster, 2);
+                cluster.runFor(1);
+                outageFrom(cluster, 28);
+                cluster.runFor(35);
             }
             case "slowThenRefusedThenDown" -> {
-                w.slowStoreMs = 900;
-                cancelSomeOf(w, 4);
-                w.play(5);
-                w.refused.add(w.leader() == null ? "n0" : w.leader().settings.controllerName());
-                cancelSomeOf(w, 3);
-                w.play(3);
-                outageFrom(w, 25);
-                cancelSomeOf(w, 2);
-                w.play(30);
+                cluster.faults.storeResponseDelayMs = 900;
+                cancelSomeOf(cluster, 4);
+                cluster.runFor(5);
+                cluster.faults.rejectedByStore.add(
+                        cluster.leader() == null
+                                ? "n0"
+                                : cluster.leader().settings.controllerName());
+                cancelSomeOf(cluster, 3);
+                cluster.runFor(3);
+                outageFrom(cluster, 25);
+                cancelSomeOf(cluster, 2);
+                cluster.runFor(30);
             }
             case "oldReportsAfterNewer" -> {
-                w.lateCopies = 0.6;
+                cluster.faults.duplicateHeartbeatRate = 0.6;
                 for (int i = 0; i < 4; i++) {
-                    more(w, 100 + 5 * i, 5);
-                    w.play(6);
-                    leaderEnds(w, i % 2 == 0 ? 200 : 5000);
-                    machines(w, 3).forEach(addr -> w.cut(addr, 12_000)); // so that sessions end
-                    w.play(8);
+                    more(cluster, 100 + 5 * i, 5);
+                    cluster.runFor(6);
+                    leaderEnds(cluster, i % 2 == 0 ? 200 : 5000);
+                    machines(cluster, 3)
+                            .forEach(addr -> cluster.faults.partition(addr, 12_000)); // so that sessions end
+                    cluster.runFor(8);
                 }
             }
             case "machinesDoNotHearTheNextLeader" -> {
-                w.deaf.addAll(machines(w, 2));
-                machines(w, 3).forEach(addr -> w.cut(addr, 20_000));
-                cancelSomeOf(w, 5);
-                leaderEnds(w, 5000);
-                w.play(22);
+                cluster.faults.inboundLoss.addAll(machines(cluster, 2));
+                machines(cluster, 3).forEach(addr -> cluster.faults.partition(addr, 20_000));
+                cancelSomeOf(cluster, 5);
+                leaderEnds(cluster, 5000);
+                cluster.runFor(22);
             }
             case "allAwayForLongerThanALease" -> {
-                cancelSomeOf(w, 3);
-                w.play(0.3);
-                w.nodes.values().forEach(n -> restart(w, n, 12_000 + random.nextLong(4000)));
-                w.play(25);
+                cancelSomeOf(cluster, 3);
+                cluster.runFor(0.3);
+                cluster.controllers.values().forEach(n -> restart(cluster, n, 12_000 + random.nextLong(4000)));
+                cluster.runFor(25);
             }
             case "onlyAnswersAreLost" -> {
-                w.unansweredWrites = 0.6;
-                w.closeLooks = true;
-                more(w, 100, 20);
-                cancelSomeOf(w, 3);
-                w.play(8);
-                leaderEnds(w, 300);
-                w.play(12);
+                cluster.faults.unansweredCommitRate = 0.6;
+                cluster.faults.usersRepeatRequests = true;
+                more(cluster, 100, 20);
+                cancelSomeOf(cluster, 3);
+                cluster.runFor(8);
+                leaderEnds(cluster, 300);
+                cluster.runFor(12);
             }
             case "zoneWithAControllerCutOff" -> {
-                w.cutZone("za", 24_000);
-                w.cut(w.leader().settings.controllerName(), 24_000);
-                w.play(4);
-                cancelSomeOf(w, 3);
-                w.play(26);
+                cluster.faults.partitionZone("za", 24_000);
+                cluster.faults.partition(cluster.leader().settings.controllerName(), 24_000);
+                cluster.runFor(4);
+                cancelSomeOf(cluster, 3);
+                cluster.runFor(26);
             }
             case "workersReachNobody" -> {
-                w.mute.addAll(machines(w, 2));
-                cancelSomeOf(w, 4);
-                w.play(4);
-                leaderEnds(w, 1000);
-                more(w, 100, 6);
-                w.play(25);
+                cluster.faults.heartbeatLoss.addAll(machines(cluster, 2));
+                cancelSomeOf(cluster, 4);
+                cluster.runFor(4);
+                leaderEnds(cluster, 1000);
+                more(cluster, 100, 6);
+                cluster.runFor(25);
             }
             case "cancelledWhileWorkChangesHands" -> {
                 for (int i = 0; i < 5; i++) {
-                    more(w, 100 + 6 * i, 6);
-                    w.play(3);
-                    leaderEnds(w, 200 + 900 * i);
-                    w.after(random.nextLong(2500), () -> cancelSomeOf(w, 3));
-                    w.play(4);
+                    more(cluster, 100 + 6 * i, 6);
+                    cluster.runFor(3);
+                    leaderEnds(cluster, 200 + 900 * i);
+                    cluster.after(random.nextLong(2500), () -> cancelSomeOf(cluster, 3));
+                    cluster.runFor(4);
                 }
             }
             case "handedOverAndBack" -> {
-                w.closeLooks = true;
+                cluster.faults.usersRepeatRequests = true;
                 for (int i = 0; i < 4; i++) {
-                    more(w, 100 + 5 * i, 5);
-                    leaderEnds(w, 100);
-                    w.play(2);
-                    leaderEnds(w, 100);
-                    cancelSomeOf(w, 4);
-                    w.play(0.3);
-                    w.nodes.values().forEach(SimulatedCluster.Node::crash);
+                    more(cluster, 100 + 5 * i, 5);
+                    leaderEnds(cluster, 100);
+                    cluster.runFor(2);
+                    leaderEnds(cluster, 100);
+                    cancelSomeOf(cluster, 4);
+                    cluster.runFor(0.3);
+                    cluster.controllers.values().forEach(ControllerNode::crash);
                     int one = i % 3;
-                    w.after(150, () -> node(w, one).start());
-                    w.after(
-                            2500,
-                            () -> w.nodes.values().stream().filter(n -> !n.up()).forEach(SimulatedCluster.Node::start));
-                    w.play(6);
+                    cluster.after(150, () -> node(cluster, one).start());
+                    cluster.after(2500, () -> cluster.controllers.values().stream()
+                            .filter(n -> !n.up())
+                            .forEach(ControllerNode::start));
+                    cluster.runFor(6);
                 }
             }
             case "newMachinesWhileWritesLag" -> {
-                w.lateWrites = 0.4;
-                more(w, 100, 30);
-                w.play(7);
-                leaderEnds(w, 300);
-                w.play(10);
+                cluster.faults.lateCommitRate = 0.4;
+                more(cluster, 100, 30);
+                cluster.runFor(7);
+                leaderEnds(cluster, 300);
+                cluster.runFor(10);
             }
             case "tenLeaders" -> {
                 for (int i = 0; i < 10; i++) {
-                    cancelSomeOf(w, 11 - i);
-                    leaderEnds(w, i % 2 == 0 ? 500 : 5000);
+                    cancelSomeOf(cluster, 11 - i);
+                    leaderEnds(cluster, i % 2 == 0 ? 500 : 5000);
                     if (i == 4) {
-                        outageFrom(w, 24);
+                        outageFrom(cluster, 24);
                     }
-                    more(w, 100 + 2 * i, 2);
-                    w.play(12);
+                    more(cluster, 100 + 2 * i, 2);
+                    cluster.runFor(12);
                 }
             }
             case "oldReportsReachTheNextLeader" -> {
-                w.copiesForNext = true;
+                cluster.faults.replayHeartbeatsToNextLeader = true;
                 for (int i = 0; i < 4; i++) {
-                    more(w, 100 + 6 * i, 6);
-                    w.play(6);
-                    machines(w, 3).forEach(w.cloud::reclaim);
-                    machines(w, 2).forEach(addr -> w.cut(addr, 11_000));
-                    leaderEnds(w, 3000);
-                    cancelSomeOf(w, 5);
-                    w.play(7);
+                    more(cluster, 100 + 6 * i, 6);
+                    cluster.runFor(6);
+                    machines(cluster, 3).forEach(cluster.cloud::reclaim);
+                    machines(cluster, 2).forEach(addr -> cluster.faults.partition(addr, 11_000));
+                    leaderEnds(cluster, 3000);
+                    cancelSomeOf(cluster, 5);
+                    cluster.runFor(7);
                 }
             }
             case "questionsMeetTheLastTask" -> {
-                w.closeLooks = true;
+                cluster.faults.usersRepeatRequests = true;
                 for (int i = 100; i < 160; i++) {
-                    SimulatedCluster.User user = w.submit(array(i, "any", JobSpec.Priority.NORMAL, 1, 2));
+                    SimulatedUser user = cluster.submit(array(i, "any", JobSpec.Priority.NORMAL, 1, 2));
                     if (i % 2 == 0) { // it runs 2 s from when it has its image
-                        w.after(2500 + random.nextLong(800), () -> w.cancel(user));
+                        cluster.after(2500 + random.nextLong(800), () -> cluster.cancel(user));
                     }
-                    w.play(0.5);
+                    cluster.runFor(0.5);
                 }
             }
             case "commandsAreHeldUp" -> {
                 for (int i = 0; i < 5; i++) {
-                    more(w, 100 + 8 * i, 8);
-                    w.after(100 + random.nextLong(400), () -> machines(w, 2).forEach(addr -> w.hang(addr, 6000)));
-                    w.after(700, () -> cancelSomeOf(w, 2));
-                    w.play(9);
+                    more(cluster, 100 + 8 * i, 8);
+                    cluster.after(100 + random.nextLong(400), () -> machines(cluster, 2)
+                            .forEach(addr -> cluster.faults.hang(addr, 6000)));
+                    cluster.after(700, () -> cancelSomeOf(cluster, 2));
+                    cluster.runFor(9);
                 }
             }
             case "boundJobsLoseMachines" -> {
                 for (int i = 0; i < 4; i++) {
-                    w.cloud.runningMachines().stream().limit(3).toList().forEach(w.cloud::reclaim);
-                    w.play(1);
-                    leaderEnds(w, 400);
-                    w.cutZone(i % 2 == 0 ? "za" : "zb", 6000);
-                    w.play(12);
+                    cluster.cloud.runningMachines().stream().limit(3).toList().forEach(cluster.cloud::reclaim);
+                    cluster.runFor(1);
+                    leaderEnds(cluster, 400);
+                    cluster.faults.partitionZone(i % 2 == 0 ? "za" : "zb", 6000);
+                    cluster.runFor(12);
                 }
             }
             default -> throw new IllegalArgumentException(meeting);
@@ -432,28 +443,29 @@
             })
     void noRuleIsBrokenWhereTroublesMeet(String meeting) {
         for (long seed : SEEDS) {
-            SimulatedCluster w = crowded(seed);
-            int before = w.starts;
-            bringAbout(w, meeting);
-            assertEquals(List.of(), w.violations, "seed " + seed);
-            w.refused.clear();
-            w.deaf.clear();
-            w.mute.clear();
-            w.slowStoreMs = 0;
-            w.lateCopies = 0;
-            w.copiesForNext = false;
-            w.lateWrites = 0;
-            w.unansweredWrites = 0;
-            w.quietSince = w.now;
-            w.play(150);
-            assertEquals(List.of(), w.violations, "seed " + seed);
-            assertTrue(w.starts > before, "nothing happened");
-            for (SimulatedCluster.User user : w.users.values()) {
+            SimulatedCluster cluster = crowded(seed);
+            int before = cluster.tasks.starts;
+            bringAbout(cluster, meeting);
+            assertEquals(List.of(), cluster.violations, "seed " + seed);
+            cluster.faults.rejectedByStore.clear();
+            cluster.faults.inboundLoss.clear();
+            cluster.faults.heartbeatLoss.clear();
+            cluster.faults.storeResponseDelayMs = 0;
+            cluster.faults.duplicateHeartbeatRate = 0;
+            cluster.faults.replayHeartbeatsToNextLeader = false;
+            cluster.faults.lateCommitRate = 0;
+            cluster.faults.unansweredCommitRate = 0;
+            cluster.faults.endedAt = cluster.now;
+            cluster.runFor(150);
+            assertEquals(List.of(), cluster.violations, "seed " + seed);
+            assertTrue(cluster.tasks.starts > before, "nothing happened");
+            for (SimulatedUser user : cluster.users.values()) {
                 assertTrue(
                         !user.accepted
-                                || user.end != null
-                                || w.running(user) == user.spec.taskCount() && user.spec.service(),
-                        user.spec + " waits after all troubles with " + w.running(user) + " tasks, seed " + seed);
+                                || user.endState != null
+                                || cluster.tasks.running(user) == user.spec.taskCount() && user.spec.service(),
+                        user.spec + " waits after all troubles with " + cluster.tasks.running(user) + " tasks, seed "
+                                + seed);
             }
         }
     }
@@ -461,15 +473,15 @@
     /** The checks must be able to fail: a worker that minds neither its lease nor commands keeps a cancelled task. */
     @Test
     void aTaskThatOutlivesItsCancellationIsNoticed() {
-        SimulatedCluster w = busy(301);
-        SimulatedCluster.User user = w.users.get("job-0");
-        w.workers.values().forEach(Worker::ignoreLease);
-        w.cutZone("za", 60_000); // single machines would be given up by their deletion
-        w.cutZone("zb", 60_000);
-        w.cancel(user);
-        w.play(SimulatedCluster.CANCEL_S - 1);
-        assertEquals(List.of(), w.violations);
-        w.play(3);
-        assertTrue(w.violations.stream().anyMatch(v -> v.startsWith("ran_cancelled")), "nobody noticed");
+        SimulatedCluster cluster = busy(301);
+        SimulatedUser user = cluster.users.get("job-0");
+        cluster.workers.values().forEach(Worker::ignoreLease);
+        cluster.faults.partitionZone("za", 60_000); // single machines would be given up by their deletion
+        cluster.faults.partitionZone("zb", 60_000);
+        cluster.cancel(user);
+        cluster.runFor(SimulatedCluster.CANCEL_S - 1);
+        assertEquals(List.of(), cluster.violations);
+        cluster.runFor(3);
+        assertTrue(cluster.violations.stream().anyMatch(v -> v.startsWith("ran_cancelled")), "nobody noticed");
     }
 }
--- a/src/test/java/stileferry/coordination/RollingUpgradeTest.java
+++ b/src/test/java/stileferry/coordination/RollingUpgradeTest.java
@@ -23,16 +23,16 @@
     private static final double LOWER_VALUE_KB = 2;
 
     private static SimulatedCluster servedByTheFormerVersion(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed);
-        w.formerForm.addAll(w.nodes.keySet());
-        w.play(3);
-        w.submit(service(1, 2, 2));
-        w.submit(service(2, 2, 2));
+        SimulatedCluster cluster = new SimulatedCluster(seed);
+        cluster.formerRecordFormat.addAll(cluster.controllers.keySet());
+        cluster.runFor(3);
+        cluster.submit(service(1, 2, 2));
+        cluster.submit(service(2, 2, 2));
         for (int i = 3; i < 7; i++) {
-            w.submit(gang(i, 4, 40));
+            cluster.submit(gang(i, 4, 40));
         }
-        w.play(25);
-        return w;
+        cluster.runFor(25);
+        return cluster;
     }
 
     private static JobSpec gang(int number, int tasks, double runS) {
@@ -60,36 +60,36 @@
     }
 
     /** Ends a controller's process; the next one is of the other version. */
-    private static void replace(SimulatedCluster w, SimulatedCluster.Node node, long afterMs) {
+    private static void replace(SimulatedCluster cluster, ControllerNode node, long afterMs) {
         String name = node.settings.controllerName();
         if (node.up()) {
             node.crash();
-            w.after(afterMs, () -> {
-                if (!w.formerForm.remove(name)) {
-                    w.formerForm.add(name);
+            cluster.after(afterMs, () -> {
+                if (!cluster.formerRecordFormat.remove(name)) {
+                    cluster.formerRecordFormat.add(name);
                 }
                 node.start();
             });
         }
     }
 
-    private static void workAndCancellations(SimulatedCluster w, int from, SplittableRandom random) {
-        w.submit(gang(from, 2 + random.nextInt(4), 2 + random.nextInt(8)));
-        w.submit(array(from + 1, "any", JobSpec.Priority.NORMAL, 1 + random.nextInt(20), 3));
-        SimulatedCluster.User cancelled = w.submit(gang(from + 2, 3, 60));
-        w.after(random.nextLong(8000), () -> w.cancel(cancelled));
+    private static void workAndCancellations(SimulatedCluster cluster, int from, SplittableRandom random) {
+        cluster.submit(gang(from, 2 + random.nextInt(4), 2 + random.nextInt(8)));
+        cluster.submit(array(from + 1, "any", JobSpec.Priority.NORMAL, 1 + random.nextInt(20), 3));
+        SimulatedUser cancelled = cluster.submit(gang(from + 2, 3, 60));
+        cluster.after(random.nextLong(8000), () -> cluster.cancel(cancelled));
     }
 
-    private static void finishAll(SimulatedCluster w) {
-        w.quietSince = w.now;
-        w.play(60);
-        w.users.values().stream().filter(u -> u.spec.service()).toList().forEach(w::cancel);
-        w.play(120);
-        assertEquals(List.of(), w.violations);
+    private static void finishAll(SimulatedCluster cluster) {
+        cluster.faults.endedAt = cluster.now;
+        cluster.runFor(60);
+        cluster.users.values().stream().filter(u -> u.spec.service()).toList().forEach(cluster::cancel);
+        cluster.runFor(120);
+        assertEquals(List.of(), cluster.violations);
         assertEquals(
                 List.of(),
-                w.users.values().stream()
-                        .filter(u -> u.accepted && u.end == null)
+                cluster.users.values().stream()
+                        .filter(u -> u.accepted && u.endState == null)
                         .map(u -> u.spec.id())
                         .toList());
     }
@@ -98,46 +98,49 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void bothVersionsTakeTurnsAtLeading(long seed) {
-        SimulatedCluster w = servedByTheFormerVersion(seed);
-        SplittableRandom random = w.random.split();
+        SimulatedCluster cluster = servedByTheFormerVersion(seed);
+        SplittableRandom random = cluster.random.split();
         Set<String> ledBy = new TreeSet<>();
-        List<SimulatedCluster.Node> nodes = List.copyOf(w.nodes.values());
+        List<ControllerNode> nodes = List.copyOf(cluster.controllers.values());
         for (int step = 0; step < 12; step++) {
-            workAndCancellations(w, 100 + 10 * step, random);
-            SimulatedCluster.Node leader = w.leader();
+            workAndCancellations(cluster, 100 + 10 * step, random);
+            ControllerNode leader = cluster.leader();
             if (leader != null) {
-                ledBy.add(w.formerForm.contains(leader.settings.controllerName()) ? "former" : "this");
+                ledBy.add(cluster.formerRecordFormat.contains(leader.settings.controllerName()) ? "former" : "this");
             }
             if (random.nextInt(4) == 0 && leader != null) {
-                restart(w, leader, random.nextBoolean() ? 200 : 3000);
+                restart(cluster, leader, random.nextBoolean() ? 200 : 3000);
             } else {
-                replace(w, step % 2 == 0 && leader != null ? leader : nodes.get(step % 3), 200 + random.nextLong(4000));
+                replace(
+                        cluster,
+                        step % 2 == 0 && leader != null ? leader : nodes.get(step % 3),
+                        200 + random.nextLong(4000));
             }
-            w.play(5 + random.nextInt(5));
+            cluster.runFor(5 + random.nextInt(5));
         }
         assertEquals(Set.of("former", "this"), ledBy);
-        finishAll(w);
+        finishAll(cluster);
     }
 
     /** The state service lowers its limits at once, also before the last process was replaced. */
     @ParameterizedTest
     @ValueSource(ints = {0, 3, 6, 10, 14, 20})
     void theLimitsAreLoweredDuringOrAfterTheRoll(int afterS) {
-        SimulatedCluster w = servedByTheFormerVersion(20 + afterS);
-        SplittableRandom random = w.random.split();
-        w.after(1000L * afterS, () -> w.state.setLimits(LOWER_OPERATIONS, LOWER_VALUE_KB));
+        SimulatedCluster cluster = servedByTheFormerVersion(20 + afterS);
+        SplittableRandom random = cluster.random.split();
+        cluster.after(1000L * afterS, () -> cluster.state.setLimits(LOWER_OPERATIONS, LOWER_VALUE_KB));
         int step = 0;
-        for (SimulatedCluster.Node node : w.nodes.values()) {
-            workAndCancellations(w, 100 + 10 * step++, random);
-            replace(w, node, 1500);
-            w.play(5);
+        for (ControllerNode node : cluster.controllers.values()) {
+            workAndCancellations(cluster, 100 + 10 * step++, random);
+            replace(cluster, node, 1500);
+            cluster.runFor(5);
         }
-        assertTrue(w.formerForm.isEmpty());
+        assertTrue(cluster.formerRecordFormat.isEmpty());
         for (int i = 0; i < 4; i++) {
-            workAndCancellations(w, 200 + 10 * i, random);
-            w.play(3);
+            workAndCancellations(cluster, 200 + 10 * i, random);
+            cluster.runFor(3);
         }
-        restart(w, w.leader(), 300);
-        finishAll(w);
+        restart(cluster, cluster.leader(), 300);
+        finishAll(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -4,7 +4,6 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
 
@@ -15,24 +14,15 @@
 
     private static final long SLOW_MS = 2500;
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
 
     /** Hosts that can't reach others, or be reached, until the time given; packets in between come late. */
     private final Map<String, Long> cutUntil = new HashMap<>();
 
-    /** Hosts whose messages arrive, while nothing reaches them. */
-    final Set<String> deaf = new TreeSet<>();
-
-    /** Nodes cut off from the state service and the other nodes, but not from workers and users. */
-    final Set<String> alone = new TreeSet<>();
-
-    /** Nodes that take up to so many milliseconds longer for everything that reaches them. */
-    final Map<String, Long> slow = new HashMap<>();
-
     private final Set<Rule> rules = new LinkedHashSet<>();
 
     /** How a link is broken. */
-    enum Mode {
+    enum LinkFault {
         /** Messages in this direction vanish. */
         LOST,
 
@@ -40,11 +30,11 @@
         REFUSED,
 
         /** Messages in this direction come late. */
-        SLOW
+        DELAYED
     }
 
     /** One broken direction. */
-    private record Rule(String from, String to, Mode mode) {
+    private record Rule(String from, String to, LinkFault mode) {
         boolean covers(String sender, String receiver) {
             return names(from, sender) && names(to, receiver);
         }
@@ -54,17 +44,17 @@
         }
     }
 
-    SimulatedNetwork(SimulatedCluster world) {
-        this.world = world;
+    SimulatedNetwork(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     /** Breaks one direction of a link until it is restored. */
-    void block(String from, String to, Mode mode) {
+    void block(String from, String to, LinkFault mode) {
         rules.add(new Rule(from, to, mode));
     }
 
     /** Breaks both directions. */
-    void blockBoth(String a, String b, Mode mode) {
+    void blockBoth(String a, String b, LinkFault mode) {
         block(a, b, mode);
         block(b, a, mode);
     }
@@ -85,36 +75,40 @@
         rules.clear();
     }
 
-    void cut(String host, long ms) {
-        cutUntil.put(host, world.now + ms);
+    void partition(String host, long ms) {
+        cutUntil.put(host, cluster.now + ms);
     }
 
     long heldUntil(String a, String b) {
         return Math.max(cutUntil.getOrDefault(a, 0L), cutUntil.getOrDefault(b, 0L));
     }
 
-    private boolean broken(String from, String to, Mode mode) {
+    private boolean broken(String from, String to, LinkFault mode) {
         return !rules.isEmpty() && rules.stream().anyMatch(rule -> rule.mode == mode && rule.covers(from, to));
     }
 
     private void deliver(String from, String to, Runnable task) {
-        if (deaf.contains(to) || cutOff(from, to) || broken(from, to, Mode.LOST)) {
+        if (cluster.faults.inboundLoss.contains(to) || cutOff(from, to) || broken(from, to, LinkFault.LOST)) {
             return;
         }
-        long held = Math.max(0, heldUntil(from, to) - world.now);
-        long late = slow.containsKey(to) ? world.random.nextLong(slow.get(to)) : 0;
-        late += from.equals(SimulatedCluster.STATE) && world.slowStoreMs > 0
-                ? world.random.nextLong(world.slowStoreMs)
+        long held = Math.max(0, heldUntil(from, to) - cluster.now);
+        long late = cluster.faults.inboundDelayMs.containsKey(to)
+                ? cluster.random.nextLong(cluster.faults.inboundDelayMs.get(to))
+                : 0;
+        late += from.equals(SimulatedCluster.STORE) && cluster.faults.storeResponseDelayMs > 0
+                ? cluster.random.nextLong(cluster.faults.storeResponseDelayMs)
                 : 0;
-        late += broken(from, to, Mode.SLOW) ? world.random.nextLong(SLOW_MS) : 0;
-        world.after(held + late + 1 + world.random.nextLong(6), task);
+        late += broken(from, to, LinkFault.DELAYED) ? cluster.random.nextLong(SLOW_MS) : 0;
+        cluster.after(held + late + 1 + cluster.random.nextLong(6), task);
     }
 
     private boolean cutOff(String from, String to) {
-        boolean inside = world.nodes.containsKey(from) && world.nodes.containsKey(to)
-                || from.equals(SimulatedCluster.STATE)
-                || to.equals(SimulatedCluster.STATE);
-        return inside && (alone.contains(from) || alone.contains(to));
+        boolean inside = cluster.controllers.containsKey(from) && cluster.controllers.containsKey(to)
+                || from.equals(SimulatedCluster.STORE)
+                || to.equals(SimulatedCluster.STORE);
+        return inside
+                && (cluster.faults.partitionedFromControlPlane.contains(from)
+                        || cluster.faults.partitionedFromControlPlane.contains(to));
     }
 
     /** A request with its answer; the caller gives up in time, but what was sent arrives all the same. */
@@ -126,11 +120,11 @@
             Consumer<Environment.ResponseHandler> serve,
             Environment.ResponseHandler reply) {
         boolean[] over = new boolean[1];
-        if (!connects || broken(from, to, Mode.REFUSED)) {
-            world.after(2, () -> reply.onResponse(Environment.NOT_SENT, null));
+        if (!connects || broken(from, to, LinkFault.REFUSED)) {
+            cluster.after(2, () -> reply.onResponse(Environment.NOT_SENT, null));
             return;
         }
-        world.after(timeoutMs, () -> {
+        cluster.after(timeoutMs, () -> {
             if (!over[0]) {
                 over[0] = true;
                 reply.onResponse(Environment.NO_ANSWER, null);
@@ -140,7 +134,7 @@
                 from,
                 to,
                 () -> serve.accept((status, body) -> {
-                    if (world.random.nextDouble() < world.lostAnswers) {
+                    if (cluster.random.nextDouble() < cluster.faults.responseLossRate) {
                         return;
                     }
                     deliver(to, from, () -> {
--- /dev/null
+++ b/src/test/java/stileferry/coordination/SimulatedSettings.java
@@ -0,0 +1,59 @@
+package stileferry.coordination;
+
+import stileferry.protocol.Settings;
+import stileferry.protocol.SettingsReader;
+
+/** The settings of the three controllers of a simulated cluster: two zones, three teams, lower limits announced. */
+final class SimulatedSettings {
+    /** The part of the changes that the key-value store still takes once its limits are lowered. */
+    private static final double LOWER_WRITES = 0.8;
+
+    private static final String SETTINGS =
+            """
+            {"host_name":"%s","zone":"za","client_listen":"10.0.0.9:1","peer_bind":"10.0.0.9:2","seeds":[%s],
+            "outside":{"cloud":"%s","state":"%s"},
+            "cluster":{"zones":["za","zb"],"teams":[{"name":"red","cpus":24,"cpus_max":%s},
+            {"name":"blue","cpus":16,"cpus_max":24},{"name":"free"}],"objectives":[],
+            "workers":{"report_s":%s,"lease_s":%s,"cancel_s":%s,"gang_wait_s":8,"gang_peer_s":3},
+            "state":{"rps":150,"write_rps":%s,"value_kb":8,"txn_ops":12,
+            "next":{"write_rps":%s,"value_kb":2,"txn_ops":4}},
+            "cloud":{"rps":5,"list_lag_s":3},"machine_limits":{"max_sockets":1000},"clock_off_ms":20}}
+            """;
+
+    private SimulatedSettings() {}
+
+    /** One controller's settings. */
+    static Settings of(String controller, double reportS, double redMax, double writesPerS) {
+        String text = SETTINGS.formatted(
+                controller,
+                seedsWithout(controller),
+                SimulatedCluster.CLOUD,
+                SimulatedCluster.STORE,
+                redMax,
+                reportS,
+                5 * reportS,
+                SimulatedCluster.CANCEL_S,
+                writesPerS,
+                LOWER_WRITES * writesPerS);
+        SettingsReader.Result read = SettingsReader.read(text);
+        if (read.settings() == null) {
+            throw new IllegalStateException(read.problems().toString());
+        }
+        return read.settings();
+    }
+
+    private static String seedsWithout(String controller) {
+        StringBuilder seeds = new StringBuilder();
+        for (int i = 0; i < SimulatedCluster.CONTROLLERS; i++) {
+            if (!controller.equals("n" + i)) {
+                seeds.append(seeds.isEmpty() ? "" : ",")
+                        .append("{\"host_name\":\"n")
+                        .append(i)
+                        .append("\",\"zone\":\"za\",\"peer_addr\":\"10.0.0.")
+                        .append(i)
+                        .append(":1\"}");
+            }
+        }
+        return seeds.toString();
+    }
+}
--- a/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -22,99 +22,103 @@
      */
     @Test
     void aMachineThatHearsNothingGetsNoWork() {
-        SimulatedCluster w = new SimulatedCluster(31);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(31);
+        cluster.runFor(3);
         for (int i = 0; i < 6; i++) {
-            w.submit(service(i, 2, 3));
+            cluster.submit(service(i, 2, 3));
         }
-        w.play(25);
-        String machine = w.machineInUse();
-        Worker deaf = w.workers.get("w-" + machine + ":1");
-        List<SimulatedCluster.User> there = w.users.values().stream()
-                .filter(u -> w.machinesOf(u).contains(machine))
+        cluster.runFor(25);
+        String machine = cluster.tasks.machineInUse();
+        Worker deaf = cluster.workers.get("w-" + machine + ":1");
+        List<SimulatedUser> there = cluster.users.values().stream()
+                .filter(u -> cluster.tasks.machinesOf(u).contains(machine))
                 .toList();
         assertFalse(there.isEmpty());
-        w.deaf.add(deaf.address());
-        w.cancel(there.get(0));
-        w.play(10); // the worker's own lease
+        cluster.faults.inboundLoss.add(deaf.address());
+        cluster.cancel(there.get(0));
+        cluster.runFor(10); // the worker's own lease
         for (int i = 10; i < 16; i++) {
-            w.submit(service(i, 1, 1));
+            cluster.submit(service(i, 1, 1));
         }
-        w.play(20);
-        for (SimulatedCluster.User user : w.users.values()) {
-            assertFalse(w.machinesOf(user).contains(machine), user.spec.id() + " is on a machine that hears nothing");
-            assertTrue(user.wantsCancel || !w.machinesOf(user).isEmpty(), user.spec.id() + " runs nowhere");
+        cluster.runFor(20);
+        for (SimulatedUser user : cluster.users.values()) {
+            assertFalse(
+                    cluster.tasks.machinesOf(user).contains(machine),
+                    user.spec.id() + " is on a machine that hears nothing");
+            assertTrue(
+                    user.cancelRequested || !cluster.tasks.machinesOf(user).isEmpty(),
+                    user.spec.id() + " runs nowhere");
         }
-        w.play(50);
-        assertFalse(w.cloud.runningMachines().contains(machine), "it is of no use and costs money");
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(50);
+        assertFalse(cluster.cloud.runningMachines().contains(machine), "it is of no use and costs money");
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** A copy of a report is no sign of life: the machine it tells of may be gone, and a new leader can't know that. */
     @Test
     void lateCopiesMakeNoDeadMachineLookFit() {
-        SimulatedCluster w = new SimulatedCluster(32);
-        w.play(3);
-        w.submit(service(1, 2, 3));
-        w.play(20);
-        String machine = w.machineInUse();
-        var report = w.workers.get("w-" + machine + ":1").heartbeat();
-        SimulatedCluster.Node first = w.leader();
-        w.cloud.reclaim(machine);
+        SimulatedCluster cluster = new SimulatedCluster(32);
+        cluster.runFor(3);
+        cluster.submit(service(1, 2, 3));
+        cluster.runFor(20);
+        String machine = cluster.tasks.machineInUse();
+        var report = cluster.workers.get("w-" + machine + ":1").heartbeat();
+        ControllerNode first = cluster.leader();
+        cluster.cloud.reclaim(machine);
         first.crash();
-        w.play(6);
-        SimulatedCluster.Node second = w.leader();
+        cluster.runFor(6);
+        ControllerNode second = cluster.leader();
         assertTrue(second != null && second != first);
         for (int i = 0; i < 30; i++) {
-            w.copy(report, second);
-            w.play(1);
+            cluster.machines.deliverDuplicate(report, second);
+            cluster.runFor(1);
         }
-        assertEquals(2, w.running(), "copies kept tasks waiting for a dead machine");
-        assertEquals(List.of(), w.violations);
+        assertEquals(2, cluster.tasks.running(), "copies kept tasks waiting for a dead machine");
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** It may have led or not: it starts nothing, says so at once, and its workers go to the next leader. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aControllerWithItsWorkersOnlyHandsThemOver(boolean leader) {
-        SimulatedCluster w = new SimulatedCluster(33);
-        w.play(3);
-        w.submit(service(1, 3, 3));
-        w.play(25);
-        SimulatedCluster.Node node = w.nodes.values().stream()
+        SimulatedCluster cluster = new SimulatedCluster(33);
+        cluster.runFor(3);
+        cluster.submit(service(1, 3, 3));
+        cluster.runFor(25);
+        ControllerNode node = cluster.controllers.values().stream()
                 .filter(n -> n.coordinator.leads() == leader)
                 .findFirst()
                 .orElseThrow();
-        int ended = w.ended;
-        w.alone.add(node.settings.controllerName());
-        w.play(60); // six leases
-        assertEquals(ended, w.ended, "no task was lost");
+        int ended = cluster.tasks.ends;
+        cluster.faults.partitionedFromControlPlane.add(node.settings.controllerName());
+        cluster.runFor(60); // six leases
+        assertEquals(ended, cluster.tasks.ends, "no task was lost");
         assertFalse(node.coordinator.leads(), "it learns from its workers that another leads");
-        SimulatedCluster.Node other = w.leader();
+        ControllerNode other = cluster.leader();
         assertTrue(other != null && other != node);
-        w.submit(array(2, "any", JobSpec.Priority.NORMAL, 6, 3));
-        w.play(40);
-        assertEquals("done", w.users.get("job-2").end, "the others serve on");
-        assertEquals(List.of(), w.violations);
+        cluster.submit(array(2, "any", JobSpec.Priority.NORMAL, 6, 3));
+        cluster.runFor(40);
+        assertEquals("done", cluster.users.get("job-2").endState, "the others serve on");
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Found on the bench: tasks of spot machines taken without a word waited for a whole lease. */
     @Test
     void aSpotMachineTakenWithoutAWordIsGivenUpBeforeItsLease() {
-        SimulatedCluster w = new SimulatedCluster(37);
-        w.play(3);
-        w.submit(array(1, "any", JobSpec.Priority.NORMAL, 12, 200));
-        w.play(25);
-        assertEquals(12, w.running());
-        String machine = w.machineInUse();
-        w.cloud.reclaim(machine);
-        int left = w.running();
+        SimulatedCluster cluster = new SimulatedCluster(37);
+        cluster.runFor(3);
+        cluster.submit(array(1, "any", JobSpec.Priority.NORMAL, 12, 200));
+        cluster.runFor(25);
+        assertEquals(12, cluster.tasks.running());
+        String machine = cluster.tasks.machineInUse();
+        cluster.cloud.reclaim(machine);
+        int left = cluster.tasks.running();
         assertTrue(left < 12);
-        w.play(9); // the lease is 10 s, and a lapse takes a little longer
-        assertFalse(w.cloud.runningMachines().contains(machine));
-        w.play(5.5); // another boots for 5 s
-        assertEquals(12, w.running(), "the lost tasks run again");
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(9); // the lease is 10 s, and a lapse takes a little longer
+        assertFalse(cluster.cloud.runningMachines().contains(machine));
+        cluster.runFor(5.5); // another boots for 5 s
+        assertEquals(12, cluster.tasks.running(), "the lost tasks run again");
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
@@ -123,31 +127,31 @@
      */
     @Test
     void anOrdinaryMachineThatDiesIsGivenUpBeforeItsLease() {
-        SimulatedCluster w = new SimulatedCluster(42, 5, 6, 40);
-        w.play(3);
-        w.submit(service(1, 8, 2));
-        w.play(50);
-        assertEquals(8, w.running());
-        w.cloud.reclaim(w.machineInUse());
-        assertTrue(w.running() < 8);
-        w.play(24); // the lease is 30 s, and another boots for 5 s
-        assertEquals(8, w.running(), "the lost replicas run again");
-        assertEquals(List.of(), w.violations);
+        SimulatedCluster cluster = new SimulatedCluster(42, 5, 6, 40);
+        cluster.runFor(3);
+        cluster.submit(service(1, 8, 2));
+        cluster.runFor(50);
+        assertEquals(8, cluster.tasks.running());
+        cluster.cloud.reclaim(cluster.tasks.machineInUse());
+        assertTrue(cluster.tasks.running() < 8);
+        cluster.runFor(24); // the lease is 30 s, and another boots for 5 s
+        assertEquals(8, cluster.tasks.running(), "the lost replicas run again");
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Found on a day with a partition: machines on the detour by way of other controllers were given up. */
     @Test
     void aShortCutCostsNobodyAMachine() {
-        SimulatedCluster w = new SimulatedCluster(38);
-        w.play(3);
-        w.submit(array(1, "any", JobSpec.Priority.NORMAL, 12, 200));
-        w.play(25);
-        String machine = w.machineInUse();
-        w.cut("w-" + machine + ":1", 3000);
-        int ended = w.ended;
-        w.play(20);
-        assertEquals(ended, w.ended);
-        assertTrue(w.cloud.runningMachines().contains(machine));
+        SimulatedCluster cluster = new SimulatedCluster(38);
+        cluster.runFor(3);
+        cluster.submit(array(1, "any", JobSpec.Priority.NORMAL, 12, 200));
+        cluster.runFor(25);
+        String machine = cluster.tasks.machineInUse();
+        cluster.faults.partition("w-" + machine + ":1", 3000);
+        int ended = cluster.tasks.ends;
+        cluster.runFor(20);
+        assertEquals(ended, cluster.tasks.ends);
+        assertTrue(cluster.cloud.runningMachines().contains(machine));
     }
 
     /**
@@ -156,24 +160,25 @@
      */
     @Test
     void aCrashDuringACutDoesNotBeginTheLeasesAnew() {
-        SimulatedCluster w = new SimulatedCluster(39);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(39);
+        cluster.runFor(3);
         for (int i = 0; i < 4; i++) {
-            w.submit(service(i, 2, 2));
+            cluster.submit(service(i, 2, 2));
         }
-        w.play(25);
-        assertEquals(8, w.running());
-        String zone = w.zoneOf(w.machineInUse());
-        w.cutZone(zone, 30_000);
-        w.play(5);
-        SimulatedCluster.Node first = w.leader();
-        restart(w, first, 5000);
-        w.play(13); // the lease is 10 s and counts from the last report that was answered; then a machine has to boot
-        assertTrue(w.leader() != first);
-        assertEquals(8, w.running(), "services of the zone run elsewhere");
-        w.play(30);
-        assertEquals(8, w.running());
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(25);
+        assertEquals(8, cluster.tasks.running());
+        String zone = cluster.machines.zoneOf(cluster.tasks.machineInUse());
+        cluster.faults.partitionZone(zone, 30_000);
+        cluster.runFor(5);
+        ControllerNode first = cluster.leader();
+        restart(cluster, first, 5000);
+        cluster.runFor(
+                13); // the lease is 10 s and counts from the last report that was answered; then a machine has to boot
+        assertTrue(cluster.leader() != first);
+        assertEquals(8, cluster.tasks.running(), "services of the zone run elsewhere");
+        cluster.runFor(30);
+        assertEquals(8, cluster.tasks.running());
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
@@ -182,57 +187,65 @@
      */
     @Test
     void aNewLeaderLeavesTheMachinesOfACutZoneAlone() {
-        SimulatedCluster w = new SimulatedCluster(41, 9, 2, 40);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(41, 9, 2, 40);
+        cluster.runFor(3);
         for (int i = 0; i < 14; i++) {
-            w.submit(service(i, 2, 2));
+            cluster.submit(service(i, 2, 2));
         }
-        w.play(60);
-        List<String> all = w.cloud.runningMachines();
-        String zone = all.stream().filter(m -> w.zoneOf(m).equals("za")).count() > all.size() / 2 ? "za" : "zb";
-        List<String> machines =
-                all.stream().filter(m -> w.zoneOf(m).equals(zone)).toList();
+        cluster.runFor(60);
+        List<String> all = cluster.cloud.runningMachines();
+        String zone = all.stream()
+                                .filter(m -> cluster.machines.zoneOf(m).equals("za"))
+                                .count()
+                        > all.size() / 2
+                ? "za"
+                : "zb";
+        List<String> machines = all.stream()
+                .filter(m -> cluster.machines.zoneOf(m).equals(zone))
+                .toList();
         assertTrue(machines.size() >= 3, all + " are up");
-        w.cutZone(zone, 24_000);
-        w.play(4);
-        restart(w, w.leader(), 5000);
-        w.play(10);
-        w.submit(array(20, "any", JobSpec.Priority.IDLE, 30, 60));
-        w.play(8);
-        for (SimulatedCluster.User user : w.users.values()) {
-            assertTrue(!user.spec.service() || !w.machinesOf(user).isEmpty(), "services of the zone run elsewhere");
+        cluster.faults.partitionZone(zone, 24_000);
+        cluster.runFor(4);
+        restart(cluster, cluster.leader(), 5000);
+        cluster.runFor(10);
+        cluster.submit(array(20, "any", JobSpec.Priority.IDLE, 30, 60));
+        cluster.runFor(8);
+        for (SimulatedUser user : cluster.users.values()) {
+            assertTrue(
+                    !user.spec.service() || !cluster.tasks.machinesOf(user).isEmpty(),
+                    "services of the zone run elsewhere");
         }
-        assertTrue(w.cloud.runningMachines().containsAll(machines), "they are there when the cut ends");
+        assertTrue(cluster.cloud.runningMachines().containsAll(machines), "they are there when the cut ends");
         assertEquals(
                 machines,
-                w.cloud.runningMachines().stream()
-                        .filter(m -> w.zoneOf(m).equals(zone))
+                cluster.cloud.runningMachines().stream()
+                        .filter(m -> cluster.machines.zoneOf(m).equals(zone))
                         .toList(),
                 "nothing was rented in a zone that nobody can reach");
-        w.play(10);
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(10);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** What makes the test above hold must not outlive its truth: after a silence that has ended, leases begin anew. */
     @Test
     void aSilenceThatEndedIsNoProofForTheNextLeader() {
-        SimulatedCluster w = new SimulatedCluster(40, 9, 2, 40);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(40, 9, 2, 40);
+        cluster.runFor(3);
         for (int i = 0; i < 14; i++) {
-            w.submit(service(i, 2, 2));
+            cluster.submit(service(i, 2, 2));
         }
-        w.play(25);
-        String zone = w.zoneOf(w.machineInUse());
-        int ended = w.ended;
-        w.cutZone(zone, 7000);
-        w.play(9.5);
-        assertEquals(ended, w.ended, "nothing was lost so far");
-        w.cutZone(zone, 25_000);
-        w.leader().crash();
-        w.play(60);
-        assertEquals(List.of(), w.violations);
-        assertTrue(w.ended > ended, "the second cut was longer than a lease");
-        assertEquals(28, w.running());
+        cluster.runFor(25);
+        String zone = cluster.machines.zoneOf(cluster.tasks.machineInUse());
+        int ended = cluster.tasks.ends;
+        cluster.faults.partitionZone(zone, 7000);
+        cluster.runFor(9.5);
+        assertEquals(ended, cluster.tasks.ends, "nothing was lost so far");
+        cluster.faults.partitionZone(zone, 25_000);
+        cluster.leader().crash();
+        cluster.runFor(60);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(cluster.tasks.ends > ended, "the second cut was longer than a lease");
+        assertEquals(28, cluster.tasks.running());
     }
 
     /**
@@ -241,20 +254,20 @@
      */
     @Test
     void aNewSessionHasALeaseOfItsOwn() {
-        SimulatedCluster w = new SimulatedCluster(43, 9, 2, 40);
-        w.play(3);
+        SimulatedCluster cluster = new SimulatedCluster(43, 9, 2, 40);
+        cluster.runFor(3);
         for (int i = 0; i < 14; i++) {
-            w.submit(service(i, 2, 2));
+            cluster.submit(service(i, 2, 2));
         }
-        w.play(25);
-        w.cutZone(w.zoneOf(w.machineInUse()), 7000);
-        w.play(4.5); // their silence is noted by now
-        w.stateDown = true; // so nothing can be noted any more
-        w.play(12);
-        w.stateDown = false;
-        w.state.renewAllLeases(w.now);
-        w.play(20);
-        assertEquals(List.of(), w.violations);
-        assertEquals(28, w.running());
+        cluster.runFor(25);
+        cluster.faults.partitionZone(cluster.machines.zoneOf(cluster.tasks.machineInUse()), 7000);
+        cluster.runFor(4.5); // their silence is noted by now
+        cluster.faults.storeDown = true; // so nothing can be noted any more
+        cluster.runFor(12);
+        cluster.faults.storeDown = false;
+        cluster.state.renewAllLeases(cluster.now);
+        cluster.runFor(20);
+        assertEquals(List.of(), cluster.violations);
+        assertEquals(28, cluster.tasks.running());
     }
 }
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -9,7 +9,9 @@
 import org.junit.jupiter.api.Test;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.TestJob;
+import stileferry.coordination.ControllerNode;
 import stileferry.coordination.SimulatedCluster;
+import stileferry.coordination.SimulatedUser;
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.protocol.JobSpec;
@@ -29,17 +31,17 @@
         int[] open = new int[1];
         int[] most = new int[1];
         int[] asked = new int[1];
-        world.hangingCalls = timeoutMs -> {
+        world.faults.workerCallsHang = timeoutMs -> {
             asked[0]++;
             most[0] = Math.max(most[0], ++open[0]);
             world.after(timeoutMs, () -> open[0]--);
         };
-        SimulatedCluster.Node node = world.nodes.get("n0");
+        ControllerNode node = world.controllers.get("n0");
         node.start();
         HeartbeatHandler heartbeatHandler = new HeartbeatHandler(
                 cluster, node.environment, null, 1, null, null, new EventLoopLag(node.environment, 1));
         heartbeatHandler.commandDispatcher().announceTerm();
-        world.play(20);
+        world.runFor(20);
         int commands = cluster.settings().socketBudget().commands();
         assertTrue(most[0] <= commands / 2, most[0] + " questions at once, " + commands + " sockets for commands");
         assertTrue(asked[0] > 10 * most[0], "only " + asked[0] + " were asked");
@@ -64,10 +66,12 @@
 
     /** Checks of each accepted service how many of its tasks run, given as the first number, of how many. */
     private static void assertServicesRun(SimulatedCluster world, BiPredicate<Long, Integer> enough, String when) {
-        for (SimulatedCluster.User user : world.users.values()) {
+        for (SimulatedUser user : world.users.values()) {
             assertTrue(
-                    !user.spec.service() || !user.accepted || enough.test(world.running(user), user.spec.taskCount()),
-                    user.spec.id() + " has " + world.running(user) + when);
+                    !user.spec.service()
+                            || !user.accepted
+                            || enough.test(world.tasks.running(user), user.spec.taskCount()),
+                    user.spec.id() + " has " + world.tasks.running(user) + when);
         }
     }
 
@@ -79,31 +83,31 @@
     void aLargeZoneThatIsCutOffStaysWithinTheRates() {
         SimulatedCluster world = new SimulatedCluster(7, 525, 6, 0);
         SplittableRandom random = world.random.split();
-        world.play(3);
+        world.runFor(3);
         int jobs = 0;
         for (int second = 0; second < 50; second++) {
             for (int i = 0; i < 5; i++) {
                 world.submit(someJob(jobs++, random));
             }
-            world.play(1);
+            world.runFor(1);
         }
         int machines = world.cloud.runningMachines().size();
         long changesBefore = world.state.writtenKeys();
-        world.cutZone("za", 45_000);
-        world.play(12);
-        SimulatedCluster.Node leader = world.leader();
+        world.faults.partitionZone("za", 45_000);
+        world.runFor(12);
+        ControllerNode leader = world.leader();
         leader.crash();
         world.after(5000, leader::start);
-        world.play(31);
+        world.runFor(31);
         assertServicesRun(world, (running, tasks) -> running >= tasks / 2, ""); // the others were in the zone and wait
-        world.quietSince = world.now;
-        world.play(20);
+        world.faults.endedAt = world.now;
+        world.runFor(20);
         assertServicesRun(world, (running, tasks) -> running == tasks.longValue(), " after the cut");
-        world.play(150);
+        world.runFor(150);
         assertEquals(List.of(), world.violations);
         assertTrue(machines > 1000, machines + " machines are up");
         assertTrue(
-                world.users.values().stream().allMatch(user -> user.spec.service() || "done".equals(user.end)),
+                world.users.values().stream().allMatch(user -> user.spec.service() || "done".equals(user.endState)),
                 "work is left");
         long changes = world.state.writtenKeys() - changesBefore;
         assertTrue(changes < 213 * 50 / 2, changes + " changes in 213 s, at 50 a second");
@@ -114,7 +118,7 @@
     void aGrownClusterStaysWithinTheRates() {
         SimulatedCluster world = new SimulatedCluster(5, 363, 6, 0);
         SplittableRandom random = world.random.split();
-        world.play(3);
+        world.runFor(3);
         int jobs = 0;
         for (int second = 0; second < 60; second++) {
             for (int i = 0; i < 2; i++) {
@@ -127,18 +131,18 @@
                         .estimateS(10 + random.nextInt(30))
                         .spec());
             }
-            world.play(1);
+            world.runFor(1);
         }
-        SimulatedCluster.Node leader = world.leader();
+        ControllerNode leader = world.leader();
         leader.crash();
         world.after(5000, leader::start);
-        world.quietSince = world.now;
-        world.play(120);
+        world.faults.endedAt = world.now;
+        world.runFor(120);
         assertEquals(List.of(), world.violations);
-        assertTrue(world.users.values().stream().allMatch(user -> "done".equals(user.end)), "work is left");
-        assertTrue(world.starts > 5000, world.starts + " starts");
+        assertTrue(world.users.values().stream().allMatch(user -> "done".equals(user.endState)), "work is left");
+        assertTrue(world.tasks.starts > 5000, world.tasks.starts + " starts");
         assertTrue(
-                world.state.writtenKeys() < world.starts,
-                world.state.writtenKeys() + " changes for " + world.starts + " starts and as many ends");
+                world.state.writtenKeys() < world.tasks.starts,
+                world.state.writtenKeys() + " changes for " + world.tasks.starts + " starts and as many ends");
     }
 }
