--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -320,7 +320,7 @@
     }
 
     @Test
-    void aCountThatIsWrittenByItselfIsFoundToBeWrong() {
+    void aCountWrittenApartFromItsJobIsDetected() {
         Found found = search(Count.AFTER_THE_ANSWER);
         assertFalse(found.broken() == null, "not found in " + found.states() + " states");
     }
@@ -329,7 +329,7 @@
      * Tables of two terms in every order, some twice, with the terms learnt in between: none of a former term holds.
      */
     @Test
-    void noOrderOfTablesLetsOneOfAFormerTermHold() {
+    void noTurnTableOfAFormerTermHoldsInAnyOrder() {
         List<TurnTable> tables = new ArrayList<>();
         for (long[] number : new long[][] {{1, 1}, {1, 2}, {2, 1}, {2, 2}}) {
             tables.add(new TurnTable(number[0], number[1], new TreeMap<>(java.util.Map.of(FLOW, new Turn(0.5, 0.01)))));
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -8,7 +8,6 @@
 import static stileferry.coordination.FairAdmissionTest.flood;
 import static stileferry.coordination.FairAdmissionTest.submit;
 import static stileferry.coordination.FairAdmissionTest.world;
-import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -41,16 +40,16 @@
         ControllerNode leader = cluster.leader();
         String name = leader.settings.controllerName();
         switch (trouble) {
-            case ENDS -> restart(cluster, leader, 4000);
+            case ENDS -> cluster.faults.restart(leader, 4000);
             case FREEZES_AND_WAKES -> leader.environment.freeze(8000);
             case LOSES_THE_STATE_SERVICE -> cluster.network.blockBoth(name, SimulatedCluster.STORE, LinkFault.LOST);
             case IS_REFUSED_ALONE -> cluster.faults.rejectedByStore.add(name);
-            case ALL_END -> cluster.controllers.values().forEach(node -> restart(cluster, node, 3000));
+            case ALL_END -> cluster.controllers.values().forEach(node -> cluster.faults.restart(node, 3000));
             case FIVE_LEADERS -> {
                 for (int i = 0; i < 5; i++) {
                     cluster.after(6000L * i, () -> {
                         if (cluster.leader() != null) {
-                            restart(cluster, cluster.leader(), 1000);
+                            cluster.faults.restart(cluster.leader(), 1000);
                         }
                     });
                 }
@@ -58,8 +57,7 @@
             case STATE_SERVICE_DOWN_FOR_A_MINUTE -> {
                 cluster.faults.storeDown = true;
                 cluster.after(60_000, () -> {
-                    cluster.faults.storeDown = false;
-                    cluster.state.renewAllLeases(cluster.now);
+                    cluster.faults.endStoreOutage();
                 });
             }
             case STATE_SERVICE_SLOW -> cluster.faults.storeResponseDelayMs = 400;
@@ -84,7 +82,7 @@
     /** No count is doubled or lost, no rule broken, and every team has its admissions afterwards, whatever happened. */
     @ParameterizedTest
     @EnumSource(Trouble.class)
-    void troubleInTheMiddleOfABurst(Trouble trouble) {
+    void countsStayExactThroughAFaultDuringABurst(Trouble trouble) {
         SimulatedCluster cluster = world(40 + trouble.ordinal(), ON);
         AdmissionHistory history = new AdmissionHistory(cluster);
         cluster.runFor(20);
@@ -112,7 +110,7 @@
     /** Ten minutes of three times what can be admitted, with one trouble after the other. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void tenMinutesOfThreeTimesTheCapacity(long seed) {
+    void everyTeamIsAdmittedUnderTripleLoadWithFaults(long seed) {
         SimulatedCluster cluster = world(seed, ON);
         AdmissionHistory history = new AdmissionHistory(cluster);
         SplittableRandom random = cluster.random.split();
@@ -167,16 +165,8 @@
      */
     @ParameterizedTest
     @MethodSource("seedsOfDays")
-    void noRuleIsBrokenWithFairAdmission(long seed) {
-        InvariantsUnderFaultsTest.allIsDone(InvariantsUnderFaultsTest.day(seed, 120, cluster -> {
-            cluster.features = new Features(seed % 4 == 0, true);
-            if (seed % 3 == 0) {
-                cluster.controllersWithoutFeatures.add("n" + seed % 2);
-            }
-            if (seed % 5 == 0) {
-                cluster.formerRecordFormat.add("n2");
-                cluster.controllersWithoutFeatures.add("n2");
-            }
-        }));
+    void invariantsHoldWithFairAdmissionUnderRandomFaults(long seed) {
+        ChaosRun.assertAllJobsEnded(ChaosRun.play(
+                seed, 120, cluster -> ChaosRun.mixVersions(cluster, seed, new Features(seed % 4 == 0, true))));
     }
 }
--- /dev/null
+++ b/src/test/java/stileferry/coordination/BusyCluster.java
@@ -0,0 +1,71 @@
+package stileferry.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
+
+/** Simulated clusters that are at work when the faults of a test begin, and what must hold after these. */
+final class BusyCluster {
+    private static final List<String> TEAMS = List.of("red", "blue", "free");
+
+    private BusyCluster() {}
+
+    /** Eight jobs of long tasks that run. */
+    static SimulatedCluster withLongJobs(long seed) {
+        SimulatedCluster cluster = SimulatedCluster.started(seed);
+        for (int i = 0; i < 6; i++) {
+            cluster.submit(TestJobs.array(i, 2, 300));
+        }
+        cluster.submit(TestJobs.service(6, 2, 2));
+        cluster.submit(TestJobs.service(7, 2, 2));
+        cluster.runFor(25);
+        assertEquals(16, cluster.tasks.running());
+        return cluster;
+    }
+
+    /** Two teams at their quotas and a third one, with services, arrays of a few tasks and jobs bound to one zone. */
+    static SimulatedCluster withTeamsAtTheirQuotas(long seed) {
+        SimulatedCluster cluster = SimulatedCluster.started(seed);
+        for (int i = 0; i < 24; i++) {
+            cluster.submit(i % 4 == 3 ? service(i) : array(i));
+        }
+        cluster.runFor(25);
+        assertTrue(cluster.tasks.running() > 20, cluster.tasks.running() + " tasks run");
+        return cluster;
+    }
+
+    private static JobSpecBuilder sized(JobSpecBuilder job, int number) {
+        boolean bound = number % 5 == 0;
+        return job.team(TEAMS.get(number % 3))
+                .tasks(2 + number % 2)
+                .cpus(2)
+                .image("img" + number % 3)
+                .zone(bound ? number % 2 == 0 ? "za" : "zb" : null)
+                .oneZone(number % 6 == 0);
+    }
+
+    private static JobSpec service(int number) {
+        return sized(JobSpecBuilder.service(number), number)
+                .spreadAcrossZones(number % 5 != 0)
+                .build();
+    }
+
+    private static JobSpec array(int number) {
+        return sized(JobSpecBuilder.array(number), number)
+                .priority(number % 2 == 0 ? JobSpec.Priority.NORMAL : JobSpec.Priority.IDLE)
+                .allowsSpot(number % 7 != 0)
+                .runS(3 + number % 10 * 4)
+                .build();
+    }
+
+    /** After the faults no invariant is violated, and what nobody cancelled runs on or again. */
+    static void assertRecovers(SimulatedCluster cluster) {
+        cluster.faults.endedAt = cluster.now;
+        cluster.runFor(90);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(cluster.tasks.running() >= 4, "what nobody cancelled runs on or again: " + cluster.tasks.running());
+    }
+}
--- /dev/null
+++ b/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
@@ -0,0 +1,107 @@
+package stileferry.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Cancellations that one leader confirmed hold whatever happens to the controllers and the key-value store then. */
+class CancellationUnderFaultsTest {
+    /** What cuts the first leader off, so that another one is elected. */
+    enum LeaderFault {
+        REJECTED_BY_STORE,
+        REJECTED_BY_STORE_AND_PEERS,
+        PARTITIONED
+    }
+
+    /** What happens besides the outage of the key-value store. */
+    enum SecondFault {
+        NONE,
+        NEXT_LEADER_RESTARTS,
+        STOPS_ARE_LOST
+    }
+
+    /**
+     * The key-value store alone rejects the leader, or the leader reaches neither it nor the other controllers; another
+     * one confirms cancellations; then the store is down for longer than cancel_s, while workers send their heartbeats
+     * to the controller that they sent them to before. Guards against an old leader that renews leases without knowing
+     * of the cancellations, and a new one that, not sure to lead any more, sends no stops.
+     */
+    @ParameterizedTest
+    @CsvSource({
+        "101,REJECTED_BY_STORE,NONE",
+        "102,PARTITIONED,NONE",
+        "103,PARTITIONED,NEXT_LEADER_RESTARTS",
+        "104,REJECTED_BY_STORE,NEXT_LEADER_RESTARTS",
+        "105,REJECTED_BY_STORE_AND_PEERS,NONE",
+        "106,PARTITIONED,STOPS_ARE_LOST",
+        "107,REJECTED_BY_STORE,STOPS_ARE_LOST",
+        "108,REJECTED_BY_STORE_AND_PEERS,NEXT_LEADER_RESTARTS"
+    })
+    void cancellationsConfirmedByANewLeaderHoldThroughAStoreOutage(long seed, LeaderFault first, SecondFault second) {
+        SimulatedCluster cluster = BusyCluster.withLongJobs(seed);
+        FaultInjection faults = cluster.faults;
+        ControllerNode old = cluster.leader();
+        isolate(cluster, old, first);
+        cluster.runFor(4);
+        ControllerNode next = cluster.controllers.values().stream()
+                .filter(n -> n != old && n.coordinator.leads())
+                .findFirst()
+                .orElseThrow();
+        if (second == SecondFault.STOPS_ARE_LOST) {
+            loseStops(cluster, 6000);
+        }
+        cancelArrays(cluster);
+        cluster.runFor(1.2);
+        checkConfirmations(cluster, first);
+        faults.storeOutage(30_000);
+        if (second == SecondFault.NEXT_LEADER_RESTARTS) {
+            faults.restart(next, 3000);
+        }
+        cluster.after(14_000, () -> {
+            faults.rejectedByStore.clear();
+            faults.partitionedFromControlPlane.clear();
+            faults.peerConnectionsRefused = false;
+        });
+        cluster.runFor(45);
+        assertEquals(List.of(), cluster.violations);
+        BusyCluster.assertRecovers(cluster);
+    }
+
+    private static void isolate(SimulatedCluster cluster, ControllerNode leader, LeaderFault fault) {
+        if (fault == LeaderFault.PARTITIONED) {
+            cluster.faults.partitionedFromControlPlane.add(leader.settings.controllerName());
+        } else {
+            cluster.faults.rejectedByStore.add(leader.settings.controllerName());
+            cluster.faults.peerConnectionsRefused = fault == LeaderFault.REJECTED_BY_STORE_AND_PEERS;
+        }
+    }
+
+    /** Stops do not arrive; heartbeats do. */
+    private static void loseStops(SimulatedCluster cluster, long ms) {
+        for (SimulatedUser user : cluster.users.values()) {
+            cluster.tasks.machinesOf(user).forEach(m -> cluster.faults.inboundLoss.add(SimulatedMachines.address(m)));
+        }
+        cluster.after(ms, cluster.faults.inboundLoss::clear);
+    }
+
+    private static void cancelArrays(SimulatedCluster cluster) {
+        for (int i = 0; i < 5; i++) {
+            cluster.cancel(cluster.users.get("job-" + i));
+        }
+    }
+
+    /** Where no other controller could be told, only what has no task any more is confirmed. */
+    private static void checkConfirmations(SimulatedCluster cluster, LeaderFault fault) {
+        List<SimulatedUser> confirmed = cluster.users.values().stream()
+                .filter(u -> u.cancelConfirmedAt > 0)
+                .toList();
+        if (fault == LeaderFault.REJECTED_BY_STORE_AND_PEERS) {
+            confirmed.forEach(u -> assertEquals(0, cluster.tasks.running(u), u.spec.id()));
+        } else {
+            assertTrue(!confirmed.isEmpty(), "nothing was confirmed");
+        }
+    }
+}
--- a/src/test/java/stileferry/coordination/CutMeasurement.java
+++ b/src/test/java/stileferry/coordination/CutMeasurement.java
@@ -8,7 +8,6 @@
 import java.util.stream.LongStream;
 import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
-import stileferry.protocol.JobSpec;
 import stileferry.transport.LogLevel;
 
 /**
@@ -45,7 +44,7 @@
         List<SimulatedUser> users = new ArrayList<>();
         int starts = cluster.tasks.starts;
         for (int i = 0; i < CUT_S; i++) {
-            users.add(cluster.submit(InvariantsUnderFaultsTest.array(100 + i, "any", JobSpec.Priority.NORMAL, 1, 1)));
+            users.add(cluster.submit(TestJobs.array(100 + i, 1, 1)));
             cluster.runFor(1);
         }
         long changed = cluster.state.value("a/term").path("term").asLong() - terms;
@@ -87,7 +86,7 @@
             }
             long terms = cluster.state.value("a/term").path("term").asLong();
             for (int i = 0; i < 360; i++) {
-                cluster.submit(InvariantsUnderFaultsTest.array(1000 + i, "any", JobSpec.Priority.NORMAL, 1, 1));
+                cluster.submit(TestJobs.array(1000 + i, 1, 1));
                 cluster.runFor(10);
             }
             System.out.println(
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.protocol.Features;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
 
@@ -33,27 +34,12 @@
 
     static JobSpec job(int number, String team, JobSpec.Priority priority, double runS) {
         boolean service = priority == JobSpec.Priority.CRITICAL;
-        return new JobSpec(
-                "job-" + number,
-                "any",
-                team,
-                service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY,
-                priority,
-                1,
-                1,
-                0,
-                1,
-                "img",
-                0.2,
-                null,
-                null,
-                false,
-                false,
-                false,
-                service ? 0 : runS,
-                0,
-                0,
-                -1);
+        JobSpecBuilder job = service ? JobSpecBuilder.service(number) : JobSpecBuilder.array(number);
+        return job.team(team)
+                .priority(priority)
+                .imageGb(0.2)
+                .runS(service ? 0 : runS)
+                .build();
     }
 
     static SimulatedUser submit(SimulatedCluster cluster, int number, String team) {
@@ -103,7 +89,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void oneHouseThatFloodsTakesNothingFromTheOthers(long seed) {
+    void aFloodingTeamTakesNothingFromTheOthers(long seed) {
         SimulatedCluster cluster = world(seed, ON);
         AdmissionHistory history = new AdmissionHistory(cluster);
         cluster.runFor(20);
@@ -118,7 +104,7 @@
 
     /** The same ids again and again, at every controller: they are one demand, and each is admitted once. */
     @Test
-    void oneIdThatReachesAllControllersAtOnceIsAdmittedOnce() {
+    void concurrentSubmissionsOfOneIdAreAdmittedOnce() {
         SimulatedCluster cluster = world(4, ON);
         AdmissionHistory history = new AdmissionHistory(cluster);
         cluster.runFor(20);
@@ -137,14 +123,13 @@
 
     /** Jobs that can never fit are told so, and take no share from those that can. */
     @Test
-    void jobsThatCanNeverRunAreRefusedAtOnceAndNotCounted() {
+    void unschedulableJobsAreRejectedAndNotCounted() {
         SimulatedCluster cluster = world(5, ON);
         AdmissionHistory history = new AdmissionHistory(cluster);
         cluster.runFor(20);
         JobSpec good = job(50, "blue", JobSpec.Priority.NORMAL, 2);
-        byte[] tooLarge = MessageCodec.encode(((com.fasterxml.jackson.databind.node.ObjectNode)
-                        job(51, "free", JobSpec.Priority.NORMAL, 2).write())
-                .put("cores", 1000.0));
+        byte[] tooLarge = MessageCodec.encode(
+                ((ObjectNode) job(51, "free", JobSpec.Priority.NORMAL, 2).write()).put("cores", 1000.0));
         int[] refused = new int[1];
         for (int i = 0; i < 40; i++) {
             ControllerNode node = cluster.controllers.get("n" + i % 3);
@@ -195,7 +180,7 @@
      * accepted is done meanwhile, where before the store's time went into accepting ever more.
      */
     @Test
-    void theRefusedAreSpreadOverTheirTurns() {
+    void rejectedUsersRetryAtTheirTurns() {
         double[] refusals = new double[2];
         long[] done = new long[2];
         for (int on = 0; on < 2; on++) {
@@ -217,7 +202,7 @@
 
     /** A follower whose leader has ended must not refuse by its word: nobody knows what the next one will say. */
     @Test
-    void noTableOfAFormerTermIsHonoured() {
+    void noTurnTableOfAFormerTermIsHonoured() {
         SimulatedCluster cluster = world(92, ON);
         cluster.runFor(20);
         flood(cluster, 100, 20);
@@ -243,7 +228,7 @@
 
     /** Where it is on at some controllers only, or an older version leads, totals say so, and are never wrong. */
     @Test
-    void olderVersionsLeadInTurns() {
+    void totalsAreIncompleteOnceAnOlderVersionHasLed() {
         SimulatedCluster cluster = world(93, ON);
         cluster.controllersWithoutFeatures.add("n0");
         cluster.runFor(20);
@@ -270,7 +255,7 @@
                 }
             }
             if (cluster.leader() != null) {
-                restart(cluster, cluster.leader(), 500);
+                cluster.faults.restart(cluster.leader(), 500);
             }
         }
         cluster.runFor(70);
@@ -282,14 +267,14 @@
 
     /** Cancelled while it is being admitted, and a gang: counted like any other, once. */
     @Test
-    void cancelledWhileBeingAdmittedAndGangs() {
+    void jobsCancelledDuringAdmissionAreCountedOnce() {
         SimulatedCluster cluster = world(94, ON);
         AdmissionHistory history = new AdmissionHistory(cluster);
         cluster.runFor(20);
         for (int i = 0; i < 20; i++) {
             SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
             cluster.after(cluster.random.nextLong(300), () -> cluster.cancel(user));
-            cluster.submit(InvariantsUnderFaultsTest.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
+            cluster.submit(TestJobs.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
             cluster.runFor(1);
         }
         cluster.runFor(90);
@@ -299,7 +284,7 @@
 
     /** The checks must be able to fail: a count too many and a team without admissions are seen. */
     @Test
-    void aDoubledCountAndAStarvedTeamAreSeen() {
+    void aDoubledCountAndAStarvedTeamAreDetected() {
         SimulatedCluster cluster = world(95, ON);
         AdmissionHistory history = new AdmissionHistory(cluster);
         cluster.runFor(20);
@@ -307,7 +292,7 @@
         cluster.runFor(10);
         check(cluster, history);
         JsonNode shard = cluster.state.value("n/0").deepCopy();
-        ((com.fasterxml.jackson.databind.node.ObjectNode) shard.path("counts").path("red")).put("*", 2);
+        ((ObjectNode) shard.path("counts").path("red")).put("*", 2);
         var transaction = MessageCodec.map();
         transaction.putArray("if");
         transaction.putArray("apply").addObject().put("put", "n/0").set("v", shard);
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -4,8 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.InvariantsUnderFaultsTest.array;
-import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
+import static stileferry.coordination.TestJobs.array;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -15,63 +14,34 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MessageCodec;
 import stileferry.standin.Worker;
 
 /** Jobs whose tasks run all at the same time or not at all. */
 class GangSchedulingTest {
     private static JobSpec gang(int number, JobSpec.Priority priority, int tasks, boolean oneZone, double runS) {
-        return new JobSpec(
-                "job-" + number,
-                "any",
-                "free",
-                JobSpec.Kind.GANG,
-                priority,
-                tasks,
-                2,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                oneZone,
-                false,
-                false,
-                runS,
-                3,
-                1,
-                -1);
+        return JobSpecBuilder.gang(number)
+                .priority(priority)
+                .tasks(tasks)
+                .cpus(2)
+                .oneZone(oneZone)
+                .runS(runS)
+                .checkpoints(3, 1)
+                .build();
     }
 
-    /** A gang of so many tasks that their claims need more than one record. */
-    private static JobSpec gangOfSmall(int number, int tasks, double runS) {
-        return new JobSpec(
-                "job-" + number,
-                "any",
-                "free",
-                JobSpec.Kind.GANG,
-                JobSpec.Priority.NORMAL,
-                tasks,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                false,
-                runS,
-                3,
-                1,
-                -1);
+    /** A gang of so many tasks that their assignments need more than one record. */
+    private static JobSpec gangOfSmallTasks(int number, int tasks, double runS) {
+        return JobSpecBuilder.gang(number)
+                .tasks(tasks)
+                .runS(runS)
+                .checkpoints(3, 1)
+                .build();
     }
 
-    private static SimulatedCluster begun(long seed, JobSpec spec) {
-        SimulatedCluster cluster = new SimulatedCluster(seed);
-        cluster.runFor(3);
+    private static SimulatedCluster withRunning(long seed, JobSpec spec) {
+        SimulatedCluster cluster = SimulatedCluster.started(seed);
         cluster.submit(spec);
         cluster.runFor(20);
         assertEquals(spec.taskCount(), cluster.tasks.running(), "all of it runs");
@@ -79,8 +49,8 @@
     }
 
     @Test
-    void itLosesAMachineAndStartsAgainWhole() {
-        SimulatedCluster cluster = begun(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
+    void aGangThatLosesAMachineRestartsWhole() {
+        SimulatedCluster cluster = withRunning(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
         cluster.cloud.reclaim(cluster.tasks.machineInUse());
         assertTrue(cluster.tasks.running() < 6);
         cluster.runFor(25);
@@ -91,20 +61,19 @@
     }
 
     /**
-     * A task is gone before the others have noticed. They can't save without it, and told to do so they would hold
-     * their machines until they give up, while the whole gang waits to start again.
+     * A task is gone before the others have noticed. They can't save a checkpoint without it, and told to do so they
+     * would hold their machines until they give up, while the whole gang waits to start again.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void theOthersOfALostTaskStopAtOnceInsteadOfSaving(long seed) {
-        SimulatedCluster cluster = new SimulatedCluster(seed);
-        cluster.runFor(3);
+    void peersOfALostTaskStopWithoutCheckpoint(long seed) {
+        SimulatedCluster cluster = SimulatedCluster.started(seed);
         cluster.submit(gang(1, JobSpec.Priority.URGENT, 5, true, 2));
         cluster.runFor(20);
         List<String> machines =
                 cluster.workers.values().stream().map(Worker::machine).sorted().toList();
         cluster.workers
-                .get("w-" + machines.get(1) + ":1")
+                .get(SimulatedMachines.address(machines.get(1)))
                 .setFaulty(true); // has room for the fifth task, the last one to begin
         int ended = cluster.tasks.ends;
         cluster.submit(gang(2, JobSpec.Priority.URGENT, 5, true, 100));
@@ -116,13 +85,13 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Its tasks save together or not at all, so all of them hear of a notice that concerns one machine. */
+    /** Its tasks save together or not at all, so all of them hear of a reclaim notice for one machine. */
     @Test
-    void aNoticeForOneMachineStopsItWholeAndSaved() {
-        SimulatedCluster cluster = begun(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
+    void aReclaimNoticeForOneMachineCheckpointsTheWholeGang() {
+        SimulatedCluster cluster = withRunning(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         cluster.runFor(40);
         int ended = cluster.tasks.ends;
-        Worker worker = cluster.workers.get("w-" + cluster.tasks.machineInUse() + ":1");
+        Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.machineInUse()));
         worker.reclaimNotice(12);
         cluster.runFor(6);
         assertEquals(ended + 6, cluster.tasks.ends, "all have stopped");
@@ -133,15 +102,15 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Where one machine can't hear the stop, the others can't save; they do not wait for it. */
+    /** Where one machine can't be reached, the others can't save; they do not wait for it. */
     @Test
-    void aStopThatNotAllCanHearDoesNotWaitForASave() {
-        SimulatedCluster cluster = begun(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
+    void aStopThatNotAllTasksCanHearSkipsTheCheckpoint() {
+        SimulatedCluster cluster = withRunning(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         List<String> machines = List.copyOf(cluster.tasks.machinesOf(cluster.users.get("job-1")));
-        cluster.faults.partition("w-" + machines.get(0) + ":1", 7000);
+        cluster.faults.partition(SimulatedMachines.address(machines.get(0)), 7000);
         cluster.runFor(5);
         assertEquals(6, cluster.tasks.running());
-        Worker other = cluster.workers.get("w-" + machines.get(1) + ":1");
+        Worker other = cluster.workers.get(SimulatedMachines.address(machines.get(1)));
         long there = cluster.tasks.runningOn(other.machine());
         other.reclaimNotice(12);
         cluster.runFor(1.2);
@@ -153,8 +122,8 @@
     /** When one task is done all are, and no leader may start the others alone. */
     @ParameterizedTest
     @ValueSource(ints = {0, 20, 60, 150, 400, 900})
-    void itEndsWholeWhateverIsLostThen(int afterMs) {
-        SimulatedCluster cluster = begun(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
+    void aGangCompletesWholeDespiteAFailover(int afterMs) {
+        SimulatedCluster cluster = withRunning(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
         List<String> machines = List.copyOf(cluster.tasks.machinesOf(cluster.users.get("job-1")));
         for (int i = 0; i < 600 && cluster.tasks.running() == 6; i++) {
             cluster.runFor(0.05);
@@ -162,23 +131,23 @@
         assertEquals(0, cluster.tasks.running());
         cluster.runFor(afterMs / 1000.0);
         cluster.cloud.reclaim(machines.get(0));
-        restart(cluster, cluster.leader(), 300);
+        cluster.faults.restart(cluster.leader(), 300);
         cluster.runFor(60);
         assertEquals("done", cluster.users.get("job-1").endState);
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** The leader ends while the claims of a gang become durable: the next one finishes that attempt or ends it. */
+    /** The leader crashes while a gang's assignments become durable: the next one finishes that attempt or ends it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void aLeaderThatEndsAsItStartsLeavesNoPart(long seed) {
-        SimulatedCluster cluster = begun(10 + seed, gang(1, JobSpec.Priority.NORMAL, 2, false, 200));
+    void aFailoverDuringAGangStartLeavesNoPartialGang(long seed) {
+        SimulatedCluster cluster = withRunning(10 + seed, gang(1, JobSpec.Priority.NORMAL, 2, false, 200));
         cluster.faults.storeResponseDelayMs = 100;
         for (int i = 2; i < 8; i++) {
             cluster.submit(gang(i, JobSpec.Priority.NORMAL, 7, i % 2 == 0, 5));
         }
         cluster.runFor(0.2 + 0.15 * seed);
-        restart(cluster, cluster.leader(), 300);
+        cluster.faults.restart(cluster.leader(), 300);
         cluster.faults.storeResponseDelayMs = 0;
         cluster.runFor(120);
         for (int i = 2; i < 8; i++) {
@@ -189,16 +158,15 @@
 
     /**
      * An attempt is given up before it was stored in full, and the next one begins at once: what of the first becomes
-     * durable later must not let the second start before all of it is. It did, when both were counted together.
+     * durable later must not let the second start before all of the second is durable.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void anAttemptGivenUpBeforeItWasStoredDoesNotLetTheNextOneStartEarly(long seed) {
-        SimulatedCluster cluster = new SimulatedCluster(60 + seed);
-        cluster.runFor(3);
-        cluster.submit(gangOfSmall(1, 80, 2));
+    void anAbandonedAttemptDoesNotLetTheNextOneStartEarly(long seed) {
+        SimulatedCluster cluster = SimulatedCluster.started(60 + seed);
+        cluster.submit(gangOfSmallTasks(1, 80, 2));
         cluster.runFor(25); // all machines are up and free again
-        SimulatedUser second = cluster.submit(gangOfSmall(2, 40, 5));
+        SimulatedUser second = cluster.submit(gangOfSmallTasks(2, 40, 5));
         for (int i = 0; i < 100 && !second.accepted; i++) {
             cluster.runFor(0.02);
         }
@@ -218,11 +186,11 @@
     }
 
     /**
-     * A version before started a gang's tasks one by one, so that a leader may find claims of more than one attempt.
+     * A version before started a gang's tasks one by one, so that a leader may find assignments of several attempts.
      */
     @Test
-    void claimsOfDifferentAttemptsAreStoppedAndTheGangStartsWhole() {
-        SimulatedCluster cluster = begun(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
+    void assignmentsOfMixedAttemptsAreStoppedAndTheGangRestarts() {
+        SimulatedCluster cluster = withRunning(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
         cluster.controllers.values().forEach(ControllerNode::crash);
         int changed = 0;
         for (int slot = 0; slot < 1024; slot++) {
@@ -243,9 +211,8 @@
 
     /** Room is made for all its tasks at once, in the one zone where it may be. */
     @Test
-    void lessUrgentWorkMakesRoomForAllOfIt() {
-        SimulatedCluster cluster = new SimulatedCluster(30);
-        cluster.runFor(3);
+    void preemptionMakesRoomForTheWholeGang() {
+        SimulatedCluster cluster = SimulatedCluster.started(30);
         for (int i = 0; i < 40; i++) {
             cluster.submit(array(100 + i, "any", JobSpec.Priority.IDLE, 4, 400));
         }
@@ -258,51 +225,17 @@
     }
 
     @Test
-    void whatCanNeverStandTogetherIsRefused() {
-        SimulatedCluster cluster = new SimulatedCluster(31);
-        cluster.runFor(3);
-        cluster.submit(new JobSpec(
-                "job-1",
-                "any",
-                "blue",
-                JobSpec.Kind.GANG,
-                JobSpec.Priority.NORMAL,
-                13,
-                2,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                false,
-                5,
-                0,
-                0,
-                -1)); // 26 CPUs of 24
-        cluster.submit(new JobSpec(
-                "job-2",
-                "any",
-                "free",
-                JobSpec.Kind.GANG,
-                JobSpec.Priority.NORMAL,
-                4,
-                2,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                true,
-                true,
-                false,
-                5,
-                0,
-                0,
-                -1)); // in one zone, with at most half of it in each
+    void anUnschedulableGangIsRejected() {
+        SimulatedCluster cluster = SimulatedCluster.started(31);
+        cluster.submit(
+                JobSpecBuilder.gang(1).team("blue").tasks(13).cpus(2).runS(5).build()); // 26 CPUs of 24
+        cluster.submit(JobSpecBuilder.gang(2)
+                .tasks(4)
+                .cpus(2)
+                .oneZone(true)
+                .spreadAcrossZones(true)
+                .runS(5)
+                .build()); // in one zone, with at most half of it in each
         cluster.runFor(10);
         for (SimulatedUser user : cluster.users.values()) {
             assertFalse(user.accepted, user.spec.id());
--- a/src/test/java/stileferry/coordination/HandoverTest.java
+++ b/src/test/java/stileferry/coordination/HandoverTest.java
@@ -2,8 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
-import static stileferry.coordination.InvariantsUnderFaultsTest.service;
 import static stileferry.coordination.PartialCutsTest.ON;
 import static stileferry.coordination.PartialCutsTest.busy;
 import static stileferry.coordination.PartialCutsTest.mended;
@@ -11,6 +9,7 @@
 import static stileferry.coordination.PartialCutsTest.others;
 import static stileferry.coordination.PartialCutsTest.secondsToRun;
 import static stileferry.coordination.SimulatedNetwork.WORKERS;
+import static stileferry.coordination.TestJobs.service;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -34,7 +33,7 @@
     }
 
     @Test
-    void theNomineeLosesItsLinkDuringTheHandover() {
+    void theNomineeLosesTheStoreDuringTheHandover() {
         SimulatedCluster cluster = handingOver(540);
         ControllerNode old = cluster.leader();
         others(cluster, old).forEach(n -> cluster.network.blockBoth(name(n), SimulatedCluster.STORE, LinkFault.LOST));
@@ -49,7 +48,7 @@
     /** Each step may be the last: the leader's process stands still before, within or after its release. */
     @ParameterizedTest
     @ValueSource(ints = {0, 5, 20, 60, 120, 300, 1000})
-    void aLeaderFrozenAroundItsRelease(int afterMs) {
+    void aLeaderPausedAroundItsRelease(int afterMs) {
         SimulatedCluster cluster = handingOver(541);
         ControllerNode old = cluster.leader();
         cluster.runFor(afterMs / 1000.0);
@@ -63,11 +62,11 @@
 
     @ParameterizedTest
     @CsvSource({"0,100", "30,100", "100,200", "500,100"})
-    void aProcessIsBackInASplitSecondDuringAHandover(int afterMs, int awayMs) {
+    void aControllerRestartsDuringAHandover(int afterMs, int awayMs) {
         for (int who = 0; who < 3; who++) {
             SimulatedCluster cluster = handingOver(550 + who);
             cluster.runFor(afterMs / 1000.0);
-            restart(cluster, List.copyOf(cluster.controllers.values()).get(who), awayMs);
+            cluster.faults.restart(List.copyOf(cluster.controllers.values()).get(who), awayMs);
             cluster.runFor(30);
             assertEquals(List.of(), cluster.violations);
             assertTrue(secondsToRun(cluster, 50, 30) < 30, "work goes on");
@@ -76,7 +75,7 @@
     }
 
     @Test
-    void twoCutsThatOverlapWithAnOutageOfTheStateService() {
+    void partialPartitionsOverlapWithAStoreOutage() {
         SimulatedCluster cluster = busy(560, ON);
         ControllerNode leader = cluster.leader();
         cluster.network.blockBoth(name(leader), WORKERS, LinkFault.LOST);
@@ -84,8 +83,7 @@
         cluster.network.blockBoth(name(leader), name(others(cluster, leader).get(0)), LinkFault.REFUSED);
         cluster.faults.storeDown = true;
         cluster.runFor(15);
-        cluster.faults.storeDown = false;
-        cluster.state.renewAllLeases(cluster.now);
+        cluster.faults.endStoreOutage();
         cluster.runFor(25);
         assertEquals(List.of(), cluster.violations);
         assertTrue(secondsToRun(cluster, 50, 30) < 30, "work goes on");
@@ -94,7 +92,7 @@
 
     /** A version that knows nothing of views is neither sent any nor handed anything over to. */
     @Test
-    void olderVersionsTakeNoPart() {
+    void olderVersionsTakeNoPartInHandovers() {
         SimulatedCluster cluster = new SimulatedCluster(590);
         cluster.features = ON;
         cluster.controllersWithoutFeatures.addAll(List.of("n1", "n2"));
--- /dev/null
+++ b/src/test/java/stileferry/coordination/InvariantChecksUnderFaultsTest.java
@@ -0,0 +1,58 @@
+package stileferry.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static stileferry.coordination.TestJobs.service;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import stileferry.standin.Worker;
+
+/** The checks of the invariants must be able to fail: controllers that are gone, workers that keep no lease. */
+class InvariantChecksUnderFaultsTest {
+    /** With all controllers gone nobody answers for a job. */
+    @Test
+    void aForgottenJobIsDetected() {
+        SimulatedCluster cluster = SimulatedCluster.started(35);
+        cluster.submit(service(1, 1, 1));
+        cluster.runFor(10);
+        cluster.controllers.values().forEach(ControllerNode::crash);
+        cluster.faults.endedAt = cluster.now;
+        cluster.runFor(74);
+        assertEquals(List.of(), cluster.violations);
+        cluster.runFor(6);
+        assertTrue(cluster.violations.stream().anyMatch(v -> v.startsWith("forgotten")), "nobody noticed");
+    }
+
+    /** A worker that keeps its tasks after its lease has expired breaks what the controllers rely on. */
+    @Test
+    void aTaskThatOutlivesItsLeaseIsDetected() {
+        SimulatedCluster cluster = SimulatedCluster.started(100, 9, 2, 40);
+        for (int i = 0; i < 12; i++) {
+            cluster.submit(service(i, 2, 2));
+        }
+        cluster.runFor(15);
+        Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.machineInUse()));
+        worker.ignoreLease();
+        cluster.faults.partitionZone(worker.zone(), 60_000); // a single machine would be given up by its deletion
+        cluster.runFor(40);
+        assertTrue(
+                cluster.violations.stream().anyMatch(v -> v.startsWith("ran_twice")),
+                "nobody noticed: " + cluster.violations);
+    }
+
+    /** A worker that minds neither its lease nor commands keeps a cancelled task. */
+    @Test
+    void aTaskThatOutlivesItsCancellationIsDetected() {
+        SimulatedCluster cluster = BusyCluster.withLongJobs(301);
+        SimulatedUser user = cluster.users.get("job-0");
+        cluster.workers.values().forEach(Worker::ignoreLease);
+        cluster.faults.partitionZone("za", 60_000); // single machines would be given up by their deletion
+        cluster.faults.partitionZone("zb", 60_000);
+        cluster.cancel(user);
+        cluster.runFor(SimulatedCluster.CANCEL_S - 1);
+        assertEquals(List.of(), cluster.violations);
+        cluster.runFor(3);
+        assertTrue(cluster.violations.stream().anyMatch(v -> v.startsWith("ran_cancelled")), "nobody noticed");
+    }
+}
--- a/src/test/java/stileferry/coordination/OperatorSettingsTest.java
+++ b/src/test/java/stileferry/coordination/OperatorSettingsTest.java
@@ -15,7 +15,7 @@
 /** The operators' settings: their bounds, and how they are stored. */
 class OperatorSettingsTest {
     @Test
-    void aChangeIsTakenWholeOrNotAtAll() throws InvalidOperatorSettingException {
+    void aChangeIsAtomic() throws InvalidOperatorSettingException {
         OperatorSettings changed = OperatorSettings.defaults()
                 .with(MessageCodec.map().put("spot_share", 0.5).put("preemption", false));
         assertEquals(1, changed.revision());
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void storedNonsenseFallsBackToDefaults() {
+    void invalidStoredValuesFallBackToDefaults() {
         ObjectNode stored = MessageCodec.map().put("revision", 4);
         stored.putObject("values").put("idle_boots", "x").put("gone", 1).put("spare_share", 0.2);
         OperatorSettings read = OperatorSettings.read(stored);
@@ -46,7 +46,7 @@
 
     /** Settings reach every controller without a restart, and outlive the loss of all of them. */
     @Test
-    void allControllersTakeSettingsUpAndKeepThem() {
+    void settingsReachAllControllersAndSurviveRestarts() {
         SimulatedCluster cluster = new SimulatedCluster(9);
         cluster.runFor(5);
         ObjectNode body = MessageCodec.map().put("revision", 0);
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.InvariantsUnderFaultsTest.array;
-import static stileferry.coordination.InvariantsUnderFaultsTest.service;
 import static stileferry.coordination.SimulatedNetwork.WORKERS;
+import static stileferry.coordination.TestJobs.array;
+import static stileferry.coordination.TestJobs.service;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -14,7 +14,6 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
-import stileferry.protocol.JobSpec;
 import stileferry.protocol.PeerMessage;
 
 /** Links between controllers, workers and the state service are cut one by one and in pairs, in either direction. */
@@ -32,7 +31,7 @@
         cluster.features = features;
         cluster.runFor(3);
         for (int i = 0; i < 4; i++) {
-            cluster.submit(array(i, "any", JobSpec.Priority.NORMAL, 2, 300));
+            cluster.submit(array(i, 2, 300));
         }
         cluster.submit(service(6, 2, 1));
         cluster.submit(service(7, 2, 1));
@@ -89,7 +88,7 @@
 
     @ParameterizedTest
     @EnumSource(LinkFault.class)
-    void theLeaderLosesTheStateServiceButKeepsWorkersAndPeers(LinkFault mode) {
+    void theLeaderLosesTheStoreButKeepsWorkersAndPeers(LinkFault mode) {
         SimulatedCluster cluster = busy(501, ON);
         ControllerNode old = cluster.leader();
         cluster.network.blockBoth(name(old), SimulatedCluster.STORE, mode);
@@ -106,7 +105,7 @@
     @EnumSource(
             value = LinkFault.class,
             names = {"LOST", "REFUSED"})
-    void theLeaderKeepsTheStateServiceButReachesNoWorker(LinkFault mode) {
+    void theLeaderKeepsTheStoreButReachesNoWorker(LinkFault mode) {
         SimulatedCluster cluster = busy(502, ON);
         ControllerNode old = cluster.leader();
         cluster.network.blockBoth(name(old), WORKERS, mode);
@@ -119,7 +118,7 @@
 
     /** Before, every lease lapsed and nobody else could lead, as the leader key was renewed all the while. */
     @Test
-    void aLeaderThatReachesTheStateServiceAloneReleasesTheLeadership() {
+    void aLeaderThatReachesOnlyTheStoreReleasesLeadership() {
         SimulatedCluster cluster = busy(503, ON);
         ControllerNode old = cluster.leader();
         cluster.network.blockBoth(name(old), WORKERS, LinkFault.LOST);
@@ -151,7 +150,7 @@
     }
 
     @Test
-    void theLeaderHearsReportsWhileItsAnswersAndCommandsAreLost() {
+    void theLeaderReceivesHeartbeatsWhileItsAnswersAndCommandsAreLost() {
         SimulatedCluster cluster = busy(505, ON);
         ControllerNode old = cluster.leader();
         cluster.network.block(name(old), WORKERS, LinkFault.LOST);
@@ -163,7 +162,7 @@
     }
 
     @Test
-    void theLeaderHearsNoReportsWhileItsCommandsArrive() {
+    void theLeaderReceivesNoHeartbeatsWhileItsCommandsArrive() {
         SimulatedCluster cluster = busy(506, ON);
         ControllerNode old = cluster.leader();
         cluster.network.block(WORKERS, name(old), LinkFault.REFUSED);
@@ -175,7 +174,7 @@
 
     @ParameterizedTest
     @EnumSource(LinkFault.class)
-    void controllersCutFromOneAnotherAloneElectNobodyAndGoOn(LinkFault mode) {
+    void controllersPartitionedFromOneAnotherKeepTheirLeader(LinkFault mode) {
         SimulatedCluster cluster = busy(507, ON);
         ControllerNode old = cluster.leader();
         for (ControllerNode node : cluster.controllers.values()) {
@@ -192,7 +191,7 @@
 
     /** What a follower can't pass on to the leader is answered at once, when that is known. */
     @Test
-    void usersOfAFollowerThatCannotReachTheLeaderHearSoAtOnce() {
+    void aFollowerThatCannotReachTheLeaderAnswersUsersAtOnce() {
         SimulatedCluster cluster = busy(508, ON);
         ControllerNode leader = cluster.leader();
         others(cluster, leader).forEach(n -> cluster.network.block(name(n), name(leader), LinkFault.LOST));
@@ -232,7 +231,7 @@
         "5,workers+state",
         "10,state+peers"
     })
-    void aCutThatComesAndGoes(int periodS, String links) {
+    void leadershipDoesNotFlapWithAFlappingLink(int periodS, String links) {
         SimulatedCluster cluster = busy(510 + periodS, ON);
         ControllerNode old = cluster.leader();
         long before = term(cluster);
@@ -245,7 +244,7 @@
                 cut(cluster, old, links);
             }
             if (done < 8) {
-                cluster.submit(array(100 + done++, "any", JobSpec.Priority.NORMAL, 1, 1));
+                cluster.submit(array(100 + done++, 1, 1));
             }
             cluster.runFor(periodS);
             assertEquals(List.of(), cluster.violations);
@@ -298,7 +297,7 @@
         cluster.runFor(60);
         assertEquals(List.of(), cluster.violations);
         assertEquals(leader, cluster.leader(), "nobody is better");
-        SimulatedUser user = cluster.submit(array(70, "any", JobSpec.Priority.NORMAL, 1, 1));
+        SimulatedUser user = cluster.submit(array(70, 1, 1));
         cluster.runFor(5);
         assertTrue(user.accepted, "users are served");
         mended(cluster);
@@ -310,11 +309,11 @@
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void aWorkerSilentToOneControllerOnlyIsNotGivenUp(boolean on) {
+    void aMachineUnreachableFromOneControllerOnlyIsNotDeleted(boolean on) {
         SimulatedCluster cluster = busy(570, on ? ON : Features.NONE);
         ControllerNode leader = cluster.leader();
         String machine = cluster.tasks.machineInUse();
-        String addr = "w-" + machine + ":1";
+        String addr = SimulatedMachines.address(machine);
         cluster.network.blockBoth(name(leader), addr, LinkFault.LOST);
         others(cluster, leader).forEach(n -> cluster.network.block(addr, name(n), LinkFault.REFUSED));
         int deletions = cluster.cloud.deletionRequests();
@@ -326,7 +325,7 @@
 
     /** Views and reports that come over a lease late are old news, whatever they say. */
     @Test
-    void lateCopiesOfReportsChangeNothing() {
+    void duplicatedHeartbeatsChangeNothing() {
         SimulatedCluster cluster = busy(580, ON);
         cluster.faults.duplicateHeartbeatRate = 0.5;
         ControllerNode leader = cluster.leader();
--- a/src/test/java/stileferry/coordination/RollingUpgradeTest.java
+++ b/src/test/java/stileferry/coordination/RollingUpgradeTest.java
@@ -2,9 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.InvariantsUnderFaultsTest.array;
-import static stileferry.coordination.InvariantsUnderFaultsTest.restart;
-import static stileferry.coordination.InvariantsUnderFaultsTest.service;
+import static stileferry.coordination.TestJobs.array;
+import static stileferry.coordination.TestJobs.service;
 
 import java.util.List;
 import java.util.Set;
@@ -13,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
 
 /**
  * Controllers are replaced one by one, and back again, while they serve. The older ones are this version's code with
@@ -36,27 +36,13 @@
     }
 
     private static JobSpec gang(int number, int tasks, double runS) {
-        return new JobSpec(
-                "job-" + number,
-                "any",
-                "free",
-                JobSpec.Kind.GANG,
-                JobSpec.Priority.URGENT,
-                tasks,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                true,
-                false,
-                false,
-                runS,
-                3,
-                1,
-                -1);
+        return JobSpecBuilder.gang(number)
+                .priority(JobSpec.Priority.URGENT)
+                .tasks(tasks)
+                .oneZone(true)
+                .runS(runS)
+                .checkpoints(3, 1)
+                .build();
     }
 
     /** Ends a controller's process; the next one is of the other version. */
@@ -75,7 +61,7 @@
 
     private static void workAndCancellations(SimulatedCluster cluster, int from, SplittableRandom random) {
         cluster.submit(gang(from, 2 + random.nextInt(4), 2 + random.nextInt(8)));
-        cluster.submit(array(from + 1, "any", JobSpec.Priority.NORMAL, 1 + random.nextInt(20), 3));
+        cluster.submit(array(from + 1, 1 + random.nextInt(20), 3));
         SimulatedUser cancelled = cluster.submit(gang(from + 2, 3, 60));
         cluster.after(random.nextLong(8000), () -> cluster.cancel(cancelled));
     }
@@ -97,7 +83,7 @@
     /** The roll forward and back, with processes that end before their turn and come back as they were. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void bothVersionsTakeTurnsAtLeading(long seed) {
+    void leadershipAlternatesBetweenVersions(long seed) {
         SimulatedCluster cluster = servedByTheFormerVersion(seed);
         SplittableRandom random = cluster.random.split();
         Set<String> ledBy = new TreeSet<>();
@@ -109,7 +95,7 @@
                 ledBy.add(cluster.formerRecordFormat.contains(leader.settings.controllerName()) ? "former" : "this");
             }
             if (random.nextInt(4) == 0 && leader != null) {
-                restart(cluster, leader, random.nextBoolean() ? 200 : 3000);
+                cluster.faults.restart(leader, random.nextBoolean() ? 200 : 3000);
             } else {
                 replace(
                         cluster,
@@ -125,7 +111,7 @@
     /** The state service lowers its limits at once, also before the last process was replaced. */
     @ParameterizedTest
     @ValueSource(ints = {0, 3, 6, 10, 14, 20})
-    void theLimitsAreLoweredDuringOrAfterTheRoll(int afterS) {
+    void storeLimitsAreLoweredDuringOrAfterTheUpgrade(int afterS) {
         SimulatedCluster cluster = servedByTheFormerVersion(20 + afterS);
         SplittableRandom random = cluster.random.split();
         cluster.after(1000L * afterS, () -> cluster.state.setLimits(LOWER_OPERATIONS, LOWER_VALUE_KB));
@@ -140,7 +126,7 @@
             workAndCancellations(cluster, 200 + 10 * i, random);
             cluster.runFor(3);
         }
-        restart(cluster, cluster.leader(), 300);
+        cluster.faults.restart(cluster.leader(), 300);
         finishAll(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -30,6 +30,7 @@
     private static final double REPORT_S = 2;
     private static final double WRITES_PER_S = 50;
     private static final long TICK_MS = 50;
+    private static final double START_S = 3;
 
     public final SplittableRandom random;
     public final List<String> violations = new ArrayList<>();
@@ -113,6 +114,20 @@
         after(TICK_MS, this::tick);
     }
 
+    /** A cluster after its first seconds, in which a leader is elected. */
+    public static SimulatedCluster started(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed);
+        cluster.runFor(START_S);
+        return cluster;
+    }
+
+    /** The same with so many machines of each kind in each zone, and a limit for the team that has one. */
+    public static SimulatedCluster started(long seed, int machineLimit, double reportS, double redMax) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, machineLimit, reportS, redMax);
+        cluster.runFor(START_S);
+        return cluster;
+    }
+
     public void after(long ms, Runnable task) {
         events.add(new Event(now + Math.max(0, ms), eventIds++, task));
     }
