--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -7,7 +7,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import stileferry.cluster.ClusterState;
-import stileferry.coordination.World;
+import stileferry.coordination.ControllerNode;
+import stileferry.coordination.SimulatedCluster;
 import stileferry.protocol.MessageCodec;
 import stileferry.scheduling.RandomCluster;
 
@@ -33,11 +34,11 @@
     /** Found by reading for 4,000 machines: pages sent in a row were refused, so the list was never read whole. */
     @Test
     void aListOfManyPagesIsReadWithinTheCloudsRate() {
-        World w = new World(9);
-        World.Node node = w.nodes.get("n0");
+        SimulatedCluster w = new SimulatedCluster(9);
+        ControllerNode node = w.controllers.get("n0");
         node.start();
         int pages = 9;
-        w.cloudCalls = path -> {
+        w.faults.cloudListing = path -> {
             ObjectNode page = MessageCodec.map();
             int number = path.contains("from=") ? Integer.parseInt(path.replaceAll(".*host-", "")) + 1 : 0;
             page.putArray("fleet")
@@ -52,13 +53,13 @@
             return page.put("more", number + 1 < pages);
         };
         ClusterState cluster = new ClusterState(node.settings);
-        CloudClient cloud = new CloudClient(node.environment, World.CLOUD, 1.5);
+        CloudClient cloud = new CloudClient(node.environment, SimulatedCluster.CLOUD, 1.5);
         long from = w.now;
         boolean[] read = new boolean[1];
         CloudInventory list = new CloudInventory(cluster, node.environment, cloud, () -> read[0] = true);
         for (int i = 0; i < 20 && !read[0]; i++) {
             list.refresh();
-            w.play(1);
+            w.runFor(1);
         }
         assertTrue(read[0], "the list was read to its end");
         assertEquals(pages, cluster.machines().size());
--- a/src/test/java/stileferry/cli/AdmissionLoopbackTest.java
+++ b/src/test/java/stileferry/cli/AdmissionLoopbackTest.java
@@ -18,8 +18,8 @@
 import stileferry.transport.ApiClient;
 
 /**
- * Three real controllers and a burst from two houses in which the leader ends: scaled down to what one machine and a
- * run of a few seconds can do.
+ * Three real controllers and a burst from two teams during which the leader crashes: scaled down to what one machine
+ * and a run of a few seconds can do.
  */
 class AdmissionLoopbackTest {
     private static final int USERS_EACH_TEAM = 6;
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void theLeaderEndsInABurstAndTheTotalsAreThoseOfTheJobsThatAreKnown() throws Exception {
+    void admissionTotalsMatchTheKnownJobsAfterALeaderCrashInABurst() throws Exception {
         try (LoopbackCluster cluster = new LoopbackCluster(dir, new Features(false, true))) {
             int former = cluster.awaitLeader(20_000);
             assertTrue(former >= 0, "nobody leads");
--- a/src/test/java/stileferry/cli/FeaturesSwitchTest.java
+++ b/src/test/java/stileferry/cli/FeaturesSwitchTest.java
@@ -16,7 +16,7 @@
 import stileferry.protocol.Features;
 import stileferry.transport.StandInHost;
 
-/** The features file: both files of the deployment are read, what is wrong ends the process, what is off stays out. */
+/** The features file: both deployed files are valid, an invalid one ends the process, what is off loads no classes. */
 class FeaturesSwitchTest {
     private static final long LIFE_S = 4;
 
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void bothFilesOfTheDeploymentAreRead() {
+    void bothDeployedFeatureFilesAreValid() {
         assertTrue(FeaturesFile.read(Path.of("deploy/features.json")).features() != null);
         assertEquals(
                 new Features(true, true),
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void anUnusableFileEndsTheProcessWithOneLineThatNamesTheField() throws IOException {
+    void anInvalidFileEndsTheProcessWithOneLineThatNamesTheField() throws IOException {
         StandInHost standIns = StandIns.start(Ports.free(7), dir);
         standIns.close();
         String config = dir.resolve("node-0.json").toString();
@@ -61,9 +61,9 @@
         assertEquals(1, missing.strip().lines().count());
     }
 
-    /** A controller with a tenth of a core must not pay for what is off. */
+    /** A controller with a tenth of a core must not pay for features that are off. */
     @Test
-    void whatIsOffLoadsNoClasses() throws Exception {
+    void aFeatureThatIsOffLoadsNoClasses() throws Exception {
         int port = Ports.free(7);
         try (StandInHost standIns = StandIns.start(port, dir)) {
             Path none = dir.resolve("none.json");
--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionHistory.java
@@ -14,29 +14,29 @@
 
 /**
  * Checks the count of admissions against the store and against what users heard: at every moment the shards add up to
- * the jobs that the store knows, and who asks several controllers for the totals of one revision hears the same.
+ * the jobs that the store knows, and several controllers tell the same totals of one revision.
  */
 final class AdmissionHistory {
     private static final long LOOK_MS = 250;
     private static final long ASK_MS = 2000;
 
     final List<String> problems = new ArrayList<>();
-    private final World world;
+    private final SimulatedCluster cluster;
     private final Map<Long, String> toldAt = new TreeMap<>();
     private final Map<String, Long> lastTold = new TreeMap<>();
     private final Map<String, Long> minutes = new TreeMap<>();
     private final Set<String> jobs = new HashSet<>();
     int answers;
 
-    AdmissionHistory(World world) {
-        this.world = world;
-        world.after(LOOK_MS, this::look);
-        world.after(ASK_MS, this::ask);
+    AdmissionHistory(SimulatedCluster cluster) {
+        this.cluster = cluster;
+        cluster.after(LOOK_MS, this::look);
+        cluster.after(ASK_MS, this::ask);
     }
 
     private JsonNode rows(String prefix, String from) {
         JsonNode[] answer = new JsonNode[1];
-        world.state.request(
+        cluster.store.request(
                 "GET", "/kv?starts=" + prefix + "&from=" + from + "&most=1000", null, (s, body) -> answer[0] = body);
         return answer[0];
     }
@@ -75,20 +75,20 @@
     }
 
     private void look() {
-        world.after(LOOK_MS, this::look);
+        cluster.after(LOOK_MS, this::look);
         long counted = counted();
         long known = known();
         if (counted != known) {
-            problems.add("at " + world.now + " " + counted + " are counted, " + known + " are known");
+            problems.add("at " + cluster.now + " " + counted + " are counted, " + known + " are known");
         }
     }
 
     private void ask() {
-        world.after(ASK_MS, this::ask);
-        for (World.Node node : world.nodes.values()) {
+        cluster.after(ASK_MS, this::ask);
+        for (ControllerNode node : cluster.controllers.values()) {
             if (node.up()) {
                 node.environment.turn(() -> node.coordinator.handleAdministrationRequest(
-                        "GET", "admission", new byte[0], answer -> told(node.settings.controllerName(), answer)));
+                        "GET", "admission", new byte[0], answer -> told(node.name(), answer)));
             }
         }
     }
@@ -113,7 +113,7 @@
     /** Counts what users heard, by team and minute. */
     Map<String, Long> admissionsByTeamAndMinute(long from) {
         minutes.clear();
-        for (World.User user : world.users.values()) {
+        for (SimulatedUser user : cluster.users.values()) {
             if (user.accepted && user.acceptedAt >= from) {
                 minutes.merge(user.spec.team() + " " + (user.acceptedAt - from) / 60_000, 1L, Long::sum);
             }
--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -8,7 +8,7 @@
 import stileferry.transport.LogLevel;
 
 /**
- * Measures fair admission in the simulated world, on and off in pairs of the same seed:
+ * Measures fair admission in the simulated cluster, on and off in pairs of the same seed:
  * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.AdmissionMeasurement}, with
  * JUnit's API on the class path. Two minutes of fifteen jobs a second of one team and one every two seconds of two
  * others.
@@ -24,54 +24,59 @@
     private record Outcome(
             double jain, double changesEach, double refusalsEach, double done, double smallTeams, double waitP95S) {}
 
-    private static double admittedShare(World w, String team) {
-        long asked = w.users.values().stream()
+    private static double admittedShare(SimulatedCluster cluster, String team) {
+        long asked = cluster.users.values().stream()
                 .filter(u -> u.spec.team().equals(team))
                 .count();
-        long accepted = w.users.values().stream()
+        long accepted = cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
         return asked == 0 ? 0 : (double) accepted / asked;
     }
 
     /** Jain's index of what the teams were given, where a team that was given all counts as one that has the mean. */
-    private static double jain(World w) {
-        long least = FairAdmissionTest.TEAMS.stream()
-                        .mapToLong(team -> accepted(w, team))
+    private static double jain(SimulatedCluster cluster) {
+        long least = AdmissionLoad.TEAMS.stream()
+                        .mapToLong(team -> accepted(cluster, team))
                         .sum()
-                / FairAdmissionTest.TEAMS.size();
+                / AdmissionLoad.TEAMS.size();
         double sum = 0;
         double squares = 0;
-        for (String team : FairAdmissionTest.TEAMS) {
-            double given = admittedShare(w, team) > 0.99 ? Math.max(least, accepted(w, team)) : accepted(w, team);
+        for (String team : AdmissionLoad.TEAMS) {
+            double given = admittedShare(cluster, team) > 0.99
+                    ? Math.max(least, accepted(cluster, team))
+                    : accepted(cluster, team);
             sum += given;
             squares += given * given;
         }
-        return squares == 0 ? 0 : sum * sum / (FairAdmissionTest.TEAMS.size() * squares);
+        return squares == 0 ? 0 : sum * sum / (AdmissionLoad.TEAMS.size() * squares);
     }
 
-    private static long accepted(World w, String team) {
-        return w.users.values().stream()
+    private static long accepted(SimulatedCluster cluster, String team) {
+        return cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
     }
 
     private static Outcome play(long seed, Features features) {
-        World w = FairAdmissionTest.world(seed, features);
-        w.play(20);
-        long changes = w.state.writtenKeys();
-        FairAdmissionTest.flood(w, 100, FLOOD_S);
+        SimulatedCluster cluster = AdmissionLoad.smallCluster(seed, features);
+        cluster.runFor(20);
+        long changes = cluster.store.writtenKeys();
+        AdmissionLoad.flood(cluster, 100, FLOOD_S);
         Histogram waits = new Histogram(LONGEST_MS, 2);
-        w.users.values().stream()
+        cluster.users.values().stream()
                 .filter(u -> u.accepted)
                 .forEach(u -> waits.recordValue(Math.min(LONGEST_MS, u.acceptedAt - u.submittedAt)));
         double accepted = waits.getTotalCount();
         return new Outcome(
-                jain(w),
-                (w.state.writtenKeys() - changes) / accepted,
-                w.users.values().stream().mapToInt(u -> u.refusals).average().orElse(0),
-                w.users.values().stream().filter(u -> u.end != null).count(),
-                (admittedShare(w, "blue") + admittedShare(w, "free")) / 2,
+                jain(cluster),
+                (cluster.store.writtenKeys() - changes) / accepted,
+                cluster.users.values().stream()
+                        .mapToInt(u -> u.rejections)
+                        .average()
+                        .orElse(0),
+                cluster.users.values().stream().filter(u -> u.endState != null).count(),
+                (admittedShare(cluster, "blue") + admittedShare(cluster, "free")) / 2,
                 waits.getValueAtPercentile(95) / 1000.0);
     }
 
@@ -79,20 +84,20 @@
         LogLevel.start("error");
         System.out.println("Jain's index, changes for each accepted job (its end included), refusals of each job,"
                 + " jobs done, share of the small teams' jobs accepted, 95th percentile of the wait in s");
-        for (Features features : List.of(Features.NONE, FairAdmissionTest.ON)) {
+        for (Features features : List.of(Features.NONE, AdmissionLoad.ON)) {
             LongStream.range(0, SEEDS).forEach(seed -> {
-                Outcome o = play(300 + seed, features);
+                Outcome outcome = play(300 + seed, features);
                 System.out.println(String.format(
                         Locale.ROOT,
                         "%-20s seed %d: %.2f %.2f %.2f %.0f %.2f %.1f",
                         features.on(),
                         300 + seed,
-                        o.jain(),
-                        o.changesEach(),
-                        o.refusalsEach(),
-                        o.done(),
-                        o.smallTeams(),
-                        o.waitP95S()));
+                        outcome.jain(),
+                        outcome.changesEach(),
+                        outcome.refusalsEach(),
+                        outcome.done(),
+                        outcome.smallTeams(),
+                        outcome.waitP95S()));
             });
         }
     }
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -38,9 +38,9 @@
 import stileferry.storage.StoredEntry;
 
 /**
- * A model check of the count of admissions, with the real ledger, count and door: every sequence of events up to a
- * depth is played. Two controllers lead in turns; a transaction is answered, carried out while its answer is lost,
- * carried out late, or never; leaders end at any moment. States that were seen before are not explored again.
+ * A model check of the count of admissions, with the real queue of commits, count and door: every sequence of events up
+ * to a depth is played. Two controllers lead in turns; a transaction is answered, carried out while its answer is lost,
+ * carried out late, or never; leaders crash at any moment. States that were seen before are not explored again.
  */
 class AdmissionModelTest {
     private static final int DEPTH = 7;
@@ -59,17 +59,18 @@
     }
 
     /**
-     * How the count is written; the planted fault counts what the transaction holds when it is answered, in one more.
+     * Whether the count is written in the transaction that stores the job, or, as a planted fault, in another one after
+     * that was answered.
      */
     private enum Count {
         WITH_THE_JOB,
         AFTER_THE_ANSWER
     }
 
-    /** A request on its way to the state service. */
+    /** A request on its way to the key-value store. */
     private record Request(String method, String path, JsonNode body, Environment.ResponseHandler reply) {}
 
-    /** One run: a store, whoever leads, and what is on its way. */
+    /** One run: a store, the leader, and the requests on their way. */
     private static final class Run {
         final KeyValueStore store = new KeyValueStore(12, 8);
         final ArrayDeque<Request> requests = new ArrayDeque<>();
@@ -93,7 +94,7 @@
                     .add(task);
         }
 
-        /** Lets all that is due for a while happen. */
+        /** Runs all timers that are due within two seconds. */
         void settle() {
             for (int i = 0; i < 100 && !timers.isEmpty() && timers.firstKey() <= now + 2000; i++) {
                 var due = timers.pollFirstEntry();
@@ -104,7 +105,7 @@
 
         void changeLeader() {
             if (leader != null) {
-                leader.ledger.close();
+                leader.commits.close();
             }
             term++;
             ObjectCommit.put(
@@ -169,11 +170,11 @@
                     .total();
         }
 
-        /** What tells this state from others, times and revisions left aside. */
+        /** Identifies this state, apart from times and revisions. */
         String signature() {
             StringBuilder text = new StringBuilder().append(jobs).append('|').append(counted());
             rows(Job.PREFIX).forEach(row -> text.append(row.key()));
-            text.append('|').append(leader.ledger.inFlight()).append(leader.ledger.backlog());
+            text.append('|').append(leader.commits.inFlight()).append(leader.commits.backlog());
             requests.forEach(request -> text.append(request.method.charAt(0)).append(keys(request)));
             lost.forEach(request -> text.append('L').append(keys(request)));
             return text.append(leader.lostLeadership).toString();
@@ -189,38 +190,38 @@
         }
     }
 
-    /** A controller that leads, with the real ledger and count. */
+    /** A controller that leads, with the real queue of commits and count. */
     private static final class Leading implements Environment {
         final Run run;
-        final CommitQueue ledger;
-        final AdmissionCountShards records;
+        final CommitQueue commits;
+        final AdmissionCountShards countShards;
         boolean lostLeadership;
 
         Leading(Run run) {
             this.run = run;
             long fence = run.rows(LeaderElection.LEADER_KEY).get(0).revision();
             KeyValueStoreClient state = new KeyValueStoreClient(this, settings());
-            ledger = new CommitQueue(
+            commits = new CommitQueue(
                     this, state, LeaderElection.LEADER_KEY, fence, run.term, () -> lostLeadership = true);
-            records = new AdmissionCountShards(run.rows(AdmissionCountShards.PREFIX), 1, 8);
+            countShards = new AdmissionCountShards(run.rows(AdmissionCountShards.PREFIX), 1, 8);
             if (run.count == Count.WITH_THE_JOB) {
-                ledger.setTransactionCounter(records);
+                commits.setTransactionCounter(countShards);
             }
         }
 
         void accept(String id) {
             StoredEntry job = new StoredEntry(Job.key(id), 0, MessageCodec::map);
             if (run.count == Count.WITH_THE_JOB) {
-                records.count(job, CELL);
-                ledger.put(job, null);
+                countShards.count(job, CELL);
+                commits.put(job, null);
             } else {
-                ledger.put(job, () -> {
-                    records.count(job, CELL);
-                    ledger.put(records.count(List.of(job)), null);
-                    ledger.flush();
+                commits.put(job, () -> {
+                    countShards.count(job, CELL);
+                    commits.put(countShards.count(List.of(job)), null);
+                    commits.flush();
                 });
             }
-            ledger.flush();
+            commits.flush();
         }
 
         @Override
@@ -256,7 +257,7 @@
         public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {}
     }
 
-    /** Puts a key as nobody's transaction. */
+    /** Writes a key outside of the controllers' transactions. */
     private static final class ObjectCommit {
         static void put(KeyValueStore store, String key, JsonNode value) {
             var transaction = MessageCodec.map();
@@ -279,7 +280,7 @@
                 .settings();
     }
 
-    /** What a search found: the first sequence that breaks the rule, if any, and how many states it saw. */
+    /** What a search found: the first sequence that breaks the invariant, if any, and how many states it saw. */
     private record Found(List<Event> broken, int states) {}
 
     private static Run replay(Count count, List<Event> events) {
@@ -320,7 +321,7 @@
     }
 
     @Test
-    void aCountThatIsWrittenByItselfIsFoundToBeWrong() {
+    void aCountWrittenApartFromItsJobIsDetected() {
         Found found = search(Count.AFTER_THE_ANSWER);
         assertFalse(found.broken() == null, "not found in " + found.states() + " states");
     }
@@ -329,7 +330,7 @@
      * Tables of two terms in every order, some twice, with the terms learnt in between: none of a former term holds.
      */
     @Test
-    void noOrderOfTablesLetsOneOfAFormerTermHold() {
+    void noTurnTableOfAFormerTermHoldsInAnyOrder() {
         List<TurnTable> tables = new ArrayList<>();
         for (long[] number : new long[][] {{1, 1}, {1, 2}, {2, 1}, {2, 2}}) {
             tables.add(new TurnTable(number[0], number[1], new TreeMap<>(java.util.Map.of(FLOW, new Turn(0.5, 0.01)))));
--- a/src/test/java/stileferry/coordination/CutMeasurement.java
+++ b/src/test/java/stileferry/coordination/CutMeasurement.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 import java.util.function.BiConsumer;
 import java.util.stream.LongStream;
-import stileferry.coordination.SimulatedNetwork.Mode;
+import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
-import stileferry.protocol.JobSpec;
 import stileferry.transport.LogLevel;
 
 /**
- * Measures what watching links is worth, in the simulated world, with the feature on and off in pairs of the same seed:
+ * Measures what link monitoring is worth in the simulated cluster, with the feature on and off in pairs of runs with
+ * the same seed:
  * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.CutMeasurement}, with JUnit's API
  * on the class path. A cut lasts 40 s; one task is asked for every second meanwhile.
  */
@@ -28,40 +28,36 @@
     /** What one cut led to. */
     private record Outcome(double worstS, int late, int restarted, long terms) {}
 
-    private static String name(World.Node node) {
-        return node.settings.controllerName();
-    }
-
-    private static void peers(World w, World.Node leader, Mode mode) {
-        w.nodes.values().stream()
+    private static void peers(SimulatedCluster cluster, ControllerNode leader, LinkFault fault) {
+        cluster.controllers.values().stream()
                 .filter(n -> n != leader)
-                .forEach(n -> w.network.blockBoth(name(leader), name(n), mode));
+                .forEach(n -> cluster.network.blockBoth(leader.name(), n.name(), fault));
     }
 
-    private static Outcome play(long seed, Features features, BiConsumer<World, World.Node> cut) {
-        World w = PartialCutsTest.busy(seed, features);
-        cut.accept(w, w.leader());
-        long terms = w.state.value("a/term").path("term").asLong();
-        List<World.User> users = new ArrayList<>();
-        int starts = w.starts;
+    private static Outcome play(long seed, Features features, BiConsumer<SimulatedCluster, ControllerNode> cut) {
+        SimulatedCluster cluster = LinkFaultCluster.withLongJobs(seed, features);
+        cut.accept(cluster, cluster.leader());
+        long terms = cluster.term();
+        List<SimulatedUser> users = new ArrayList<>();
+        int starts = cluster.tasks.starts;
         for (int i = 0; i < CUT_S; i++) {
-            users.add(w.submit(RulesTest.array(100 + i, "any", JobSpec.Priority.NORMAL, 1, 1)));
-            w.play(1);
+            users.add(cluster.submit(TestJobs.array(100 + i, 1, 1)));
+            cluster.runFor(1);
         }
-        long changed = w.state.value("a/term").path("term").asLong() - terms;
-        w.network.restoreAll();
-        w.play(60);
+        long changed = cluster.term() - terms;
+        cluster.network.restoreAll();
+        cluster.runFor(60);
         double[] waits = users.stream()
                 .mapToDouble(u -> u.startedAt == 0 ? CUT_S + 60 : (u.startedAt - u.submittedAt) / 1000.0)
                 .toArray();
-        int restarted = w.starts
+        int restarted = cluster.tasks.starts
                 - starts
                 - (int) users.stream().filter(u -> u.startedAt > 0).count();
         int late = (int) Arrays.stream(waits).filter(s -> s > LATE_S).count();
         return new Outcome(Arrays.stream(waits).max().orElse(0), late, restarted, changed);
     }
 
-    private static void compare(String title, BiConsumer<World, World.Node> cut) {
+    private static void compare(String title, BiConsumer<SimulatedCluster, ControllerNode> cut) {
         StringBuilder line = new StringBuilder(String.format("%-44s", title));
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
             List<Outcome> outcomes = LongStream.range(0, SEEDS)
@@ -81,19 +77,19 @@
     /** False suspicions and changes of leadership in an hour without cuts, on a quiet or an overloaded process. */
     private static void hour(long turnMs) {
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
-            World w = PartialCutsTest.busy(800, features);
+            SimulatedCluster cluster = LinkFaultCluster.withLongJobs(800, features);
             if (turnMs > 0) {
-                w.nodes.keySet().forEach(node -> w.turnMs.put(node, turnMs));
+                cluster.controllers.keySet().forEach(node -> cluster.faults.eventLoopTurnMs.put(node, turnMs));
             }
-            long terms = w.state.value("a/term").path("term").asLong();
+            long terms = cluster.term();
             for (int i = 0; i < 360; i++) {
-                w.submit(RulesTest.array(1000 + i, "any", JobSpec.Priority.NORMAL, 1, 1));
-                w.play(10);
+                cluster.submit(TestJobs.array(1000 + i, 1, 1));
+                cluster.runFor(10);
             }
             System.out.println("an hour without cuts, turns of " + turnMs + " ms, features " + features.on()
-                    + ": new terms " + (w.state.value("a/term").path("term").asLong() - terms));
+                    + ": new terms " + (cluster.term() - terms));
             if (features.partialCuts()) {
-                w.nodes
+                cluster.controllers
                         .values()
                         .forEach(n -> System.out.println(
                                 "  " + n.coordinator.links().describe().path("counters")));
@@ -105,22 +101,32 @@
         LogLevel.start("error");
         System.out.println("worst wait (s), tasks of " + CUT_S
                 + " that waited over 5 s, tasks started again, new terms; off | on");
-        compare("none", (w, l) -> {});
-        compare("leader - state service", (w, l) -> w.network.blockBoth(name(l), World.STATE, Mode.LOST));
-        compare("leader - workers, lost", (w, l) -> w.network.blockBoth(name(l), SimulatedNetwork.WORKERS, Mode.LOST));
+        compare("none", (cluster, leader) -> {});
+        compare(
+                "leader - state service",
+                (cluster, leader) -> cluster.network.blockBoth(leader.name(), SimulatedCluster.STORE, LinkFault.LOST));
+        compare(
+                "leader - workers, lost",
+                (cluster, leader) ->
+                        cluster.network.blockBoth(leader.name(), SimulatedNetwork.WORKERS, LinkFault.LOST));
         compare(
                 "leader - workers, refused",
-                (w, l) -> w.network.blockBoth(name(l), SimulatedNetwork.WORKERS, Mode.REFUSED));
-        compare("leader > workers", (w, l) -> w.network.block(name(l), SimulatedNetwork.WORKERS, Mode.LOST));
-        compare("workers > leader", (w, l) -> w.network.block(SimulatedNetwork.WORKERS, name(l), Mode.LOST));
-        compare("leader - controllers", (w, l) -> peers(w, l, Mode.LOST));
-        compare("leader - workers and controllers", (w, node) -> {
-            w.network.blockBoth(name(node), SimulatedNetwork.WORKERS, Mode.LOST);
-            peers(w, node, Mode.LOST);
+                (cluster, leader) ->
+                        cluster.network.blockBoth(leader.name(), SimulatedNetwork.WORKERS, LinkFault.REFUSED));
+        compare(
+                "leader > workers",
+                (cluster, leader) -> cluster.network.block(leader.name(), SimulatedNetwork.WORKERS, LinkFault.LOST));
+        compare(
+                "workers > leader",
+                (cluster, leader) -> cluster.network.block(SimulatedNetwork.WORKERS, leader.name(), LinkFault.LOST));
+        compare("leader - controllers", (cluster, leader) -> peers(cluster, leader, LinkFault.LOST));
+        compare("leader - workers and controllers", (cluster, leader) -> {
+            cluster.network.blockBoth(leader.name(), SimulatedNetwork.WORKERS, LinkFault.LOST);
+            peers(cluster, leader, LinkFault.LOST);
         });
-        compare("leader - state service and controllers", (w, node) -> {
-            w.network.blockBoth(name(node), World.STATE, Mode.LOST);
-            peers(w, node, Mode.LOST);
+        compare("leader - state service and controllers", (cluster, leader) -> {
+            cluster.network.blockBoth(leader.name(), SimulatedCluster.STORE, LinkFault.LOST);
+            peers(cluster, leader, LinkFault.LOST);
         });
         hour(0);
         hour(BUSY_TURN_MS);
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -3,9 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.RulesTest.restart;
+import static stileferry.coordination.AdmissionLoad.ON;
+import static stileferry.coordination.AdmissionLoad.TEAMS;
+import static stileferry.coordination.AdmissionLoad.check;
+import static stileferry.coordination.AdmissionLoad.flood;
+import static stileferry.coordination.AdmissionLoad.job;
+import static stileferry.coordination.AdmissionLoad.smallCluster;
+import static stileferry.coordination.AdmissionLoad.submit;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,242 +23,184 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
 
-/** Three controllers that fail while more is asked than can be taken. */
+/** Admission while more is asked for than can be admitted: shares, turns, totals. */
 class FairAdmissionTest {
-    static final Features ON = new Features(false, true);
-
-    /** Changes a second that the state service takes: five admissions a second, if nothing else is to be stored. */
-    private static final double WRITES_PER_S = 12;
-
-    static final List<String> TEAMS = List.of("red", "blue", "free");
-
-    static World world(long seed, Features features) {
-        World w = new World(seed, 2, 2, 40, WRITES_PER_S);
-        w.features = features;
-        return w;
-    }
-
-    static JobSpec job(int number, String team, JobSpec.Priority priority, double runS) {
-        boolean service = priority == JobSpec.Priority.CRITICAL;
-        return new JobSpec(
-                "job-" + number,
-                "any",
-                team,
-                service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY,
-                priority,
-                1,
-                1,
-                0,
-                1,
-                "img",
-                0.2,
-                null,
-                null,
-                false,
-                false,
-                false,
-                service ? 0 : runS,
-                0,
-                0,
-                -1);
-    }
-
-    static World.User submit(World w, int number, String team) {
-        return w.submit(job(number, team, JobSpec.Priority.NORMAL, 2));
-    }
-
-    /** Fifteen jobs a second of one team and one every two seconds of each other team. */
-    static int flood(World w, int from, int seconds) {
-        int number = from;
-        for (int second = 0; second < seconds; second++) {
-            for (int i = 0; i < 15; i++) {
-                submit(w, number++, "red");
-            }
-            if (second % 2 == 0) {
-                submit(w, number++, "blue");
-                submit(w, number++, "free");
-            }
-            w.play(1);
-        }
-        return number;
-    }
-
-    private static long accepted(World w, String team) {
-        return w.users.values().stream()
+    private static long accepted(SimulatedCluster cluster, String team) {
+        return cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
     }
 
-    private static long submitted(World w, String team) {
-        return w.users.values().stream().filter(u -> u.spec.team().equals(team)).count();
+    private static long submitted(SimulatedCluster cluster, String team) {
+        return cluster.users.values().stream()
+                .filter(u -> u.spec.team().equals(team))
+                .count();
     }
 
-    private static JsonNode view(World w, World.Node node) {
+    private static JsonNode view(SimulatedCluster cluster, ControllerNode node) {
         PeerMessage.Response[] answer = new PeerMessage.Response[1];
         node.environment.turn(() ->
                 node.coordinator.handleAdministrationRequest("GET", "admission", new byte[0], a -> answer[0] = a));
-        w.play(2);
+        cluster.runFor(2);
         return answer[0] == null || answer[0].status() != 200 ? null : MessageCodec.decode(answer[0].body());
     }
 
-    static void check(World w, AdmissionHistory history) {
-        assertEquals(List.of(), w.violations);
-        assertEquals(List.of(), history.problems);
-    }
-
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void oneHouseThatFloodsTakesNothingFromTheOthers(long seed) {
-        World w = world(seed, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
-        flood(w, 100, 60);
-        w.play(70);
-        check(w, history);
-        assertTrue(accepted(w, "blue") >= 0.9 * submitted(w, "blue"), "blue " + accepted(w, "blue"));
-        assertTrue(accepted(w, "free") >= 0.9 * submitted(w, "free"), "free " + accepted(w, "free"));
-        assertTrue(accepted(w, "red") > 30, "red " + accepted(w, "red"));
-        assertTrue(accepted(w, "red") < submitted(w, "red"), "more was asked than could be taken");
+    void aFloodingTeamTakesNothingFromTheOthers(long seed) {
+        SimulatedCluster cluster = smallCluster(seed, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
+        flood(cluster, 100, 60);
+        cluster.runFor(70);
+        check(cluster, history);
+        assertTrue(accepted(cluster, "blue") >= 0.9 * submitted(cluster, "blue"), "blue " + accepted(cluster, "blue"));
+        assertTrue(accepted(cluster, "free") >= 0.9 * submitted(cluster, "free"), "free " + accepted(cluster, "free"));
+        assertTrue(accepted(cluster, "red") > 30, "red " + accepted(cluster, "red"));
+        assertTrue(accepted(cluster, "red") < submitted(cluster, "red"), "more was asked than could be taken");
     }
 
-    /** The same ids again and again, at every controller: they are one demand, and each is admitted once. */
+    /** The same ids submitted repeatedly, at every controller, count as one demand, and each is admitted once. */
     @Test
-    void oneIdThatReachesAllControllersAtOnceIsAdmittedOnce() {
-        World w = world(4, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
-        w.closeLooks = true;
+    void concurrentSubmissionsOfOneIdAreAdmittedOnce() {
+        SimulatedCluster cluster = smallCluster(4, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
+        cluster.faults.usersRepeatRequests = true;
         for (int i = 0; i < 10; i++) {
-            World.User user = submit(w, 100 + i, TEAMS.get(i % 3));
-            for (World.Node node : w.nodes.values()) {
-                w.after(w.random.nextLong(5), () -> w.submitAt(user, node));
+            SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
+            for (ControllerNode node : cluster.controllers.values()) {
+                cluster.after(cluster.random.nextLong(5), () -> cluster.users.submitAt(user, node));
             }
-            w.play(0.5);
+            cluster.runFor(0.5);
         }
-        w.play(60);
-        check(w, history);
+        cluster.runFor(60);
+        check(cluster, history);
         assertEquals(10, history.counted());
     }
 
-    /** Jobs that can never fit are told so, and take no share from those that can. */
+    /** Jobs that can never fit are rejected, and take no share from those that can. */
     @Test
-    void jobsThatCanNeverRunAreRefusedAtOnceAndNotCounted() {
-        World w = world(5, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
+    void unschedulableJobsAreRejectedAndNotCounted() {
+        SimulatedCluster cluster = smallCluster(5, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
         JobSpec good = job(50, "blue", JobSpec.Priority.NORMAL, 2);
-        byte[] tooLarge = MessageCodec.encode(((com.fasterxml.jackson.databind.node.ObjectNode)
-                        job(51, "free", JobSpec.Priority.NORMAL, 2).write())
-                .put("cores", 1000.0));
+        byte[] tooLarge = MessageCodec.encode(
+                ((ObjectNode) job(51, "free", JobSpec.Priority.NORMAL, 2).write()).put("cores", 1000.0));
         int[] refused = new int[1];
         for (int i = 0; i < 40; i++) {
-            World.Node node = w.nodes.get("n" + i % 3);
+            ControllerNode node = cluster.controllers.get("n" + i % 3);
             node.environment.turn(() -> node.coordinator.handleUserRequest(
                     PeerMessage.RequestKind.SUBMIT, "", tooLarge, a -> refused[0] += a.status() == 422 ? 1 : 0));
-            w.play(0.2);
+            cluster.runFor(0.2);
         }
-        World.User user = w.submit(good);
-        w.play(5);
-        check(w, history);
+        SimulatedUser user = cluster.submit(good);
+        cluster.runFor(5);
+        check(cluster, history);
         assertTrue(user.accepted);
         assertTrue(refused[0] > 0);
         assertEquals(1, history.counted());
     }
 
-    /** Services keep their place: they wait no longer for their acceptance than without all the arrays. */
+    /** Services wait no longer for their admission than without all the arrays. */
     @Test
     void servicesAreAdmittedBeforeArrays() {
         long[] worstMs = new long[2];
         for (int burst = 0; burst < 2; burst++) {
-            World w = world(90, ON);
-            w.play(20);
-            List<World.User> services = new ArrayList<>();
+            SimulatedCluster cluster = smallCluster(90, ON);
+            cluster.runFor(20);
+            List<SimulatedUser> services = new ArrayList<>();
             int number = 1000;
             for (int second = 0; second < 60; second++) {
                 for (int i = 0; burst == 1 && i < 15; i++) {
-                    submit(w, number++, TEAMS.get(i % 3));
+                    submit(cluster, number++, TEAMS.get(i % 3));
                 }
                 if (second % 5 == 0) {
-                    services.add(w.submit(job(100 + second, "blue", JobSpec.Priority.CRITICAL, 0)));
+                    services.add(cluster.submit(job(100 + second, "blue", JobSpec.Priority.CRITICAL, 0)));
                 }
-                w.play(1);
+                cluster.runFor(1);
             }
-            w.play(60);
-            assertEquals(List.of(), w.violations);
+            cluster.runFor(60);
+            assertEquals(List.of(), cluster.violations);
             assertTrue(services.stream().allMatch(u -> u.accepted), "a service was not accepted");
             worstMs[burst] = services.stream()
                     .mapToLong(u -> u.acceptedAt - u.submittedAt)
                     .max()
                     .orElse(0);
         }
-        // a margin of two report intervals: the store has a transaction of arrays to carry out before
+        // a margin of two heartbeat intervals: the store has a transaction of arrays to carry out before
         assertTrue(worstMs[1] <= worstMs[0] + 4000, worstMs[0] + " ms alone, " + worstMs[1] + " ms in the burst");
     }
 
     /**
-     * A refused user hears a time, and comes back about then: far fewer requests than one a second each. And what is
-     * accepted is done meanwhile, where before the store's time went into accepting ever more.
+     * A rejected user is told when to retry, and does so about then: far fewer requests than one a second each.
+     * Accepted work is done meanwhile, at 0.9 of the rate without fair admission or more.
      */
     @Test
-    void theRefusedAreSpreadOverTheirTurns() {
+    void rejectedUsersRetryAtTheirTurns() {
         double[] refusals = new double[2];
         long[] done = new long[2];
         for (int on = 0; on < 2; on++) {
-            World w = world(91, on == 1 ? ON : Features.NONE);
-            w.play(20);
-            flood(w, 100, 120);
-            assertEquals(List.of(), w.violations);
-            refusals[on] = w.users.values().stream()
-                    .mapToInt(u -> u.refusals)
+            SimulatedCluster cluster = smallCluster(91, on == 1 ? ON : Features.NONE);
+            cluster.runFor(20);
+            flood(cluster, 100, 120);
+            assertEquals(List.of(), cluster.violations);
+            refusals[on] = cluster.users.values().stream()
+                    .mapToInt(u -> u.rejections)
                     .average()
                     .orElse(0);
-            done[on] = w.users.values().stream().filter(u -> u.end != null).count();
+            done[on] = cluster.users.values().stream()
+                    .filter(u -> u.endState != null)
+                    .count();
         }
         assertTrue(refusals[1] < refusals[0] / 2, refusals[0] + " refusals each without, " + refusals[1] + " with");
         assertTrue(done[1] >= 0.9 * done[0], done[0] + " done without, " + done[1] + " with");
     }
 
-    /** A follower whose leader has ended must not refuse by its word: nobody knows what the next one will say. */
+    /** A follower must not reject by the turn table of a leader that is gone: the next one may decide otherwise. */
     @Test
-    void noTableOfAFormerTermIsHonoured() {
-        World w = world(92, ON);
-        w.play(20);
-        flood(w, 100, 20);
-        World.Node former = w.leader();
-        World.Node follower =
-                w.nodes.values().stream().filter(n -> n != former).findFirst().orElseThrow();
-        assertTrue(view(w, follower).path("here").path("holds_table").asBoolean());
-        long term = view(w, follower).path("here").path("table_term").asLong();
+    void noTurnTableOfAFormerTermIsHonoured() {
+        SimulatedCluster cluster = smallCluster(92, ON);
+        cluster.runFor(20);
+        flood(cluster, 100, 20);
+        ControllerNode former = cluster.leader();
+        ControllerNode follower = cluster.controllers.values().stream()
+                .filter(n -> n != former)
+                .findFirst()
+                .orElseThrow();
+        assertTrue(view(cluster, follower).path("here").path("holds_table").asBoolean());
+        long term = view(cluster, follower).path("here").path("table_term").asLong();
         former.crash();
-        for (int i = 0; i < 30 && (w.leader() == null || w.leader() == former); i++) {
-            w.play(0.5);
+        for (int i = 0; i < 30 && (cluster.leader() == null || cluster.leader() == former); i++) {
+            cluster.runFor(0.5);
         }
-        for (World.Node node : w.nodes.values()) {
+        for (ControllerNode node : cluster.controllers.values()) {
             if (node.up()) {
-                JsonNode here = view(w, node).path("here");
+                JsonNode here = view(cluster, node).path("here");
                 boolean old = here.path("table_term").asLong() == term;
                 assertFalse(old && here.path("holds_table").asBoolean(), here.toString());
             }
         }
     }
 
-    /** Where it is on at some controllers only, or an older version leads, totals say so, and are never wrong. */
+    /** Once a controller without the feature has led, totals are marked incomplete, and are never wrong. */
     @Test
-    void olderVersionsLeadInTurns() {
-        World w = world(93, ON);
-        w.withoutFeatures.add("n0");
-        w.play(20);
+    void totalsAreIncompleteOnceAnOlderVersionHasLed() {
+        SimulatedCluster cluster = smallCluster(93, ON);
+        cluster.controllersWithoutFeatures.add("n0");
+        cluster.runFor(20);
         int number = 100;
         boolean complete = true;
         long incompleteFrom = -1;
         for (int step = 0; step < 12; step++) {
             for (int i = 0; i < 4; i++) {
-                submit(w, number++, TEAMS.get(i % 3));
+                submit(cluster, number++, TEAMS.get(i % 3));
             }
-            w.play(6);
-            for (World.Node node : w.nodes.values()) {
-                if (node.up() && !node.settings.controllerName().equals("n0")) {
-                    JsonNode seen = view(w, node);
+            cluster.runFor(6);
+            for (ControllerNode node : cluster.controllers.values()) {
+                if (node.up() && !node.name().equals("n0")) {
+                    JsonNode seen = view(cluster, node);
                     JsonNode totals = seen == null ? MessageCodec.map() : seen.path("totals");
                     if (totals.path("complete").asBoolean(true)) {
                         assertTrue(seen == null || complete, "complete again: " + totals);
@@ -263,50 +212,50 @@
                     }
                 }
             }
-            if (w.leader() != null) {
-                restart(w, w.leader(), 500);
+            if (cluster.leader() != null) {
+                cluster.faults.restart(cluster.leader(), 500);
             }
         }
-        w.play(70);
-        assertEquals(List.of(), w.violations);
+        cluster.runFor(70);
+        assertEquals(List.of(), cluster.violations);
         assertFalse(complete, "no older version ever led");
-        AdmissionHistory history = new AdmissionHistory(w);
+        AdmissionHistory history = new AdmissionHistory(cluster);
         assertTrue(history.counted() <= history.known(), "more is counted than there is");
     }
 
-    /** Cancelled while it is being admitted, and a gang: counted like any other, once. */
+    /** A job that is cancelled while it is being admitted is counted once, like any other. */
     @Test
-    void cancelledWhileBeingAdmittedAndGangs() {
-        World w = world(94, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
+    void jobsCancelledDuringAdmissionAreCountedOnce() {
+        SimulatedCluster cluster = smallCluster(94, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
         for (int i = 0; i < 20; i++) {
-            World.User user = submit(w, 100 + i, TEAMS.get(i % 3));
-            w.after(w.random.nextLong(300), () -> w.cancel(user));
-            w.submit(RulesTest.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
-            w.play(1);
+            SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
+            cluster.after(cluster.random.nextLong(300), () -> cluster.cancel(user));
+            cluster.submit(TestJobs.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
+            cluster.runFor(1);
         }
-        w.play(90);
-        check(w, history);
+        cluster.runFor(90);
+        check(cluster, history);
         assertTrue(history.counted() >= 20, "counted " + history.counted());
     }
 
-    /** The checks must be able to fail: a count too many and a team without admissions are seen. */
+    /** The checks must be able to fail: a doubled count and a team without admissions are detected. */
     @Test
-    void aDoubledCountAndAStarvedTeamAreSeen() {
-        World w = world(95, ON);
-        AdmissionHistory history = new AdmissionHistory(w);
-        w.play(20);
-        submit(w, 100, "red");
-        w.play(10);
-        check(w, history);
-        JsonNode shard = w.state.value("n/0").deepCopy();
-        ((com.fasterxml.jackson.databind.node.ObjectNode) shard.path("counts").path("red")).put("*", 2);
+    void aDoubledCountAndAStarvedTeamAreDetected() {
+        SimulatedCluster cluster = smallCluster(95, ON);
+        AdmissionHistory history = new AdmissionHistory(cluster);
+        cluster.runFor(20);
+        submit(cluster, 100, "red");
+        cluster.runFor(10);
+        check(cluster, history);
+        JsonNode shard = cluster.store.value("n/0").deepCopy();
+        ((ObjectNode) shard.path("counts").path("red")).put("*", 2);
         var transaction = MessageCodec.map();
         transaction.putArray("if");
         transaction.putArray("apply").addObject().put("put", "n/0").set("v", shard);
-        w.state.request("POST", "/commit", transaction, (s, b) -> {});
-        w.play(5);
+        cluster.store.request("POST", "/commit", transaction, (s, b) -> {});
+        cluster.runFor(5);
         assertFalse(history.problems.isEmpty(), "a doubled count was not seen");
         assertEquals(0L, history.admissionsByTeamAndMinute(0).getOrDefault("blue 0", 0L));
     }
--- a/src/test/java/stileferry/coordination/HandoverTest.java
+++ b/src/test/java/stileferry/coordination/HandoverTest.java
@@ -2,110 +2,106 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.PartialCutsTest.ON;
-import static stileferry.coordination.PartialCutsTest.busy;
-import static stileferry.coordination.PartialCutsTest.mended;
-import static stileferry.coordination.PartialCutsTest.name;
-import static stileferry.coordination.PartialCutsTest.others;
-import static stileferry.coordination.PartialCutsTest.secondsToRun;
-import static stileferry.coordination.RulesTest.restart;
-import static stileferry.coordination.RulesTest.service;
+import static stileferry.coordination.LinkFaultCluster.ON;
+import static stileferry.coordination.LinkFaultCluster.checkRecovered;
+import static stileferry.coordination.LinkFaultCluster.secondsToStart;
+import static stileferry.coordination.LinkFaultCluster.withLongJobs;
 import static stileferry.coordination.SimulatedNetwork.WORKERS;
+import static stileferry.coordination.TestJobs.service;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import stileferry.coordination.SimulatedNetwork.Mode;
+import stileferry.coordination.SimulatedNetwork.LinkFault;
 
-/** Handovers in which a step is the last, comes late, or meets an older version. */
+/** Leadership handovers in which a step is the last, comes late, or meets an older version. */
 class HandoverTest {
     /** Brings the leader to hand over, and plays until the nominee has been asked. */
-    private static World handingOver(long seed) {
-        World w = busy(seed, ON);
-        w.network.blockBoth(name(w.leader()), WORKERS, Mode.LOST);
-        World.Node old = w.leader();
+    private static SimulatedCluster handingOver(long seed) {
+        SimulatedCluster cluster = withLongJobs(seed, ON);
+        cluster.network.blockBoth(cluster.leader().name(), WORKERS, LinkFault.LOST);
+        ControllerNode old = cluster.leader();
         for (int i = 0; i < 3000 && !old.coordinator.links().handingOver(); i++) {
-            w.play(0.01);
+            cluster.runFor(0.01);
         }
         assertTrue(old.coordinator.links().handingOver(), "no handover began");
-        return w;
+        return cluster;
     }
 
     @Test
-    void theNomineeLosesItsLinkDuringTheHandover() {
-        World w = handingOver(540);
-        World.Node old = w.leader();
-        others(w, old).forEach(n -> w.network.blockBoth(name(n), World.STATE, Mode.LOST));
-        w.play(8);
-        assertEquals(List.of(), w.violations);
-        others(w, old).forEach(n -> w.network.restoreBoth(name(n), World.STATE));
-        w.play(25);
-        assertTrue(secondsToRun(w, 50, 30) < 30, "somebody leads and work goes on");
-        mended(w);
+    void theNomineeLosesTheStoreDuringTheHandover() {
+        SimulatedCluster cluster = handingOver(540);
+        ControllerNode old = cluster.leader();
+        cluster.others(old).forEach(n -> cluster.network.blockBoth(n.name(), SimulatedCluster.STORE, LinkFault.LOST));
+        cluster.runFor(8);
+        assertEquals(List.of(), cluster.violations);
+        cluster.others(old).forEach(n -> cluster.network.restoreBoth(n.name(), SimulatedCluster.STORE));
+        cluster.runFor(25);
+        assertTrue(secondsToStart(cluster, 50, 30) < 30, "somebody leads and work goes on");
+        checkRecovered(cluster);
     }
 
-    /** Each step may be the last: the leader's process stands still before, within or after its release. */
+    /** Each step may be the last: the leader's process pauses before, within or after its release. */
     @ParameterizedTest
     @ValueSource(ints = {0, 5, 20, 60, 120, 300, 1000})
-    void aLeaderFrozenAroundItsRelease(int afterMs) {
-        World w = handingOver(541);
-        World.Node old = w.leader();
-        w.play(afterMs / 1000.0);
+    void aLeaderPausedAroundItsRelease(int afterMs) {
+        SimulatedCluster cluster = handingOver(541);
+        ControllerNode old = cluster.leader();
+        cluster.runFor(afterMs / 1000.0);
         old.environment.freeze(12_000);
-        w.play(32);
-        assertEquals(List.of(), w.violations);
-        assertTrue(w.leader() != null, "somebody leads");
-        assertTrue(secondsToRun(w, 50, 30) < 30, "work goes on");
-        mended(w);
+        cluster.runFor(32);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(cluster.leader() != null, "somebody leads");
+        assertTrue(secondsToStart(cluster, 50, 30) < 30, "work goes on");
+        checkRecovered(cluster);
     }
 
     @ParameterizedTest
     @CsvSource({"0,100", "30,100", "100,200", "500,100"})
-    void aProcessIsBackInASplitSecondDuringAHandover(int afterMs, int awayMs) {
+    void aControllerRestartsDuringAHandover(int afterMs, int awayMs) {
         for (int who = 0; who < 3; who++) {
-            World w = handingOver(550 + who);
-            w.play(afterMs / 1000.0);
-            restart(w, List.copyOf(w.nodes.values()).get(who), awayMs);
-            w.play(30);
-            assertEquals(List.of(), w.violations);
-            assertTrue(secondsToRun(w, 50, 30) < 30, "work goes on");
-            mended(w);
+            SimulatedCluster cluster = handingOver(550 + who);
+            cluster.runFor(afterMs / 1000.0);
+            cluster.faults.restart(List.copyOf(cluster.controllers.values()).get(who), awayMs);
+            cluster.runFor(30);
+            assertEquals(List.of(), cluster.violations);
+            assertTrue(secondsToStart(cluster, 50, 30) < 30, "work goes on");
+            checkRecovered(cluster);
         }
     }
 
     @Test
-    void twoCutsThatOverlapWithAnOutageOfTheStateService() {
-        World w = busy(560, ON);
-        World.Node leader = w.leader();
-        w.network.blockBoth(name(leader), WORKERS, Mode.LOST);
-        w.play(4);
-        w.network.blockBoth(name(leader), name(others(w, leader).get(0)), Mode.REFUSED);
-        w.stateDown = true;
-        w.play(15);
-        w.stateDown = false;
-        w.state.renewAllLeases(w.now);
-        w.play(25);
-        assertEquals(List.of(), w.violations);
-        assertTrue(secondsToRun(w, 50, 30) < 30, "work goes on");
-        mended(w);
+    void partialPartitionsOverlapWithAStoreOutage() {
+        SimulatedCluster cluster = withLongJobs(560, ON);
+        ControllerNode leader = cluster.leader();
+        cluster.network.blockBoth(leader.name(), WORKERS, LinkFault.LOST);
+        cluster.runFor(4);
+        cluster.network.blockBoth(leader.name(), cluster.others(leader).get(0).name(), LinkFault.REFUSED);
+        cluster.faults.storeDown = true;
+        cluster.runFor(15);
+        cluster.faults.endStoreOutage();
+        cluster.runFor(25);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(secondsToStart(cluster, 50, 30) < 30, "work goes on");
+        checkRecovered(cluster);
     }
 
-    /** A version that knows nothing of views is neither sent any nor handed anything over to. */
+    /** A version that knows nothing of link views is neither sent any nor handed anything over to. */
     @Test
-    void olderVersionsTakeNoPart() {
-        World w = new World(590);
-        w.features = ON;
-        w.withoutFeatures.addAll(List.of("n1", "n2"));
-        w.play(3);
-        w.submit(service(6, 2, 2));
-        w.play(30);
-        World.Node leader = w.leader();
-        w.network.blockBoth(name(leader), WORKERS, Mode.LOST);
-        w.play(40);
-        assertEquals(List.of(), w.violations);
-        assertEquals(leader, w.leader(), "as before");
-        mended(w);
+    void olderVersionsTakeNoPartInHandovers() {
+        SimulatedCluster cluster = new SimulatedCluster(590);
+        cluster.features = ON;
+        cluster.controllersWithoutFeatures.addAll(List.of("n1", "n2"));
+        cluster.runFor(3);
+        cluster.submit(service(6, 2, 2));
+        cluster.runFor(30);
+        ControllerNode leader = cluster.leader();
+        cluster.network.blockBoth(leader.name(), WORKERS, LinkFault.LOST);
+        cluster.runFor(40);
+        assertEquals(List.of(), cluster.violations);
+        assertEquals(leader, cluster.leader(), "as before");
+        checkRecovered(cluster);
     }
 }
--- /dev/null
+++ b/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
@@ -0,0 +1,40 @@
+package stileferry.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import stileferry.protocol.Features;
+
+/** Seeded runs with random faults; every invariant is checked whenever something happens. */
+class InvariantsUnderFaultsTest {
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
+    void invariantsHoldAndAllJobsEndUnderRandomFaults(long seed) {
+        ChaosRun.assertAllJobsEnded(ChaosRun.play(seed, 120));
+    }
+
+    /** The same with link monitoring, on some runs by two controllers only, the third being of the version before. */
+    @ParameterizedTest
+    @MethodSource("seedsWithLinkMonitoring")
+    void invariantsHoldWithLinkMonitoring(long seed) {
+        ChaosRun.assertAllJobsEnded(
+                ChaosRun.play(seed, 120, cluster -> ChaosRun.mixVersions(cluster, seed, new Features(true, false))));
+    }
+
+    private static LongStream seedsWithLinkMonitoring() {
+        return LongStream.range(0, Integer.getInteger("days", 20)).map(i -> 1000 + i);
+    }
+
+    @Test
+    void theSameSeedPlaysTheSameRun() {
+        SimulatedCluster first = ChaosRun.play(77, 60);
+        SimulatedCluster second = ChaosRun.play(77, 60);
+        assertEquals(first.tasks.starts, second.tasks.starts);
+        assertEquals(first.users.completedJobs, second.users.completedJobs);
+        assertEquals(first.now, second.now);
+    }
+}
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -3,213 +3,156 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.RulesTest.array;
-import static stileferry.coordination.RulesTest.service;
+import static stileferry.coordination.LinkFaultCluster.ON;
+import static stileferry.coordination.LinkFaultCluster.checkRecovered;
+import static stileferry.coordination.LinkFaultCluster.secondsToStart;
+import static stileferry.coordination.LinkFaultCluster.taskEndsDuring;
+import static stileferry.coordination.LinkFaultCluster.withLongJobs;
 import static stileferry.coordination.SimulatedNetwork.WORKERS;
+import static stileferry.coordination.TestJobs.array;
+import static stileferry.coordination.TestJobs.service;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import stileferry.coordination.SimulatedNetwork.Mode;
+import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
-import stileferry.protocol.JobSpec;
 import stileferry.protocol.PeerMessage;
 
-/** Links between controllers, workers and the state service are cut one by one and in pairs, in either direction. */
+/** Partial partitions: links between controllers, workers and the key-value store break in one direction or both. */
 class PartialCutsTest {
-    static final Features ON = new Features(true, false);
-
-    /** Two releases at once, and one more in two leases of 10 s, by each controller; and one for each that crashes. */
+    /** The bound of releases of leadership by each controller: two at once, and one more in two leases of 10 s. */
     private static final long BOUND_AT_ONCE = 2;
 
     private static final double BOUND_REST_S = 20;
 
-    /** Services and long arrays run, and somebody leads. */
-    static World busy(long seed, Features features) {
-        World w = new World(seed);
-        w.features = features;
-        w.play(3);
-        for (int i = 0; i < 4; i++) {
-            w.submit(array(i, "any", JobSpec.Priority.NORMAL, 2, 300));
-        }
-        w.submit(service(6, 2, 1));
-        w.submit(service(7, 2, 1));
-        w.play(30);
-        assertEquals(12, w.running());
-        return w;
-    }
-
-    private static long term(World w) {
-        return w.state.value("a/term").path("term").asLong();
-    }
-
-    static String name(World.Node node) {
-        return node.settings.controllerName();
-    }
-
-    static List<World.Node> others(World w, World.Node node) {
-        return w.nodes.values().stream().filter(n -> n != node).toList();
-    }
-
-    /** After the troubles everything that was asked for runs or is done, and no rule was broken. */
-    static void mended(World w) {
-        w.network.restoreAll();
-        w.quietSince = w.now;
-        w.play(90);
-        assertEquals(List.of(), w.violations);
-        for (World.User user : w.users.values()) {
-            if (user.accepted && user.end == null) {
-                assertEquals(
-                        user.spec.taskCount() - user.tasksDone.size(), w.running(user), user.spec.id() + " runs whole");
-            }
-        }
-    }
-
-    private static int endedDuring(World w, double seconds) {
-        int before = w.ended;
-        w.play(seconds);
-        assertEquals(List.of(), w.violations);
-        return w.ended - before;
-    }
-
-    /** How long it takes until a new job runs, in seconds, at most so many. */
-    static double secondsToRun(World w, int number, double most) {
-        World.User user = w.submit(service(number, 1, 1));
-        long from = w.now;
-        while (user.startedAt == 0 && w.now - from < most * 1000 && w.violations.isEmpty()) {
-            w.play(0.1);
-        }
-        assertEquals(List.of(), w.violations);
-        return user.startedAt == 0 ? most : (user.startedAt - from) / 1000.0;
-    }
-
     @ParameterizedTest
-    @EnumSource(Mode.class)
-    void theLeaderLosesTheStateServiceButKeepsWorkersAndPeers(Mode mode) {
-        World w = busy(501, ON);
-        World.Node old = w.leader();
-        w.network.blockBoth(name(old), World.STATE, mode);
-        assertEquals(0, endedDuring(w, 15), "no task is lost");
-        if (mode != Mode.SLOW) {
-            assertTrue(w.leader() != null && w.leader() != old, "another controller leads");
+    @EnumSource(LinkFault.class)
+    void theLeaderLosesTheStoreButKeepsWorkersAndPeers(LinkFault fault) {
+        SimulatedCluster cluster = withLongJobs(501, ON);
+        ControllerNode old = cluster.leader();
+        cluster.network.blockBoth(old.name(), SimulatedCluster.STORE, fault);
+        assertEquals(0, taskEndsDuring(cluster, 15), "no task is lost");
+        if (fault != LinkFault.DELAYED) {
+            assertTrue(cluster.leader() != null && cluster.leader() != old, "another controller leads");
         }
-        assertTrue(secondsToRun(w, 50, 20) < 20, "work goes on");
-        mended(w);
+        assertTrue(secondsToStart(cluster, 50, 20) < 20, "work goes on");
+        checkRecovered(cluster);
     }
 
-    /** Before, such a leader went on for good: its followers sent it every report, which cost each worker seconds. */
+    /** Such a leader must not stay leader, with its followers passing it every heartbeat. */
     @ParameterizedTest
     @EnumSource(
-            value = Mode.class,
+            value = LinkFault.class,
             names = {"LOST", "REFUSED"})
-    void theLeaderKeepsTheStateServiceButReachesNoWorker(Mode mode) {
-        World w = busy(502, ON);
-        World.Node old = w.leader();
-        w.network.blockBoth(name(old), WORKERS, mode);
-        assertEquals(0, endedDuring(w, 30), "no task is lost");
-        assertNotEquals(old, w.leader(), "the leadership went to a controller that reaches the workers");
-        assertEquals(2, term(w));
-        assertTrue(secondsToRun(w, 50, 20) < 6, "work goes on");
-        mended(w);
+    void theLeaderKeepsTheStoreButReachesNoWorker(LinkFault fault) {
+        SimulatedCluster cluster = withLongJobs(502, ON);
+        ControllerNode old = cluster.leader();
+        cluster.network.blockBoth(old.name(), WORKERS, fault);
+        assertEquals(0, taskEndsDuring(cluster, 30), "no task is lost");
+        assertNotEquals(old, cluster.leader(), "the leadership went to a controller that reaches the workers");
+        assertEquals(2, cluster.term());
+        assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
+        checkRecovered(cluster);
     }
 
-    /** Before, every lease lapsed and nobody else could lead, as the leader key was renewed all the while. */
+    /** Such a leader must not renew the leader key while every worker's lease expires. */
     @Test
-    void aLeaderThatReachesTheStateServiceAloneReleasesTheLeadership() {
-        World w = busy(503, ON);
-        World.Node old = w.leader();
-        w.network.blockBoth(name(old), WORKERS, Mode.LOST);
-        others(w, old).forEach(n -> w.network.blockBoth(name(old), name(n), Mode.LOST));
-        w.play(25);
-        assertEquals(List.of(), w.violations);
-        assertNotEquals(old, w.leader());
-        assertTrue(secondsToRun(w, 50, 20) < 20, "work goes on");
-        assertEquals(2, term(w));
-        mended(w);
+    void aLeaderThatReachesOnlyTheStoreReleasesLeadership() {
+        SimulatedCluster cluster = withLongJobs(503, ON);
+        ControllerNode old = cluster.leader();
+        cluster.network.blockBoth(old.name(), WORKERS, LinkFault.LOST);
+        cluster.others(old).forEach(n -> cluster.network.blockBoth(old.name(), n.name(), LinkFault.LOST));
+        cluster.runFor(25);
+        assertEquals(List.of(), cluster.violations);
+        assertNotEquals(old, cluster.leader());
+        assertTrue(secondsToStart(cluster, 50, 20) < 20, "work goes on");
+        assertEquals(2, cluster.term());
+        checkRecovered(cluster);
     }
 
     @Test
     void theLeaderReachesHalfTheWorkersAndAPeerTheOtherHalf() {
-        World w = busy(504, ON);
-        World.Node old = w.leader();
-        World.Node peer = others(w, old).get(0);
-        World.Node third = others(w, old).get(1);
+        SimulatedCluster cluster = withLongJobs(504, ON);
+        ControllerNode old = cluster.leader();
+        ControllerNode peer = cluster.others(old).get(0);
+        ControllerNode third = cluster.others(old).get(1);
         int i = 0;
-        for (String addr : List.copyOf(w.workers.keySet())) {
-            w.network.blockBoth(i % 2 == 1 ? name(old) : name(peer), addr, Mode.REFUSED);
-            w.network.blockBoth(name(third), addr, Mode.REFUSED);
+        for (String addr : List.copyOf(cluster.workers.keySet())) {
+            cluster.network.blockBoth(i % 2 == 1 ? old.name() : peer.name(), addr, LinkFault.REFUSED);
+            cluster.network.blockBoth(third.name(), addr, LinkFault.REFUSED);
             i++;
         }
-        assertEquals(0, endedDuring(w, 60), "no task is lost: reports go by way of the peer");
-        assertEquals(old, w.leader(), "nobody is clearly better, so the leader stays");
-        assertEquals(1, term(w));
-        mended(w);
+        assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost: heartbeats go by way of the peer");
+        assertEquals(old, cluster.leader(), "nobody is clearly better, so the leader stays");
+        assertEquals(1, cluster.term());
+        checkRecovered(cluster);
     }
 
     @Test
-    void theLeaderHearsReportsWhileItsAnswersAndCommandsAreLost() {
-        World w = busy(505, ON);
-        World.Node old = w.leader();
-        w.network.block(name(old), WORKERS, Mode.LOST);
-        w.play(40);
-        assertEquals(List.of(), w.violations);
-        assertNotEquals(old, w.leader());
-        assertTrue(secondsToRun(w, 50, 20) < 6, "work goes on");
-        mended(w);
+    void theLeaderReceivesHeartbeatsWhileItsAnswersAndCommandsAreLost() {
+        SimulatedCluster cluster = withLongJobs(505, ON);
+        ControllerNode old = cluster.leader();
+        cluster.network.block(old.name(), WORKERS, LinkFault.LOST);
+        cluster.runFor(40);
+        assertEquals(List.of(), cluster.violations);
+        assertNotEquals(old, cluster.leader());
+        assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
+        checkRecovered(cluster);
     }
 
     @Test
-    void theLeaderHearsNoReportsWhileItsCommandsArrive() {
-        World w = busy(506, ON);
-        World.Node old = w.leader();
-        w.network.block(WORKERS, name(old), Mode.REFUSED);
-        assertEquals(0, endedDuring(w, 80), "no task is lost");
-        assertNotEquals(old, w.leader());
-        assertTrue(secondsToRun(w, 50, 20) < 6, "work goes on");
-        mended(w);
+    void theLeaderReceivesNoHeartbeatsWhileItsCommandsArrive() {
+        SimulatedCluster cluster = withLongJobs(506, ON);
+        ControllerNode old = cluster.leader();
+        cluster.network.block(WORKERS, old.name(), LinkFault.REFUSED);
+        assertEquals(0, taskEndsDuring(cluster, 80), "no task is lost");
+        assertNotEquals(old, cluster.leader());
+        assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
+        checkRecovered(cluster);
     }
 
     @ParameterizedTest
-    @EnumSource(Mode.class)
-    void controllersCutFromOneAnotherAloneElectNobodyAndGoOn(Mode mode) {
-        World w = busy(507, ON);
-        World.Node old = w.leader();
-        for (World.Node node : w.nodes.values()) {
-            others(w, node).forEach(b -> w.network.block(name(node), name(b), mode));
+    @EnumSource(LinkFault.class)
+    void controllersPartitionedFromOneAnotherKeepTheirLeader(LinkFault fault) {
+        SimulatedCluster cluster = withLongJobs(507, ON);
+        ControllerNode old = cluster.leader();
+        for (ControllerNode node : cluster.controllers.values()) {
+            cluster.others(node).forEach(b -> cluster.network.block(node.name(), b.name(), fault));
         }
-        assertEquals(0, endedDuring(w, 60), "no task is lost");
-        assertEquals(old, w.leader());
-        assertEquals(1, term(w), "no election");
-        World.User user = w.submit(service(60, 1, 1));
-        w.play(25);
+        assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost");
+        assertEquals(old, cluster.leader());
+        assertEquals(1, cluster.term(), "no election");
+        SimulatedUser user = cluster.submit(service(60, 1, 1));
+        cluster.runFor(25);
         assertTrue(user.startedAt > 0, "no start is withheld");
-        mended(w);
+        checkRecovered(cluster);
     }
 
-    /** What a follower can't pass on to the leader is answered at once, when that is known. */
+    /** A request that a follower knows it can't pass on to the leader is answered at once. */
     @Test
-    void usersOfAFollowerThatCannotReachTheLeaderHearSoAtOnce() {
-        World w = busy(508, ON);
-        World.Node leader = w.leader();
-        others(w, leader).forEach(n -> w.network.block(name(n), name(leader), Mode.LOST));
-        w.play(8);
-        World.Node follower = others(w, leader).get(0);
-        long asked = w.now;
+    void aFollowerThatCannotReachTheLeaderAnswersUsersAtOnce() {
+        SimulatedCluster cluster = withLongJobs(508, ON);
+        ControllerNode leader = cluster.leader();
+        cluster.others(leader).forEach(n -> cluster.network.block(n.name(), leader.name(), LinkFault.LOST));
+        cluster.runFor(8);
+        ControllerNode follower = cluster.others(leader).get(0);
+        long asked = cluster.now;
         long[] took = {-1};
         follower.environment.turn(() ->
                 follower.coordinator.handleUserRequest(PeerMessage.RequestKind.STATUS, "job-6", new byte[0], answer -> {
                     assertEquals(503, answer.status());
                     assertTrue(answer.retryAfterS() > 0);
-                    took[0] = w.now - asked;
+                    took[0] = cluster.now - asked;
                 }));
-        w.play(5);
+        cluster.runFor(5);
         assertTrue(took[0] >= 0 && took[0] < 100, "answered after " + took[0] + " ms");
-        mended(w);
+        checkRecovered(cluster);
     }
 
-    /** A link that comes and goes, alone or with another one: leadership does not wander, and work goes on. */
+    /** A link that flaps, alone or with another one: leadership does not flap, and work goes on. */
     @ParameterizedTest
     @CsvSource({
         "1,workers",
@@ -230,105 +173,107 @@
         "5,workers+state",
         "10,state+peers"
     })
-    void aCutThatComesAndGoes(int periodS, String links) {
-        World w = busy(510 + periodS, ON);
-        World.Node old = w.leader();
-        long before = term(w);
+    void leadershipDoesNotFlapWithAFlappingLink(int periodS, String links) {
+        SimulatedCluster cluster = withLongJobs(510 + periodS, ON);
+        ControllerNode old = cluster.leader();
+        long before = cluster.term();
         double seconds = 80;
         int done = 0;
-        for (double t = 0; t < seconds; t += periodS) {
-            boolean broken = (int) Math.round(t / periodS) % 2 == 0;
-            w.network.restoreAll();
+        for (double at = 0; at < seconds; at += periodS) {
+            boolean broken = (int) Math.round(at / periodS) % 2 == 0;
+            cluster.network.restoreAll();
             if (broken) {
-                cut(w, old, links);
+                cut(cluster, old, links);
             }
             if (done < 8) {
-                w.submit(array(100 + done++, "any", JobSpec.Priority.NORMAL, 1, 1));
+                cluster.submit(array(100 + done++, 1, 1));
             }
-            w.play(periodS);
-            assertEquals(List.of(), w.violations);
+            cluster.runFor(periodS);
+            assertEquals(List.of(), cluster.violations);
         }
-        long changes = term(w) - before;
+        long changes = cluster.term() - before;
         double bound = links.contains("state")
                 ? seconds / periodS // each lost lease is an election, whatever links say
                 : 3 * (BOUND_AT_ONCE + seconds / BOUND_REST_S);
         assertTrue(changes <= bound, changes + " changes of leadership, bound " + bound);
-        mended(w);
-        for (World.User user : w.users.values()) {
+        checkRecovered(cluster);
+        for (SimulatedUser user : cluster.users.values()) {
             assertTrue(
-                    user.spec.estimateS() > 1 || user.spec.service() || "done".equals(user.end),
+                    user.spec.estimateS() > 1 || user.spec.service() || "done".equals(user.endState),
                     user.spec.id() + " is done");
         }
     }
 
-    private static void cut(World w, World.Node node, String links) {
+    private static void cut(SimulatedCluster cluster, ControllerNode node, String links) {
         for (String link : links.split("\\+")) {
             switch (link) {
-                case "workers" -> w.network.blockBoth(name(node), WORKERS, Mode.LOST);
-                case "state" -> w.network.blockBoth(name(node), World.STATE, Mode.LOST);
-                default -> others(w, node).forEach(n -> w.network.blockBoth(name(node), name(n), Mode.LOST));
+                case "workers" -> cluster.network.blockBoth(node.name(), WORKERS, LinkFault.LOST);
+                case "state" -> cluster.network.blockBoth(node.name(), SimulatedCluster.STORE, LinkFault.LOST);
+                default ->
+                    cluster.others(node).forEach(n -> cluster.network.blockBoth(node.name(), n.name(), LinkFault.LOST));
             }
         }
     }
 
     @Test
     void threeControllersEachWithAnotherBrokenLink() {
-        World w = busy(530, ON);
-        World.Node leader = w.leader();
-        World.Node second = others(w, leader).get(0);
-        World.Node third = others(w, leader).get(1);
-        w.network.blockBoth(name(leader), WORKERS, Mode.LOST);
-        w.network.blockBoth(name(second), World.STATE, Mode.LOST);
-        w.network.blockBoth(name(third), name(second), Mode.LOST);
-        assertEquals(0, endedDuring(w, 40), "no task is lost");
-        assertEquals(third, w.leader(), "the only one with the state service and the workers");
-        assertTrue(secondsToRun(w, 50, 20) < 6, "work goes on");
-        mended(w);
+        SimulatedCluster cluster = withLongJobs(530, ON);
+        ControllerNode leader = cluster.leader();
+        ControllerNode second = cluster.others(leader).get(0);
+        ControllerNode third = cluster.others(leader).get(1);
+        cluster.network.blockBoth(leader.name(), WORKERS, LinkFault.LOST);
+        cluster.network.blockBoth(second.name(), SimulatedCluster.STORE, LinkFault.LOST);
+        cluster.network.blockBoth(third.name(), second.name(), LinkFault.LOST);
+        assertEquals(0, taskEndsDuring(cluster, 40), "no task is lost");
+        assertEquals(third, cluster.leader(), "the only one with the state service and the workers");
+        assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
+        checkRecovered(cluster);
     }
 
-    /** If every controller is poor, the best one still serves. */
+    /** Where no controller reaches the workers, the leader stays and serves users. */
     @Test
     void noControllerReachesAnyWorker() {
-        World w = busy(531, ON);
-        World.Node leader = w.leader();
-        w.nodes.values().forEach(n -> w.network.blockBoth(name(n), WORKERS, Mode.LOST));
-        w.play(60);
-        assertEquals(List.of(), w.violations);
-        assertEquals(leader, w.leader(), "nobody is better");
-        World.User user = w.submit(array(70, "any", JobSpec.Priority.NORMAL, 1, 1));
-        w.play(5);
+        SimulatedCluster cluster = withLongJobs(531, ON);
+        ControllerNode leader = cluster.leader();
+        cluster.controllers.values().forEach(n -> cluster.network.blockBoth(n.name(), WORKERS, LinkFault.LOST));
+        cluster.runFor(60);
+        assertEquals(List.of(), cluster.violations);
+        assertEquals(leader, cluster.leader(), "nobody is better");
+        SimulatedUser user = cluster.submit(array(70, 1, 1));
+        cluster.runFor(5);
         assertTrue(user.accepted, "users are served");
-        mended(w);
+        checkRecovered(cluster);
     }
 
     /**
-     * A worker that is silent to the leader alone, as its reports are refused there and passed on nowhere, is not given
-     * up while another controller reaches it.
+     * A machine that the leader alone does not hear, as its heartbeats are refused there and passed on nowhere, is not
+     * deleted while another controller reaches it.
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void aWorkerSilentToOneControllerOnlyIsNotGivenUp(boolean on) {
-        World w = busy(570, on ? ON : Features.NONE);
-        World.Node leader = w.leader();
-        String machine = w.machineInUse();
-        String addr = "w-" + machine + ":1";
-        w.network.blockBoth(name(leader), addr, Mode.LOST);
-        others(w, leader).forEach(n -> w.network.block(addr, name(n), Mode.REFUSED));
-        int deletions = w.cloud.deletionRequests();
-        w.play(9.5);
-        assertEquals(on ? deletions : deletions + 1, w.cloud.deletionRequests(), "deletions before the lease's end");
-        mended(w);
+    void aMachineUnreachableFromOneControllerOnlyIsNotDeleted(boolean on) {
+        SimulatedCluster cluster = withLongJobs(570, on ? ON : Features.NONE);
+        ControllerNode leader = cluster.leader();
+        String machine = cluster.tasks.machineInUse();
+        String addr = SimulatedMachines.address(machine);
+        cluster.network.blockBoth(leader.name(), addr, LinkFault.LOST);
+        cluster.others(leader).forEach(n -> cluster.network.block(addr, n.name(), LinkFault.REFUSED));
+        int deletions = cluster.cloud.deletionRequests();
+        cluster.runFor(9.5);
+        assertEquals(
+                on ? deletions : deletions + 1, cluster.cloud.deletionRequests(), "deletions before the lease's end");
+        checkRecovered(cluster);
     }
 
-    /** Views and reports that come over a lease late are old news, whatever they say. */
+    /** Link views and heartbeats that come over a lease late are ignored, whatever they say. */
     @Test
-    void lateCopiesOfReportsChangeNothing() {
-        World w = busy(580, ON);
-        w.lateCopies = 0.5;
-        World.Node leader = w.leader();
-        assertEquals(0, endedDuring(w, 60), "no task is lost");
-        assertEquals(leader, w.leader());
-        assertEquals(1, term(w));
-        mended(w);
+    void duplicatedHeartbeatsChangeNothing() {
+        SimulatedCluster cluster = withLongJobs(580, ON);
+        cluster.faults.duplicateHeartbeatRate = 0.5;
+        ControllerNode leader = cluster.leader();
+        assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost");
+        assertEquals(leader, cluster.leader());
+        assertEquals(1, cluster.term());
+        checkRecovered(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -4,35 +4,25 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
 
-/** The links of the simulated world: what passes, what is lost, refused, held back or late, in each direction apart. */
+/** The links of the simulated cluster: what passes, what is lost, refused or delayed, in each direction apart. */
 final class SimulatedNetwork {
     /** Stands for every worker where a link is named. */
     static final String WORKERS = "workers";
 
-    private static final long SLOW_MS = 2500;
+    private static final long DELAY_MS = 2500;
 
-    private final World world;
+    private final SimulatedCluster cluster;
 
     /** Hosts that can't reach others, or be reached, until the time given; packets in between come late. */
-    private final Map<String, Long> cutUntil = new HashMap<>();
-
-    /** Hosts whose messages arrive, while nothing reaches them. */
-    final Set<String> deaf = new TreeSet<>();
-
-    /** Nodes cut off from the state service and the other nodes, but not from workers and users. */
-    final Set<String> alone = new TreeSet<>();
-
-    /** Nodes that take up to so many milliseconds longer for everything that reaches them. */
-    final Map<String, Long> slow = new HashMap<>();
+    private final Map<String, Long> partitionedUntil = new HashMap<>();
 
     private final Set<Rule> rules = new LinkedHashSet<>();
 
     /** How a link is broken. */
-    enum Mode {
+    enum LinkFault {
         /** Messages in this direction vanish. */
         LOST,
 
@@ -40,11 +30,11 @@
         REFUSED,
 
         /** Messages in this direction come late. */
-        SLOW
+        DELAYED
     }
 
     /** One broken direction. */
-    private record Rule(String from, String to, Mode mode) {
+    private record Rule(String from, String to, LinkFault fault) {
         boolean covers(String sender, String receiver) {
             return names(from, sender) && names(to, receiver);
         }
@@ -54,19 +44,19 @@
         }
     }
 
-    SimulatedNetwork(World world) {
-        this.world = world;
+    SimulatedNetwork(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     /** Breaks one direction of a link until it is restored. */
-    void block(String from, String to, Mode mode) {
-        rules.add(new Rule(from, to, mode));
+    void block(String from, String to, LinkFault fault) {
+        rules.add(new Rule(from, to, fault));
     }
 
     /** Breaks both directions. */
-    void blockBoth(String a, String b, Mode mode) {
-        block(a, b, mode);
-        block(b, a, mode);
+    void blockBoth(String first, String second, LinkFault fault) {
+        block(first, second, fault);
+        block(second, first, fault);
     }
 
     /** Mends one direction of a link. */
@@ -75,9 +65,9 @@
     }
 
     /** Mends both directions. */
-    void restoreBoth(String a, String b) {
-        restore(a, b);
-        restore(b, a);
+    void restoreBoth(String first, String second) {
+        restore(first, second);
+        restore(second, first);
     }
 
     /** Mends all links that {@link #block} broke. */
@@ -85,34 +75,40 @@
         rules.clear();
     }
 
-    void cut(String host, long ms) {
-        cutUntil.put(host, world.now + ms);
+    void partition(String host, long ms) {
+        partitionedUntil.put(host, cluster.now + ms);
     }
 
-    long heldUntil(String a, String b) {
-        return Math.max(cutUntil.getOrDefault(a, 0L), cutUntil.getOrDefault(b, 0L));
+    long heldUntil(String first, String second) {
+        return Math.max(partitionedUntil.getOrDefault(first, 0L), partitionedUntil.getOrDefault(second, 0L));
     }
 
-    private boolean broken(String from, String to, Mode mode) {
-        return !rules.isEmpty() && rules.stream().anyMatch(rule -> rule.mode == mode && rule.covers(from, to));
+    private boolean broken(String from, String to, LinkFault fault) {
+        return !rules.isEmpty() && rules.stream().anyMatch(rule -> rule.fault == fault && rule.covers(from, to));
     }
 
     private void deliver(String from, String to, Runnable task) {
-        if (deaf.contains(to) || cutOff(from, to) || broken(from, to, Mode.LOST)) {
+        if (cluster.faults.inboundLoss.contains(to) || partitioned(from, to) || broken(from, to, LinkFault.LOST)) {
             return;
         }
-        long held = Math.max(0, heldUntil(from, to) - world.now);
-        long late = slow.containsKey(to) ? world.random.nextLong(slow.get(to)) : 0;
-        late += from.equals(World.STATE) && world.slowStoreMs > 0 ? world.random.nextLong(world.slowStoreMs) : 0;
-        late += broken(from, to, Mode.SLOW) ? world.random.nextLong(SLOW_MS) : 0;
-        world.after(held + late + 1 + world.random.nextLong(6), task);
+        long held = Math.max(0, heldUntil(from, to) - cluster.now);
+        long late = cluster.faults.inboundDelayMs.containsKey(to)
+                ? cluster.random.nextLong(cluster.faults.inboundDelayMs.get(to))
+                : 0;
+        late += from.equals(SimulatedCluster.STORE) && cluster.faults.storeResponseDelayMs > 0
+                ? cluster.random.nextLong(cluster.faults.storeResponseDelayMs)
+                : 0;
+        late += broken(from, to, LinkFault.DELAYED) ? cluster.random.nextLong(DELAY_MS) : 0;
+        cluster.after(held + late + 1 + cluster.random.nextLong(6), task);
     }
 
-    private boolean cutOff(String from, String to) {
-        boolean inside = world.nodes.containsKey(from) && world.nodes.containsKey(to)
-                || from.equals(World.STATE)
-                || to.equals(World.STATE);
-        return inside && (alone.contains(from) || alone.contains(to));
+    private boolean partitioned(String from, String to) {
+        boolean inside = cluster.controllers.containsKey(from) && cluster.controllers.containsKey(to)
+                || from.equals(SimulatedCluster.STORE)
+                || to.equals(SimulatedCluster.STORE);
+        return inside
+                && (cluster.faults.partitionedFromControlPlane.contains(from)
+                        || cluster.faults.partitionedFromControlPlane.contains(to));
     }
 
     /** A request with its answer; the caller gives up in time, but what was sent arrives all the same. */
@@ -124,11 +120,11 @@
             Consumer<Environment.ResponseHandler> serve,
             Environment.ResponseHandler reply) {
         boolean[] over = new boolean[1];
-        if (!connects || broken(from, to, Mode.REFUSED)) {
-            world.after(2, () -> reply.onResponse(Environment.NOT_SENT, null));
+        if (!connects || broken(from, to, LinkFault.REFUSED)) {
+            cluster.after(2, () -> reply.onResponse(Environment.NOT_SENT, null));
             return;
         }
-        world.after(timeoutMs, () -> {
+        cluster.after(timeoutMs, () -> {
             if (!over[0]) {
                 over[0] = true;
                 reply.onResponse(Environment.NO_ANSWER, null);
@@ -138,7 +134,7 @@
                 from,
                 to,
                 () -> serve.accept((status, body) -> {
-                    if (world.random.nextDouble() < world.lostAnswers) {
+                    if (cluster.random.nextDouble() < cluster.faults.responseLossRate) {
                         return;
                     }
                     deliver(to, from, () -> {
