--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -252,7 +252,7 @@
         leading = true;
         announcements.beginTerm();
         cancellations.beginTerm();
-        LOG.info("leading in term {}", term);
+        LOG.info("leader elected: term={}", term);
         campaign.stop();
         lease.begin(win.leaseId(), term, win.requestedAt());
         announcements.announceToAll();
