--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -3,102 +3,109 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import stileferry.protocol.Environment;
-import stileferry.protocol.KeyValue;
 import stileferry.protocol.MessageCodec;
 
 /**
- * The leader's durable records. Changes are marked, packed into conditional transactions and answered once they
- * are durable. Every transaction compares the leader key and the revision of each key it writes, so that one sent
- * by a former leader, or applied late, changes nothing.
+ * The leader's durable records, for one term. Changes wait here, are packed into compare-and-swap transactions and
+ * acknowledged once they are durable. Every transaction compares the leader key and the revision of each key it
+ * writes, so that one sent by a former leader, or applied late, changes nothing.
  */
 public final class CommitQueue {
-    private static final Logger LOG = LoggerFactory.getLogger("ledger");
+    /** The prefix of the records that hold events. */
+    public static final String EVENT_LOG_PREFIX = EventLog.PREFIX;
 
+    /** Transactions without a known outcome, at most. */
     static final int MAX_IN_FLIGHT = 8;
 
     /** Changes that any transaction may hold: a record of events, and one key put while another is deleted. */
-    private static final int LEAST_CHANGES = 3;
+    private static final int MIN_CHANGE_LIMIT = 3;
 
-    /** Changes worth waiting for where something is counted: the count costs one change for all of them. */
-    private static final int GATHERED_FOR_COUNT = 5;
-
-    /** The prefix of the records that hold events. */
-    public static final String EVENT_LOG_PREFIX = EventLog.PREFIX;
+    /** Changes worth gathering where something is counted: the count costs one change for all of them. */
+    private static final int BATCH_WHERE_COUNTED = 5;
 
-    /** Bytes of a transaction, counted in JSON form, kept well below the service's 64 KiB. */
+    /** Bytes of a transaction, counted in JSON form, kept well below the store's limit. */
     private static final int MAX_BYTES = MessageCodec.MAX_BODY * 3 / 4;
 
-    private final Environment environment;
-    private final KeyValueStoreClient state;
+    private static final int RADIX = 36;
+
+    private final KeyValueStoreClient store;
     private final String fenceKey;
     private final long fenceRevision;
     private final String stampPrefix;
-    private final Runnable onLost;
-    private final ArrayDeque<StoredEntry> dirty = new ArrayDeque<>();
-    private final EventLog events;
+    private final EventLog eventLog;
+    private final TransactionCommitter committer;
+    private final ArrayDeque<StoredEntry> pending = new ArrayDeque<>();
     private TransactionCounter counter = entries -> null;
-    private int keptForCounter;
-    private int inFlight;
-    private long stamps;
-    private boolean waiting;
+
+    /** Changes of each transaction that are reserved for the count: 0 or 1. */
+    private int reservedForCount;
+
+    private long transactionsBegun;
+    private boolean flushScheduled;
     private boolean closed;
 
-    /** A ledger for one term, fenced by the leader key at the revision it was written with. */
+    /**
+     * A queue for one term, fenced by the leader key at the revision it was written with.
+     *
+     * @param onFenced runs when a transaction shows that another leader has written; the queue is closed then
+     */
     public CommitQueue(
             Environment environment,
-            KeyValueStoreClient state,
+            KeyValueStoreClient store,
             String fenceKey,
             long fenceRevision,
             long term,
-            Runnable onLost) {
-        this.environment = environment;
-        this.state = state;
+            Runnable onFenced) {
+        this.store = store;
         this.fenceKey = fenceKey;
         this.fenceRevision = fenceRevision;
-        this.stampPrefix = Long.toString(term, 36) + "-";
-        this.onLost = onLost;
-        this.events = new EventLog(state.limits().maxValueKb(), EventLog.SLOTS, stampPrefix);
+        this.stampPrefix = Long.toString(term, RADIX) + "-";
+        this.eventLog = new EventLog(store.limits().maxValueKb(), EventLog.SLOTS, stampPrefix);
+        this.committer = new TransactionCommitter(environment, store, () -> {
+            close();
+            onFenced.run();
+        });
     }
 
     /** Sets who counts; called before anything is written. */
     public void setTransactionCounter(TransactionCounter newCounter) {
         counter = newCounter;
-        keptForCounter = 1;
+        reservedForCount = 1;
     }
 
-    /** Takes in a record of events that was read from the service, in the order of their numbers. */
-    public void restore(String key, long revision, long number, List<StoredEvent> held) {
-        events.restore(key, revision, number, held);
+    /** Takes in a record of events that was read from the store, in the order of their numbers. */
+    public void restore(String key, long revision, long number, List<StoredEvent> events) {
+        eventLog.restore(key, revision, number, events);
     }
 
-    /** Writes an event; the action runs once it is durable. */
+    // ---- changes
+
+    /** Writes an event; the action (null: none) runs once it is durable. */
     public void appendEvent(StoredEvent event, Runnable onDurable) {
-        events.append(event, onDurable);
+        eventLog.append(event, onDurable);
     }
 
-    /** Marks a key as changed; the action runs once the change is durable. */
+    /** Writes a key; the action (null: none) runs once it is durable. */
     public void put(StoredEntry entry, Runnable onDurable) {
-        mark(entry, onDurable);
+        enqueue(entry, onDurable);
     }
 
-    /** Marks a key as changed, before all that waits; the action runs once the change is durable. */
+    /** Writes a key before all that waits; the action (null: none) runs once it is durable. */
     public void putFirst(StoredEntry entry, Runnable onDurable) {
-        mark(entry, onDurable);
-        if (dirty.removeLastOccurrence(entry)) {
-            dirty.addFirst(entry);
+        enqueue(entry, onDurable);
+        if (pending.removeLastOccurrence(entry)) {
+            pending.addFirst(entry);
         }
     }
 
-    /** Deletes a key. */
+    /** Deletes a key; the action (null: none) runs once that is durable. */
     public void delete(StoredEntry entry, Runnable onDurable) {
         entry.deleted = true;
-        mark(entry, onDurable);
+        enqueue(entry, onDurable);
     }
 
-    /** Puts one key and deletes another in the same transaction. */
+    /** Puts one key and deletes another in the same transaction; the action (null: none) runs once it is durable. */
     public void putAndDelete(StoredEntry put, StoredEntry delete, Runnable onDurable) {
         put.partner = delete;
         delete.partner = put;
@@ -106,197 +113,141 @@
         put(put, onDurable);
     }
 
-    /** Changes not yet sent. */
+    private void enqueue(StoredEntry entry, Runnable onDurable) {
+        if (onDurable != null) {
+            entry.onDurable.add(onDurable);
+        }
+        if (!entry.pending) {
+            entry.pending = true;
+            pending.add(entry);
+        }
+    }
+
+    /** Changes not yet sent; events count as the records that they would fill. */
     public int backlog() {
-        return dirty.size() + events.backlog();
+        return pending.size() + eventLog.backlog();
     }
 
     /** Transactions that were sent and have no known outcome. */
     public int inFlight() {
-        return inFlight;
+        return committer.inFlight();
     }
 
     /** Stops everything; no action runs any more. */
     public void close() {
         closed = true;
-        dirty.clear();
+        committer.close();
+        pending.clear();
     }
 
-    private void mark(StoredEntry entry, Runnable onDurable) {
-        if (onDurable != null) {
-            entry.waiting.add(onDurable);
-        }
-        if (!entry.marked) {
-            entry.marked = true;
-            dirty.add(entry);
-        }
-    }
+    // ---- packing
 
-    /** Sends what is marked, as far as the service's rate allows; at low load nothing waits for anything else. */
+    /** Sends what waits, as far as the store's rate allows; at low load nothing waits for anything else. */
     public void flush() {
-        while (!closed && inFlight < MAX_IN_FLIGHT && (!dirty.isEmpty() || events.hasPending())) {
-            int wanted = dirty.size() + (events.hasPending() ? 1 : 0);
-            int room = state.availableWrites();
-            int gathered = Math.max(state.batchThreshold(), keptForCounter * GATHERED_FOR_COUNT);
-            if (room < Math.min(Math.min(wanted, gathered), state.limits().maxTransactionOperations())) {
-                if (!waiting) {
-                    waiting = true;
-                    state.afterRefill(() -> {
-                        waiting = false;
-                        flush();
-                    });
-                }
+        while (!closed && committer.inFlight() < MAX_IN_FLIGHT && hasPending()) {
+            int wanted = pending.size() + (eventLog.hasPending() ? 1 : 0);
+            int available = store.availableWrites();
+            if (available < Math.min(Math.min(wanted, batchThreshold()), maxOperations())) {
+                flushLater();
                 return;
             }
-            int most = Math.min(Math.max(LEAST_CHANGES, room), state.limits().maxTransactionOperations());
-            CompareAndSwapTransaction transaction = pack(most - keptForCounter);
+            int changeLimit = Math.min(Math.max(MIN_CHANGE_LIMIT, available), maxOperations());
+            CompareAndSwapTransaction transaction = nextTransaction(changeLimit - reservedForCount);
             if (transaction == null) {
                 return;
             }
-            inFlight++;
-            send(transaction);
+            committer.commit(transaction);
         }
     }
 
-    private CompareAndSwapTransaction begin() {
-        return new CompareAndSwapTransaction(stampPrefix + Long.toString(stamps++, 36), fenceKey, fenceRevision);
+    private boolean hasPending() {
+        return !pending.isEmpty() || eventLog.hasPending();
     }
 
-    private CompareAndSwapTransaction begin(EventLog.Batch batch) {
-        CompareAndSwapTransaction transaction = begin();
-        transaction.add(batch.put(), batch.bytes());
-        for (StoredEntry old : batch.deletions()) {
-            old.deleted = true;
-            transaction.add(old, 0);
-        }
-        transaction.actions.addAll(batch.actions());
-        return transaction;
+    private int batchThreshold() {
+        return Math.max(store.batchThreshold(), reservedForCount * BATCH_WHERE_COUNTED);
     }
 
-    private CompareAndSwapTransaction pack(int limit) {
-        CompareAndSwapTransaction transaction = null;
-        EventLog.Batch batch = events.hasPending() ? events.nextBatch(limit) : null;
-        if (batch != null) {
-            transaction = begin(batch);
+    private int maxOperations() {
+        return store.limits().maxTransactionOperations();
+    }
+
+    private void flushLater() {
+        if (!flushScheduled) {
+            flushScheduled = true;
+            store.afterRefill(() -> {
+                flushScheduled = false;
+                flush();
+            });
         }
-        List<StoredEntry> passed = new ArrayList<>();
-        for (int n = dirty.size(); n > 0 && !dirty.isEmpty(); n--) {
-            StoredEntry entry = dirty.poll();
-            if (!entry.marked) {
-                continue; // went along with its partner
+    }
+
+    /** Packs events and keys in the order in which they wait; null when all must wait for what is in flight. */
+    private CompareAndSwapTransaction nextTransaction(int changeLimit) {
+        CompareAndSwapTransaction transaction = beginWithEvents(changeLimit);
+        List<StoredEntry> postponed = new ArrayList<>();
+        for (int left = pending.size(); left > 0 && !pending.isEmpty(); left--) {
+            StoredEntry entry = pending.poll();
+            if (!entry.pending) {
+                continue; // was packed along with its partner
             }
-            StoredEntry partner = entry.partner != null && entry.partner.marked ? entry.partner : null;
-            if (entry.inFlight || entry.partner != null && entry.partner.inFlight) {
-                passed.add(entry);
+            if (entry.waitsForOutcome()) {
+                postponed.add(entry);
                 continue;
             }
-            int need = partner == null ? 1 : 2;
             if (transaction == null) {
                 transaction = begin();
-            } else if (transaction.entries.size() + need > limit || transaction.bytes > MAX_BYTES / 2) {
-                passed.add(entry);
+            } else if (!hasRoom(transaction, entry, changeLimit)) {
+                postponed.add(entry);
                 break;
             }
-            transaction.add(entry, -1);
-            if (partner != null) {
-                transaction.add(partner, -1);
-            }
+            pack(transaction, entry);
         }
-        for (int i = passed.size() - 1; i >= 0; i--) {
-            dirty.addFirst(passed.get(i));
+        for (int i = postponed.size() - 1; i >= 0; i--) {
+            pending.addFirst(postponed.get(i));
         }
         addCount(transaction);
         return transaction;
     }
 
-    /** What is counted is durable together with its count: neither can be lost or doubled without the other. */
-    private void addCount(CompareAndSwapTransaction transaction) {
-        StoredEntry count = transaction == null ? null : counter.count(List.copyOf(transaction.entries));
-        if (count != null) {
-            transaction.add(count, -1);
+    private CompareAndSwapTransaction beginWithEvents(int changeLimit) {
+        EventLog.Batch batch = eventLog.hasPending() ? eventLog.nextBatch(changeLimit) : null;
+        if (batch == null) {
+            return null;
         }
-    }
-
-    private void send(CompareAndSwapTransaction transaction) {
-        if (closed) {
-            return;
+        CompareAndSwapTransaction transaction = begin();
+        transaction.add(batch.put(), batch.bytes());
+        for (StoredEntry old : batch.deletions()) {
+            old.deleted = true;
+            transaction.add(old);
         }
-        state.commit(transaction.request, false, result -> {
-            if (closed) {
-                return;
-            }
-            switch (result.outcome()) {
-                case APPLIED -> applied(transaction, result.revision());
-                case CONFLICT -> {
-                    if (transaction.ambiguous) {
-                        verify(transaction);
-                    } else {
-                        lost();
-                    }
-                }
-                case INVALID -> {
-                    LOG.error("the state service calls a transaction malformed: {}", result.detail());
-                    lost();
-                }
-                case NOT_APPLIED -> again(transaction, () -> send(transaction));
-                case AMBIGUOUS -> {
-                    transaction.ambiguous = true;
-                    again(transaction, () -> send(transaction));
-                }
-            }
-        });
-    }
-
-    private void again(CompareAndSwapTransaction transaction, Runnable next) {
-        long pause = Math.min(1000, 50L << Math.min(5, transaction.tries++));
-        environment.schedule(pause / 2 + environment.random().nextLong(pause), next);
+        transaction.onDurable.addAll(batch.onDurable());
+        return transaction;
     }
 
-    /**
-     * Learns whether an unanswered transaction was the one that made its own repetition fail. It is applied whole or
-     * not at all, so one of its keys tells.
-     */
-    private void verify(CompareAndSwapTransaction transaction) {
-        if (closed) {
-            return;
-        }
-        StoredEntry entry = transaction.entries.stream()
-                .filter(e -> !transaction.deletions.contains(e))
-                .findFirst()
-                .orElse(transaction.entries.get(0));
-        state.get(entry.key, result -> {
-            if (closed) {
-                return;
-            }
-            boolean deleted = transaction.deletions.contains(entry);
-            if (result.unknown()) {
-                again(transaction, () -> verify(transaction));
-            } else if (deleted && !result.found()) {
-                applied(transaction, 0);
-            } else if (!deleted && result.found() && stamp(result.row()).equals(transaction.stamp)) {
-                applied(transaction, result.row().revision());
-            } else {
-                lost();
-            }
-        });
+    private CompareAndSwapTransaction begin() {
+        String stamp = stampPrefix + Long.toString(transactionsBegun++, RADIX);
+        return new CompareAndSwapTransaction(stamp, fenceKey, fenceRevision);
     }
 
-    private static String stamp(KeyValue row) {
-        return row.value().path(CompareAndSwapTransaction.STAMP).asText();
+    private static boolean hasRoom(CompareAndSwapTransaction transaction, StoredEntry entry, int changeLimit) {
+        int changes = entry.pendingPartner() == null ? 1 : 2;
+        return transaction.entries.size() + changes <= changeLimit && transaction.bytes <= MAX_BYTES / 2;
     }
 
-    private void applied(CompareAndSwapTransaction transaction, long revision) {
-        inFlight--;
-        for (StoredEntry entry : transaction.entries) {
-            entry.inFlight = false;
-            // what was sent counts: the key may have been marked for deletion since
-            entry.revision = transaction.deletions.contains(entry) ? 0 : revision;
+    private static void pack(CompareAndSwapTransaction transaction, StoredEntry entry) {
+        StoredEntry partner = entry.pendingPartner();
+        transaction.add(entry);
+        if (partner != null) {
+            transaction.add(partner);
         }
-        transaction.actions.forEach(Runnable::run);
     }
 
-    private void lost() {
-        close();
-        onLost.run();
+    /** What is counted is durable together with its count: neither can be lost or doubled without the other. */
+    private void addCount(CompareAndSwapTransaction transaction) {
+        StoredEntry count = transaction == null ? null : counter.count(List.copyOf(transaction.entries));
+        if (count != null) {
+            transaction.add(count);
+        }
     }
 }
--- a/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
+++ b/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
@@ -5,30 +5,33 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import stileferry.protocol.KeyValue;
 import stileferry.protocol.KeyValueStoreProtocol.CommitRequest;
 
 /**
- * A conditional transaction: keys with the revisions that they are compared with, and what is to run once it is
- * durable.
+ * A compare-and-swap transaction: keys with the revisions that they are compared with, and what is to run once it is
+ * durable. Its stamp stands in every value that it writes, so that it is recognised if its answer is lost.
  */
 final class CompareAndSwapTransaction {
-    /** The field of each written value that names the transaction which wrote it. */
-    static final String STAMP = "x";
+    private static final String STAMP = "x";
 
     /** More than a change takes beside its value, in JSON form. */
-    private static final int BYTES_EACH_CHANGE = 200;
+    private static final int BYTES_PER_CHANGE = 200;
 
     final List<StoredEntry> entries = new ArrayList<>();
-    final Set<StoredEntry> deletions = new HashSet<>();
-    final List<Runnable> actions = new ArrayList<>();
+    final List<Runnable> onDurable = new ArrayList<>();
     final CommitRequest request = new CommitRequest();
 
-    /** By which it is recognised if its answer is lost. */
-    final String stamp;
-
+    /** An upper bound of its size in JSON form. */
     int bytes;
+
+    /** It was sent without a response that says whether it was applied. */
     boolean ambiguous;
-    int tries;
+
+    int retries;
+
+    private final String stamp;
+    private final Set<StoredEntry> deletions = new HashSet<>();
 
     /** A transaction that fails unless the fence key stands at its revision. */
     CompareAndSwapTransaction(String stamp, String fenceKey, long fenceRevision) {
@@ -36,25 +39,54 @@
         request.compare(fenceKey, fenceRevision);
     }
 
-    /** Takes a key in as it is now; its size is measured if it is not known (-1). */
-    void add(StoredEntry entry, int knownBytes) {
-        entry.marked = false;
-        entry.inFlight = true;
-        entries.add(entry);
-        actions.addAll(entry.waiting);
-        entry.waiting = new ArrayList<>();
-        request.compare(entry.key, entry.revision);
-        if (entry.guard != null && entry.revision == 0) {
-            request.compare(entry.guard.key, entry.guard.revision);
-        }
-        bytes += BYTES_EACH_CHANGE;
+    /** Takes a key in as it is now. */
+    void add(StoredEntry entry) {
+        addCondition(entry);
         if (entry.deleted) {
             request.delete(entry.key);
             deletions.add(entry);
         } else {
-            ObjectNode value = entry.value.get().put(STAMP, stamp);
-            request.put(entry.key, value);
-            bytes += knownBytes >= 0 ? knownBytes : value.toString().length();
+            bytes += put(entry).toString().length();
+        }
+    }
+
+    /** Takes a key in as it is now, whose value's size is known. */
+    void add(StoredEntry entry, int valueBytes) {
+        addCondition(entry);
+        put(entry);
+        bytes += valueBytes;
+    }
+
+    private void addCondition(StoredEntry entry) {
+        entry.pending = false;
+        entry.inFlight = true;
+        entries.add(entry);
+        onDurable.addAll(entry.onDurable);
+        entry.onDurable = new ArrayList<>();
+        request.compare(entry.key, entry.revision);
+        if (entry.requiredUnchanged != null && entry.revision == 0) {
+            request.compare(entry.requiredUnchanged.key, entry.requiredUnchanged.revision);
         }
+        bytes += BYTES_PER_CHANGE;
+    }
+
+    private ObjectNode put(StoredEntry entry) {
+        ObjectNode value = entry.value().put(STAMP, stamp);
+        request.put(entry.key, value);
+        return value;
+    }
+
+    boolean deletes(StoredEntry entry) {
+        return deletions.contains(entry);
+    }
+
+    /** Whether this transaction has written a row. */
+    boolean wrote(KeyValue row) {
+        return row.value().path(STAMP).asText().equals(stamp);
+    }
+
+    /** The key that tells whether the transaction was applied: one that it puts, if there is any. */
+    StoredEntry entryToReadBack() {
+        return entries.stream().filter(entry -> !deletes(entry)).findFirst().orElse(entries.get(0));
     }
 }
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -1,16 +1,13 @@
 package stileferry.storage;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import stileferry.protocol.MessageCodec;
 
 /**
- * A ring of bounded records that hold events, so that many small changes cost one write. A full ring gives its oldest
- * record up in the same transaction that writes the new one; what is still needed of it goes into the new one. So the
- * records, read in the order of their numbers, always tell the whole state.
+ * A ring of bounded records that hold events, so that many small changes cost one write. A full ring overwrites its
+ * oldest record; what is still needed of it goes into the new one, in the same transaction. So the records, read in
+ * the order of their numbers, always tell the whole state.
  */
 public final class EventLog {
     static final String PREFIX = "l/";
@@ -18,236 +15,203 @@
     /** Records in the ring; a new leader reads them in a few pages. */
     static final int SLOTS = 1024;
 
-    /** Share of the value limit that a record may take in JSON form. */
-    private static final double FILL = 0.9;
+    private static final String OVERFLOW = "x";
+    private static final int NO_SLOT = -1;
 
-    private static final int ROW_BYTES = 80;
+    /** Share of the value limit that a record may take in JSON form. */
+    private static final double MAX_FILL = 0.9;
 
     /** More than one event of an older form takes. */
-    private static final int OLD_EVENT_BYTES = 128;
-
-    private final Slot[] slots;
-    private final ArrayDeque<Slot> older = new ArrayDeque<>();
-    private final ArrayDeque<Pending> pending = new ArrayDeque<>();
-    private final int mostBytes;
-    private final String asidePrefix;
-    private long setAside;
-    private int pendingBytes;
-    private long lastNumber;
-    private boolean restored;
+    private static final int MAX_LEGACY_EVENT_BYTES = 128;
 
-    /** One record as it is stored, with what it holds. */
-    static final class Slot {
-        final StoredEntry entry;
-        long number;
-        List<StoredEvent> events = List.of();
+    private final EventLogRecord[] ring;
+    private final int maxRecordBytes;
+    private final String overflowPrefix;
 
-        /** Records that hold what was set aside of this one. */
-        final List<Slot> aside = new ArrayList<>();
+    /** Records that are not in the ring: copied into it and deleted before anything of the ring is overwritten. */
+    private final ArrayDeque<EventLogRecord> toMigrate = new ArrayDeque<>();
 
-        ObjectNode value = MessageCodec.map();
-
-        Slot(String key, long revision, long number) {
-            this.entry = new StoredEntry(key, revision, () -> this.value);
-            this.number = number;
-        }
-    }
+    private final ArrayDeque<PendingEvent> pending = new ArrayDeque<>();
+    private int pendingBytes;
+    private long overflowRecords;
+    private long lastNumber;
+    private boolean restoredUnchecked;
 
-    private record Pending(StoredEvent event, Runnable onDurable) {}
+    private record PendingEvent(StoredEvent event, Runnable onDurable) {}
 
-    /** What one transaction writes of the log, and whether the record it gives up held ends of claims. */
+    /** What one transaction writes of the log, and whether the record that it overwrites held ends of assignments. */
     public record Batch(
-            StoredEntry put, List<StoredEntry> deletions, int bytes, List<Runnable> actions, boolean endsGivenUp) {}
+            StoredEntry put, List<StoredEntry> deletions, int bytes, List<Runnable> onDurable, boolean endsGivenUp) {}
 
     /**
-     * A ring of so many records within the service's value limit.
+     * A ring of so many records within the store's value limit.
      *
      * @param term what no other leader's keys begin with
      */
-    public EventLog(double valueKb, int records, String term) {
-        slots = new Slot[records];
-        asidePrefix = PREFIX + "x" + term;
-        mostBytes = (int) (valueKb * 1024 * FILL);
+    public EventLog(double maxValueKb, int records, String term) {
+        ring = new EventLogRecord[records];
+        overflowPrefix = PREFIX + OVERFLOW + term;
+        maxRecordBytes = (int) (maxValueKb * 1024 * MAX_FILL);
     }
 
-    /** Takes a stored record in. */
+    // ---- what was stored before
+
+    /** Takes in a stored record. */
     public void restore(String key, long revision, long number, List<StoredEvent> events) {
-        restored = true;
-        Slot slot = new Slot(key, revision, number);
-        slot.events = events;
+        restoredUnchecked = true;
+        EventLogRecord record = new EventLogRecord(key, revision, number, events);
         lastNumber = Math.max(lastNumber, number);
-        int at = at(key);
-        if (at >= 0) {
-            slots[at] = slot;
+        int slot = slotOf(key);
+        if (slot == NO_SLOT) {
+            toMigrate.add(record); // of an older form, or an overflow record
         } else {
-            older.add(slot); // of another form or another ring's: copied and deleted before anything of the ring is
+            ring[slot] = record;
+        }
+    }
+
+    private int slotOf(String key) {
+        if (!key.startsWith(PREFIX)) {
+            return NO_SLOT;
+        }
+        try {
+            int slot = Integer.parseInt(key.substring(PREFIX.length()));
+            return slot >= 0 && slot < ring.length ? slot : NO_SLOT;
+        } catch (NumberFormatException e) {
+            return NO_SLOT; // an overflow record
         }
     }
 
     /**
      * Records commit in any order, so the last leader may have left one that a lost record should have replaced. It is
-     * older than the whole ring and has to go before anything of the ring: what ended its claims must outlive it.
+     * older than the whole ring and has to go before anything of the ring: what ended its assignments must outlive it.
      */
-    private void sweep() {
-        for (int i = 0; restored && i < slots.length; i++) {
-            if (slots[i] != null && slots[i].number <= lastNumber - slots.length) {
-                older.add(slots[i]);
-                slots[i] = null;
+    private void migrateStaleRecords() {
+        if (!restoredUnchecked) {
+            return;
+        }
+        restoredUnchecked = false;
+        for (int slot = 0; slot < ring.length; slot++) {
+            if (ring[slot] != null && ring[slot].number <= lastNumber - ring.length) {
+                toMigrate.add(ring[slot]);
+                ring[slot] = null;
             }
         }
-        restored = false;
     }
 
-    private int at(String key) {
-        try {
-            int at = key.startsWith(PREFIX) ? Integer.parseInt(key.substring(PREFIX.length())) : -1;
-            return at < slots.length ? at : -1;
-        } catch (NumberFormatException e) {
-            return -1;
-        }
-    }
+    // ---- what waits
 
-    /** Queues an event; the action runs once it is durable. */
+    /** Queues an event; the action (null: none) runs once it is durable. */
     public void append(StoredEvent event, Runnable onDurable) {
-        pending.add(new Pending(event, onDurable));
+        pending.add(new PendingEvent(event, onDurable));
         pendingBytes += event.maxBytes();
     }
 
     /** Whether anything waits to be written. */
     public boolean hasPending() {
-        sweep();
-        return !pending.isEmpty() || !older.isEmpty();
+        migrateStaleRecords();
+        return !pending.isEmpty() || !toMigrate.isEmpty();
     }
 
-    /** Records that what waits would fill. */
+    /** Records that the pending events would fill. */
     public int backlog() {
-        return pendingBytes / mostBytes;
+        return pendingBytes / maxRecordBytes;
     }
 
+    // ---- writing
+
     /** The next record, in a transaction that has room for so many changes; null when the ring has to wait. */
-    public Batch nextBatch(int changes) {
-        sweep();
-        int at = (int) ((lastNumber + 1) % slots.length);
-        Slot slot = slots[at];
-        if (slot == null) {
-            slot = new Slot(PREFIX + at, 0, 0);
-            slots[at] = slot;
-        } else if (slot.entry.inFlight() || holdsEnds(slot) && anyFlyingBefore(at)) {
+    public Batch nextBatch(int maxChanges) {
+        migrateStaleRecords();
+        int slot = (int) ((lastNumber + 1) % ring.length);
+        if (ring[slot] == null) {
+            ring[slot] = new EventLogRecord(PREFIX + slot, 0, 0, List.of());
+        }
+        EventLogRecord record = ring[slot];
+        if (record.entry.inFlight() || record.endsEarlierEvents() && earlierRecordInFlight(slot)) {
             return null;
         }
-        int live =
-                ROW_BYTES + live(slot).stream().mapToInt(StoredEvent::maxBytes).sum();
-        if (live > mostBytes) {
-            return setAside(slot);
+        if (record.retainedBytes() > maxRecordBytes) {
+            return copyToOverflow(record);
         }
-        if (slot.aside.stream().anyMatch(a -> a.entry.inFlight())) {
+        if (record.overflowInFlight()) {
             return null; // what it holds is not certain to be elsewhere yet
         }
-        boolean endsGivenUp = holdsEnds(slot);
-        long number = ++lastNumber;
-        List<StoredEvent> events = new ArrayList<>();
-        int bytes = keep(slot.number, slot.events, number, events, ROW_BYTES);
+        return overwrite(record, maxChanges);
+    }
+
+    /** Ends may only be given up when every older record certainly is: it might hold what they end. */
+    private boolean earlierRecordInFlight(int slot) {
+        for (int back = 1; back <= Math.min(CommitQueue.MAX_IN_FLIGHT, ring.length - 1); back++) {
+            EventLogRecord earlier = ring[Math.floorMod(slot - back, ring.length)];
+            if (earlier != null && earlier.entry.inFlight()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private Batch overwrite(EventLogRecord record, int maxChanges) {
+        boolean endsGivenUp = record.endsEarlierEvents();
+        EventLogRecord.Contents contents = new EventLogRecord.Contents(++lastNumber);
+        contents.retain(record.number, record.events);
+        List<StoredEntry> deletions = migrateInto(contents, maxChanges - 1);
+        List<Runnable> onDurable = movePendingInto(contents);
+        record.overwrite(contents);
+        return new Batch(record.entry, deletions, contents.bytes(), onDurable, endsGivenUp);
+    }
+
+    /** Copies what is needed of records outside the ring; returns those that are copied whole, to be deleted. */
+    private List<StoredEntry> migrateInto(EventLogRecord.Contents contents, int maxDeletions) {
         List<StoredEntry> deletions = new ArrayList<>();
-        while (!older.isEmpty() && deletions.size() < changes - 1 && bytes < mostBytes / 2) {
-            Slot old = older.peek();
+        while (!toMigrate.isEmpty() && deletions.size() < maxDeletions && contents.bytes() < maxRecordBytes / 2) {
+            EventLogRecord old = toMigrate.peek();
             if (old.entry.inFlight()) {
                 break;
             }
-            int part = Math.min(old.events.size(), Math.max(1, (mostBytes - bytes) / OLD_EVENT_BYTES));
-            bytes = keep(old.number, old.events.subList(0, part), number, events, bytes);
-            old.events = old.events.subList(part, old.events.size());
+            int room = Math.max(1, (maxRecordBytes - contents.bytes()) / MAX_LEGACY_EVENT_BYTES);
+            int copied = Math.min(old.events.size(), room);
+            contents.retain(old.number, old.events.subList(0, copied));
+            old.events = old.events.subList(copied, old.events.size());
             if (old.events.isEmpty()) {
-                deletions.add(older.poll().entry);
-            }
-        }
-        List<Runnable> actions = new ArrayList<>();
-        while (!pending.isEmpty() && bytes + pending.peek().event.maxBytes() <= mostBytes) {
-            Pending next = pending.poll();
-            pendingBytes -= next.event.maxBytes();
-            bytes += take(next.event, number, events);
-            if (next.onDurable != null) {
-                actions.add(next.onDurable);
+                deletions.add(toMigrate.poll().entry);
             }
         }
-        slot.number = number;
-        slot.events = events;
-        slot.aside.clear();
-        slot.value = value(number, events);
-        return new Batch(slot.entry, deletions, bytes, actions, endsGivenUp);
+        return deletions;
     }
 
-    private static List<StoredEvent> live(Slot slot) {
-        List<StoredEvent> live = new ArrayList<>();
-        for (StoredEvent event : slot.events) {
-            StoredEvent kept = event.retainedFrom(slot.number);
-            if (kept != null) {
-                live.add(kept);
+    private List<Runnable> movePendingInto(EventLogRecord.Contents contents) {
+        List<Runnable> onDurable = new ArrayList<>();
+        while (!pending.isEmpty() && contents.hasRoomFor(pending.peek().event, maxRecordBytes)) {
+            PendingEvent next = pending.poll();
+            pendingBytes -= next.event.maxBytes();
+            contents.add(next.event);
+            if (next.onDurable != null) {
+                onDurable.add(next.onDurable);
             }
         }
-        return live;
+        return onDurable;
     }
 
     /**
      * A record written under a larger value limit may hold more than fits into one of today's. As much as fits is put
-     * into a record beside the ring before the large one is given up. It holds no ends, so its order among the others
-     * does not matter; it is copied into the ring and deleted like records of an older form, also by versions that
-     * know only those. Its put compares that the large record still stands, so that it can't be carried out once more
-     * after its deletion.
+     * into a record beside the ring before the large one is overwritten. It holds no ends, so its order among the
+     * others does not matter; it is copied into the ring and deleted like records of an older form, also by versions
+     * that know only those. Its put compares that the large record still stands, so that it can't be carried out once
+     * more after its deletion.
      */
-    private Batch setAside(Slot large) {
-        Slot aside = new Slot(asidePrefix + setAside++, 0, lastNumber);
-        aside.entry.requireUnchanged(large.entry);
-        List<StoredEvent> events = new ArrayList<>();
-        int bytes = ROW_BYTES;
-        for (StoredEvent event : live(large)) {
-            if (bytes + event.maxBytes() > mostBytes) {
+    private Batch copyToOverflow(EventLogRecord large) {
+        EventLogRecord overflow = new EventLogRecord(overflowPrefix + overflowRecords++, 0, lastNumber, List.of());
+        overflow.entry.requireUnchanged(large.entry);
+        EventLogRecord.Contents contents = new EventLogRecord.Contents(lastNumber);
+        for (StoredEvent event : large.retainedEvents()) {
+            if (!contents.hasRoomFor(event, maxRecordBytes)) {
                 break;
             }
-            bytes += take(event, aside.number, events);
-        }
-        aside.events = events;
-        aside.value = value(aside.number, events);
-        large.aside.add(aside);
-        older.add(aside);
-        return new Batch(aside.entry, List.of(), bytes, List.of(), false);
-    }
-
-    private static ObjectNode value(long number, List<StoredEvent> events) {
-        ObjectNode value = MessageCodec.map().put("n", number);
-        ArrayNode list = value.putArray("e");
-        events.forEach(e -> e.write(list.addArray()));
-        return value;
-    }
-
-    private static boolean holdsEnds(Slot slot) {
-        return slot.events.stream().anyMatch(StoredEvent::endsEarlierEvent);
-    }
-
-    /** Ends may only be given up when every older record certainly is: it might hold what they end. */
-    private boolean anyFlyingBefore(int at) {
-        for (int back = 1; back <= Math.min(CommitQueue.MAX_IN_FLIGHT, slots.length - 1); back++) {
-            Slot before = slots[Math.floorMod(at - back, slots.length)];
-            if (before != null && before.entry.inFlight()) {
-                return true;
-            }
+            contents.add(event);
         }
-        return false;
-    }
-
-    private static int keep(long oldNumber, List<StoredEvent> held, long number, List<StoredEvent> events, int bytes) {
-        int sum = bytes;
-        for (StoredEvent event : held) {
-            StoredEvent kept = event.retainedFrom(oldNumber);
-            if (kept != null) {
-                sum += take(kept, number, events);
-            }
-        }
-        return sum;
-    }
-
-    private static int take(StoredEvent event, long number, List<StoredEvent> events) {
-        events.add(event);
-        event.recordedIn(number);
-        return event.maxBytes();
+        overflow.overwrite(contents);
+        large.overflow.add(overflow);
+        toMigrate.add(overflow);
+        return new Batch(overflow.entry, List.of(), contents.bytes(), List.of(), false);
     }
 }
--- a/src/main/java/stileferry/storage/RateLimiter.java
+++ b/src/main/java/stileferry/storage/RateLimiter.java
@@ -2,47 +2,51 @@
 
 import stileferry.protocol.Environment;
 
-/** A token bucket that keeps this client under a service's published rate. */
+/** A token bucket that keeps a client under a service's published rate. */
 public final class RateLimiter {
     private final Environment environment;
-    private final double perMs;
-    private final double most;
-    private double tokens;
-    private long filledAt;
+    private final double permitsPerMs;
+    private final double maxPermits;
+    private double permits;
+    private long refilledAt;
 
-    /** A bucket for so many a second with a burst worth so many seconds. */
-    public RateLimiter(Environment environment, double perSecond, double burstS) {
+    /** A full bucket that refills at a rate and holds a burst of so many seconds, but one permit at least. */
+    public RateLimiter(Environment environment, double permitsPerSecond, double burstS) {
         this.environment = environment;
-        this.perMs = perSecond / 1000;
-        this.most = Math.max(1, perSecond * burstS);
-        this.tokens = most;
-        this.filledAt = environment.now();
+        this.permitsPerMs = permitsPerSecond / 1000;
+        this.maxPermits = Math.max(1, permitsPerSecond * burstS);
+        this.permits = maxPermits;
+        this.refilledAt = environment.now();
     }
 
-    /** Takes tokens if that leaves the reserve (a share of the burst) untouched. */
+    /**
+     * Takes permits if that leaves a reserve untouched.
+     *
+     * @param reserveShare of the burst; negative: as much may be overdrawn
+     */
     public boolean tryAcquire(double count, double reserveShare) {
         if (!canAcquire(count, reserveShare)) {
             return false;
         }
-        tokens -= count;
+        permits -= count;
         return true;
     }
 
-    /** Whether tokens could be taken now. */
+    /** Whether permits could be taken now; a full bucket grants more than it holds. */
     public boolean canAcquire(double count, double reserveShare) {
-        fill();
-        return tokens >= Math.min(count, most) + most * reserveShare || tokens >= most;
+        refill();
+        return permits >= Math.min(count, maxPermits) + maxPermits * reserveShare || permits >= maxPermits;
     }
 
-    /** Whole tokens that are there now. */
+    /** Whole permits that are there now. */
     public int availablePermits() {
-        fill();
-        return (int) Math.max(0, Math.floor(tokens));
+        refill();
+        return (int) Math.max(0, Math.floor(permits));
     }
 
-    private void fill() {
+    private void refill() {
         long now = environment.now();
-        tokens = Math.min(most, tokens + (now - filledAt) * perMs);
-        filledAt = now;
+        permits = Math.min(maxPermits, permits + (now - refilledAt) * permitsPerMs);
+        refilledAt = now;
     }
 }
--- a/src/main/java/stileferry/storage/StoredEntry.java
+++ b/src/main/java/stileferry/storage/StoredEntry.java
@@ -6,17 +6,35 @@
 import java.util.function.Supplier;
 import stileferry.protocol.MessageCodec;
 
-/** One key; its value is made anew from the owner's state whenever it is written. */
+/**
+ * One key of the leader's durable records. Its value is made anew from the leader's state whenever it is written, so a
+ * key that changes while it waits is written once.
+ */
 public final class StoredEntry {
     final String key;
-    final Supplier<ObjectNode> value;
+
+    /** The key's revision as last read or written; 0: it does not exist. */
     long revision;
-    boolean marked;
+
+    /** It waits to be packed into a transaction; it may be in flight at the same time, with an older value. */
+    boolean pending;
+
+    /** A transaction with it has no known outcome. */
     boolean inFlight;
+
+    /** It is to be deleted instead of written. */
     boolean deleted;
+
+    /** The entry that is written or deleted in the same transaction; null: none. */
     StoredEntry partner;
-    StoredEntry guard;
-    List<Runnable> waiting = new ArrayList<>();
+
+    /** The entry that must stand as it does for this one to be written for the first time; null: none. */
+    StoredEntry requiredUnchanged;
+
+    /** What runs once the pending change is durable. */
+    List<Runnable> onDurable = new ArrayList<>();
+
+    private final Supplier<ObjectNode> value;
 
     /** A key with the revision last read (0: does not exist). */
     public StoredEntry(String key, long revision, Supplier<ObjectNode> value) {
@@ -26,12 +44,11 @@
     }
 
     /**
-     * Names a key that must stand as it does for this one to be written for the first time. Found with
-     * transactions that were carried out late once more: a key that has been put and deleted since looks as if it
-     * had never been.
+     * Names a key that must stand as it does for this one to be written for the first time. Without it a transaction
+     * carried out late once more would bring a key back that has been put and deleted since.
      */
     public StoredEntry requireUnchanged(StoredEntry other) {
-        guard = other;
+        requiredUnchanged = other;
         return this;
     }
 
@@ -54,4 +71,14 @@
     public ObjectNode value() {
         return value.get();
     }
+
+    /** Whether it can't be packed until the outcome of another transaction is known. */
+    boolean waitsForOutcome() {
+        return inFlight || partner != null && partner.inFlight;
+    }
+
+    /** The partner, if it waits too; null: none does. */
+    StoredEntry pendingPartner() {
+        return partner != null && partner.pending ? partner : null;
+    }
 }
--- a/src/main/java/stileferry/storage/StoredEvent.java
+++ b/src/main/java/stileferry/storage/StoredEvent.java
@@ -2,7 +2,10 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 
-/** A small change that shares a record with others. It is written once, and again when its record is given up. */
+/**
+ * A small change that shares a record of the {@link EventLog} with others. It is written once, and again when its
+ * record is overwritten while it still matters.
+ */
 public interface StoredEvent {
     /** Writes it into a record. */
     void write(ArrayNode into);
@@ -13,9 +16,9 @@
     /** Notes the number of the record that holds it now. */
     void recordedIn(long record);
 
-    /** What has to be written again when this record is given up; null: nothing. */
+    /** What has to be written again when this record is overwritten; null: nothing. */
     StoredEvent retainedFrom(long record);
 
-    /** Whether it ends what an older record may hold. */
+    /** Whether it ends what an older record may hold, so that it must not be lost before that record is. */
     boolean endsEarlierEvent();
 }
--- /dev/null
+++ b/src/main/java/stileferry/storage/TransactionCommitter.java
@@ -0,0 +1,126 @@
+package stileferry.storage;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stileferry.protocol.Environment;
+import stileferry.protocol.KeyValueStoreProtocol.CommitResult;
+import stileferry.protocol.KeyValueStoreProtocol.ReadResult;
+
+/**
+ * Sends transactions until their outcome is known. What was not applied is repeated as it is. If the repetition of
+ * one with an ambiguous outcome fails its comparison, the transaction itself may have been applied before: one of its
+ * keys is read back and recognised by the transaction's stamp.
+ */
+final class TransactionCommitter {
+    private static final Logger LOG = LoggerFactory.getLogger("ledger");
+
+    private static final long MIN_RETRY_MS = 50;
+    private static final long MAX_RETRY_MS = 1000;
+    private static final int MAX_RETRY_DOUBLINGS = 5;
+
+    private final Environment environment;
+    private final KeyValueStoreClient store;
+    private final Runnable onFenced;
+    private int inFlight;
+    private boolean closed;
+
+    /** {@code onFenced} runs when a transaction shows that another leader has written. */
+    TransactionCommitter(Environment environment, KeyValueStoreClient store, Runnable onFenced) {
+        this.environment = environment;
+        this.store = store;
+        this.onFenced = onFenced;
+    }
+
+    /** Transactions without a known outcome. */
+    int inFlight() {
+        return inFlight;
+    }
+
+    /** Stops everything; nothing is sent and no action runs any more. */
+    void close() {
+        closed = true;
+    }
+
+    /** Sends a transaction; its actions run once it is durable. */
+    void commit(CompareAndSwapTransaction transaction) {
+        inFlight++;
+        send(transaction);
+    }
+
+    private void send(CompareAndSwapTransaction transaction) {
+        if (closed) {
+            return;
+        }
+        store.commit(transaction.request, false, result -> {
+            if (!closed) {
+                answered(transaction, result);
+            }
+        });
+    }
+
+    private void answered(CompareAndSwapTransaction transaction, CommitResult result) {
+        switch (result.outcome()) {
+            case APPLIED -> applied(transaction, result.revision());
+            case CONFLICT -> conflicted(transaction);
+            case INVALID -> {
+                LOG.error("transaction malformed: response={}", result.detail());
+                onFenced.run();
+            }
+            case NOT_APPLIED -> retryLater(transaction, () -> send(transaction));
+            case AMBIGUOUS -> {
+                transaction.ambiguous = true;
+                retryLater(transaction, () -> send(transaction));
+            }
+        }
+    }
+
+    private void conflicted(CompareAndSwapTransaction transaction) {
+        if (transaction.ambiguous) {
+            readBack(transaction);
+        } else {
+            onFenced.run();
+        }
+    }
+
+    private void retryLater(CompareAndSwapTransaction transaction, Runnable retry) {
+        int doublings = Math.min(MAX_RETRY_DOUBLINGS, transaction.retries++);
+        long delayMs = Math.min(MAX_RETRY_MS, MIN_RETRY_MS << doublings);
+        environment.schedule(delayMs / 2 + environment.random().nextLong(delayMs), retry);
+    }
+
+    /** Reads one key back; as a transaction is applied whole or not at all, it tells for all of them. */
+    private void readBack(CompareAndSwapTransaction transaction) {
+        if (closed) {
+            return;
+        }
+        StoredEntry entry = transaction.entryToReadBack();
+        store.get(entry.key, result -> {
+            if (!closed) {
+                readBack(transaction, entry, result);
+            }
+        });
+    }
+
+    private void readBack(CompareAndSwapTransaction transaction, StoredEntry entry, ReadResult result) {
+        boolean deleted = transaction.deletes(entry);
+        if (result.unknown()) {
+            retryLater(transaction, () -> readBack(transaction));
+        } else if (deleted && !result.found()) {
+            applied(transaction, 0);
+        } else if (!deleted && result.found() && transaction.wrote(result.row())) {
+            applied(transaction, result.row().revision());
+        } else {
+            onFenced.run();
+        }
+    }
+
+    private void applied(CompareAndSwapTransaction transaction, long revision) {
+        inFlight--;
+        for (StoredEntry entry : transaction.entries) {
+            entry.inFlight = false;
+            // what was sent counts: the key may have been marked for deletion since
+            entry.revision = transaction.deletes(entry) ? 0 : revision;
+        }
+        transaction.onDurable.forEach(Runnable::run);
+    }
+}
--- a/src/main/java/stileferry/storage/TransactionCounter.java
+++ b/src/main/java/stileferry/storage/TransactionCounter.java
@@ -5,7 +5,7 @@
 /** Keeps an exact count of keys that are written for the first time, in the transactions that write them. */
 public interface TransactionCounter {
     /**
-     * Counts those of the keys of a transaction that it was told to count.
+     * Counts those keys of a transaction that are registered to be counted.
      *
      * @return the key that holds their count and is put with them, not in flight; null: none of them counts
      */
