--- /dev/null
+++ b/src/main/java/stileferry/links/LeadershipHandover.java
@@ -0,0 +1,97 @@
+package stileferry.links;
+
+import java.util.function.IntSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stileferry.connectivity.Advice;
+import stileferry.connectivity.Connectivity;
+import stileferry.connectivity.HandoverAction;
+import stileferry.protocol.Environment;
+
+/** Does what {@link Connectivity} advises a leader: hands the leadership over to a better connected controller. */
+final class LeadershipHandover {
+    private static final Logger LOG = LoggerFactory.getLogger("links");
+
+    private static final long STEP_MS = 50;
+    private static final String NOBODY = "nobody";
+
+    private final Environment environment;
+    private final Connectivity connectivity;
+    private final ViewExchange viewExchange;
+
+    private LinkHealth.Host host;
+    private long term;
+    private IntSupplier changesInFlight = () -> 0;
+    private boolean releasing;
+    private Advice.Action lastAction;
+
+    LeadershipHandover(Environment environment, Connectivity connectivity, ViewExchange viewExchange) {
+        this.environment = environment;
+        this.connectivity = connectivity;
+        this.viewExchange = viewExchange;
+    }
+
+    void start(LinkHealth.Host controller) {
+        host = controller;
+    }
+
+    /** This node leads from now on; transactions without a known outcome delay a handover. */
+    void elected(long wonTerm, IntSupplier transactionsInFlight) {
+        term = wonTerm;
+        changesInFlight = transactionsInFlight;
+        releasing = false;
+    }
+
+    /** This node no longer leads; returns whether it has released the leadership itself. */
+    boolean deposed() {
+        boolean released = releasing;
+        releasing = false;
+        return released;
+    }
+
+    /** Follows an advice as far as it is for leaders. */
+    void follow(Advice advice) {
+        if (lastAction != advice.action()) {
+            LOG.info("leadership advice changed: action={} reason=\"{}\"", advice.action(), advice.reason());
+        }
+        lastAction = advice.action();
+        if (!host.leading()) {
+            return;
+        }
+        if (advice.action() == Advice.Action.STEP_DOWN) {
+            release(NOBODY);
+        } else if (advice.action() == Advice.Action.HAND_OVER) {
+            begin(advice.nominee());
+        }
+    }
+
+    private void begin(String nominee) {
+        if (connectivity.beginHandover(nominee, environment.now())) {
+            LOG.info("leadership handover started: term={} nominee={}", term, nominee);
+            viewExchange.exchangeWithAll();
+            proceed(nominee);
+        }
+    }
+
+    private void proceed(String nominee) {
+        HandoverAction action = connectivity.nextInHandover(changesInFlight.getAsInt(), environment.now());
+        switch (action) {
+            case WAIT -> environment.schedule(STEP_MS, () -> proceed(nominee));
+            case RELEASE -> release(nominee);
+            case GIVEN_UP -> {
+                LOG.info("leadership handover aborted, still leading: term={} nominee={}", term, nominee);
+                viewExchange.exchangeWithAll();
+            }
+            default -> {}
+        }
+    }
+
+    private void release(String nominee) {
+        if (host.leading()) {
+            LOG.info("leadership released: term={} nominee={}", term, nominee);
+            releasing = true;
+            host.releaseLeadership();
+            connectivity.released(environment.now());
+        }
+    }
+}
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -15,9 +15,9 @@
     /** Links are not watched. */
     LinkHealth NONE = new LinkHealth() {};
 
-    /** What the controller calls from the inside, once all of it has been made. */
+    /** What link health needs of the controller, once all of it has been made. */
     interface Host {
-        /** Whether this node leads, in which term. */
+        /** Whether this node leads. */
         boolean leading();
 
         /** The highest term that is known. */
@@ -29,7 +29,7 @@
         /** Takes in a term that another controller knows, and its name if it leads in it itself. */
         void observeTerm(long term, String leader);
 
-        /** Reads something small from the state service. */
+        /** Reads something small from the key-value store, to see whether the link to it works. */
         void probeStore();
 
         /** Releases the leadership. */
@@ -47,24 +47,24 @@
         return false;
     }
 
-    /** The environment through which the rest of the controller has to see the world. */
-    default Environment observedEnvironment(Environment plain) {
-        return plain;
+    /** The environment that the rest of the controller has to use, so that its requests are observed. */
+    default Environment observedEnvironment(Environment delegate) {
+        return delegate;
     }
 
     /** Begins to watch. */
     default void start(Host host) {}
 
-    // ---- what the controller sees
+    // ---- what the controller observes
 
-    /** A follower got a report straight from its worker. */
-    default void heartbeatReceived(Heartbeat report) {}
+    /** A follower got a heartbeat straight from its worker. */
+    default void heartbeatReceived(Heartbeat heartbeat) {}
 
-    /** The leader took a report in and answered it; {@code relayed}: it came by way of another controller. */
-    default void heartbeatAnswered(Heartbeat report, boolean relayed) {}
+    /** The leader took a heartbeat in and answered it; {@code relayed}: it came by way of another controller. */
+    default void heartbeatAnswered(Heartbeat heartbeat, boolean relayed) {}
 
     /** The leader knows that a worker should be there. */
-    default void workerExpected(String machine, String addr) {}
+    default void workerExpected(String machine, String address) {}
 
     /** The leader knows that a worker is gone. */
     default void workerGone(String machine) {}
@@ -82,17 +82,17 @@
         return List.of();
     }
 
-    /** Takes in what another controller, of which the name is known, said with its term. */
-    default void announcementReceived(String controller, PeerMessage.TermAnnouncement term) {}
+    /** Takes in what another controller, of which the name is known, announced with its term. */
+    default void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {}
 
     /** Takes in a view and returns the answer; null: views are not exchanged. */
-    default PeerMessage receiveView(PeerMessage.LinkView links) {
+    default PeerMessage receiveView(PeerMessage.LinkView view) {
         return null;
     }
 
     // ---- what it may do
 
-    /** Whether the leader says that it has heard a worker in its term: if it comes here, it could not report there. */
+    /** Whether the leader says that it has heard a worker in its term; then one that comes here could not reach it. */
     default boolean leaderHearsWorker(String leader, String machine) {
         return false;
     }
@@ -107,7 +107,7 @@
         return "";
     }
 
-    /** Whether requests to another controller have lately been in vain, so that there is no use in waiting for one. */
+    /** Whether requests to another controller have lately failed, so that there is no use in waiting for one. */
     default boolean peerUnreachable(String controller) {
         return false;
     }
@@ -132,22 +132,22 @@
         return true;
     }
 
-    /** Whether work may be stopped to make room. */
+    /** Whether tasks may be preempted. */
     default boolean permitsPreemption() {
         return true;
     }
 
-    /** Whether machines may be rented. */
+    /** Whether machines may be rented (scale out). */
     default boolean permitsScaleOut() {
         return true;
     }
 
-    /** Whether machines that are not needed may be returned. */
+    /** Whether machines that are not needed may be returned (scale in). */
     default boolean permitsScaleIn() {
         return true;
     }
 
-    /** Whether a silent machine may be given up. */
+    /** Whether a silent machine may be taken for lost and returned. */
     default boolean permitsRemovingMachine(String machine) {
         return true;
     }
--- a/src/main/java/stileferry/links/LinkHealthView.java
+++ b/src/main/java/stileferry/links/LinkHealthView.java
@@ -7,22 +7,22 @@
 import stileferry.connectivity.ConnectivitySnapshot;
 import stileferry.protocol.MessageCodec;
 
-/** The administration API's view of one controller's links. */
+/** The links of one controller as the administration API shows them. */
 final class LinkHealthView {
     private LinkHealthView() {}
 
-    static ObjectNode describe(ConnectivitySnapshot snapshot, Collection<String> aware) {
+    static ObjectNode describe(ConnectivitySnapshot snapshot, Collection<String> controllersExchangingViews) {
         ObjectNode view = MessageCodec.map()
                 .put("node", snapshot.controller())
                 .put("leads", snapshot.leading())
-                .put("advice", lower(snapshot.advice().action()))
+                .put("advice", lowerCase(snapshot.advice().action()))
                 .put("reason", snapshot.advice().reason());
         view.set("store", link(snapshot.store()));
         ArrayNode peers = view.putArray("controllers");
         for (ConnectivitySnapshot.Peer peer : snapshot.peers()) {
             ObjectNode entry = peers.addObject()
                     .put("name", peer.controller())
-                    .put("exchanges_views", aware.contains(peer.controller()))
+                    .put("exchanges_views", controllersExchangingViews.contains(peer.controller()))
                     .put("view_age_ms", peer.viewAgeMs())
                     .put("workers_reached", peer.reached())
                     .put("worker_share", peer.workerShare());
@@ -49,14 +49,14 @@
 
     private static ObjectNode link(ConnectivitySnapshot.Link link) {
         ObjectNode entry = MessageCodec.map()
-                .put("condition", lower(link.condition()))
+                .put("condition", lowerCase(link.condition()))
                 .put("suspicion", Math.round(10 * Math.min(1000, link.suspicion())) / 10.0)
                 .put("silent_ms", link.silentMs())
                 .put("failures_in_row", link.failuresInRow());
-        return link.lastFailure() == null ? entry : entry.put("last_failure", lower(link.lastFailure()));
+        return link.lastFailure() == null ? entry : entry.put("last_failure", lowerCase(link.lastFailure()));
     }
 
-    private static String lower(Enum<?> value) {
+    private static String lowerCase(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -5,14 +5,10 @@
 import com.google.common.collect.HashBiMap;
 import java.util.List;
 import java.util.function.IntSupplier;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-import stileferry.connectivity.Advice;
 import stileferry.connectivity.Connectivity;
 import stileferry.connectivity.ConnectivityConfig;
 import stileferry.connectivity.Decision;
 import stileferry.connectivity.FailureKind;
-import stileferry.connectivity.HandoverAction;
 import stileferry.connectivity.ReachabilityView;
 import stileferry.connectivity.WorkerReport;
 import stileferry.protocol.Environment;
@@ -21,39 +17,37 @@
 import stileferry.protocol.Settings;
 
 /**
- * Lets {@link Connectivity} watch the links of one controller: hands it what happens, carries its views and probes, and
- * does what it advises. It starts nothing and proves nothing; it only releases the leadership or leaves it to others.
+ * Lets {@link Connectivity} watch the links of one controller: hands it what happens, has its views exchanged and its
+ * probes sent, and asks it what is permitted. It starts nothing and proves nothing; it only releases the leadership or
+ * leaves it to others.
  */
 public final class LinkMonitor implements LinkHealth, LinkObservingEnvironment.Observer {
-    private static final Logger LOG = LoggerFactory.getLogger("links");
+    private static final long MIN_PROBE_TIMEOUT_MS = 500;
 
-    private static final long LEAST_PATIENCE_MS = 500;
-
-    /** While a handover is under way it is looked at this often. */
-    private static final long HANDOVER_STEP_MS = 50;
+    /** A store with this HTTP status serves nobody, or not this node. */
+    private static final int STORE_UNAVAILABLE = 503;
 
     private final Settings settings;
     private final Environment environment;
     private final Connectivity connectivity;
-    private final ViewExchange exchange;
+    private final ViewExchange viewExchange;
     private final WorkerProber prober;
+    private final LeadershipHandover handover;
     private final long tickMs;
     private final long storeProbeMs;
 
     /** Workers by the addresses that requests reach them at. */
-    private final BiMap<String, String> workerAt = HashBiMap.create();
+    private final BiMap<String, String> workerByAddress = HashBiMap.create();
 
     private Host host;
-    private IntSupplier changesInFlight = () -> 0;
     private long term;
-    private boolean releasing;
 
-    /** The newest term of another leader that the others were told of. */
-    private long toldTerm;
+    /** The newest term of another leader that the others were sent a view about. */
+    private long exchangedTerm;
 
-    private long storeSeenAt = Long.MIN_VALUE / 2;
-    private Advice lastAdvice;
+    private long storeReachedAt = Long.MIN_VALUE / 2;
 
+    /** {@code leaderLeaseMs}: the duration of the leader key's lease. */
     public LinkMonitor(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
@@ -66,12 +60,13 @@
                 leaderLeaseMs);
         this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
         this.tickMs = config.exchangeMs(true);
-        long patienceMs = Math.max(LEAST_PATIENCE_MS, tickMs);
-        long exchangePatienceMs = config.exchangeMs(false); // one that is merely slow is no lost one
+        long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickMs);
+        long exchangeTimeoutMs = config.exchangeMs(false); // longer, as a peer that is merely slow is not lost
         this.storeProbeMs = config.storeProbeMs();
-        this.exchange = new ViewExchange(
-                settings, observedEnvironment(environment), connectivity, exchangePatienceMs, this::taken);
-        this.prober = new WorkerProber(settings, environment, connectivity, patienceMs);
+        this.viewExchange = new ViewExchange(
+                settings, observedEnvironment(environment), connectivity, exchangeTimeoutMs, this::viewAccepted);
+        this.prober = new WorkerProber(settings, environment, connectivity, probeTimeoutMs);
+        this.handover = new LeadershipHandover(environment, connectivity, viewExchange);
     }
 
     @Override
@@ -80,13 +75,14 @@
     }
 
     @Override
-    public Environment observedEnvironment(Environment plain) {
-        return new LinkObservingEnvironment(plain, this);
+    public Environment observedEnvironment(Environment delegate) {
+        return new LinkObservingEnvironment(delegate, this);
     }
 
     @Override
     public void start(Host controller) {
         host = controller;
+        handover.start(controller);
         tick();
     }
 
@@ -95,144 +91,115 @@
         long now = environment.now();
         connectivity.leaderKnown(host.term(), host.leader(), now);
         connectivity.lagging(host.eventLoopLagMs(), host.behind(), now);
-        if (now - storeSeenAt >= storeProbeMs) {
+        if (now - storeReachedAt >= storeProbeMs) {
             host.probeStore(); // a link that nothing else uses
         }
-        exchange.ifDue();
-        prober.send();
-        follow(connectivity.advise(now));
+        viewExchange.exchangeWhereDue();
+        prober.probeWhereDue();
+        handover.follow(connectivity.advise(now));
     }
 
     // ---- leading
 
     @Override
-    public void elected(long wonTerm, IntSupplier inFlight) {
+    public void elected(long wonTerm, IntSupplier changesInFlight) {
         term = wonTerm;
-        changesInFlight = inFlight;
-        releasing = false;
-        workerAt.clear();
+        handover.elected(wonTerm, changesInFlight);
+        workerByAddress.clear();
         connectivity.leads(wonTerm, environment.now());
     }
 
     @Override
     public void deposed() {
-        connectivity.follows(!releasing, environment.now());
-        releasing = false;
-    }
-
-    private void follow(Advice advice) {
-        if (lastAdvice == null || lastAdvice.action() != advice.action()) {
-            LOG.info("{}: {}", advice.action(), advice.reason());
-        }
-        lastAdvice = advice;
-        if (!host.leading()) {
-            return;
-        }
-        if (advice.action() == Advice.Action.STEP_DOWN) {
-            release("nobody");
-        } else if (advice.action() == Advice.Action.HAND_OVER
-                && connectivity.beginHandover(advice.nominee(), environment.now())) {
-            LOG.info("handing term {} over to {}", term, advice.nominee());
-            exchange.withAll();
-            continueHandover(advice.nominee());
-        }
-    }
-
-    private void continueHandover(String nominee) {
-        HandoverAction action = connectivity.nextInHandover(changesInFlight.getAsInt(), environment.now());
-        switch (action) {
-            case WAIT -> environment.schedule(HANDOVER_STEP_MS, () -> continueHandover(nominee));
-            case RELEASE -> release(nominee);
-            case GIVEN_UP -> {
-                LOG.info("the handover to {} was given up, still leading in term {}", nominee, term);
-                exchange.withAll();
-            }
-            default -> {}
-        }
-    }
-
-    private void release(String nominee) {
-        if (host.leading()) {
-            LOG.info("releasing term {} to {}", term, nominee);
-            releasing = true;
-            host.releaseLeadership();
-            connectivity.released(environment.now());
-        }
+        boolean released = handover.deposed();
+        connectivity.follows(!released, environment.now());
     }
 
-    // ---- what is seen
+    // ---- what the controller observes
 
-    private static WorkerReport seen(Heartbeat heartbeat, boolean showsTerm) {
+    private static WorkerReport workerReport(Heartbeat heartbeat, boolean acceptedTerm) {
         return new WorkerReport(
                 heartbeat.machine(),
                 heartbeat.address(),
                 Math.max(0, heartbeat.incarnation()),
                 Math.max(0, heartbeat.sequence()),
-                showsTerm);
+                acceptedTerm);
     }
 
     @Override
-    public void heartbeatReceived(Heartbeat report) {
-        if (!report.machine().isEmpty()) {
-            connectivity.workerReported(seen(report, false), environment.now());
+    public void heartbeatReceived(Heartbeat heartbeat) {
+        if (!heartbeat.machine().isEmpty()) {
+            connectivity.workerReported(workerReport(heartbeat, false), environment.now());
         }
     }
 
     @Override
-    public void heartbeatAnswered(Heartbeat report, boolean relayed) {
-        if (report.machine().isEmpty()) {
+    public void heartbeatAnswered(Heartbeat heartbeat, boolean relayed) {
+        if (heartbeat.machine().isEmpty()) {
             return;
         }
         long now = environment.now();
-        workerAt.forcePut(report.address(), report.machine());
+        workerByAddress.forcePut(heartbeat.address(), heartbeat.machine());
         if (relayed) {
-            connectivity.workerRelayed(seen(report, report.fencingToken() >= term), now);
+            connectivity.workerRelayed(workerReport(heartbeat, heartbeat.fencingToken() >= term), now);
         } else {
-            connectivity.workerReported(seen(report, report.fencingToken() >= term), now);
-            connectivity.workerAnswered(report.machine(), now);
+            connectivity.workerReported(workerReport(heartbeat, heartbeat.fencingToken() >= term), now);
+            connectivity.workerAnswered(heartbeat.machine(), now);
         }
     }
 
     @Override
-    public void workerExpected(String machine, String addr) {
-        if (!addr.isEmpty()) {
-            workerAt.forcePut(addr, machine);
+    public void workerExpected(String machine, String address) {
+        if (!address.isEmpty()) {
+            workerByAddress.forcePut(address, machine);
         }
-        connectivity.workerExpected(machine, addr, environment.now());
+        connectivity.workerExpected(machine, address, environment.now());
     }
 
     @Override
     public void workerGone(String machine) {
         connectivity.workerGone(machine, environment.now());
-        workerAt.inverse().remove(machine);
+        workerByAddress.inverse().remove(machine);
     }
 
     @Override
-    public void requested(String addr, int status) {
-        long now = environment.now();
-        boolean answered = status > 0;
-        FailureKind kind = status == Environment.NO_ANSWER ? FailureKind.UNANSWERED : FailureKind.REFUSED;
-        if (addr.equals(settings.keyValueStoreAddress())) {
-            if (answered && status != 503) {
-                storeSeenAt = now;
-                connectivity.storeAnswered(now);
-            } else {
-                connectivity.storeFailed(kind, now);
-            }
+    public void requestCompleted(String address, int status) {
+        if (address.equals(settings.keyValueStoreAddress())) {
+            storeRequestCompleted(status);
             return;
         }
-        String worker = workerAt.get(addr);
+        String worker = workerByAddress.get(address);
         if (worker != null && host != null && host.leading()) {
-            if (answered) {
-                connectivity.workerReached(worker, false, now);
-            } else {
-                connectivity.workerMissed(worker, false, now);
-            }
+            workerRequestCompleted(worker, status);
+        }
+    }
+
+    private void storeRequestCompleted(int status) {
+        long now = environment.now();
+        if (answered(status) && status != STORE_UNAVAILABLE) {
+            storeReachedAt = now;
+            connectivity.storeAnswered(now);
+        } else {
+            connectivity.storeFailed(
+                    status == Environment.NO_ANSWER ? FailureKind.UNANSWERED : FailureKind.REFUSED, now);
         }
     }
 
+    private void workerRequestCompleted(String worker, int status) {
+        if (answered(status)) {
+            connectivity.workerReached(worker, false, environment.now());
+        } else {
+            connectivity.workerMissed(worker, false, environment.now());
+        }
+    }
+
+    /** Whether a status is an HTTP status rather than one of {@link Environment}'s. */
+    private static boolean answered(int status) {
+        return status > 0;
+    }
+
     @Override
-    public void exchanged(String controller, boolean answered) {
+    public void peerRequestCompleted(String controller, boolean answered) {
         if (answered) {
             connectivity.peerAnswered(controller, environment.now());
         } else {
@@ -244,30 +211,30 @@
 
     @Override
     public List<String> controllersExchangingViews() {
-        return exchange.aware();
+        return viewExchange.controllersExchangingViews();
     }
 
     @Override
-    public void announcementReceived(String controller, PeerMessage.TermAnnouncement said) {
-        exchange.learn(controller, said);
-        if (said.leading() && said.term() > toldTerm) {
-            toldTerm = said.term();
-            connectivity.leaderKnown(said.term(), controller, environment.now());
-            exchange.withAll(); // another controller may not hear the new leader
+    public void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
+        viewExchange.announcementReceived(controller, announcement);
+        if (announcement.leading() && announcement.term() > exchangedTerm) {
+            exchangedTerm = announcement.term();
+            connectivity.leaderKnown(announcement.term(), controller, environment.now());
+            viewExchange.exchangeWithAll(); // another controller may not hear the new leader
         }
     }
 
     @Override
-    public PeerMessage receiveView(PeerMessage.LinkView links) {
-        return exchange.answer(links);
+    public PeerMessage receiveView(PeerMessage.LinkView view) {
+        return viewExchange.receive(view);
     }
 
-    private void taken(ReachabilityView.Header header) {
+    private void viewAccepted(ReachabilityView.Header header) {
         host.observeTerm(header.term(), header.leading() ? header.sender() : "");
         connectivity.leaderKnown(host.term(), host.leader(), environment.now());
     }
 
-    // ---- what may be done
+    // ---- what the controller may do
 
     private boolean permits(Decision decision) {
         return connectivity.permits(decision, environment.now()).allowed();
@@ -340,6 +307,7 @@
 
     @Override
     public ObjectNode describe() {
-        return LinkHealthView.describe(connectivity.snapshot(environment.now()), exchange.aware());
+        return LinkHealthView.describe(
+                connectivity.snapshot(environment.now()), viewExchange.controllersExchangingViews());
     }
 }
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -18,107 +18,112 @@
 import stileferry.protocol.Settings;
 import stileferry.validation.InvalidInputException;
 
-/** Carries views between controllers, as far as they have shown that they exchange them. */
+/** Exchanges views of links with the other controllers that have shown that they exchange them. */
 final class ViewExchange {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
     private final Settings settings;
     private final Environment environment;
     private final Connectivity connectivity;
-    private final long patienceMs;
-    private final Consumer<ReachabilityView.Header> taken;
-    private final Set<String> aware = new LinkedHashSet<>();
-    private final Set<String> inFlight = new HashSet<>();
+    private final long timeoutMs;
+    private final Consumer<ReachabilityView.Header> onViewAccepted;
 
-    /** When a view was last sent to a controller by itself. */
+    /** The other controllers that exchange views. */
+    private final Set<String> participants = new LinkedHashSet<>();
+
+    /** Those that were sent a view and have not answered. */
+    private final Set<String> awaitingReply = new HashSet<>();
+
+    /** When a view was last sent to a controller, other than in a reply. */
     private final Map<String, Long> sentAt = new HashMap<>();
 
-    /** The consumer is told of each view that was taken in. */
+    /** {@code onViewAccepted} takes the header of each view that was taken in. */
     ViewExchange(
             Settings settings,
             Environment environment,
             Connectivity connectivity,
-            long patienceMs,
-            Consumer<ReachabilityView.Header> taken) {
+            long timeoutMs,
+            Consumer<ReachabilityView.Header> onViewAccepted) {
         this.settings = settings;
         this.environment = environment;
         this.connectivity = connectivity;
-        this.patienceMs = patienceMs;
-        this.taken = taken;
+        this.timeoutMs = timeoutMs;
+        this.onViewAccepted = onViewAccepted;
     }
 
     /** The controllers that exchange views, this one first. */
-    List<String> aware() {
+    List<String> controllersExchangingViews() {
         List<String> names = new ArrayList<>(List.of(settings.controllerName()));
-        names.addAll(aware);
+        names.addAll(participants);
         return names;
     }
 
-    /** Takes in what a controller's term says of who exchanges views; followers hear of each other by the leader. */
-    void learn(String controller, PeerMessage.TermAnnouncement said) {
+    /** Takes in what an announcement says of who exchanges views; followers hear of each other by the leader. */
+    void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         for (Settings.Peer peer : settings.peers()) {
-            boolean saidBySomebodyWhoKnows = peer.name().equals(controller) || said.leading();
-            if (!saidBySomebodyWhoKnows) {
+            boolean senderKnows = peer.name().equals(controller) || announcement.leading();
+            if (!senderKnows) {
                 continue;
             }
-            if (said.linkAware().contains(peer.name())) {
-                aware.add(peer.name());
+            if (announcement.linkAware().contains(peer.name())) {
+                participants.add(peer.name());
             } else {
-                aware.remove(peer.name());
+                participants.remove(peer.name());
             }
         }
     }
 
-    /** Takes in a view and returns the answer; null: it can't be right. */
-    PeerMessage answer(PeerMessage.LinkView links) {
-        try {
-            ReachabilityView view = ViewCodec.read(links.view());
-            String sender = view.header().sender();
-            take(view);
-            connectivity.peerHeard(sender, environment.now());
-            return new PeerMessage.LinkView(ViewCodec.write(connectivity.viewFor(sender, environment.now())));
-        } catch (InvalidInputException e) {
-            LOG.info("a view that can't be right: {}", e.getMessage());
+    /** Takes in a view and returns the reply; null: the view is malformed. */
+    PeerMessage receive(PeerMessage.LinkView message) {
+        ReachabilityView view = accept(message);
+        if (view == null) {
             return null;
         }
+        String sender = view.header().sender();
+        connectivity.peerHeard(sender, environment.now());
+        return new PeerMessage.LinkView(ViewCodec.write(connectivity.viewFor(sender, environment.now())));
     }
 
-    private void take(ReachabilityView view) {
-        connectivity.take(view, environment.now());
-        taken.accept(view.header());
+    /** Takes in a view; null: it is malformed or contradicts itself, and changes nothing. */
+    private ReachabilityView accept(PeerMessage.LinkView message) {
+        try {
+            ReachabilityView view = ViewCodec.read(message.view());
+            connectivity.take(view, environment.now());
+            onViewAccepted.accept(view.header());
+            return view;
+        } catch (InvalidInputException e) {
+            LOG.info("malformed view rejected: reason=\"{}\"", e.getMessage());
+            return null;
+        }
     }
 
-    /** Exchanges views with those with whom it is time. */
-    void ifDue() {
+    /** Exchanges views with each controller whose turn has come. */
+    void exchangeWhereDue() {
         long before = environment.now() - connectivity.exchangeMs();
         for (Settings.Peer peer : settings.peers()) {
             if (sentAt.getOrDefault(peer.name(), Long.MIN_VALUE) <= before) {
-                with(peer);
+                exchangeWith(peer);
             }
         }
     }
 
     /** Exchanges views with all now. */
-    void withAll() {
-        settings.peers().forEach(this::with);
+    void exchangeWithAll() {
+        settings.peers().forEach(this::exchangeWith);
     }
 
-    private void with(Settings.Peer peer) {
-        if (!aware.contains(peer.name()) || !inFlight.add(peer.name())) {
+    private void exchangeWith(Settings.Peer peer) {
+        if (!participants.contains(peer.name()) || !awaitingReply.add(peer.name())) {
             return;
         }
         sentAt.put(peer.name(), environment.now());
         ReachabilityView view = connectivity.viewFor(peer.name(), environment.now());
-        environment.sendToPeer(peer, new PeerMessage.LinkView(ViewCodec.write(view)), patienceMs, answer -> {
-            inFlight.remove(peer.name());
-            if (answer instanceof PeerMessage.LinkView links) {
-                try {
-                    take(ViewCodec.read(links.view()));
-                } catch (InvalidInputException e) {
-                    LOG.info("a view that can't be right: {}", e.getMessage());
-                }
-            } else if (answer != null) {
-                aware.remove(peer.name()); // it does not watch its links any more
+        environment.sendToPeer(peer, new PeerMessage.LinkView(ViewCodec.write(view)), timeoutMs, reply -> {
+            awaitingReply.remove(peer.name());
+            if (reply instanceof PeerMessage.LinkView message) {
+                accept(message);
+            } else if (reply != null) {
+                participants.remove(peer.name()); // it does not watch its links any more
             }
         });
     }
--- a/src/main/java/stileferry/links/WorkerProber.java
+++ b/src/main/java/stileferry/links/WorkerProber.java
@@ -8,41 +8,46 @@
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.Settings;
 
-/** Asks workers whether requests reach them, a bounded number at a time. */
+/** Probes whether requests reach workers, a bounded number at a time. */
 final class WorkerProber {
     /** Of the sockets for commands to workers, the part that probes may take. */
     private static final int SOCKET_SHARE = 4;
 
+    private static final String PROBE_PATH = "/inspect";
+    private static final int OK = 200;
+
     private final Environment environment;
     private final Connectivity connectivity;
-    private final long patienceMs;
-    private final int mostInFlight;
+    private final long timeoutMs;
+    private final int maxInFlight;
     private final Set<String> inFlight = new HashSet<>();
 
-    WorkerProber(Settings settings, Environment environment, Connectivity connectivity, long patienceMs) {
+    WorkerProber(Settings settings, Environment environment, Connectivity connectivity, long timeoutMs) {
         this.environment = environment;
         this.connectivity = connectivity;
-        this.patienceMs = patienceMs;
-        this.mostInFlight = Math.max(1, settings.socketBudget().commands() / SOCKET_SHARE);
+        this.timeoutMs = timeoutMs;
+        this.maxInFlight = Math.max(1, settings.socketBudget().commands() / SOCKET_SHARE);
     }
 
-    /** Sends the questions that are due. */
-    void send() {
-        for (ProbeTarget target : connectivity.nextProbes(mostInFlight - inFlight.size(), environment.now())) {
+    /** Sends the probes that are due. */
+    void probeWhereDue() {
+        for (ProbeTarget target : connectivity.nextProbes(maxInFlight - inFlight.size(), environment.now())) {
             if (inFlight.add(target.worker())) {
-                ask(target);
+                probe(target);
             }
         }
     }
 
-    private void ask(ProbeTarget target) {
-        environment.request(target.address(), "GET", "/inspect", null, patienceMs, (status, body) -> {
+    private void probe(ProbeTarget target) {
+        environment.request(target.address(), "GET", PROBE_PATH, null, timeoutMs, (status, body) -> {
             inFlight.remove(target.worker());
-            Heartbeat report = status == 200 ? Heartbeat.read(body) : null;
-            if (report != null && report.machine().equals(target.worker())) {
+            Heartbeat heartbeat = status == OK ? Heartbeat.read(body) : null;
+            // another worker may have its address by now
+            boolean reached = heartbeat != null && heartbeat.machine().equals(target.worker());
+            if (reached) {
                 connectivity.workerReached(target.worker(), true, environment.now());
             } else {
-                connectivity.workerMissed(target.worker(), true, environment.now()); // or another has its address now
+                connectivity.workerMissed(target.worker(), true, environment.now());
             }
         });
     }
