--- a/src/main/java/stileferry/cluster/AgentState.java
+++ b/src/main/java/stileferry/cluster/AgentState.java
@@ -34,6 +34,8 @@
 
     private Set<String> startsInLastResponse = Set.of();
     private final Set<String> outcomesNotDurable = new HashSet<>();
+
+    /** For each attempt the number of direct commands to start it that were not answered. */
     private final Map<String, Integer> unansweredStarts = new HashMap<>();
 
     // ---- status
@@ -227,16 +229,33 @@
         startsInLastResponse = attemptIds;
     }
 
-    /** The attempts whose outcome is not durable yet, so that they may not be cleared. */
-    public Set<String> outcomesNotDurable() {
-        return outcomesNotDurable;
+    /** The outcome of an attempt is about to be stored; the attempt may not be cleared before that is durable. */
+    public void awaitDurableOutcome(String attemptId) {
+        outcomesNotDurable.add(attemptId);
     }
 
-    /**
-     * The attempts whose start was commanded directly and not answered, with the number of such commands, any of which
-     * may be carried out at any time.
-     */
-    public Map<String, Integer> unansweredStarts() {
-        return unansweredStarts;
+    /** The outcome of an attempt is durable. */
+    public void outcomeDurable(String attemptId) {
+        outcomesNotDurable.remove(attemptId);
+    }
+
+    /** Whether the outcome of an attempt is about to be stored, so that the attempt may not be cleared. */
+    public boolean awaitsDurableOutcome(String attemptId) {
+        return outcomesNotDurable.contains(attemptId);
+    }
+
+    /** A start is commanded directly, not in the answer to a heartbeat. */
+    public void startSent(String attemptId) {
+        unansweredStarts.merge(attemptId, 1, Integer::sum);
+    }
+
+    /** A start that was commanded directly was answered. */
+    public void startAnswered(String attemptId) {
+        unansweredStarts.computeIfPresent(attemptId, (any, commands) -> commands == 1 ? null : commands - 1);
+    }
+
+    /** Whether a start that was commanded directly was not answered: it may be carried out at any time. */
+    public boolean startUnanswered(String attemptId) {
+        return unansweredStarts.containsKey(attemptId);
     }
 }
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -28,13 +28,17 @@
 
     private final Settings settings;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
     private final Map<String, Machine> machines = new TreeMap<>();
+    private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
     private final FreeCapacityIndex freeCapacity = new FreeCapacityIndex();
     private final CapacityReservations reservations = new CapacityReservations();
 
     private final Set<String> unreadableJobs = new HashSet<>();
+    private final Set<String> unreadableJobsView = Collections.unmodifiableSet(unreadableJobs);
 
     private final Set<TaskAssignment> stoppingTasks = new LinkedHashSet<>();
+    private final Set<TaskAssignment> stoppingTasksView = Collections.unmodifiableSet(stoppingTasks);
 
     private List<MachineType> machineTypes = List.of();
 
@@ -47,6 +51,7 @@
         }
     });
 
+    private final Set<String> deletedMachinesView = Collections.unmodifiableSet(deletedMachines);
     private final LinkHealth links;
     private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private final int[] assignmentsByPriority = new int[JobSpec.Priority.values().length];
@@ -63,6 +68,21 @@
         }
     }
 
+    /** Adds a job that was submitted after all that are there. */
+    public void addJob(Job job) {
+        jobs.put(job.spec().id(), job);
+    }
+
+    /** Removes a job that is completed. */
+    public void removeJob(Job job) {
+        jobs.remove(job.spec().id());
+    }
+
+    /** Notes an accepted job whose record can't be read. */
+    public void addUnreadableJob(String id) {
+        unreadableJobs.add(id);
+    }
+
     /** The machine type of this name; null: the cloud does not offer it. */
     public MachineType machineType(String name) {
         for (MachineType type : machineTypes) {
@@ -179,14 +199,14 @@
         return settings;
     }
 
-    /** The jobs that are not completed, by id, in the order in which they were submitted. */
+    /** The jobs that are not completed, by id, in the order in which they were submitted. The view can't be changed. */
     public Map<String, Job> jobs() {
-        return jobs;
+        return jobsView;
     }
 
-    /** The machines, by name, in the order of their names. */
+    /** The machines, by name, in the order of their names. The view can't be changed. */
     public Map<String, Machine> machines() {
-        return machines;
+        return machinesView;
     }
 
     public FreeCapacityIndex freeCapacity() {
@@ -199,12 +219,12 @@
 
     /** The ids of accepted jobs whose records can't be read. */
     public Set<String> unreadableJobs() {
-        return unreadableJobs;
+        return unreadableJobsView;
     }
 
     /** The assignments whose tasks are to stop, the first requested first. */
     public Set<TaskAssignment> stoppingTasks() {
-        return stoppingTasks;
+        return stoppingTasksView;
     }
 
     /** The machine types that the cloud offers; empty while they are unknown. */
@@ -227,6 +247,6 @@
 
     /** Machines whose deletion was confirmed: late lists and late heartbeats still name them, but they are gone. */
     public Set<String> deletedMachines() {
-        return deletedMachines;
+        return deletedMachinesView;
     }
 }
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -166,11 +166,11 @@
             } catch (InvalidJobSpecException e) {
                 // its user was told that it is accepted, so nobody may hear that it is unknown
                 LOG.error("job record unreadable, its job can't run: key={} reason={}", row.key(), e.getMessage());
-                cluster.unreadableJobs().add(jobId(row));
+                cluster.addUnreadableJob(jobId(row));
             }
         }
         jobs.sort(Comparator.comparingLong(job -> job.acceptanceOrder()));
-        jobs.forEach(job -> cluster.jobs().put(job.spec().id(), job));
+        jobs.forEach(cluster::addJob);
     }
 
     private void restoreLegacyChunks(List<KeyValue> rows, TaskEventReader reader) {
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -240,8 +240,7 @@
         AgentState agent = request.machine.agent();
         for (WorkerCommand command : request.commands) {
             if (command.kind() == WorkerCommand.Kind.RUN) {
-                agent.unansweredStarts()
-                        .computeIfPresent(command.attemptId(), (attemptId, count) -> count == 1 ? null : count - 1);
+                agent.startAnswered(command.attemptId());
             }
         }
     }
--- a/src/main/java/stileferry/heartbeat/CommandPlanner.java
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -101,8 +101,8 @@
     private boolean clearable(Machine machine, Heartbeat.TaskStatus status) {
         AgentState agent = machine.agent();
         return machine.acknowledgedTerm(term)
-                && !agent.outcomesNotDurable().contains(status.attemptId())
-                && !agent.unansweredStarts().containsKey(status.attemptId());
+                && !agent.awaitsDurableOutcome(status.attemptId())
+                && !agent.startUnanswered(status.attemptId());
     }
 
     private void addForAssignment(
@@ -111,7 +111,7 @@
             commands.add(new WorkerCommand(WorkerCommand.Kind.RUN, assignment.taskId(), assignment.attempt(), 0));
             assignment.markStartSent();
             if (delivery == Delivery.DIRECT) {
-                machine.agent().unansweredStarts().merge(assignment.attemptId(), 1, Integer::sum);
+                machine.agent().startSent(assignment.attemptId());
             }
         }
         if (needsKill(assignment)) {
@@ -130,7 +130,7 @@
         // An unanswered direct start of a stopped task does no harm once the worker knows the attempt.
         boolean cancelledLongAgo = assignment.job().cancelled() && now - assignment.stopRequestedAt() > cancelMs / 2;
         return delivery == Delivery.HEARTBEAT_RESPONSE
-                && machine.agent().unansweredStarts().containsKey(assignment.attemptId())
+                && machine.agent().startUnanswered(assignment.attemptId())
                 && !cancelledLongAgo;
     }
 
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -75,7 +75,7 @@
                 && assignment.durable()
                 && assignment.phase() == null
                 && machine.acknowledgedTerm(term)
-                && !machine.agent().unansweredStarts().containsKey(assignment.attemptId());
+                && !machine.agent().startUnanswered(assignment.attemptId());
     }
 
     private void updatePhase(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -74,7 +74,7 @@
         commitQueue.putAndDelete(entry, job.entry(), () -> {
             job.markCompleted();
             leaderElection.cancellations().allTasksGone(id);
-            cluster.jobs().remove(id);
+            cluster.removeJob(job);
             completedJobs.put(id, completed);
             listener.jobCompleted(job, completed);
             if (onDurable != null) {
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -244,7 +244,7 @@
         boolean completed =
                 status.exitReason() == ExitReason.COMPLETED && !job.spec().service();
         List<TaskAssignment> others = completed && job.spec().gang() ? completeGang(job, assignment) : List.of();
-        machine.agent().outcomesNotDurable().add(status.attemptId());
+        machine.agent().awaitDurableOutcome(status.attemptId());
         if (completed || status.exitReason() == ExitReason.FAILED) {
             job.markStarted();
         }
@@ -255,7 +255,7 @@
             recordFailure(machine, assignment, status, now);
         }
         settle(assignment, completed, () -> {
-            machine.agent().outcomesNotDurable().remove(status.attemptId());
+            machine.agent().outcomeDurable(status.attemptId());
             others.forEach(this::outcomeDurable);
         });
     }
@@ -281,7 +281,7 @@
         for (TaskAssignment other : others) {
             cluster.unassign(other, true);
             Machine machine = cluster.machine(other.machine());
-            machine.agent().outcomesNotDurable().add(other.attemptId());
+            machine.agent().awaitDurableOutcome(other.attemptId());
             markIdleIfEmpty(machine);
         }
         for (int index = 0; index < job.spec().taskCount(); index++) {
@@ -296,7 +296,7 @@
     private void outcomeDurable(TaskAssignment assignment) {
         Machine machine = cluster.machines().get(assignment.machine());
         if (machine != null) {
-            machine.agent().outcomesNotDurable().remove(assignment.attemptId());
+            machine.agent().outcomeDurable(assignment.attemptId());
         }
     }
 
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -192,7 +192,7 @@
     private void accept(Job job, boolean urgent, Consumer<PeerMessage.Response> reply) {
         String id = job.spec().id();
         pendingReplies.add(job, reply);
-        cluster.jobs().put(id, job);
+        cluster.addJob(job);
         leader.beforeFirstWrite(job);
         Runnable onDurable = () -> {
             job.markAccepted();
--- a/src/test/java/stileferry/scheduling/PlacementTest.java
+++ b/src/test/java/stileferry/scheduling/PlacementTest.java
@@ -118,7 +118,8 @@
         int tasks = cluster.machines().values().stream()
                 .mapToInt(machine -> machine.assignments().size())
                 .sum();
-        assertTrue(tasks > 5000 && passes > 10, tasks + " tasks in " + passes + " passes");
+        assertTrue(tasks > 5000, tasks + " tasks");
+        assertTrue(passes > 10, passes + " passes");
     }
 
     /** Thousands of full machines and tasks, and hundreds of jobs that wait: a pass visits next to nothing. */
@@ -165,7 +166,7 @@
                     .image("new" + i, 2)
                     .estimateS(0)
                     .accepted(i, NOW);
-            cluster.jobs().put(job.spec().id(), job);
+            cluster.addJob(job);
         }
         placement.pass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
         int most = 0;
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -67,7 +67,7 @@
 
     private Job add(TestJob job) {
         Job accepted = job.accepted(jobs, 0);
-        cluster.jobs().put(accepted.spec().id(), accepted);
+        cluster.addJob(accepted);
         return accepted;
     }
 
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -91,7 +91,7 @@
                 .spreadAcrossZones(random.nextInt(4) == 0)
                 .allowsSpot(random.nextBoolean())
                 .accepted(number, NOW);
-        cluster.jobs().put(job.spec().id(), job);
+        cluster.addJob(job);
         return job;
     }
 }
