--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -205,9 +205,11 @@
         return missing;
     }
 
-    /** How near an image is: 2, the machine holds it; 1, an assigned task pulls it; 0, neither. */
-    public int imageLocality(String image) {
-        return images.containsKey(image) ? 2 : imagesOfAssignments.containsKey(image) ? 1 : 0;
+    public ImageLocality imageLocality(String image) {
+        if (images.containsKey(image)) {
+            return ImageLocality.PRESENT;
+        }
+        return imagesOfAssignments.containsKey(image) ? ImageLocality.BEING_PULLED : ImageLocality.ABSENT;
     }
 
     public String name() {
--- a/src/main/java/stileferry/scheduling/MachineSelector.java
+++ b/src/main/java/stileferry/scheduling/MachineSelector.java
@@ -3,6 +3,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import stileferry.cluster.ClusterState;
+import stileferry.cluster.ImageLocality;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 
@@ -95,9 +96,9 @@
     /** The nearer image first; where neither machine has it, the one with fewer pulls, which share its rate. */
     private static int compareImages(Job job, Machine machine, Machine other) {
         String image = job.spec().image();
-        int locality = machine.imageLocality(image);
-        int byLocality = Integer.compare(other.imageLocality(image), locality);
-        return byLocality != 0 || locality != 0
+        ImageLocality locality = machine.imageLocality(image);
+        int byLocality = other.imageLocality(image).compareTo(locality);
+        return byLocality != 0 || locality != ImageLocality.ABSENT
                 ? byLocality
                 : Integer.compare(machine.imagesBeingPulled(), other.imagesBeingPulled());
     }
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -13,6 +13,7 @@
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
 import stileferry.cluster.TestJob;
+import stileferry.cluster.TestSettings;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
@@ -28,23 +29,9 @@
 
     @BeforeEach
     void oneMachine() {
-        Settings settings = new Settings(
-                "n0",
-                "za",
-                null,
-                null,
-                List.of(),
-                "c",
-                "s",
-                List.of("za", "zb"),
+        Settings settings = TestSettings.with(
                 List.of(new Settings.Team("red", 8, 16, 0, 0), new Settings.Team("blue", 2, 16, 0, 0)),
-                List.of(new Settings.ServiceLevelObjective("wait", "swift", 0.5, 0.9)),
-                new Settings.WorkerTimes(2, 10, 20),
-                new Settings.KeyValueStoreLimits(100, 50, 8, 12),
-                new Settings.CloudLimits(5, 3),
-                1,
-                100,
-                5);
+                new Settings.ServiceLevelObjective("wait", "swift", 0.5, 0.9));
         cluster = new ClusterState(settings);
         cluster.setMachineTypes(List.of(new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za", "zb"))));
         placement = new Placement(cluster);
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -6,6 +6,7 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.cluster.TestJob;
+import stileferry.cluster.TestSettings;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
@@ -55,23 +56,9 @@
     }
 
     private static Settings settings() {
-        return new Settings(
-                "n0",
-                "za",
-                null,
-                null,
-                List.of(),
-                "c",
-                "s",
-                List.of("za", "zb"),
+        return TestSettings.with(
                 List.of(new Settings.Team("red", 0, 0, 0, 0)),
-                List.of(new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9)),
-                new Settings.WorkerTimes(2, 10, 20),
-                new Settings.KeyValueStoreLimits(100, 50, 8, 12),
-                new Settings.CloudLimits(5, 3),
-                1,
-                100,
-                5);
+                new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9));
     }
 
     /** Adds an accepted job. */
