--- a/src/main/java/stileferry/cluster/CapacityReservations.java
+++ b/src/main/java/stileferry/cluster/CapacityReservations.java
@@ -10,14 +10,9 @@
  * priority may not take it: they would be preempted again at once, and each such start costs writes to the store.
  */
 public final class CapacityReservations {
-    /** What is reserved on one machine for one job. */
-    private static final class Reservation {
-        double cpus;
-        double gpus;
-        double memoryGb;
-    }
+    /** For each machine what is reserved there for each job. */
+    private final Map<String, Map<Job, Resources>> byMachine = new HashMap<>();
 
-    private final Map<String, Map<Job, Reservation>> byMachine = new HashMap<>();
     private final Map<Job, Set<String>> machinesByJob = new HashMap<>();
 
     /** All reservations are decided on anew. */
@@ -28,12 +23,10 @@
 
     /** Reserves capacity for one more task of a job. */
     public void add(Job job, Machine machine) {
-        Reservation reservation = byMachine
+        byMachine
                 .computeIfAbsent(machine.name(), name -> new HashMap<>())
-                .computeIfAbsent(job, any -> new Reservation());
-        reservation.cpus += job.spec().cpus();
-        reservation.gpus += job.spec().gpus();
-        reservation.memoryGb += job.spec().memoryGb();
+                .computeIfAbsent(job, any -> new Resources())
+                .add(job.spec());
         machinesByJob.computeIfAbsent(job, any -> new HashSet<>()).add(machine.name());
     }
 
@@ -47,20 +40,17 @@
 
     /** Whether a task of this job fits on a machine beside what is reserved there for jobs of higher priority. */
     public boolean leaveCapacity(Machine machine, Job job) {
-        Map<Job, Reservation> reserved = byMachine.get(machine.name());
+        Map<Job, Resources> reserved = byMachine.get(machine.name());
         if (reserved == null) {
             return true;
         }
-        double cpus = job.spec().cpus();
-        double gpus = job.spec().gpus();
-        double memoryGb = job.spec().memoryGb();
-        for (Map.Entry<Job, Reservation> entry : reserved.entrySet()) {
-            if (entry.getKey().spec().priority().compareTo(job.spec().priority()) < 0) {
-                cpus += entry.getValue().cpus;
-                gpus += entry.getValue().gpus;
-                memoryGb += entry.getValue().memoryGb;
+        Resources wanted = new Resources();
+        wanted.add(job.spec());
+        for (Map.Entry<Job, Resources> reservation : reserved.entrySet()) {
+            if (reservation.getKey().spec().priority().compareTo(job.spec().priority()) < 0) {
+                wanted.add(reservation.getValue());
             }
         }
-        return machine.fits(cpus, gpus, memoryGb);
+        return machine.fits(wanted);
     }
 }
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -17,9 +17,6 @@
 
 /** What the leader knows in one term: the jobs that are not completed, the machines, and what teams use. */
 public final class ClusterState {
-    /** Sums of CPUs and GPUs may be off by this much. */
-    private static final double ROUNDING = 1e-6;
-
     /** Deleted machines that are remembered whatever the size: lists and heartbeats of them come late. */
     private static final int MIN_DELETED_REMEMBERED = 4096;
 
@@ -182,17 +179,18 @@
     public boolean withinTeamLimit(Job job) {
         Settings.Team team = settings.team(job.spec().team());
         return team == null
-                || (team.cpusMax() == 0 || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + ROUNDING)
+                || (team.cpusMax() == 0
+                                || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + Resources.ROUNDING)
                         && (team.gpusMax() == 0
-                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + ROUNDING);
+                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + Resources.ROUNDING);
     }
 
     /** Whether a team uses more than its quota, even after giving back so much. */
     public boolean exceedsQuota(String teamName, double givenBackCpus, double givenBackGpus) {
         Settings.Team team = settings.team(teamName);
         return team != null
-                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + ROUNDING
-                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + ROUNDING);
+                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + Resources.ROUNDING
+                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + Resources.ROUNDING);
     }
 
     public Settings settings() {
--- a/src/main/java/stileferry/cluster/FreeCapacityIndex.java
+++ b/src/main/java/stileferry/cluster/FreeCapacityIndex.java
@@ -13,9 +13,6 @@
 public final class FreeCapacityIndex {
     private static final int NOT_HELD = -1;
 
-    /** Sums of CPUs may be off by this much. */
-    private static final double ROUNDING = 1e-6;
-
     /** In slot n the machines with n to less than n + 1 CPUs free. */
     private final List<Set<Machine>> slots = new ArrayList<>();
 
@@ -52,7 +49,7 @@
     }
 
     private static int slot(double freeCpus) {
-        return Math.max(0, (int) Math.floor(freeCpus + ROUNDING));
+        return Math.max(0, (int) Math.floor(freeCpus + Resources.ROUNDING));
     }
 
     /** Visits every machine that may have so many CPUs free, those with the fewest free CPUs first. */
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -14,9 +14,6 @@
  * its agent and of it as an instance.
  */
 public final class Machine implements Comparable<Machine> {
-    /** Sums of CPUs, GPUs and GB may be off by this much. */
-    private static final double ROUNDING = 1e-6;
-
     private final String name;
     private String address = "";
     private String typeName = "";
@@ -39,9 +36,7 @@
     private final Map<String, Integer> failuresByJobView = Collections.unmodifiableMap(failuresByJob);
     private int capacitySlot = -1;
 
-    private double usedCpus;
-    private double usedGpus;
-    private double usedMemoryGb;
+    private final Resources used = new Resources();
     private double slowdownSum;
     private int slowdownCount;
 
@@ -99,12 +94,12 @@
 
     /** The CPUs of all tasks that may be on it. */
     public double usedCpus() {
-        return usedCpus;
+        return used.cpus();
     }
 
     /** The CPUs that the tasks that may be on it leave free; the type must be known. */
     public double freeCpus() {
-        return type.cpus() - usedCpus;
+        return type.cpus() - used.cpus();
     }
 
     /** Counts a task that may be on it from now on. */
@@ -121,10 +116,10 @@
 
     private void countUsage(JobSpec spec, int sign) {
         agent.setReconciled(false);
-        boolean empty = assignments.isEmpty();
-        usedCpus = empty ? 0 : usedCpus + sign * spec.cpus();
-        usedGpus = empty ? 0 : usedGpus + sign * spec.gpus();
-        usedMemoryGb = empty ? 0 : usedMemoryGb + sign * spec.memoryGb();
+        used.add(spec, sign);
+        if (assignments.isEmpty()) {
+            used.clear(); // rounding errors end with the last task
+        }
         imagesOfAssignments.merge(
                 spec.image(), sign, (before, change) -> before + change <= 0 ? null : before + change);
     }
@@ -135,33 +130,26 @@
     }
 
     /** Whether so much fits beside all that may be on it. */
-    boolean fits(double cpus, double gpus, double memoryGb) {
-        return usedCpus + cpus <= type.cpus() + ROUNDING
-                && usedGpus + gpus <= type.gpus() + ROUNDING
-                && usedMemoryGb + memoryGb <= type.memoryGb() + ROUNDING;
+    boolean fits(Resources wanted) {
+        return fits(wanted.cpus(), wanted.gpus(), wanted.memoryGb());
+    }
+
+    private boolean fits(double cpus, double gpus, double memoryGb) {
+        return used.cpus() + cpus <= type.cpus() + Resources.ROUNDING
+                && used.gpus() + gpus <= type.gpus() + Resources.ROUNDING
+                && used.memoryGb() + memoryGb <= type.memoryGb() + Resources.ROUNDING;
     }
 
     /** How many tasks of this job would fit if all tasks of lower priority were preempted. */
     public int tasksFittingWithPreemption(Job job) {
-        double freeCpus = freeCpus();
-        double freeGpus = type.gpus() - usedGpus;
-        double freeMemoryGb = type.memoryGb() - usedMemoryGb;
+        Resources free = Resources.of(type);
+        free.subtract(used);
         for (TaskAssignment assignment : assignments.values()) {
             if (assignment.job().spec().priority().compareTo(job.spec().priority()) > 0) {
-                freeCpus += assignment.job().spec().cpus();
-                freeGpus += assignment.job().spec().gpus();
-                freeMemoryGb += assignment.job().spec().memoryGb();
+                free.add(assignment.job().spec());
             }
         }
-        return Math.min(
-                fitting(freeCpus, job.spec().cpus()),
-                Math.min(
-                        fitting(freeGpus, job.spec().gpus()),
-                        fitting(freeMemoryGb, job.spec().memoryGb())));
-    }
-
-    private static int fitting(double free, double wanted) {
-        return wanted == 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + ROUNDING) / wanted);
+        return free.tasksFitting(job.spec());
     }
 
     /**
--- a/src/main/java/stileferry/cluster/TeamUsage.java
+++ b/src/main/java/stileferry/cluster/TeamUsage.java
@@ -4,22 +4,23 @@
 
 /** What one team's tasks use that may be on machines. */
 final class TeamUsage {
+    private final Resources used = new Resources();
     private int tasks;
-    private double cpus;
-    private double gpus;
 
-    /** Counts one task, or counts it out again with a negative sign. Rounding errors end with the last task. */
+    /** Counts one task, or counts it out again with a negative sign. */
     void count(JobSpec spec, int sign) {
         tasks += sign;
-        cpus = tasks == 0 ? 0 : cpus + sign * spec.cpus();
-        gpus = tasks == 0 ? 0 : gpus + sign * spec.gpus();
+        used.add(spec, sign);
+        if (tasks == 0) {
+            used.clear(); // rounding errors end with the last task
+        }
     }
 
     double cpus() {
-        return cpus;
+        return used.cpus();
     }
 
     double gpus() {
-        return gpus;
+        return used.gpus();
     }
 }
--- a/src/main/java/stileferry/scheduling/PreemptionPlan.java
+++ b/src/main/java/stileferry/scheduling/PreemptionPlan.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.Resources;
 import stileferry.cluster.TaskAssignment;
 
 /** What has been decided so far in one turn. It can be copied, to try one way to free capacity among several. */
--- a/src/main/java/stileferry/scheduling/QueueOrder.java
+++ b/src/main/java/stileferry/scheduling/QueueOrder.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
+import stileferry.cluster.Resources;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.OperatorSettings;
--- a/src/main/java/stileferry/scheduling/VictimSelector.java
+++ b/src/main/java/stileferry/scheduling/VictimSelector.java
@@ -6,6 +6,7 @@
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.Resources;
 import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Settings;
