--- a/src/main/java/stileferry/cluster/AgentState.java
+++ b/src/main/java/stileferry/cluster/AgentState.java
@@ -45,10 +45,6 @@
         return heardThisTerm;
     }
 
-    public void setHeardThisTerm(boolean heardThisTerm) {
-        this.heardThisTerm = heardThisTerm;
-    }
-
     /** When it was last heard from; 0: not in this term. */
     public long lastHeardAt() {
         return lastHeardAt;
--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -10,6 +10,7 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
+import stileferry.cluster.TestMachine;
 import stileferry.coordination.ControllerNode;
 import stileferry.coordination.SimulatedCluster;
 import stileferry.coordination.SimulatedEnvironment;
@@ -122,8 +123,7 @@
         long since = environment.now();
         w.runFor(7); // more than half a lease
         for (int i = 1; i < 8; i++) {
-            cluster.machine("host-" + i).agent().setHeardThisTerm(true);
-            cluster.machine("host-" + i).agent().markHeard(environment.now());
+            TestMachine.heard(cluster.machine("host-" + i), environment.now());
         }
         assertEquals(List.of(cluster.machine("host-0")), fleet.failureDetector().presumedLost(since));
         w.runFor(7);
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -13,6 +13,7 @@
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
 import stileferry.cluster.TestJob;
+import stileferry.cluster.TestMachine;
 import stileferry.cluster.TestSettings;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
@@ -46,8 +47,7 @@
         Machine machine = cluster.machine(name);
         machine.setType(cluster.machineTypes().get(0));
         cluster.setZone(machine, zone);
-        machine.agent().setHeardThisTerm(true);
-        machine.agent().markHeard(NOW);
+        TestMachine.heard(machine, NOW);
         cluster.freeCapacity().update(machine);
         return machine;
     }
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -6,6 +6,7 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.cluster.TestJob;
+import stileferry.cluster.TestMachine;
 import stileferry.cluster.TestSettings;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
@@ -38,8 +39,7 @@
             machine.setType(cluster.machineTypes().get(random.nextInt(2)));
             machine.setTypeName(machine.type().name());
             machine.setSpot(random.nextBoolean());
-            machine.agent().setHeardThisTerm(true);
-            machine.agent().markHeard(NOW);
+            TestMachine.heard(machine, NOW);
             cluster.setZone(machine, random.nextBoolean() ? "za" : "zb");
             for (int n = random.nextInt(3); n > 0; n--) {
                 machine.cacheImage("img" + random.nextInt(5), 2);
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -9,24 +9,26 @@
 import org.junit.jupiter.api.Test;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.TestJob;
+import stileferry.cluster.TestSettings;
 import stileferry.coordination.ControllerNode;
 import stileferry.coordination.SimulatedCluster;
 import stileferry.coordination.SimulatedUser;
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.Settings;
 
 /** Simulated clusters of the size of the largest deployments: what is counted is work, not time. */
 public class ScaleTest {
     /** Guards against a new leader in a cut that opens a connection to every machine that can't answer. */
     @Test
     void questionsToMachinesThatHangLeaveSocketsForCommands() {
-        ClusterState cluster = RandomCluster.cluster(2000, new SplittableRandom(1));
-        cluster.machines().values().forEach(machine -> {
-            machine.agent().setHeardThisTerm(false);
-            machine.setAddress(
-                    "10.0.0.1:" + machine.name().substring(machine.name().length() - 4));
-        });
+        ClusterState cluster = new ClusterState(TestSettings.with(
+                List.of(new Settings.Team("red", 0, 0, 0, 0)),
+                new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9)));
+        for (int i = 0; i < 2000; i++) {
+            cluster.machine(String.format("host-%06d", i)).setAddress("10.0.0.1:" + (1000 + i));
+        }
         SimulatedCluster world = new SimulatedCluster(1);
         int[] open = new int[1];
         int[] most = new int[1];
