--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -17,9 +17,6 @@
 
 /** What the leader knows in one term: the jobs that are not completed, the machines, and what teams use. */
 public final class ClusterState {
-    /** Sums of CPUs and GPUs may be off by this much. */
-    private static final double ROUNDING = 1e-6;
-
     /** Deleted machines that are remembered whatever the size: lists and heartbeats of them come late. */
     private static final int MIN_DELETED_REMEMBERED = 4096;
 
@@ -28,13 +25,17 @@
 
     private final Settings settings;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
     private final Map<String, Machine> machines = new TreeMap<>();
+    private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
     private final FreeCapacityIndex freeCapacity = new FreeCapacityIndex();
     private final CapacityReservations reservations = new CapacityReservations();
 
     private final Set<String> unreadableJobs = new HashSet<>();
+    private final Set<String> unreadableJobsView = Collections.unmodifiableSet(unreadableJobs);
 
     private final Set<TaskAssignment> stoppingTasks = new LinkedHashSet<>();
+    private final Set<TaskAssignment> stoppingTasksView = Collections.unmodifiableSet(stoppingTasks);
 
     private List<MachineType> machineTypes = List.of();
 
@@ -47,6 +48,7 @@
         }
     });
 
+    private final Set<String> deletedMachinesView = Collections.unmodifiableSet(deletedMachines);
     private final LinkHealth links;
     private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private final int[] assignmentsByPriority = new int[JobSpec.Priority.values().length];
@@ -63,6 +65,21 @@
         }
     }
 
+    /** Adds a job that was submitted after all that are there. */
+    public void addJob(Job job) {
+        jobs.put(job.spec().id(), job);
+    }
+
+    /** Removes a job that is completed. */
+    public void removeJob(Job job) {
+        jobs.remove(job.spec().id());
+    }
+
+    /** Notes an accepted job whose record can't be read. */
+    public void addUnreadableJob(String id) {
+        unreadableJobs.add(id);
+    }
+
     /** The machine type of this name; null: the cloud does not offer it. */
     public MachineType machineType(String name) {
         for (MachineType type : machineTypes) {
@@ -162,31 +179,32 @@
     public boolean withinTeamLimit(Job job) {
         Settings.Team team = settings.team(job.spec().team());
         return team == null
-                || (team.cpusMax() == 0 || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + ROUNDING)
+                || (team.cpusMax() == 0
+                                || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + Resources.ROUNDING)
                         && (team.gpusMax() == 0
-                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + ROUNDING);
+                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + Resources.ROUNDING);
     }
 
     /** Whether a team uses more than its quota, even after giving back so much. */
     public boolean exceedsQuota(String teamName, double givenBackCpus, double givenBackGpus) {
         Settings.Team team = settings.team(teamName);
         return team != null
-                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + ROUNDING
-                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + ROUNDING);
+                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + Resources.ROUNDING
+                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + Resources.ROUNDING);
     }
 
     public Settings settings() {
         return settings;
     }
 
-    /** The jobs that are not completed, by id, in the order in which they were submitted. */
+    /** The jobs that are not completed, by id, in the order in which they were submitted. The view can't be changed. */
     public Map<String, Job> jobs() {
-        return jobs;
+        return jobsView;
     }
 
-    /** The machines, by name, in the order of their names. */
+    /** The machines, by name, in the order of their names. The view can't be changed. */
     public Map<String, Machine> machines() {
-        return machines;
+        return machinesView;
     }
 
     public FreeCapacityIndex freeCapacity() {
@@ -199,12 +217,12 @@
 
     /** The ids of accepted jobs whose records can't be read. */
     public Set<String> unreadableJobs() {
-        return unreadableJobs;
+        return unreadableJobsView;
     }
 
     /** The assignments whose tasks are to stop, the first requested first. */
     public Set<TaskAssignment> stoppingTasks() {
-        return stoppingTasks;
+        return stoppingTasksView;
     }
 
     /** The machine types that the cloud offers; empty while they are unknown. */
@@ -227,6 +245,6 @@
 
     /** Machines whose deletion was confirmed: late lists and late heartbeats still name them, but they are gone. */
     public Set<String> deletedMachines() {
-        return deletedMachines;
+        return deletedMachinesView;
     }
 }
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -6,6 +6,8 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.cluster.TestJob;
+import stileferry.cluster.TestMachine;
+import stileferry.cluster.TestSettings;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
@@ -37,8 +39,7 @@
             machine.setType(cluster.machineTypes().get(random.nextInt(2)));
             machine.setTypeName(machine.type().name());
             machine.setSpot(random.nextBoolean());
-            machine.agent().setHeardThisTerm(true);
-            machine.agent().markHeard(NOW);
+            TestMachine.heard(machine, NOW);
             cluster.setZone(machine, random.nextBoolean() ? "za" : "zb");
             for (int n = random.nextInt(3); n > 0; n--) {
                 machine.cacheImage("img" + random.nextInt(5), 2);
@@ -55,23 +56,9 @@
     }
 
     private static Settings settings() {
-        return new Settings(
-                "n0",
-                "za",
-                null,
-                null,
-                List.of(),
-                "c",
-                "s",
-                List.of("za", "zb"),
+        return TestSettings.with(
                 List.of(new Settings.Team("red", 0, 0, 0, 0)),
-                List.of(new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9)),
-                new Settings.WorkerTimes(2, 10, 20),
-                new Settings.KeyValueStoreLimits(100, 50, 8, 12),
-                new Settings.CloudLimits(5, 3),
-                1,
-                100,
-                5);
+                new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9));
     }
 
     /** Adds an accepted job. */
@@ -91,7 +78,7 @@
                 .spreadAcrossZones(random.nextInt(4) == 0)
                 .allowsSpot(random.nextBoolean())
                 .accepted(number, NOW);
-        cluster.jobs().put(job.spec().id(), job);
+        cluster.addJob(job);
         return job;
     }
 }
