--- a/src/main/java/stileferry/standin/Cloud.java
+++ b/src/main/java/stileferry/standin/Cloud.java
@@ -12,6 +12,7 @@
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
+import stileferry.protocol.WireNames;
 
 /** A stand-in for the cloud with one machine type, after the published protocol. Time comes from outside. */
 public final class Cloud {
@@ -122,7 +123,7 @@
             create(body, reply);
         } else if (path.equals("/hosts/delete")) {
             deletionRequests++;
-            body.path("fleet").forEach(name -> reclaim(name.asText()));
+            body.path(WireNames.MACHINES).forEach(name -> reclaim(name.asText()));
             reply.onResponse(200, MessageCodec.map());
         } else if (path.startsWith("/hosts?")) {
             reply.onResponse(200, list(QueryString.of(path).text("from")));
@@ -133,38 +134,38 @@
 
     private ObjectNode machineTypes() {
         ObjectNode answer = MessageCodec.map();
-        ObjectNode machineType = answer.putArray("hulls")
+        ObjectNode machineType = answer.putArray(WireNames.MACHINE_TYPES)
                 .addObject()
-                .put("sku", type)
-                .put("cores", cpus)
-                .put("gpus", 0)
-                .put("ram_gb", memoryGb)
-                .put("local_gb", 50.0)
-                .put("fetch_gb_per_s", 1.0)
-                .put("rate", 1.0)
-                .put("spot_price", 0.4)
-                .put("startup_s", bootS);
-        zones.forEach(machineType.putArray("harbors")::add);
+                .put(WireNames.MACHINE_TYPE_NAME, type)
+                .put(WireNames.CPUS, cpus)
+                .put(WireNames.GPUS, 0)
+                .put(WireNames.MEMORY_GB, memoryGb)
+                .put(WireNames.CACHE_GB, 50.0)
+                .put(WireNames.FETCH_GB_PER_S, 1.0)
+                .put(WireNames.ON_DEMAND_PRICE, 1.0)
+                .put(WireNames.SPOT_PRICE, 0.4)
+                .put(WireNames.BOOT_S, bootS);
+        zones.forEach(machineType.putArray(WireNames.ZONES)::add);
         return answer;
     }
 
     /** Creates machines once for each request's id, and answers a repeated request the same. */
     private void create(JsonNode body, Environment.ResponseHandler reply) {
-        String request = body.path("charter").asText();
+        String request = body.path(WireNames.SCALE_OUT_REQUEST).asText();
         List<String> names = namesByRequest.get(request);
         if (names == null) {
             names = createInstances(
-                    body.path("harbor").asText(),
-                    body.path("tender").asBoolean(),
-                    body.path("count").asInt());
+                    body.path(WireNames.ZONE).asText(),
+                    body.path(WireNames.SPOT).asBoolean(),
+                    body.path(WireNames.COUNT).asInt());
             if (names.isEmpty()) {
-                reply.onResponse(503, MessageCodec.map().put("error", "no capacity"));
+                reply.onResponse(503, MessageCodec.map().put(WireNames.ERROR, "no capacity"));
                 return;
             }
             namesByRequest.put(request, names);
         }
         ObjectNode answer = MessageCodec.map();
-        names.forEach(answer.putArray("fleet")::add);
+        names.forEach(answer.putArray(WireNames.MACHINES)::add);
         reply.onResponse(200, answer);
     }
 
@@ -184,20 +185,20 @@
     /** All machines after this one, as they were before the list's lag. */
     private ObjectNode list(String from) {
         ObjectNode answer = MessageCodec.map().put("more", false);
-        ArrayNode list = answer.putArray("fleet");
+        ArrayNode list = answer.putArray(WireNames.MACHINES);
         goneInstances.values().removeIf(instance -> now - instance.goneAt > listLagMs);
         TreeMap<String, Instance> listed = new TreeMap<>(instances);
         listed.putAll(goneInstances);
         listed.tailMap(from, false).forEach((name, instance) -> {
             if (now - instance.createdAt >= listLagMs) {
                 list.addObject()
-                        .put("name_id", name)
-                        .put("addr", instance.worker == null ? "" : instance.worker.address())
-                        .put("hull", type)
-                        .put("harbor", instance.zone)
-                        .put("tender", instance.spot)
-                        .put("tide", instance.worker == null ? "booting" : "running")
-                        .put("age_s", (now - instance.createdAt) / 1000.0);
+                        .put(WireNames.NAME_ID, name)
+                        .put(WireNames.ADDRESS, instance.worker == null ? "" : instance.worker.address())
+                        .put(WireNames.MACHINE_TYPE, type)
+                        .put(WireNames.ZONE, instance.zone)
+                        .put(WireNames.SPOT, instance.spot)
+                        .put(WireNames.STATE, instance.worker == null ? "booting" : "running")
+                        .put(WireNames.AGE_S, (now - instance.createdAt) / 1000.0);
             }
         });
         return answer;
--- a/src/main/java/stileferry/standin/WorkerWireFormat.java
+++ b/src/main/java/stileferry/standin/WorkerWireFormat.java
@@ -9,6 +9,7 @@
 import stileferry.protocol.ExitReason;
 import stileferry.protocol.Heartbeat.TaskPhase;
 import stileferry.protocol.MessageCodec;
+import stileferry.protocol.WireNames;
 import stileferry.protocol.WorkerCommand;
 
 /** The worker's side of its messages, after the published protocol. */
@@ -23,30 +24,32 @@
     static ObjectNode heartbeat(
             Worker worker, long sequence, long fencingToken, double reclaimNoticeS, Collection<WorkerTask> tasks) {
         ObjectNode heartbeat = MessageCodec.map()
-                .put("vessel", worker.machine())
-                .put("addr", worker.address())
-                .put("hull", worker.type())
-                .put("harbor", worker.zone())
-                .put("tender", worker.spot())
-                .put("voyage", worker.incarnation())
-                .put("log_seq", sequence)
-                .put("helm", fencingToken);
+                .put(WireNames.MACHINE, worker.machine())
+                .put(WireNames.ADDRESS, worker.address())
+                .put(WireNames.MACHINE_TYPE, worker.type())
+                .put(WireNames.ZONE, worker.zone())
+                .put(WireNames.SPOT, worker.spot())
+                .put(WireNames.INCARNATION, worker.incarnation())
+                .put(WireNames.SEQUENCE, sequence)
+                .put(WireNames.FENCING_TOKEN, fencingToken);
         if (reclaimNoticeS >= 0) {
-            heartbeat.put("recall_s", reclaimNoticeS);
+            heartbeat.put(WireNames.RECLAIM_NOTICE_S, reclaimNoticeS);
         } else {
-            heartbeat.putNull("recall_s");
+            heartbeat.putNull(WireNames.RECLAIM_NOTICE_S);
         }
-        ArrayNode list = heartbeat.putArray("passengers");
+        ArrayNode list = heartbeat.putArray(WireNames.TASKS);
         tasks.forEach(task -> writeTask(task, list.addObject()));
         return heartbeat;
     }
 
     private static void writeTask(WorkerTask task, ObjectNode entry) {
-        entry.put("passenger", task.taskId()).put("launch", task.attempt()).put("tide", phaseName(task.phase()));
+        entry.put(WireNames.TASK, task.taskId())
+                .put(WireNames.ATTEMPT, task.attempt())
+                .put(WireNames.STATE, phaseName(task.phase()));
         if (task.exited()) {
-            entry.put("landing_cause", exitReasonName(task.exitReason()));
+            entry.put(WireNames.EXIT_REASON, exitReasonName(task.exitReason()));
             if (task.checkpointSaved()) {
-                entry.put("kept", true);
+                entry.put(WireNames.CHECKPOINT_SAVED, true);
             }
         }
     }
@@ -76,32 +79,33 @@
     }
 
     static boolean hasFencingToken(JsonNode message) {
-        return message.path("helm").isIntegralNumber();
+        return message.path(WireNames.FENCING_TOKEN).isIntegralNumber();
     }
 
     static long fencingToken(JsonNode message) {
-        return message.path("helm").asLong();
+        return message.path(WireNames.FENCING_TOKEN).asLong();
     }
 
     static boolean hasIncarnation(JsonNode message) {
-        return message.path("voyage").isIntegralNumber();
+        return message.path(WireNames.INCARNATION).isIntegralNumber();
     }
 
     static long incarnation(JsonNode message) {
-        return message.path("voyage").asLong();
+        return message.path(WireNames.INCARNATION).asLong();
     }
 
     /** The commands of a message, without those of a kind that is not known. */
     static List<WorkerCommand> commands(JsonNode message) {
         List<WorkerCommand> commands = new ArrayList<>();
-        for (JsonNode command : message.path("signals")) {
-            WorkerCommand.Kind kind = commandKind(command.path("signal").asText());
+        for (JsonNode command : message.path(WireNames.COMMANDS)) {
+            WorkerCommand.Kind kind =
+                    commandKind(command.path(WireNames.COMMAND).asText());
             if (kind != null) {
                 commands.add(new WorkerCommand(
                         kind,
-                        command.path("passenger").asText(),
-                        command.path("launch").asLong(),
-                        command.path("ashore_s").asDouble()));
+                        command.path(WireNames.TASK).asText(),
+                        command.path(WireNames.ATTEMPT).asLong(),
+                        command.path(WireNames.GRACE_S).asDouble()));
             }
         }
         return commands;
