--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -84,7 +84,7 @@
 
     private void readPage(String lastMachine, List<CloudMessages.ListedMachine> listed) {
         pages++;
-        String path = "/hosts?most=" + PAGE_SIZE + (lastMachine.isEmpty() ? "" : "&from=" + lastMachine);
+        String path = CloudMessages.listPath(PAGE_SIZE, lastMachine);
         cloud.call("GET", path, null, (status, body) -> takePage(status, body, listed));
     }
 
@@ -94,7 +94,7 @@
             return;
         }
         listed.addAll(CloudMessages.listedMachines(body));
-        if (body.path("more").asBoolean() && !listed.isEmpty()) {
+        if (CloudMessages.hasMorePages(body) && !listed.isEmpty()) {
             readNextPage(listed.get(listed.size() - 1).name(), listed);
             return;
         }
@@ -144,9 +144,9 @@
             instance.setRequestedAt(now - Math.round(listed.ageS() * 1000));
         }
         if (!machine.agent().heardThisTerm()) {
-            instance.setBooting(listed.state().equals("booting"));
+            instance.setBooting(listed.booting());
         }
-        if (listed.state().equals("failed") && !instance.terminating()) {
+        if (listed.failed() && !instance.terminating()) {
             LOG.info("machine failed: machine={}", machine.name());
             instance.terminate();
             cluster.freeCapacity().update(machine);
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -85,7 +85,7 @@
             return;
         }
         deleting = true;
-        cloud.call("POST", "/hosts/delete", CloudMessages.deletionRequest(names), (status, body) -> {
+        cloud.call("POST", CloudMessages.DELETION_PATH, CloudMessages.deletionRequest(names), (status, body) -> {
             deleting = false;
             if (status == OK) {
                 names.forEach(this::deleted);
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -87,7 +87,7 @@
         InstancePool pool = request.pool();
         cloud.call(
                 "POST",
-                "/hosts",
+                CloudMessages.SCALE_OUT_PATH,
                 CloudMessages.scaleOutRequest(
                         request.id(), pool.type().name(), pool.zone(), pool.spot(), request.count()),
                 (status, body) -> receiveAnswer(request, status, body));
@@ -98,7 +98,7 @@
         if (status == OK && body != null) {
             settle(request);
             machinesCreated(request, CloudMessages.createdMachines(body));
-        } else if (status == UNAVAILABLE && saysNoCapacity(body)) {
+        } else if (status == UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
             settle(request);
             backOff.refused(request.pool());
         } else if (status == MALFORMED) {
@@ -111,10 +111,6 @@
         pendingRequests.removeIf(pending -> pending.id().equals(request.id()));
     }
 
-    private static boolean saysNoCapacity(JsonNode body) {
-        return body != null && body.path("error").asText().startsWith("no");
-    }
-
     private void machinesCreated(ScaleOutRequest request, List<String> names) {
         InstancePool pool = request.pool();
         LOG.info(
--- a/src/main/java/stileferry/protocol/CloudMessages.java
+++ b/src/main/java/stileferry/protocol/CloudMessages.java
@@ -10,9 +10,44 @@
 public final class CloudMessages {
     private CloudMessages() {}
 
+    /** Where machines are requested. */
+    public static final String SCALE_OUT_PATH = "/hosts";
+
+    /** Where machines are deleted. */
+    public static final String DELETION_PATH = "/hosts/delete";
+
     /** A machine in the cloud's list; the age is in seconds. */
     public record ListedMachine(
-            String name, String address, String type, String zone, boolean spot, String state, double ageS) {}
+            String name, String address, String type, String zone, boolean spot, String state, double ageS) {
+        /** Whether the machine has not come up yet. */
+        public boolean booting() {
+            return state.equals("booting");
+        }
+
+        /** Whether the machine will never come up. */
+        public boolean failed() {
+            return state.equals("failed");
+        }
+    }
+
+    /**
+     * Where a page of the list is read.
+     *
+     * @param after the last machine of the page before; empty: the first page
+     */
+    public static String listPath(int maxMachines, String after) {
+        return "/hosts?most=" + maxMachines + (after.isEmpty() ? "" : "&from=" + after);
+    }
+
+    /** Whether the list goes on after this page. */
+    public static boolean hasMorePages(JsonNode body) {
+        return body.path("more").asBoolean();
+    }
+
+    /** Whether a request to scale out was refused because the cloud has no such machines now. */
+    public static boolean saysNoCapacity(JsonNode body) {
+        return body.path(WireNames.ERROR).asText().startsWith("no");
+    }
 
     /** A request to scale out by some machines of one type. */
     public static ObjectNode scaleOutRequest(String request, String type, String zone, boolean spot, int count) {
