--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -144,7 +144,7 @@
                 return; // the rest goes out as answers come
             }
             if (!sure && !planner.hasCancelledTasks(machine)) {
-                continue; // all else waits until this node is sure to lead again
+                continue; // all else waits until this controller is sure to lead again
             }
             queuedForCommands.remove(machine);
             if (acceptsDirectCommands(machine)) {
