--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -40,8 +40,8 @@
     /** A heartbeat waits this long at most until it may be answered: less than the 4 s that its worker waits. */
     private static final long MAX_WAIT_MS = 3000;
 
-    /** Bytes of an event in JSON form beside the machine's name. */
-    private static final int BYTES = 64;
+    /** Bytes of an event in JSON form beside the machine's name, at most. */
+    private static final int MAX_BYTES_BESIDE_NAME = 64;
 
     private final ClusterState cluster;
     private final Environment environment;
@@ -57,29 +57,29 @@
     /** A heartbeat that waits until it is durable that its machine was heard again. */
     private record PendingHeartbeat(long receivedAt, Runnable answer, Runnable refuse) {}
 
-    private record Silent(LastHeartbeatRecord silence) implements StoredEvent {
+    private record LastHeartbeatEvent(LastHeartbeatRecord lastHeartbeat) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(LAST_HEARTBEAT_EVENT)
-                    .add(silence.machine())
-                    .add(silence.incarnation())
-                    .add(silence.answeredAt())
-                    .add(silence.term());
+                    .add(lastHeartbeat.machine())
+                    .add(lastHeartbeat.incarnation())
+                    .add(lastHeartbeat.answeredAt())
+                    .add(lastHeartbeat.term());
         }
 
         @Override
         public int maxBytes() {
-            return BYTES + silence.machine().length();
+            return MAX_BYTES_BESIDE_NAME + lastHeartbeat.machine().length();
         }
 
         @Override
         public void recordedIn(long record) {
-            silence.stored(record);
+            lastHeartbeat.stored(record);
         }
 
         @Override
         public StoredEvent retainedFrom(long record) {
-            return silence.storedIn(record) && !silence.obsolete() ? this : null;
+            return lastHeartbeat.storedIn(record) && !lastHeartbeat.obsolete() ? this : null;
         }
 
         @Override
@@ -88,7 +88,7 @@
         }
     }
 
-    private record Heard(String machine) implements EndEvent {
+    private record HeardAgainEvent(String machine) implements EndEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(HEARD_AGAIN_EVENT).add(machine);
@@ -96,7 +96,7 @@
 
         @Override
         public int maxBytes() {
-            return BYTES + machine.length();
+            return MAX_BYTES_BESIDE_NAME + machine.length();
         }
     }
 
@@ -149,7 +149,7 @@
             LastHeartbeatRecord record =
                     new LastHeartbeatRecord(machine.name(), incarnation, environment.timeOfDay() - agoMs, term);
             machine.agent().keepLastHeartbeatRecord(record);
-            commitQueue.appendEvent(new Silent(record), null);
+            commitQueue.appendEvent(new LastHeartbeatEvent(record), null);
         }
     }
 
@@ -166,7 +166,7 @@
             return;
         }
         pending.put(machine, new ArrayList<>(List.of(heartbeat)));
-        commitQueue.appendEvent(new Heard(machine.name()), () -> {
+        commitQueue.appendEvent(new HeardAgainEvent(machine.name()), () -> {
             machine.agent().discardLastHeartbeatRecord();
             pending.remove(machine).forEach(waiting -> waiting.answer.run());
         });
