--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -146,7 +146,7 @@
     /** The cloud has confirmed that a machine is deleted, with all tasks on it. */
     public void machineDeleted(Machine machine) {
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
-            taskObserver.gone(assignment, "machine deleted");
+            taskObserver.gone(assignment, SettlementProof.MACHINE_DELETED);
         }
         cluster.forget(machine);
         taskObserver.changed();
--- a/src/main/java/stileferry/heartbeat/LeaseExpiry.java
+++ b/src/main/java/stileferry/heartbeat/LeaseExpiry.java
@@ -107,7 +107,7 @@
                     machine.assignments().size());
         }
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
-            taskObserver.gone(assignment, "lease");
+            taskObserver.gone(assignment, SettlementProof.LEASE_EXPIRED);
         }
         taskObserver.changed();
     }
--- a/src/main/java/stileferry/heartbeat/TaskObserver.java
+++ b/src/main/java/stileferry/heartbeat/TaskObserver.java
@@ -10,8 +10,8 @@
     /** The task has exited; its assignment is to be settled. */
     void exited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status);
 
-    /** It is proven that the task is not on its machine and can't start there any more; {@code proof} says by what. */
-    void gone(TaskAssignment assignment, String proof);
+    /** It is proven that the task is not on its machine and can't start there any more. */
+    void gone(TaskAssignment assignment, SettlementProof proof);
 
     /** The task has entered another phase. */
     void phaseChanged(TaskAssignment assignment);
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -34,14 +34,14 @@
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
             Heartbeat.TaskStatus status = assignedTasks.get(assignment.taskId());
             if (assignment.incarnation() < heartbeat.incarnation()) {
-                taskObserver.gone(assignment, "session");
+                taskObserver.gone(assignment, SettlementProof.HIGHER_INCARNATION);
             } else if (status != null) {
                 if (status.phase() == Heartbeat.TaskPhase.EXITED || assignment.stopping()) {
                     agent.setReconciled(false);
                 }
                 updatePhase(machine, assignment, status, now);
             } else if (origin == HeartbeatReconciliation.Origin.HEARTBEAT && neverStarted(machine, assignment)) {
-                taskObserver.gone(assignment, "never started");
+                taskObserver.gone(assignment, SettlementProof.NEVER_STARTED);
             }
         }
     }
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -11,6 +11,7 @@
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
 import stileferry.heartbeat.HeartbeatHandler;
+import stileferry.heartbeat.SettlementProof;
 import stileferry.heartbeat.TaskObserver;
 import stileferry.leadership.TermSequence;
 import stileferry.protocol.Environment;
@@ -194,7 +195,7 @@
             return; // settled with its gang; counted out twice it would let its team beyond its limit
         }
         if (!assignment.startSent()) {
-            logSettled(assignment, "never sent");
+            logSettled(assignment, SettlementProof.NEVER_SENT);
             settle(assignment, false, null);
             return;
         }
@@ -301,7 +302,7 @@
     }
 
     @Override
-    public void gone(TaskAssignment assignment, String proof) {
+    public void gone(TaskAssignment assignment, SettlementProof proof) {
         if (assignment.job().holds(assignment)) {
             logSettled(assignment, proof);
             settle(assignment, false, null);
@@ -312,7 +313,7 @@
         }
     }
 
-    private static void logSettled(TaskAssignment assignment, String proof) {
+    private static void logSettled(TaskAssignment assignment, SettlementProof proof) {
         LOG.debug(
                 "task assignment settled: task={} machine={} proof={}",
                 assignment.taskId(),
