--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -5,142 +5,134 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
+import stileferry.cluster.TestJob;
 import stileferry.coordination.ControllerNode;
 import stileferry.coordination.SimulatedCluster;
 import stileferry.coordination.SimulatedEnvironment;
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.links.LinkHealth;
-import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 
-/** Which machines are returned to the cloud, and when. */
+/** When a new leader deletes machines that it has not heard from. */
 class AutoscalerTest {
-    /**
-     * Found in a recorded day: a new leader returned young machines, which the list did not show yet, with all their
-     * tasks a few seconds after it took over.
-     */
-    @Test
-    void aNewLeaderGivesUnlistedMachinesTimeToReport() {
-        SimulatedCluster w = new SimulatedCluster(1);
-        ControllerNode node = w.controllers.get("n0");
+    private static final MachineType BOX = new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za"));
+    private static final int SPOT_MACHINES = 8;
+
+    private SimulatedCluster simulation;
+    private SimulatedEnvironment environment;
+    private ClusterState cluster;
+    private HeartbeatHandler heartbeatHandler;
+
+    @BeforeEach
+    void startLeader() {
+        simulation = new SimulatedCluster(1);
+        ControllerNode node = simulation.controllers.get("n0");
         node.start();
-        SimulatedEnvironment environment = node.environment;
-        ClusterState cluster = new ClusterState(node.settings);
-        HeartbeatHandler fleet =
+        environment = node.environment;
+        cluster = new ClusterState(node.settings);
+        heartbeatHandler =
                 new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
-        Autoscaler provisioning = new Autoscaler(cluster, environment, fleet, 1, LinkHealth.NONE);
-        provisioning.refreshInventory();
-        w.runFor(1);
-        Job job = new Job(
-                new JobSpec(
-                        "job-1",
-                        "any",
-                        "red",
-                        JobSpec.Kind.ARRAY,
-                        JobSpec.Priority.NORMAL,
-                        1,
-                        1,
-                        0,
-                        1,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        10,
-                        0,
-                        0,
-                        -1),
-                1,
-                0,
-                0);
-        cluster.assign(new TaskAssignment(job, 0, 1, "host-000099", 1, 0));
-        w.runFor(4);
-        provisioning.scaleIn(true);
+    }
+
+    /** The list lags behind young machines, so these may report any moment. */
+    @Test
+    void unlistedMachineIsNotDeletedBeforeItCouldReport() {
+        Autoscaler autoscaler = autoscalerWithUnlistedMachine();
+        simulation.runFor(4);
+        autoscaler.scaleIn(true);
         assertFalse(cluster.machine("host-000099").instance().terminating(), "it may report any moment");
-        w.runFor(20);
-        provisioning.scaleIn(true);
+    }
+
+    @Test
+    void unlistedMachineThatDoesNotReportIsDeleted() {
+        Autoscaler autoscaler = autoscalerWithUnlistedMachine();
+        simulation.runFor(4);
+        autoscaler.scaleIn(true);
+        simulation.runFor(20);
+        autoscaler.scaleIn(true);
         assertTrue(
                 cluster.machine("host-000099").instance().terminating(),
-                "what neither list nor report shows must end some day");
+                "what neither list nor heartbeat shows must end some day");
+    }
+
+    private Autoscaler autoscalerWithUnlistedMachine() {
+        Autoscaler autoscaler = new Autoscaler(cluster, environment, heartbeatHandler, 1, LinkHealth.NONE);
+        autoscaler.refreshInventory();
+        simulation.runFor(1);
+        Job job = TestJob.number(1).estimateS(10).accepted(1, 0);
+        cluster.assign(new TaskAssignment(job, 0, 1, "host-000099", 1, 0));
+        return autoscaler;
     }
 
-    /**
-     * Found on a day where a wave of losses met a crash: the new leader waited a whole lease from its own beginning for
-     * machines that were gone. And when a zone is cut off, silence says nothing about each machine there.
-     */
+    /** A new leader waits for part of a lease, not for a whole one, for machines that were lost with the former. */
     @Test
-    void aNewLeaderGivesUpSpotMachinesThatDoNotReport() {
-        SimulatedCluster w = new SimulatedCluster(2);
-        ControllerNode node = w.controllers.get("n0");
-        node.start();
-        SimulatedEnvironment environment = node.environment;
-        ClusterState cluster = new ClusterState(node.settings);
-        HeartbeatHandler fleet =
-                new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
-        MachineType box = new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za"));
-        Job job = new Job(
-                new JobSpec(
-                        "job-1",
-                        "any",
-                        "red",
-                        JobSpec.Kind.ARRAY,
-                        JobSpec.Priority.NORMAL,
-                        9,
-                        1,
-                        0,
-                        1,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        10,
-                        0,
-                        0,
-                        -1),
-                1,
-                0,
-                0);
-        for (int i = 0; i < 8; i++) {
-            Machine machine = cluster.machine("host-" + i);
-            machine.setType(box);
+    void spotMachineThatMissesHeartbeatsIsPresumedLostWithinALease() {
+        long leadingSince = addSpotMachines();
+        simulation.runFor(7); // more than half a lease
+        reportFrom(1);
+        assertPresumedLost(List.of(machine(0)), leadingSince, "the only one that was not heard");
+    }
+
+    @Test
+    void noMachineOfAZoneThatIsCutOffIsPresumedLost() {
+        long leadingSince = addSpotMachines();
+        simulation.runFor(7);
+        reportFrom(1);
+        assertPresumedLost(List.of(machine(0)), leadingSince, "the only one that was not heard");
+        simulation.runFor(7);
+        assertPresumedLost(List.of(), leadingSince, "nobody reports: the network is at fault");
+    }
+
+    /** After a partition most machines come back by way of followers, one after the other. */
+    @Test
+    void machinesOfAZoneThatWasCutOffArePresumedLostOnlyALeaseAfterThePartition() {
+        long leadingSince = addSpotMachines();
+        simulation.runFor(7);
+        reportFrom(1);
+        simulation.runFor(7);
+        assertPresumedLost(List.of(), leadingSince, "nobody reports: the network is at fault");
+        reportFrom(2);
+        assertPresumedLost(List.of(), leadingSince, "the rest may be on their way");
+        for (int i = 0; i < 5; i++) {
+            simulation.runFor(2);
+            reportFrom(2);
+        }
+        assertPresumedLost(List.of(machine(0), machine(1)), leadingSince, "a lease has passed");
+    }
+
+    /** Spot machines of one zone, each with a task; returns when the leader began. */
+    private long addSpotMachines() {
+        Job job = TestJob.number(1).tasks(SPOT_MACHINES + 1).estimateS(10).accepted(1, 0);
+        for (int i = 0; i < SPOT_MACHINES; i++) {
+            Machine machine = machine(i);
+            machine.setType(BOX);
             machine.setSpot(true);
             cluster.setZone(machine, "za");
             cluster.assign(new TaskAssignment(job, i, 1, machine.name(), 1, 0));
         }
-        long since = environment.now();
-        w.runFor(7); // more than half a lease
-        for (int i = 1; i < 8; i++) {
-            cluster.machine("host-" + i).agent().setHeardThisTerm(true);
-            cluster.machine("host-" + i).agent().markHeard(environment.now());
-        }
-        assertEquals(List.of(cluster.machine("host-0")), fleet.failureDetector().presumedLost(since));
-        w.runFor(7);
-        assertEquals(List.of(), fleet.failureDetector().presumedLost(since), "nobody reports: the network is at fault");
-        for (int i = 2; i < 8; i++) {
-            cluster.machine("host-" + i).agent().markHeard(environment.now());
-        }
-        // found on a day where the leader could not hear its workers: most had come back by way of the others
-        assertEquals(List.of(), fleet.failureDetector().presumedLost(since), "the rest may be on their way");
-        for (int t = 0; t < 5; t++) {
-            w.runFor(2);
-            for (int i = 2; i < 8; i++) {
-                cluster.machine("host-" + i).agent().markHeard(environment.now());
-            }
+        return environment.now();
+    }
+
+    private Machine machine(int number) {
+        return cluster.machine("host-" + number);
+    }
+
+    /** The machines from this number on are heard now. */
+    private void reportFrom(int first) {
+        for (int i = first; i < SPOT_MACHINES; i++) {
+            machine(i).agent().setHeardThisTerm(true);
+            machine(i).agent().markHeard(environment.now());
         }
-        assertEquals(
-                List.of(cluster.machine("host-0"), cluster.machine("host-1")),
-                fleet.failureDetector().presumedLost(since));
+    }
+
+    private void assertPresumedLost(List<Machine> expected, long leadingSince, String message) {
+        assertEquals(expected, heartbeatHandler.failureDetector().presumedLost(leadingSince), message);
     }
 }
