--- a/src/main/java/stileferry/coordination/ConnectionBudgetWarning.java
+++ b/src/main/java/stileferry/coordination/ConnectionBudgetWarning.java
@@ -18,7 +18,7 @@
 
     void check(int machines) {
         SocketBudget sockets = settings.socketBudget();
-        if (!given && sockets.full(machines)) {
+        if (!given && sockets.closesWorkerConnections(machines)) {
             given = true;
             LOG.warn(
                     "too few sockets to keep connections: machines={} max_sockets={} incoming={}",
--- a/src/main/java/stileferry/protocol/SocketBudget.java
+++ b/src/main/java/stileferry/protocol/SocketBudget.java
@@ -12,10 +12,10 @@
  */
 public record SocketBudget(int incoming, int peers, int idle, int commands, int forwards) {
     /** Of the incoming connections: above this share users' connections end with their answers. */
-    private static final double CROWDED = 0.75;
+    private static final double USER_CLOSE_SHARE = 0.75;
 
     /** Above this share workers' connections do too. */
-    private static final double FULL = 0.95;
+    private static final double WORKER_CLOSE_SHARE = 0.95;
 
     /** Divides so many. */
     public static SocketBudget of(int max) {
@@ -27,12 +27,12 @@
     }
 
     /** Whether a user's connection has to end with its answer when so many are open. */
-    public boolean crowded(long open) {
-        return open > incoming * CROWDED;
+    public boolean closesUserConnections(long open) {
+        return open > incoming * USER_CLOSE_SHARE;
     }
 
     /** Whether a worker's connection has to end with its answer when so many are open. */
-    public boolean full(long open) {
-        return open > incoming * FULL;
+    public boolean closesWorkerConnections(long open) {
+        return open > incoming * WORKER_CLOSE_SHARE;
     }
 }
--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -64,7 +64,7 @@
         String path = exchange.getRequestPath();
         boolean report = path.equals("/v1/report");
         long now = open.getAsLong();
-        if (report ? sockets.full(now) : sockets.crowded(now)) {
+        if (report ? sockets.closesWorkerConnections(now) : sockets.closesUserConnections(now)) {
             exchange.setPersistent(false); // past the limit nobody could connect any more
             exchange.addExchangeCompleteListener((done, next) -> {
                 IoUtils.safeClose(done.getConnection()); // without waiting for the other side to close it too
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -11,6 +11,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessageCodec;
 import stileferry.protocol.Settings;
 
 /** The real outside: sockets, clocks and timers, with replies put into the owner's queue. */
@@ -101,13 +102,13 @@
                 peer.address(),
                 "POST",
                 PEER_PATH,
-                PeerMessage.write(record),
+                PeerMessageCodec.encode(record),
                 timeoutMs,
                 (status, bytes) -> owner.submit(() -> {
                     if (forward) {
                         forwards.merge(peer.address(), -1, Integer::sum);
                     }
-                    reply.accept(status == 200 ? PeerMessage.read(bytes) : null);
+                    reply.accept(status == 200 ? PeerMessageCodec.decode(bytes) : null);
                 }));
     }
 }
--- a/src/main/java/stileferry/transport/PeerServer.java
+++ b/src/main/java/stileferry/transport/PeerServer.java
@@ -6,6 +6,7 @@
 import stileferry.coordination.Coordinator;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessageCodec;
 
 /** The address for the other controllers. */
 final class PeerServer implements HttpHandler {
@@ -24,14 +25,14 @@
             return;
         }
         RequestBodyReader.read(exchange, 2 * MessageCodec.MAX_BODY, body -> {
-            PeerMessage record = PeerMessage.read(body);
+            PeerMessage record = PeerMessageCodec.decode(body);
             if (record == null) {
                 ApiServer.refuse(exchange, 400, "not a record");
                 return;
             }
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                 if (!owner.offer(() -> coordinator.handlePeerMessage(
-                        record, answer -> ApiServer.send(exchange, 200, 0, PeerMessage.write(answer))))) {
+                        record, answer -> ApiServer.send(exchange, 200, 0, PeerMessageCodec.encode(answer))))) {
                     ApiServer.refuse(exchange, 503, "too much to do, try again");
                 }
             });
--- a/src/test/java/stileferry/coordination/World.java
+++ b/src/test/java/stileferry/coordination/World.java
@@ -19,6 +19,7 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessageCodec;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
 import stileferry.standin.Cloud;
@@ -572,7 +573,7 @@
 
     /** A record as the other side reads it, where one of the two may have the former version's form. */
     private static PeerMessage carried(PeerMessage record, boolean former) {
-        PeerMessage read = PeerMessage.read(PeerMessage.write(record));
+        PeerMessage read = PeerMessageCodec.decode(PeerMessageCodec.encode(record));
         return former && read instanceof PeerMessage.TermAnnouncement announcement
                 ? new PeerMessage.TermAnnouncement(announcement.term(), announcement.leader(), announcement.leading())
                 : read;
--- a/src/test/java/stileferry/golden/GoldenPeerExchangeTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerExchangeTest.java
@@ -9,6 +9,7 @@
 import stileferry.protocol.Features;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.PeerMessage.RequestKind;
+import stileferry.protocol.PeerMessageCodec;
 
 /** What controllers really send each other, in a scripted world: terms, forwarded requests, views, demand, batches. */
 class GoldenPeerExchangeTest {
@@ -40,9 +41,9 @@
 
     private static String answer(StoredRecordsFixture fixture, String hex) {
         List<String> answers = new ArrayList<>();
-        PeerMessage record = PeerMessage.read(HexFormat.of().parseHex(hex));
+        PeerMessage record = PeerMessageCodec.decode(HexFormat.of().parseHex(hex));
         fixture.turn(() -> fixture.coordinator.handlePeerMessage(
-                record, told -> answers.add(HexFormat.of().formatHex(PeerMessage.write(told)))));
+                record, told -> answers.add(HexFormat.of().formatHex(PeerMessageCodec.encode(told)))));
         fixture.advance(100);
         return String.join("\n", answers);
     }
--- a/src/test/java/stileferry/golden/GoldenPeerOlderVersionsTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerOlderVersionsTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessageCodec;
 
 /**
  * What 7564325 (P1) and f7fe539 (P0) read of this version's records, and what this version reads of theirs. The readers
@@ -74,7 +75,7 @@
                     case "batch" -> new PeerMessage.RequestBatch(List.of(status));
                     default -> new PeerMessage.ResponseBatch(List.of(answer));
                 };
-        return HexFormat.of().formatHex(PeerMessage.write(record));
+        return HexFormat.of().formatHex(PeerMessageCodec.encode(record));
     }
 
     @ParameterizedTest
@@ -104,8 +105,8 @@
                 + "cancelled=[job-1, job-2]], linkAware=[n1, n0]]'"
     })
     void termsOfAllVersionsAreRead(String version, String hex, String meaning) {
-        PeerMessage.TermAnnouncement term =
-                (PeerMessage.TermAnnouncement) PeerMessage.read(HexFormat.of().parseHex(hex));
+        PeerMessage.TermAnnouncement term = (PeerMessage.TermAnnouncement)
+                PeerMessageCodec.decode(HexFormat.of().parseHex(hex));
         assertEquals(meaning, describe(term), version);
     }
 
--- a/src/test/java/stileferry/golden/GoldenPeerRecordsTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerRecordsTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.PeerMessage.RequestKind;
+import stileferry.protocol.PeerMessageCodec;
 
 /** Every kind of record that controllers send each other, byte for byte, written and read. */
 class GoldenPeerRecordsTest {
@@ -98,14 +99,14 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void recordIsWrittenByteForByte(String name, PeerMessage record, String golden) {
-        assertEquals(golden.replace(" ", ""), HexFormat.of().formatHex(PeerMessage.write(record)));
+        assertEquals(golden.replace(" ", ""), HexFormat.of().formatHex(PeerMessageCodec.encode(record)));
     }
 
     /** Arrays in records are compared by identity, so the meaning is compared as text. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void recordIsReadFromItsBytes(String name, PeerMessage record, String golden) {
-        assertEquals(text(record), text(PeerMessage.read(hex(golden))));
+        assertEquals(text(record), text(PeerMessageCodec.decode(hex(golden))));
     }
 
     private static String text(PeerMessage record) {
@@ -132,7 +133,7 @@
     @Test
     void namesWithoutKnowledgeAreNotWritten() {
         PeerMessage.TermAnnouncement term = new PeerMessage.TermAnnouncement(9, "n1", true).with(List.of("n1"));
-        assertEquals("03000000000000000900026e3101", HexFormat.of().formatHex(PeerMessage.write(term)));
+        assertEquals("03000000000000000900026e3101", HexFormat.of().formatHex(PeerMessageCodec.encode(term)));
     }
 
     @ParameterizedTest
@@ -153,6 +154,6 @@
                 "07 0101"
             })
     void malformedRecordIsNone(String bytes) {
-        assertNull(PeerMessage.read(hex(bytes)));
+        assertNull(PeerMessageCodec.decode(hex(bytes)));
     }
 }
--- a/src/test/java/stileferry/golden/StoredRecordsFixture.java
+++ b/src/test/java/stileferry/golden/StoredRecordsFixture.java
@@ -15,6 +15,7 @@
 import stileferry.protocol.Features;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessageCodec;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
 
@@ -183,9 +184,9 @@
 
     @Override
     public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        byte[] bytes = PeerMessage.write(record);
+        byte[] bytes = PeerMessageCodec.encode(record);
         peerBytes.add(peer.name() + " " + HexFormat.of().formatHex(bytes));
-        PeerMessage answer = peers.apply(PeerMessage.read(bytes));
+        PeerMessage answer = peers.apply(PeerMessageCodec.decode(bytes));
         schedule(1, () -> reply.accept(answer));
     }
 
--- a/src/test/java/stileferry/protocol/MessagesTest.java
+++ b/src/test/java/stileferry/protocol/MessagesTest.java
@@ -111,14 +111,14 @@
                 .put("voyage", 1)
                 .put("log_seq", 1)
                 .put("helm", 1));
-        byte[] record =
-                PeerMessage.write(new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.SUBMIT, "job-1", report));
+        byte[] record = PeerMessageCodec.encode(
+                new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.SUBMIT, "job-1", report));
         int refused = 0;
         for (int i = 0; i < 5000; i++) {
             byte[] bytes = (random.nextBoolean() ? report : record).clone();
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
-            refused += Heartbeat.read(MessageCodec.decode(cut)) == null && PeerMessage.read(cut) == null ? 1 : 0;
+            refused += Heartbeat.read(MessageCodec.decode(cut)) == null && PeerMessageCodec.decode(cut) == null ? 1 : 0;
         }
         assertEquals(true, refused > 2500, "too much noise was understood: " + refused);
     }
@@ -127,20 +127,21 @@
     void recordsBetweenControllersAreReadAsWritten() {
         PeerMessage.ForwardedRequest request =
                 new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.CANCEL, "job-7", new byte[] {1, 2});
-        PeerMessage.ForwardedRequest back = (PeerMessage.ForwardedRequest) PeerMessage.read(PeerMessage.write(request));
+        PeerMessage.ForwardedRequest back =
+                (PeerMessage.ForwardedRequest) PeerMessageCodec.decode(PeerMessageCodec.encode(request));
         assertEquals(request.kind(), back.kind());
         assertEquals(request.id(), back.id());
         assertArrayEquals(request.body(), back.body());
         PeerMessage.TermAnnouncement announcement = new PeerMessage.TermAnnouncement(9, "n1", true);
-        assertEquals(announcement, PeerMessage.read(PeerMessage.write(announcement)));
+        assertEquals(announcement, PeerMessageCodec.decode(PeerMessageCodec.encode(announcement)));
         PeerMessage.TermAnnouncement told = new PeerMessage.TermAnnouncement(
                 9,
                 "n1",
                 true,
                 new PeerMessage.CancellationKnowledge(1L << 60, 5, true, false, List.of("job-1", "job-2")));
-        assertEquals(told, PeerMessage.read(PeerMessage.write(told)));
+        assertEquals(told, PeerMessageCodec.decode(PeerMessageCodec.encode(told)));
         PeerMessage.Response response = (PeerMessage.Response)
-                PeerMessage.read(PeerMessage.write(new PeerMessage.Response(503, 30, new byte[0])));
+                PeerMessageCodec.decode(PeerMessageCodec.encode(new PeerMessage.Response(503, 30, new byte[0])));
         assertEquals(503, response.status());
         assertEquals(30, response.retryAfterS());
     }
@@ -152,11 +153,11 @@
     @Test
     void termsAreReadAcrossVersions() {
         byte[] old = HexFormat.of().parseHex("03" + "0000000000000009" + "0002" + "6e31" + "01");
-        assertEquals(new PeerMessage.TermAnnouncement(9, "n1", true), PeerMessage.read(old));
-        byte[] now = PeerMessage.write(new PeerMessage.TermAnnouncement(
+        assertEquals(new PeerMessage.TermAnnouncement(9, "n1", true), PeerMessageCodec.decode(old));
+        byte[] now = PeerMessageCodec.encode(new PeerMessage.TermAnnouncement(
                 9, "n1", true, new PeerMessage.CancellationKnowledge(1, 2, true, true, List.of("job-1"))));
         assertArrayEquals(old, Arrays.copyOf(now, old.length), "what the older version reads comes first, unchanged");
-        assertArrayEquals(old, PeerMessage.write(new PeerMessage.TermAnnouncement(9, "n1", true)));
+        assertArrayEquals(old, PeerMessageCodec.encode(new PeerMessage.TermAnnouncement(9, "n1", true)));
     }
 
     private static byte[] report(long seq, String state, boolean tasksLast) {
--- a/src/test/java/stileferry/protocol/SocketBudgetTest.java
+++ b/src/test/java/stileferry/protocol/SocketBudgetTest.java
@@ -17,9 +17,9 @@
         int follows = s.incoming() + s.peers() + s.forwards();
         assertTrue(Math.max(leads, follows) <= max * 31 / 32, s.toString());
         assertTrue(2 * s.forwards() <= s.peers() + 1, "both others may pass on as much as they are allowed to");
-        assertFalse(s.crowded(s.incoming() / 2));
-        assertTrue(s.crowded(s.incoming() - 1));
-        assertFalse(s.full(s.incoming() * 9 / 10));
-        assertTrue(s.full(s.incoming()));
+        assertFalse(s.closesUserConnections(s.incoming() / 2));
+        assertTrue(s.closesUserConnections(s.incoming() - 1));
+        assertFalse(s.closesWorkerConnections(s.incoming() * 9 / 10));
+        assertTrue(s.closesWorkerConnections(s.incoming()));
     }
 }
