--- a/src/main/java/stileferry/protocol/MessageCodec.java
+++ b/src/main/java/stileferry/protocol/MessageCodec.java
@@ -40,8 +40,8 @@
 
     /** Reads one body; null when it is not MessagePack. */
     public static JsonNode decode(byte[] bytes) {
-        try (JsonParser p = parser(bytes)) {
-            return tree(p);
+        try (JsonParser parser = parser(bytes)) {
+            return tree(parser);
         } catch (IOException | RuntimeException e) {
             return null; // the decoder throws unchecked exceptions for some malformed input
         }
@@ -65,51 +65,52 @@
 
     private static JsonNode value(JsonParser parser, int depth) throws IOException {
         if (depth > MAX_DEPTH) {
-            throw new IOException("nested too deep");
+            throw new IOException("nested deeper than " + MAX_DEPTH);
         }
         JsonNodeFactory nodes = JsonNodeFactory.instance;
-        switch (parser.currentToken()) {
-            case START_OBJECT: {
-                ObjectNode map = nodes.objectNode();
-                for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-                    next(parser);
-                    if (map.replace(name, value(parser, depth + 1)) != null) {
-                        throw new IOException("a field is given twice");
-                    }
-                }
-                if (parser.currentToken() != JsonToken.END_OBJECT) {
-                    throw new IOException("a map has what is no name in the place of one");
-                }
-                return map;
-            }
-            case START_ARRAY: {
-                ArrayNode list = nodes.arrayNode();
-                while (next(parser) != JsonToken.END_ARRAY) {
-                    list.add(value(parser, depth + 1));
-                }
-                return list;
+        return switch (parser.currentToken()) {
+            case START_OBJECT -> mapValue(parser, depth);
+            case START_ARRAY -> listValue(parser, depth);
+            case VALUE_STRING -> nodes.textNode(parser.getText());
+            case VALUE_TRUE -> nodes.booleanNode(true);
+            case VALUE_FALSE -> nodes.booleanNode(false);
+            case VALUE_NULL -> nodes.nullNode();
+            case VALUE_NUMBER_INT -> integerValue(parser);
+            case VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.getDoubleValue());
+            case VALUE_EMBEDDED_OBJECT -> nodes.pojoNode(parser.getEmbeddedObject());
+            default -> throw new IOException("unexpected " + parser.currentToken());
+        };
+    }
+
+    private static ObjectNode mapValue(JsonParser parser, int depth) throws IOException {
+        ObjectNode map = map();
+        for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
+            next(parser);
+            if (map.replace(name, value(parser, depth + 1)) != null) {
+                throw new IOException("field given twice: " + name);
             }
-            case VALUE_STRING:
-                return nodes.textNode(parser.getText());
-            case VALUE_TRUE:
-                return nodes.booleanNode(true);
-            case VALUE_FALSE:
-                return nodes.booleanNode(false);
-            case VALUE_NULL:
-                return nodes.nullNode();
-            case VALUE_NUMBER_INT:
-                return switch (parser.getNumberType()) {
-                    case INT -> nodes.numberNode(parser.getIntValue());
-                    case LONG -> nodes.numberNode(parser.getLongValue());
-                    default -> nodes.numberNode(parser.getBigIntegerValue());
-                };
-            case VALUE_NUMBER_FLOAT:
-                return nodes.numberNode(parser.getDoubleValue());
-            case VALUE_EMBEDDED_OBJECT:
-                return nodes.pojoNode(parser.getEmbeddedObject());
-            default:
-                throw new IOException("unexpected " + parser.currentToken());
         }
+        if (parser.currentToken() != JsonToken.END_OBJECT) {
+            throw new IOException("a map has what is no name in the place of one");
+        }
+        return map;
+    }
+
+    private static ArrayNode listValue(JsonParser parser, int depth) throws IOException {
+        ArrayNode list = list();
+        while (next(parser) != JsonToken.END_ARRAY) {
+            list.add(value(parser, depth + 1));
+        }
+        return list;
+    }
+
+    private static JsonNode integerValue(JsonParser parser) throws IOException {
+        JsonNodeFactory nodes = JsonNodeFactory.instance;
+        return switch (parser.getNumberType()) {
+            case INT -> nodes.numberNode(parser.getIntValue());
+            case LONG -> nodes.numberNode(parser.getLongValue());
+            default -> nodes.numberNode(parser.getBigIntegerValue());
+        };
     }
 
     private static JsonToken next(JsonParser parser) throws IOException {
@@ -123,44 +124,44 @@
     /** Writes one body. */
     public static byte[] encode(JsonNode node) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        try (JsonGenerator g = FACTORY.createGenerator(bytes)) {
-            write(g, node);
+        try (JsonGenerator generator = FACTORY.createGenerator(bytes)) {
+            write(generator, node);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    private static void write(JsonGenerator g, JsonNode node) throws IOException {
+    private static void write(JsonGenerator generator, JsonNode node) throws IOException {
         switch (node.getNodeType()) {
             case OBJECT -> {
-                g.writeStartObject();
+                generator.writeStartObject();
                 for (Map.Entry<String, JsonNode> entry : node.properties()) {
-                    g.writeFieldName(entry.getKey());
-                    write(g, entry.getValue());
+                    generator.writeFieldName(entry.getKey());
+                    write(generator, entry.getValue());
                 }
-                g.writeEndObject();
+                generator.writeEndObject();
             }
             case ARRAY -> {
-                g.writeStartArray();
+                generator.writeStartArray();
                 for (JsonNode element : node) {
-                    write(g, element);
+                    write(generator, element);
                 }
-                g.writeEndArray();
+                generator.writeEndArray();
             }
-            case STRING -> g.writeString(node.textValue());
-            case BOOLEAN -> g.writeBoolean(node.booleanValue());
-            case NUMBER -> number(g, node);
-            default -> g.writeNull();
+            case STRING -> generator.writeString(node.textValue());
+            case BOOLEAN -> generator.writeBoolean(node.booleanValue());
+            case NUMBER -> writeNumber(generator, node);
+            default -> generator.writeNull();
         }
     }
 
-    private static void number(JsonGenerator g, JsonNode node) throws IOException {
+    private static void writeNumber(JsonGenerator generator, JsonNode node) throws IOException {
         switch (node.numberType()) {
-            case INT -> g.writeNumber(node.intValue());
-            case LONG -> g.writeNumber(node.longValue());
-            case BIG_INTEGER -> g.writeNumber(node.bigIntegerValue());
-            default -> g.writeNumber(node.doubleValue());
+            case INT -> generator.writeNumber(node.intValue());
+            case LONG -> generator.writeNumber(node.longValue());
+            case BIG_INTEGER -> generator.writeNumber(node.bigIntegerValue());
+            default -> generator.writeNumber(node.doubleValue());
         }
     }
 }
--- a/src/main/java/stileferry/protocol/SubmissionHeader.java
+++ b/src/main/java/stileferry/protocol/SubmissionHeader.java
@@ -15,7 +15,7 @@
  */
 public record SubmissionHeader(String id, String team, String jobClass, JobSpec.Priority priority) {
 
-    /** Reads the head of a submission; null when the body is malformed, as far as it is looked at. */
+    /** Reads the header of a submission; null when the body is malformed, as far as it is looked at. */
     public static SubmissionHeader read(byte[] body) {
         try (JsonParser parser = MessageCodec.parser(body)) {
             return parser.nextToken() == JsonToken.START_OBJECT ? read(parser) : null;
@@ -26,8 +26,8 @@
 
     /** Whether a submission is of the highest priority. */
     public static boolean isCritical(byte[] body) {
-        SubmissionHeader head = read(body);
-        return head != null && head.priority() == JobSpec.Priority.CRITICAL;
+        SubmissionHeader header = read(body);
+        return header != null && header.priority() == JobSpec.Priority.CRITICAL;
     }
 
     private static SubmissionHeader read(JsonParser parser) throws IOException {
@@ -36,24 +36,16 @@
         String jobClass = null;
         JobSpec.Priority priority = null;
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-            boolean text = parser.nextToken() == JsonToken.VALUE_STRING;
+            boolean isText = parser.nextToken() == JsonToken.VALUE_STRING;
             switch (name) {
-                case WireNames.NAME_ID -> id = text ? parser.getText() : null;
-                case WireNames.TEAM -> team = text ? parser.getText() : null;
-                case WireNames.JOB_CLASS -> jobClass = text ? parser.getText() : null;
-                case WireNames.PRIORITY -> priority = text ? priority(parser.getText()) : null;
+                case WireNames.NAME_ID -> id = isText ? parser.getText() : null;
+                case WireNames.TEAM -> team = isText ? parser.getText() : null;
+                case WireNames.JOB_CLASS -> jobClass = isText ? parser.getText() : null;
+                case WireNames.PRIORITY -> priority = isText ? JobSpec.Priority.of(parser.getText()) : null;
                 default -> parser.skipChildren();
             }
         }
-        boolean whole = id != null && team != null && jobClass != null && priority != null;
-        return whole && JobSpec.validId(id) ? new SubmissionHeader(id, team, jobClass, priority) : null;
-    }
-
-    private static JobSpec.Priority priority(String word) {
-        try {
-            return JobSpec.priority(word);
-        } catch (InvalidJobSpecException e) {
-            return null;
-        }
+        boolean complete = id != null && team != null && jobClass != null && priority != null;
+        return complete && JobSpec.validId(id) ? new SubmissionHeader(id, team, jobClass, priority) : null;
     }
 }
