--- a/src/main/java/stileferry/cli/StandIns.java
+++ b/src/main/java/stileferry/cli/StandIns.java
@@ -13,7 +13,7 @@
 import stileferry.standin.Worker;
 import stileferry.transport.StandInHost;
 
-/** Runs the stand-ins for state service, cloud and workers, for trying the service out on one computer. */
+/** Runs the stand-ins for key-value store, cloud and workers, for trying the service out on one computer. */
 @Command(
         name = "stand-ins",
         description = "Writes settings for three controllers and runs stand-ins for all they talk to, on loopback.",
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -14,19 +14,19 @@
 
     /** What it calls from the inside, once all of the controller has been made. */
     interface Host {
-        /** Whether this node leads, for sure, and accepts jobs. */
+        /** Whether this controller leads, for sure, and accepts jobs. */
         boolean mayAcceptChanges();
 
         /** The highest term that is known. */
         long term();
 
-        /** Who leads, if it is another node and known; null otherwise. */
+        /** Who leads, if it is another controller and known; null otherwise. */
         Settings.Peer leaderPeer();
 
-        /** Whether this node, as the leader, knows a job. */
+        /** Whether this controller, as the leader, knows a job. */
         boolean knowsJob(String id);
 
-        /** Seconds of the state service's rates that wait at this node, as the leader. */
+        /** Seconds of the key-value store's rates that wait at this controller, as the leader. */
         double backlogS();
 
         /** Whether there is more to do than this process can do in time. */
@@ -77,7 +77,7 @@
         return false;
     }
 
-    /** Takes in another controller's demand and returns the leader's table; null: this node has none. */
+    /** Takes in another controller's demand and returns the leader's table; null: this controller has none. */
     default PeerMessage exchange(PeerMessage.AdmissionExchange message) {
         return null;
     }
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -12,7 +12,7 @@
 import stileferry.storage.ScanResult;
 
 /**
- * Reads the totals of admissions, at any controller that reaches the state service. The shards are read first and the
+ * Reads the totals of admissions, at any controller that reaches the key-value store. The shards are read first and the
  * term after them: whoever began to lead in between makes the totals seem incomplete rather than complete.
  */
 final class AdmissionTotalsReader {
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -31,11 +31,14 @@
 import stileferry.storage.KeyValueStoreClient;
 import stileferry.validation.InvalidInputException;
 
-/** Divides admissions while this node leads, and refuses by the leader's word while it does not (docs/admission.md). */
+/**
+ * Divides admissions while this controller leads, and refuses by the leader's word while it does not
+ * (docs/admission.md).
+ */
 public final class FairAdmission implements AdmissionControl {
     private static final Logger LOG = LoggerFactory.getLogger("admission");
 
-    /** The share of the state service's changes that controllers allow themselves. */
+    /** The share of the key-value store's changes that controllers allow themselves. */
     private static final double WRITE_SHARE = 0.85;
 
     /** Changes that each acceptance costs under load: its job's record, and the part of a count that others share. */
@@ -44,7 +47,7 @@
     /** Accepted jobs that are remembered for each socket: users ask again over some of them at a time. */
     private static final int REMEMBERED_EACH_SOCKET = 2;
 
-    /** Steps of the leader, and exchanges with it, in a report interval. */
+    /** Steps of the leader, and exchanges with it, in a heartbeat interval. */
     private static final int STEPS_EACH_REPORT = 2;
 
     /** Batches of questions, and of changes, that are in flight; changes wait until they are durable. */
@@ -52,7 +55,7 @@
 
     private static final int CHANGE_BATCHES = 6;
 
-    /** Seconds of the state service's rates that may wait before only the most urgent is accepted. */
+    /** Seconds of the key-value store's rates that may wait before only the most urgent is accepted. */
     private static final double FULL_S = JobRequestHandler.MAX_BACKLOG_S * 0.75;
 
     /** A strained leader leaves users to the others for so long: half of the users' patience. */
@@ -75,7 +78,7 @@
     private long exchangedAt = Long.MIN_VALUE / 2;
     private int closedFlows;
 
-    /** The leader's name whose table this node has; others are not sent batches. */
+    /** The leader's name whose table this controller has; others are not sent batches. */
     private String tableOf = "";
 
     public FairAdmission(Settings settings, Environment environment, KeyValueStoreClient state) {
--- a/src/main/java/stileferry/protocol/Features.java
+++ b/src/main/java/stileferry/protocol/Features.java
@@ -1,10 +1,6 @@
 package stileferry.protocol;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -36,11 +32,10 @@
     /** Reads features from JSON text. */
     public static Result read(String json) {
         JsonNode root;
-        try (JsonParser parser = new JsonFactory().createParser(json)) {
-            root = MessageCodec.tree(parser);
-        } catch (IOException e) {
-            String reason = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
-            return new Result(null, "not valid JSON: " + reason);
+        try {
+            root = JsonText.read(json);
+        } catch (InvalidJsonException e) {
+            return new Result(null, e.getMessage());
         }
         if (root == null || !root.isObject()) {
             return new Result(null, "must be a JSON object");
--- /dev/null
+++ b/src/main/java/stileferry/protocol/JsonText.java
@@ -0,0 +1,23 @@
+package stileferry.protocol;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+
+/** Reads the JSON text of files. */
+final class JsonText {
+    private JsonText() {}
+
+    /** Reads the first value; null when there is none. */
+    static JsonNode read(String json) throws InvalidJsonException {
+        try (JsonParser parser = new JsonFactory().createParser(json)) {
+            return MessageCodec.tree(parser);
+        } catch (IOException e) {
+            String reason =
+                    e instanceof JsonProcessingException problem ? problem.getOriginalMessage() : e.getMessage();
+            throw new InvalidJsonException("not valid JSON: " + reason);
+        }
+    }
+}
--- a/src/main/java/stileferry/protocol/MachineType.java
+++ b/src/main/java/stileferry/protocol/MachineType.java
@@ -4,7 +4,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A machine type that the cloud rents. */
+/**
+ * A machine type that the cloud rents.
+ *
+ * @param cacheGb the room for images on a machine
+ * @param fetchGbPerS how fast a machine fetches images
+ * @param bootS from the creation of a machine until its agent is heard
+ */
 public record MachineType(
         String name,
         double cpus,
@@ -17,24 +23,33 @@
         double bootS,
         List<String> zones) {
 
+    /** Keeps what is divided by it finite. */
+    private static final double MIN_FETCH_GB_PER_S = 0.001;
+
+    private static final double MIN_BOOT_S = 1;
+
     /** Reads the cloud's answer; an empty list when it is malformed. */
     public static List<MachineType> readAll(JsonNode body) {
         List<MachineType> types = new ArrayList<>();
-        for (JsonNode t : body.path(WireNames.MACHINE_TYPES)) {
-            List<String> zones = new ArrayList<>();
-            t.path(WireNames.ZONES).forEach(z -> zones.add(z.asText()));
-            types.add(new MachineType(
-                    t.path(WireNames.MACHINE_TYPE_NAME).asText(),
-                    t.path(WireNames.CPUS).asDouble(),
-                    t.path(WireNames.GPUS).asDouble(),
-                    t.path(WireNames.MEMORY_GB).asDouble(),
-                    t.path(WireNames.CACHE_GB).asDouble(),
-                    Math.max(0.001, t.path(WireNames.FETCH_GB_PER_S).asDouble()),
-                    t.path(WireNames.ON_DEMAND_PRICE).asDouble(),
-                    t.path(WireNames.SPOT_PRICE).asDouble(),
-                    Math.max(1, t.path(WireNames.BOOT_S).asDouble()),
-                    List.copyOf(zones)));
+        for (JsonNode type : body.path(WireNames.MACHINE_TYPES)) {
+            types.add(read(type));
         }
         return types;
     }
+
+    private static MachineType read(JsonNode type) {
+        List<String> zones = new ArrayList<>();
+        type.path(WireNames.ZONES).forEach(zone -> zones.add(zone.asText()));
+        return new MachineType(
+                type.path(WireNames.MACHINE_TYPE_NAME).asText(),
+                type.path(WireNames.CPUS).asDouble(),
+                type.path(WireNames.GPUS).asDouble(),
+                type.path(WireNames.MEMORY_GB).asDouble(),
+                type.path(WireNames.CACHE_GB).asDouble(),
+                Math.max(MIN_FETCH_GB_PER_S, type.path(WireNames.FETCH_GB_PER_S).asDouble()),
+                type.path(WireNames.ON_DEMAND_PRICE).asDouble(),
+                type.path(WireNames.SPOT_PRICE).asDouble(),
+                Math.max(MIN_BOOT_S, type.path(WireNames.BOOT_S).asDouble()),
+                List.copyOf(zones));
+    }
 }
--- a/src/main/java/stileferry/protocol/Settings.java
+++ b/src/main/java/stileferry/protocol/Settings.java
@@ -29,10 +29,10 @@
 
     private static final int MS_PER_S = 1000;
 
-    /** Reports come a quarter of their interval late at most. */
-    private static final double LATEST_REPORT = 1.25;
+    /** Heartbeats come a quarter of their interval late at most. */
+    private static final double LATEST_HEARTBEAT = 1.25;
 
-    private static final long REPORT_SLACK_MS = 1000;
+    private static final long HEARTBEAT_SLACK_MS = 1000;
 
     /** The share of a core that leaves room for the times which this service sets itself. */
     private static final double AMPLE_CORES = 0.3;
@@ -52,18 +52,22 @@
     /** A team's guaranteed and greatest use; 0 means none. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-    /** An aim on starting or finishing, in seconds, for one class of jobs (empty: any). */
+    /** A service-level objective on starting or finishing, for one class of jobs (empty: any). */
     public record ServiceLevelObjective(String kind, String jobClass, double withinS, double share) {}
 
     /**
-     * The workers' times in seconds; the last two are those of gangs: how long a task waits for the others, and within
-     * what time all must hear a stop. 0: nothing is said of them.
+     * The workers' times in seconds.
+     *
+     * @param leaseS how long a worker keeps its tasks without an answer
+     * @param cancelS within what time the tasks of a cancelled job are gone
+     * @param gangWaitS how long a gang's task waits for the others; 0: nothing is said of it
+     * @param gangPeerS within what time all tasks of a gang must hear a stop; 0: nothing is said of it
      */
     public record WorkerTimes(
             double heartbeatIntervalS, double leaseS, double cancelS, double gangWaitS, double gangPeerS) {
-        /** Milliseconds after which every worker that can report has reported. */
+        /** Milliseconds after which every worker that can send a heartbeat has sent one. */
         public long heartbeatRoundMs() {
-            return Math.round(heartbeatIntervalS * MS_PER_S * LATEST_REPORT) + REPORT_SLACK_MS;
+            return Math.round(heartbeatIntervalS * MS_PER_S * LATEST_HEARTBEAT) + HEARTBEAT_SLACK_MS;
         }
 
         /** The times of a deployment without gangs. */
@@ -72,7 +76,7 @@
         }
     }
 
-    /** The state service's limits; where others are announced for some time to come, the lower of both. */
+    /** The key-value store's limits; where others are announced for some time to come, the lower of both. */
     public record KeyValueStoreLimits(
             double requestsPerS, double writesPerS, double maxValueKb, int maxTransactionOperations) {}
 
--- a/src/main/java/stileferry/protocol/SettingsReader.java
+++ b/src/main/java/stileferry/protocol/SettingsReader.java
@@ -1,11 +1,7 @@
 package stileferry.protocol;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.MissingNode;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -14,8 +10,12 @@
 
 /** Reads and checks the settings file; collects every problem instead of stopping at the first. */
 public final class SettingsReader {
-    /** A record of events holds one event at least, and a job's record what its user submitted. */
-    private static final double LEAST_VALUE_KB = 1;
+    /** Room for a record with one event, and for a job's record. */
+    private static final double MIN_VALUE_KB = 1;
+
+    private static final int MIN_TRANSACTION_OPERATIONS = 3;
+
+    private static final int MIN_SOCKETS = 16;
 
     private final List<String> problems = new ArrayList<>();
 
@@ -27,11 +27,10 @@
     /** Reads settings from JSON text. */
     public static Result read(String json) {
         JsonNode root;
-        try (JsonParser parser = new JsonFactory().createParser(json)) {
-            root = MessageCodec.tree(parser);
-        } catch (IOException e) {
-            String reason = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
-            return new Result(null, List.of("not valid JSON: " + reason));
+        try {
+            root = JsonText.read(json);
+        } catch (InvalidJsonException e) {
+            return new Result(null, List.of(e.getMessage()));
         }
         if (root == null || !root.isObject()) {
             return new Result(null, List.of("the settings must be a JSON object"));
@@ -69,32 +68,32 @@
                 new Settings.KeyValueStoreLimits(
                         lower(state, "rps", 0),
                         lower(state, "write_rps", 0),
-                        lower(state, "value_kb", LEAST_VALUE_KB),
-                        (int) lower(state, "txn_ops", 3)),
+                        lower(state, "value_kb", MIN_VALUE_KB),
+                        (int) lower(state, "txn_ops", MIN_TRANSACTION_OPERATIONS)),
                 new Settings.CloudLimits(
                         positive(cloud, "cluster.cloud.", "rps"), atLeast(cloud, "cluster.cloud.", "list_lag_s", 0)),
                 limits.path("cores").isMissingNode() ? 1 : positive(limits, "cluster.machine_limits.", "cores"),
-                (int) atLeast(limits, "cluster.machine_limits.", "max_sockets", 16),
+                (int) atLeast(limits, "cluster.machine_limits.", "max_sockets", MIN_SOCKETS),
                 cluster.path("clock_off_ms").isMissingNode() ? -1 : atLeast(cluster, "cluster.", "clock_off_ms", 0));
     }
 
-    /** A limit of the state service, or the lower one that it will have at some time without notice. */
-    private double lower(JsonNode state, String name, double least) {
-        double now = limit(state, "cluster.state.", name, least);
+    /** A limit of the key-value store, or the lower one that it will have at some time without notice. */
+    private double lower(JsonNode state, String name, double min) {
+        double now = limit(state, "cluster.state.", name, min);
         JsonNode next = state.path("next");
-        return next.path(name).isMissingNode() ? now : Math.min(now, limit(next, "cluster.state.next.", name, least));
+        return next.path(name).isMissingNode() ? now : Math.min(now, limit(next, "cluster.state.next.", name, min));
     }
 
-    private double limit(JsonNode limits, String where, String name, double least) {
-        return least == 0 ? positive(limits, where, name) : atLeast(limits, where, name, least);
+    private double limit(JsonNode limits, String where, String name, double min) {
+        return min == 0 ? positive(limits, where, name) : atLeast(limits, where, name, min);
     }
 
     private List<Settings.Peer> peers(JsonNode root, String self) {
         List<Settings.Peer> peers = new ArrayList<>();
         Set<String> names = new HashSet<>(Set.of(self));
-        int at = 0;
+        int index = 0;
         for (JsonNode seed : array(root, "", "seeds")) {
-            String where = "seeds[" + at++ + "].";
+            String where = "seeds[" + index++ + "].";
             String name = text(seed, where, "host_name");
             if (!names.add(name)) {
                 problems.add(where + "host_name: '" + name + "' is named twice");
@@ -118,9 +117,9 @@
 
     private List<Settings.Team> teams(JsonNode cluster) {
         List<Settings.Team> teams = new ArrayList<>();
-        int at = 0;
+        int index = 0;
         for (JsonNode team : array(cluster, "cluster.", "teams")) {
-            String where = "cluster.teams[" + at++ + "].";
+            String where = "cluster.teams[" + index++ + "].";
             teams.add(new Settings.Team(
                     text(team, where, "name"),
                     optional(team, where, "cpus"),
@@ -133,10 +132,12 @@
 
     private List<Settings.ServiceLevelObjective> objectives(JsonNode cluster) {
         List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
-        for (JsonNode o : cluster.path("objectives")) {
+        for (JsonNode objective : cluster.path("objectives")) {
             objectives.add(new Settings.ServiceLevelObjective(
-                    o.path("kind").asText(""), o.path("class").asText(""),
-                    o.path("within_s").asDouble(0), o.path("share").asDouble(0)));
+                    objective.path("kind").asText(""),
+                    objective.path("class").asText(""),
+                    objective.path("within_s").asDouble(0),
+                    objective.path("share").asDouble(0)));
         }
         return List.copyOf(objectives);
     }
@@ -205,11 +206,11 @@
         return value;
     }
 
-    private double atLeast(JsonNode parent, String where, String name, double least) {
+    private double atLeast(JsonNode parent, String where, String name, double min) {
         JsonNode node = parent.path(name);
-        if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() < least) {
-            problems.add(where + name + ": missing, or not a number of at least " + least);
-            return Math.max(1, least);
+        if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() < min) {
+            problems.add(where + name + ": missing, or not a number of at least " + min);
+            return Math.max(1, min);
         }
         return node.doubleValue();
     }
--- a/src/main/java/stileferry/protocol/SocketBudget.java
+++ b/src/main/java/stileferry/protocol/SocketBudget.java
@@ -2,7 +2,7 @@
 
 /**
  * How a controller divides its sockets, so that no use can starve another. The shares add up to less than the whole;
- * what is left serves the state service, the cloud and the servers themselves.
+ * what is left serves the key-value store, the cloud and the servers themselves.
  *
  * @param incoming connections of users, workers and health checks
  * @param peers connections of the other controllers
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -22,8 +22,8 @@
 import stileferry.standin.Worker;
 
 /**
- * The stand-ins for state service, cloud and workers on loopback addresses, for trying the service out and for its
- * tests. Everything runs on one IO thread. The workers read job descriptions from the stand-in state service.
+ * The stand-ins for key-value store, cloud and workers on loopback addresses, for trying the service out and for its
+ * tests. Everything runs on one IO thread. The workers read job descriptions from the stand-in key-value store.
  */
 public final class StandInHost implements AutoCloseable {
     /** The machine type that the cloud stand-in rents. */
@@ -105,7 +105,7 @@
         loop.thread.execute(this::beat);
     }
 
-    /** Where the state service and the cloud are. */
+    /** Where the key-value store and the cloud are. */
     public String addr() {
         return "127.0.0.1:" + port;
     }
