--- a/src/test/java/stileferry/coordination/SimulatedEnvironment.java
+++ b/src/test/java/stileferry/coordination/SimulatedEnvironment.java
@@ -6,6 +6,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.PeerMessageCodec;
 import stileferry.protocol.Settings;
 import stileferry.standin.Worker;
 
@@ -220,7 +221,7 @@
 
     /** A record as the other side reads it, where one of the two may have the former version's form. */
     private static PeerMessage carried(PeerMessage record, boolean former) {
-        PeerMessage read = PeerMessage.read(PeerMessage.write(record));
+        PeerMessage read = PeerMessageCodec.decode(PeerMessageCodec.encode(record));
         return former && read instanceof PeerMessage.TermAnnouncement announcement
                 ? new PeerMessage.TermAnnouncement(announcement.term(), announcement.leader(), announcement.leading())
                 : read;
