--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -1,6 +1,5 @@
 package stileferry.coordination;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -115,8 +114,8 @@
     }
 
     @Override
-    public void operatorSettings(JsonNode stored) {
-        environment.setLogLevel(OperatorSettings.read(stored).text(OperatorSettings.LOG_LEVEL));
+    public void operatorSettings(OperatorSettings operatorSettings) {
+        environment.setLogLevel(operatorSettings.text(OperatorSettings.LOG_LEVEL));
     }
 
     /** Whether this controller leads. */
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -25,7 +25,7 @@
  * count.
  */
 public final class CancellationQuorum {
-    /** Jobs are remembered for so many times as long as their tasks may last after the last that was heard of them. */
+    /** Jobs are remembered for so many times as long as their tasks may last after they were last named. */
     private static final int REMEMBERED = 2;
 
     /** Stands for a time that has not come. */
@@ -35,7 +35,7 @@
     private final long processId;
     private final long rememberedMs;
 
-    /** Cancelled jobs, and when each was last heard of, the latest last. */
+    /** Cancelled jobs by the time at which each was last named to this process, the latest last. */
     private final Map<String, Long> cancelledJobs = new LinkedHashMap<>();
 
     private final PeerCancellationState[] peers;
@@ -101,7 +101,7 @@
 
     /**
      * Until when no later leader has certainly confirmed anything: enough informed processes knew of none. A later
-     * leader confirms only what n/2 others know, and whoever knows it has heard of its term.
+     * leader confirms only what n/2 others know, and whoever knows it knows its term.
      */
     long noOtherConfirmationUntil() {
         int others = informedQuorum(peers.length + 1) - 1;
@@ -128,7 +128,7 @@
         }
     }
 
-    /** All cancelled jobs have been read and were handed over by {@link #confirm}. */
+    /** All cancelled jobs have been read and passed to {@link #addCancelled} or {@link #confirm}. */
     public void allCancelledJobsRead() {
         informed = true;
         allCancelledJobsRead = true;
@@ -183,7 +183,7 @@
         }
     }
 
-    // ---- what controllers tell each other
+    // ---- announcements
 
     /** What to announce to a peer; {@code leaseHeld}: this node leads, and nobody else can. */
     CancellationKnowledge knowledgeFor(int peer, boolean leaseHeld) {
@@ -223,7 +223,7 @@
 
     private List<String> recentlyCancelled() {
         long oldest = environment.now() - rememberedMs;
-        cancelledJobs.values().removeIf(heardAt -> heardAt < oldest);
+        cancelledJobs.values().removeIf(namedAt -> namedAt < oldest);
         return List.copyOf(cancelledJobs.keySet());
     }
 
@@ -234,7 +234,7 @@
         if (knowledge == null) {
             return;
         }
-        // what was announced to an earlier process of this node says nothing of what was confirmed since
+        // an announcement to an earlier process of this node does not hold what was confirmed since
         informed |= current && received.leading() && knowledge.complete() && knowledge.addressee() == processId;
     }
 
--- a/src/main/java/stileferry/leadership/LeaderCampaign.java
+++ b/src/main/java/stileferry/leadership/LeaderCampaign.java
@@ -1,6 +1,5 @@
 package stileferry.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
 import stileferry.protocol.KeyValue;
@@ -8,6 +7,7 @@
 import stileferry.protocol.KeyValueStoreProtocol.CommitResult;
 import stileferry.protocol.KeyValueStoreProtocol.LeaseGrant;
 import stileferry.protocol.KeyValueStoreProtocol.WatchResult;
+import stileferry.protocol.OperatorSettings;
 import stileferry.storage.KeyValueStoreClient;
 import stileferry.storage.ScanResult;
 
@@ -33,7 +33,7 @@
     private final Listener listener;
     private int generation;
 
-    /** What the campaign tells the election. */
+    /** The election, which knows the highest term and decides on a win. */
     interface Listener {
         /** The highest term that this node knows. */
         long term();
@@ -42,7 +42,7 @@
         void observeTerm(long term, String leader);
 
         /** The operators' settings as they are stored. */
-        void operatorSettings(JsonNode stored);
+        void operatorSettings(OperatorSettings settings);
 
         /** The leader key was written. */
         void won(Win win);
@@ -117,7 +117,8 @@
             switch (row.key()) {
                 case LeaderElection.LEADER_KEY -> holder = LeaderRecord.read(row);
                 case LeaderElection.TERM_KEY -> storedTerm = TermRecord.read(row);
-                case LeaderElection.OPERATOR_SETTINGS_KEY -> listener.operatorSettings(row.value());
+                case LeaderElection.OPERATOR_SETTINGS_KEY ->
+                    listener.operatorSettings(OperatorSettings.read(row.value()));
                 default -> {}
             }
         }
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -1,10 +1,10 @@
 package stileferry.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
+import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.PeerMessage.TermAnnouncement;
 import stileferry.protocol.Settings;
 import stileferry.storage.KeyValueStoreClient;
@@ -12,7 +12,7 @@
 /**
  * Who leads, as far as this node knows. A leased key in the key-value store names the leader, and a counter beside it
  * gives each leader a term that never decreases. {@link LeaderCampaign} follows and wins the key, {@link LeaderLease}
- * keeps it, {@link PeerAnnouncements} tells the other controllers.
+ * keeps it, {@link PeerAnnouncements} announces it to the other controllers.
  */
 public final class LeaderElection {
     /** The prefix of the keys below, which followers watch. */
@@ -47,7 +47,7 @@
 
     private long leaderLastHeardAt;
 
-    /** What the coordinator wants to know. */
+    /** What the coordinator is notified of. */
     public interface Listener {
         /** This node leads from now on. */
         void elected(long term, long leaderRevision);
@@ -55,8 +55,8 @@
         /** This node no longer leads. */
         void deposed();
 
-        /** The operators' settings as they are stored; only told to followers. */
-        void operatorSettings(JsonNode stored);
+        /** The operators' settings were read; called on followers only. */
+        void operatorSettings(OperatorSettings operatorSettings);
     }
 
     /** {@code countsAdmissions}: whether this controller counts what it accepts while it leads. */
@@ -97,8 +97,8 @@
             }
 
             @Override
-            public void operatorSettings(JsonNode stored) {
-                listener.operatorSettings(stored);
+            public void operatorSettings(OperatorSettings operatorSettings) {
+                listener.operatorSettings(operatorSettings);
             }
 
             @Override
@@ -147,7 +147,7 @@
                 .orElse(null);
     }
 
-    /** When another leader was last heard of. */
+    /** When another leader was last seen in the store or in an announcement, in {@link Environment#now} time. */
     public long leaderLastHeardAt() {
         return leaderLastHeardAt;
     }
@@ -184,7 +184,7 @@
         }
     }
 
-    // ---- what controllers tell each other
+    // ---- announcements
 
     /** What this process knows of cancelled jobs. */
     public CancellationQuorum cancellations() {
@@ -196,7 +196,7 @@
         return announcements;
     }
 
-    /** Tells the other controllers that a job's cancellation is durable; the action runs when enough know. */
+    /** Announces to the other controllers that a job's cancellation is durable; the action runs when enough know. */
     public void confirmCancellation(String jobId, Runnable onConfirmed) {
         cancellations.confirm(jobId, onConfirmed);
         announcements.announceCancellations();
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -59,16 +59,16 @@
 
         private void receive(PeerMessage record) {
             if (record instanceof TermAnnouncement reply) {
-                take(reply);
+                count(reply);
             } else {
-                nobodyLeads = false; // silence does not say that it doesn't lead
+                nobodyLeads = false; // a peer that does not answer may lead
             }
             if (--repliesLeft == 0) {
                 answer(batch, mayRenew());
             }
         }
 
-        private void take(TermAnnouncement reply) {
+        private void count(TermAnnouncement reply) {
             election.announcements().observe(reply);
             election.cancellations().receive(reply, false);
             nobodyLeads &= !reply.leading();
@@ -86,6 +86,7 @@
         }
     }
 
+    /** A renewal that asks the peers named in the settings. */
     public LeaderlessLeaseRenewal(Environment environment, LeaderElection election, List<Settings.Peer> peers) {
         this.environment = environment;
         this.election = election;
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -8,7 +8,7 @@
 import stileferry.protocol.Settings;
 
 /**
- * What the controllers tell each other of terms and cancellations. A leader announces its term once a second, which
+ * Exchanges terms and cancellations with the other controllers. A leader announces its term once a second, which
  * also shows that it is there, and new cancellations at once; it collects who acknowledged its term.
  */
 final class PeerAnnouncements {
--- a/src/main/java/stileferry/leadership/PeerCancellationState.java
+++ b/src/main/java/stileferry/leadership/PeerCancellationState.java
@@ -8,7 +8,7 @@
     enum Version {
         /** It has not answered yet. */
         UNKNOWN,
-        /** An older version, which says nothing of cancellations and is never informed. */
+        /** An older version, whose messages hold no cancellations; it is never informed. */
         WITHOUT_CANCELLATIONS,
         WITH_CANCELLATIONS
     }
--- a/src/main/java/stileferry/leadership/TermRecord.java
+++ b/src/main/java/stileferry/leadership/TermRecord.java
@@ -5,8 +5,8 @@
 import stileferry.protocol.MessageCodec;
 
 /**
- * The highest term as it is stored. Versions that know nothing of counting, and controllers that do not count, write it
- * without the second field, so a run of counting leaders ends with them.
+ * The highest term as it is stored. Older versions, and controllers that do not count admissions, write it without
+ * the second field, so a run of counting leaders ends with them.
  *
  * @param term the term; 0: there was none yet
  * @param admissionsCountedSince the first of the terms up to this one whose leaders have all counted admissions; 0:
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -8,11 +8,11 @@
 import stileferry.protocol.PeerMessage;
 
 /**
- * What a controller does differently where it watches its links. Without that, as {@link #NONE} says, it sees nothing
- * and permits everything.
+ * What a controller knows of its links, and what it may do while some of them fail. Where links are not monitored
+ * ({@link #NONE}) nothing is known and everything is permitted.
  */
 public interface LinkHealth {
-    /** Links are not watched. */
+    /** Links are not monitored. */
     LinkHealth NONE = new LinkHealth() {};
 
     /** What link health needs of the controller, once all of it has been made. */
@@ -42,7 +42,7 @@
         boolean behind();
     }
 
-    /** Whether links are watched. */
+    /** Whether links are monitored. */
     default boolean enabled() {
         return false;
     }
@@ -52,7 +52,7 @@
         return delegate;
     }
 
-    /** Begins to watch. */
+    /** Begins to monitor. */
     default void start(Host host) {}
 
     // ---- what the controller observes
@@ -75,7 +75,7 @@
     /** This node no longer leads. */
     default void deposed() {}
 
-    // ---- what the controllers tell each other
+    // ---- announcements and views
 
     /** The controllers that are known to exchange views of their links, this one first; empty: it does not. */
     default List<String> controllersExchangingViews() {
@@ -90,19 +90,19 @@
         return null;
     }
 
-    // ---- what it may do
+    // ---- what the controller may do
 
-    /** Whether the leader says that it has heard a worker in its term; then one that comes here could not reach it. */
+    /** Whether the leader reports that it received a worker's heartbeat in its term, so that a redirect is no use. */
     default boolean leaderHearsWorker(String leader, String machine) {
         return false;
     }
 
-    /** Whether the leader says that its requests do not reach a worker. */
+    /** Whether the leader reports that its requests do not reach a worker. */
     default boolean leaderCannotReachWorker(String leader, String machine) {
         return false;
     }
 
-    /** Who leads in this term or a later one, as others say; empty: nobody says. A hint, as they may be wrong. */
+    /** Who leads in this term or a later one, as others report; empty: not known. A hint, as they may be wrong. */
     default String leaderHint(long term) {
         return "";
     }
@@ -157,7 +157,7 @@
         return true;
     }
 
-    /** All that is known of the links; null: they are not watched. */
+    /** All that is known of the links; null: they are not monitored. */
     default ObjectNode describe() {
         return null;
     }
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -17,7 +17,7 @@
 import stileferry.protocol.Settings;
 
 /**
- * Lets {@link Connectivity} watch the links of one controller: hands it what happens, has its views exchanged and its
+ * Lets {@link Connectivity} monitor the links of one controller: hands it what happens, has its views exchanged and its
  * probes sent, and asks it what is permitted. It starts nothing and proves nothing; it only releases the leadership or
  * leaves it to others.
  */
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -58,7 +58,7 @@
         return names;
     }
 
-    /** Takes in what an announcement says of who exchanges views; followers hear of each other by the leader. */
+    /** Takes in who exchanges views, as an announcement names them; followers learn of each other from the leader. */
     void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         for (Settings.Peer peer : settings.peers()) {
             boolean senderKnows = peer.name().equals(controller) || announcement.leading();
@@ -123,7 +123,7 @@
             if (reply instanceof PeerMessage.LinkView message) {
                 accept(message);
             } else if (reply != null) {
-                participants.remove(peer.name()); // it does not watch its links any more
+                participants.remove(peer.name()); // it no longer monitors its links
             }
         });
     }
--- a/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
+++ b/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
@@ -82,7 +82,7 @@
         public enum Outcome {
             FOUND,
             ABSENT,
-            /** The store could not be asked, or did not say. */
+            /** The store could not be asked, or gave no usable answer. */
             UNKNOWN
         }
 
@@ -91,7 +91,7 @@
             return outcome == Outcome.FOUND;
         }
 
-        /** Whether the store could not be asked, or did not say. */
+        /** Whether the store could not be asked, or gave no usable answer. */
         public boolean unknown() {
             return outcome == Outcome.UNKNOWN;
         }
@@ -168,7 +168,7 @@
 
     /** What became of the renewal of a lease; the status is the response's, for log lines. */
     public record LeaseRenewal(Outcome outcome, int status) {
-        /** What the store said. */
+        /** What became of the renewal. */
         public enum Outcome {
             RENEWED,
             /** The lease has ended, and the keys attached to it are deleted. */
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -99,17 +99,12 @@
         }
     }
 
-    /** Deletes a key; the action (null: none) runs once that is durable. */
-    public void delete(StoredEntry entry, Runnable onDurable) {
-        entry.deleted = true;
-        enqueue(entry, onDurable);
-    }
-
     /** Puts one key and deletes another in the same transaction; the action (null: none) runs once it is durable. */
     public void putAndDelete(StoredEntry put, StoredEntry delete, Runnable onDurable) {
         put.partner = delete;
         delete.partner = put;
-        delete(delete, null);
+        delete.deleted = true;
+        enqueue(delete, null);
         put(put, onDurable);
     }
 
--- a/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
+++ b/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
@@ -85,7 +85,7 @@
         return row.value().path(STAMP).asText().equals(stamp);
     }
 
-    /** The key that tells whether the transaction was applied: one that it puts, if there is any. */
+    /** The key by which to recognise whether the transaction was applied: one that it puts, if there is any. */
     StoredEntry entryToReadBack() {
         return entries.stream().filter(entry -> !deletes(entry)).findFirst().orElse(entries.get(0));
     }
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -7,7 +7,7 @@
 /**
  * A ring of bounded records that hold events, so that many small changes cost one write. A full ring overwrites its
  * oldest record; what is still needed of it goes into the new one, in the same transaction. So the records, read in
- * the order of their numbers, always tell the whole state.
+ * the order of their numbers, always hold the whole state.
  */
 public final class EventLog {
     static final String PREFIX = "l/";
--- a/src/main/java/stileferry/storage/TransactionCommitter.java
+++ b/src/main/java/stileferry/storage/TransactionCommitter.java
@@ -88,7 +88,7 @@
         environment.schedule(delayMs / 2 + environment.random().nextLong(delayMs), retry);
     }
 
-    /** Reads one key back; as a transaction is applied whole or not at all, it tells for all of them. */
+    /** Reads one key back; as a transaction is applied whole or not at all, one is enough. */
     private void readBack(CompareAndSwapTransaction transaction) {
         if (closed) {
             return;
