--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -19,6 +19,7 @@
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.links.LinkHealth;
+import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MachineType;
 
 /** When a new leader deletes machines that it has not heard from. */
@@ -63,11 +64,20 @@
                 "what neither list nor heartbeat shows must end some day");
     }
 
+    private static Job acceptedJob(int tasks) {
+        JobSpecBuilder spec = JobSpecBuilder.array(1)
+                .team("red")
+                .tasks(tasks)
+                .allowsSpot(true)
+                .runS(10);
+        return TestJob.accepted(spec.build(), 1, 0);
+    }
+
     private Autoscaler autoscalerWithUnlistedMachine() {
         Autoscaler autoscaler = new Autoscaler(cluster, environment, heartbeatHandler, 1, LinkHealth.NONE);
         autoscaler.refreshInventory();
         simulation.runFor(1);
-        Job job = TestJob.number(1).estimateS(10).accepted(1, 0);
+        Job job = acceptedJob(1);
         cluster.assign(new TaskAssignment(job, 0, 1, "host-000099", 1, 0));
         return autoscaler;
     }
@@ -110,7 +120,7 @@
 
     /** Spot machines of one zone, each with a task; returns when the leader began. */
     private long addSpotMachines() {
-        Job job = TestJob.number(1).tasks(SPOT_MACHINES + 1).estimateS(10).accepted(1, 0);
+        Job job = acceptedJob(SPOT_MACHINES + 1);
         for (int i = 0; i < SPOT_MACHINES; i++) {
             Machine machine = machine(i);
             machine.setType(BOX);
--- a/src/test/java/stileferry/cluster/JobTest.java
+++ b/src/test/java/stileferry/cluster/JobTest.java
@@ -7,12 +7,13 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.InvalidJobSpecException;
+import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MessageCodec;
 
 /** The phases of a job and of its cancellation. */
 class JobTest {
     private static Job submitted() {
-        return new Job(TestJob.number(1).tasks(2).spec(), 1, 0, 0);
+        return new Job(JobSpecBuilder.array(1).tasks(2).build(), 1, 0, 0);
     }
 
     @Test
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -21,7 +21,7 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.cluster.TestJob;
 import stileferry.protocol.InvalidJobSpecException;
-import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MessageCodec;
 import stileferry.storage.EventLog;
 import stileferry.storage.StoredEvent;
@@ -38,7 +38,7 @@
     private static Map<String, Job> jobs(int count, int tasks) {
         Map<String, Job> jobs = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
-            Job job = TestJob.number(i).tasks(tasks).accepted(i, 2);
+            Job job = TestJob.accepted(JobSpecBuilder.array(i).tasks(tasks).build(), i, 2);
             jobs.put(job.spec().id(), job);
         }
         return jobs;
@@ -287,7 +287,7 @@
     /** A job as it is stored with parts of 128 tasks each. */
     private static Job jobWithLegacyChunks(int tasks) throws InvalidJobSpecException {
         ObjectNode stored = MessageCodec.map().put("order", 0).put("at", 2).put("chunk", 128);
-        stored.set("spec", TestJob.number(0).tasks(tasks).spec().write());
+        stored.set("spec", JobSpecBuilder.array(0).tasks(tasks).build().write());
         return Job.read(stored, 0);
     }
 
@@ -323,7 +323,7 @@
 
     @Test
     void aGangIsPendingOnlyWhenNoneOfItIsAssigned() {
-        Job job = TestJob.number(1).kind(JobSpec.Kind.GANG).tasks(3).accepted(1, 2);
+        Job job = TestJob.accepted(JobSpecBuilder.gang(1).tasks(3).build(), 1, 2);
         assertEquals(0, job.nextPendingTask(0));
         job.addAssignment(new TaskAssignment(job, 1, 1, "m", 1, 0));
         assertEquals(-1, job.nextPendingTask(0), "a gang starts whole or not at all");
--- a/src/test/java/stileferry/protocol/JobSpecBuilder.java
+++ b/src/test/java/stileferry/protocol/JobSpecBuilder.java
@@ -1,5 +1,7 @@
 package stileferry.protocol;
 
+import java.util.List;
+
 /** Builds jobs for tests; what a test does not set is small, of the team without a limit, and may be anywhere. */
 public final class JobSpecBuilder {
     private final String id;
@@ -12,6 +14,7 @@
     private double memoryGb = 1;
     private String image = "img";
     private double imageGb = 1;
+    private List<String> machineTypes;
     private String zone;
     private boolean oneZone;
     private boolean spreadAcrossZones;
@@ -85,6 +88,12 @@
         return this;
     }
 
+    /** The machine types that the job may be on; null: any. */
+    public JobSpecBuilder machineTypes(List<String> names) {
+        machineTypes = names;
+        return this;
+    }
+
     /** The only zone that the job may be in; null: any. */
     public JobSpecBuilder zone(String name) {
         zone = name;
@@ -134,7 +143,7 @@
                 memoryGb,
                 image,
                 imageGb,
-                null,
+                machineTypes,
                 zone,
                 oneZone,
                 spreadAcrossZones,
--- a/src/test/java/stileferry/scheduling/PlacementTest.java
+++ b/src/test/java/stileferry/scheduling/PlacementTest.java
@@ -16,6 +16,7 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.cluster.TestJob;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
 
 /** What a scheduling pass starts where, compared with the design's own words, and how many machines it visits. */
 class PlacementTest {
@@ -159,14 +160,14 @@
         ClusterState cluster = RandomCluster.healthyCluster(60, new SplittableRandom(3));
         Placement placement = new Placement(cluster);
         for (int i = 0; i < 30; i++) {
-            Job job = TestJob.number(i)
+            JobSpec spec = JobSpecBuilder.service(i)
                     .jobClass("quick")
-                    .kind(JobSpec.Kind.SERVICE)
-                    .priority(JobSpec.Priority.CRITICAL)
-                    .image("new" + i, 2)
-                    .estimateS(0)
-                    .accepted(i, NOW);
-            cluster.addJob(job);
+                    .team("red")
+                    .image("new" + i)
+                    .imageGb(2)
+                    .allowsSpot(true)
+                    .build();
+            cluster.addJob(TestJob.accepted(spec, i, NOW));
         }
         placement.pass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
         int most = 0;
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -16,6 +16,7 @@
 import stileferry.cluster.TestMachine;
 import stileferry.cluster.TestSettings;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
@@ -52,19 +53,20 @@
         return machine;
     }
 
-    private Job add(TestJob job) {
-        Job accepted = job.accepted(jobs, 0);
-        cluster.addJob(accepted);
-        return accepted;
+    private Job add(JobSpecBuilder spec) {
+        Job job = TestJob.accepted(spec.build(), jobs, 0);
+        cluster.addJob(job);
+        return job;
     }
 
-    private TestJob next(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
-        return TestJob.number(++jobs)
+    private JobSpecBuilder next(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
+        return JobSpecBuilder.of(kind, "job-" + ++jobs)
                 .team(team)
-                .kind(kind)
                 .priority(priority)
                 .tasks(tasks)
-                .cpus(cpus);
+                .cpus(cpus)
+                .allowsSpot(true)
+                .runS(60);
     }
 
     private Job job(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -9,6 +9,7 @@
 import stileferry.cluster.TestMachine;
 import stileferry.cluster.TestSettings;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
@@ -64,20 +65,23 @@
     /** Adds an accepted job. */
     static Job job(ClusterState cluster, int number, SplittableRandom random) {
         boolean service = random.nextInt(4) == 0;
-        Job job = TestJob.number(number)
+        JobSpec spec = JobSpecBuilder.of(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY, "job-" + number)
+                .team("red")
                 .jobClass(random.nextInt(3) == 0 ? "quick" : "any")
-                .kind(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY)
                 .priority(JobSpec.Priority.values()[random.nextInt(4)])
                 .tasks(1 + random.nextInt(6))
                 .cpus(0.5 * (1 + random.nextInt(8)))
                 .memoryGb(1 + random.nextInt(12))
-                .image("img" + random.nextInt(5), 2)
+                .image("img" + random.nextInt(5))
+                .imageGb(2)
                 .machineTypes(random.nextInt(5) == 0 ? List.of("large") : null)
                 .zone(random.nextInt(5) == 0 ? "za" : null)
                 .oneZone(random.nextInt(6) == 0)
                 .spreadAcrossZones(random.nextInt(4) == 0)
                 .allowsSpot(random.nextBoolean())
-                .accepted(number, NOW);
+                .runS(60)
+                .build();
+        Job job = TestJob.accepted(spec, number, NOW);
         cluster.addJob(job);
         return job;
     }
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -8,7 +8,6 @@
 import java.util.function.BiPredicate;
 import org.junit.jupiter.api.Test;
 import stileferry.cluster.ClusterState;
-import stileferry.cluster.TestJob;
 import stileferry.cluster.TestSettings;
 import stileferry.coordination.ControllerNode;
 import stileferry.coordination.SimulatedCluster;
@@ -16,6 +15,7 @@
 import stileferry.heartbeat.EventLoopLag;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.Settings;
 
 /** Simulated clusters of the size of the largest deployments: what is counted is work, not time. */
@@ -52,18 +52,15 @@
     /** Every fifth job is a service spread across zones, the others are arrays. */
     private static JobSpec someJob(int number, SplittableRandom random) {
         boolean service = number % 5 == 0;
-        return TestJob.number(number)
-                .team("free")
-                .kind(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY)
-                .priority(service ? JobSpec.Priority.CRITICAL : JobSpec.Priority.NORMAL)
+        return JobSpecBuilder.of(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY, "job-" + number)
                 .tasks(service ? 6 : 20 + random.nextInt(60))
                 .cpus(2)
                 .memoryGb(4)
-                .image("img" + random.nextInt(5), 1)
+                .image("img" + random.nextInt(5))
                 .spreadAcrossZones(service)
                 .allowsSpot(!service)
-                .estimateS(service ? 0 : 30 + random.nextInt(60))
-                .spec();
+                .runS(service ? 0 : 30 + random.nextInt(60))
+                .build();
     }
 
     /** Checks of each accepted service how many of its tasks run, given as the first number, of how many. */
@@ -124,14 +121,14 @@
         int jobs = 0;
         for (int second = 0; second < 60; second++) {
             for (int i = 0; i < 2; i++) {
-                world.submit(TestJob.number(jobs++)
-                        .team("free")
+                world.submit(JobSpecBuilder.array(jobs++)
                         .tasks(20 + random.nextInt(60))
                         .cpus(2)
                         .memoryGb(4)
-                        .image("img" + random.nextInt(5), 1)
-                        .estimateS(10 + random.nextInt(30))
-                        .spec());
+                        .image("img" + random.nextInt(5))
+                        .allowsSpot(true)
+                        .runS(10 + random.nextInt(30))
+                        .build());
             }
             world.runFor(1);
         }
