--- a/src/main/java/stileferry/protocol/ExitReason.java
+++ b/src/main/java/stileferry/protocol/ExitReason.java
@@ -27,6 +27,11 @@
         this.wireName = word;
     }
 
+    /** The word that stands for it in heartbeats. */
+    public String wireName() {
+        return wireName;
+    }
+
     /** The reason that a word on the wire stands for; words to come are harmless. */
     static ExitReason of(String word) {
         for (ExitReason reason : values()) {
--- a/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
+++ b/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
@@ -8,7 +8,7 @@
 
 /**
  * The paths and field names of the key-value store's HTTP interface, its requests and its typed responses. No other
- * class of a controller spells them.
+ * class of a controller spells them, and the stand-in takes them from here.
  */
 public final class KeyValueStoreProtocol {
     /** Takes a {@link CommitRequest}. */
@@ -17,22 +17,62 @@
     /** Grants leases. */
     public static final String LEASES_PATH = "/leases";
 
-    private static final String KEYS_PATH = "/kv";
-    private static final String WATCH_PATH = "/watch";
-
-    private static final String KEY = "path";
-    private static final String VALUE = "v";
-    private static final String KEY_REVISION = "entry_rev";
-    private static final String STORE_REVISION = "ledger_rev";
-    private static final String LEASE = "mooring";
-    private static final String LEASE_DURATION_MS = "life_ms";
-    private static final String CONDITIONS = "if";
-    private static final String CHANGES = "apply";
-    private static final String PUT = "put";
-    private static final String DELETE = "delete";
-    private static final String ROWS = "rows";
-    private static final String MORE = "more";
-    private static final String EVENTS = "events";
+    /** Reads one key, below it, or lists keys. */
+    public static final String KEYS_PATH = "/kv";
+
+    /** Waits for changes. */
+    public static final String WATCH_PATH = "/watch";
+
+    /** A key in a condition, a row or an answer. */
+    public static final String KEY = "path";
+
+    /** The value of a key. */
+    public static final String VALUE = "v";
+
+    /** The revision of a key. */
+    public static final String KEY_REVISION = "entry_rev";
+
+    /** The store's revision. */
+    public static final String STORE_REVISION = "ledger_rev";
+
+    /** The id of a lease. */
+    public static final String LEASE = "mooring";
+
+    /** The duration of a lease. */
+    public static final String LEASE_DURATION_MS = "life_ms";
+
+    /** The conditions of a transaction. */
+    public static final String CONDITIONS = "if";
+
+    /** The changes of a transaction. */
+    public static final String CHANGES = "apply";
+
+    /** The key that a change writes. */
+    public static final String PUT = "put";
+
+    /** The key that a change deletes. */
+    public static final String DELETE = "delete";
+
+    /** The rows of a page. */
+    public static final String ROWS = "rows";
+
+    /** Whether rows follow after a page. */
+    public static final String MORE = "more";
+
+    /** What a watch has seen. */
+    public static final String EVENTS = "events";
+
+    /** The parameter of the prefix of keys to list or to watch. */
+    public static final String PREFIX = "starts";
+
+    /** The parameter of the key or the revision after which a list or a watch begins. */
+    public static final String AFTER = "from";
+
+    /** The parameter of the most rows of a page. */
+    public static final String LIMIT = "most";
+
+    /** The parameter of how long a watch waits. */
+    public static final String WAIT_MS = "block_ms";
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -52,12 +92,14 @@
 
     /** The path that lists keys with a prefix, after a key (empty: from the first). */
     public static String scanPath(String prefix, String after, int limit) {
-        return KEYS_PATH + "?starts=" + prefix + (after.isEmpty() ? "" : "&from=" + after) + "&most=" + limit;
+        return KEYS_PATH + "?" + PREFIX + "=" + prefix + (after.isEmpty() ? "" : "&" + AFTER + "=" + after) + "&"
+                + LIMIT + "=" + limit;
     }
 
     /** The path that waits for changes below a prefix after a revision. */
     public static String watchPath(String prefix, long afterRevision, long blockMs) {
-        return WATCH_PATH + "?starts=" + prefix + "&from=" + afterRevision + "&block_ms=" + blockMs;
+        return WATCH_PATH + "?" + PREFIX + "=" + prefix + "&" + AFTER + "=" + afterRevision + "&" + WAIT_MS + "="
+                + blockMs;
     }
 
     /** The path of one lease, which deletes it. */
--- a/src/main/java/stileferry/protocol/WorkerCommand.java
+++ b/src/main/java/stileferry/protocol/WorkerCommand.java
@@ -19,7 +19,7 @@
         }
 
         /** The word that stands for it in messages. */
-        String wireName() {
+        public String wireName() {
             return wireName;
         }
     }
--- a/src/main/java/stileferry/standin/KeyValueStore.java
+++ b/src/main/java/stileferry/standin/KeyValueStore.java
@@ -1,5 +1,27 @@
 package stileferry.standin;
 
+import static stileferry.protocol.KeyValueStoreProtocol.AFTER;
+import static stileferry.protocol.KeyValueStoreProtocol.CHANGES;
+import static stileferry.protocol.KeyValueStoreProtocol.COMMIT_PATH;
+import static stileferry.protocol.KeyValueStoreProtocol.CONDITIONS;
+import static stileferry.protocol.KeyValueStoreProtocol.DELETE;
+import static stileferry.protocol.KeyValueStoreProtocol.EVENTS;
+import static stileferry.protocol.KeyValueStoreProtocol.KEY;
+import static stileferry.protocol.KeyValueStoreProtocol.KEYS_PATH;
+import static stileferry.protocol.KeyValueStoreProtocol.KEY_REVISION;
+import static stileferry.protocol.KeyValueStoreProtocol.LEASE;
+import static stileferry.protocol.KeyValueStoreProtocol.LEASES_PATH;
+import static stileferry.protocol.KeyValueStoreProtocol.LEASE_DURATION_MS;
+import static stileferry.protocol.KeyValueStoreProtocol.LIMIT;
+import static stileferry.protocol.KeyValueStoreProtocol.MORE;
+import static stileferry.protocol.KeyValueStoreProtocol.PREFIX;
+import static stileferry.protocol.KeyValueStoreProtocol.PUT;
+import static stileferry.protocol.KeyValueStoreProtocol.ROWS;
+import static stileferry.protocol.KeyValueStoreProtocol.STORE_REVISION;
+import static stileferry.protocol.KeyValueStoreProtocol.VALUE;
+import static stileferry.protocol.KeyValueStoreProtocol.WAIT_MS;
+import static stileferry.protocol.KeyValueStoreProtocol.WATCH_PATH;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -12,14 +34,15 @@
 import java.util.TreeMap;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
+import stileferry.protocol.WireNames;
 
 /**
  * A stand-in for the consensus-backed key-value store, after the published protocol. Time comes from outside; nothing
  * runs by itself.
  */
 public final class KeyValueStore {
-    private static final String KEY_PATH = "/kv/";
-    private static final String LEASE_PATH = "/leases/";
+    private static final String KEY_PATH = KEYS_PATH + "/";
+    private static final String LEASE_PATH = LEASES_PATH + "/";
     private static final int MAX_ROWS = 1000;
 
     /** Changes that are kept for watches that begin at an earlier revision. */
@@ -109,14 +132,14 @@
     public void request(String method, String path, JsonNode body, Environment.ResponseHandler reply) {
         if (path.startsWith(KEY_PATH)) {
             get(path.substring(KEY_PATH.length()), reply);
-        } else if (path.startsWith("/kv?")) {
+        } else if (path.startsWith(KEYS_PATH + "?")) {
             reply.onResponse(200, list(QueryString.of(path)));
-        } else if (path.startsWith("/watch?")) {
+        } else if (path.startsWith(WATCH_PATH + "?")) {
             watch(QueryString.of(path), reply);
-        } else if (path.equals("/commit")) {
+        } else if (path.equals(COMMIT_PATH)) {
             commit(body, reply);
-        } else if (path.equals("/leases")) {
-            grantLease(body.path("life_ms").asLong(), reply);
+        } else if (path.equals(LEASES_PATH)) {
+            grantLease(body.path(LEASE_DURATION_MS).asLong(), reply);
         } else if (path.startsWith(LEASE_PATH)) {
             changeLease(
                     method, Long.parseLong(path.substring(LEASE_PATH.length()).split("/")[0]), reply);
@@ -128,23 +151,23 @@
     private void get(String key, Environment.ResponseHandler reply) {
         Entry entry = entries.get(key);
         if (entry == null) {
-            reply.onResponse(404, MessageCodec.map().put("ledger_rev", revision));
+            reply.onResponse(404, MessageCodec.map().put(STORE_REVISION, revision));
             return;
         }
-        ObjectNode answer = MessageCodec.map().put("path", key).put("entry_rev", entry.revision);
-        answer.set("v", entry.value);
+        ObjectNode answer = MessageCodec.map().put(KEY, key).put(KEY_REVISION, entry.revision);
+        answer.set(VALUE, entry.value);
         if (entry.lease != 0) {
-            answer.put("mooring", entry.lease);
+            answer.put(LEASE, entry.lease);
         }
         reply.onResponse(200, answer);
     }
 
     private ObjectNode list(QueryString query) {
-        String prefix = query.text("starts");
-        String from = query.text("from");
-        long limit = Math.min(MAX_ROWS, query.number("most", MAX_ROWS));
-        ObjectNode answer = MessageCodec.map().put("ledger_rev", revision);
-        ArrayNode rows = answer.putArray("rows");
+        String prefix = query.text(PREFIX);
+        String from = query.text(AFTER);
+        long limit = Math.min(MAX_ROWS, query.number(LIMIT, MAX_ROWS));
+        ObjectNode answer = MessageCodec.map().put(STORE_REVISION, revision);
+        ArrayNode rows = answer.putArray(ROWS);
         SortedMap<String, Entry> following =
                 from.isEmpty() ? entries.tailMap(prefix, true) : entries.tailMap(from, false);
         boolean more = false;
@@ -157,32 +180,32 @@
                 break;
             }
             rows.addObject()
-                    .put("path", row.getKey())
-                    .put("entry_rev", row.getValue().revision)
-                    .set("v", row.getValue().value);
+                    .put(KEY, row.getKey())
+                    .put(KEY_REVISION, row.getValue().revision)
+                    .set(VALUE, row.getValue().value);
         }
-        return answer.put("more", more);
+        return answer.put(MORE, more);
     }
 
     private void watch(QueryString query, Environment.ResponseHandler reply) {
-        String prefix = query.text("starts");
-        long afterRevision = query.number("from", 0);
+        String prefix = query.text(PREFIX);
+        long afterRevision = query.number(AFTER, 0);
         ObjectNode events = changesSince(prefix, afterRevision);
-        if (events.path("events").isEmpty()) {
-            watches.add(new Watch(prefix, afterRevision, now + query.number("block_ms", 0), reply));
+        if (events.path(EVENTS).isEmpty()) {
+            watches.add(new Watch(prefix, afterRevision, now + query.number(WAIT_MS, 0), reply));
         } else {
             reply.onResponse(200, events);
         }
     }
 
     private ObjectNode changesSince(String prefix, long afterRevision) {
-        ObjectNode answer = MessageCodec.map().put("ledger_rev", revision);
-        ArrayNode events = answer.putArray("events");
+        ObjectNode answer = MessageCodec.map().put(STORE_REVISION, revision);
+        ArrayNode events = answer.putArray(EVENTS);
         for (Change change : changes) {
             if (change.revision > afterRevision && change.key.startsWith(prefix)) {
                 events.addObject()
-                        .put(change.value == null ? "delete" : "put", change.key)
-                        .put("entry_rev", change.revision);
+                        .put(change.value == null ? DELETE : PUT, change.key)
+                        .put(KEY_REVISION, change.revision);
             }
         }
         return answer;
@@ -191,7 +214,7 @@
     private void notifyWatches() {
         for (Watch watch : List.copyOf(watches)) {
             ObjectNode events = changesSince(watch.prefix, watch.afterRevision);
-            if (!events.path("events").isEmpty()) {
+            if (!events.path(EVENTS).isEmpty()) {
                 watches.remove(watch);
                 watch.reply.onResponse(200, events);
             }
@@ -205,7 +228,7 @@
         Lease lease = new Lease(durationMs);
         lease.renew(now);
         leases.put(++lastLeaseId, lease);
-        reply.onResponse(200, MessageCodec.map().put("mooring", lastLeaseId));
+        reply.onResponse(200, MessageCodec.map().put(LEASE, lastLeaseId));
     }
 
     /** Deletes a lease, or renews it. */
@@ -234,14 +257,15 @@
     }
 
     private void commit(JsonNode body, Environment.ResponseHandler reply) {
-        JsonNode operations = body.path("apply");
+        JsonNode operations = body.path(CHANGES);
         if (tooLarge(body)) {
             refuse("transaction too large", reply);
             return;
         }
-        ArrayNode failed = failedComparisons(body.path("if"));
+        ArrayNode failed = failedComparisons(body.path(CONDITIONS));
         if (!failed.isEmpty()) {
-            reply.onResponse(409, MessageCodec.map().put("ledger_rev", revision).set("failed", failed));
+            reply.onResponse(
+                    409, MessageCodec.map().put(STORE_REVISION, revision).set("failed", failed));
             return;
         }
         String error = firstError(operations);
@@ -250,27 +274,27 @@
             return;
         }
         apply(operations);
-        reply.onResponse(200, MessageCodec.map().put("ledger_rev", revision));
+        reply.onResponse(200, MessageCodec.map().put(STORE_REVISION, revision));
         notifyWatches();
     }
 
     private boolean tooLarge(JsonNode body) {
-        return body.path("apply").size() > maxOperations
-                || body.path("if").size() > COMPARISONS_PER_OPERATION * maxOperations
+        return body.path(CHANGES).size() > maxOperations
+                || body.path(CONDITIONS).size() > COMPARISONS_PER_OPERATION * maxOperations
                 || body.toString().length() > MessageCodec.MAX_BODY;
     }
 
     private static void refuse(String error, Environment.ResponseHandler reply) {
-        reply.onResponse(400, MessageCodec.map().put("error", error));
+        reply.onResponse(400, MessageCodec.map().put(WireNames.ERROR, error));
     }
 
     private ArrayNode failedComparisons(JsonNode comparisons) {
         ArrayNode failed = MessageCodec.list();
         for (JsonNode comparison : comparisons) {
-            Entry entry = entries.get(comparison.path("path").asText());
+            Entry entry = entries.get(comparison.path(KEY).asText());
             long actual = entry == null ? 0 : entry.revision;
-            if (actual != comparison.path("entry_rev").asLong()) {
-                failed.add(comparison.path("path"));
+            if (actual != comparison.path(KEY_REVISION).asLong()) {
+                failed.add(comparison.path(KEY));
             }
         }
         return failed;
@@ -279,10 +303,10 @@
     /** What is wrong with the first invalid operation; null: all are valid. */
     private String firstError(JsonNode operations) {
         for (JsonNode operation : operations) {
-            if (operation.has("put") && operation.path("v").toString().length() > maxValueBytes) {
+            if (operation.has(PUT) && operation.path(VALUE).toString().length() > maxValueBytes) {
                 return "value too large";
             }
-            long lease = operation.path("mooring").asLong();
+            long lease = operation.path(LEASE).asLong();
             if (lease != 0 && !leases.containsKey(lease)) {
                 return "no such lease";
             }
@@ -296,10 +320,10 @@
             revision++;
         }
         for (JsonNode operation : operations) {
-            if (operation.has("put")) {
+            if (operation.has(PUT)) {
                 put(operation);
             } else {
-                String key = operation.path("delete").asText();
+                String key = operation.path(DELETE).asText();
                 if (entries.remove(key) != null) {
                     changes.add(new Change(key, null, revision));
                 }
@@ -308,11 +332,10 @@
     }
 
     private void put(JsonNode operation) {
-        String key = operation.path("put").asText();
-        JsonNode value = operation.path("v");
+        String key = operation.path(PUT).asText();
+        JsonNode value = operation.path(VALUE);
         entries.put(
-                key,
-                new Entry(value.deepCopy(), revision, operation.path("mooring").asLong()));
+                key, new Entry(value.deepCopy(), revision, operation.path(LEASE).asLong()));
         changes.add(new Change(key, value, revision));
     }
 }
--- a/src/main/java/stileferry/standin/WorkerWireFormat.java
+++ b/src/main/java/stileferry/standin/WorkerWireFormat.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import stileferry.protocol.ExitReason;
 import stileferry.protocol.Heartbeat.TaskPhase;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.WireNames;
@@ -47,7 +46,7 @@
                 .put(WireNames.ATTEMPT, task.attempt())
                 .put(WireNames.STATE, phaseName(task.phase()));
         if (task.exited()) {
-            entry.put(WireNames.EXIT_REASON, exitReasonName(task.exitReason()));
+            entry.put(WireNames.EXIT_REASON, task.exitReason().wireName());
             if (task.checkpointSaved()) {
                 entry.put(WireNames.CHECKPOINT_SAVED, true);
             }
@@ -64,20 +63,6 @@
         };
     }
 
-    private static String exitReasonName(ExitReason reason) {
-        return switch (reason) {
-            case COMPLETED -> "done";
-            case STOPPED -> "halted";
-            case FAILED -> "error";
-            case INSUFFICIENT_RESOURCES -> "full";
-            case CONFLICTING_ATTEMPT -> "busy";
-            case UNKNOWN_JOB -> "unknown";
-            case GANG_MEMBER_LOST -> "peers";
-            case GANG_INCOMPLETE -> "incomplete";
-            case OTHER -> "";
-        };
-    }
-
     static boolean hasFencingToken(JsonNode message) {
         return message.path(WireNames.FENCING_TOKEN).isIntegralNumber();
     }
@@ -112,11 +97,11 @@
     }
 
     private static WorkerCommand.Kind commandKind(String name) {
-        return switch (name) {
-            case "run" -> WorkerCommand.Kind.RUN;
-            case "kill" -> WorkerCommand.Kind.KILL;
-            case "clear" -> WorkerCommand.Kind.CLEAR;
-            default -> null;
-        };
+        for (WorkerCommand.Kind kind : WorkerCommand.Kind.values()) {
+            if (kind.wireName().equals(name)) {
+                return kind;
+            }
+        }
+        return null;
     }
 }
