--- /dev/null
+++ b/src/main/java/stileferry/standin/ChangeLog.java
@@ -0,0 +1,88 @@
+package stileferry.standin;
+
+import static stileferry.protocol.KeyValueStoreProtocol.DELETE;
+import static stileferry.protocol.KeyValueStoreProtocol.EVENTS;
+import static stileferry.protocol.KeyValueStoreProtocol.KEY_REVISION;
+import static stileferry.protocol.KeyValueStoreProtocol.PUT;
+import static stileferry.protocol.KeyValueStoreProtocol.STORE_REVISION;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.LongSupplier;
+import stileferry.protocol.Environment;
+import stileferry.protocol.MessageCodec;
+
+/** The latest changes of the stand-in store's keys, and the watches that wait for more. */
+final class ChangeLog {
+    /** Changes that are kept for watches that begin at an earlier revision. */
+    private static final int MAX_CHANGES = 10_000;
+
+    private final LongSupplier storeRevision;
+    private final List<Change> changes = new ArrayList<>();
+    private final List<Watch> watches = new ArrayList<>();
+
+    private record Change(String key, boolean deleted, long revision) {}
+
+    private record Watch(String prefix, long afterRevision, long until, Environment.ResponseHandler reply) {}
+
+    ChangeLog(LongSupplier storeRevision) {
+        this.storeRevision = storeRevision;
+    }
+
+    void put(String key, long revision) {
+        changes.add(new Change(key, false, revision));
+    }
+
+    void deleted(String key, long revision) {
+        changes.add(new Change(key, true, revision));
+    }
+
+    /** Replies with the changes after a revision as soon as there are any, or without some at a time. */
+    void watch(String prefix, long afterRevision, long until, Environment.ResponseHandler reply) {
+        ObjectNode answer = changesSince(prefix, afterRevision);
+        if (answer.path(EVENTS).isEmpty()) {
+            watches.add(new Watch(prefix, afterRevision, until, reply));
+        } else {
+            reply.onResponse(200, answer);
+        }
+    }
+
+    /** Replies to the watches that have seen changes. */
+    void notifyWatches() {
+        for (Watch watch : List.copyOf(watches)) {
+            ObjectNode answer = changesSince(watch.prefix, watch.afterRevision);
+            if (!answer.path(EVENTS).isEmpty()) {
+                watches.remove(watch);
+                watch.reply.onResponse(200, answer);
+            }
+        }
+        while (changes.size() > MAX_CHANGES) {
+            changes.remove(0);
+        }
+    }
+
+    /** Replies to the watches that have waited until now. */
+    void expireWatches(long now) {
+        for (Watch watch : List.copyOf(watches)) {
+            if (watch.until <= now) {
+                watches.remove(watch);
+                watch.reply.onResponse(200, changesSince(watch.prefix, watch.afterRevision));
+            }
+        }
+    }
+
+    private ObjectNode changesSince(String prefix, long afterRevision) {
+        ObjectNode answer = MessageCodec.map().put(STORE_REVISION, storeRevision.getAsLong());
+        ArrayNode events = answer.putArray(EVENTS);
+        for (Change change : changes) {
+            if (change.revision > afterRevision && change.key.startsWith(prefix)) {
+                events.addObject()
+                        .put(change.deleted ? DELETE : PUT, change.key)
+                        .put(KEY_REVISION, change.revision);
+            }
+        }
+        return answer;
+    }
+}
--- a/src/main/java/stileferry/standin/KeyValueStore.java
+++ b/src/main/java/stileferry/standin/KeyValueStore.java
@@ -5,7 +5,6 @@
 import static stileferry.protocol.KeyValueStoreProtocol.COMMIT_PATH;
 import static stileferry.protocol.KeyValueStoreProtocol.CONDITIONS;
 import static stileferry.protocol.KeyValueStoreProtocol.DELETE;
-import static stileferry.protocol.KeyValueStoreProtocol.EVENTS;
 import static stileferry.protocol.KeyValueStoreProtocol.KEY;
 import static stileferry.protocol.KeyValueStoreProtocol.KEYS_PATH;
 import static stileferry.protocol.KeyValueStoreProtocol.KEY_REVISION;
@@ -25,7 +24,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.List;
@@ -45,9 +43,6 @@
     private static final String LEASE_PATH = LEASES_PATH + "/";
     private static final int MAX_ROWS = 1000;
 
-    /** Changes that are kept for watches that begin at an earlier revision. */
-    private static final int MAX_KEPT_CHANGES = 10_000;
-
     /** Comparisons that a transaction may have for each operation that it may have. */
     private static final int COMPARISONS_PER_OPERATION = 4;
 
@@ -55,20 +50,14 @@
     private int maxValueBytes;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
-    private final List<Watch> watches = new ArrayList<>();
-    private final List<Change> changes = new ArrayList<>();
     private long revision;
     private long writtenKeys;
     private long lastLeaseId;
     private long now;
+    private final ChangeLog changeLog = new ChangeLog(() -> revision);
 
     private record Entry(JsonNode value, long revision, long lease) {}
 
-    /** A key that was put, or deleted if the value is null. */
-    private record Change(String key, JsonNode value, long revision) {}
-
-    private record Watch(String prefix, long afterRevision, long until, Environment.ResponseHandler reply) {}
-
     private static final class Lease {
         private final long durationMs;
         private long expiresAt;
@@ -114,12 +103,7 @@
                 deleteEntriesOf(lease.getKey());
             }
         }
-        for (Watch watch : List.copyOf(watches)) {
-            if (watch.until <= now) {
-                watches.remove(watch);
-                watch.reply.onResponse(200, changesSince(watch.prefix, watch.afterRevision));
-            }
-        }
+        changeLog.expireWatches(now);
     }
 
     /** Gives every lease its full time again, as after an outage. */
@@ -188,40 +172,8 @@
     }
 
     private void watch(QueryString query, Environment.ResponseHandler reply) {
-        String prefix = query.text(PREFIX);
-        long afterRevision = query.number(AFTER, 0);
-        ObjectNode events = changesSince(prefix, afterRevision);
-        if (events.path(EVENTS).isEmpty()) {
-            watches.add(new Watch(prefix, afterRevision, now + query.number(WAIT_MS, 0), reply));
-        } else {
-            reply.onResponse(200, events);
-        }
-    }
-
-    private ObjectNode changesSince(String prefix, long afterRevision) {
-        ObjectNode answer = MessageCodec.map().put(STORE_REVISION, revision);
-        ArrayNode events = answer.putArray(EVENTS);
-        for (Change change : changes) {
-            if (change.revision > afterRevision && change.key.startsWith(prefix)) {
-                events.addObject()
-                        .put(change.value == null ? DELETE : PUT, change.key)
-                        .put(KEY_REVISION, change.revision);
-            }
-        }
-        return answer;
-    }
-
-    private void notifyWatches() {
-        for (Watch watch : List.copyOf(watches)) {
-            ObjectNode events = changesSince(watch.prefix, watch.afterRevision);
-            if (!events.path(EVENTS).isEmpty()) {
-                watches.remove(watch);
-                watch.reply.onResponse(200, events);
-            }
-        }
-        while (changes.size() > MAX_KEPT_CHANGES) {
-            changes.remove(0);
-        }
+        long until = now + query.number(WAIT_MS, 0);
+        changeLog.watch(query.text(PREFIX), query.number(AFTER, 0), until, reply);
     }
 
     private void grantLease(long durationMs, Environment.ResponseHandler reply) {
@@ -250,10 +202,10 @@
         for (String key : List.copyOf(entries.keySet())) {
             if (entries.get(key).lease == lease) {
                 entries.remove(key);
-                changes.add(new Change(key, null, ++revision));
+                changeLog.deleted(key, ++revision);
             }
         }
-        notifyWatches();
+        changeLog.notifyWatches();
     }
 
     private void commit(JsonNode body, Environment.ResponseHandler reply) {
@@ -275,7 +227,7 @@
         }
         apply(operations);
         reply.onResponse(200, MessageCodec.map().put(STORE_REVISION, revision));
-        notifyWatches();
+        changeLog.notifyWatches();
     }
 
     private boolean tooLarge(JsonNode body) {
@@ -325,7 +277,7 @@
             } else {
                 String key = operation.path(DELETE).asText();
                 if (entries.remove(key) != null) {
-                    changes.add(new Change(key, null, revision));
+                    changeLog.deleted(key, revision);
                 }
             }
         }
@@ -336,6 +288,6 @@
         JsonNode value = operation.path(VALUE);
         entries.put(
                 key, new Entry(value.deepCopy(), revision, operation.path(LEASE).asLong()));
-        changes.add(new Change(key, value, revision));
+        changeLog.put(key, revision);
     }
 }
