--- a/src/main/java/stileferry/protocol/Heartbeat.java
+++ b/src/main/java/stileferry/protocol/Heartbeat.java
@@ -44,6 +44,11 @@
             this.wireName = wireName;
         }
 
+        /** The word that stands for it in heartbeats. */
+        public String wireName() {
+            return wireName;
+        }
+
         /** The phase that a word on the wire stands for; words to come are taken for the first phase. */
         static TaskPhase of(String word) {
             for (TaskPhase phase : ALL) {
--- a/src/main/java/stileferry/standin/WorkerWireFormat.java
+++ b/src/main/java/stileferry/standin/WorkerWireFormat.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import stileferry.protocol.Heartbeat.TaskPhase;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.WireNames;
 import stileferry.protocol.WorkerCommand;
@@ -44,7 +43,7 @@
     private static void writeTask(WorkerTask task, ObjectNode entry) {
         entry.put(WireNames.TASK, task.taskId())
                 .put(WireNames.ATTEMPT, task.attempt())
-                .put(WireNames.STATE, phaseName(task.phase()));
+                .put(WireNames.STATE, task.phase().wireName());
         if (task.exited()) {
             entry.put(WireNames.EXIT_REASON, task.exitReason().wireName());
             if (task.checkpointSaved()) {
@@ -53,16 +52,6 @@
         }
     }
 
-    private static String phaseName(TaskPhase phase) {
-        return switch (phase) {
-            case PULLING_IMAGE -> "pulling";
-            case WAITING_FOR_GANG -> "waiting";
-            case RUNNING -> "running";
-            case SAVING_CHECKPOINT -> "saving";
-            case EXITED -> "exited";
-        };
-    }
-
     static boolean hasFencingToken(JsonNode message) {
         return message.path(WireNames.FENCING_TOKEN).isIntegralNumber();
     }
