--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -12,6 +12,7 @@
 import java.util.function.LongSupplier;
 import org.xnio.IoUtils;
 import stileferry.coordination.Coordinator;
+import stileferry.protocol.ApiPaths;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
@@ -21,12 +22,9 @@
 
 /** The address for users, workers and health checks: takes requests apart and hands them to the owner. */
 final class ApiServer implements HttpHandler {
-    private static final byte[] NOTHING = new byte[0];
-    private static final String WORK = "/work";
-    private static final String WITHDRAW = "/withdraw";
-    private static final String ADMIN = "/admin/";
+    private static final byte[] NO_BODY = new byte[0];
 
-    private static final byte[] TOO_MUCH = MessageCodec.encode(UserMessages.error("too much to do, try again"));
+    private static final byte[] OVERLOADED = MessageCodec.encode(UserMessages.error("too much to do, try again"));
 
     /** A request that is let past the limit says nothing to it. */
     private static final Limiter.Listener UNLIMITED = new Limiter.Listener() {
@@ -40,115 +38,136 @@
         public void onDropped() {}
     };
 
-    private final CommandQueue owner;
-    private final Limiter<Void> limiter;
+    private final CommandQueue commands;
     private final Coordinator coordinator;
+    private final Limiter<Void> limiter;
     private final SocketBudget sockets;
-    private final LongSupplier open;
+    private final LongSupplier openConnections;
 
     ApiServer(
-            CommandQueue owner,
+            CommandQueue commands,
             Coordinator coordinator,
             Limiter<Void> limiter,
             SocketBudget sockets,
-            LongSupplier open) {
-        this.sockets = sockets;
-        this.open = open;
-        this.limiter = limiter;
-        this.owner = owner;
+            LongSupplier openConnections) {
+        this.commands = commands;
         this.coordinator = coordinator;
+        this.limiter = limiter;
+        this.sockets = sockets;
+        this.openConnections = openConnections;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         String path = exchange.getRequestPath();
-        boolean report = path.equals("/v1/report");
-        long now = open.getAsLong();
-        if (report ? sockets.closesWorkerConnections(now) : sockets.closesUserConnections(now)) {
-            exchange.setPersistent(false); // past the limit nobody could connect any more
-            exchange.addExchangeCompleteListener((done, next) -> {
-                IoUtils.safeClose(done.getConnection()); // without waiting for the other side to close it too
-                next.proceed();
-            });
+        boolean isHeartbeat = path.equals(ApiPaths.HEARTBEATS);
+        long open = openConnections.getAsLong();
+        if (isHeartbeat ? sockets.closesWorkerConnections(open) : sockets.closesUserConnections(open)) {
+            closeAfterResponse(exchange);
         }
-        if (report) {
-            post(exchange, body -> report(exchange, body));
-        } else if (path.equals("/ready")) {
-            get(exchange, () -> owned(exchange, () -> send(exchange, coordinator.ready() ? 200 : 503, 0, NOTHING)));
-        } else if (path.startsWith(ADMIN)) {
-            String rest = path.substring(ADMIN.length());
-            String query = exchange.getQueryString();
-            String full = query.isEmpty() ? rest : rest + "?" + query;
-            String method = exchange.getRequestMethod().toString();
-            if (method.equals("GET")) {
-                admin(exchange, method, full, NOTHING);
-            } else {
-                post(exchange, body -> admin(exchange, method, full, body));
-            }
-        } else if (path.equals(WORK)) {
+        if (isHeartbeat) {
+            post(exchange, body -> heartbeat(exchange, body));
+        } else if (path.equals(ApiPaths.READY)) {
+            get(exchange, () -> ready(exchange));
+        } else if (path.startsWith(ApiPaths.ADMINISTRATION)) {
+            administration(exchange, path.substring(ApiPaths.ADMINISTRATION.length()));
+        } else if (path.equals(ApiPaths.JOBS)) {
             post(exchange, body -> user(exchange, RequestKind.SUBMIT, "", body));
-        } else if (path.startsWith(WORK + "/")) {
-            String id = path.substring(WORK.length() + 1);
-            if (id.endsWith(WITHDRAW)) {
-                String job = id.substring(0, id.length() - WITHDRAW.length());
-                post(exchange, body -> job(exchange, RequestKind.CANCEL, job));
-            } else {
-                get(exchange, () -> job(exchange, RequestKind.STATUS, id));
-            }
+        } else if (ApiPaths.afterJobs(path) != null) {
+            job(exchange, ApiPaths.afterJobs(path));
         } else {
             refuse(exchange, 404, "no such path");
         }
     }
 
-    private void job(HttpServerExchange exchange, RequestKind ask, String id) {
+    private static void closeAfterResponse(HttpServerExchange exchange) {
+        exchange.setPersistent(false); // past the limit nobody could connect any more
+        exchange.addExchangeCompleteListener((completed, next) -> {
+            IoUtils.safeClose(completed.getConnection()); // without waiting for the other side to close it too
+            next.proceed();
+        });
+    }
+
+    private void ready(HttpServerExchange exchange) {
+        enqueue(exchange, () -> send(exchange, coordinator.ready() ? 200 : 503, 0, NO_BODY));
+    }
+
+    private void heartbeat(HttpServerExchange exchange, byte[] body) {
+        enqueue(
+                exchange,
+                () -> coordinator.handleHeartbeat(body, (status, answer) -> send(exchange, status, 0, answer)));
+    }
+
+    private void administration(HttpServerExchange exchange, String path) {
+        String query = exchange.getQueryString();
+        String pathAndQuery = query.isEmpty() ? path : path + "?" + query;
+        String method = exchange.getRequestMethod().toString();
+        if (method.equals("GET")) {
+            administration(exchange, method, pathAndQuery, NO_BODY);
+        } else {
+            post(exchange, body -> administration(exchange, method, pathAndQuery, body));
+        }
+    }
+
+    private void administration(HttpServerExchange exchange, String method, String pathAndQuery, byte[] body) {
+        enqueue(
+                exchange,
+                () -> coordinator.handleAdministrationRequest(
+                        method, pathAndQuery, body, response -> send(exchange, response)));
+    }
+
+    private void job(HttpServerExchange exchange, String idAndAction) {
+        if (idAndAction.endsWith(ApiPaths.CANCEL)) {
+            String id = idAndAction.substring(0, idAndAction.length() - ApiPaths.CANCEL.length());
+            post(exchange, body -> job(exchange, RequestKind.CANCEL, id));
+        } else {
+            get(exchange, () -> job(exchange, RequestKind.STATUS, idAndAction));
+        }
+    }
+
+    private void job(HttpServerExchange exchange, RequestKind kind, String id) {
         if (JobSpec.validId(id)) {
-            user(exchange, ask, id, NOTHING);
+            user(exchange, kind, id, NO_BODY);
         } else {
             refuse(exchange, 404, "no such job");
         }
     }
 
-    private void user(HttpServerExchange exchange, RequestKind ask, String id, byte[] body) {
+    private void user(HttpServerExchange exchange, RequestKind kind, String id, byte[] body) {
         Optional<Limiter.Listener> free = limiter.acquire(null);
-        int retryAfterS = free.isPresent() ? 0 : coordinator.retryAfterS(ask, body);
+        int retryAfterS = free.isPresent() ? 0 : coordinator.retryAfterS(kind, body);
         if (retryAfterS > 0) {
-            send(exchange, 503, retryAfterS, TOO_MUCH);
+            send(exchange, 503, retryAfterS, OVERLOADED);
             return;
         }
         Limiter.Listener slot = free.orElse(UNLIMITED);
-        owned(
+        enqueue(
                 exchange,
-                () -> coordinator.handleUserRequest(ask, id, body, answer -> {
-                    if (answer.status() == 503) {
-                        slot.onIgnore(); // says nothing about how long an answer takes
-                    } else {
-                        slot.onSuccess();
-                    }
-                    send(exchange, answer);
+                () -> coordinator.handleUserRequest(kind, id, body, response -> {
+                    release(slot, response);
+                    send(exchange, response);
                 }),
                 slot::onDropped);
     }
 
-    private void admin(HttpServerExchange exchange, String method, String path, byte[] body) {
-        owned(
-                exchange,
-                () -> coordinator.handleAdministrationRequest(method, path, body, answer -> send(exchange, answer)));
-    }
-
-    private void report(HttpServerExchange exchange, byte[] body) {
-        owned(exchange, () -> coordinator.handleHeartbeat(body, (status, answer) -> send(exchange, status, 0, answer)));
+    private static void release(Limiter.Listener slot, PeerMessage.Response response) {
+        if (response.status() == 503) {
+            slot.onIgnore(); // says nothing about how long an answer takes
+        } else {
+            slot.onSuccess();
+        }
     }
 
-    private void owned(HttpServerExchange exchange, Runnable command) {
-        owned(exchange, command, () -> {});
+    private void enqueue(HttpServerExchange exchange, Runnable command) {
+        enqueue(exchange, command, () -> {});
     }
 
     /** Hands the request to the owner; the exchange stays open until somebody sends. */
-    private void owned(HttpServerExchange exchange, Runnable command, Runnable refused) {
+    private void enqueue(HttpServerExchange exchange, Runnable command, Runnable refused) {
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            if (!owner.offer(command)) {
+            if (!commands.offer(command)) {
                 refused.run();
-                send(exchange, 503, 1, TOO_MUCH);
+                send(exchange, 503, 1, OVERLOADED);
             }
         });
     }
@@ -173,8 +192,8 @@
         send(exchange, status, 0, MessageCodec.encode(UserMessages.error(reason)));
     }
 
-    private static void send(HttpServerExchange exchange, PeerMessage.Response answer) {
-        send(exchange, answer.status(), answer.retryAfterS(), answer.body());
+    private static void send(HttpServerExchange exchange, PeerMessage.Response response) {
+        send(exchange, response.status(), response.retryAfterS(), response.body());
     }
 
     static void send(HttpServerExchange exchange, int status, int retryAfterS, byte[] body) {
--- a/src/main/java/stileferry/transport/CommandQueue.java
+++ b/src/main/java/stileferry/transport/CommandQueue.java
@@ -10,7 +10,7 @@
 final class CommandQueue {
     private static final Logger LOG = LoggerFactory.getLogger("owner");
     private static final int CAPACITY = 16 * 1024;
-    private static final int BATCH = 256;
+    private static final int MAX_BATCH = 256;
 
     private final XnioIoThread thread;
     private final ManyToOneConcurrentArrayQueue<Runnable> queue = new ManyToOneConcurrentArrayQueue<>(CAPACITY);
@@ -73,7 +73,7 @@
         scheduled.set(false);
         draining = true;
         try {
-            for (int i = 0; i < BATCH; i++) {
+            for (int i = 0; i < MAX_BATCH; i++) {
                 Runnable command = queue.poll();
                 if (command == null) {
                     break;
@@ -82,8 +82,8 @@
             }
             run(afterBatch);
         } finally {
-            draining =
-                    false; // also after an error that is not caught here, else nothing would ever be carried out again
+            // also after an error that is not caught here, else nothing would ever be carried out again
+            draining = false;
         }
         if (!queue.isEmpty()) {
             schedule();
@@ -93,8 +93,8 @@
     private static void run(Runnable command) {
         try {
             command.run();
-        } catch (RuntimeException e) {
-            LOG.error("a command failed", e);
+        } catch (RuntimeException e) { // one command's defect must not end the owner's thread
+            LOG.error("command failed", e);
         }
     }
 }
--- a/src/main/java/stileferry/transport/ConcurrencyLimit.java
+++ b/src/main/java/stileferry/transport/ConcurrencyLimit.java
@@ -7,9 +7,9 @@
 
 /** The limit on user requests in progress: it follows the measured times of answers, within bounds. */
 final class ConcurrencyLimit {
-    private static final int LEAST = 32;
-    private static final int FIRST = 128;
-    private static final int MOST = 1024;
+    private static final int MIN_REQUESTS = 32;
+    private static final int INITIAL_REQUESTS = 128;
+    private static final int MAX_REQUESTS = 1024;
 
     private ConcurrencyLimit() {}
 
@@ -21,9 +21,9 @@
         return SimpleLimiter.newBuilder()
                 .nanoClock(nanos)
                 .limit(Gradient2Limit.newBuilder()
-                        .minLimit(LEAST)
-                        .initialLimit(FIRST)
-                        .maxConcurrency(MOST)
+                        .minLimit(MIN_REQUESTS)
+                        .initialLimit(INITIAL_REQUESTS)
+                        .maxConcurrency(MAX_REQUESTS)
                         .build())
                 .build();
     }
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -17,24 +17,24 @@
 
 /** One controller's sockets: both servers and the client share one worker with one IO thread. */
 public final class ControllerServer implements AutoCloseable {
-    /** Report intervals without a word after which a connection is closed: its machine is gone or took another way. */
-    private static final double IDLE_REPORTS = 4;
+    /** Heartbeat intervals without a word after which a connection is closed: its machine may be gone. */
+    private static final double IDLE_HEARTBEATS = 4;
 
     /** At least this long: users ask again within some seconds. */
-    private static final int LEAST_IDLE_MS = 20_000;
+    private static final int MIN_IDLE_MS = 20_000;
 
     private final EventLoop loop;
-    private final CommandQueue owner;
+    private final CommandQueue commands;
     private final NetworkEnvironment environment;
-    private final Undertow users;
-    private final Undertow peers;
+    private final Undertow apiServer;
+    private final Undertow peerServer;
     private final int idleMs;
     private ConnectorStatistics statistics;
 
     /**
-     * Opens the addresses and begins to work. All of it is done by the IO thread, while the caller waits: seen on
-     * simulated machines, where the places of system calls are rewritten while the process runs, one thread that loaded
-     * classes from the jar while another read from its sockets ended the runtime within libc's read.
+     * Opens the addresses and begins to work. All of it is done by the IO thread while the caller waits: on simulated
+     * machines, which rewrite system calls in the running process, a thread that loads classes while another reads from
+     * its sockets can end the runtime.
      */
     public static ControllerServer open(Settings settings, Features features, InetAddress source) throws IOException {
         EventLoop loop = new EventLoop(settings.socketBudget().idle(), source);
@@ -43,10 +43,8 @@
         try {
             return opening.get();
         } catch (ExecutionException e) {
-            throw new IOException(
-                    e.getCause().getCause() == null
-                            ? e.getCause()
-                            : e.getCause().getCause());
+            Throwable problem = e.getCause();
+            throw new IOException(problem.getCause() == null ? problem : problem.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting");
@@ -55,30 +53,30 @@
 
     private ControllerServer(Settings settings, Features features, EventLoop loop) {
         this.loop = loop;
-        idleMs = (int)
-                Math.max(LEAST_IDLE_MS, IDLE_REPORTS * 1000 * settings.workers().heartbeatIntervalS());
+        idleMs = (int) Math.max(
+                MIN_IDLE_MS, IDLE_HEARTBEATS * 1000 * settings.workers().heartbeatIntervalS());
         SocketBudget sockets = settings.socketBudget();
-        owner = new CommandQueue(loop.thread);
-        environment = new NetworkEnvironment(owner, loop, sockets.forwards());
+        commands = new CommandQueue(loop.thread);
+        environment = new NetworkEnvironment(commands, loop, sockets.forwards());
         Coordinator coordinator = new Coordinator(settings, features, environment);
-        owner.afterBatch(coordinator::endOfBatch);
-        peers = server(settings.peerListen(), sockets.peers(), new PeerServer(owner, coordinator));
-        users = server(
+        commands.afterBatch(coordinator::endOfBatch);
+        peerServer = server(settings.peerListen(), sockets.peers(), new PeerServer(commands, coordinator));
+        apiServer = server(
                 settings.clientListen(),
                 sockets.incoming(),
-                new ApiServer(owner, coordinator, ConcurrencyLimit.create(), sockets, this::openConnections));
+                new ApiServer(commands, coordinator, ConcurrencyLimit.create(), sockets, this::openConnections));
         try {
-            peers.start();
-            users.start();
-            statistics = users.getListenerInfo().get(0).getConnectorStatistics();
-        } catch (RuntimeException e) {
+            peerServer.start();
+            apiServer.start();
+            statistics = apiServer.getListenerInfo().get(0).getConnectorStatistics();
+        } catch (RuntimeException e) { // an address in use comes as one
             close(); // the other address and the threads must not outlive a failed start
             throw e;
         }
-        owner.submit(coordinator::start);
+        commands.submit(coordinator::start);
     }
 
-    private Undertow server(InetSocketAddress listen, int connections, HttpHandler handler) {
+    private Undertow server(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
         return Undertow.builder()
                 .setWorker(loop.worker)
                 .setByteBufferPool(loop.buffers)
@@ -90,8 +88,8 @@
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                 .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
-                .setSocketOption(Options.CONNECTION_HIGH_WATER, connections)
-                .setSocketOption(Options.CONNECTION_LOW_WATER, connections - 1)
+                .setSocketOption(Options.CONNECTION_HIGH_WATER, maxConnections)
+                .setSocketOption(Options.CONNECTION_LOW_WATER, maxConnections - 1)
                 .setSocketOption(Options.TCP_NODELAY, true)
                 .setSocketOption(Options.REUSE_ADDRESSES, true)
                 .setHandler(handler)
@@ -105,10 +103,10 @@
 
     @Override
     public void close() {
-        owner.close();
+        commands.close();
         environment.close();
-        users.stop();
-        peers.stop();
+        apiServer.stop();
+        peerServer.stop();
         loop.close();
     }
 }
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -18,22 +18,22 @@
 final class NetworkEnvironment implements Environment {
     static final String PEER_PATH = "/peer";
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] NO_BODY = new byte[0];
 
-    private final CommandQueue owner;
+    private final CommandQueue commands;
     private final XnioIoThread thread;
     private final HttpClient http;
     private final RandomGenerator random = new SplittableRandom();
-    private final int mostForwards;
+    private final int maxForwards;
 
-    /** Requests that were passed on to a controller and have no answer yet, by its address. */
-    private final Map<String, Integer> forwards = new HashMap<>();
+    /** Requests that were forwarded to a controller and have no answer yet, by its address. */
+    private final Map<String, Integer> forwardsInFlight = new HashMap<>();
 
     private volatile boolean closed;
 
-    NetworkEnvironment(CommandQueue owner, EventLoop loop, int mostForwards) {
-        this.mostForwards = mostForwards;
-        this.owner = owner;
+    NetworkEnvironment(CommandQueue commands, EventLoop loop, int maxForwards) {
+        this.maxForwards = maxForwards;
+        this.commands = commands;
         this.thread = loop.thread;
         this.http = loop.http;
     }
@@ -67,8 +67,8 @@
         if (!closed) {
             thread.executeAfter(
                     () -> {
-                        if (!owner.offer(task)) {
-                            owner.submit(task); // never lost: it goes behind what is queued
+                        if (!commands.offer(task)) {
+                            commands.submit(task); // never lost: it goes behind what is queued
                         }
                     },
                     Math.max(1, delayMs),
@@ -77,36 +77,37 @@
     }
 
     @Override
-    public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
-        http.call(
-                addr,
+    public void request(
+            String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler handler) {
+        http.request(
+                address,
                 method,
                 path,
-                body == null ? NOTHING : MessageCodec.encode(body),
+                body == null ? NO_BODY : MessageCodec.encode(body),
                 timeoutMs,
-                (status, bytes) -> owner.submit(
-                        () -> reply.onResponse(status, bytes.length == 0 ? null : MessageCodec.decode(bytes))));
+                (status, bytes) -> commands.submit(
+                        () -> handler.onResponse(status, bytes.length == 0 ? null : MessageCodec.decode(bytes))));
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        boolean forward = record instanceof PeerMessage.ForwardedRequest;
-        if (forward && forwards.getOrDefault(peer.address(), 0) >= mostForwards) {
-            owner.submit(() -> reply.accept(null)); // a controller that stands still must not take all sockets
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {
+        boolean isForward = message instanceof PeerMessage.ForwardedRequest;
+        if (isForward && forwardsInFlight.getOrDefault(peer.address(), 0) >= maxForwards) {
+            commands.submit(() -> reply.accept(null)); // a controller that stands still must not take all sockets
             return;
         }
-        if (forward) {
-            forwards.merge(peer.address(), 1, Integer::sum);
+        if (isForward) {
+            forwardsInFlight.merge(peer.address(), 1, Integer::sum);
         }
-        http.call(
+        http.request(
                 peer.address(),
                 "POST",
                 PEER_PATH,
-                PeerMessageCodec.encode(record),
+                PeerMessageCodec.encode(message),
                 timeoutMs,
-                (status, bytes) -> owner.submit(() -> {
-                    if (forward) {
-                        forwards.merge(peer.address(), -1, Integer::sum);
+                (status, bytes) -> commands.submit(() -> {
+                    if (isForward) {
+                        forwardsInFlight.merge(peer.address(), -1, Integer::sum);
                     }
                     reply.accept(status == 200 ? PeerMessageCodec.decode(bytes) : null);
                 }));
--- a/src/main/java/stileferry/transport/PeerServer.java
+++ b/src/main/java/stileferry/transport/PeerServer.java
@@ -10,11 +10,11 @@
 
 /** The address for the other controllers. */
 final class PeerServer implements HttpHandler {
-    private final CommandQueue owner;
+    private final CommandQueue commands;
     private final Coordinator coordinator;
 
-    PeerServer(CommandQueue owner, Coordinator coordinator) {
-        this.owner = owner;
+    PeerServer(CommandQueue commands, Coordinator coordinator) {
+        this.commands = commands;
         this.coordinator = coordinator;
     }
 
@@ -25,14 +25,14 @@
             return;
         }
         RequestBodyReader.read(exchange, 2 * MessageCodec.MAX_BODY, body -> {
-            PeerMessage record = PeerMessageCodec.decode(body);
-            if (record == null) {
+            PeerMessage message = PeerMessageCodec.decode(body);
+            if (message == null) {
                 ApiServer.refuse(exchange, 400, "not a record");
                 return;
             }
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                if (!owner.offer(() -> coordinator.handlePeerMessage(
-                        record, answer -> ApiServer.send(exchange, 200, 0, PeerMessageCodec.encode(answer))))) {
+                if (!commands.offer(() -> coordinator.handlePeerMessage(
+                        message, answer -> ApiServer.send(exchange, 200, 0, PeerMessageCodec.encode(answer))))) {
                     ApiServer.refuse(exchange, 503, "too much to do, try again");
                 }
             });
--- a/src/main/java/stileferry/transport/RequestBodyReader.java
+++ b/src/main/java/stileferry/transport/RequestBodyReader.java
@@ -7,13 +7,14 @@
 final class RequestBodyReader {
     private RequestBodyReader() {}
 
-    static void read(HttpServerExchange exchange, int limit, Consumer<byte[]> handler) {
-        if (exchange.getRequestContentLength() > limit) {
+    static void read(HttpServerExchange exchange, int maxBytes, Consumer<byte[]> handler) {
+        if (exchange.getRequestContentLength() > maxBytes) {
             tooLarge(exchange);
             return;
         }
-        exchange.setMaxEntitySize(limit); // also for bodies in chunks, whose length nobody announces
-        exchange.getRequestReceiver().receiveFullBytes((e, body) -> handler.accept(body), (e, problem) -> tooLarge(e));
+        exchange.setMaxEntitySize(maxBytes); // also for bodies in chunks, whose length nobody announces
+        exchange.getRequestReceiver()
+                .receiveFullBytes((received, body) -> handler.accept(body), (failed, problem) -> tooLarge(failed));
     }
 
     private static void tooLarge(HttpServerExchange exchange) {
