--- a/src/main/java/stileferry/coordination/AdmissionCounting.java
+++ b/src/main/java/stileferry/coordination/AdmissionCounting.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import stileferry.cluster.Job;
 import stileferry.overload.AdmissionCountShards;
-import stileferry.overload.FairAdmission;
+import stileferry.overload.AdmissionSettings;
 import stileferry.protocol.KeyValue;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SubmissionHeader;
@@ -35,7 +35,7 @@
     /** Has a job counted in the transaction that makes it durable. */
     void count(Job job) {
         if (started()) {
-            shards.count(job.entry(), FairAdmission.cell(settings, job.spec()));
+            shards.count(job.entry(), AdmissionSettings.cell(settings, job.spec()));
         }
     }
 
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -44,10 +44,10 @@
     /** Begins to work. */
     default void start(Host host) {}
 
-    /** This node leads in this term from now on. */
+    /** This controller leads in this term from now on. */
     default void elected(long term) {}
 
-    /** This node no longer leads. */
+    /** This controller no longer leads. */
     default void deposed() {}
 
     /** Whether users had better be sent to the other controllers. */
@@ -62,7 +62,7 @@
     }
 
     /** Seconds after which a request that met the limit on requests in progress is worth a try; 0: it may pass it. */
-    default int retryAfterS(PeerMessage.RequestKind ask, byte[] body) {
+    default int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
         return 1;
     }
 
--- a/src/main/java/stileferry/overload/AdmissionCountShards.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -28,14 +28,14 @@
     private static final String COUNTS = "counts";
 
     /** The share of the value limit that a shard may take in JSON form. */
-    private static final double FILL = 0.9;
+    private static final double MAX_VALUE_SHARE = 0.9;
 
-    /** At most so many bytes for a number and the punctuation around a name. */
-    private static final int CELL_BYTES = 28;
+    /** At most so many characters for a number and the punctuation around a name. */
+    private static final int NUMBER_LENGTH = 28;
 
     private final long run;
     private final long completeUntil;
-    private final int mostBytes;
+    private final int maxLength;
     private final List<OpenShard> shards = new ArrayList<>();
     private final Map<StoredEntry, AdmissionCounts.Cell> uncounted = new IdentityHashMap<>();
 
@@ -49,12 +49,12 @@
         }
 
         boolean takes(List<AdmissionCounts.Cell> cells) {
-            int more = cells.stream()
+            int addedLength = cells.stream()
                     .filter(cell -> !counts.has(cell))
                     .mapToInt(
-                            cell -> 2 * (cell.team().length() + cell.jobClass().length()) + 2 * CELL_BYTES)
+                            cell -> 2 * (cell.team().length() + cell.jobClass().length()) + 2 * NUMBER_LENGTH)
                     .sum();
-            return !entry.inFlight() && write(counts).toString().length() + more <= mostBytes;
+            return !entry.inFlight() && write(counts).toString().length() + addedLength <= maxLength;
         }
     }
 
@@ -64,9 +64,9 @@
      * @param rows all shards
      * @param run the first term of the unbroken run of counting leaders that this one is of
      */
-    public AdmissionCountShards(List<KeyValue> rows, long run, double valueKb) {
+    public AdmissionCountShards(List<KeyValue> rows, long run, double maxValueKb) {
         this.run = run;
-        this.mostBytes = (int) (valueKb * 1024 * FILL);
+        this.maxLength = (int) (maxValueKb * 1024 * MAX_VALUE_SHARE);
         this.completeUntil = AdmissionTotals.completeUntil(read(rows), run);
         for (KeyValue row : rows) {
             OpenShard shard = new OpenShard(row.key(), row.revision());
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -17,42 +17,45 @@
  */
 final class AdmissionTotalsReader {
     /** Reads of shards that changed between two pages before it is given up. */
-    private static final int MOST_READS = 3;
+    private static final int MAX_READS = 3;
 
-    private final KeyValueStoreClient state;
-    private long toldRevision;
+    /** Where a run of counting leaders begins when nobody ever led. */
+    private static final long FIRST_TERM = 1;
 
-    AdmissionTotalsReader(KeyValueStoreClient state) {
-        this.state = state;
+    private final KeyValueStoreClient store;
+    private long lastToldRevision;
+
+    AdmissionTotalsReader(KeyValueStoreClient store) {
+        this.store = store;
     }
 
     /** Reads the totals; null: they can't be known now, or only older ones than were told before. */
     void read(Consumer<AdmissionTotals> then) {
-        readShards(MOST_READS, then);
+        readShards(MAX_READS, then);
     }
 
     private void readShards(int readsLeft, Consumer<AdmissionTotals> then) {
-        state.scan(AdmissionCountShards.PREFIX, false, rows -> {
-            if (rows.rows() == null || readsLeft == 0) {
+        store.scan(AdmissionCountShards.PREFIX, false, scan -> {
+            if (scan.rows() == null || readsLeft == 0) {
                 then.accept(null);
-            } else if (rows.rows().stream().anyMatch(row -> row.revision() > rows.firstRevision())) {
+            } else if (scan.rows().stream().anyMatch(row -> row.revision() > scan.firstRevision())) {
                 readShards(readsLeft - 1, then);
             } else {
-                readTerm(rows, then);
+                readTerm(scan, then);
             }
         });
     }
 
-    private void readTerm(ScanResult rows, Consumer<AdmissionTotals> then) {
-        state.get(LeaderElection.TERM_KEY, result -> {
-            if (result.unknown() || rows.firstRevision() < toldRevision) {
+    private void readTerm(ScanResult scan, Consumer<AdmissionTotals> then) {
+        store.get(LeaderElection.TERM_KEY, result -> {
+            if (result.unknown() || scan.firstRevision() < lastToldRevision) {
                 then.accept(null);
                 return;
             }
-            List<AdmissionTotals.Shard> shards = AdmissionCountShards.read(rows.rows());
-            long run = result.found() ? TermRecord.read(result.row()).admissionsCountedSince() : 1; // nobody ever led
-            toldRevision = rows.firstRevision();
-            then.accept(AdmissionTotals.of(shards, run, rows.firstRevision()));
+            List<AdmissionTotals.Shard> shards = AdmissionCountShards.read(scan.rows());
+            long run = result.found() ? TermRecord.read(result.row()).admissionsCountedSince() : FIRST_TERM;
+            lastToldRevision = scan.firstRevision();
+            then.accept(AdmissionTotals.of(shards, run, scan.firstRevision()));
         });
     }
 
--- a/src/main/java/stileferry/overload/RequestForwarder.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -11,36 +11,35 @@
 
 /**
  * Sends users' requests to the leader together. While batches are in flight what comes up waits for the next one, so a
- * batch is as large as the leader is slow, and at low load every request goes at once. Found on overloaded days: three
- * of four refusals were polls that got no connection to a leader whose time went into single requests.
+ * batch is as large as the leader is slow, and at low load every request goes at once.
  */
 final class RequestForwarder {
     /** Requests that may wait: a few full batches. */
-    private static final int MOST_WAITING = 4 * PeerMessage.MAX_BATCH_REQUESTS;
+    private static final int MAX_WAITING = 4 * PeerMessage.MAX_BATCH_REQUESTS;
 
     /** Bytes of the bodies in one batch, well below what a record may hold. */
-    private static final int MOST_BYTES = MessageCodec.MAX_BODY;
+    private static final int MAX_BATCH_BYTES = MessageCodec.MAX_BODY;
 
     private final Environment environment;
-    private final int mostInFlight;
+    private final int maxBatchesInFlight;
     private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
-    private int inFlight;
+    private int batchesInFlight;
 
     /** One request with the time at which its user has to hear something. */
     private record Waiting(
-            Settings.Peer leader, PeerMessage.ForwardedRequest request, long deadline, Consumer<PeerMessage> reply) {}
+            Settings.Peer leader, PeerMessage.ForwardedRequest request, long deadlineMs, Consumer<PeerMessage> reply) {}
 
-    /** A lane with so many batches in flight at most. */
-    RequestForwarder(Environment environment, int mostInFlight) {
+    /** With so many batches in flight at most. */
+    RequestForwarder(Environment environment, int maxBatchesInFlight) {
         this.environment = environment;
-        this.mostInFlight = mostInFlight;
+        this.maxBatchesInFlight = maxBatchesInFlight;
     }
 
     /** Sends a request with the next batch; null is the reply when it was not answered in time, or not sent. */
     void send(
             Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
         dropExpired();
-        if (queue.size() >= MOST_WAITING) {
+        if (queue.size() >= MAX_WAITING) {
             reply.accept(null);
             return;
         }
@@ -49,14 +48,14 @@
     }
 
     private void dropExpired() {
-        while (!queue.isEmpty() && queue.peek().deadline <= environment.now()) {
+        while (!queue.isEmpty() && queue.peek().deadlineMs <= environment.now()) {
             queue.poll().reply.accept(null);
         }
     }
 
     private void flush() {
         dropExpired();
-        while (inFlight < mostInFlight && !queue.isEmpty()) {
+        while (batchesInFlight < maxBatchesInFlight && !queue.isEmpty()) {
             sendBatch(nextBatch());
         }
     }
@@ -69,7 +68,7 @@
         while (!queue.isEmpty()
                 && batch.size() < PeerMessage.MAX_BATCH_REQUESTS
                 && queue.peek().leader.equals(leader)
-                && (batch.isEmpty() || bytes + queue.peek().request.body().length <= MOST_BYTES)) {
+                && (batch.isEmpty() || bytes + queue.peek().request.body().length <= MAX_BATCH_BYTES)) {
             bytes += queue.peek().request.body().length;
             batch.add(queue.poll());
         }
@@ -77,16 +76,17 @@
     }
 
     private void sendBatch(List<Waiting> batch) {
-        inFlight++;
-        long patienceMs = Math.max(1, batch.get(0).deadline - environment.now());
+        batchesInFlight++;
+        long patienceMs = Math.max(1, batch.get(0).deadlineMs - environment.now());
         List<PeerMessage.ForwardedRequest> requests =
                 batch.stream().map(Waiting::request).toList();
-        environment.sendToPeer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), patienceMs, record -> {
-            inFlight--;
+        environment.sendToPeer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), patienceMs, message -> {
+            batchesInFlight--;
             List<PeerMessage.Response> answers =
-                    record instanceof PeerMessage.ResponseBatch b ? b.answers() : List.of();
+                    message instanceof PeerMessage.ResponseBatch batchAnswer ? batchAnswer.answers() : List.of();
+            boolean complete = answers.size() == batch.size();
             for (int i = 0; i < batch.size(); i++) {
-                batch.get(i).reply.accept(answers.size() == batch.size() ? answers.get(i) : null);
+                batch.get(i).reply.accept(complete ? answers.get(i) : null);
             }
             flush();
         });
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -25,7 +25,7 @@
 import stileferry.cluster.Job;
 import stileferry.leadership.LeaderElection;
 import stileferry.overload.AdmissionCountShards;
-import stileferry.overload.FairAdmission;
+import stileferry.overload.AdmissionSettings;
 import stileferry.protocol.Environment;
 import stileferry.protocol.KeyValue;
 import stileferry.protocol.MessageCodec;
@@ -77,7 +77,7 @@
         final List<Request> lost = new ArrayList<>();
         final PriorityQueue<Long> wakeAt = new PriorityQueue<>();
         final TreeMap<Long, List<Runnable>> timers = new TreeMap<>();
-        final AdmissionDoor door = new AdmissionDoor(FairAdmission.config(settings()), 10);
+        final AdmissionDoor door = new AdmissionDoor(AdmissionSettings.config(settings()), 10);
         final Count count;
         long now = 1;
         long term;
@@ -338,7 +338,7 @@
         int orders = 0;
         int events = tables.size() + 2; // a table arrives, or a term is learnt
         for (int code = 0; code < Math.pow(events, 5); code++) {
-            AdmissionDoor door = new AdmissionDoor(FairAdmission.config(settings()), 10);
+            AdmissionDoor door = new AdmissionDoor(AdmissionSettings.config(settings()), 10);
             long known = 0;
             for (int rest = code, i = 0; i < 5; i++, rest /= events) {
                 int event = rest % events;
