--- a/src/main/java/stileferry/cli/CheckConfig.java
+++ b/src/main/java/stileferry/cli/CheckConfig.java
@@ -26,7 +26,7 @@
     public Integer call() {
         SettingsReader.Result read = SettingsFile.read(config);
         if (read.settings() == null) {
-            read.problems().forEach(p -> System.err.println("stileferry: settings: " + p));
+            read.problems().forEach(problem -> System.err.println("stileferry: settings: " + problem));
             return ExitCode.USAGE;
         }
         Features.Result features = FeaturesFile.read(featuresFile);
--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -10,7 +10,7 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.UserMessages;
-import stileferry.protocol.WireNames;
+import stileferry.protocol.UserMessages.JobState;
 import stileferry.transport.ApiClient;
 import stileferry.transport.LogLevel;
 import stileferry.transport.StandInHost;
@@ -26,16 +26,28 @@
     private static final String ALL_FEATURES =
             "{\"" + Features.PARTIAL_CUTS + "\":true,\"" + Features.FAIR_ADMISSION + "\":true}";
 
-    private static final int POLLS = 100;
-    private static final byte[] NOTHING = new byte[0];
+    private static final int MAX_POLLS = 100;
+    private static final long POLL_INTERVAL_MS = 100;
+
+    /** Until the second controller has started. */
+    private static final long START_MS = 500;
+
+    /** For what is accepted or cancelled. */
+    private static final long CHANGE_PATIENCE_MS = 10_000;
+
+    /** For what is refused or read. */
+    private static final long PATIENCE_MS = 1000;
+
+    private static final byte[] NO_BODY = new byte[0];
 
     private ClassArchiveTraining() {}
 
+    /** Plays the life and ends the process; without an archive that is whole the start is only slower. */
     public static void main(String[] args) throws Exception {
         LogLevel.start(System.getenv("LOG_LEVEL"));
         try {
             play(Ports.free(PORTS));
-        } catch (IOException | RuntimeException e) {
+        } catch (IOException | RuntimeException e) { // the build goes on without
             System.err.println("stileferry: the class archive will be smaller, the start slower: " + e);
         }
         System.exit(0); // the way out is rehearsed too; the archive is written at the end
@@ -52,35 +64,37 @@
                         .build();
                 ApiClient user = new ApiClient(List.of("127.0.0.1:" + (port + 1), "127.0.0.1:" + (port + 2)))) {
             first.start();
-            work(user, 1);
-            Thread second = new Thread(
-                    () -> Daemon.run(new String[] {
-                        "--config", dir.resolve("node-1.json").toString(), "--features", features.toString()
-                    }),
-                    "second");
-            second.setDaemon(true);
-            second.start();
-            Thread.sleep(500);
-            work(user, 5);
+            runJobs(user, 1);
+            startSecond(dir.resolve("node-1.json"), features);
+            Thread.sleep(START_MS);
+            runJobs(user, 5);
             first.close();
-            work(user, 9);
+            runJobs(user, 9);
         }
     }
 
+    /** Starts another controller as service managers do. */
+    private static void startSecond(Path settings, Path features) {
+        String[] args = {"--config", settings.toString(), "--features", features.toString()};
+        Thread second = new Thread(() -> Daemon.run(args), "second");
+        second.setDaemon(true);
+        second.start();
+    }
+
     /** An array that ends, a gang, a service that is cancelled, and questions that are refused. */
-    private static void work(ApiClient user, int number) throws InterruptedException {
+    private static void runJobs(ApiClient user, int number) throws InterruptedException {
         submit(user, number, JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL);
         submit(user, number + 1, JobSpec.Kind.GANG, JobSpec.Priority.IDLE);
         submit(user, number + 2, JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL);
         await(user, number, "done");
         await(user, number + 2, "running");
-        user.ask("POST", ApiPaths.job("job-" + (number + 2)) + ApiPaths.CANCEL, NOTHING, 10_000);
+        user.ask("POST", ApiPaths.job("job-" + (number + 2)) + ApiPaths.CANCEL, NO_BODY, CHANGE_PATIENCE_MS);
         await(user, number + 2, "cancelled");
-        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), 1000);
-        user.ask("GET", ApiPaths.job("job-99"), NOTHING, 1000);
-        user.ask("GET", ApiPaths.READY, NOTHING, 1000);
-        user.ask("GET", "/elsewhere", NOTHING, 1000);
-        user.ask("GET", ApiPaths.ADMINISTRATION + "counters", NOTHING, 1000);
+        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), PATIENCE_MS);
+        user.ask("GET", ApiPaths.job("job-99"), NO_BODY, PATIENCE_MS);
+        user.ask("GET", ApiPaths.READY, NO_BODY, PATIENCE_MS);
+        user.ask("GET", "/elsewhere", NO_BODY, PATIENCE_MS);
+        user.ask("GET", ApiPaths.ADMINISTRATION + "counters", NO_BODY, PATIENCE_MS);
     }
 
     private static void submit(ApiClient user, int number, JobSpec.Kind kind, JobSpec.Priority priority)
@@ -106,17 +120,17 @@
                 0,
                 0,
                 -1);
-        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(job.write()), 10_000);
+        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(job.write()), CHANGE_PATIENCE_MS);
     }
 
     private static void await(ApiClient user, int number, String state) throws InterruptedException {
-        for (int i = 0; i < POLLS; i++) {
-            ApiClient.Response answer = user.once("GET", ApiPaths.job("job-" + number), NOTHING);
-            if (answer.body() != null
-                    && answer.body().path(WireNames.STATE).asText().equals(state)) {
+        for (int i = 0; i < MAX_POLLS; i++) {
+            ApiClient.Response response = user.once("GET", ApiPaths.job("job-" + number), NO_BODY);
+            if (response.body() != null
+                    && JobState.read(response.body()).state().equals(state)) {
                 return;
             }
-            Thread.sleep(100);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/stileferry/cli/Ports.java
+++ b/src/main/java/stileferry/cli/Ports.java
@@ -27,8 +27,8 @@
 
     private static boolean allFree(int base, int count) {
         for (int i = 0; i < count; i++) {
-            try (ServerSocket s = new ServerSocket(base + i, 1, InetAddress.getLoopbackAddress())) {
-                if (!s.isBound()) {
+            try (ServerSocket socket = new ServerSocket(base + i, 1, InetAddress.getLoopbackAddress())) {
+                if (!socket.isBound()) {
                     return false;
                 }
             } catch (IOException e) {
--- a/src/main/java/stileferry/cli/StandInSettings.java
+++ b/src/main/java/stileferry/cli/StandInSettings.java
@@ -15,14 +15,13 @@
     private static final int SOCKETS_EACH_MACHINE = 3;
     private static final double MS_PER_S = 1000.0;
 
-    private static final String PEER =
-            """
-            {"host_name": "node-%d", "zone": "a", "peer_addr": "127.0.0.1:%d"}""";
+    private static final String PEER = """
+            {"host_name": "%s", "zone": "a", "peer_addr": "127.0.0.1:%d"}""";
 
     private static final String SETTINGS =
             """
             {
-              "host_name": "node-%d", "zone": "a",
+              "host_name": "%s", "zone": "a",
               "client_listen": "127.0.0.1:%d", "peer_bind": "127.0.0.1:%d",
               "seeds": [%s],
               "outside": {"cloud": "127.0.0.1:%d", "state": "127.0.0.1:%d"},
@@ -43,13 +42,13 @@
     /** The settings of one controller, by its number, as JSON. */
     static String of(int controller, int port, StandInHost.Size size) {
         return SETTINGS.formatted(
-                controller,
+                name(controller),
                 clientPort(port, controller),
                 peerPort(port, controller),
                 peers(port, controller),
                 port,
                 port,
-                size.reportMs() / MS_PER_S,
+                size.heartbeatIntervalMs() / MS_PER_S,
                 size.leaseMs() / MS_PER_S,
                 2 * size.leaseMs() / MS_PER_S,
                 StandInHost.GANG_WAIT_S,
@@ -57,6 +56,10 @@
                 Math.max(MIN_SOCKETS, SOCKETS_EACH_MACHINE * size.machines()));
     }
 
+    static String name(int controller) {
+        return "node-" + controller;
+    }
+
     static int clientPort(int port, int controller) {
         return port + 1 + controller;
     }
@@ -69,7 +72,7 @@
         List<String> peers = new ArrayList<>();
         for (int other = 0; other < CONTROLLERS; other++) {
             if (other != controller) {
-                peers.add(PEER.formatted(other, peerPort(port, other)));
+                peers.add(PEER.formatted(name(other), peerPort(port, other)));
             }
         }
         return String.join(", ", peers);
--- a/src/main/java/stileferry/cli/StandIns.java
+++ b/src/main/java/stileferry/cli/StandIns.java
@@ -20,6 +20,9 @@
         mixinStandardHelpOptions = true,
         footer = {"", "Example: stileferry stand-ins --dir trial"})
 final class StandIns implements Callable<Integer> {
+    private static final double MS_PER_S = 1000;
+    private static final long LEASE_INTERVALS = 10;
+
     @Option(names = "--dir", required = true, paramLabel = "DIR", description = "Where node-0.json and so on go.")
     private Path dir;
 
@@ -43,16 +46,16 @@
             paramLabel = "S",
             description =
                     "Seconds between two reports of a worker; a lease is ten times that (default ${DEFAULT-VALUE}).")
-    private double reportS;
+    private double heartbeatIntervalS;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         Files.createDirectories(dir);
-        start(port, dir, size(machines, reportS));
+        start(port, dir, size(machines, heartbeatIntervalS));
         System.out.println("stand-ins run; start controllers with: serve --config " + dir.resolve("node-0.json")
                 + " (and node-1.json, node-2.json)");
         new CountDownLatch(1).await(); // until the process is killed
-        return 0;
+        return ExitCode.OK;
     }
 
     /** Starts stand-ins and writes the settings files of the controllers that fit them. */
@@ -60,10 +63,10 @@
         return start(port, dir, StandInHost.Size.SMALL);
     }
 
-    /** So many machines with so long between reports. */
-    static StandInHost.Size size(int machines, double reportS) {
-        long reportMs = Math.round(reportS * 1000);
-        return new StandInHost.Size(machines, reportMs, 10 * reportMs);
+    /** So many machines with so long between heartbeats, and a lease of ten times that. */
+    static StandInHost.Size size(int machines, double heartbeatIntervalS) {
+        long heartbeatIntervalMs = Math.round(heartbeatIntervalS * MS_PER_S);
+        return new StandInHost.Size(machines, heartbeatIntervalMs, LEASE_INTERVALS * heartbeatIntervalMs);
     }
 
     /** The same for a fleet of another size. */
@@ -74,15 +77,14 @@
     /** The same with links that may be broken, and somebody who watches the workers' tasks. */
     static StandInHost start(int port, Path dir, StandInHost.Size size, LinkFaults faults, Worker.Watcher watcher)
             throws IOException {
-        List<String> clients = new ArrayList<>();
+        List<String> addresses = new ArrayList<>();
         List<String> names = new ArrayList<>();
         for (int i = 0; i < StandInSettings.CONTROLLERS; i++) {
-            clients.add("127.0.0.1:" + StandInSettings.clientPort(port, i));
-            names.add("node-" + i);
-        }
-        for (int i = 0; i < StandInSettings.CONTROLLERS; i++) {
-            Files.writeString(dir.resolve("node-" + i + ".json"), StandInSettings.of(i, port, size));
+            String name = StandInSettings.name(i);
+            addresses.add("127.0.0.1:" + StandInSettings.clientPort(port, i));
+            names.add(name);
+            Files.writeString(dir.resolve(name + ".json"), StandInSettings.of(i, port, size));
         }
-        return new StandInHost(port, clients, names, size, faults, watcher);
+        return new StandInHost(port, addresses, names, size, faults, watcher);
     }
 }
--- a/src/main/java/stileferry/protocol/SettingsReader.java
+++ b/src/main/java/stileferry/protocol/SettingsReader.java
@@ -41,7 +41,7 @@
     }
 
     private Settings settings(JsonNode root) {
-        String node = text(root, "", "host_name");
+        String controllerName = text(root, "", "host_name");
         JsonNode cluster = object(root, "cluster");
         JsonNode outside = object(root, "outside");
         JsonNode workers = object(cluster, "workers");
@@ -49,11 +49,11 @@
         JsonNode cloud = object(cluster, "cloud");
         JsonNode limits = object(cluster, "machine_limits");
         return new Settings(
-                node,
+                controllerName,
                 text(root, "", "zone"),
                 address(root, "", "client_listen"),
                 address(root, "", "peer_bind"),
-                peers(root, node),
+                peers(root, controllerName),
                 hostPort(outside, "outside.", "cloud"),
                 hostPort(outside, "outside.", "state"),
                 zones(cluster),
--- a/src/main/java/stileferry/protocol/WorkerMessages.java
+++ b/src/main/java/stileferry/protocol/WorkerMessages.java
@@ -1,5 +1,6 @@
 package stileferry.protocol;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Collection;
@@ -13,6 +14,11 @@
         return MessageCodec.map().put(WireNames.LEADER, leader);
     }
 
+    /** The name of the controller that leads, in an answer that {@link #redirect} wrote; empty: none is named. */
+    public static String redirectedTo(JsonNode body) {
+        return body.path(WireNames.LEADER).asText();
+    }
+
     /** The answer to a heartbeat. */
     public static ObjectNode heartbeatResponse(long fencingToken, Collection<WorkerCommand> commands) {
         ObjectNode body = MessageCodec.map().put(WireNames.FENCING_TOKEN, fencingToken);
--- a/src/main/java/stileferry/requests/RequestMetrics.java
+++ b/src/main/java/stileferry/requests/RequestMetrics.java
@@ -17,7 +17,8 @@
 
     /** Counts one answer. */
     public void record(PeerMessage.RequestKind kind, int status, long tookMs) {
-        times.computeIfAbsent(kind, k -> new Histogram(MAX_MS, 2)).recordValue(Math.min(MAX_MS, Math.max(0, tookMs)));
+        times.computeIfAbsent(kind, absent -> new Histogram(MAX_MS, 2))
+                .recordValue(Math.min(MAX_MS, Math.max(0, tookMs)));
         answers.merge(kind.wireName() + " " + status, 1L, Long::sum);
     }
 
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -47,7 +47,7 @@
     private volatile boolean closed;
 
     /** How many machines the cloud has, how often their workers send heartbeats, and how long a worker's lease is. */
-    public record Size(int machines, long reportMs, long leaseMs) {
+    public record Size(int machines, long heartbeatIntervalMs, long leaseMs) {
         /** What a trial on one computer needs. */
         public static final Size SMALL = new Size(8, 500, 5000);
     }
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -9,7 +9,7 @@
 import stileferry.protocol.ApiPaths;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.WireNames;
+import stileferry.protocol.WorkerMessages;
 import stileferry.standin.GangSimulation;
 import stileferry.standin.LinkFaults;
 import stileferry.standin.Worker;
@@ -137,7 +137,7 @@
                         sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
                     } else if (status == 200) {
                         worker.heartbeatAnswered(body, incarnation, sentAt);
-                        sendLater(config.size().reportMs(), worker, controller);
+                        sendLater(config.size().heartbeatIntervalMs(), worker, controller);
                     } else if (status == 421 && redirect >= 0 && redirect != controller) {
                         sendLater(REDIRECT_MS, worker, redirect);
                     } else {
@@ -148,9 +148,7 @@
 
     /** The number of the controller that an answer names; -1: none that is known. */
     private int redirect(JsonNode body) {
-        return body == null
-                ? -1
-                : config.names().indexOf(body.path(WireNames.LEADER).asText());
+        return body == null ? -1 : config.names().indexOf(WorkerMessages.redirectedTo(body));
     }
 
     private int next(int controller) {
