--- a/src/test/java/stileferry/coordination/BusyCluster.java
+++ b/src/test/java/stileferry/coordination/BusyCluster.java
@@ -17,10 +17,10 @@
     static SimulatedCluster withLongJobs(long seed) {
         SimulatedCluster cluster = SimulatedCluster.started(seed);
         for (int i = 0; i < 6; i++) {
-            cluster.submit(TestJobs.array(i, 2, 300));
+            cluster.submit(Workloads.array(i, 2, 300));
         }
-        cluster.submit(TestJobs.service(6, 2, 2));
-        cluster.submit(TestJobs.service(7, 2, 2));
+        cluster.submit(Workloads.service(6, 2, 2));
+        cluster.submit(Workloads.service(7, 2, 2));
         cluster.runFor(25);
         assertEquals(16, cluster.tasks.running());
         return cluster;
--- a/src/test/java/stileferry/coordination/ChaosRun.java
+++ b/src/test/java/stileferry/coordination/ChaosRun.java
@@ -43,7 +43,7 @@
         int jobs = 0;
         for (double at = 0; at < seconds && cluster.violations.isEmpty(); at += 2) {
             if (random.nextInt(3) != 0) {
-                cluster.submit(TestJobs.random(jobs++, random));
+                cluster.submit(Workloads.random(jobs++, random));
             }
             if (random.nextInt(8) == 0) {
                 cancelAny(cluster, random);
--- a/src/test/java/stileferry/coordination/CutMeasurement.java
+++ b/src/test/java/stileferry/coordination/CutMeasurement.java
@@ -41,7 +41,7 @@
         List<SimulatedUser> users = new ArrayList<>();
         int starts = cluster.tasks.starts;
         for (int i = 0; i < CUT_S; i++) {
-            users.add(cluster.submit(TestJobs.array(100 + i, 1, 1)));
+            users.add(cluster.submit(Workloads.array(100 + i, 1, 1)));
             cluster.runFor(1);
         }
         long changed = cluster.term() - terms;
@@ -83,7 +83,7 @@
             }
             long terms = cluster.term();
             for (int i = 0; i < 360; i++) {
-                cluster.submit(TestJobs.array(1000 + i, 1, 1));
+                cluster.submit(Workloads.array(1000 + i, 1, 1));
                 cluster.runFor(10);
             }
             System.out.println("an hour without cuts, turns of " + turnMs + " ms, features " + features.on()
--- a/src/test/java/stileferry/coordination/FailoverTest.java
+++ b/src/test/java/stileferry/coordination/FailoverTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.TestJobs.service;
+import static stileferry.coordination.Workloads.service;
 
 import java.util.List;
 import java.util.SplittableRandom;
@@ -32,7 +32,7 @@
         SplittableRandom random = cluster.random.split();
         cluster.runFor(3);
         for (int i = 0; i < 60; i++) {
-            cluster.submit(TestJobs.random(i, random));
+            cluster.submit(Workloads.random(i, random));
             cluster.runFor(2);
         }
         assertEquals(1, cluster.term());
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -232,7 +232,7 @@
         for (int i = 0; i < 20; i++) {
             SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
             cluster.after(cluster.random.nextLong(300), () -> cluster.cancel(user));
-            cluster.submit(TestJobs.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
+            cluster.submit(Workloads.array(300 + i, "img", JobSpec.Priority.IDLE, 3, 1));
             cluster.runFor(1);
         }
         cluster.runFor(90);
--- a/src/test/java/stileferry/coordination/FairShareUnderOverloadTest.java
+++ b/src/test/java/stileferry/coordination/FairShareUnderOverloadTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.TestJobs.array;
+import static stileferry.coordination.Workloads.array;
 
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/test/java/stileferry/coordination/FaultScenario.java
+++ b/src/test/java/stileferry/coordination/FaultScenario.java
@@ -157,7 +157,7 @@
     REQUESTS_AS_THE_LAST_TASK_ENDS(steps -> {
         steps.faults.usersRepeatRequests = true;
         for (int i = 100; i < 160; i++) {
-            SimulatedUser user = steps.cluster.submit(TestJobs.array(i, 1, 2));
+            SimulatedUser user = steps.cluster.submit(Workloads.array(i, 1, 2));
             if (i % 2 == 0) { // it runs 2 s from when it has its image
                 steps.cluster.after(2500 + steps.random.nextLong(800), () -> steps.cluster.cancel(user));
             }
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.TestJobs.array;
+import static stileferry.coordination.Workloads.array;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/src/test/java/stileferry/coordination/InvariantChecksTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.TestJobs.service;
+import static stileferry.coordination.Workloads.service;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
+++ b/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.TestJobs.array;
-import static stileferry.coordination.TestJobs.service;
+import static stileferry.coordination.Workloads.array;
+import static stileferry.coordination.Workloads.service;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
+++ b/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
@@ -59,7 +59,7 @@
         SimulatedCluster cluster = SimulatedCluster.started(12);
         SplittableRandom random = cluster.random.split();
         for (int i = 0; i < 40; i++) {
-            JobSpec spec = TestJobs.random(i, random);
+            JobSpec spec = Workloads.random(i, random);
             if (spec.service()) {
                 cluster.submit(spec);
             }
--- a/src/test/java/stileferry/coordination/LinkFaultCluster.java
+++ b/src/test/java/stileferry/coordination/LinkFaultCluster.java
@@ -18,10 +18,10 @@
         cluster.features = features;
         cluster.runFor(3);
         for (int i = 0; i < 4; i++) {
-            cluster.submit(TestJobs.array(i, 2, 300));
+            cluster.submit(Workloads.array(i, 2, 300));
         }
-        cluster.submit(TestJobs.service(6, 2, 1));
-        cluster.submit(TestJobs.service(7, 2, 1));
+        cluster.submit(Workloads.service(6, 2, 1));
+        cluster.submit(Workloads.service(7, 2, 1));
         cluster.runFor(30);
         assertEquals(12, cluster.tasks.running());
         return cluster;
@@ -53,7 +53,7 @@
 
     /** How long it takes until a new job runs, in seconds, at most so many. */
     static double secondsToStart(SimulatedCluster cluster, int number, double most) {
-        SimulatedUser user = cluster.submit(TestJobs.service(number, 1, 1));
+        SimulatedUser user = cluster.submit(Workloads.service(number, 1, 1));
         long from = cluster.now;
         while (user.startedAt == 0 && cluster.now - from < most * 1000 && cluster.violations.isEmpty()) {
             cluster.runFor(0.1);
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -9,8 +9,8 @@
 import static stileferry.coordination.LinkFaultCluster.taskEndsDuring;
 import static stileferry.coordination.LinkFaultCluster.withLongJobs;
 import static stileferry.coordination.SimulatedNetwork.WORKERS;
-import static stileferry.coordination.TestJobs.array;
-import static stileferry.coordination.TestJobs.service;
+import static stileferry.coordination.Workloads.array;
+import static stileferry.coordination.Workloads.service;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/stileferry/coordination/ScaleInTest.java
+++ b/src/test/java/stileferry/coordination/ScaleInTest.java
@@ -15,7 +15,7 @@
         SimulatedCluster cluster = new SimulatedCluster(8);
         SplittableRandom random = cluster.random.split();
         cluster.runFor(3);
-        cluster.submit(TestJobs.random(1, random));
+        cluster.submit(Workloads.random(1, random));
         cluster.runFor(200);
         assertEquals(List.of(), cluster.cloud.runningMachines(), "nothing to do, so all machines are returned");
         int deletions = cluster.cloud.deletionRequests();
--- a/src/test/java/stileferry/coordination/ScenarioSteps.java
+++ b/src/test/java/stileferry/coordination/ScenarioSteps.java
@@ -22,7 +22,7 @@
     /** Submits arrays of normal priority, numbered from here. */
     void submitArrays(int from, int jobs) {
         for (int i = from; i < from + jobs; i++) {
-            cluster.submit(TestJobs.array(i, 1 + i % 3, 3 + i % 9));
+            cluster.submit(Workloads.array(i, 1 + i % 3, 3 + i % 9));
         }
     }
 
--- a/src/test/java/stileferry/coordination/TestJobs.java
+++ b/src/test/java/stileferry/coordination/Workloads.java
@@ -6,10 +6,10 @@
 import stileferry.protocol.JobSpecBuilder;
 
 /** The jobs that users of the simulated cluster submit. */
-final class TestJobs {
+final class Workloads {
     private static final List<String> TEAMS = List.of("red", "blue", "free");
 
-    private TestJobs() {}
+    private Workloads() {}
 
     static JobSpec service(int number, int tasks, double cpus) {
         return JobSpecBuilder.service(number).tasks(tasks).cpus(cpus).build();
