--- a/src/test/java/stileferry/cli/LoopbackCuts.java
+++ b/src/test/java/stileferry/cli/LoopbackCuts.java
@@ -25,94 +25,59 @@
 
     /** Which link is cut; the leader and a follower are those at the time of the cut. */
     enum Link {
-        LEADER_TO_STATE {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                cluster.cut(LoopbackCluster.from(leader), "state"::equals, effect);
-            }
-        },
-        LEADER_TO_WORKERS {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                cluster.cut(LoopbackCluster.from(leader), LoopbackCluster.workers(), effect);
-            }
-        },
-        WORKERS_TO_LEADER {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                cluster.cut(LoopbackCluster.workers(), LoopbackCluster.to(leader), effect);
-            }
-        },
-        LEADER_AND_WORKERS {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                LEADER_TO_WORKERS.cut(cluster, leader, effect);
-                WORKERS_TO_LEADER.cut(cluster, leader, effect);
-            }
-        },
-        LEADER_AND_HALF_OF_THE_WORKERS {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                cluster.cut(LoopbackCluster.from(leader), LoopbackCluster.halfOfTheWorkers(), effect);
-                cluster.cut(LoopbackCluster.halfOfTheWorkers(), LoopbackCluster.to(leader), effect);
-            }
-        },
-        LEADER_TO_CONTROLLERS {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                cluster.cut(LoopbackCluster.from(leader), name -> name.startsWith("node-"), effect);
-            }
-        },
-        CONTROLLERS_TO_LEADER {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                cluster.cut(name -> name.startsWith("127."), LoopbackCluster.to(leader), effect);
-            }
-        },
-        ALL_CONTROLLERS {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                cluster.cut(name -> name.startsWith("127."), name -> name.startsWith("node-"), effect);
-            }
-        },
-        FOLLOWER_TO_STATE {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                cluster.cut(LoopbackCluster.from((leader + 1) % 3), "state"::equals, effect);
-            }
-        },
-        FOLLOWER_AND_WORKERS {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                LEADER_AND_WORKERS.cut(cluster, (leader + 1) % 3, effect);
-            }
-        },
+        LEADER_TO_STATE(
+                (cluster, leader, effect) -> cluster.cut(LoopbackCluster.from(leader), "state"::equals, effect)),
+        LEADER_TO_WORKERS((cluster, leader, effect) ->
+                cluster.cut(LoopbackCluster.from(leader), LoopbackCluster.workers(), effect)),
+        WORKERS_TO_LEADER((cluster, leader, effect) ->
+                cluster.cut(LoopbackCluster.workers(), LoopbackCluster.to(leader), effect)),
+        LEADER_AND_WORKERS((cluster, leader, effect) -> {
+            LEADER_TO_WORKERS.cut(cluster, leader, effect);
+            WORKERS_TO_LEADER.cut(cluster, leader, effect);
+        }),
+        LEADER_AND_HALF_OF_THE_WORKERS((cluster, leader, effect) -> {
+            cluster.cut(LoopbackCluster.from(leader), LoopbackCluster.halfOfTheWorkers(), effect);
+            cluster.cut(LoopbackCluster.halfOfTheWorkers(), LoopbackCluster.to(leader), effect);
+        }),
+        LEADER_TO_CONTROLLERS((cluster, leader, effect) ->
+                cluster.cut(LoopbackCluster.from(leader), name -> name.startsWith("node-"), effect)),
+        CONTROLLERS_TO_LEADER((cluster, leader, effect) ->
+                cluster.cut(name -> name.startsWith("127."), LoopbackCluster.to(leader), effect)),
+        ALL_CONTROLLERS((cluster, leader, effect) ->
+                cluster.cut(name -> name.startsWith("127."), name -> name.startsWith("node-"), effect)),
+        FOLLOWER_TO_STATE((cluster, leader, effect) ->
+                cluster.cut(LoopbackCluster.from((leader + 1) % 3), "state"::equals, effect)),
+        FOLLOWER_AND_WORKERS((cluster, leader, effect) -> LEADER_AND_WORKERS.cut(cluster, (leader + 1) % 3, effect)),
         // pairs
-        LEADER_AND_WORKERS_AND_CONTROLLERS {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                LEADER_AND_WORKERS.cut(cluster, leader, effect);
-                LEADER_TO_CONTROLLERS.cut(cluster, leader, effect);
-                CONTROLLERS_TO_LEADER.cut(cluster, leader, effect);
-            }
-        },
-        LEADER_TO_STATE_AND_CONTROLLERS {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                LEADER_TO_STATE.cut(cluster, leader, effect);
-                LEADER_TO_CONTROLLERS.cut(cluster, leader, effect);
-                CONTROLLERS_TO_LEADER.cut(cluster, leader, effect);
-            }
-        },
-        LEADER_AND_WORKERS_FOLLOWER_TO_STATE {
-            @Override
-            void cut(LoopbackCluster cluster, int leader, Effect effect) {
-                LEADER_AND_WORKERS.cut(cluster, leader, effect);
-                FOLLOWER_TO_STATE.cut(cluster, leader, effect);
-            }
-        };
+        LEADER_AND_WORKERS_AND_CONTROLLERS((cluster, leader, effect) -> {
+            LEADER_AND_WORKERS.cut(cluster, leader, effect);
+            LEADER_TO_CONTROLLERS.cut(cluster, leader, effect);
+            CONTROLLERS_TO_LEADER.cut(cluster, leader, effect);
+        }),
+        LEADER_TO_STATE_AND_CONTROLLERS((cluster, leader, effect) -> {
+            LEADER_TO_STATE.cut(cluster, leader, effect);
+            LEADER_TO_CONTROLLERS.cut(cluster, leader, effect);
+            CONTROLLERS_TO_LEADER.cut(cluster, leader, effect);
+        }),
+        LEADER_AND_WORKERS_FOLLOWER_TO_STATE((cluster, leader, effect) -> {
+            LEADER_AND_WORKERS.cut(cluster, leader, effect);
+            FOLLOWER_TO_STATE.cut(cluster, leader, effect);
+        });
+
+        private final LinkCut linkCut;
+
+        Link(LinkCut linkCut) {
+            this.linkCut = linkCut;
+        }
+
+        void cut(LoopbackCluster cluster, int leader, Effect effect) {
+            linkCut.cut(cluster, leader, effect);
+        }
+    }
 
-        abstract void cut(LoopbackCluster cluster, int leader, Effect effect);
+    /** Breaks links of a cluster with this leader. */
+    private interface LinkCut {
+        void cut(LoopbackCluster cluster, int leader, Effect effect);
     }
 
     /**
