--- a/src/test/java/stileferry/cli/LoopbackCuts.java
+++ b/src/test/java/stileferry/cli/LoopbackCuts.java
@@ -25,7 +25,7 @@
 
     /** Which link is cut; the leader and a follower are those at the time of the cut. */
     enum Link {
-        LEADER_TO_STATE(
+        LEADER_TO_STORE(
                 (cluster, leader, effect) -> cluster.cut(LoopbackCluster.from(leader), "state"::equals, effect)),
         LEADER_TO_WORKERS((cluster, leader, effect) ->
                 cluster.cut(LoopbackCluster.from(leader), LoopbackCluster.workers(), effect)),
@@ -45,7 +45,7 @@
                 cluster.cut(name -> name.startsWith("127."), LoopbackCluster.to(leader), effect)),
         ALL_CONTROLLERS((cluster, leader, effect) ->
                 cluster.cut(name -> name.startsWith("127."), name -> name.startsWith("node-"), effect)),
-        FOLLOWER_TO_STATE((cluster, leader, effect) ->
+        FOLLOWER_TO_STORE((cluster, leader, effect) ->
                 cluster.cut(LoopbackCluster.from((leader + 1) % 3), "state"::equals, effect)),
         FOLLOWER_AND_WORKERS((cluster, leader, effect) -> LEADER_AND_WORKERS.cut(cluster, (leader + 1) % 3, effect)),
         // pairs
@@ -54,14 +54,14 @@
             LEADER_TO_CONTROLLERS.cut(cluster, leader, effect);
             CONTROLLERS_TO_LEADER.cut(cluster, leader, effect);
         }),
-        LEADER_TO_STATE_AND_CONTROLLERS((cluster, leader, effect) -> {
-            LEADER_TO_STATE.cut(cluster, leader, effect);
+        LEADER_TO_STORE_AND_CONTROLLERS((cluster, leader, effect) -> {
+            LEADER_TO_STORE.cut(cluster, leader, effect);
             LEADER_TO_CONTROLLERS.cut(cluster, leader, effect);
             CONTROLLERS_TO_LEADER.cut(cluster, leader, effect);
         }),
-        LEADER_AND_WORKERS_FOLLOWER_TO_STATE((cluster, leader, effect) -> {
+        LEADER_AND_WORKERS_FOLLOWER_TO_STORE((cluster, leader, effect) -> {
             LEADER_AND_WORKERS.cut(cluster, leader, effect);
-            FOLLOWER_TO_STATE.cut(cluster, leader, effect);
+            FOLLOWER_TO_STORE.cut(cluster, leader, effect);
         });
 
         private final LinkCut linkCut;
--- a/src/test/java/stileferry/cli/LoopbackCutsTest.java
+++ b/src/test/java/stileferry/cli/LoopbackCutsTest.java
@@ -26,7 +26,7 @@
 
     @Test
     void theLeaderLosesTheWorkersOrTheStore() throws Exception {
-        play(List.of(Link.LEADER_AND_WORKERS, Link.LEADER_TO_STATE), Effect.REQUEST_LOST);
+        play(List.of(Link.LEADER_AND_WORKERS, Link.LEADER_TO_STORE), Effect.REQUEST_LOST);
     }
 
     @Test
--- a/src/test/java/stileferry/coordination/InvariantChecksUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksUnderFaultsTest.java
@@ -28,9 +28,7 @@
     @Test
     void aTaskThatOutlivesItsLeaseIsDetected() {
         SimulatedCluster cluster = SimulatedCluster.started(100, 9, 2, 40);
-        for (int i = 0; i < 12; i++) {
-            cluster.submit(service(i, 2, 2));
-        }
+        Workloads.submitServices(cluster, 12);
         cluster.runFor(15);
         Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.machineInUse()));
         worker.ignoreLease();
--- a/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
+++ b/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static stileferry.coordination.Workloads.array;
-import static stileferry.coordination.Workloads.service;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,9 +17,7 @@
     @Test
     void aFailoverDuringAZonePartitionDoesNotRestartLeases() {
         SimulatedCluster cluster = SimulatedCluster.started(39);
-        for (int i = 0; i < 4; i++) {
-            cluster.submit(service(i, 2, 2));
-        }
+        Workloads.submitServices(cluster, 4);
         cluster.runFor(25);
         assertEquals(8, cluster.tasks.running());
         String zone = cluster.machines.zoneOf(cluster.tasks.machineInUse());
@@ -44,9 +41,7 @@
     @Test
     void aNewLeaderKeepsTheMachinesOfAPartitionedZone() {
         SimulatedCluster cluster = SimulatedCluster.started(41, 9, 2, 40);
-        for (int i = 0; i < 14; i++) {
-            cluster.submit(service(i, 2, 2));
-        }
+        Workloads.submitServices(cluster, 14);
         cluster.runFor(60);
         List<String> all = cluster.cloud.runningMachines();
         String zone = all.stream()
@@ -85,9 +80,7 @@
     @Test
     void aSilenceThatEndedProvesNoLeaseExpiry() {
         SimulatedCluster cluster = SimulatedCluster.started(40, 9, 2, 40);
-        for (int i = 0; i < 14; i++) {
-            cluster.submit(service(i, 2, 2));
-        }
+        Workloads.submitServices(cluster, 14);
         cluster.runFor(25);
         String zone = cluster.machines.zoneOf(cluster.tasks.machineInUse());
         int ended = cluster.tasks.ends;
@@ -109,9 +102,7 @@
     @Test
     void aNewIncarnationHasALeaseOfItsOwn() {
         SimulatedCluster cluster = SimulatedCluster.started(43, 9, 2, 40);
-        for (int i = 0; i < 14; i++) {
-            cluster.submit(service(i, 2, 2));
-        }
+        Workloads.submitServices(cluster, 14);
         cluster.runFor(25);
         cluster.faults.partitionZone(cluster.machines.zoneOf(cluster.tasks.machineInUse()), 7000);
         cluster.runFor(4.5); // their silence is recorded by now
--- a/src/test/java/stileferry/coordination/Workloads.java
+++ b/src/test/java/stileferry/coordination/Workloads.java
@@ -15,6 +15,13 @@
         return JobSpecBuilder.service(number).tasks(tasks).cpus(cpus).build();
     }
 
+    /** Submits so many services of two tasks of two CPUs each. */
+    static void submitServices(SimulatedCluster cluster, int jobs) {
+        for (int i = 0; i < jobs; i++) {
+            cluster.submit(service(i, 2, 2));
+        }
+    }
+
     /** An array whose tasks take two CPUs each and may be on spot instances. */
     static JobSpec array(int number, String jobClass, JobSpec.Priority priority, int tasks, double runS) {
         return JobSpecBuilder.array(number)
