--- a/src/main/java/stileferry/standin/Cloud.java
+++ b/src/main/java/stileferry/standin/Cloud.java
@@ -8,7 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
@@ -23,7 +22,7 @@
     private final List<String> zones;
     private final int machinesPerPool;
     private final long listLagMs;
-    private final BiFunction<String, String, Worker> bootWorker;
+    private final WorkerBoot workerBoot;
     private final Consumer<Worker> removeWorker;
     private final TreeMap<String, Instance> instances = new TreeMap<>();
 
@@ -35,6 +34,12 @@
     private int deletionRequests;
     private long now;
 
+    /** Starts the worker of a machine that has booted. */
+    public interface WorkerBoot {
+        /** A machine of this name has booted. */
+        Worker boot(String machine, String zone, boolean spot);
+    }
+
     private static final class Instance {
         private final String zone;
         private final boolean spot;
@@ -56,7 +61,7 @@
      *
      * @param machinesPerPool machines that can be had in each zone, as spot instances and on demand each
      * @param listLagMs by how much the list of machines lags
-     * @param bootWorker starts the worker of a machine that has booted, from its name and {@code zone|spot}
+     * @param workerBoot starts the worker of a machine that has booted
      * @param removeWorker ends the worker of a machine that is gone
      */
     public Cloud(
@@ -67,7 +72,7 @@
             List<String> zones,
             int machinesPerPool,
             long listLagMs,
-            BiFunction<String, String, Worker> bootWorker,
+            WorkerBoot workerBoot,
             Consumer<Worker> removeWorker) {
         this.type = type;
         this.cpus = cpus;
@@ -76,7 +81,7 @@
         this.zones = zones;
         this.machinesPerPool = machinesPerPool;
         this.listLagMs = listLagMs;
-        this.bootWorker = bootWorker;
+        this.workerBoot = workerBoot;
         this.removeWorker = removeWorker;
     }
 
@@ -85,7 +90,7 @@
         now = time;
         instances.forEach((name, instance) -> {
             if (instance.worker == null && now >= instance.bootsAt) {
-                instance.worker = bootWorker.apply(name, instance.zone + "|" + instance.spot);
+                instance.worker = workerBoot.boot(name, instance.zone, instance.spot);
             }
         });
     }
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -77,16 +77,15 @@
         closed = true;
     }
 
-    /** Boots a worker; the place is its zone, a bar, and whether it is a spot instance. */
-    Worker boot(String machine, String place) {
-        String[] zoneAndSpot = place.split("\\|");
+    /** Boots a worker. */
+    Worker boot(String machine, String zone, boolean spot) {
         String address = host(1 + booted++ % config.size().machines()) + ":" + config.port();
         Worker worker = new Worker(
                 machine,
                 address,
                 StandInHost.TYPE,
-                zoneAndSpot[0],
-                zoneAndSpot[1].equals("true"),
+                zone,
+                spot,
                 CPUS,
                 MEMORY_GB,
                 config.size().leaseMs(),
--- a/src/test/java/stileferry/coordination/SimulatedMachines.java
+++ b/src/test/java/stileferry/coordination/SimulatedMachines.java
@@ -26,15 +26,14 @@
         return "w-" + machine + ":1";
     }
 
-    /** A machine that the cloud has booted; the place is its zone and whether it is a spot instance. */
-    Worker boot(String machine, String place) {
-        String[] parts = place.split("\\|");
+    /** A machine that the cloud has booted. */
+    Worker boot(String machine, String zone, boolean spot) {
         Worker worker = new Worker(
                 machine,
                 address(machine),
                 "box",
-                parts[0],
-                parts[1].equals("true"),
+                zone,
+                spot,
                 CPUS,
                 MEMORY_GB,
                 cluster.leaseMs,
