--- a/src/test/java/stileferry/protocol/FeaturesTest.java
+++ b/src/test/java/stileferry/protocol/FeaturesTest.java
@@ -11,7 +11,7 @@
 /** What is not named is off, and what is wrong is named. */
 class FeaturesTest {
     @Test
-    void whatIsNotNamedIsOff() {
+    void featureThatIsNotNamedIsOff() {
         assertEquals(Features.NONE, Features.read("{}").features());
         assertEquals(List.of(), Features.NONE.on());
         assertEquals(
@@ -35,14 +35,14 @@
                 "[]|must be a JSON object",
                 "''|must be a JSON object"
             })
-    void whatIsWrongIsNamed(String json, String problem) {
+    void problemIsNamed(String json, String problem) {
         Features.Result read = Features.read(json);
         assertNull(read.features());
         assertEquals(problem, read.problem());
     }
 
     @Test
-    void whatIsNoJsonIsSaidSo() {
+    void textThatIsNotJsonIsRefused() {
         assertEquals(
                 "not valid JSON", Features.read("{\"partial_cuts\":").problem().split(":")[0]);
     }
--- a/src/test/java/stileferry/protocol/SettingsReaderTest.java
+++ b/src/test/java/stileferry/protocol/SettingsReaderTest.java
@@ -12,7 +12,7 @@
 
 /** Settings files are checked in full, and each problem names its field. */
 class SettingsReaderTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"host_name":"n0","zone":"za","client_listen":"10.0.0.1:80","peer_bind":"10.0.0.1:81","new_field":[1],
             "seeds":[{"host_name":"n1","zone":"zb","peer_addr":"10.0.0.2:81"}],
@@ -24,13 +24,13 @@
             """;
 
     @Test
-    void goodSettingsAreReadAndUnknownFieldsIgnored() {
-        Settings s = SettingsReader.read(GOOD).settings();
-        assertNotNull(s);
-        assertEquals("n1", s.peers().get(0).name());
-        assertEquals(81, s.peerListen().getPort());
-        assertEquals(2, s.team("red").cpusMax());
-        assertNull(s.team("blue"));
+    void validSettingsAreReadAndUnknownFieldsIgnored() {
+        Settings settings = SettingsReader.read(VALID).settings();
+        assertNotNull(settings);
+        assertEquals("n1", settings.peers().get(0).name());
+        assertEquals(81, settings.peerListen().getPort());
+        assertEquals(2, settings.team("red").cpusMax());
+        assertNull(settings.team("blue"));
     }
 
     @ParameterizedTest
@@ -53,8 +53,8 @@
                 "\"cpus_max\":2|\"cpus_max\":-2|cluster.teams[0].cpus_max",
                 "\"state\":\"10.2.0.1:2379\"|\"state\":null|outside.state"
             })
-    void theFirstProblemNamesItsField(String from, String to, String field) {
-        SettingsReader.Result read = SettingsReader.read(GOOD.replace(from, to));
+    void firstProblemNamesItsField(String from, String to, String field) {
+        SettingsReader.Result read = SettingsReader.read(VALID.replace(from, to));
         assertNull(read.settings());
         assertTrue(
                 read.problems().get(0).startsWith(field + ":"), read.problems().toString());
@@ -62,11 +62,11 @@
 
     /** Limits come without notice, so the lower of both is kept from the start. */
     @Test
-    void theLowerOfTodaysAndTheNextLimitsCounts() {
-        Settings s = SettingsReader.read(GOOD.replace(
+    void lowerOfCurrentAndNextLimitCounts() {
+        Settings settings = SettingsReader.read(VALID.replace(
                         "\"txn_ops\":12", "\"txn_ops\":12,\"next\":{\"write_rps\":21,\"value_kb\":2,\"txn_ops\":20}"))
                 .settings();
-        assertEquals(new Settings.KeyValueStoreLimits(150, 21, 2, 12), s.keyValueStore());
+        assertEquals(new Settings.KeyValueStoreLimits(150, 21, 2, 12), settings.keyValueStore());
     }
 
     @Test
@@ -78,15 +78,15 @@
 
     /** On a tenth of a core, leaders lost their leases by being busy. */
     @Test
-    void aSmallShareOfACoreMakesTimesLonger() {
-        Settings ample = SettingsReader.read(GOOD).settings();
+    void smallShareOfACoreMakesTimesLonger() {
+        Settings ample = SettingsReader.read(VALID).settings();
         assertEquals(1, ample.slowness());
-        Settings small = SettingsReader.read(GOOD.replace("\"max_sockets\"", "\"cores\":0.1,\"max_sockets\""))
+        Settings small = SettingsReader.read(VALID.replace("\"max_sockets\"", "\"cores\":0.1,\"max_sockets\""))
                 .settings();
         assertEquals(3, small.slowness(), 1e-9);
         assertEquals(
                 List.of("cluster.machine_limits.cores: must be above 0"),
-                SettingsReader.read(GOOD.replace("\"max_sockets\"", "\"cores\":0,\"max_sockets\""))
+                SettingsReader.read(VALID.replace("\"max_sockets\"", "\"cores\":0,\"max_sockets\""))
                         .problems());
     }
 }
--- a/src/test/java/stileferry/protocol/SocketBudgetTest.java
+++ b/src/test/java/stileferry/protocol/SocketBudgetTest.java
@@ -11,15 +11,16 @@
     /** Guards against shares that are more than the whole: under load they would starve each other. */
     @ParameterizedTest
     @ValueSource(ints = {64, 1000, 1800, 2740, 2943, 60_000})
-    void theSharesLeaveSomethingOfTheWhole(int max) {
-        SocketBudget s = SocketBudget.of(max);
-        int leads = s.incoming() + s.peers() + s.idle() + s.commands();
-        int follows = s.incoming() + s.peers() + s.forwards();
-        assertTrue(Math.max(leads, follows) <= max * 31 / 32, s.toString());
-        assertTrue(2 * s.forwards() <= s.peers() + 1, "both others may pass on as much as they are allowed to");
-        assertFalse(s.closesUserConnections(s.incoming() / 2));
-        assertTrue(s.closesUserConnections(s.incoming() - 1));
-        assertFalse(s.closesWorkerConnections(s.incoming() * 9 / 10));
-        assertTrue(s.closesWorkerConnections(s.incoming()));
+    void sharesLeaveSomethingOfTheWhole(int max) {
+        SocketBudget budget = SocketBudget.of(max);
+        int asLeader = budget.incoming() + budget.peers() + budget.idle() + budget.commands();
+        int asFollower = budget.incoming() + budget.peers() + budget.forwards();
+        assertTrue(Math.max(asLeader, asFollower) <= max * 31 / 32, budget.toString());
+        assertTrue(
+                2 * budget.forwards() <= budget.peers() + 1, "both others may pass on as much as they are allowed to");
+        assertFalse(budget.closesUserConnections(budget.incoming() / 2));
+        assertTrue(budget.closesUserConnections(budget.incoming() - 1));
+        assertFalse(budget.closesWorkerConnections(budget.incoming() * 9 / 10));
+        assertTrue(budget.closesWorkerConnections(budget.incoming()));
     }
 }
--- a/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
+++ b/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
@@ -12,54 +12,61 @@
 class ConcurrencyLimitTest {
     private static final long SERVICE_NANOS = 5_000_000;
 
-    private record Taken(long at, Limiter.Listener slot) {}
+    private record Accepted(long at, Limiter.Listener slot) {}
 
     private long nanos = 1;
 
-    /** Offers so many requests a second to a server that does 200, and returns {taken, refused, longest wait in ms}. */
-    private long[] offer(double perSecond, int seconds) {
+    /** How many requests were accepted and refused, and the longest wait in the second half of the time. */
+    private record Outcome(long accepted, long refused, long longestWaitMs) {}
+
+    /** Offers so many requests a second to a server that does 200. */
+    private Outcome offer(double perSecond, int seconds) {
         Limiter<Void> limit = ConcurrencyLimit.create(() -> nanos);
         SplittableRandom random = new SplittableRandom(3);
-        ArrayDeque<Taken> queue = new ArrayDeque<>();
+        ArrayDeque<Accepted> queue = new ArrayDeque<>();
         long freeAt = 0;
-        long taken = 0;
+        long accepted = 0;
         long refused = 0;
-        long longest = 0;
+        long longestWaitMs = 0;
         long end = nanos + seconds * 1_000_000_000L;
         long half = nanos + seconds * 500_000_000L;
         while (nanos < end) {
             nanos += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
             while (!queue.isEmpty() && Math.max(freeAt, queue.peek().at) + SERVICE_NANOS <= nanos) {
-                Taken t = queue.poll();
+                Accepted done = queue.poll();
                 long now = nanos;
-                freeAt = Math.max(freeAt, t.at) + SERVICE_NANOS;
+                freeAt = Math.max(freeAt, done.at) + SERVICE_NANOS;
                 nanos = freeAt;
-                t.slot.onSuccess();
+                done.slot.onSuccess();
                 nanos = now;
-                longest = freeAt > half ? Math.max(longest, (freeAt - t.at) / 1_000_000) : longest;
+                longestWaitMs = freeAt > half ? Math.max(longestWaitMs, (freeAt - done.at) / 1_000_000) : longestWaitMs;
             }
             var slot = limit.acquire(null);
             if (slot.isPresent()) {
-                taken++;
-                queue.add(new Taken(nanos, slot.get()));
+                accepted++;
+                queue.add(new Accepted(nanos, slot.get()));
             } else {
                 refused++;
             }
         }
-        return new long[] {taken, refused, longest};
+        return new Outcome(accepted, refused, longestWaitMs);
     }
 
     @Test
     void ordinaryLoadIsNeverRefused() {
-        assertEquals(0, offer(100, 20)[1]);
+        assertEquals(0, offer(100, 20).refused);
     }
 
     @Test
-    void whatIsTakenKeepsItsTimesAsTheLoadDoubles() {
-        long[] full = offer(400, 20);
-        long[] twice = offer(800, 20);
-        assertTrue(full[1] > 0 && twice[1] > full[1], "more is refused");
-        assertTrue(twice[0] > 0.9 * full[0], "and as much is taken: " + twice[0] + " of " + full[0]);
-        assertTrue(full[2] < 2000 && twice[2] < 2000, "waits of " + full[2] + " and " + twice[2] + " ms");
+    void whatIsAcceptedKeepsItsTimesAsTheLoadDoubles() {
+        Outcome full = offer(400, 20);
+        Outcome twice = offer(800, 20);
+        assertTrue(full.refused > 0 && twice.refused > full.refused, "more is refused");
+        assertTrue(
+                twice.accepted > 0.9 * full.accepted,
+                "and as much is taken: " + twice.accepted + " of " + full.accepted);
+        assertTrue(
+                full.longestWaitMs < 2000 && twice.longestWaitMs < 2000,
+                "waits of " + full.longestWaitMs + " and " + twice.longestWaitMs + " ms");
     }
 }
