--- a/src/main/java/stileferry/Controller.java
+++ b/src/main/java/stileferry/Controller.java
@@ -13,7 +13,7 @@
     private final Features features;
     private final InetAddress sourceAddress;
     private final CountDownLatch closed = new CountDownLatch(1);
-    private ControllerServer node;
+    private ControllerServer server;
 
     private Controller(Builder builder) {
         this.settings = builder.settings;
@@ -63,18 +63,18 @@
 
     /** Opens the addresses and begins to work; returns at once. */
     public synchronized void start() throws IOException {
-        if (node != null) {
+        if (server != null) {
             throw new IllegalStateException("started already");
         }
-        node = ControllerServer.open(settings, features, sourceAddress);
+        server = ControllerServer.open(settings, features, sourceAddress);
     }
 
     /** Closes the addresses and stops all work; what is durable stays. */
     @Override
     public synchronized void close() {
-        if (node != null) {
-            node.close();
-            node = null;
+        if (server != null) {
+            server.close();
+            server = null;
         }
         closed.countDown();
     }
--- a/src/main/java/stileferry/cli/CheckConfig.java
+++ b/src/main/java/stileferry/cli/CheckConfig.java
@@ -6,8 +6,6 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stileferry.protocol.Features;
-import stileferry.protocol.SettingsReader;
 
 /** Checks a settings file without starting anything. */
 @Command(
@@ -24,18 +22,13 @@
 
     @Override
     public Integer call() {
-        SettingsReader.Result read = SettingsFile.read(config);
-        if (read.settings() == null) {
-            read.problems().forEach(problem -> System.err.println("stileferry: settings: " + problem));
-            return ExitCode.USAGE;
-        }
-        Features.Result features = FeaturesFile.read(featuresFile);
-        if (features.features() == null) {
-            System.err.println("stileferry: features: " + features.problem());
+        ControllerFiles files = ControllerFiles.read(config, featuresFile);
+        if (!files.problems().isEmpty()) {
+            files.problems().forEach(problem -> System.err.println("stileferry: " + problem));
             return ExitCode.USAGE;
         }
         System.out.println("settings are usable");
-        List<String> on = features.features().on();
+        List<String> on = files.features().on();
         System.out.println("features on: " + (on.isEmpty() ? "none" : String.join(", ", on)));
         return ExitCode.OK;
     }
--- a/src/main/java/stileferry/cli/Serve.java
+++ b/src/main/java/stileferry/cli/Serve.java
@@ -6,8 +6,6 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import stileferry.Controller;
-import stileferry.protocol.Features;
-import stileferry.protocol.SettingsReader;
 
 /** Runs a controller until the process is killed. */
 @Command(
@@ -29,20 +27,15 @@
 
     /** Runs a controller with the settings and the features in these files (null: none) and returns the exit code. */
     static int run(Path config, Path featuresFile) {
-        SettingsReader.Result read = SettingsFile.read(config);
-        if (read.settings() == null) {
-            System.err.println("stileferry: settings: " + read.problems().get(0));
-            return ExitCode.USAGE;
-        }
-        Features.Result features = FeaturesFile.read(featuresFile);
-        if (features.features() == null) {
-            System.err.println("stileferry: features: " + features.problem());
+        ControllerFiles files = ControllerFiles.read(config, featuresFile);
+        if (!files.problems().isEmpty()) {
+            System.err.println("stileferry: " + files.problems().get(0));
             return ExitCode.USAGE;
         }
         try {
             Controller controller = Controller.builder()
-                    .settings(read.settings())
-                    .features(features.features())
+                    .settings(files.settings())
+                    .features(files.features())
                     .build();
             controller.start();
             controller.awaitClosed(); // this thread reads nothing any more, see ControllerServer
--- a/src/main/java/stileferry/protocol/Environment.java
+++ b/src/main/java/stileferry/protocol/Environment.java
@@ -18,7 +18,7 @@
     /** A steady clock in milliseconds. */
     long now();
 
-    /** The time of day in milliseconds. */
+    /** The time of day in milliseconds since the epoch. */
     long timeOfDay();
 
     /** Random numbers, for jitter only. */
@@ -30,11 +30,11 @@
     /** Runs something later, on the owner's turn. */
     void schedule(long delayMs, Runnable task);
 
-    /** Sends a MessagePack request; the reply comes exactly once. */
-    void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply);
+    /** Sends a MessagePack request; a null body is an empty one. The handler is called exactly once. */
+    void request(String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler handler);
 
-    /** Sends a record to another controller; null stands for no answer. */
-    void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply);
+    /** Sends a message to another controller; the reply comes exactly once, null stands for no answer. */
+    void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply);
 
     /** Takes the answer to a request; the body may be null. */
     interface ResponseHandler {
--- a/src/main/java/stileferry/transport/ApiClient.java
+++ b/src/main/java/stileferry/transport/ApiClient.java
@@ -32,14 +32,15 @@
     public Response once(String method, String path, byte[] body) throws InterruptedException {
         String address = addresses.get(Math.floorMod(next++, addresses.size()));
         CompletableFuture<Response> response = new CompletableFuture<>();
-        loop.thread.execute(() -> loop.http.request(
-                address,
-                method,
-                path,
-                body,
-                RESPONSE_TIMEOUT_MS,
-                (status, bytes) -> response.complete(
-                        new Response(status, bytes.length == 0 ? null : MessageCodec.decode(bytes)))));
+        loop.thread().execute(() -> loop.http()
+                .request(
+                        address,
+                        method,
+                        path,
+                        body,
+                        RESPONSE_TIMEOUT_MS,
+                        (status, bytes) -> response.complete(
+                                new Response(status, bytes.length == 0 ? null : MessageCodec.decode(bytes)))));
         try {
             return response.get(2 * RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -39,7 +39,7 @@
     public static ControllerServer open(Settings settings, Features features, InetAddress source) throws IOException {
         EventLoop loop = new EventLoop(settings.socketBudget().idle(), source);
         FutureTask<ControllerServer> opening = new FutureTask<>(() -> new ControllerServer(settings, features, loop));
-        loop.thread.execute(opening);
+        loop.thread().execute(opening);
         try {
             return opening.get();
         } catch (ExecutionException e) {
@@ -56,7 +56,7 @@
         idleMs = (int) Math.max(
                 MIN_IDLE_MS, IDLE_HEARTBEATS * 1000 * settings.workers().heartbeatIntervalS());
         SocketBudget sockets = settings.socketBudget();
-        commands = new CommandQueue(loop.thread);
+        commands = new CommandQueue(loop.thread());
         environment = new NetworkEnvironment(commands, loop, sockets.forwards());
         Coordinator coordinator = new Coordinator(settings, features, environment);
         commands.afterBatch(coordinator::endOfBatch);
@@ -78,8 +78,8 @@
 
     private Undertow server(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
         return Undertow.builder()
-                .setWorker(loop.worker)
-                .setByteBufferPool(loop.buffers)
+                .setWorker(loop.worker())
+                .setByteBufferPool(loop.buffers())
                 .addHttpListener(listen.getPort(), listen.getAddress().getHostAddress())
                 .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
--- a/src/main/java/stileferry/transport/EventLoop.java
+++ b/src/main/java/stileferry/transport/EventLoop.java
@@ -13,11 +13,14 @@
 /** The one worker with its one IO thread and its buffers, which servers and clients of a process share. */
 final class EventLoop implements AutoCloseable {
     private static final int BUFFER_BYTES = 8 * 1024;
+    private static final int MAX_POOLED_BUFFERS = 256;
+    private static final int THREAD_LOCAL_BUFFERS = 4;
 
-    final XnioWorker worker;
-    final XnioIoThread thread;
-    final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
-    final HttpClient http;
+    private final XnioWorker worker;
+    private final XnioIoThread thread;
+    private final ByteBufferPool buffers =
+            new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, THREAD_LOCAL_BUFFERS);
+    private final HttpClient http;
 
     EventLoop(int idleConnections) throws IOException {
         this(idleConnections, null);
@@ -36,6 +39,22 @@
         http = new HttpClient(thread, buffers, idleConnections, source);
     }
 
+    XnioWorker worker() {
+        return worker;
+    }
+
+    XnioIoThread thread() {
+        return thread;
+    }
+
+    ByteBufferPool buffers() {
+        return buffers;
+    }
+
+    HttpClient http() {
+        return http;
+    }
+
     @Override
     public void close() {
         worker.shutdownNow();
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -34,8 +34,8 @@
     NetworkEnvironment(CommandQueue commands, EventLoop loop, int maxForwards) {
         this.maxForwards = maxForwards;
         this.commands = commands;
-        this.thread = loop.thread;
-        this.http = loop.http;
+        this.thread = loop.thread();
+        this.http = loop.http();
     }
 
     void close() {
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -91,8 +91,8 @@
         this.cloud =
                 new Cloud(TYPE, 8, 32, 1, List.of("a", "b"), size.machines() / 4, 500, workers::boot, workers::remove);
         Undertow.Builder builder = Undertow.builder()
-                .setWorker(loop.worker)
-                .setByteBufferPool(loop.buffers)
+                .setWorker(loop.worker())
+                .setByteBufferPool(loop.buffers())
                 .setHandler(this::handle);
         builder.addHttpListener(port, LOOPBACK);
         for (int number = 1; number <= size.machines(); number++) {
@@ -100,7 +100,7 @@
         }
         server = builder.build();
         server.start();
-        loop.thread.execute(this::tick);
+        loop.thread().execute(this::tick);
     }
 
     /** Where the key-value store and the cloud are. */
@@ -119,7 +119,7 @@
         store.tick(now());
         cloud.tick(now());
         workers.tick();
-        loop.thread.executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
+        loop.thread().executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     private void handle(HttpServerExchange exchange) {
@@ -152,7 +152,7 @@
             }
             case REQUEST_LOST -> {} // its sender gives up and closes the connection
             case ANSWER_LOST -> serve(request, (status, answer) -> {});
-            case SLOW -> loop.thread.executeAfter(() -> serve(request, reply), SLOW_MS, TimeUnit.MILLISECONDS);
+            case SLOW -> loop.thread().executeAfter(() -> serve(request, reply), SLOW_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -116,34 +116,36 @@
             case REQUEST_LOST -> sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
             case ANSWER_LOST -> request(worker, controller, true);
             case SLOW ->
-                loop.thread.executeAfter(
-                        () -> request(worker, controller, false), StandInHost.SLOW_MS, TimeUnit.MILLISECONDS);
+                loop.thread()
+                        .executeAfter(
+                                () -> request(worker, controller, false), StandInHost.SLOW_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void request(Worker worker, int controller, boolean answerLost) {
         long sentAt = StandInHost.now();
         long incarnation = worker.incarnation();
-        loop.http.request(
-                config.controllers().get(controller),
-                "POST",
-                ApiPaths.HEARTBEATS,
-                MessageCodec.encode(worker.heartbeat()),
-                PATIENCE_MS,
-                (status, bytes) -> {
-                    JsonNode body = bytes.length == 0 ? null : MessageCodec.decode(bytes);
-                    int redirect = redirect(body);
-                    if (answerLost) {
-                        sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
-                    } else if (status == 200) {
-                        worker.heartbeatAnswered(body, incarnation, sentAt);
-                        sendLater(config.size().heartbeatIntervalMs(), worker, controller);
-                    } else if (status == 421 && redirect >= 0 && redirect != controller) {
-                        sendLater(REDIRECT_MS, worker, redirect);
-                    } else {
-                        sendLater(NEXT_CONTROLLER_MS, worker, next(controller));
-                    }
-                });
+        loop.http()
+                .request(
+                        config.controllers().get(controller),
+                        "POST",
+                        ApiPaths.HEARTBEATS,
+                        MessageCodec.encode(worker.heartbeat()),
+                        PATIENCE_MS,
+                        (status, bytes) -> {
+                            JsonNode body = bytes.length == 0 ? null : MessageCodec.decode(bytes);
+                            int redirect = redirect(body);
+                            if (answerLost) {
+                                sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
+                            } else if (status == 200) {
+                                worker.heartbeatAnswered(body, incarnation, sentAt);
+                                sendLater(config.size().heartbeatIntervalMs(), worker, controller);
+                            } else if (status == 421 && redirect >= 0 && redirect != controller) {
+                                sendLater(REDIRECT_MS, worker, redirect);
+                            } else {
+                                sendLater(NEXT_CONTROLLER_MS, worker, next(controller));
+                            }
+                        });
     }
 
     /** The number of the controller that an answer names; -1: none that is known. */
@@ -156,6 +158,6 @@
     }
 
     private void sendLater(long delayMs, Worker worker, int controller) {
-        loop.thread.executeAfter(() -> sendHeartbeat(worker, controller), delayMs, TimeUnit.MILLISECONDS);
+        loop.thread().executeAfter(() -> sendHeartbeat(worker, controller), delayMs, TimeUnit.MILLISECONDS);
     }
 }
