--- a/src/main/java/stileferry/protocol/ExitReason.java
+++ b/src/main/java/stileferry/protocol/ExitReason.java
@@ -1,7 +1,7 @@
 package stileferry.protocol;
 
 /** Why a task has exited, as its worker tells it. */
-public enum ExitReason {
+public enum ExitReason implements WireWord {
     /** Completed. */
     COMPLETED("done"),
     /** Stopped by command; its progress may have been saved. */
@@ -23,22 +23,18 @@
 
     private final String wireName;
 
-    ExitReason(String word) {
-        this.wireName = word;
+    ExitReason(String wireName) {
+        this.wireName = wireName;
     }
 
     /** The word that stands for it in heartbeats. */
+    @Override
     public String wireName() {
         return wireName;
     }
 
     /** The reason that a word on the wire stands for; words to come are harmless. */
     static ExitReason of(String word) {
-        for (ExitReason reason : values()) {
-            if (reason.wireName.equals(word)) {
-                return reason;
-            }
-        }
-        return OTHER;
+        return WireWord.find(values(), word, OTHER);
     }
 }
--- a/src/main/java/stileferry/protocol/Heartbeat.java
+++ b/src/main/java/stileferry/protocol/Heartbeat.java
@@ -28,7 +28,7 @@
         byte[] encodedTasks) {
 
     /** Where a task stands on its worker; a gang's task that has its image waits for the others. */
-    public enum TaskPhase {
+    public enum TaskPhase implements WireWord {
         PULLING_IMAGE("pulling"),
         WAITING_FOR_GANG("waiting"),
         RUNNING("running"),
@@ -45,18 +45,14 @@
         }
 
         /** The word that stands for it in heartbeats. */
+        @Override
         public String wireName() {
             return wireName;
         }
 
         /** The phase that a word on the wire stands for; words to come are taken for the first phase. */
         static TaskPhase of(String word) {
-            for (TaskPhase phase : ALL) {
-                if (phase.wireName.equals(word)) {
-                    return phase;
-                }
-            }
-            return PULLING_IMAGE;
+            return WireWord.find(ALL, word, PULLING_IMAGE);
         }
     }
 
--- a/src/main/java/stileferry/protocol/JobSpec.java
+++ b/src/main/java/stileferry/protocol/JobSpec.java
@@ -43,7 +43,7 @@
     private static final Pattern ID = Pattern.compile("job-[0-9]{1,18}");
 
     /** Independent tasks; replicas that run until cancelled; tasks that only run all together. */
-    public enum Kind {
+    public enum Kind implements WireWord {
         ARRAY("array"),
         SERVICE("standing"),
         GANG("group");
@@ -56,17 +56,17 @@
 
         /** The kind that a word on the wire stands for; null: none. */
         static Kind of(String word) {
-            for (Kind kind : values()) {
-                if (kind.wireName.equals(word)) {
-                    return kind;
-                }
-            }
-            return null;
+            return WireWord.find(values(), word, null);
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
         }
     }
 
     /** Priorities, the most urgent first. */
-    public enum Priority {
+    public enum Priority implements WireWord {
         CRITICAL("critical"),
         URGENT("urgent"),
         NORMAL("normal"),
@@ -80,15 +80,11 @@
 
         /** The priority that a word on the wire stands for; null: none. */
         static Priority of(String word) {
-            for (Priority priority : values()) {
-                if (priority.wireName.equals(word)) {
-                    return priority;
-                }
-            }
-            return null;
+            return WireWord.find(values(), word, null);
         }
 
         /** The word that stands for it in messages and in the administration API. */
+        @Override
         public String wireName() {
             return wireName;
         }
