--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -13,7 +13,6 @@
 import stileferry.heartbeat.LastHeartbeatJournal;
 import stileferry.leadership.LeaderElection;
 import stileferry.leadership.TermSequence;
-import stileferry.lifecycle.JobCompletion;
 import stileferry.lifecycle.TaskLifecycle;
 import stileferry.links.LinkHealth;
 import stileferry.protocol.Environment;
@@ -83,24 +82,22 @@
         this.links = controller.links();
         this.term = term;
         this.sequence = new TermSequence(term);
-        this.commitQueue = new CommitQueue(
-                environment, controller.store(), LeaderElection.LEADER_KEY, leaderRevision, term, election::resign);
-        this.cluster = new ClusterState(settings, links);
-        this.cluster.setMachineTypes(machineTypes);
+        TermComponents components = TermComponents.create(
+                controller,
+                machineTypes,
+                new TermComponents.Term(term, leaderRevision, sequence),
+                new JobRequestCallbacks(),
+                this::requestPass);
+        this.cluster = components.cluster();
+        this.commitQueue = components.commitQueue();
+        this.heartbeatJournal = components.heartbeatJournal();
+        this.jobRequests = components.jobRequests();
+        this.taskLifecycle = components.taskLifecycle();
+        this.heartbeats = taskLifecycle.heartbeatHandler();
+        this.placement = components.placement();
+        this.autoscaler = components.autoscaler();
         this.admissionCounting = new AdmissionCounting(settings);
         this.connectionBudgetWarning = new ConnectionBudgetWarning(settings);
-        this.heartbeatJournal = new LastHeartbeatJournal(cluster, environment, commitQueue, election, term);
-        this.jobRequests = new JobRequestHandler(
-                cluster,
-                environment,
-                controller.store(),
-                commitQueue,
-                controller.completedJobs(),
-                new JobRequestCallbacks());
-        this.taskLifecycle = taskLifecycle(controller);
-        this.heartbeats = taskLifecycle.heartbeatHandler();
-        this.placement = new Placement(cluster);
-        this.autoscaler = new Autoscaler(cluster, environment, heartbeats, term, links);
         this.schedulingLoop = schedulingLoop(controller);
         this.heartbeatRoundMs = settings.workers().heartbeatRoundMs();
         this.recovery = new StateRecovery(
@@ -113,24 +110,6 @@
         recovery.load();
     }
 
-    private TaskLifecycle taskLifecycle(ControllerContext controller) {
-        return new TaskLifecycle(
-                cluster,
-                environment,
-                commitQueue,
-                sequence,
-                events -> new HeartbeatHandler(
-                        cluster, environment, election, term, events, heartbeatJournal, controller.eventLoopLag()),
-                lifecycle -> new JobCompletion(
-                        cluster,
-                        commitQueue,
-                        controller.completedJobs(),
-                        election,
-                        jobRequests,
-                        lifecycle::stopCancelled),
-                this::requestPass);
-    }
-
     private SchedulingLoop schedulingLoop(ControllerContext controller) {
         SchedulingPass schedulingPass =
                 new SchedulingPass(cluster, environment, links, placement, autoscaler, taskLifecycle);
--- /dev/null
+++ b/src/main/java/stileferry/coordination/TermComponents.java
@@ -0,0 +1,75 @@
+package stileferry.coordination;
+
+import java.util.List;
+import stileferry.autoscaling.Autoscaler;
+import stileferry.cluster.ClusterState;
+import stileferry.heartbeat.HeartbeatHandler;
+import stileferry.heartbeat.LastHeartbeatJournal;
+import stileferry.leadership.LeaderElection;
+import stileferry.leadership.TermSequence;
+import stileferry.lifecycle.JobCompletion;
+import stileferry.lifecycle.TaskLifecycle;
+import stileferry.links.LinkHealth;
+import stileferry.protocol.Environment;
+import stileferry.protocol.MachineType;
+import stileferry.requests.JobRequestHandler;
+import stileferry.scheduling.Placement;
+import stileferry.storage.CommitQueue;
+
+/** What one term of leading consists of; all of it ends with the term. */
+record TermComponents(
+        ClusterState cluster,
+        CommitQueue commitQueue,
+        LastHeartbeatJournal heartbeatJournal,
+        JobRequestHandler jobRequests,
+        TaskLifecycle taskLifecycle,
+        Placement placement,
+        Autoscaler autoscaler) {
+
+    /** The number of a term, the revision of its leader key, and the numbers that are given out in it. */
+    record Term(long number, long leaderRevision, TermSequence sequence) {}
+
+    /** {@code requestPass} is called when something has changed that a scheduling pass may use. */
+    static TermComponents create(
+            ControllerContext controller,
+            List<MachineType> machineTypes,
+            Term term,
+            JobRequestHandler.LeaderCallbacks callbacks,
+            Runnable requestPass) {
+        Environment environment = controller.environment();
+        LeaderElection election = controller.election();
+        LinkHealth links = controller.links();
+        CommitQueue commitQueue = new CommitQueue(
+                environment,
+                controller.store(),
+                LeaderElection.LEADER_KEY,
+                term.leaderRevision(),
+                term.number(),
+                election::resign);
+        ClusterState cluster = new ClusterState(controller.settings(), links);
+        cluster.setMachineTypes(machineTypes);
+        LastHeartbeatJournal journal =
+                new LastHeartbeatJournal(cluster, environment, commitQueue, election, term.number());
+        JobRequestHandler jobRequests = new JobRequestHandler(
+                cluster, environment, controller.store(), commitQueue, controller.completedJobs(), callbacks);
+        TaskLifecycle taskLifecycle = new TaskLifecycle(
+                cluster,
+                environment,
+                commitQueue,
+                term.sequence(),
+                events -> new HeartbeatHandler(
+                        cluster, environment, election, term.number(), events, journal, controller.eventLoopLag()),
+                lifecycle -> new JobCompletion(
+                        cluster,
+                        commitQueue,
+                        controller.completedJobs(),
+                        election,
+                        jobRequests,
+                        lifecycle::stopCancelled),
+                requestPass);
+        Placement placement = new Placement(cluster);
+        Autoscaler autoscaler =
+                new Autoscaler(cluster, environment, taskLifecycle.heartbeatHandler(), term.number(), links);
+        return new TermComponents(cluster, commitQueue, journal, jobRequests, taskLifecycle, placement, autoscaler);
+    }
+}
