--- a/src/main/java/stileferry/cli/Daemon.java
+++ b/src/main/java/stileferry/cli/Daemon.java
@@ -10,8 +10,8 @@
 
 /**
  * Where service managers start a controller: the same as the command {@code serve}, without the command line around it.
- * Its options are read by Commons CLI. Picocli's classes are of a form that the runtime can't archive, and to set up
- * its commands takes half a second of processor time, which is five seconds of absence on a tenth of a core.
+ * Its options are read by Commons CLI: picocli's classes are of a form that the runtime can't archive, and setting up
+ * its commands would lengthen the start on a small share of a core.
  */
 public final class Daemon {
     private static final String CONFIG = "config";
@@ -27,8 +27,8 @@
 
     /** The exit code, as soon as the controller is closed or can't start. */
     static int run(String[] args) {
-        // The networking library registers with the runtime's management, which nobody asks here and which takes a
-        // tenth of a second to set up. It goes on without when there is none.
+        // The networking library registers with the runtime's management, which nobody asks here and which lengthens
+        // the start. It goes on without when there is none.
         System.setProperty("javax.management.builder.initial", "none");
         Options options = new Options()
                 .addOption(Option.builder().longOpt(CONFIG).hasArg().required().get())
--- a/src/main/java/stileferry/protocol/MessageCodec.java
+++ b/src/main/java/stileferry/protocol/MessageCodec.java
@@ -15,7 +15,7 @@
 
 /**
  * The body format of every outside interface, MessagePack, as Jackson trees. They are built and written through
- * Jackson's streams alone: setting up its object mapper costs a small machine as much as a second of its time.
+ * Jackson's streams alone: setting up its object mapper would lengthen the start on a small share of a core.
  */
 public final class MessageCodec {
     /** The largest body taken or sent, on interfaces that have a limit. */
--- a/src/main/java/stileferry/protocol/Settings.java
+++ b/src/main/java/stileferry/protocol/Settings.java
@@ -39,8 +39,8 @@
 
     /**
      * How many times as long this controller takes for its work as one with an ample share of a core; 1 at least. Times
-     * that it allows itself grow with it: on a tenth of a core one collection of garbage or one page of records takes
-     * as long as a lease that a larger share renews with ease.
+     * that it allows itself grow with it: on a small share one collection of garbage or one page of records can take as
+     * long as a lease that a larger share renews with ease.
      */
     public double slowness() {
         return Math.max(1, AMPLE_CORES / cores);
