--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -56,7 +56,9 @@
     private final RequestForwarder changeRequests;
 
     private Host host;
+    /** Null while this controller does not lead. */
     private AdmissionController controller;
+
     private boolean exchanging;
     private long saturatedAt = Long.MIN_VALUE / 2;
     private long exchangedAt = Long.MIN_VALUE / 2;
@@ -66,11 +68,11 @@
     private String tableLeader = "";
 
     /** The division of admissions at one controller. */
-    public FairAdmission(Settings settings, Environment environment, KeyValueStoreClient state) {
+    public FairAdmission(Settings settings, Environment environment, KeyValueStoreClient store) {
         this.environment = environment;
         this.config = AdmissionSettings.config(settings);
         this.door = new AdmissionDoor(config, REMEMBERED_EACH_SOCKET * settings.maxSockets());
-        this.totalsReader = new AdmissionTotalsReader(state);
+        this.totalsReader = new AdmissionTotalsReader(store);
         this.statusRequests = new RequestForwarder(environment, MAX_STATUS_BATCHES);
         this.changeRequests = new RequestForwarder(environment, MAX_CHANGE_BATCHES);
     }
