--- a/src/main/java/stileferry/autoscaling/Autoscaler.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -15,6 +15,7 @@
     private final ScaleIn scaleIn;
     private final ScaleOut scaleOut;
 
+    /** An autoscaler for one term; {@code term} makes the ids of its requests to the cloud unique. */
     public Autoscaler(
             ClusterState cluster,
             Environment environment,
--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -47,12 +47,13 @@
         LogLevel.start(System.getenv("LOG_LEVEL"));
         try {
             play(Ports.free(PORTS));
-        } catch (IOException | RuntimeException e) { // the build goes on without
+        } catch (IOException | RuntimeException e) { // broad catch: the build goes on without
             System.err.println("stileferry: the class archive will be smaller, the start slower: " + e);
         }
         System.exit(0); // the way out is rehearsed too; the archive is written at the end
     }
 
+    @SuppressWarnings("try") // the stand-ins run beside the body, and one controller is closed in its middle
     private static void play(int port) throws Exception {
         Path dir = Files.createTempDirectory("rehearsal");
         Path features = dir.resolve("features.json");
--- a/src/main/java/stileferry/cli/Serve.java
+++ b/src/main/java/stileferry/cli/Serve.java
@@ -43,7 +43,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return ExitCode.FAILED;
-        } catch (IOException | RuntimeException e) { // the networking library throws both
+        } catch (IOException | RuntimeException e) { // broad catch: the networking library throws both
             System.err.println("stileferry: can't start: " + (e.getCause() == null ? e : e.getCause()));
             return ExitCode.FAILED;
         }
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -57,6 +57,7 @@
         this(settings, LinkHealth.NONE);
     }
 
+    /** An empty model; {@code links} learns which machines are gone. */
     public ClusterState(Settings settings, LinkHealth links) {
         this.settings = settings;
         this.links = links;
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -313,6 +313,7 @@
                         == 1;
     }
 
+    /** Tasks that were last reported running. */
     public int runningCount() {
         int running = 0;
         for (TaskAssignment assignment : assignments.values()) {
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -193,6 +193,7 @@
         return missing;
     }
 
+    /** Whether an image is cached here, being pulled here, or neither. */
     public ImageLocality imageLocality(String image) {
         if (images.containsKey(image)) {
             return ImageLocality.PRESENT;
--- a/src/main/java/stileferry/cluster/Resources.java
+++ b/src/main/java/stileferry/cluster/Resources.java
@@ -24,6 +24,7 @@
         return all;
     }
 
+    /** An independent copy. */
     public Resources copy() {
         Resources copy = new Resources();
         copy.cpus = cpus;
@@ -44,6 +45,7 @@
         memoryGb += tasks * spec.memoryGb();
     }
 
+    /** Takes away what one task of the job requests. */
     public void subtract(JobSpec spec) {
         add(spec, -1);
     }
@@ -54,6 +56,7 @@
         memoryGb += other.memoryGb;
     }
 
+    /** Takes another amount away from this one. */
     public void subtract(Resources other) {
         cpus -= other.cpus;
         gpus -= other.gpus;
--- a/src/main/java/stileferry/heartbeat/EventLoopLag.java
+++ b/src/main/java/stileferry/heartbeat/EventLoopLag.java
@@ -24,6 +24,7 @@
     private double lagMs;
     private long maxLagMs;
 
+    /** Measures against the workers' heartbeat interval, in seconds. */
     public EventLoopLag(Environment environment, double heartbeatIntervalS) {
         this.environment = environment;
         this.sampleIntervalMs = Math.max(1, Math.round(1000 * heartbeatIntervalS / SAMPLES_PER_HEARTBEAT));
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -34,6 +34,7 @@
     private final UnreachableAgentDetector unreachableAgentDetector;
     private final HeartbeatReconciliation reconciliation;
 
+    /** A handler for one term; the observer hears what heartbeats prove. */
     public HeartbeatHandler(
             ClusterState cluster,
             Environment environment,
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -100,6 +100,7 @@
         }
     }
 
+    /** A journal for one term. */
     public LastHeartbeatJournal(
             ClusterState cluster,
             Environment environment,
--- a/src/main/java/stileferry/protocol/HeartbeatReader.java
+++ b/src/main/java/stileferry/protocol/HeartbeatReader.java
@@ -44,8 +44,8 @@
         try (JsonParser parser = MessageCodec.parser(body)) {
             boolean isMap = parser.nextToken() == JsonToken.START_OBJECT;
             return isMap ? new HeartbeatReader(parser, body, last).read() : null;
-        } catch (IOException | RuntimeException e) {
-            return null; // the decoder throws unchecked exceptions for some malformed input
+        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+            return null;
         }
     }
 
@@ -56,8 +56,8 @@
         try (JsonParser parser = node.traverse()) {
             parser.nextToken();
             return new HeartbeatReader(parser, NO_BODY, machine -> null).read();
-        } catch (IOException | RuntimeException e) {
-            return null; // as above
+        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+            return null;
         }
     }
 
--- a/src/main/java/stileferry/protocol/MessageCodec.java
+++ b/src/main/java/stileferry/protocol/MessageCodec.java
@@ -42,8 +42,8 @@
     public static JsonNode decode(byte[] bytes) {
         try (JsonParser parser = parser(bytes)) {
             return tree(parser);
-        } catch (IOException | RuntimeException e) {
-            return null; // the decoder throws unchecked exceptions for some malformed input
+        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+            return null;
         }
     }
 
--- a/src/main/java/stileferry/protocol/SubmissionHeader.java
+++ b/src/main/java/stileferry/protocol/SubmissionHeader.java
@@ -19,8 +19,8 @@
     public static SubmissionHeader read(byte[] body) {
         try (JsonParser parser = MessageCodec.parser(body)) {
             return parser.nextToken() == JsonToken.START_OBJECT ? read(parser) : null;
-        } catch (IOException | RuntimeException e) {
-            return null; // the decoder throws unchecked exceptions for some malformed input
+        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+            return null;
         }
     }
 
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -22,6 +22,7 @@
     private final ImageHoldBack imageHoldBack;
     private boolean stoppedEarly;
 
+    /** Placement on the machines of one leader's model. */
     public Placement(ClusterState cluster) {
         this.cluster = cluster;
         this.queueOrder = new QueueOrder(cluster);
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -25,6 +25,7 @@
     private final Consolidation consolidation;
     private final TaskLifecycle tasks;
 
+    /** Passes over one leader's queue. */
     public SchedulingPass(
             ClusterState cluster,
             Environment environment,
--- a/src/main/java/stileferry/transport/CommandQueue.java
+++ b/src/main/java/stileferry/transport/CommandQueue.java
@@ -93,7 +93,7 @@
     private static void run(Runnable command) {
         try {
             command.run();
-        } catch (RuntimeException e) { // one command's defect must not end the owner's thread
+        } catch (RuntimeException e) { // broad catch: one command's defect must not end the owner's thread
             LOG.error("command failed", e);
         }
     }
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -69,13 +69,14 @@
             peerServer.start();
             apiServer.start();
             statistics = apiServer.getListenerInfo().get(0).getConnectorStatistics();
-        } catch (RuntimeException e) { // an address in use comes as one
+        } catch (RuntimeException e) { // broad catch: an address in use comes as one
             close(); // the other address and the threads must not outlive a failed start
             throw e;
         }
         commands.submit(coordinator::start);
     }
 
+    @SuppressWarnings("deprecation") // the listener reads no other option for its statistics
     private Undertow server(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
         return Undertow.builder()
                 .setWorker(loop.worker())
--- a/src/main/java/stileferry/transport/HttpCall.java
+++ b/src/main/java/stileferry/transport/HttpCall.java
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void failed(IOException e) {
+        public void failed(IOException cause) {
             fail();
         }
     }
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void failed(IOException e) {
+    public void failed(IOException cause) {
         fail();
     }
 
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public void failed(IOException e) {
+        public void failed(IOException cause) {
             fail();
         }
     }
--- a/src/test/java/stileferry/cli/AdmissionLoopbackTest.java
+++ b/src/test/java/stileferry/cli/AdmissionLoopbackTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -51,7 +52,7 @@
                     admittedTeams.add(team);
                 }
             }
-        } catch (Exception e) {
+        } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/stileferry/cli/FeaturesSwitchTest.java
+++ b/src/test/java/stileferry/cli/FeaturesSwitchTest.java
@@ -63,6 +63,7 @@
 
     /** A controller with a tenth of a core must not pay for features that are off. */
     @Test
+    @SuppressWarnings("try") // the stand-ins run beside the body
     void aFeatureThatIsOffLoadsNoClasses() throws Exception {
         int port = Ports.free(7);
         try (StandInHost standIns = StandIns.start(port, dir)) {
--- a/src/test/java/stileferry/cli/LoadTrial.java
+++ b/src/test/java/stileferry/cli/LoadTrial.java
@@ -52,6 +52,7 @@
         System.exit(0);
     }
 
+    @SuppressWarnings("try") // the stand-ins run beside the body
     private void play(int machines, double reportS, int seconds) throws Exception {
         try (StandInHost standIns = StandIns.start(port, dir, StandIns.size(machines, reportS));
                 ApiClient user = new ApiClient(addrs)) {
--- a/src/test/java/stileferry/cli/LoopbackCluster.java
+++ b/src/test/java/stileferry/cli/LoopbackCluster.java
@@ -276,7 +276,7 @@
     }
 
     @Override
-    public void close() throws Exception {
+    public void close() throws IOException {
         users.close();
         for (int i = 0; i < CONTROLLERS; i++) {
             askEach[i].close();
--- a/src/test/java/stileferry/cluster/JobTest.java
+++ b/src/test/java/stileferry/cluster/JobTest.java
@@ -59,7 +59,7 @@
 
     @Test
     void theCancellationOfAStoredJobIsDurable() throws InvalidJobSpecException {
-        ObjectNode stored = (ObjectNode) submitted().entry().value();
+        ObjectNode stored = submitted().entry().value();
         assertFalse(Job.read(stored, 1).cancelled());
         Job cancelled = Job.read(stored.put("cancelled", true), 1);
         assertTrue(cancelled.accepted());
--- a/src/test/java/stileferry/cluster/TestSettings.java
+++ b/src/test/java/stileferry/cluster/TestSettings.java
@@ -7,6 +7,7 @@
 public final class TestSettings {
     private TestSettings() {}
 
+    /** Settings with these teams and one objective. */
     public static Settings with(List<Settings.Team> teams, Settings.ServiceLevelObjective objective) {
         return new Settings(
                 "n0",
--- a/src/test/java/stileferry/coordination/ControllerNode.java
+++ b/src/test/java/stileferry/coordination/ControllerNode.java
@@ -19,6 +19,7 @@
         return settings.controllerName();
     }
 
+    /** Starts a process, with nothing of a former one. */
     public void start() {
         environment = new SimulatedEnvironment(cluster, this);
         coordinator = new Coordinator(
@@ -28,6 +29,7 @@
         environment.turn(coordinator::start);
     }
 
+    /** Ends the process without a word to anybody. */
     public void crash() {
         environment.dead = true;
         coordinator = null;
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -87,7 +87,7 @@
         cluster.runFor(20);
         JobSpec good = job(50, "blue", JobSpec.Priority.NORMAL, 2);
         byte[] tooLarge = MessageCodec.encode(
-                ((ObjectNode) job(51, "free", JobSpec.Priority.NORMAL, 2).write()).put("cores", 1000.0));
+                job(51, "free", JobSpec.Priority.NORMAL, 2).write().put("cores", 1000.0));
         int[] refused = new int[1];
         for (int i = 0; i < 40; i++) {
             ControllerNode node = cluster.controllers.get("n" + i % 3);
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -79,11 +79,11 @@
         ControllerNode old = cluster.leader();
         ControllerNode peer = cluster.others(old).get(0);
         ControllerNode third = cluster.others(old).get(1);
-        int i = 0;
+        int number = 0;
         for (String addr : List.copyOf(cluster.workers.keySet())) {
-            cluster.network.blockBoth(i % 2 == 1 ? old.name() : peer.name(), addr, LinkFault.REFUSED);
+            cluster.network.blockBoth(number % 2 == 1 ? old.name() : peer.name(), addr, LinkFault.REFUSED);
             cluster.network.blockBoth(third.name(), addr, LinkFault.REFUSED);
-            i++;
+            number++;
         }
         assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost: heartbeats go by way of the peer");
         assertEquals(old, cluster.leader(), "nobody is clearly better, so the leader stays");
--- a/src/test/java/stileferry/golden/GoldenAdministrationCluster.java
+++ b/src/test/java/stileferry/golden/GoldenAdministrationCluster.java
@@ -116,10 +116,15 @@
         end(processes.get(0));
     }
 
-    private static void end(Process process) throws InterruptedException {
+    private static void end(Process process) {
         process.destroy();
-        if (!process.waitFor(5, TimeUnit.SECONDS)) {
+        try {
+            if (!process.waitFor(5, TimeUnit.SECONDS)) {
+                process.destroyForcibly();
+            }
+        } catch (InterruptedException e) {
             process.destroyForcibly();
+            Thread.currentThread().interrupt();
         }
     }
 
@@ -170,7 +175,7 @@
     }
 
     @Override
-    public void close() throws Exception {
+    public void close() {
         for (int last = processes.size() - 1; last >= 0; last--) {
             end(processes.get(last));
         }
--- a/src/test/java/stileferry/protocol/JobSpecBuilder.java
+++ b/src/test/java/stileferry/protocol/JobSpecBuilder.java
@@ -46,21 +46,25 @@
         return of(JobSpec.Kind.GANG, "job-" + number);
     }
 
+    /** The job class. */
     public JobSpecBuilder jobClass(String name) {
         jobClass = name;
         return this;
     }
 
+    /** The team. */
     public JobSpecBuilder team(String name) {
         team = name;
         return this;
     }
 
+    /** The priority. */
     public JobSpecBuilder priority(JobSpec.Priority value) {
         priority = value;
         return this;
     }
 
+    /** How many tasks it has. */
     public JobSpecBuilder tasks(int count) {
         tasks = count;
         return this;
@@ -78,11 +82,13 @@
         return this;
     }
 
+    /** The image. */
     public JobSpecBuilder image(String name) {
         image = name;
         return this;
     }
 
+    /** The image's size in GB. */
     public JobSpecBuilder imageGb(double size) {
         imageGb = size;
         return this;
@@ -112,6 +118,7 @@
         return this;
     }
 
+    /** Whether it may run on spot instances. */
     public JobSpecBuilder allowsSpot(boolean value) {
         allowsSpot = value;
         return this;
@@ -130,6 +137,7 @@
         return this;
     }
 
+    /** The job as described. */
     public JobSpec build() {
         return new JobSpec(
                 id,
