--- a/src/main/java/stileferry/admission/AdmissionCodec.java
+++ b/src/main/java/stileferry/admission/AdmissionCodec.java
@@ -60,12 +60,12 @@
     }
 
     /** Writes a report of demand. */
-    public static byte[] write(DemandReport report) {
+    public static byte[] encode(DemandReport report) {
         return bytes(out -> {
             SortedMap<Flow, byte[]> parts = fitting(report);
             out.writeShort(parts.size());
             for (Map.Entry<Flow, byte[]> part : parts.entrySet()) {
-                write(out, part.getKey());
+                encode(out, part.getKey());
                 out.writeShort(part.getValue().length);
                 out.write(part.getValue());
             }
@@ -88,7 +88,7 @@
     }
 
     /** Reads a report of demand. */
-    public static DemandReport readDemand(byte[] bytes) {
+    public static DemandReport decodeDemand(byte[] bytes) {
         return parse(bytes, "demand", in -> {
             SortedMap<Flow, CompactSketch> sketches = new TreeMap<>();
             for (int left = in.readUnsignedShort(); left > 0; left--) {
@@ -102,13 +102,13 @@
     }
 
     /** Writes a table of turns. */
-    public static byte[] write(TurnTable table) {
+    public static byte[] encode(AdmissionWindowTable table) {
         return bytes(out -> {
             out.writeLong(table.term());
             out.writeLong(table.sequence());
-            out.writeShort(table.turns().size());
-            for (Map.Entry<Flow, Turn> turn : table.turns().entrySet()) {
-                write(out, turn.getKey());
+            out.writeShort(table.windows().size());
+            for (Map.Entry<Flow, AdmissionWindow> turn : table.windows().entrySet()) {
+                encode(out, turn.getKey());
                 out.writeDouble(turn.getValue().position());
                 out.writeDouble(turn.getValue().roundsPerS());
             }
@@ -116,22 +116,22 @@
     }
 
     /** Reads a table of turns. */
-    public static TurnTable readTable(byte[] bytes) {
+    public static AdmissionWindowTable decodeTable(byte[] bytes) {
         return parse(bytes, "table", in -> {
             long term = in.readLong();
             long sequence = in.readLong();
-            SortedMap<Flow, Turn> turns = new TreeMap<>();
+            SortedMap<Flow, AdmissionWindow> turns = new TreeMap<>();
             for (int left = in.readUnsignedShort(); left > 0; left--) {
-                turns.put(readFlow(in), new Turn(in.readDouble(), in.readDouble()));
+                turns.put(readFlow(in), new AdmissionWindow(in.readDouble(), in.readDouble()));
             }
-            return new TurnTable(term, sequence, turns);
+            return new AdmissionWindowTable(term, sequence, turns);
         });
     }
 
-    private static void write(DataOutputStream out, Flow flow) throws IOException {
+    private static void encode(DataOutputStream out, Flow flow) throws IOException {
         out.writeUTF(flow.team());
         out.writeUTF(flow.jobClass());
-        out.writeByte(flow.tier());
+        out.writeByte(flow.priorityTier());
     }
 
     private static Flow readFlow(DataInputStream in) throws IOException {
--- a/src/main/java/stileferry/admission/AdmissionConfig.java
+++ b/src/main/java/stileferry/admission/AdmissionConfig.java
@@ -11,20 +11,21 @@
  * @param weights the teams' weights by name; a request of any other team is none of this package's business
  * @param classes the classes of jobs that are told apart; all others of a team are one
  * @param intervalMs milliseconds between two steps of the leader, and between two exchanges of a door with it
- * @param mostPerS admissions a second that the state service can take at most
+ * @param maxAdmissionsPerS admissions a second that the state service can take at most
  */
-public record AdmissionConfig(Map<String, Double> weights, Set<String> classes, long intervalMs, double mostPerS) {
+public record AdmissionConfig(
+        Map<String, Double> weights, Set<String> classes, long intervalMs, double maxAdmissionsPerS) {
     /** The class under which all classes that the settings don't name are counted. */
     public static final String OTHER_CLASSES = "*";
 
     /** Users give up so many seconds after their first attempt (PROTOCOL, "POST /work"). */
-    public static final double PATIENCE_S = 60;
+    public static final double CLIENT_RETRY_TIMEOUT_S = 60;
 
     /** Users come back after so many seconds at most, whatever they are told (PROTOCOL, "POST /work"). */
-    public static final int LONGEST_WAIT_S = 30;
+    public static final int MAX_RETRY_AFTER_S = 30;
 
     /** How long a turn lasts: users are told whole seconds, and their requests take time. A tenth of their patience. */
-    public static final double TURN_S = PATIENCE_S / 10;
+    public static final double WINDOW_S = CLIENT_RETRY_TIMEOUT_S / 10;
 
     /** Demand is measured over the users' patience, in so many slices. */
     static final int SLICES = 4;
@@ -43,7 +44,7 @@
         InvalidInputException.require(classes != null, "classes", "missing");
         classes = Set.copyOf(classes);
         InvalidInputException.require(intervalMs > 0, "intervalMs", "must be above 0");
-        InvalidInputException.require(isPositive(mostPerS), "mostPerS", "must be above 0");
+        InvalidInputException.require(isPositive(maxAdmissionsPerS), "mostPerS", "must be above 0");
     }
 
     private static boolean isPositive(Double figure) {
@@ -59,12 +60,12 @@
     }
 
     /** Milliseconds for which a table of turns may be used, counted from when it was asked for. */
-    public long validMs() {
+    public long tableValidityMs() {
         return VALID_INTERVALS * intervalMs;
     }
 
     /** Milliseconds of one slice of the time over which demand is measured. */
     long sliceMs() {
-        return Math.round(1000 * PATIENCE_S / SLICES);
+        return Math.round(1000 * CLIENT_RETRY_TIMEOUT_S / SLICES);
     }
 }
--- a/src/main/java/stileferry/admission/AdmissionController.java
+++ b/src/main/java/stileferry/admission/AdmissionController.java
@@ -15,7 +15,7 @@
 public final class AdmissionController {
     private final AdmissionConfig config;
     private final long term;
-    private final DemandMeter meter;
+    private final DemandEstimator meter;
     private final CapacityLimit limit;
     private final Map<Flow, FlowGate> gates = new HashMap<>();
     private final Map<Integer, TokenBucket> spare = new HashMap<>();
@@ -25,7 +25,7 @@
     private final Cache<String, Boolean> due;
 
     private SortedMap<Flow, Double> shares = new TreeMap<>();
-    private TurnTable table;
+    private AdmissionWindowTable table;
 
     /**
      * The decisions of a term that begins.
@@ -33,19 +33,19 @@
      * @param last the last table that this controller had of the former leader, or null: turns go on from there
      * @param lastAgeS seconds since that table was made
      */
-    public AdmissionController(AdmissionConfig config, long term, TurnTable last, double lastAgeS) {
+    public AdmissionController(AdmissionConfig config, long term, AdmissionWindowTable last, double lastAgeS) {
         InvalidInputException.require(config != null, "config", "missing");
         InvalidInputException.require(last == null || last.term() < term, "last", "not of a term before " + term);
         this.config = config;
         this.term = term;
-        this.meter = new DemandMeter(config);
-        this.limit = new CapacityLimit(config.mostPerS());
+        this.meter = new DemandEstimator(config);
+        this.limit = new CapacityLimit(config.maxAdmissionsPerS());
         this.due = CacheBuilder.newBuilder()
-                .maximumSize(1 + Math.round(config.mostPerS() * AdmissionConfig.PATIENCE_S))
+                .maximumSize(1 + Math.round(config.maxAdmissionsPerS() * AdmissionConfig.CLIENT_RETRY_TIMEOUT_S))
                 .concurrencyLevel(1)
                 .build();
         this.positions = last == null ? Map.of() : last.positionsAfter(lastAgeS);
-        this.table = new TurnTable(term, 1, new TreeMap<>());
+        this.table = new AdmissionWindowTable(term, 1, new TreeMap<>());
     }
 
     /**
@@ -53,20 +53,21 @@
      *
      * @param flow what {@link AdmissionConfig#flow} says of it
      */
-    public Decision decide(Flow flow, String id, long now) {
+    public AdmissionDecision decide(Flow flow, String id, long now) {
         FlowGate gate = gate(flow, now);
         double waitS = waitS(gate, id, now);
-        if (gate.take(waitS == 0, now) || waitS == 0 && spare(flow.tier(), now).take(now)) {
+        if (gate.take(waitS == 0, now)
+                || waitS == 0 && spare(flow.priorityTier(), now).take(now)) {
             meter.admitted(flow, id, now);
             gate.count(true);
             due.invalidate(id);
-            return Decision.ADMITTED;
+            return AdmissionDecision.ADMITTED;
         }
         return refuse(flow, id, waitS, now);
     }
 
     /** Decides about a job that is not known yet at a moment at which nothing can be accepted. */
-    public Decision postpone(Flow flow, String id, long now) {
+    public AdmissionDecision defer(Flow flow, String id, long now) {
         return refuse(flow, id, waitS(gate(flow, now), id, now), now);
     }
 
@@ -74,14 +75,14 @@
         return due.getIfPresent(id) != null ? 0 : gate.waitS(JobIdHash.place(id), now);
     }
 
-    private Decision refuse(Flow flow, String id, double waitS, long now) {
+    private AdmissionDecision refuse(Flow flow, String id, double waitS, long now) {
         meter.asked(flow, id, now);
         gate(flow, now).count(false);
         if (waitS > 0) {
-            return Decision.after(waitS);
+            return AdmissionDecision.after(waitS);
         }
         due.put(id, Boolean.TRUE);
-        return Decision.after(1 + JobIdHash.place(id) * AdmissionConfig.TURN_S / 2); // not all at once
+        return AdmissionDecision.after(1 + JobIdHash.place(id) * AdmissionConfig.WINDOW_S / 2); // not all at once
     }
 
     private FlowGate gate(Flow flow, long now) {
@@ -91,13 +92,15 @@
     /** What nobody of this tier or a more urgent one has asked for. */
     private TokenBucket spare(int tier, long now) {
         return spare.computeIfAbsent(
-                tier, t -> new TokenBucket(config.mostPerS(), config.mostPerS() * AdmissionConfig.TURN_S, now));
+                tier,
+                t -> new TokenBucket(
+                        config.maxAdmissionsPerS(), config.maxAdmissionsPerS() * AdmissionConfig.WINDOW_S, now));
     }
 
     /** Takes in what another controller saw of the demand. */
-    public void merge(DemandReport report, long now) {
+    public void mergeDemand(DemandReport report, long now) {
         report.sketches().forEach((flow, sketch) -> {
-            if (flow.equals(config.flow(flow.team(), flow.jobClass(), flow.tier()))) {
+            if (flow.equals(config.flow(flow.team(), flow.jobClass(), flow.priorityTier()))) {
                 meter.merge(flow, sketch, now);
             }
         });
@@ -108,7 +111,7 @@
      *
      * @param pressure what kept the leader from accepting more since the last time
      */
-    public void step(Pressure pressure, long now) {
+    public void updateShares(BackPressure pressure, long now) {
         SortedMap<Flow, DemandEstimate> waiting = meter.waiting(now);
         double all =
                 waiting.values().stream().mapToDouble(DemandEstimate::waiting).sum();
@@ -118,10 +121,10 @@
         double capacity = limit.step(pressure, all, measured);
         SortedMap<Flow, Double> demands = new TreeMap<>();
         waiting.forEach((flow, estimate) ->
-                demands.put(flow, estimate.waiting() / AdmissionConfig.TURN_S + meter.admittedPerS(flow, now)));
-        shares = ShareAllocator.allocate(capacity, demands, config.weights());
+                demands.put(flow, estimate.waiting() / AdmissionConfig.WINDOW_S + meter.admittedPerS(flow, now)));
+        shares = FairShareAllocator.allocate(capacity, demands, config.weights());
         gates.keySet().retainAll(waiting.keySet());
-        SortedMap<Flow, Turn> turns = new TreeMap<>();
+        SortedMap<Flow, AdmissionWindow> turns = new TreeMap<>();
         shares.forEach((flow, share) -> {
             FlowGate gate = gate(flow, now);
             gate.set(share, waiting.get(flow).waiting(), now);
@@ -130,24 +133,24 @@
             }
         });
         setSpare(capacity, now);
-        table = new TurnTable(term, table.sequence() + 1, turns);
+        table = new AdmissionWindowTable(term, table.sequence() + 1, turns);
     }
 
     private void setSpare(double capacity, long now) {
         SortedMap<Integer, Double> taken = new TreeMap<>();
-        shares.forEach((flow, share) -> taken.merge(flow.tier(), share, Double::sum));
+        shares.forEach((flow, share) -> taken.merge(flow.priorityTier(), share, Double::sum));
         spare.keySet().forEach(tier -> taken.putIfAbsent(tier, 0.0));
         double left = capacity;
         for (Map.Entry<Integer, Double> tier : taken.entrySet()) {
             boolean first = tier.getKey() == 0; // the most urgent may have all that could ever be taken
-            left = Math.max(0, (first ? config.mostPerS() : left) - tier.getValue());
-            spare(tier.getKey(), now).set(left, left * AdmissionConfig.TURN_S, now);
+            left = Math.max(0, (first ? config.maxAdmissionsPerS() : left) - tier.getValue());
+            spare(tier.getKey(), now).set(left, left * AdmissionConfig.WINDOW_S, now);
             left = first ? Math.max(0, capacity - tier.getValue()) : left;
         }
     }
 
-    /** The table as of the last {@link #step}. */
-    public TurnTable table() {
+    /** The table as of the last {@link #updateShares}. */
+    public AdmissionWindowTable table() {
         return table;
     }
 
@@ -157,7 +160,7 @@
     }
 
     /** Jobs that wait, by flow. */
-    public SortedMap<Flow, DemandEstimate> waiting(long now) {
+    public SortedMap<Flow, DemandEstimate> waitingJobs(long now) {
         return meter.waiting(now);
     }
 
@@ -167,12 +170,12 @@
     }
 
     /** Requests of a flow that were admitted in this term, while it was kept. */
-    public long admitted(Flow flow) {
+    public long admittedCount(Flow flow) {
         return gates.containsKey(flow) ? gates.get(flow).admitted() : 0;
     }
 
     /** Requests of a flow that were refused in this term, while it was kept. */
-    public long refused(Flow flow) {
+    public long refusedCount(Flow flow) {
         return gates.containsKey(flow) ? gates.get(flow).refused() : 0;
     }
 }
--- a/src/main/java/stileferry/admission/AdmissionCounts.java
+++ b/src/main/java/stileferry/admission/AdmissionCounts.java
@@ -7,29 +7,29 @@
 /** Admissions by team and class; all figures only grow. */
 public final class AdmissionCounts {
     /** What is counted together. */
-    public record Cell(String team, String jobClass) implements Comparable<Cell> {
+    public record TeamClass(String team, String jobClass) implements Comparable<TeamClass> {
         /** Checks that nothing is missing. */
-        public Cell {
+        public TeamClass {
             InvalidInputException.require(team != null, "team", "missing");
             InvalidInputException.require(jobClass != null, "jobClass", "missing");
         }
 
         /** The cell in which a flow's admissions are counted. */
-        public static Cell of(Flow flow) {
-            return new Cell(flow.team(), flow.jobClass());
+        public static TeamClass of(Flow flow) {
+            return new TeamClass(flow.team(), flow.jobClass());
         }
 
         @Override
-        public int compareTo(Cell other) {
+        public int compareTo(TeamClass other) {
             int byTeam = team.compareTo(other.team);
             return byTeam != 0 ? byTeam : jobClass.compareTo(other.jobClass);
         }
     }
 
-    private final SortedMap<Cell, Long> counts = new TreeMap<>();
+    private final SortedMap<TeamClass, Long> counts = new TreeMap<>();
 
     /** Adds admissions; the number is above 0. */
-    public void add(Cell cell, long number) {
+    public void add(TeamClass cell, long number) {
         InvalidInputException.require(number > 0, "number", "not above 0: " + number);
         counts.merge(cell, number, Math::addExact);
     }
@@ -40,12 +40,12 @@
     }
 
     /** What was counted. */
-    public SortedMap<Cell, Long> byCell() {
+    public SortedMap<TeamClass, Long> byTeamClass() {
         return new TreeMap<>(counts);
     }
 
     /** Whether a cell has been counted here. */
-    public boolean has(Cell cell) {
+    public boolean contains(TeamClass cell) {
         return counts.containsKey(cell);
     }
 
--- a/src/main/java/stileferry/admission/Decision.java
+++ b/src/main/java/stileferry/admission/AdmissionDecision.java
@@ -6,13 +6,13 @@
  * @param admitted whether it may be accepted now
  * @param retryAfterS the seconds after which it is worth another try; 0 if it was admitted
  */
-public record Decision(boolean admitted, int retryAfterS) {
+public record AdmissionDecision(boolean admitted, int retryAfterS) {
     /** It may be accepted. */
-    static final Decision ADMITTED = new Decision(true, 0);
+    static final AdmissionDecision ADMITTED = new AdmissionDecision(true, 0);
 
     /** It has to wait for so long, in whole seconds that users honour. */
-    static Decision after(double waitS) {
+    static AdmissionDecision after(double waitS) {
         int seconds = (int) Math.ceil(waitS);
-        return new Decision(false, Math.max(1, Math.min(AdmissionConfig.LONGEST_WAIT_S, seconds)));
+        return new AdmissionDecision(false, Math.max(1, Math.min(AdmissionConfig.MAX_RETRY_AFTER_S, seconds)));
     }
 }
--- a/src/main/java/stileferry/admission/AdmissionTotals.java
+++ b/src/main/java/stileferry/admission/AdmissionTotals.java
@@ -9,9 +9,10 @@
  *
  * @param counts the admissions
  * @param revision the state service's revision at which they hold
- * @param completeUntil the revision up to which nothing is missing; {@link #COMPLETE} if nothing is missing at all
+ * @param completeUntilRevision the revision up to which nothing is missing; {@link #COMPLETE} if nothing is missing
+ *     at all
  */
-public record AdmissionTotals(AdmissionCounts counts, long revision, long completeUntil) {
+public record AdmissionTotals(AdmissionCounts counts, long revision, long completeUntilRevision) {
     /** Every leader has counted what it accepted. */
     public static final long COMPLETE = Long.MAX_VALUE;
 
@@ -19,11 +20,11 @@
      * One shard as it is stored.
      *
      * @param counts what was counted in it
-     * @param run the unbroken run of terms in which it was last written, by the first of these terms
-     * @param completeUntil as its writer knew it
+     * @param countingSinceTerm the unbroken run of terms in which it was last written, by the first of these terms
+     * @param completeUntilRevision as its writer knew it
      * @param revision of its last write
      */
-    public record Shard(AdmissionCounts counts, long run, long completeUntil, long revision) {}
+    public record Shard(AdmissionCounts counts, long countingSinceTerm, long completeUntilRevision, long revision) {}
 
     /**
      * Adds shards up.
@@ -35,7 +36,7 @@
     public static AdmissionTotals of(Collection<Shard> shards, long run, long revision) {
         AdmissionCounts counts = new AdmissionCounts();
         shards.forEach(shard -> counts.addAll(shard.counts()));
-        return new AdmissionTotals(counts, revision, completeUntil(shards, run));
+        return new AdmissionTotals(counts, revision, completeUntilRevision(shards, run));
     }
 
     /**
@@ -43,13 +44,13 @@
      * jobs and count nothing. A run of terms without such a leader is named by its first term; a shard of a former
      * run says that somebody may have led in between who did not count, at any time after that run's last write.
      */
-    public static long completeUntil(Collection<Shard> shards, long run) {
+    public static long completeUntilRevision(Collection<Shard> shards, long run) {
         long known = COMPLETE;
         long lastRun = 0;
         long lastWrite = 0;
         for (Shard shard : shards) {
-            known = Math.min(known, shard.completeUntil());
-            lastRun = Math.max(lastRun, shard.run());
+            known = Math.min(known, shard.completeUntilRevision());
+            lastRun = Math.max(lastRun, shard.countingSinceTerm());
             lastWrite = Math.max(lastWrite, shard.revision());
         }
         if (known != COMPLETE) {
@@ -60,7 +61,7 @@
     }
 
     /** Whether nothing is missing. */
-    public boolean complete() {
-        return completeUntil == COMPLETE;
+    public boolean isComplete() {
+        return completeUntilRevision == COMPLETE;
     }
 }
--- a/src/main/java/stileferry/admission/Turn.java
+++ b/src/main/java/stileferry/admission/AdmissionWindow.java
@@ -4,17 +4,17 @@
 
 /**
  * Whose turn it is in one flow: a pointer goes round a circle on which every job has a place. A job's turn begins when
- * the pointer reaches its place and lasts {@link AdmissionConfig#TURN_S}; so everybody's turn comes once a round.
+ * the pointer reaches its place and lasts {@link AdmissionConfig#WINDOW_S}; so everybody's turn comes once a round.
  *
  * @param position where the pointer was at the moment that the table was made, in [0, 1)
  * @param roundsPerS how fast it goes
  */
-public record Turn(double position, double roundsPerS) {
+public record AdmissionWindow(double position, double roundsPerS) {
     /** Rounds that take no longer than a turn close nothing. */
-    static final double OPEN = 1 / AdmissionConfig.TURN_S;
+    static final double OPEN = 1 / AdmissionConfig.WINDOW_S;
 
     /** Checks both figures. */
-    public Turn {
+    public AdmissionWindow {
         InvalidInputException.require(position >= 0 && position < 1, "position", "not in [0, 1): " + position);
         InvalidInputException.require(
                 roundsPerS > 0 && roundsPerS < OPEN, "roundsPerS", "not between 0 and " + OPEN + ": " + roundsPerS);
@@ -31,7 +31,7 @@
         double pointer = positionAfter(secondsAfter);
         double passed = pointer - place;
         passed -= Math.floor(passed);
-        if (passed < roundsPerS * AdmissionConfig.TURN_S) {
+        if (passed < roundsPerS * AdmissionConfig.WINDOW_S) {
             return 0;
         }
         return (1 - passed) / roundsPerS;
--- a/src/main/java/stileferry/admission/TurnTable.java
+++ b/src/main/java/stileferry/admission/AdmissionWindowTable.java
@@ -10,14 +10,14 @@
  *
  * @param term the leader's term
  * @param sequence the number of the table within the term, from 1
- * @param turns the flows that are closed for all whose turn it is not
+ * @param windows the flows that are closed for all whose turn it is not
  */
-public record TurnTable(long term, long sequence, SortedMap<Flow, Turn> turns) {
+public record AdmissionWindowTable(long term, long sequence, SortedMap<Flow, AdmissionWindow> windows) {
     /** Copies the map and checks the numbers. */
-    public TurnTable {
+    public AdmissionWindowTable {
         InvalidInputException.require(term > 0, "term", "not above 0: " + term);
         InvalidInputException.require(sequence > 0, "sequence", "not above 0: " + sequence);
-        turns = java.util.Collections.unmodifiableSortedMap(new TreeMap<>(turns));
+        windows = java.util.Collections.unmodifiableSortedMap(new TreeMap<>(windows));
     }
 
     /**
@@ -26,19 +26,19 @@
      * @param ageS seconds since the table was made
      */
     public double waitS(Flow flow, String id, double ageS) {
-        Turn turn = turns.get(flow);
+        AdmissionWindow turn = windows.get(flow);
         return turn == null ? 0 : turn.waitS(JobIdHash.place(id), ageS);
     }
 
     /** Whether this table is of a later term, or later in the same. */
-    boolean isAfter(TurnTable other) {
+    boolean isAfter(AdmissionWindowTable other) {
         return term != other.term ? term > other.term : sequence > other.sequence;
     }
 
     /** Where the pointers are after some seconds: whoever leads next goes on from there. */
     Map<Flow, Double> positionsAfter(double seconds) {
         Map<Flow, Double> positions = new TreeMap<>();
-        turns.forEach((flow, turn) -> positions.put(flow, turn.positionAfter(seconds)));
+        windows.forEach((flow, turn) -> positions.put(flow, turn.positionAfter(seconds)));
         return positions;
     }
 }
--- a/src/main/java/stileferry/admission/Pressure.java
+++ b/src/main/java/stileferry/admission/BackPressure.java
@@ -1,7 +1,7 @@
 package stileferry.admission;
 
 /** What kept a leader from accepting more. */
-public enum Pressure {
+public enum BackPressure {
     /** Nothing. */
     NONE,
 
@@ -9,5 +9,5 @@
     LEADER,
 
     /** The state service, which takes changes more slowly than they come up. */
-    STATE_SERVICE
+    KEY_VALUE_STORE
 }
--- a/src/main/java/stileferry/admission/CapacityLimit.java
+++ b/src/main/java/stileferry/admission/CapacityLimit.java
@@ -10,7 +10,7 @@
     private static final double STEPS = 16;
 
     /** A round is to take no longer than a third of the users' patience: some are refused once more on the way. */
-    private static final double LONGEST_ROUND_S = AdmissionConfig.PATIENCE_S / 3;
+    private static final double LONGEST_ROUND_S = AdmissionConfig.CLIENT_RETRY_TIMEOUT_S / 3;
 
     private final double mostPerS;
     private double perS;
@@ -27,10 +27,10 @@
      * @param waiting jobs that wait for their turns
      * @param measuredPerS what was admitted a second over the users' patience: the state service has taken that
      */
-    double step(Pressure pressure, double waiting, double measuredPerS) {
-        perS = pressure == Pressure.NONE ? perS + mostPerS / STEPS : perS * DECREASE;
+    double step(BackPressure pressure, double waiting, double measuredPerS) {
+        perS = pressure == BackPressure.NONE ? perS + mostPerS / STEPS : perS * DECREASE;
         double least = Math.max(mostPerS / STEPS, measuredPerS * DECREASE);
-        if (pressure != Pressure.STATE_SERVICE) {
+        if (pressure != BackPressure.KEY_VALUE_STORE) {
             least = Math.max(least, waiting / LONGEST_ROUND_S);
         }
         perS = Math.min(mostPerS, Math.max(least, perS));
--- a/src/main/java/stileferry/admission/DemandMeter.java
+++ b/src/main/java/stileferry/admission/DemandEstimator.java
@@ -12,11 +12,11 @@
  * requests say nothing; ids do. The number of flows is bounded by the settings'
  * teams and classes ({@link AdmissionConfig#flow}).
  */
-final class DemandMeter {
+final class DemandEstimator {
     private final AdmissionConfig config;
     private final Map<Flow, FlowDemand> flows = new HashMap<>();
 
-    DemandMeter(AdmissionConfig config) {
+    DemandEstimator(AdmissionConfig config) {
         this.config = config;
     }
 
@@ -64,6 +64,6 @@
     /** Admissions a second that a flow was given lately. */
     double admittedPerS(Flow flow, long now) {
         FlowDemand demand = flows.get(flow);
-        return demand == null ? 0 : demand.admissions(slice(now)) / AdmissionConfig.PATIENCE_S;
+        return demand == null ? 0 : demand.admissions(slice(now)) / AdmissionConfig.CLIENT_RETRY_TIMEOUT_S;
     }
 }
--- a/src/main/java/stileferry/admission/ShareAllocator.java
+++ b/src/main/java/stileferry/admission/FairShareAllocator.java
@@ -13,13 +13,13 @@
  * demand is unmet, and nobody is given more than it asks for. The result does not depend on the order in which flows
  * are named.
  */
-public final class ShareAllocator {
+public final class FairShareAllocator {
     /** The part of the capacity that is kept for each tier below a more urgent one, as far as it has demand. */
     public static final double FLOOR = 0.1;
 
     private static final double EPSILON = 1e-9;
 
-    private ShareAllocator() {}
+    private FairShareAllocator() {}
 
     /** Somebody who wants a part of a capacity. */
     private static final class Claimant {
@@ -46,8 +46,9 @@
         demands.forEach(
                 (flow, demand) -> InvalidInputException.require(demand >= 0, "demands", flow + " asks for " + demand));
         SortedMap<Integer, SortedMap<Flow, Double>> tiers = new TreeMap<>();
-        new TreeMap<>(demands).forEach((flow, demand) -> tiers.computeIfAbsent(flow.tier(), t -> new TreeMap<>())
-                .put(flow, demand));
+        new TreeMap<>(demands)
+                .forEach((flow, demand) -> tiers.computeIfAbsent(flow.priorityTier(), t -> new TreeMap<>())
+                        .put(flow, demand));
         SortedMap<Flow, Double> shares = new TreeMap<>();
         double left = capacity;
         double[] floors = floors(capacity, tiers);
--- a/src/main/java/stileferry/admission/Flow.java
+++ b/src/main/java/stileferry/admission/Flow.java
@@ -8,17 +8,18 @@
  *
  * @param team the team's name
  * @param jobClass the class of the jobs; {@link AdmissionConfig#OTHER_CLASSES} for those that are not told apart
- * @param tier the priority, 0 for the most urgent
+ * @param priorityTier the priority, 0 for the most urgent
  */
-public record Flow(String team, String jobClass, int tier) implements Comparable<Flow> {
-    private static final Comparator<Flow> ORDER =
-            Comparator.comparingInt(Flow::tier).thenComparing(Flow::team).thenComparing(Flow::jobClass);
+public record Flow(String team, String jobClass, int priorityTier) implements Comparable<Flow> {
+    private static final Comparator<Flow> ORDER = Comparator.comparingInt(Flow::priorityTier)
+            .thenComparing(Flow::team)
+            .thenComparing(Flow::jobClass);
 
     /** Checks that nothing is missing. */
     public Flow {
         InvalidInputException.require(team != null && !team.isEmpty(), "team", "missing or empty");
         InvalidInputException.require(jobClass != null, "jobClass", "missing");
-        InvalidInputException.require(tier >= 0, "tier", "negative: " + tier);
+        InvalidInputException.require(priorityTier >= 0, "tier", "negative: " + priorityTier);
     }
 
     @Override
--- a/src/main/java/stileferry/admission/FlowGate.java
+++ b/src/main/java/stileferry/admission/FlowGate.java
@@ -29,14 +29,14 @@
     void set(double sharePerS, double waiting, long now) {
         position = closed() ? turn().positionAfter((now - setAt) / MS_PER_S) : position;
         setAt = now;
-        double rounds = waiting > 0 ? sharePerS / waiting : Turn.OPEN;
-        roundsPerS = rounds >= Turn.OPEN * (1 - 1e-6) ? 0 : Math.max(SLOWEST, rounds);
-        bucket.set(sharePerS, Math.max(1, sharePerS * AdmissionConfig.TURN_S), now);
+        double rounds = waiting > 0 ? sharePerS / waiting : AdmissionWindow.OPEN;
+        roundsPerS = rounds >= AdmissionWindow.OPEN * (1 - 1e-6) ? 0 : Math.max(SLOWEST, rounds);
+        bucket.set(sharePerS, Math.max(1, sharePerS * AdmissionConfig.WINDOW_S), now);
     }
 
     /** Whose turn it is, as of the last {@link #set}; only while closed. */
-    Turn turn() {
-        return new Turn(position, roundsPerS);
+    AdmissionWindow turn() {
+        return new AdmissionWindow(position, roundsPerS);
     }
 
     /** Seconds until a job's turn. */
--- a/src/main/java/stileferry/overload/AdmissionCountShards.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -37,7 +37,7 @@
     private final long completeUntil;
     private final int maxLength;
     private final List<OpenShard> shards = new ArrayList<>();
-    private final Map<StoredEntry, AdmissionCounts.Cell> uncounted = new IdentityHashMap<>();
+    private final Map<StoredEntry, AdmissionCounts.TeamClass> uncounted = new IdentityHashMap<>();
 
     /** A shard that this term may write. */
     private final class OpenShard {
@@ -48,9 +48,9 @@
             entry = new StoredEntry(key, revision, () -> write(counts));
         }
 
-        boolean takes(List<AdmissionCounts.Cell> cells) {
+        boolean takes(List<AdmissionCounts.TeamClass> cells) {
             int addedLength = cells.stream()
-                    .filter(cell -> !counts.has(cell))
+                    .filter(cell -> !counts.contains(cell))
                     .mapToInt(
                             cell -> 2 * (cell.team().length() + cell.jobClass().length()) + 2 * NUMBER_LENGTH)
                     .sum();
@@ -67,7 +67,7 @@
     public AdmissionCountShards(List<KeyValue> rows, long run, double maxValueKb) {
         this.run = run;
         this.maxLength = (int) (maxValueKb * 1024 * MAX_VALUE_SHARE);
-        this.completeUntil = AdmissionTotals.completeUntil(read(rows), run);
+        this.completeUntil = AdmissionTotals.completeUntilRevision(read(rows), run);
         for (KeyValue row : rows) {
             OpenShard shard = new OpenShard(row.key(), row.revision());
             shard.counts.addAll(readShard(row).counts());
@@ -76,15 +76,15 @@
     }
 
     /** Has a job counted in the transaction that makes it durable. */
-    public void count(StoredEntry job, AdmissionCounts.Cell cell) {
+    public void count(StoredEntry job, AdmissionCounts.TeamClass cell) {
         uncounted.put(job, cell);
     }
 
     @Override
     public StoredEntry count(List<StoredEntry> entries) {
-        List<AdmissionCounts.Cell> cells = new ArrayList<>();
+        List<AdmissionCounts.TeamClass> cells = new ArrayList<>();
         for (StoredEntry entry : entries) {
-            AdmissionCounts.Cell cell = uncounted.remove(entry);
+            AdmissionCounts.TeamClass cell = uncounted.remove(entry);
             if (cell != null) {
                 cells.add(cell);
             }
@@ -97,7 +97,7 @@
         return shard.entry;
     }
 
-    private OpenShard shardFor(List<AdmissionCounts.Cell> cells) {
+    private OpenShard shardFor(List<AdmissionCounts.TeamClass> cells) {
         for (OpenShard shard : shards) {
             if (shard.takes(cells)) {
                 return shard;
@@ -114,7 +114,7 @@
             value.put(COMPLETE_UNTIL, completeUntil);
         }
         ObjectNode teams = value.putObject(COUNTS);
-        counts.byCell()
+        counts.byTeamClass()
                 .forEach((cell, count) -> teams.withObjectProperty(cell.team()).put(cell.jobClass(), count));
         return value;
     }
@@ -129,7 +129,7 @@
         for (Map.Entry<String, JsonNode> team : row.value().path(COUNTS).properties()) {
             for (Map.Entry<String, JsonNode> cell : team.getValue().properties()) {
                 counts.add(
-                        new AdmissionCounts.Cell(team.getKey(), cell.getKey()),
+                        new AdmissionCounts.TeamClass(team.getKey(), cell.getKey()),
                         cell.getValue().asLong());
             }
         }
--- a/src/main/java/stileferry/overload/AdmissionSettings.java
+++ b/src/main/java/stileferry/overload/AdmissionSettings.java
@@ -35,9 +35,9 @@
      * Where a job's admission is counted: classes that the settings don't name are one, or users could make up any
      * number.
      */
-    public static AdmissionCounts.Cell cell(Settings settings, JobSpec spec) {
+    public static AdmissionCounts.TeamClass cell(Settings settings, JobSpec spec) {
         boolean named = classes(settings).contains(spec.jobClass());
-        return new AdmissionCounts.Cell(spec.team(), named ? spec.jobClass() : AdmissionConfig.OTHER_CLASSES);
+        return new AdmissionCounts.TeamClass(spec.team(), named ? spec.jobClass() : AdmissionConfig.OTHER_CLASSES);
     }
 
     private static Map<String, Double> weights(Settings settings) {
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -64,12 +64,12 @@
         ObjectNode view = MessageCodec.map()
                 .put("revision", totals.revision())
                 .put("admitted", totals.counts().total())
-                .put("complete", totals.complete());
-        if (!totals.complete()) {
-            view.put("incomplete_from_revision", totals.completeUntil());
+                .put("complete", totals.isComplete());
+        if (!totals.isComplete()) {
+            view.put("incomplete_from_revision", totals.completeUntilRevision());
         }
         ArrayNode cells = view.putArray("admissions");
-        totals.counts().byCell().forEach((cell, count) -> cells.addObject()
+        totals.counts().byTeamClass().forEach((cell, count) -> cells.addObject()
                 .put("team", cell.team())
                 .put("class", cell.jobClass())
                 .put("admitted", count));
--- a/src/main/java/stileferry/overload/AdmissionView.java
+++ b/src/main/java/stileferry/overload/AdmissionView.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.SortedMap;
 import stileferry.admission.AdmissionController;
-import stileferry.admission.AdmissionDoor;
 import stileferry.admission.DemandEstimate;
 import stileferry.admission.Flow;
+import stileferry.admission.LoadShedder;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 
@@ -16,16 +16,16 @@
     private AdmissionView() {}
 
     /** {@code controller}: null while this one does not lead. */
-    static ObjectNode describe(AdmissionDoor door, AdmissionController controller, long now) {
+    static ObjectNode describe(LoadShedder door, AdmissionController controller, long now) {
         ObjectNode view = MessageCodec.map()
                 .put("leads", controller != null)
-                .put("holds_table", door.holdsTable(now))
-                .put("refused_at_door", door.refused());
+                .put("holds_table", door.hasValidTable(now))
+                .put("refused_at_door", door.refusedCount());
         if (door.lastTable() != null) {
             view.put("table_term", door.lastTable().term())
                     .put("table_sequence", door.lastTable().sequence())
                     .put("table_age_s", door.tableAgeS(now))
-                    .put("closed_flows", door.lastTable().turns().size());
+                    .put("closed_flows", door.lastTable().windows().size());
         }
         if (controller != null) {
             view.put("capacity_per_s", controller.capacityPerS());
@@ -36,19 +36,19 @@
 
     private static void describeFlows(ArrayNode list, AdmissionController controller, long now) {
         SortedMap<Flow, Double> shares = controller.shares();
-        for (Map.Entry<Flow, DemandEstimate> entry : controller.waiting(now).entrySet()) {
+        for (Map.Entry<Flow, DemandEstimate> entry : controller.waitingJobs(now).entrySet()) {
             Flow flow = entry.getKey();
             DemandEstimate waiting = entry.getValue();
             list.addObject()
                     .put("team", flow.team())
                     .put("class", flow.jobClass())
-                    .put("priority", JobSpec.Priority.values()[flow.tier()].wireName())
+                    .put("priority", JobSpec.Priority.values()[flow.priorityTier()].wireName())
                     .put("waiting", waiting.waiting())
                     .put("waiting_least", waiting.lower())
                     .put("waiting_most", waiting.upper())
                     .put("share_per_s", shares.getOrDefault(flow, 0.0))
-                    .put("admitted", controller.admitted(flow))
-                    .put("refused", controller.refused(flow));
+                    .put("admitted", controller.admittedCount(flow))
+                    .put("refused", controller.refusedCount(flow));
         }
     }
 }
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -7,10 +7,10 @@
 import stileferry.admission.AdmissionCodec;
 import stileferry.admission.AdmissionConfig;
 import stileferry.admission.AdmissionController;
-import stileferry.admission.AdmissionDoor;
-import stileferry.admission.Decision;
+import stileferry.admission.AdmissionDecision;
+import stileferry.admission.BackPressure;
 import stileferry.admission.Flow;
-import stileferry.admission.Pressure;
+import stileferry.admission.LoadShedder;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
@@ -43,14 +43,14 @@
     private static final double URGENT_ONLY_BACKLOG_S = JobRequestHandler.MAX_BACKLOG_S * 0.75;
 
     /** A saturated leader leaves users to the others for so long: half of the users' patience. */
-    private static final long SHED_USERS_MS = Math.round(1000 * AdmissionConfig.PATIENCE_S / 2);
+    private static final long SHED_USERS_MS = Math.round(1000 * AdmissionConfig.CLIENT_RETRY_TIMEOUT_S / 2);
 
     private static final byte[] OUT_OF_TURN =
             MessageCodec.encode(UserMessages.error("too much is asked, come back then"));
 
     private final Environment environment;
     private final AdmissionConfig config;
-    private final AdmissionDoor door;
+    private final LoadShedder door;
     private final AdmissionTotalsReader totalsReader;
     private final RequestForwarder statusRequests;
     private final RequestForwarder changeRequests;
@@ -69,7 +69,7 @@
     public FairAdmission(Settings settings, Environment environment, KeyValueStoreClient state) {
         this.environment = environment;
         this.config = AdmissionSettings.config(settings);
-        this.door = new AdmissionDoor(config, REMEMBERED_EACH_SOCKET * settings.maxSockets());
+        this.door = new LoadShedder(config, REMEMBERED_EACH_SOCKET * settings.maxSockets());
         this.totalsReader = new AdmissionTotalsReader(state);
         this.statusRequests = new RequestForwarder(environment, MAX_STATUS_BATCHES);
         this.changeRequests = new RequestForwarder(environment, MAX_CHANGE_BATCHES);
@@ -88,27 +88,27 @@
 
     private void tick() {
         environment.schedule(config.intervalMs(), this::tick);
-        door.learn(host.term());
+        door.observeTerm(host.term());
         long now = environment.now();
         if (controller != null) {
             saturatedAt = host.saturated() ? now : saturatedAt;
-            controller.step(pressure(), now);
-            door.take(controller.table(), now, now);
+            controller.updateShares(pressure(), now);
+            door.updateTable(controller.table(), now, now);
             logClosed();
         } else if (host.leaderPeer() != null && !exchanging) {
             exchangeWith(host.leaderPeer());
         }
     }
 
-    private Pressure pressure() {
+    private BackPressure pressure() {
         if (host.backlogS() >= URGENT_ONLY_BACKLOG_S) {
-            return Pressure.STATE_SERVICE;
+            return BackPressure.KEY_VALUE_STORE;
         }
-        return host.overloaded() ? Pressure.LEADER : Pressure.NONE;
+        return host.overloaded() ? BackPressure.LEADER : BackPressure.NONE;
     }
 
     private void logClosed() {
-        int nowClosed = controller.table().turns().size();
+        int nowClosed = controller.table().windows().size();
         if (nowClosed > 0 != closedFlows > 0) {
             LOG.info(
                     "admission turns changed: closed_flows={} admissions_per_s={}",
@@ -122,14 +122,14 @@
     @Override
     public boolean shedsUsers() {
         long now = environment.now();
-        return controller != null && now - saturatedAt < SHED_USERS_MS && now - exchangedAt < config.validMs();
+        return controller != null && now - saturatedAt < SHED_USERS_MS && now - exchangedAt < config.tableValidityMs();
     }
 
     private void exchangeWith(Settings.Peer leader) {
         exchanging = true;
         long askedAt = environment.now();
-        byte[] demand = AdmissionCodec.write(door.demand(askedAt));
-        environment.sendToPeer(leader, new PeerMessage.AdmissionExchange(demand), config.validMs(), record -> {
+        byte[] demand = AdmissionCodec.encode(door.demandReport(askedAt));
+        environment.sendToPeer(leader, new PeerMessage.AdmissionExchange(demand), config.tableValidityMs(), record -> {
             exchanging = false;
             tableLeader = "";
             if (record instanceof PeerMessage.AdmissionExchange answer) {
@@ -140,8 +140,8 @@
 
     private void takeTable(Settings.Peer leader, PeerMessage.AdmissionExchange answer, long askedAt) {
         try {
-            door.learn(host.term());
-            door.take(AdmissionCodec.readTable(answer.message()), askedAt, environment.now());
+            door.observeTerm(host.term());
+            door.updateTable(AdmissionCodec.decodeTable(answer.message()), askedAt, environment.now());
             tableLeader = leader.name();
         } catch (InvalidInputException e) {
             LOG.info("admission table invalid: leader={} reason={}", leader.name(), e.getMessage());
@@ -154,20 +154,20 @@
             return null;
         }
         try {
-            controller.merge(AdmissionCodec.readDemand(message.message()), environment.now());
+            controller.mergeDemand(AdmissionCodec.decodeDemand(message.message()), environment.now());
             exchangedAt = environment.now();
         } catch (InvalidInputException e) {
             LOG.info("admission demand invalid: reason={}", e.getMessage());
             return null;
         }
-        return new PeerMessage.AdmissionExchange(AdmissionCodec.write(controller.table()));
+        return new PeerMessage.AdmissionExchange(AdmissionCodec.encode(controller.table()));
     }
 
     @Override
     public void elected(long term) {
         double ageS = door.tableAgeS(environment.now());
         controller = new AdmissionController(config, term, door.lastTable(), ageS);
-        door.learn(term);
+        door.observeTerm(term);
     }
 
     @Override
@@ -204,14 +204,14 @@
     private int retryAfterS(Flow flow, String id) {
         long now = environment.now();
         if (controller == null) {
-            door.learn(host.term());
+            door.observeTerm(host.term());
             return door.retryAfterS(flow, id, now);
         }
         if (!host.mayAcceptChanges() || host.knowsJob(id)) {
             return 0;
         }
-        boolean full = flow.tier() > 0 && host.backlogS() >= URGENT_ONLY_BACKLOG_S;
-        Decision decision = full ? controller.postpone(flow, id, now) : controller.decide(flow, id, now);
+        boolean full = flow.priorityTier() > 0 && host.backlogS() >= URGENT_ONLY_BACKLOG_S;
+        AdmissionDecision decision = full ? controller.defer(flow, id, now) : controller.decide(flow, id, now);
         return decision.retryAfterS();
     }
 
@@ -221,12 +221,12 @@
      */
     private PeerMessage.Response remember(String id, PeerMessage.Response answer) {
         if (answer.status() == 200 || answer.status() == 201) {
-            door.accepted(id);
+            door.recordAccepted(id);
         } else if (answer.status() == 503) {
-            door.postponed(id);
+            door.recordDeferred(id);
         }
         if (answer.status() == 503 && answer.retryAfterS() <= 1) {
-            return new PeerMessage.Response(503, door.retryAfterTroubleS(id, environment.now()), answer.body());
+            return new PeerMessage.Response(503, door.retryAfterFailureS(id, environment.now()), answer.body());
         }
         return answer;
     }
@@ -245,7 +245,7 @@
             return 1;
         }
         boolean critical = header.priority() == JobSpec.Priority.CRITICAL;
-        return critical ? 0 : door.retryAfterTroubleS(header.id(), environment.now());
+        return critical ? 0 : door.retryAfterFailureS(header.id(), environment.now());
     }
 
     // ---- what goes to the leader
--- a/src/test/java/stileferry/admission/AdmissionDoorTest.java
+++ b/src/test/java/stileferry/admission/AdmissionDoorTest.java
@@ -20,12 +20,12 @@
     private static final Flow BLUE = CONFIG.flow("blue", "x", 2);
 
     /** A slow pointer that has just passed the start of the circle. */
-    private static TurnTable closed(long term, long sequence) {
-        return new TurnTable(term, sequence, new TreeMap<>(Map.of(RED, new Turn(0, 0.01))));
+    private static AdmissionWindowTable closed(long term, long sequence) {
+        return new AdmissionWindowTable(term, sequence, new TreeMap<>(Map.of(RED, new AdmissionWindow(0, 0.01))));
     }
 
-    private static AdmissionDoor door() {
-        return new AdmissionDoor(CONFIG, 100);
+    private static LoadShedder door() {
+        return new LoadShedder(CONFIG, 100);
     }
 
     /** Jobs of which the turn is far off by that table. */
@@ -44,61 +44,61 @@
 
     @Test
     void whoseTurnItIsNotIsToldWhenItIsAndOnlyInTheClosedFlow() {
-        AdmissionDoor door = door();
-        door.take(closed(1, 1), 0, 0);
+        LoadShedder door = door();
+        door.updateTable(closed(1, 1), 0, 0);
         int told = door.retryAfterS(RED, outOfTurn(), 0);
-        assertTrue(told > 20 && told <= AdmissionConfig.LONGEST_WAIT_S, "told " + told);
+        assertTrue(told > 20 && told <= AdmissionConfig.MAX_RETRY_AFTER_S, "told " + told);
         assertEquals(0, door.retryAfterS(BLUE, outOfTurn(), 0));
-        assertEquals(1, door.refused());
+        assertEquals(1, door.refusedCount());
     }
 
     /** A table of a former term must not be used once a later term is known, and never after its time. */
     @Test
     void aTableHoldsUntilItsTimeIsOverOrALaterTermIsKnown() {
-        AdmissionDoor door = door();
-        door.take(closed(4, 1), 0, 500);
-        assertTrue(door.holdsTable(CONFIG.validMs() - 1));
-        assertFalse(door.holdsTable(CONFIG.validMs()), "counted from when it was asked for");
-        door.take(closed(4, 2), 5000, 5000);
-        assertTrue(door.holdsTable(5001));
-        door.learn(5);
-        assertFalse(door.holdsTable(5001));
+        LoadShedder door = door();
+        door.updateTable(closed(4, 1), 0, 500);
+        assertTrue(door.hasValidTable(CONFIG.tableValidityMs() - 1));
+        assertFalse(door.hasValidTable(CONFIG.tableValidityMs()), "counted from when it was asked for");
+        door.updateTable(closed(4, 2), 5000, 5000);
+        assertTrue(door.hasValidTable(5001));
+        door.observeTerm(5);
+        assertFalse(door.hasValidTable(5001));
         assertEquals(0, door.retryAfterS(RED, outOfTurn(), 5001));
     }
 
     @Test
     void tablesThatComeLateOrTwiceChangeNothing() {
-        AdmissionDoor door = door();
-        door.take(closed(4, 7), 0, 0);
-        door.take(closed(4, 7), 3000, 3000);
-        door.take(closed(4, 6), 3000, 3000);
-        door.take(closed(3, 99), 3000, 3000);
-        assertFalse(door.holdsTable(CONFIG.validMs()), "the old one was taken for a new one");
+        LoadShedder door = door();
+        door.updateTable(closed(4, 7), 0, 0);
+        door.updateTable(closed(4, 7), 3000, 3000);
+        door.updateTable(closed(4, 6), 3000, 3000);
+        door.updateTable(closed(3, 99), 3000, 3000);
+        assertFalse(door.hasValidTable(CONFIG.tableValidityMs()), "the old one was taken for a new one");
         assertEquals(7, door.lastTable().sequence());
     }
 
     @Test
     void whoWasAcceptedIsNeverTurnedAway() {
-        AdmissionDoor door = door();
-        door.take(closed(1, 1), 0, 0);
-        door.accepted(outOfTurn());
+        LoadShedder door = door();
+        door.updateTable(closed(1, 1), 0, 0);
+        door.recordAccepted(outOfTurn());
         assertEquals(0, door.retryAfterS(RED, outOfTurn(), 0));
     }
 
     /** All who were refused in one moment must not come back in one. */
     @Test
     void afterATroubleUsersComeBackSpread() {
-        AdmissionDoor door = door();
-        long[] seconds = new long[AdmissionConfig.LONGEST_WAIT_S + 1];
-        door.retryAfterTroubleS("job-0", 0);
+        LoadShedder door = door();
+        long[] seconds = new long[AdmissionConfig.MAX_RETRY_AFTER_S + 1];
+        door.retryAfterFailureS("job-0", 0);
         for (int i = 0; i < 1000; i++) {
-            seconds[door.retryAfterTroubleS("job-" + i, 20_000)]++;
+            seconds[door.retryAfterFailureS("job-" + i, 20_000)]++;
         }
         for (int s = 1; s <= 10; s++) {
             assertTrue(seconds[s] > 50 && seconds[s] < 150, "after " + s + " s: " + seconds[s]);
         }
-        door.accepted("job-1");
-        assertEquals(1, door.retryAfterTroubleS("job-2", 20_001), "the trouble is over");
+        door.recordAccepted("job-1");
+        assertEquals(1, door.retryAfterFailureS("job-2", 20_001), "the trouble is over");
     }
 
     /** The next leader goes on where the pointer was, so that whoever was told a time is in turn then. */
@@ -111,15 +111,15 @@
             for (int i = 0; i < 30; i++) {
                 first.decide(RED, "job-" + number++, now);
             }
-            first.step(Pressure.NONE, now);
+            first.updateShares(BackPressure.NONE, now);
         }
-        double before = first.table().turns().get(RED).position();
+        double before = first.table().windows().get(RED).position();
         AdmissionController second = new AdmissionController(CONFIG, 2, first.table(), 0);
         for (int i = 0; i < 1000; i++) {
             second.decide(RED, "job-" + i, now);
         }
-        second.step(Pressure.NONE, now);
-        assertEquals(before, second.table().turns().get(RED).position(), 1e-9);
+        second.updateShares(BackPressure.NONE, now);
+        assertEquals(before, second.table().windows().get(RED).position(), 1e-9);
     }
 
     /** A team that was quiet has its share at once, however many others wait; it has saved nothing up meanwhile. */
@@ -132,7 +132,7 @@
             for (int i = 0; i < 50; i++) {
                 controller.decide(RED, "job-" + number++, now);
             }
-            controller.step(Pressure.NONE, now);
+            controller.updateShares(BackPressure.NONE, now);
         }
         int[] admitted = new int[2];
         for (int second = 0; second < 30; second++, now += 1000) {
@@ -140,10 +140,12 @@
                 admitted[0] += controller.decide(RED, "job-" + number++, now).admitted() ? 1 : 0;
                 admitted[1] += controller.decide(BLUE, "job-" + number++, now).admitted() ? 1 : 0;
             }
-            controller.step(Pressure.NONE, now);
+            controller.updateShares(BackPressure.NONE, now);
             if (second == 1) {
                 assertTrue(admitted[1] > 0, "nothing within two intervals");
-                assertTrue(admitted[1] <= CONFIG.mostPerS() * AdmissionConfig.TURN_S, "saved up: " + admitted[1]);
+                assertTrue(
+                        admitted[1] <= CONFIG.maxAdmissionsPerS() * AdmissionConfig.WINDOW_S,
+                        "saved up: " + admitted[1]);
             }
         }
         assertTrue(admitted[1] > admitted[0] * 0.8, "red " + admitted[0] + ", blue " + admitted[1]);
@@ -155,26 +157,26 @@
         assertRefused("intervalMs", () -> new AdmissionConfig(Map.of(), Set.of(), 0, 5));
         assertRefused("mostPerS", () -> new AdmissionConfig(Map.of(), Set.of(), 1000, Double.NaN));
         assertRefused("team", () -> new Flow("", "x", 0));
-        assertRefused("capacity", () -> ShareAllocator.allocate(-1, Map.of(), Map.of()));
-        assertRefused("demands", () -> ShareAllocator.allocate(1, Map.of(RED, -1.0), Map.of()));
-        assertRefused("term", () -> new TurnTable(0, 1, new TreeMap<>()));
-        assertRefused("roundsPerS", () -> new Turn(0, 0));
+        assertRefused("capacity", () -> FairShareAllocator.allocate(-1, Map.of(), Map.of()));
+        assertRefused("demands", () -> FairShareAllocator.allocate(1, Map.of(RED, -1.0), Map.of()));
+        assertRefused("term", () -> new AdmissionWindowTable(0, 1, new TreeMap<>()));
+        assertRefused("roundsPerS", () -> new AdmissionWindow(0, 0));
         assertRefused("last", () -> new AdmissionController(CONFIG, 3, closed(3, 1), 0));
-        assertRefused("remembered", () -> new AdmissionDoor(CONFIG, 0));
-        assertRefused("number", () -> new AdmissionCounts().add(AdmissionCounts.Cell.of(RED), 0));
-        AdmissionDoor door = door();
-        door.take(closed(2, 2), 0, 0);
-        assertRefused("askedAt", () -> door.take(closed(2, 3), 6, 5));
+        assertRefused("remembered", () -> new LoadShedder(CONFIG, 0));
+        assertRefused("number", () -> new AdmissionCounts().add(AdmissionCounts.TeamClass.of(RED), 0));
+        LoadShedder door = door();
+        door.updateTable(closed(2, 2), 0, 0);
+        assertRefused("askedAt", () -> door.updateTable(closed(2, 3), 6, 5));
         assertEquals(2, door.lastTable().sequence());
     }
 
     @Test
     void messagesThatCantBeRightAreRefusedWhereverTheyAreCutOrChanged() {
-        byte[] table = AdmissionCodec.write(closed(1, 1));
-        assertEquals(closed(1, 1), AdmissionCodec.readTable(table));
-        DemandMeter meter = new DemandMeter(CONFIG);
+        byte[] table = AdmissionCodec.encode(closed(1, 1));
+        assertEquals(closed(1, 1), AdmissionCodec.decodeTable(table));
+        DemandEstimator meter = new DemandEstimator(CONFIG);
         meter.asked(RED, "job-1", 1);
-        byte[] demand = AdmissionCodec.write(new DemandReport(meter.seen(1)));
+        byte[] demand = AdmissionCodec.encode(new DemandReport(meter.seen(1)));
         for (byte[] whole : List.of(table, demand)) {
             for (int length = 0; length < whole.length; length++) {
                 byte[] part = java.util.Arrays.copyOf(whole, length);
@@ -182,8 +184,8 @@
                 assertRefused(
                         name,
                         () -> assertFalse((whole == table
-                                        ? (Object) AdmissionCodec.readTable(part)
-                                        : AdmissionCodec.readDemand(part))
+                                        ? (Object) AdmissionCodec.decodeTable(part)
+                                        : AdmissionCodec.decodeDemand(part))
                                 == null));
             }
         }
@@ -200,16 +202,17 @@
     @Test
     void totalsSayFromWhichRevisionOnTheyAreIncomplete() {
         AdmissionCounts counts = new AdmissionCounts();
-        counts.add(AdmissionCounts.Cell.of(RED), 3);
+        counts.add(AdmissionCounts.TeamClass.of(RED), 3);
         AdmissionTotals.Shard shard = new AdmissionTotals.Shard(counts, 1, AdmissionTotals.COMPLETE, 40);
-        assertTrue(AdmissionTotals.of(List.of(), 1, 10).complete(), "the first leader of all counts");
-        assertTrue(AdmissionTotals.of(List.of(shard), 1, 50).complete());
-        assertEquals(40, AdmissionTotals.of(List.of(shard), 0, 50).completeUntil(), "an older version leads");
-        assertEquals(40, AdmissionTotals.of(List.of(shard), 5, 50).completeUntil(), "one has led in between");
-        assertEquals(0, AdmissionTotals.of(List.of(), 5, 50).completeUntil(), "jobs from before are not counted");
+        assertTrue(AdmissionTotals.of(List.of(), 1, 10).isComplete(), "the first leader of all counts");
+        assertTrue(AdmissionTotals.of(List.of(shard), 1, 50).isComplete());
+        assertEquals(40, AdmissionTotals.of(List.of(shard), 0, 50).completeUntilRevision(), "an older version leads");
+        assertEquals(40, AdmissionTotals.of(List.of(shard), 5, 50).completeUntilRevision(), "one has led in between");
+        assertEquals(
+                0, AdmissionTotals.of(List.of(), 5, 50).completeUntilRevision(), "jobs from before are not counted");
         AdmissionTotals.Shard after = new AdmissionTotals.Shard(counts, 5, 40, 60);
         AdmissionTotals both = AdmissionTotals.of(List.of(shard, after), 5, 70);
-        assertEquals(40, both.completeUntil(), "what is missing once is missing for good");
+        assertEquals(40, both.completeUntilRevision(), "what is missing once is missing for good");
         assertEquals(6, both.counts().total());
     }
 }
--- a/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
+++ b/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
@@ -46,7 +46,7 @@
             @ForAll @Size(max = 24) List<@DoubleRange(min = 0, max = 50) Double> wanted,
             @ForAll @DoubleRange(min = 0, max = 100) double capacity) {
         SortedMap<Flow, Double> demands = demands(wanted);
-        SortedMap<Flow, Double> shares = ShareAllocator.allocate(capacity, demands, WEIGHTS);
+        SortedMap<Flow, Double> shares = FairShareAllocator.allocate(capacity, demands, WEIGHTS);
         shares.forEach((flow, share) -> assertTrue(share <= demands.get(flow) + TOLERANCE, flow + " has " + share));
         assertEquals(Math.min(capacity, sum(demands)), sum(shares), TOLERANCE * 100);
     }
@@ -56,20 +56,23 @@
             @ForAll @Size(min = 1, max = 24) List<@DoubleRange(min = 0.1, max = 50) Double> wanted,
             @ForAll @DoubleRange(min = 0.1, max = 100) double capacity) {
         SortedMap<Flow, Double> demands = demands(wanted);
-        SortedMap<Flow, Double> shares = ShareAllocator.allocate(capacity, demands, WEIGHTS);
+        SortedMap<Flow, Double> shares = FairShareAllocator.allocate(capacity, demands, WEIGHTS);
         shares.forEach((flow, share) -> assertTrue(share > 0, flow + " is starved"));
-        int first = demands.firstKey().tier();
+        int first = demands.firstKey().priorityTier();
         double urgent = demands.entrySet().stream()
-                .filter(e -> e.getKey().tier() == first)
+                .filter(e -> e.getKey().priorityTier() == first)
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
         double given = shares.entrySet().stream()
-                .filter(e -> e.getKey().tier() == first)
+                .filter(e -> e.getKey().priorityTier() == first)
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
-        int tiersBelow =
-                (int) demands.keySet().stream().map(Flow::tier).distinct().count() - 1;
-        double kept = Math.max(0, 1 - ShareAllocator.FLOOR * tiersBelow) * capacity;
+        int tiersBelow = (int) demands.keySet().stream()
+                        .map(Flow::priorityTier)
+                        .distinct()
+                        .count()
+                - 1;
+        double kept = Math.max(0, 1 - FairShareAllocator.FLOOR * tiersBelow) * capacity;
         assertTrue(given >= Math.min(urgent, kept) - TOLERANCE, "tier " + first + " has " + given);
     }
 
@@ -79,7 +82,7 @@
             @ForAll @DoubleRange(min = 10, max = 1000) double a, @ForAll @DoubleRange(min = 10, max = 1000) double b) {
         Flow ofA = new Flow("a", "x", 2);
         Flow ofB = new Flow("b", "x", 2);
-        SortedMap<Flow, Double> shares = ShareAllocator.allocate(3, Map.of(ofA, a, ofB, b), WEIGHTS);
+        SortedMap<Flow, Double> shares = FairShareAllocator.allocate(3, Map.of(ofA, a, ofB, b), WEIGHTS);
         assertEquals(1, shares.get(ofA), TOLERANCE);
         assertEquals(2, shares.get(ofB), TOLERANCE);
     }
@@ -90,8 +93,9 @@
             @ForAll @Size(min = 1, max = 200) List<@IntRange(min = 0, max = 400) Integer> ids,
             @ForAll @LongRange(min = 0, max = 1_000_000) long shuffle) {
         List<DemandReport> reports = new ArrayList<>();
-        DemandMeter seenByOne = new DemandMeter(CONFIG);
-        DemandMeter[] doors = {new DemandMeter(CONFIG), new DemandMeter(CONFIG), new DemandMeter(CONFIG)};
+        DemandEstimator seenByOne = new DemandEstimator(CONFIG);
+        DemandEstimator[] doors = {new DemandEstimator(CONFIG), new DemandEstimator(CONFIG), new DemandEstimator(CONFIG)
+        };
         for (int i = 0; i < ids.size(); i++) {
             String id = "job-" + ids.get(i);
             seenByOne.asked(flow(ids.get(i) % 4), id, 1);
@@ -100,8 +104,8 @@
         }
         Collections.shuffle(reports, new Random(shuffle));
         reports.addAll(List.copyOf(reports.subList(0, reports.size() / 2)));
-        DemandMeter merged = new DemandMeter(CONFIG);
-        reports.forEach(report -> AdmissionCodec.readDemand(AdmissionCodec.write(report))
+        DemandEstimator merged = new DemandEstimator(CONFIG);
+        reports.forEach(report -> AdmissionCodec.decodeDemand(AdmissionCodec.encode(report))
                 .sketches()
                 .forEach((flow, sketch) -> merged.merge(flow, sketch, 1)));
         assertEquals(seenByOne.waiting(1), merged.waiting(1));
@@ -111,7 +115,7 @@
     @Property(tries = 60)
     void estimatesKeepTheirBounds(
             @ForAll @IntRange(min = 0, max = 3000) int asking, @ForAll @IntRange(min = 0, max = 3000) int admitted) {
-        DemandMeter meter = new DemandMeter(CONFIG);
+        DemandEstimator meter = new DemandEstimator(CONFIG);
         int served = Math.min(asking, admitted);
         for (int i = 0; i < asking; i++) {
             meter.asked(flow(0), "job-" + i, 1);
@@ -135,7 +139,7 @@
             @ForAll @DoubleRange(min = 0.01, max = 0.16) double speed,
             @ForAll @IntRange(min = 0, max = 100_000) int id,
             @ForAll @DoubleRange(min = 0, max = 100) double later) {
-        Turn turn = new Turn(position, speed);
+        AdmissionWindow turn = new AdmissionWindow(position, speed);
         double place = JobIdHash.place("job-" + id);
         double wait = turn.waitS(place, later);
         assertTrue(wait >= 0 && wait <= 1 / speed, "waits " + wait);
@@ -161,11 +165,11 @@
                     }
                 }
             }
-            controller.step(Pressure.NONE, now);
+            controller.updateShares(BackPressure.NONE, now);
         }
         int all = admitted.values().stream().mapToInt(Integer::intValue).sum();
         // each tier's spare tokens at first, and what was divided since
-        double most = CONFIG.mostPerS() * (seconds + (4 + 1) * AdmissionConfig.TURN_S);
+        double most = CONFIG.maxAdmissionsPerS() * (seconds + (4 + 1) * AdmissionConfig.WINDOW_S);
         assertTrue(all <= most, all + " admitted, at most " + most);
         for (int i = 0; i < arrivals.size(); i++) {
             assertTrue(admitted.getOrDefault(flow(i), 0) > 0, flow(i) + " is starved");
--- a/src/test/java/stileferry/admission/ExampleHostTest.java
+++ b/src/test/java/stileferry/admission/ExampleHostTest.java
@@ -22,7 +22,7 @@
     private static final double LOST = 0.2;
 
     private final SplittableRandom random = new SplittableRandom(8);
-    private final List<AdmissionDoor> doors = new ArrayList<>();
+    private final List<LoadShedder> doors = new ArrayList<>();
     private final Map<String, Integer> admitted = new HashMap<>();
     private final Map<Long, List<Runnable>> retries = new HashMap<>();
     private AdmissionController controller;
@@ -33,22 +33,22 @@
     private void lead(int member) {
         term++;
         leader = member;
-        AdmissionDoor door = doors.get(member);
+        LoadShedder door = doors.get(member);
         controller = new AdmissionController(CONFIG, term, door.lastTable(), door.tableAgeS(now));
-        door.learn(term);
+        door.observeTerm(term);
     }
 
     /** One member asks the leader for its table; either message may be lost. */
     private void exchange(int member) {
-        AdmissionDoor door = doors.get(member);
-        byte[] demand = AdmissionCodec.write(door.demand(now));
+        LoadShedder door = doors.get(member);
+        byte[] demand = AdmissionCodec.encode(door.demandReport(now));
         if (member != leader && random.nextDouble() < LOST) {
             return;
         }
-        controller.merge(AdmissionCodec.readDemand(demand), now);
-        byte[] table = AdmissionCodec.write(controller.table());
+        controller.mergeDemand(AdmissionCodec.decodeDemand(demand), now);
+        byte[] table = AdmissionCodec.encode(controller.table());
         if (member == leader || random.nextDouble() >= LOST) {
-            door.take(AdmissionCodec.readTable(table), now, now);
+            door.updateTable(AdmissionCodec.decodeTable(table), now, now);
         }
     }
 
@@ -61,7 +61,7 @@
         }
         if (retryAfterS == 0) {
             admitted.merge(team, 1, Integer::sum);
-        } else if (now + 1000L * retryAfterS <= since + 1000 * AdmissionConfig.PATIENCE_S) {
+        } else if (now + 1000L * retryAfterS <= since + 1000 * AdmissionConfig.CLIENT_RETRY_TIMEOUT_S) {
             retries.computeIfAbsent(now + 1000L * retryAfterS, at -> new ArrayList<>())
                     .add(() -> submit(team, id, since));
         }
@@ -70,7 +70,7 @@
     @Test
     void aHostAdmitsFairlyThroughLostMessagesAndChangesOfLeader() {
         for (int i = 0; i < MEMBERS; i++) {
-            doors.add(new AdmissionDoor(CONFIG, 1000));
+            doors.add(new LoadShedder(CONFIG, 1000));
         }
         lead(0);
         int number = 0;
@@ -85,7 +85,7 @@
             for (int i = 0; i < 3; i++) {
                 submit("blue", "job-" + number++, now);
             }
-            controller.step(Pressure.NONE, now);
+            controller.updateShares(BackPressure.NONE, now);
             for (int member = 0; member < MEMBERS; member++) {
                 exchange(member);
             }
@@ -95,8 +95,8 @@
         }
         int all = admitted.get("red") + admitted.get("blue");
         // what each new leader's tokens allow at first, and what was divided
-        assertTrue(all <= CONFIG.mostPerS() * (300 + 6 * AdmissionConfig.TURN_S), "admitted " + all);
-        assertTrue(all >= 0.7 * CONFIG.mostPerS() * 300, "admitted " + all);
+        assertTrue(all <= CONFIG.maxAdmissionsPerS() * (300 + 6 * AdmissionConfig.WINDOW_S), "admitted " + all);
+        assertTrue(all >= 0.7 * CONFIG.maxAdmissionsPerS() * 300, "admitted " + all);
         assertTrue(admitted.get("blue") >= 0.6 * admitted.get("red"), admitted.toString());
     }
 
@@ -107,11 +107,11 @@
         for (int i = 0; i < 500; i++) {
             one.decide(flow, "job-" + i, 0);
         }
-        one.step(Pressure.NONE, 0);
-        AdmissionDoor first = new AdmissionDoor(CONFIG, 10);
-        AdmissionDoor second = new AdmissionDoor(CONFIG, 10);
-        first.take(one.table(), 0, 0);
-        second.take(AdmissionCodec.readTable(AdmissionCodec.write(one.table())), 0, 0);
+        one.updateShares(BackPressure.NONE, 0);
+        LoadShedder first = new LoadShedder(CONFIG, 10);
+        LoadShedder second = new LoadShedder(CONFIG, 10);
+        first.updateTable(one.table(), 0, 0);
+        second.updateTable(AdmissionCodec.decodeTable(AdmissionCodec.encode(one.table())), 0, 0);
         int refused = 0;
         for (int i = 0; i < 500; i++) {
             int wait = first.retryAfterS(flow, "job-" + i, 2000);
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import stileferry.admission.AdmissionDoor;
 import stileferry.admission.AdmissionTotals;
+import stileferry.admission.LoadShedder;
 import stileferry.cluster.Job;
 import stileferry.leadership.LeaderElection;
 import stileferry.overload.AdmissionCountShards;
@@ -53,7 +53,7 @@
     final ArrayDeque<Request> requests = new ArrayDeque<>();
     final List<Request> unanswered = new ArrayList<>();
     final TreeMap<Long, List<Runnable>> timers = new TreeMap<>();
-    final AdmissionDoor door = new AdmissionDoor(AdmissionSettings.config(settings()), 10);
+    final LoadShedder door = new LoadShedder(AdmissionSettings.config(settings()), 10);
     final Count count;
     long now = 1;
     long term;
@@ -85,7 +85,7 @@
         term++;
         putOutsideOfCommits(LeaderElection.LEADER_KEY, MessageCodec.map().put("term", term));
         leader = new AdmissionModelLeader(this);
-        door.learn(term);
+        door.observeTerm(term);
     }
 
     boolean play(Event event) {
--- a/src/test/java/stileferry/coordination/AdmissionModelLeader.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelLeader.java
@@ -19,7 +19,7 @@
 
 /** The leader of a model of admission, with the real queue of commits and count. */
 final class AdmissionModelLeader implements Environment {
-    private static final AdmissionCounts.Cell CELL = new AdmissionCounts.Cell("red", "*");
+    private static final AdmissionCounts.TeamClass CELL = new AdmissionCounts.TeamClass("red", "*");
 
     private final AdmissionModel model;
     final CommitQueue commits;
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import stileferry.admission.AdmissionDoor;
+import stileferry.admission.AdmissionWindow;
+import stileferry.admission.AdmissionWindowTable;
 import stileferry.admission.Flow;
-import stileferry.admission.Turn;
-import stileferry.admission.TurnTable;
+import stileferry.admission.LoadShedder;
 import stileferry.cluster.Job;
 import stileferry.coordination.AdmissionModel.Count;
 import stileferry.coordination.AdmissionModel.Event;
@@ -79,25 +79,26 @@
      */
     @Test
     void noTurnTableOfAFormerTermHoldsInAnyOrder() {
-        List<TurnTable> tables = new ArrayList<>();
+        List<AdmissionWindowTable> tables = new ArrayList<>();
         for (long[] number : new long[][] {{1, 1}, {1, 2}, {2, 1}, {2, 2}}) {
-            tables.add(new TurnTable(number[0], number[1], new TreeMap<>(java.util.Map.of(FLOW, new Turn(0.5, 0.01)))));
+            tables.add(new AdmissionWindowTable(
+                    number[0], number[1], new TreeMap<>(java.util.Map.of(FLOW, new AdmissionWindow(0.5, 0.01)))));
         }
         int orders = 0;
         int events = tables.size() + 2; // a table arrives, or a term is learnt
         for (int code = 0; code < Math.pow(events, 5); code++) {
-            AdmissionDoor door = new AdmissionDoor(AdmissionSettings.config(AdmissionModel.settings()), 10);
+            LoadShedder door = new LoadShedder(AdmissionSettings.config(AdmissionModel.settings()), 10);
             long known = 0;
             for (int rest = code, i = 0; i < 5; i++, rest /= events) {
                 int event = rest % events;
                 if (event < tables.size()) {
                     known = Math.max(known, tables.get(event).term());
-                    door.take(tables.get(event), 1, 1);
+                    door.updateTable(tables.get(event), 1, 1);
                 } else {
                     known = Math.max(known, event - tables.size() + 1);
-                    door.learn(known);
+                    door.observeTerm(known);
                 }
-                if (door.holdsTable(2)) {
+                if (door.hasValidTable(2)) {
                     assertEquals(known, door.lastTable().term());
                 }
             }
--- a/src/test/java/stileferry/golden/GoldenAdmissionCodecTest.java
+++ b/src/test/java/stileferry/golden/GoldenAdmissionCodecTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.admission.AdmissionCodec;
+import stileferry.admission.AdmissionWindow;
+import stileferry.admission.AdmissionWindowTable;
 import stileferry.admission.DemandReport;
 import stileferry.admission.Flow;
-import stileferry.admission.Turn;
-import stileferry.admission.TurnTable;
 import stileferry.validation.InvalidInputException;
 
 /** What controllers exchange about admission, byte for byte, and where a job stands on the circle of turns. */
@@ -57,12 +57,12 @@
 
     @Test
     void tableOfTurnsIsWrittenAndReadByteForByte() {
-        TreeMap<Flow, Turn> turns = new TreeMap<>();
-        turns.put(IDLE, new Turn(0, 0.03125));
-        turns.put(CRITICAL, new Turn(0.5, 0.015625));
-        TurnTable table = new TurnTable(5, 7, turns);
-        assertEquals(TABLE, hex(AdmissionCodec.write(table)));
-        assertEquals(table, AdmissionCodec.readTable(bytes(TABLE)));
+        TreeMap<Flow, AdmissionWindow> turns = new TreeMap<>();
+        turns.put(IDLE, new AdmissionWindow(0, 0.03125));
+        turns.put(CRITICAL, new AdmissionWindow(0.5, 0.015625));
+        AdmissionWindowTable table = new AdmissionWindowTable(5, 7, turns);
+        assertEquals(TABLE, hex(AdmissionCodec.encode(table)));
+        assertEquals(table, AdmissionCodec.decodeTable(bytes(TABLE)));
     }
 
     @Test
@@ -70,12 +70,12 @@
         TreeMap<Flow, CompactSketch> sketches = new TreeMap<>();
         sketches.put(IDLE, sketch("job-1", "job-2", "job-3"));
         sketches.put(CRITICAL, sketch("job-1"));
-        assertEquals(DEMAND, hex(AdmissionCodec.write(new DemandReport(sketches))));
+        assertEquals(DEMAND, hex(AdmissionCodec.encode(new DemandReport(sketches))));
     }
 
     @Test
     void demandIsReadFromItsBytes() {
-        DemandReport read = AdmissionCodec.readDemand(bytes(DEMAND));
+        DemandReport read = AdmissionCodec.decodeDemand(bytes(DEMAND));
         assertEquals(
                 "[" + CRITICAL + ", " + IDLE + "]", read.sketches().keySet().toString());
         assertEquals(1.0, read.sketches().get(CRITICAL).getEstimate());
@@ -84,22 +84,22 @@
 
     @Test
     void nothingAskedAndNothingClosedAreAVersionAndACount() {
-        assertEquals("010000", hex(AdmissionCodec.write(new DemandReport(new TreeMap<>()))));
+        assertEquals("010000", hex(AdmissionCodec.encode(new DemandReport(new TreeMap<>()))));
         assertEquals(
                 "01" + "0000000000000005" + "0000000000000001" + "0000",
-                hex(AdmissionCodec.write(new TurnTable(5, 1, new TreeMap<>()))));
+                hex(AdmissionCodec.encode(new AdmissionWindowTable(5, 1, new TreeMap<>()))));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "020000", "01", "010001", "01000000"})
     void demandOfAnotherVersionOrLengthIsInvalid(String hex) {
-        assertThrows(InvalidInputException.class, () -> AdmissionCodec.readDemand(bytes(hex)));
+        assertThrows(InvalidInputException.class, () -> AdmissionCodec.decodeDemand(bytes(hex)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "0200000000000000050000000000000001" + "0000", "0100000000000000050000000000000001"})
     void tableOfAnotherVersionOrLengthIsInvalid(String hex) {
-        assertThrows(InvalidInputException.class, () -> AdmissionCodec.readTable(bytes(hex)));
+        assertThrows(InvalidInputException.class, () -> AdmissionCodec.decodeTable(bytes(hex)));
     }
 
     /** All controllers must compute the same places: MurmurHash3 x64 128 with seed 0x51f3, its upper 53 of 64 bits. */
@@ -110,9 +110,9 @@
         "job-999999999999999999,0.8702133854609314"
     })
     void placeOfAJobOnTheCircleOfTurns(String id, double place) {
-        TreeMap<Flow, Turn> turns = new TreeMap<>();
-        turns.put(IDLE, new Turn(0, 0x1.0p-10));
-        double waitS = new TurnTable(1, 1, turns).waitS(IDLE, id, 0);
+        TreeMap<Flow, AdmissionWindow> turns = new TreeMap<>();
+        turns.put(IDLE, new AdmissionWindow(0, 0x1.0p-10));
+        double waitS = new AdmissionWindowTable(1, 1, turns).waitS(IDLE, id, 0);
         assertEquals(place, waitS * 0x1.0p-10, 1e-12);
     }
 }
