--- a/src/main/java/stileferry/admission/CapacityLimit.java
+++ b/src/main/java/stileferry/admission/AdaptiveRateLimit.java
@@ -5,7 +5,7 @@
  * between a part of what the state service could take and all of it. While only the leader's own time is short, never
  * so low that users would give up before their turn: what it does not accept now it is asked for again.
  */
-final class CapacityLimit {
+final class AdaptiveRateLimit {
     private static final double DECREASE = 0.8;
     private static final double STEPS = 16;
 
@@ -15,7 +15,7 @@
     private final double mostPerS;
     private double perS;
 
-    CapacityLimit(double mostPerS) {
+    AdaptiveRateLimit(double mostPerS) {
         this.mostPerS = mostPerS;
         this.perS = mostPerS;
     }
--- a/src/main/java/stileferry/admission/AdmissionConfig.java
+++ b/src/main/java/stileferry/admission/AdmissionConfig.java
@@ -28,10 +28,10 @@
     public static final double WINDOW_S = CLIENT_RETRY_TIMEOUT_S / 10;
 
     /** Demand is measured over the users' patience, in so many slices. */
-    static final int SLICES = 4;
+    static final int DEMAND_SLICES = 4;
 
     /** A table of turns is used for so many intervals after it was asked for. */
-    private static final int VALID_INTERVALS = 4;
+    private static final int TABLE_VALIDITY_INTERVALS = 4;
 
     /** Checks every figure. */
     public AdmissionConfig {
@@ -61,11 +61,11 @@
 
     /** Milliseconds for which a table of turns may be used, counted from when it was asked for. */
     public long tableValidityMs() {
-        return VALID_INTERVALS * intervalMs;
+        return TABLE_VALIDITY_INTERVALS * intervalMs;
     }
 
     /** Milliseconds of one slice of the time over which demand is measured. */
-    long sliceMs() {
-        return Math.round(1000 * CLIENT_RETRY_TIMEOUT_S / SLICES);
+    long demandSliceMs() {
+        return Math.round(1000 * CLIENT_RETRY_TIMEOUT_S / DEMAND_SLICES);
     }
 }
--- a/src/main/java/stileferry/admission/AdmissionController.java
+++ b/src/main/java/stileferry/admission/AdmissionController.java
@@ -16,8 +16,8 @@
     private final AdmissionConfig config;
     private final long term;
     private final DemandEstimator meter;
-    private final CapacityLimit limit;
-    private final Map<Flow, FlowGate> gates = new HashMap<>();
+    private final AdaptiveRateLimit limit;
+    private final Map<Flow, FlowRateLimiter> gates = new HashMap<>();
     private final Map<Integer, TokenBucket> spare = new HashMap<>();
     private final Map<Flow, Double> positions;
 
@@ -39,7 +39,7 @@
         this.config = config;
         this.term = term;
         this.meter = new DemandEstimator(config);
-        this.limit = new CapacityLimit(config.maxAdmissionsPerS());
+        this.limit = new AdaptiveRateLimit(config.maxAdmissionsPerS());
         this.due = CacheBuilder.newBuilder()
                 .maximumSize(1 + Math.round(config.maxAdmissionsPerS() * AdmissionConfig.CLIENT_RETRY_TIMEOUT_S))
                 .concurrencyLevel(1)
@@ -54,11 +54,11 @@
      * @param flow what {@link AdmissionConfig#flow} says of it
      */
     public AdmissionDecision decide(Flow flow, String id, long now) {
-        FlowGate gate = gate(flow, now);
+        FlowRateLimiter gate = gate(flow, now);
         double waitS = waitS(gate, id, now);
         if (gate.take(waitS == 0, now)
                 || waitS == 0 && spare(flow.priorityTier(), now).take(now)) {
-            meter.admitted(flow, id, now);
+            meter.recordAdmission(flow, id, now);
             gate.count(true);
             due.invalidate(id);
             return AdmissionDecision.ADMITTED;
@@ -71,22 +71,23 @@
         return refuse(flow, id, waitS(gate(flow, now), id, now), now);
     }
 
-    private double waitS(FlowGate gate, String id, long now) {
-        return due.getIfPresent(id) != null ? 0 : gate.waitS(JobIdHash.place(id), now);
+    private double waitS(FlowRateLimiter gate, String id, long now) {
+        return due.getIfPresent(id) != null ? 0 : gate.waitS(JobIdHash.ringPosition(id), now);
     }
 
     private AdmissionDecision refuse(Flow flow, String id, double waitS, long now) {
-        meter.asked(flow, id, now);
+        meter.recordRequest(flow, id, now);
         gate(flow, now).count(false);
         if (waitS > 0) {
-            return AdmissionDecision.after(waitS);
+            return AdmissionDecision.retryAfter(waitS);
         }
         due.put(id, Boolean.TRUE);
-        return AdmissionDecision.after(1 + JobIdHash.place(id) * AdmissionConfig.WINDOW_S / 2); // not all at once
+        return AdmissionDecision.retryAfter(
+                1 + JobIdHash.ringPosition(id) * AdmissionConfig.WINDOW_S / 2); // not all at once
     }
 
-    private FlowGate gate(Flow flow, long now) {
-        return gates.computeIfAbsent(flow, f -> new FlowGate(positions.getOrDefault(f, 0.0), now));
+    private FlowRateLimiter gate(Flow flow, long now) {
+        return gates.computeIfAbsent(flow, f -> new FlowRateLimiter(positions.getOrDefault(f, 0.0), now));
     }
 
     /** What nobody of this tier or a more urgent one has asked for. */
@@ -112,22 +113,23 @@
      * @param pressure what kept the leader from accepting more since the last time
      */
     public void updateShares(BackPressure pressure, long now) {
-        SortedMap<Flow, DemandEstimate> waiting = meter.waiting(now);
-        double all =
-                waiting.values().stream().mapToDouble(DemandEstimate::waiting).sum();
+        SortedMap<Flow, DemandEstimate> waiting = meter.waitingJobs(now);
+        double all = waiting.values().stream()
+                .mapToDouble(DemandEstimate::waitingJobs)
+                .sum();
         double measured = waiting.keySet().stream()
                 .mapToDouble(flow -> meter.admittedPerS(flow, now))
                 .sum();
         double capacity = limit.step(pressure, all, measured);
         SortedMap<Flow, Double> demands = new TreeMap<>();
         waiting.forEach((flow, estimate) ->
-                demands.put(flow, estimate.waiting() / AdmissionConfig.WINDOW_S + meter.admittedPerS(flow, now)));
+                demands.put(flow, estimate.waitingJobs() / AdmissionConfig.WINDOW_S + meter.admittedPerS(flow, now)));
         shares = FairShareAllocator.allocate(capacity, demands, config.weights());
         gates.keySet().retainAll(waiting.keySet());
         SortedMap<Flow, AdmissionWindow> turns = new TreeMap<>();
         shares.forEach((flow, share) -> {
-            FlowGate gate = gate(flow, now);
-            gate.set(share, waiting.get(flow).waiting(), now);
+            FlowRateLimiter gate = gate(flow, now);
+            gate.set(share, waiting.get(flow).waitingJobs(), now);
             if (gate.closed()) {
                 turns.put(flow, gate.turn());
             }
@@ -161,7 +163,7 @@
 
     /** Jobs that wait, by flow. */
     public SortedMap<Flow, DemandEstimate> waitingJobs(long now) {
-        return meter.waiting(now);
+        return meter.waitingJobs(now);
     }
 
     /** Admissions a second that are divided. */
--- a/src/main/java/stileferry/admission/AdmissionDecision.java
+++ b/src/main/java/stileferry/admission/AdmissionDecision.java
@@ -11,7 +11,7 @@
     static final AdmissionDecision ADMITTED = new AdmissionDecision(true, 0);
 
     /** It has to wait for so long, in whole seconds that users honour. */
-    static AdmissionDecision after(double waitS) {
+    static AdmissionDecision retryAfter(double waitS) {
         int seconds = (int) Math.ceil(waitS);
         return new AdmissionDecision(false, Math.max(1, Math.min(AdmissionConfig.MAX_RETRY_AFTER_S, seconds)));
     }
--- a/src/main/java/stileferry/admission/AdmissionWindow.java
+++ b/src/main/java/stileferry/admission/AdmissionWindow.java
@@ -11,13 +11,15 @@
  */
 public record AdmissionWindow(double position, double roundsPerS) {
     /** Rounds that take no longer than a turn close nothing. */
-    static final double OPEN = 1 / AdmissionConfig.WINDOW_S;
+    static final double MIN_OPEN_ROUNDS_PER_S = 1 / AdmissionConfig.WINDOW_S;
 
     /** Checks both figures. */
     public AdmissionWindow {
         InvalidInputException.require(position >= 0 && position < 1, "position", "not in [0, 1): " + position);
         InvalidInputException.require(
-                roundsPerS > 0 && roundsPerS < OPEN, "roundsPerS", "not between 0 and " + OPEN + ": " + roundsPerS);
+                roundsPerS > 0 && roundsPerS < MIN_OPEN_ROUNDS_PER_S,
+                "roundsPerS",
+                "not between 0 and " + MIN_OPEN_ROUNDS_PER_S + ": " + roundsPerS);
     }
 
     /** Where the pointer is some seconds later. */
--- a/src/main/java/stileferry/admission/AdmissionWindowTable.java
+++ b/src/main/java/stileferry/admission/AdmissionWindowTable.java
@@ -27,7 +27,7 @@
      */
     public double waitS(Flow flow, String id, double ageS) {
         AdmissionWindow turn = windows.get(flow);
-        return turn == null ? 0 : turn.waitS(JobIdHash.place(id), ageS);
+        return turn == null ? 0 : turn.waitS(JobIdHash.ringPosition(id), ageS);
     }
 
     /** Whether this table is of a later term, or later in the same. */
--- a/src/main/java/stileferry/admission/DemandEstimator.java
+++ b/src/main/java/stileferry/admission/DemandEstimator.java
@@ -14,25 +14,25 @@
  */
 final class DemandEstimator {
     private final AdmissionConfig config;
-    private final Map<Flow, FlowDemand> flows = new HashMap<>();
+    private final Map<Flow, FlowDemandSketch> flows = new HashMap<>();
 
     DemandEstimator(AdmissionConfig config) {
         this.config = config;
     }
 
     private long slice(long now) {
-        return Math.floorDiv(now, config.sliceMs());
+        return Math.floorDiv(now, config.demandSliceMs());
     }
 
-    private FlowDemand of(Flow flow) {
-        return flows.computeIfAbsent(flow, any -> new FlowDemand());
+    private FlowDemandSketch of(Flow flow) {
+        return flows.computeIfAbsent(flow, any -> new FlowDemandSketch());
     }
 
-    void asked(Flow flow, String id, long now) {
+    void recordRequest(Flow flow, String id, long now) {
         of(flow).asked(id, slice(now));
     }
 
-    void admitted(Flow flow, String id, long now) {
+    void recordAdmission(Flow flow, String id, long now) {
         of(flow).admitted(id, slice(now));
     }
 
@@ -42,7 +42,7 @@
     }
 
     /** What this controller saw in the slice under way. */
-    SortedMap<Flow, CompactSketch> seen(long now) {
+    SortedMap<Flow, CompactSketch> currentSketches(long now) {
         SortedMap<Flow, CompactSketch> seen = new TreeMap<>();
         flows.forEach((flow, demand) -> {
             CompactSketch sketch = demand.seen(slice(now));
@@ -54,7 +54,7 @@
     }
 
     /** Jobs that wait, by flow; flows of which nothing is heard any more are forgotten. */
-    SortedMap<Flow, DemandEstimate> waiting(long now) {
+    SortedMap<Flow, DemandEstimate> waitingJobs(long now) {
         flows.values().removeIf(demand -> demand.idle(slice(now)));
         SortedMap<Flow, DemandEstimate> waiting = new TreeMap<>();
         flows.forEach((flow, demand) -> waiting.put(flow, demand.waiting(slice(now))));
@@ -63,7 +63,7 @@
 
     /** Admissions a second that a flow was given lately. */
     double admittedPerS(Flow flow, long now) {
-        FlowDemand demand = flows.get(flow);
+        FlowDemandSketch demand = flows.get(flow);
         return demand == null ? 0 : demand.admissions(slice(now)) / AdmissionConfig.CLIENT_RETRY_TIMEOUT_S;
     }
 }
--- a/src/main/java/stileferry/admission/FairShareAllocator.java
+++ b/src/main/java/stileferry/admission/FairShareAllocator.java
@@ -15,7 +15,7 @@
  */
 public final class FairShareAllocator {
     /** The part of the capacity that is kept for each tier below a more urgent one, as far as it has demand. */
-    public static final double FLOOR = 0.1;
+    public static final double MIN_TIER_FRACTION = 0.1;
 
     private static final double EPSILON = 1e-9;
 
@@ -70,7 +70,7 @@
         double[] floors = new double[tiers.size()];
         int at = 0;
         for (SortedMap<Flow, Double> tier : tiers.values()) {
-            floors[at] = at == 0 ? 0 : Math.min(sum(tier), FLOOR * capacity);
+            floors[at] = at == 0 ? 0 : Math.min(sum(tier), MIN_TIER_FRACTION * capacity);
             at++;
         }
         return floors;
--- a/src/main/java/stileferry/admission/FlowDemand.java
+++ b/src/main/java/stileferry/admission/FlowDemandSketch.java
@@ -12,11 +12,11 @@
  * that asked and one of those that were admitted. Memory is fixed, however many ask; sketches of other controllers are
  * merged by a union, so order and repetition do not matter.
  */
-final class FlowDemand {
+final class FlowDemandSketch {
     /** Nominal entries of a sketch: a relative standard error of 1/16 beyond, exact counts below. */
     static final int NOMINAL_ENTRIES = 256;
 
-    private final Slice[] slices = new Slice[AdmissionConfig.SLICES];
+    private final Slice[] slices = new Slice[AdmissionConfig.DEMAND_SLICES];
 
     /** What one stretch of time saw. */
     private static final class Slice {
--- a/src/main/java/stileferry/admission/FlowGate.java
+++ b/src/main/java/stileferry/admission/FlowRateLimiter.java
@@ -1,7 +1,7 @@
 package stileferry.admission;
 
 /** The leader's gate of one flow: the tokens of its share, and its pointer while it is closed. */
-final class FlowGate {
+final class FlowRateLimiter {
     private static final double MS_PER_S = 1000;
 
     /** The slowest pointer: one round in an hour. */
@@ -14,7 +14,7 @@
     private long admitted;
     private long refused;
 
-    FlowGate(double position, long now) {
+    FlowRateLimiter(double position, long now) {
         this.bucket = new TokenBucket(0, 1, now);
         this.position = position;
         this.setAt = now;
@@ -29,8 +29,8 @@
     void set(double sharePerS, double waiting, long now) {
         position = closed() ? turn().positionAfter((now - setAt) / MS_PER_S) : position;
         setAt = now;
-        double rounds = waiting > 0 ? sharePerS / waiting : AdmissionWindow.OPEN;
-        roundsPerS = rounds >= AdmissionWindow.OPEN * (1 - 1e-6) ? 0 : Math.max(SLOWEST, rounds);
+        double rounds = waiting > 0 ? sharePerS / waiting : AdmissionWindow.MIN_OPEN_ROUNDS_PER_S;
+        roundsPerS = rounds >= AdmissionWindow.MIN_OPEN_ROUNDS_PER_S * (1 - 1e-6) ? 0 : Math.max(SLOWEST, rounds);
         bucket.set(sharePerS, Math.max(1, sharePerS * AdmissionConfig.WINDOW_S), now);
     }
 
--- a/src/main/java/stileferry/admission/JobIdHash.java
+++ b/src/main/java/stileferry/admission/JobIdHash.java
@@ -12,7 +12,7 @@
     private JobIdHash() {}
 
     /** The place of a job, evenly spread over all ids. */
-    static double place(String id) {
+    static double ringPosition(String id) {
         return (HASH.hashString(id, StandardCharsets.UTF_8).asLong() >>> 11) * UNIT;
     }
 }
--- a/src/main/java/stileferry/admission/LoadShedder.java
+++ b/src/main/java/stileferry/admission/LoadShedder.java
@@ -99,7 +99,7 @@
     public int retryAfterFailureS(String id, long now) {
         troubleSince = troubleSince < 0 ? now : troubleSince;
         double lastedS = (now - troubleSince) / MS_PER_S;
-        return AdmissionDecision.after(JobIdHash.place(id) * Math.min(LONGEST_TROUBLE_WAIT_S, 1 + lastedS))
+        return AdmissionDecision.retryAfter(JobIdHash.ringPosition(id) * Math.min(LONGEST_TROUBLE_WAIT_S, 1 + lastedS))
                 .retryAfterS();
     }
 
@@ -112,14 +112,14 @@
         if (waitS == 0) {
             return 0;
         }
-        meter.asked(flow, id, now);
+        meter.recordRequest(flow, id, now);
         refusedCount++;
-        return AdmissionDecision.after(waitS).retryAfterS();
+        return AdmissionDecision.retryAfter(waitS).retryAfterS();
     }
 
     /** What was turned away here lately, for the leader's account of the demand; what was let through it knows. */
     public DemandReport demandReport(long now) {
-        return new DemandReport(meter.seen(now));
+        return new DemandReport(meter.currentSketches(now));
     }
 
     /** Requests that were turned away here since the start. */
--- a/src/main/java/stileferry/overload/AdmissionView.java
+++ b/src/main/java/stileferry/overload/AdmissionView.java
@@ -43,9 +43,9 @@
                     .put("team", flow.team())
                     .put("class", flow.jobClass())
                     .put("priority", JobSpec.Priority.values()[flow.priorityTier()].wireName())
-                    .put("waiting", waiting.waiting())
-                    .put("waiting_least", waiting.lower())
-                    .put("waiting_most", waiting.upper())
+                    .put("waiting", waiting.waitingJobs())
+                    .put("waiting_least", waiting.lowerBound())
+                    .put("waiting_most", waiting.upperBound())
                     .put("share_per_s", shares.getOrDefault(flow, 0.0))
                     .put("admitted", controller.admittedCount(flow))
                     .put("refused", controller.refusedCount(flow));
--- a/src/test/java/stileferry/admission/AdmissionDoorTest.java
+++ b/src/test/java/stileferry/admission/AdmissionDoorTest.java
@@ -175,8 +175,8 @@
         byte[] table = AdmissionCodec.encode(closed(1, 1));
         assertEquals(closed(1, 1), AdmissionCodec.decodeTable(table));
         DemandEstimator meter = new DemandEstimator(CONFIG);
-        meter.asked(RED, "job-1", 1);
-        byte[] demand = AdmissionCodec.encode(new DemandReport(meter.seen(1)));
+        meter.recordRequest(RED, "job-1", 1);
+        byte[] demand = AdmissionCodec.encode(new DemandReport(meter.currentSketches(1)));
         for (byte[] whole : List.of(table, demand)) {
             for (int length = 0; length < whole.length; length++) {
                 byte[] part = java.util.Arrays.copyOf(whole, length);
--- a/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
+++ b/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
@@ -72,7 +72,7 @@
                         .distinct()
                         .count()
                 - 1;
-        double kept = Math.max(0, 1 - FairShareAllocator.FLOOR * tiersBelow) * capacity;
+        double kept = Math.max(0, 1 - FairShareAllocator.MIN_TIER_FRACTION * tiersBelow) * capacity;
         assertTrue(given >= Math.min(urgent, kept) - TOLERANCE, "tier " + first + " has " + given);
     }
 
@@ -98,9 +98,9 @@
         };
         for (int i = 0; i < ids.size(); i++) {
             String id = "job-" + ids.get(i);
-            seenByOne.asked(flow(ids.get(i) % 4), id, 1);
-            doors[i % 3].asked(flow(ids.get(i) % 4), id, 1);
-            reports.add(new DemandReport(doors[i % 3].seen(1)));
+            seenByOne.recordRequest(flow(ids.get(i) % 4), id, 1);
+            doors[i % 3].recordRequest(flow(ids.get(i) % 4), id, 1);
+            reports.add(new DemandReport(doors[i % 3].currentSketches(1)));
         }
         Collections.shuffle(reports, new Random(shuffle));
         reports.addAll(List.copyOf(reports.subList(0, reports.size() / 2)));
@@ -108,7 +108,7 @@
         reports.forEach(report -> AdmissionCodec.decodeDemand(AdmissionCodec.encode(report))
                 .sketches()
                 .forEach((flow, sketch) -> merged.merge(flow, sketch, 1)));
-        assertEquals(seenByOne.waiting(1), merged.waiting(1));
+        assertEquals(seenByOne.waitingJobs(1), merged.waitingJobs(1));
     }
 
     /** Sketches against exact counts: no error below their size, and the stated bounds beyond it. */
@@ -118,17 +118,17 @@
         DemandEstimator meter = new DemandEstimator(CONFIG);
         int served = Math.min(asking, admitted);
         for (int i = 0; i < asking; i++) {
-            meter.asked(flow(0), "job-" + i, 1);
+            meter.recordRequest(flow(0), "job-" + i, 1);
             if (i < served) {
-                meter.admitted(flow(0), "job-" + i, 1);
+                meter.recordAdmission(flow(0), "job-" + i, 1);
             }
         }
-        DemandEstimate estimate = meter.waiting(1).getOrDefault(flow(0), DemandEstimate.NONE);
+        DemandEstimate estimate = meter.waitingJobs(1).getOrDefault(flow(0), DemandEstimate.NONE);
         int exact = asking - served;
-        if (asking <= FlowDemand.NOMINAL_ENTRIES) {
-            assertEquals(exact, estimate.waiting());
+        if (asking <= FlowDemandSketch.NOMINAL_ENTRIES) {
+            assertEquals(exact, estimate.waitingJobs());
         } else { // three standard deviations of the larger set
-            assertEquals(exact, estimate.waiting(), 3.0 / 16 * asking, asking + " asked, " + served + " admitted");
+            assertEquals(exact, estimate.waitingJobs(), 3.0 / 16 * asking, asking + " asked, " + served + " admitted");
         }
     }
 
@@ -140,7 +140,7 @@
             @ForAll @IntRange(min = 0, max = 100_000) int id,
             @ForAll @DoubleRange(min = 0, max = 100) double later) {
         AdmissionWindow turn = new AdmissionWindow(position, speed);
-        double place = JobIdHash.place("job-" + id);
+        double place = JobIdHash.ringPosition("job-" + id);
         double wait = turn.waitS(place, later);
         assertTrue(wait >= 0 && wait <= 1 / speed, "waits " + wait);
         if (wait > 0) {
