--- a/src/main/java/stileferry/admission/AdmissionCodec.java
+++ b/src/main/java/stileferry/admission/AdmissionCodec.java
@@ -15,43 +15,49 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * What controllers exchange about admission, as {@link DataOutputStream} records that begin with a version. A report of
- * demand is bounded: flows that no longer fit are left out, the least urgent first.
+ * Encodes and decodes what controllers exchange about admission, as {@link DataOutputStream} records that begin with a
+ * version. Decoding throws {@link InvalidInputException} for bytes that are malformed.
  */
 public final class AdmissionCodec {
     private static final int VERSION = 1;
 
-    /** The most bytes of one report: half of what a message between controllers may hold. */
-    static final int MOST_BYTES = 64 * 1024;
+    /** Half of what a message between controllers may hold. */
+    private static final int MAX_DEMAND_REPORT_BYTES = 64 * 1024;
+
+    /** A character takes up to three bytes in {@link DataOutputStream#writeUTF}. */
+    private static final int MAX_CHARACTER_BYTES = 3;
+
+    /** More than the lengths and the priority tier of an entry take. */
+    private static final int ENTRY_OVERHEAD_BYTES = 8;
 
     private AdmissionCodec() {}
 
-    /** Writes part of a record. */
-    private interface Part {
+    /** Writes the body of a record. */
+    private interface BodyWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
-    /** Reads part of a record. */
-    private interface Reader<T> {
+    /** Reads the body of a record. */
+    private interface BodyReader<T> {
         T read(DataInputStream in) throws IOException;
     }
 
-    private static byte[] bytes(Part part) {
+    private static byte[] encode(BodyWriter body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
-            part.write(out);
+            body.write(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    private static <T> T parse(byte[] bytes, String argument, Reader<T> reader) {
+    private static <T> T decode(byte[] bytes, String argument, BodyReader<T> body) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readUnsignedByte();
             InvalidInputException.require(version == VERSION, argument, "of version " + version);
-            T read = reader.read(in);
+            T read = body.read(in);
             InvalidInputException.require(in.available() == 0, argument, "goes on after its end");
             return read;
         } catch (IOException | SketchesException | IndexOutOfBoundsException e) {
@@ -59,39 +65,43 @@
         }
     }
 
-    /** Writes a report of demand. */
+    /** Encodes a demand report; flows that exceed the size of a message are left out, the least urgent first. */
     public static byte[] encode(DemandReport report) {
-        return bytes(out -> {
-            SortedMap<Flow, byte[]> parts = fitting(report);
-            out.writeShort(parts.size());
-            for (Map.Entry<Flow, byte[]> part : parts.entrySet()) {
-                encode(out, part.getKey());
-                out.writeShort(part.getValue().length);
-                out.write(part.getValue());
+        return encode(out -> {
+            SortedMap<Flow, byte[]> sketches = sketchesThatFit(report);
+            out.writeShort(sketches.size());
+            for (Map.Entry<Flow, byte[]> entry : sketches.entrySet()) {
+                writeFlow(out, entry.getKey());
+                out.writeShort(entry.getValue().length);
+                out.write(entry.getValue());
             }
         });
     }
 
-    private static SortedMap<Flow, byte[]> fitting(DemandReport report) {
-        SortedMap<Flow, byte[]> parts = new TreeMap<>();
+    private static SortedMap<Flow, byte[]> sketchesThatFit(DemandReport report) {
+        SortedMap<Flow, byte[]> fitting = new TreeMap<>();
         int size = 0;
         for (Map.Entry<Flow, CompactSketch> entry : report.sketches().entrySet()) {
             byte[] sketch = entry.getValue().toByteArray();
-            Flow flow = entry.getKey();
-            size += sketch.length + 3 * (flow.team().length() + flow.jobClass().length()) + 8;
-            if (size > MOST_BYTES) {
+            size += sketch.length + maxFlowBytes(entry.getKey());
+            if (size > MAX_DEMAND_REPORT_BYTES) {
                 break;
             }
-            parts.put(flow, sketch);
+            fitting.put(entry.getKey(), sketch);
         }
-        return parts;
+        return fitting;
+    }
+
+    private static int maxFlowBytes(Flow flow) {
+        int characters = flow.team().length() + flow.jobClass().length();
+        return MAX_CHARACTER_BYTES * characters + ENTRY_OVERHEAD_BYTES;
     }
 
-    /** Reads a report of demand. */
+    /** Decodes a demand report. */
     public static DemandReport decodeDemand(byte[] bytes) {
-        return parse(bytes, "demand", in -> {
+        return decode(bytes, "demand", in -> {
             SortedMap<Flow, CompactSketch> sketches = new TreeMap<>();
-            for (int left = in.readUnsignedShort(); left > 0; left--) {
+            for (int remaining = in.readUnsignedShort(); remaining > 0; remaining--) {
                 Flow flow = readFlow(in);
                 byte[] sketch = new byte[in.readUnsignedShort()];
                 in.readFully(sketch);
@@ -101,34 +111,34 @@
         });
     }
 
-    /** Writes a table of turns. */
+    /** Encodes a table of admission windows. */
     public static byte[] encode(AdmissionWindowTable table) {
-        return bytes(out -> {
+        return encode(out -> {
             out.writeLong(table.term());
             out.writeLong(table.sequence());
             out.writeShort(table.windows().size());
-            for (Map.Entry<Flow, AdmissionWindow> turn : table.windows().entrySet()) {
-                encode(out, turn.getKey());
-                out.writeDouble(turn.getValue().position());
-                out.writeDouble(turn.getValue().roundsPerS());
+            for (Map.Entry<Flow, AdmissionWindow> entry : table.windows().entrySet()) {
+                writeFlow(out, entry.getKey());
+                out.writeDouble(entry.getValue().position());
+                out.writeDouble(entry.getValue().roundsPerS());
             }
         });
     }
 
-    /** Reads a table of turns. */
+    /** Decodes a table of admission windows. */
     public static AdmissionWindowTable decodeTable(byte[] bytes) {
-        return parse(bytes, "table", in -> {
+        return decode(bytes, "table", in -> {
             long term = in.readLong();
             long sequence = in.readLong();
-            SortedMap<Flow, AdmissionWindow> turns = new TreeMap<>();
-            for (int left = in.readUnsignedShort(); left > 0; left--) {
-                turns.put(readFlow(in), new AdmissionWindow(in.readDouble(), in.readDouble()));
+            SortedMap<Flow, AdmissionWindow> windows = new TreeMap<>();
+            for (int remaining = in.readUnsignedShort(); remaining > 0; remaining--) {
+                windows.put(readFlow(in), new AdmissionWindow(in.readDouble(), in.readDouble()));
             }
-            return new AdmissionWindowTable(term, sequence, turns);
+            return new AdmissionWindowTable(term, sequence, windows);
         });
     }
 
-    private static void encode(DataOutputStream out, Flow flow) throws IOException {
+    private static void writeFlow(DataOutputStream out, Flow flow) throws IOException {
         out.writeUTF(flow.team());
         out.writeUTF(flow.jobClass());
         out.writeByte(flow.priorityTier());
--- a/src/main/java/stileferry/admission/AdmissionCounts.java
+++ b/src/main/java/stileferry/admission/AdmissionCounts.java
@@ -1,52 +1,59 @@
 package stileferry.admission;
 
+import java.util.Comparator;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import stileferry.validation.InvalidInputException;
 
-/** Admissions by team and class; all figures only grow. */
+/** Counters of admissions by team and job class; they never decrease. */
 public final class AdmissionCounts {
-    /** What is counted together. */
+    /** The key of a counter: a team and one of its job classes. */
     public record TeamClass(String team, String jobClass) implements Comparable<TeamClass> {
+        private static final Comparator<TeamClass> ORDER =
+                Comparator.comparing(TeamClass::team).thenComparing(TeamClass::jobClass);
+
         /** Checks that nothing is missing. */
         public TeamClass {
             InvalidInputException.require(team != null, "team", "missing");
             InvalidInputException.require(jobClass != null, "jobClass", "missing");
         }
 
-        /** The cell in which a flow's admissions are counted. */
+        /** The counter for a flow's admissions. */
         public static TeamClass of(Flow flow) {
             return new TeamClass(flow.team(), flow.jobClass());
         }
 
         @Override
         public int compareTo(TeamClass other) {
-            int byTeam = team.compareTo(other.team);
-            return byTeam != 0 ? byTeam : jobClass.compareTo(other.jobClass);
+            return ORDER.compare(this, other);
         }
     }
 
     private final SortedMap<TeamClass, Long> counts = new TreeMap<>();
 
-    /** Adds admissions; the number is above 0. */
-    public void add(TeamClass cell, long number) {
+    /**
+     * Adds admissions.
+     *
+     * @param number above 0
+     */
+    public void add(TeamClass teamClass, long number) {
         InvalidInputException.require(number > 0, "number", "not above 0: " + number);
-        counts.merge(cell, number, Math::addExact);
+        counts.merge(teamClass, number, Math::addExact);
     }
 
-    /** Adds all of another account. */
+    /** Adds all counters of another object. */
     public void addAll(AdmissionCounts other) {
         other.counts.forEach(this::add);
     }
 
-    /** What was counted. */
+    /** A copy of the counters. */
     public SortedMap<TeamClass, Long> byTeamClass() {
         return new TreeMap<>(counts);
     }
 
-    /** Whether a cell has been counted here. */
-    public boolean contains(TeamClass cell) {
-        return counts.containsKey(cell);
+    /** Whether there is a counter for a team and class. */
+    public boolean contains(TeamClass teamClass) {
+        return counts.containsKey(teamClass);
     }
 
     /** All admissions. */
--- a/src/main/java/stileferry/admission/AdmissionTotals.java
+++ b/src/main/java/stileferry/admission/AdmissionTotals.java
@@ -3,25 +3,27 @@
 import java.util.Collection;
 
 /**
- * All admissions as they were counted up to a revision of the state service. The count is kept in shards, so that
- * transactions in flight at the same time don't wait for each other; each shard is written in the transaction that
- * makes durable what it counts. Whoever reads all shards as they stood at one revision has the totals of that revision.
+ * All admissions that were counted up to a revision of the key-value store. The count is kept in shards, so that
+ * transactions in flight don't conflict; each shard is written in the transaction that makes durable what it counts.
+ * All shards as of one revision add up to the totals of that revision.
  *
  * @param counts the admissions
- * @param revision the state service's revision at which they hold
+ * @param revision the key-value store's revision at which they hold
  * @param completeUntilRevision the revision up to which nothing is missing; {@link #COMPLETE} if nothing is missing
  *     at all
  */
 public record AdmissionTotals(AdmissionCounts counts, long revision, long completeUntilRevision) {
-    /** Every leader has counted what it accepted. */
+    /** Stands for any revision: every leader has counted what it accepted. */
     public static final long COMPLETE = Long.MAX_VALUE;
 
+    private static final long FIRST_TERM = 1;
+
     /**
      * One shard as it is stored.
      *
-     * @param counts what was counted in it
-     * @param countingSinceTerm the unbroken run of terms in which it was last written, by the first of these terms
-     * @param completeUntilRevision as its writer knew it
+     * @param counts the admissions counted in it
+     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders in which it was written
+     * @param completeUntilRevision the revision up to which nothing was missing, as its writer knew it
      * @param revision of its last write
      */
     public record Shard(AdmissionCounts counts, long countingSinceTerm, long completeUntilRevision, long revision) {}
@@ -29,35 +31,38 @@
     /**
      * Adds shards up.
      *
-     * @param shards all shards as they stood at the revision
-     * @param run the first term of the unbroken run of counting leaders that lasts until now; 0: a leader that does not
-     *     count has begun a term since
+     * @param shards all shards as of the revision
+     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders that lasts until now; 0: a
+     *     leader that does not count has begun a term since
      */
-    public static AdmissionTotals of(Collection<Shard> shards, long run, long revision) {
+    public static AdmissionTotals of(Collection<Shard> shards, long countingSinceTerm, long revision) {
         AdmissionCounts counts = new AdmissionCounts();
         shards.forEach(shard -> counts.addAll(shard.counts()));
-        return new AdmissionTotals(counts, revision, completeUntilRevision(shards, run));
+        return new AdmissionTotals(counts, revision, completeUntilRevision(shards, countingSinceTerm));
     }
 
     /**
      * The revision up to which nothing is missing. Leaders of older versions, and those with the feature off, accept
-     * jobs and count nothing. A run of terms without such a leader is named by its first term; a shard of a former
-     * run says that somebody may have led in between who did not count, at any time after that run's last write.
+     * jobs without counting them. A shard that was last written in a former run of terms says that such a leader may
+     * have accepted jobs at any time after that write.
      */
-    public static long completeUntilRevision(Collection<Shard> shards, long run) {
-        long known = COMPLETE;
-        long lastRun = 0;
+    public static long completeUntilRevision(Collection<Shard> shards, long countingSinceTerm) {
+        long completeUntil = COMPLETE;
+        long lastCountingSince = 0;
         long lastWrite = 0;
         for (Shard shard : shards) {
-            known = Math.min(known, shard.completeUntilRevision());
-            lastRun = Math.max(lastRun, shard.countingSinceTerm());
+            completeUntil = Math.min(completeUntil, shard.completeUntilRevision());
+            lastCountingSince = Math.max(lastCountingSince, shard.countingSinceTerm());
             lastWrite = Math.max(lastWrite, shard.revision());
         }
-        if (known != COMPLETE) {
-            return known;
+        if (completeUntil != COMPLETE) {
+            return completeUntil;
         }
-        boolean unbroken = run == 1 || run > 0 && run == lastRun;
-        return unbroken ? COMPLETE : lastWrite;
+        return isUnbroken(countingSinceTerm, lastCountingSince) ? COMPLETE : lastWrite;
+    }
+
+    private static boolean isUnbroken(long countingSinceTerm, long lastCountingSince) {
+        return countingSinceTerm == FIRST_TERM || countingSinceTerm > 0 && countingSinceTerm == lastCountingSince;
     }
 
     /** Whether nothing is missing. */
--- a/src/main/java/stileferry/admission/BackPressure.java
+++ b/src/main/java/stileferry/admission/BackPressure.java
@@ -1,13 +1,13 @@
 package stileferry.admission;
 
-/** What kept a leader from accepting more. */
+/** What kept the leader from admitting more jobs: the bottleneck that the admission rate adapts to. */
 public enum BackPressure {
     /** Nothing. */
     NONE,
 
-    /** Its own time: it is behind with its work. */
+    /** The leader's event loop lags behind its work. */
     LEADER,
 
-    /** The state service, which takes changes more slowly than they come up. */
+    /** The key-value store commits changes more slowly than they come up. */
     KEY_VALUE_STORE
 }
--- a/src/main/java/stileferry/admission/DemandReport.java
+++ b/src/main/java/stileferry/admission/DemandReport.java
@@ -6,8 +6,8 @@
 import org.apache.datasketches.theta.CompactSketch;
 
 /**
- * What one controller saw of the demand lately: the distinct jobs that asked there, by flow. Merging it once more, or
- * later, or in another order changes nothing but the slice of time that it is counted in.
+ * The recent demand at one controller: a sketch of the distinct jobs that were submitted there, by flow. Merging is
+ * idempotent and commutative, except that the time of the merge decides the time slice.
  */
 public record DemandReport(SortedMap<Flow, CompactSketch> sketches) {
     /** Copies the map. */
--- a/src/main/java/stileferry/admission/Flow.java
+++ b/src/main/java/stileferry/admission/Flow.java
@@ -4,11 +4,12 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * The jobs of one class that one team submits at one priority: what demand, shares and turns are kept for.
+ * The jobs that one team submits in one job class at one priority: the unit for which demand is estimated and fair
+ * shares are computed. Ordered by priority tier, the most urgent first.
  *
  * @param team the team's name
  * @param jobClass the class of the jobs; {@link AdmissionConfig#OTHER_CLASSES} for those that are not told apart
- * @param priorityTier the priority, 0 for the most urgent
+ * @param priorityTier 0 for the most urgent
  */
 public record Flow(String team, String jobClass, int priorityTier) implements Comparable<Flow> {
     private static final Comparator<Flow> ORDER = Comparator.comparingInt(Flow::priorityTier)
@@ -19,7 +20,7 @@
     public Flow {
         InvalidInputException.require(team != null && !team.isEmpty(), "team", "missing or empty");
         InvalidInputException.require(jobClass != null, "jobClass", "missing");
-        InvalidInputException.require(priorityTier >= 0, "tier", "negative: " + priorityTier);
+        InvalidInputException.require(priorityTier >= 0, "priorityTier", "negative: " + priorityTier);
     }
 
     @Override
--- a/src/test/java/stileferry/admission/AdmissionDoorTest.java
+++ b/src/test/java/stileferry/admission/AdmissionDoorTest.java
@@ -155,7 +155,7 @@
     void inputThatCantBeRightIsNamedAndChangesNothing() {
         assertRefused("weights", () -> new AdmissionConfig(Map.of("red", 0.0), Set.of(), 1000, 5));
         assertRefused("intervalMs", () -> new AdmissionConfig(Map.of(), Set.of(), 0, 5));
-        assertRefused("mostPerS", () -> new AdmissionConfig(Map.of(), Set.of(), 1000, Double.NaN));
+        assertRefused("maxAdmissionsPerS", () -> new AdmissionConfig(Map.of(), Set.of(), 1000, Double.NaN));
         assertRefused("team", () -> new Flow("", "x", 0));
         assertRefused("capacity", () -> FairShareAllocator.allocate(-1, Map.of(), Map.of()));
         assertRefused("demands", () -> FairShareAllocator.allocate(1, Map.of(RED, -1.0), Map.of()));
