--- a/src/main/java/stileferry/admission/DemandEstimator.java
+++ b/src/main/java/stileferry/admission/DemandEstimator.java
@@ -8,9 +8,9 @@
 import org.apache.datasketches.theta.Sketch;
 
 /**
- * Who asks: distinct jobs by flow over the users' patience. Users repeat their requests at every controller, so
- * requests say nothing; ids do. The number of flows is bounded by the settings'
- * teams and classes ({@link AdmissionConfig#flow}).
+ * Estimates the demand of each flow as the distinct job ids over the clients' retry timeout; requests cannot be
+ * counted, as clients repeat them at any controller. The number of flows is bounded by the settings' teams and job
+ * classes ({@link AdmissionConfig#flow}). Times are in milliseconds.
  */
 final class DemandEstimator {
     private final AdmissionConfig config;
@@ -24,44 +24,46 @@
         return Math.floorDiv(now, config.demandSliceMs());
     }
 
-    private FlowDemandSketch of(Flow flow) {
-        return flows.computeIfAbsent(flow, any -> new FlowDemandSketch());
+    private FlowDemandSketch sketchOf(Flow flow) {
+        return flows.computeIfAbsent(flow, absent -> new FlowDemandSketch());
     }
 
+    /** A job was submitted and not admitted. */
     void recordRequest(Flow flow, String id, long now) {
-        of(flow).asked(id, slice(now));
+        sketchOf(flow).recordRequest(id, slice(now));
     }
 
+    /** A job was submitted and admitted. */
     void recordAdmission(Flow flow, String id, long now) {
-        of(flow).admitted(id, slice(now));
+        sketchOf(flow).recordAdmission(id, slice(now));
     }
 
-    /** Takes in what another controller saw. */
+    /** Merges another controller's sketch. */
     void merge(Flow flow, Sketch sketch, long now) {
-        of(flow).merge(sketch, slice(now));
+        sketchOf(flow).merge(sketch, slice(now));
     }
 
-    /** What this controller saw in the slice under way. */
+    /** This controller's own sketches of the current time slice, without those of other controllers. */
     SortedMap<Flow, CompactSketch> currentSketches(long now) {
-        SortedMap<Flow, CompactSketch> seen = new TreeMap<>();
+        SortedMap<Flow, CompactSketch> sketches = new TreeMap<>();
         flows.forEach((flow, demand) -> {
-            CompactSketch sketch = demand.seen(slice(now));
+            CompactSketch sketch = demand.ownSketch(slice(now));
             if (sketch != null) {
-                seen.put(flow, sketch);
+                sketches.put(flow, sketch);
             }
         });
-        return seen;
+        return sketches;
     }
 
-    /** Jobs that wait, by flow; flows of which nothing is heard any more are forgotten. */
+    /** Jobs that wait, by flow; drops flows without any recent request. */
     SortedMap<Flow, DemandEstimate> waitingJobs(long now) {
-        flows.values().removeIf(demand -> demand.idle(slice(now)));
-        SortedMap<Flow, DemandEstimate> waiting = new TreeMap<>();
-        flows.forEach((flow, demand) -> waiting.put(flow, demand.waiting(slice(now))));
-        return waiting;
+        flows.values().removeIf(demand -> demand.isIdle(slice(now)));
+        SortedMap<Flow, DemandEstimate> waitingJobs = new TreeMap<>();
+        flows.forEach((flow, demand) -> waitingJobs.put(flow, demand.waitingJobs(slice(now))));
+        return waitingJobs;
     }
 
-    /** Admissions a second that a flow was given lately. */
+    /** A flow's admissions a second over the clients' retry timeout. */
     double admittedPerS(Flow flow, long now) {
         FlowDemandSketch demand = flows.get(flow);
         return demand == null ? 0 : demand.admissions(slice(now)) / AdmissionConfig.CLIENT_RETRY_TIMEOUT_S;
--- a/src/main/java/stileferry/admission/FlowDemandSketch.java
+++ b/src/main/java/stileferry/admission/FlowDemandSketch.java
@@ -1,6 +1,7 @@
 package stileferry.admission;
 
-import org.apache.datasketches.theta.AnotB;
+import java.util.Arrays;
+import java.util.List;
 import org.apache.datasketches.theta.CompactSketch;
 import org.apache.datasketches.theta.SetOperation;
 import org.apache.datasketches.theta.Sketch;
@@ -8,26 +9,28 @@
 import org.apache.datasketches.theta.UpdateSketch;
 
 /**
- * The demand of one flow over a sliding time, as a ring of slices. Each slice holds a theta sketch of the distinct ids
- * that asked and one of those that were admitted. Memory is fixed, however many ask; sketches of other controllers are
- * merged by a union, so order and repetition do not matter.
+ * The demand of one flow over a sliding window, as a ring buffer of time slices. Each slice holds a theta sketch of the
+ * distinct job ids that were submitted and one of those that were admitted. Memory is fixed, however many jobs there
+ * are. Sketches of other controllers are merged by a union, so order and repetition do not matter.
  */
 final class FlowDemandSketch {
-    /** Nominal entries of a sketch: a relative standard error of 1/16 beyond, exact counts below. */
+    /** Nominal entries of a sketch: exact up to this many ids, a relative standard error of 1/16 beyond. */
     static final int NOMINAL_ENTRIES = 256;
 
-    private final Slice[] slices = new Slice[AdmissionConfig.DEMAND_SLICES];
+    private static final int BOUND_STANDARD_DEVIATIONS = 2;
 
-    /** What one stretch of time saw. */
+    private final Slice[] ring = new Slice[AdmissionConfig.DEMAND_SLICES];
+
+    /** One time slice. */
     private static final class Slice {
-        final long number;
-        final UpdateSketch asked = newSketch();
-        final UpdateSketch admitted = newSketch();
+        private final long number;
+        private final UpdateSketch requested = newSketch();
+        private final UpdateSketch admitted = newSketch();
 
-        /** What other controllers saw; null: nothing yet. */
-        Union merged;
+        /** What other controllers reported; null: nothing yet. */
+        private Union merged;
 
-        int admissions;
+        private int admissions;
 
         Slice(long number) {
             this.number = number;
@@ -36,89 +39,95 @@
         private static UpdateSketch newSketch() {
             return UpdateSketch.builder().setNominalEntries(NOMINAL_ENTRIES).build();
         }
+
+        void merge(Sketch sketch) {
+            if (merged == null) {
+                merged = newUnion();
+            }
+            merged.union(sketch);
+        }
+
+        void addTo(Union allRequested, Union allAdmitted) {
+            allRequested.union(requested);
+            allAdmitted.union(admitted);
+            if (merged != null) {
+                allRequested.union(merged.getResult());
+            }
+        }
+    }
+
+    private static Union newUnion() {
+        return SetOperation.builder().setNominalEntries(NOMINAL_ENTRIES).buildUnion();
     }
 
-    private Slice at(long slice) {
-        int index = (int) Math.floorMod(slice, (long) slices.length);
-        if (slices[index] == null || slices[index].number < slice) {
-            slices[index] = new Slice(slice);
+    private int index(long number) {
+        return (int) Math.floorMod(number, (long) ring.length);
+    }
+
+    /** The slice of that number, which takes the place of the one that has left the sliding window. */
+    private Slice slice(long number) {
+        int index = index(number);
+        if (ring[index] == null || ring[index].number < number) {
+            ring[index] = new Slice(number);
         }
-        return slices[index];
+        return ring[index];
     }
 
-    private boolean counts(Slice slice, long now) {
-        return slice != null && slice.number > now - slices.length;
+    /** The slices of the sliding window that ends with the current slice. */
+    private List<Slice> recent(long current) {
+        return Arrays.stream(ring)
+                .filter(slice -> slice != null && slice.number > current - ring.length)
+                .toList();
     }
 
-    void asked(String id, long slice) {
-        at(slice).asked.update(id);
+    void recordRequest(String id, long current) {
+        slice(current).requested.update(id);
     }
 
-    void admitted(String id, long slice) {
-        Slice current = at(slice);
-        current.asked.update(id);
-        current.admitted.update(id);
-        current.admissions++;
+    void recordAdmission(String id, long current) {
+        Slice slice = slice(current);
+        slice.requested.update(id);
+        slice.admitted.update(id);
+        slice.admissions++;
     }
 
-    void merge(Sketch sketch, long slice) {
-        Slice current = at(slice);
-        if (current.merged == null) {
-            current.merged =
-                    SetOperation.builder().setNominalEntries(NOMINAL_ENTRIES).buildUnion();
-        }
-        current.merged.union(sketch);
+    /** Merges another controller's sketch. */
+    void merge(Sketch sketch, long current) {
+        slice(current).merge(sketch);
     }
 
-    /** What this controller saw in the slice; null: nothing. */
-    CompactSketch seen(long slice) {
-        Slice current = slices[(int) Math.floorMod(slice, (long) slices.length)];
-        if (current == null || current.number != slice || current.asked.isEmpty()) {
+    /** The jobs that were submitted to this controller in the current slice; null: none. */
+    CompactSketch ownSketch(long current) {
+        Slice slice = ring[index(current)];
+        if (slice == null || slice.number != current || slice.requested.isEmpty()) {
             return null;
         }
-        return current.asked.rebuild().compact();
+        return slice.requested.rebuild().compact();
     }
 
-    /** Jobs that asked and were not admitted, over all slices up to this one. */
-    DemandEstimate waiting(long slice) {
-        Union asked = SetOperation.builder().setNominalEntries(NOMINAL_ENTRIES).buildUnion();
-        Union admitted =
-                SetOperation.builder().setNominalEntries(NOMINAL_ENTRIES).buildUnion();
-        boolean any = false;
-        for (Slice one : slices) {
-            if (counts(one, slice)) {
-                any = true;
-                asked.union(one.asked);
-                admitted.union(one.admitted);
-                if (one.merged != null) {
-                    asked.union(one.merged.getResult());
-                }
-            }
-        }
-        if (!any) {
+    /** Jobs that were submitted and not admitted within the sliding window. */
+    DemandEstimate waitingJobs(long current) {
+        List<Slice> recent = recent(current);
+        if (recent.isEmpty()) {
             return DemandEstimate.NONE;
         }
-        AnotB difference = SetOperation.builder().buildANotB();
-        Sketch waiting = difference.aNotB(asked.getResult(), admitted.getResult());
-        return new DemandEstimate(waiting.getEstimate(), waiting.getLowerBound(2), waiting.getUpperBound(2));
+        Union requested = newUnion();
+        Union admitted = newUnion();
+        recent.forEach(slice -> slice.addTo(requested, admitted));
+        Sketch waiting = SetOperation.builder().buildANotB().aNotB(requested.getResult(), admitted.getResult());
+        return new DemandEstimate(
+                waiting.getEstimate(),
+                waiting.getLowerBound(BOUND_STANDARD_DEVIATIONS),
+                waiting.getUpperBound(BOUND_STANDARD_DEVIATIONS));
     }
 
-    /** Admissions in the slices that are over or under way. */
-    int admissions(long slice) {
-        int sum = 0;
-        for (Slice one : slices) {
-            sum += counts(one, slice) ? one.admissions : 0;
-        }
-        return sum;
+    /** Admissions within the sliding window. */
+    int admissions(long current) {
+        return recent(current).stream().mapToInt(slice -> slice.admissions).sum();
     }
 
-    /** Whether nothing was seen for so long that the flow can be forgotten. */
-    boolean idle(long slice) {
-        for (Slice one : slices) {
-            if (counts(one, slice)) {
-                return false;
-            }
-        }
-        return true;
+    /** Whether the sliding window is empty, so that the flow can be dropped. */
+    boolean isIdle(long current) {
+        return recent(current).isEmpty();
     }
 }
