--- a/src/main/java/stileferry/admission/AdaptiveRateLimit.java
+++ b/src/main/java/stileferry/admission/AdaptiveRateLimit.java
@@ -1,42 +1,50 @@
 package stileferry.admission;
 
 /**
- * Admissions a second: additive increase while the leader keeps up, multiplicative decrease while it does not,
- * between a part of what the state service could take and all of it. While only the leader's own time is short, never
- * so low that users would give up before their turn: what it does not accept now it is asked for again.
+ * The total admission rate, adapted to back-pressure: additive increase without it, multiplicative decrease under it
+ * (AIMD). Bounded by what the key-value store takes at most, and from below by a part of that and of the rate it took
+ * lately. Without back-pressure of the store the rate also stays high enough for waiting clients to be admitted before
+ * they give up.
  */
 final class AdaptiveRateLimit {
-    private static final double DECREASE = 0.8;
-    private static final double STEPS = 16;
+    private static final double DECREASE_FACTOR = 0.8;
 
-    /** A round is to take no longer than a third of the users' patience: some are refused once more on the way. */
-    private static final double LONGEST_ROUND_S = AdmissionConfig.CLIENT_RETRY_TIMEOUT_S / 3;
+    /** Additive steps from nothing to the maximum; one of them is also the minimum. */
+    private static final double INCREASE_STEPS = 16;
 
-    private final double mostPerS;
+    /** Longest wait for an admission window: a third of the clients' timeout, as some are refused once more. */
+    private static final double MAX_ROUND_S = AdmissionConfig.CLIENT_RETRY_TIMEOUT_S / 3;
+
+    private final double maxPerS;
     private double perS;
 
-    AdaptiveRateLimit(double mostPerS) {
-        this.mostPerS = mostPerS;
-        this.perS = mostPerS;
+    AdaptiveRateLimit(double maxPerS) {
+        this.maxPerS = maxPerS;
+        this.perS = maxPerS;
     }
 
     /**
-     * The capacity for the next interval.
+     * Adapts the rate for the next interval and returns it, in admissions a second.
      *
-     * @param pressure how the leader fared in the last one
-     * @param waiting jobs that wait for their turns
-     * @param measuredPerS what was admitted a second over the users' patience: the state service has taken that
+     * @param backPressure what limited the leader in the last interval
+     * @param waitingJobs jobs that wait for admission
+     * @param admittedPerS rate of admissions over the clients' timeout, which the store has proved to take
      */
-    double step(BackPressure pressure, double waiting, double measuredPerS) {
-        perS = pressure == BackPressure.NONE ? perS + mostPerS / STEPS : perS * DECREASE;
-        double least = Math.max(mostPerS / STEPS, measuredPerS * DECREASE);
-        if (pressure != BackPressure.KEY_VALUE_STORE) {
-            least = Math.max(least, waiting / LONGEST_ROUND_S);
-        }
-        perS = Math.min(mostPerS, Math.max(least, perS));
+    double adjust(BackPressure backPressure, double waitingJobs, double admittedPerS) {
+        double adjusted = backPressure == BackPressure.NONE ? perS + maxPerS / INCREASE_STEPS : perS * DECREASE_FACTOR;
+        perS = Math.min(maxPerS, Math.max(minPerS(backPressure, waitingJobs, admittedPerS), adjusted));
         return perS;
     }
 
+    private double minPerS(BackPressure backPressure, double waitingJobs, double admittedPerS) {
+        double minimum = Math.max(maxPerS / INCREASE_STEPS, admittedPerS * DECREASE_FACTOR);
+        if (backPressure == BackPressure.KEY_VALUE_STORE) {
+            return minimum;
+        }
+        return Math.max(minimum, waitingJobs / MAX_ROUND_S);
+    }
+
+    /** The current rate, in admissions a second. */
     double perS() {
         return perS;
     }
--- a/src/main/java/stileferry/admission/AdmissionController.java
+++ b/src/main/java/stileferry/admission/AdmissionController.java
@@ -1,7 +1,6 @@
 package stileferry.admission;
 
 import com.google.common.cache.Cache;
-import com.google.common.cache.CacheBuilder;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SortedMap;
@@ -9,175 +8,205 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * The leader's decisions in one term: who is admitted now and who waits for how long. The only place where anything is
- * admitted. What it is asked about must be new: whoever asks again about an accepted job is none of its business.
+ * The leader's admission control in one term: decides which jobs are admitted now and how long the others wait. Nothing
+ * else admits jobs. The caller asks about new jobs only, not about those that were accepted before. Times are in
+ * milliseconds.
  */
 public final class AdmissionController {
+    private static final int MOST_URGENT_TIER = 0;
+
     private final AdmissionConfig config;
     private final long term;
-    private final DemandEstimator meter;
-    private final AdaptiveRateLimit limit;
-    private final Map<Flow, FlowRateLimiter> gates = new HashMap<>();
-    private final Map<Integer, TokenBucket> spare = new HashMap<>();
-    private final Map<Flow, Double> positions;
+    private final DemandEstimator demand;
+    private final AdaptiveRateLimit rateLimit;
+    private final Map<Flow, FlowRateLimiter> limiters = new HashMap<>();
+
+    /** By priority tier: the capacity that no flow of this tier or a more urgent one has been given. */
+    private final Map<Integer, TokenBucket> spareCapacity = new HashMap<>();
 
-    /** Jobs whose turn came but that could not be admitted then; their turn goes on until they can. */
-    private final Cache<String, Boolean> due;
+    /** Ring positions from which admission windows start, as the former leader left them. */
+    private final Map<Flow, Double> initialPositions;
+
+    /** Jobs in the window that could not be admitted; they stay admissible until they are. */
+    private final Cache<String, Boolean> deferredJobs;
 
     private SortedMap<Flow, Double> shares = new TreeMap<>();
     private AdmissionWindowTable table;
 
     /**
-     * The decisions of a term that begins.
+     * Begins a term.
      *
-     * @param last the last table that this controller had of the former leader, or null: turns go on from there
-     * @param lastAgeS seconds since that table was made
+     * @param previousTable the last table of the former leader that this controller has, or null: admission windows
+     *     continue from there
+     * @param previousTableAgeS seconds since that table was made
      */
-    public AdmissionController(AdmissionConfig config, long term, AdmissionWindowTable last, double lastAgeS) {
+    public AdmissionController(
+            AdmissionConfig config, long term, AdmissionWindowTable previousTable, double previousTableAgeS) {
         InvalidInputException.require(config != null, "config", "missing");
-        InvalidInputException.require(last == null || last.term() < term, "last", "not of a term before " + term);
+        InvalidInputException.require(
+                previousTable == null || previousTable.term() < term, "previousTable", "not of a term before " + term);
         this.config = config;
         this.term = term;
-        this.meter = new DemandEstimator(config);
-        this.limit = new AdaptiveRateLimit(config.maxAdmissionsPerS());
-        this.due = CacheBuilder.newBuilder()
-                .maximumSize(1 + Math.round(config.maxAdmissionsPerS() * AdmissionConfig.CLIENT_RETRY_TIMEOUT_S))
-                .concurrencyLevel(1)
-                .build();
-        this.positions = last == null ? Map.of() : last.positionsAfter(lastAgeS);
+        this.demand = new DemandEstimator(config);
+        this.rateLimit = new AdaptiveRateLimit(config.maxAdmissionsPerS());
+        this.deferredJobs =
+                JobIdCache.ofSize(1 + Math.round(config.maxAdmissionsPerS() * AdmissionConfig.CLIENT_RETRY_TIMEOUT_S));
+        this.initialPositions = previousTable == null ? Map.of() : previousTable.positionsAfter(previousTableAgeS);
         this.table = new AdmissionWindowTable(term, 1, new TreeMap<>());
     }
 
     /**
-     * Decides about a job that is not known yet.
+     * Decides about a new job.
      *
-     * @param flow what {@link AdmissionConfig#flow} says of it
+     * @param flow the job's flow by {@link AdmissionConfig#flow}
      */
     public AdmissionDecision decide(Flow flow, String id, long now) {
-        FlowRateLimiter gate = gate(flow, now);
-        double waitS = waitS(gate, id, now);
-        if (gate.take(waitS == 0, now)
-                || waitS == 0 && spare(flow.priorityTier(), now).take(now)) {
-            meter.recordAdmission(flow, id, now);
-            gate.count(true);
-            due.invalidate(id);
-            return AdmissionDecision.ADMITTED;
+        FlowRateLimiter limiter = limiter(flow, now);
+        double waitS = waitS(limiter, id, now);
+        boolean inWindow = waitS == 0;
+        if (!limiter.tryTake(inWindow, now) && !(inWindow && tryTakeSpare(flow.priorityTier(), now))) {
+            return refuse(flow, id, waitS, now);
         }
-        return refuse(flow, id, waitS, now);
+        demand.recordAdmission(flow, id, now);
+        limiter.countAdmitted();
+        deferredJobs.invalidate(id);
+        return AdmissionDecision.ADMITTED;
     }
 
-    /** Decides about a job that is not known yet at a moment at which nothing can be accepted. */
+    /** Refuses a new job at a moment when the leader can accept nothing, and says when to retry. */
     public AdmissionDecision defer(Flow flow, String id, long now) {
-        return refuse(flow, id, waitS(gate(flow, now), id, now), now);
+        return refuse(flow, id, waitS(limiter(flow, now), id, now), now);
     }
 
-    private double waitS(FlowRateLimiter gate, String id, long now) {
-        return due.getIfPresent(id) != null ? 0 : gate.waitS(JobIdHash.ringPosition(id), now);
+    private double waitS(FlowRateLimiter limiter, String id, long now) {
+        return deferredJobs.getIfPresent(id) != null ? 0 : limiter.waitS(JobIdHash.ringPosition(id), now);
     }
 
     private AdmissionDecision refuse(Flow flow, String id, double waitS, long now) {
-        meter.recordRequest(flow, id, now);
-        gate(flow, now).count(false);
+        demand.recordRequest(flow, id, now);
+        limiter(flow, now).countRefused();
         if (waitS > 0) {
             return AdmissionDecision.retryAfter(waitS);
         }
-        due.put(id, Boolean.TRUE);
-        return AdmissionDecision.retryAfter(
-                1 + JobIdHash.ringPosition(id) * AdmissionConfig.WINDOW_S / 2); // not all at once
+        deferredJobs.put(id, Boolean.TRUE);
+        double spreadS = JobIdHash.ringPosition(id) * AdmissionConfig.WINDOW_S / 2; // or all retry at once
+        return AdmissionDecision.retryAfter(1 + spreadS);
     }
 
-    private FlowRateLimiter gate(Flow flow, long now) {
-        return gates.computeIfAbsent(flow, f -> new FlowRateLimiter(positions.getOrDefault(f, 0.0), now));
+    private FlowRateLimiter limiter(Flow flow, long now) {
+        return limiters.computeIfAbsent(
+                flow, absent -> new FlowRateLimiter(initialPositions.getOrDefault(absent, 0.0), now));
     }
 
-    /** What nobody of this tier or a more urgent one has asked for. */
-    private TokenBucket spare(int tier, long now) {
-        return spare.computeIfAbsent(
-                tier,
-                t -> new TokenBucket(
-                        config.maxAdmissionsPerS(), config.maxAdmissionsPerS() * AdmissionConfig.WINDOW_S, now));
+    private boolean tryTakeSpare(int priorityTier, long now) {
+        return spareBucket(priorityTier, now).tryTake(now);
     }
 
-    /** Takes in what another controller saw of the demand. */
+    private TokenBucket spareBucket(int priorityTier, long now) {
+        double maxPerS = config.maxAdmissionsPerS();
+        return spareCapacity.computeIfAbsent(
+                priorityTier, absent -> new TokenBucket(maxPerS, maxPerS * AdmissionConfig.WINDOW_S, now));
+    }
+
+    /** Merges the demand that another controller refused; flows that the settings do not know are ignored. */
     public void mergeDemand(DemandReport report, long now) {
         report.sketches().forEach((flow, sketch) -> {
             if (flow.equals(config.flow(flow.team(), flow.jobClass(), flow.priorityTier()))) {
-                meter.merge(flow, sketch, now);
+                demand.merge(flow, sketch, now);
             }
         });
     }
 
     /**
-     * Divides the capacity anew, once an interval.
+     * Recomputes capacity, fair shares and admission windows, once an interval.
      *
-     * @param pressure what kept the leader from accepting more since the last time
+     * @param backPressure what kept the leader from admitting more since the last time
      */
-    public void updateShares(BackPressure pressure, long now) {
-        SortedMap<Flow, DemandEstimate> waiting = meter.waitingJobs(now);
-        double all = waiting.values().stream()
+    public void updateShares(BackPressure backPressure, long now) {
+        SortedMap<Flow, DemandEstimate> waiting = demand.waitingJobs(now);
+        double capacityPerS = adjustCapacity(backPressure, waiting, now);
+        shares = FairShareAllocator.allocate(capacityPerS, demandsPerS(waiting, now), config.weights());
+        limiters.keySet().retainAll(waiting.keySet());
+        SortedMap<Flow, AdmissionWindow> windows = updateLimiters(waiting, now);
+        updateSpareCapacity(capacityPerS, now);
+        table = new AdmissionWindowTable(term, table.sequence() + 1, windows);
+    }
+
+    private double adjustCapacity(BackPressure backPressure, SortedMap<Flow, DemandEstimate> waiting, long now) {
+        double waitingJobs = waiting.values().stream()
                 .mapToDouble(DemandEstimate::waitingJobs)
                 .sum();
-        double measured = waiting.keySet().stream()
-                .mapToDouble(flow -> meter.admittedPerS(flow, now))
+        double admittedPerS = waiting.keySet().stream()
+                .mapToDouble(flow -> demand.admittedPerS(flow, now))
                 .sum();
-        double capacity = limit.step(pressure, all, measured);
+        return rateLimit.adjust(backPressure, waitingJobs, admittedPerS);
+    }
+
+    /** What each flow asks for: to admit all that wait within one admission window, on top of its recent rate. */
+    private SortedMap<Flow, Double> demandsPerS(SortedMap<Flow, DemandEstimate> waiting, long now) {
         SortedMap<Flow, Double> demands = new TreeMap<>();
         waiting.forEach((flow, estimate) ->
-                demands.put(flow, estimate.waitingJobs() / AdmissionConfig.WINDOW_S + meter.admittedPerS(flow, now)));
-        shares = FairShareAllocator.allocate(capacity, demands, config.weights());
-        gates.keySet().retainAll(waiting.keySet());
-        SortedMap<Flow, AdmissionWindow> turns = new TreeMap<>();
+                demands.put(flow, estimate.waitingJobs() / AdmissionConfig.WINDOW_S + demand.admittedPerS(flow, now)));
+        return demands;
+    }
+
+    private SortedMap<Flow, AdmissionWindow> updateLimiters(SortedMap<Flow, DemandEstimate> waiting, long now) {
+        SortedMap<Flow, AdmissionWindow> windows = new TreeMap<>();
         shares.forEach((flow, share) -> {
-            FlowRateLimiter gate = gate(flow, now);
-            gate.set(share, waiting.get(flow).waitingJobs(), now);
-            if (gate.closed()) {
-                turns.put(flow, gate.turn());
+            FlowRateLimiter limiter = limiter(flow, now);
+            limiter.updateShare(share, waiting.get(flow).waitingJobs(), now);
+            if (limiter.isLimiting()) {
+                windows.put(flow, limiter.window());
             }
         });
-        setSpare(capacity, now);
-        table = new AdmissionWindowTable(term, table.sequence() + 1, turns);
-    }
-
-    private void setSpare(double capacity, long now) {
-        SortedMap<Integer, Double> taken = new TreeMap<>();
-        shares.forEach((flow, share) -> taken.merge(flow.priorityTier(), share, Double::sum));
-        spare.keySet().forEach(tier -> taken.putIfAbsent(tier, 0.0));
-        double left = capacity;
-        for (Map.Entry<Integer, Double> tier : taken.entrySet()) {
-            boolean first = tier.getKey() == 0; // the most urgent may have all that could ever be taken
-            left = Math.max(0, (first ? config.maxAdmissionsPerS() : left) - tier.getValue());
-            spare(tier.getKey(), now).set(left, left * AdmissionConfig.WINDOW_S, now);
-            left = first ? Math.max(0, capacity - tier.getValue()) : left;
+        return windows;
+    }
+
+    private void updateSpareCapacity(double capacityPerS, long now) {
+        double remainingPerS = capacityPerS;
+        for (Map.Entry<Integer, Double> tier : sharesByTier().entrySet()) {
+            boolean mostUrgent = tier.getKey() == MOST_URGENT_TIER;
+            double allowedPerS = mostUrgent ? config.maxAdmissionsPerS() : remainingPerS;
+            double sparePerS = Math.max(0, allowedPerS - tier.getValue());
+            spareBucket(tier.getKey(), now).reconfigure(sparePerS, sparePerS * AdmissionConfig.WINDOW_S, now);
+            remainingPerS = mostUrgent ? Math.max(0, capacityPerS - tier.getValue()) : sparePerS;
         }
     }
 
+    private SortedMap<Integer, Double> sharesByTier() {
+        SortedMap<Integer, Double> byTier = new TreeMap<>();
+        shares.forEach((flow, share) -> byTier.merge(flow.priorityTier(), share, Double::sum));
+        spareCapacity.keySet().forEach(tier -> byTier.putIfAbsent(tier, 0.0));
+        return byTier;
+    }
+
     /** The table as of the last {@link #updateShares}. */
     public AdmissionWindowTable table() {
         return table;
     }
 
-    /** What each flow was given, admissions a second. */
+    /** The fair share of each flow, in admissions a second. */
     public SortedMap<Flow, Double> shares() {
         return shares;
     }
 
     /** Jobs that wait, by flow. */
     public SortedMap<Flow, DemandEstimate> waitingJobs(long now) {
-        return meter.waitingJobs(now);
+        return demand.waitingJobs(now);
     }
 
-    /** Admissions a second that are divided. */
+    /** The total that the fair shares divide, in admissions a second. */
     public double capacityPerS() {
-        return limit.perS();
+        return rateLimit.perS();
     }
 
-    /** Requests of a flow that were admitted in this term, while it was kept. */
+    /** Requests of a flow admitted in this term; starts anew when the flow had no demand for a while. */
     public long admittedCount(Flow flow) {
-        return gates.containsKey(flow) ? gates.get(flow).admitted() : 0;
+        return limiters.containsKey(flow) ? limiters.get(flow).admittedCount() : 0;
     }
 
-    /** Requests of a flow that were refused in this term, while it was kept. */
+    /** Requests of a flow refused in this term; starts anew when the flow had no demand for a while. */
     public long refusedCount(Flow flow) {
-        return gates.containsKey(flow) ? gates.get(flow).refused() : 0;
+        return limiters.containsKey(flow) ? limiters.get(flow).refusedCount() : 0;
     }
 }
--- a/src/main/java/stileferry/admission/AdmissionWindow.java
+++ b/src/main/java/stileferry/admission/AdmissionWindow.java
@@ -3,14 +3,15 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * Whose turn it is in one flow: a pointer goes round a circle on which every job has a place. A job's turn begins when
- * the pointer reaches its place and lasts {@link AdmissionConfig#WINDOW_S}; so everybody's turn comes once a round.
+ * The admission window of one flow: an arc of a hash ring on which every job has a position. The window's head moves
+ * round the ring at a steady speed. A job is admissible from when the head reaches its position, for
+ * {@link AdmissionConfig#WINDOW_S} seconds; so every job is admissible once a round.
  *
- * @param position where the pointer was at the moment that the table was made, in [0, 1)
- * @param roundsPerS how fast it goes
+ * @param position ring position of the head when the table was made, in [0, 1)
+ * @param roundsPerS speed of the head, in rounds of the ring a second
  */
 public record AdmissionWindow(double position, double roundsPerS) {
-    /** Rounds that take no longer than a turn close nothing. */
+    /** At this speed or above the window covers the whole ring, so that nobody is refused. */
     static final double MIN_OPEN_ROUNDS_PER_S = 1 / AdmissionConfig.WINDOW_S;
 
     /** Checks both figures. */
@@ -22,20 +23,24 @@
                 "not between 0 and " + MIN_OPEN_ROUNDS_PER_S + ": " + roundsPerS);
     }
 
-    /** Where the pointer is some seconds later. */
+    /** Ring position of the head some seconds after the table was made. */
     double positionAfter(double seconds) {
-        double position = this.position + roundsPerS * seconds;
-        return position - Math.floor(position);
+        return fraction(position + roundsPerS * seconds);
     }
 
-    /** Seconds until a job's turn begins, so long after the table was made; 0: it is under way. */
-    double waitS(double place, double secondsAfter) {
-        double pointer = positionAfter(secondsAfter);
-        double passed = pointer - place;
-        passed -= Math.floor(passed);
-        if (passed < roundsPerS * AdmissionConfig.WINDOW_S) {
-            return 0;
-        }
-        return (1 - passed) / roundsPerS;
+    /**
+     * Seconds until a job is in the window; 0 if it is.
+     *
+     * @param jobPosition the job's ring position, in [0, 1)
+     * @param ageS seconds since the table was made
+     */
+    double waitS(double jobPosition, double ageS) {
+        double passedRounds = fraction(positionAfter(ageS) - jobPosition);
+        boolean inWindow = passedRounds < roundsPerS * AdmissionConfig.WINDOW_S;
+        return inWindow ? 0 : (1 - passedRounds) / roundsPerS;
+    }
+
+    private static double fraction(double rounds) {
+        return rounds - Math.floor(rounds);
     }
 }
--- a/src/main/java/stileferry/admission/FlowRateLimiter.java
+++ b/src/main/java/stileferry/admission/FlowRateLimiter.java
@@ -1,68 +1,92 @@
 package stileferry.admission;
 
-/** The leader's gate of one flow: the tokens of its share, and its pointer while it is closed. */
+/**
+ * The leader's rate limit of one flow: a token bucket that refills at the flow's fair share and, while more is asked
+ * than that, an admission window. Times are in milliseconds.
+ */
 final class FlowRateLimiter {
     private static final double MS_PER_S = 1000;
 
-    /** The slowest pointer: one round in an hour. */
-    private static final double SLOWEST = 1 / 3600.0;
+    /** The slowest admission window: one round in an hour. */
+    private static final double MIN_ROUNDS_PER_S = 1 / 3600.0;
+
+    /** Keeps rounding errors from making an almost unlimited flow's window invalid. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final TokenBucket bucket;
     private double position;
+
+    /** Speed of the admission window; 0: the flow is not limited. */
     private double roundsPerS;
-    private long setAt;
-    private long admitted;
-    private long refused;
 
+    private long updatedAt;
+    private long admittedCount;
+    private long refusedCount;
+
+    /**
+     * A flow that is not limited yet.
+     *
+     * @param position ring position from which the admission window starts
+     */
     FlowRateLimiter(double position, long now) {
         this.bucket = new TokenBucket(0, 1, now);
         this.position = position;
-        this.setAt = now;
+        this.updatedAt = now;
     }
 
-    /** Whether requests out of turn are refused. */
-    boolean closed() {
+    /** Whether jobs outside the admission window are refused. */
+    boolean isLimiting() {
         return roundsPerS > 0;
     }
 
-    /** Takes a new share; so many jobs wait for it. */
-    void set(double sharePerS, double waiting, long now) {
-        position = closed() ? turn().positionAfter((now - setAt) / MS_PER_S) : position;
-        setAt = now;
-        double rounds = waiting > 0 ? sharePerS / waiting : AdmissionWindow.MIN_OPEN_ROUNDS_PER_S;
-        roundsPerS = rounds >= AdmissionWindow.MIN_OPEN_ROUNDS_PER_S * (1 - 1e-6) ? 0 : Math.max(SLOWEST, rounds);
-        bucket.set(sharePerS, Math.max(1, sharePerS * AdmissionConfig.WINDOW_S), now);
+    /** Sets the flow's fair share in admissions a second; the window's speed follows from the jobs that wait. */
+    void updateShare(double sharePerS, double waitingJobs, long now) {
+        position = isLimiting() ? window().positionAfter(ageS(now)) : position;
+        updatedAt = now;
+        roundsPerS = windowSpeed(sharePerS, waitingJobs);
+        bucket.reconfigure(sharePerS, Math.max(1, sharePerS * AdmissionConfig.WINDOW_S), now);
+    }
+
+    private static double windowSpeed(double sharePerS, double waitingJobs) {
+        double speed = waitingJobs > 0 ? sharePerS / waitingJobs : AdmissionWindow.MIN_OPEN_ROUNDS_PER_S;
+        if (speed >= AdmissionWindow.MIN_OPEN_ROUNDS_PER_S * (1 - ROUNDING_TOLERANCE)) {
+            return 0;
+        }
+        return Math.max(MIN_ROUNDS_PER_S, speed);
     }
 
-    /** Whose turn it is, as of the last {@link #set}; only while closed. */
-    AdmissionWindow turn() {
+    private double ageS(long now) {
+        return (now - updatedAt) / MS_PER_S;
+    }
+
+    /** The admission window as of the last {@link #updateShare}; only while {@link #isLimiting}. */
+    AdmissionWindow window() {
         return new AdmissionWindow(position, roundsPerS);
     }
 
-    /** Seconds until a job's turn. */
-    double waitS(double place, long now) {
-        return closed() ? turn().waitS(place, (now - setAt) / MS_PER_S) : 0;
+    /** Seconds until a job is in the admission window; 0 if it is or if the flow is not limited. */
+    double waitS(double jobPosition, long now) {
+        return isLimiting() ? window().waitS(jobPosition, ageS(now)) : 0;
     }
 
-    /** Takes a token of the flow's share: all that are there in turn, or what lies idle. */
-    boolean take(boolean inTurn, long now) {
-        return inTurn ? bucket.take(now) : bucket.takeIdle(now);
+    /** Takes a token of the flow's share; jobs outside the window only get surplus ones. */
+    boolean tryTake(boolean inWindow, long now) {
+        return inWindow ? bucket.tryTake(now) : bucket.tryTakeSurplus(now);
     }
 
-    /** Counts what became of a request. */
-    void count(boolean wasAdmitted) {
-        if (wasAdmitted) {
-            admitted++;
-        } else {
-            refused++;
-        }
+    void countAdmitted() {
+        admittedCount++;
+    }
+
+    void countRefused() {
+        refusedCount++;
     }
 
-    long admitted() {
-        return admitted;
+    long admittedCount() {
+        return admittedCount;
     }
 
-    long refused() {
-        return refused;
+    long refusedCount() {
+        return refusedCount;
     }
 }
--- a/src/main/java/stileferry/admission/JobIdHash.java
+++ b/src/main/java/stileferry/admission/JobIdHash.java
@@ -4,15 +4,19 @@
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
 
-/** Where on the circle of turns a job stands: a number in [0, 1) that every controller computes alike. */
+/** Maps job ids to positions on the hash ring of {@link AdmissionWindow}, identically at every controller. */
 final class JobIdHash {
+    /** All versions must hash alike: the leader and the followers compare positions. */
     private static final HashFunction HASH = Hashing.murmur3_128(0x51f3);
-    private static final double UNIT = 0x1.0p-53;
+
+    private static final int MANTISSA_BITS = 53;
+    private static final double RING_UNIT = 0x1.0p-53;
 
     private JobIdHash() {}
 
-    /** The place of a job, evenly spread over all ids. */
+    /** The ring position of a job, in [0, 1), evenly distributed over all ids. */
     static double ringPosition(String id) {
-        return (HASH.hashString(id, StandardCharsets.UTF_8).asLong() >>> 11) * UNIT;
+        long hash = HASH.hashString(id, StandardCharsets.UTF_8).asLong();
+        return (hash >>> (Long.SIZE - MANTISSA_BITS)) * RING_UNIT;
     }
 }
--- a/src/main/java/stileferry/admission/LoadShedder.java
+++ b/src/main/java/stileferry/admission/LoadShedder.java
@@ -1,128 +1,137 @@
 package stileferry.admission;
 
 import com.google.common.cache.Cache;
-import com.google.common.cache.CacheBuilder;
 import stileferry.validation.InvalidInputException;
 
 /**
- * One controller's door. By the leader's last table it turns requests away whose turn it is not, without asking
- * anybody. Without a valid table it turns nobody away. It admits nothing: what it lets through is decided by the
- * leader.
+ * Load shedding at one controller: refuses jobs outside their flow's admission window by the leader's last table,
+ * without asking the leader. Without a valid table it refuses nobody. It never admits a job: the leader decides about
+ * what it lets through. Times are in milliseconds.
  */
 public final class LoadShedder {
     private static final double MS_PER_S = 1000;
 
-    /** Whoever meets a trouble comes back after so many seconds at most, so that its end is noticed soon. */
-    private static final double LONGEST_TROUBLE_WAIT_S = AdmissionConfig.MAX_RETRY_AFTER_S / 3.0;
+    /** Longest wait after a failure: shorter than others, so that clients soon notice its end. */
+    private static final double MAX_FAILURE_RETRY_S = AdmissionConfig.MAX_RETRY_AFTER_S / 3.0;
+
+    private static final long NOT_FAILING = -1;
 
     private final AdmissionConfig config;
-    private final DemandEstimator meter;
-    private final Cache<String, Boolean> known;
-    private final Cache<String, Boolean> due;
+    private final DemandEstimator demand;
+
+    /** Accepted jobs; whoever asks again about one is let through. */
+    private final Cache<String, Boolean> acceptedJobs;
+
+    /** Jobs that were deferred although in the window; they are let through until they are accepted. */
+    private final Cache<String, Boolean> deferredJobs;
+
     private AdmissionWindowTable table;
-    private long term;
-    private long receivedAt;
-    private long validUntil;
+    private long highestTerm;
+    private long tableReceivedAt;
+    private long tableValidUntil;
     private long refusedCount;
-
-    /** Since when nobody was accepted though somebody was to be; -1: not so. */
-    private long troubleSince = -1;
+    private long failingSince = NOT_FAILING;
 
     /**
-     * A door without a table.
+     * A load shedder without a table.
      *
-     * @param remembered accepted jobs that are remembered, so that nobody who asks again about one is turned away, and
-     *     as many whose turn has come
+     * @param maxRememberedJobs accepted jobs to remember, and as many deferred ones
      */
-    public LoadShedder(AdmissionConfig config, int remembered) {
+    public LoadShedder(AdmissionConfig config, int maxRememberedJobs) {
         InvalidInputException.require(config != null, "config", "missing");
-        InvalidInputException.require(remembered > 0, "remembered", "not above 0: " + remembered);
+        InvalidInputException.require(maxRememberedJobs > 0, "maxRememberedJobs", "not above 0: " + maxRememberedJobs);
         this.config = config;
-        this.meter = new DemandEstimator(config);
-        this.known = cache(remembered);
-        this.due = cache(remembered);
-    }
-
-    private static Cache<String, Boolean> cache(int most) {
-        return CacheBuilder.newBuilder().maximumSize(most).concurrencyLevel(1).build();
+        this.demand = new DemandEstimator(config);
+        this.acceptedJobs = JobIdCache.ofSize(maxRememberedJobs);
+        this.deferredJobs = JobIdCache.ofSize(maxRememberedJobs);
     }
 
-    /** A term of leading is known; what a former leader said of turns holds no more. */
-    public void observeTerm(long newTerm) {
-        term = Math.max(term, newTerm);
+    /** Takes note of a leader's term; tables of former terms are no longer valid. */
+    public void observeTerm(long term) {
+        highestTerm = Math.max(highestTerm, term);
     }
 
-    /** Takes in a table that was asked for at one moment and received at another; older ones change nothing. */
-    public void updateTable(AdmissionWindowTable newer, long askedAt, long now) {
-        InvalidInputException.require(askedAt <= now, "askedAt", "after now");
-        if (newer.term() < term || table != null && !newer.isAfter(table)) {
+    /**
+     * Replaces the table if the new one is more recent.
+     *
+     * @param requestedAt when the table was asked for, from which its validity is counted
+     */
+    public void updateTable(AdmissionWindowTable newTable, long requestedAt, long now) {
+        InvalidInputException.require(requestedAt <= now, "requestedAt", "after now");
+        if (newTable.term() < highestTerm || table != null && !newTable.isAfter(table)) {
             return;
         }
-        term = newer.term();
-        table = newer;
-        receivedAt = now;
-        validUntil = askedAt + config.tableValidityMs();
+        highestTerm = newTable.term();
+        table = newTable;
+        tableReceivedAt = now;
+        tableValidUntil = requestedAt + config.tableValidityMs();
     }
 
     /** Whether there is a table that may be used now. */
     public boolean hasValidTable(long now) {
-        return table != null && table.term() == term && now < validUntil;
+        return table != null && table.term() == highestTerm && now < tableValidUntil;
     }
 
-    /** The last table, of whatever age; null: there never was one. */
+    /** The last table, valid or not; null if there never was one. */
     public AdmissionWindowTable lastTable() {
         return table;
     }
 
     /** Seconds since the last table was received. */
     public double tableAgeS(long now) {
-        return (now - receivedAt) / MS_PER_S;
+        return (now - tableReceivedAt) / MS_PER_S;
     }
 
-    /** A job that was let through was refused all the same: its turn goes on until it is accepted. */
+    /** A job that was let through was deferred by the leader: it is let through until it is accepted. */
     public void recordDeferred(String id) {
-        due.put(id, Boolean.TRUE);
+        deferredJobs.put(id, Boolean.TRUE);
     }
 
-    /** A job was accepted, as its user was told here: whoever asks again is let through from now on. */
+    /** A job was accepted and its client was told so here: requests about it are let through from now on. */
     public void recordAccepted(String id) {
-        known.put(id, Boolean.TRUE);
-        due.invalidate(id);
-        troubleSince = -1;
+        acceptedJobs.put(id, Boolean.TRUE);
+        deferredJobs.invalidate(id);
+        failingSince = NOT_FAILING;
     }
 
     /**
-     * Seconds after which a request is worth another try that nobody could decide about, for want of a leader or of
-     * time. They grow with the trouble, and differ from job to job, so that all who were refused do not return
-     * together.
+     * Seconds after which to retry a request that nobody could decide about, for want of a leader or of time. They
+     * grow with the time that this has lasted and differ from job to job, so that clients do not return all at once.
      */
     public int retryAfterFailureS(String id, long now) {
-        troubleSince = troubleSince < 0 ? now : troubleSince;
-        double lastedS = (now - troubleSince) / MS_PER_S;
-        return AdmissionDecision.retryAfter(JobIdHash.ringPosition(id) * Math.min(LONGEST_TROUBLE_WAIT_S, 1 + lastedS))
+        if (failingSince < 0) {
+            failingSince = now;
+        }
+        double failingS = (now - failingSince) / MS_PER_S;
+        double maxWaitS = Math.min(MAX_FAILURE_RETRY_S, 1 + failingS);
+        return AdmissionDecision.retryAfter(JobIdHash.ringPosition(id) * maxWaitS)
                 .retryAfterS();
     }
 
-    /** Seconds after which a request is worth another try; 0: it is let through. */
+    /** Seconds after which to retry a request; 0 if it is let through. */
     public int retryAfterS(Flow flow, String id, long now) {
-        if (known.getIfPresent(id) != null || !hasValidTable(now) || due.getIfPresent(id) != null) {
+        if (!mayRefuse(id, now)) {
             return 0;
         }
         double waitS = table.waitS(flow, id, tableAgeS(now));
         if (waitS == 0) {
             return 0;
         }
-        meter.recordRequest(flow, id, now);
+        demand.recordRequest(flow, id, now);
         refusedCount++;
         return AdmissionDecision.retryAfter(waitS).retryAfterS();
     }
 
-    /** What was turned away here lately, for the leader's account of the demand; what was let through it knows. */
+    private boolean mayRefuse(String id, long now) {
+        return acceptedJobs.getIfPresent(id) == null && hasValidTable(now) && deferredJobs.getIfPresent(id) == null;
+    }
+
+    /** The demand refused here lately, for the leader, which knows the demand that was let through. */
     public DemandReport demandReport(long now) {
-        return new DemandReport(meter.currentSketches(now));
+        return new DemandReport(demand.currentSketches(now));
     }
 
-    /** Requests that were turned away here since the start. */
+    /** Requests refused here since the start. */
     public long refusedCount() {
         return refusedCount;
     }
--- a/src/main/java/stileferry/admission/TokenBucket.java
+++ b/src/main/java/stileferry/admission/TokenBucket.java
@@ -1,37 +1,38 @@
 package stileferry.admission;
 
-/** Tokens that come at a rate and are kept up to a bound; the rate may change at any time. */
+/** A token bucket whose refill rate and capacity can be changed at any time. Times are in milliseconds. */
 final class TokenBucket {
     private static final double MS_PER_S = 1000;
 
-    private double perS;
-    private double most;
+    private double refillPerS;
+    private double capacity;
     private double tokens;
-    private long filledAt;
+    private long refilledAt;
 
-    TokenBucket(double perS, double most, long now) {
-        this.perS = perS;
-        this.most = most;
-        this.tokens = most;
-        this.filledAt = now;
+    /** A full bucket. */
+    TokenBucket(double refillPerS, double capacity, long now) {
+        this.refillPerS = refillPerS;
+        this.capacity = capacity;
+        this.tokens = capacity;
+        this.refilledAt = now;
     }
 
-    private void fill(long now) {
-        tokens = Math.min(most, tokens + Math.max(0, now - filledAt) / MS_PER_S * perS);
-        filledAt = Math.max(filledAt, now);
+    private void refill(long now) {
+        tokens = Math.min(capacity, tokens + Math.max(0, now - refilledAt) / MS_PER_S * refillPerS);
+        refilledAt = Math.max(refilledAt, now);
     }
 
-    /** From now on tokens come at another rate, and no more than the bound are kept. */
-    void set(double newPerS, double newMost, long now) {
-        fill(now);
-        perS = newPerS;
-        most = newMost;
-        tokens = Math.min(tokens, most);
+    /** Changes rate and capacity from now on; tokens above the new capacity are dropped. */
+    void reconfigure(double newRefillPerS, double newCapacity, long now) {
+        refill(now);
+        refillPerS = newRefillPerS;
+        capacity = newCapacity;
+        tokens = Math.min(tokens, capacity);
     }
 
     /** Takes a token if there is one. */
-    boolean take(long now) {
-        fill(now);
+    boolean tryTake(long now) {
+        refill(now);
         if (tokens < 1) {
             return false;
         }
@@ -39,9 +40,9 @@
         return true;
     }
 
-    /** Takes a token if the bucket is half full, so that what comes in its turn is not kept waiting for it. */
-    boolean takeIdle(long now) {
-        fill(now);
-        return tokens >= most / 2 && take(now);
+    /** Takes a token if the bucket is at least half full, which leaves the other half to jobs in the window. */
+    boolean tryTakeSurplus(long now) {
+        refill(now);
+        return tokens >= capacity / 2 && tryTake(now);
     }
 }
--- a/src/main/java/stileferry/admission/package-info.java
+++ b/src/main/java/stileferry/admission/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Who is admitted under overload: demand, shares, turns and the count of what was admitted. Pure: time and events go
- * in, decisions come out; no I/O, no threads, no clock. Usable without the rest of the service (docs/admission.md).
+ * Admission control under overload: demand estimation, weighted fair shares, rate limits and the count of admissions.
+ * Pure: time and events go in, decisions come out; no I/O, no threads, no clock. Embeddable in other programs
+ * (docs/admission.md).
  *
- * <p>One controller, the leader, decides with an {@link stileferry.admission.AdmissionController}. All others hold an
- * {@link stileferry.admission.AdmissionDoor} with the leader's last {@link stileferry.admission.TurnTable}. A door can
- * turn a request away; it admits nothing by itself.
+ * <p>One controller, the leader, decides with an {@link stileferry.admission.AdmissionController}. All controllers hold
+ * a {@link stileferry.admission.LoadShedder} with the leader's last
+ * {@link stileferry.admission.AdmissionWindowTable}. A load shedder can refuse a request; it never admits one.
  */
 package stileferry.admission;
--- a/src/test/java/stileferry/admission/AdmissionDoorTest.java
+++ b/src/test/java/stileferry/admission/AdmissionDoorTest.java
@@ -161,12 +161,12 @@
         assertRefused("demands", () -> FairShareAllocator.allocate(1, Map.of(RED, -1.0), Map.of()));
         assertRefused("term", () -> new AdmissionWindowTable(0, 1, new TreeMap<>()));
         assertRefused("roundsPerS", () -> new AdmissionWindow(0, 0));
-        assertRefused("last", () -> new AdmissionController(CONFIG, 3, closed(3, 1), 0));
-        assertRefused("remembered", () -> new LoadShedder(CONFIG, 0));
+        assertRefused("previousTable", () -> new AdmissionController(CONFIG, 3, closed(3, 1), 0));
+        assertRefused("maxRememberedJobs", () -> new LoadShedder(CONFIG, 0));
         assertRefused("number", () -> new AdmissionCounts().add(AdmissionCounts.TeamClass.of(RED), 0));
         LoadShedder door = door();
         door.updateTable(closed(2, 2), 0, 0);
-        assertRefused("askedAt", () -> door.updateTable(closed(2, 3), 6, 5));
+        assertRefused("requestedAt", () -> door.updateTable(closed(2, 3), 6, 5));
         assertEquals(2, door.lastTable().sequence());
     }
 
