--- a/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
+++ b/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
@@ -25,14 +25,15 @@
     private static final Map<String, Double> WEIGHTS = Map.of("a", 1.0, "b", 2.0, "c", 0.25);
     private static final AdmissionConfig CONFIG = new AdmissionConfig(WEIGHTS, Set.of("x", "y"), 1000, 10);
 
+    /** Three teams, two job classes and four priority tiers. */
     private static Flow flow(int number) {
         return new Flow(List.of("a", "b", "c").get(number % 3), number / 3 % 2 == 0 ? "x" : "y", number / 6 % 4);
     }
 
-    private static SortedMap<Flow, Double> demands(List<Double> wanted) {
+    private static SortedMap<Flow, Double> demands(List<Double> demandByFlow) {
         SortedMap<Flow, Double> demands = new TreeMap<>();
-        for (int i = 0; i < wanted.size(); i++) {
-            demands.put(flow(i), wanted.get(i));
+        for (int i = 0; i < demandByFlow.size(); i++) {
+            demands.put(flow(i), demandByFlow.get(i));
         }
         return demands;
     }
@@ -41,138 +42,153 @@
         return figures.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
+    private static double sumOfTier(Map<Flow, Double> figures, int tier) {
+        return figures.entrySet().stream()
+                .filter(entry -> entry.getKey().priorityTier() == tier)
+                .mapToDouble(Map.Entry::getValue)
+                .sum();
+    }
+
     @Property(tries = 500)
-    void sharesNeverExceedTheCapacityOrTheDemandAndLeaveNothingOver(
-            @ForAll @Size(max = 24) List<@DoubleRange(min = 0, max = 50) Double> wanted,
+    void sharesAreWorkConservingAndWithinCapacityAndDemand(
+            @ForAll @Size(max = 24) List<@DoubleRange(min = 0, max = 50) Double> demandByFlow,
             @ForAll @DoubleRange(min = 0, max = 100) double capacity) {
-        SortedMap<Flow, Double> demands = demands(wanted);
+        SortedMap<Flow, Double> demands = demands(demandByFlow);
         SortedMap<Flow, Double> shares = FairShareAllocator.allocate(capacity, demands, WEIGHTS);
         shares.forEach((flow, share) -> assertTrue(share <= demands.get(flow) + TOLERANCE, flow + " has " + share));
         assertEquals(Math.min(capacity, sum(demands)), sum(shares), TOLERANCE * 100);
     }
 
     @Property(tries = 300)
-    void nobodyWhoAsksIsLeftWithNothingAndTheUrgentComeFirst(
-            @ForAll @Size(min = 1, max = 24) List<@DoubleRange(min = 0.1, max = 50) Double> wanted,
+    void noFlowStarvesAndTheMostUrgentTierComesFirst(
+            @ForAll @Size(min = 1, max = 24) List<@DoubleRange(min = 0.1, max = 50) Double> demandByFlow,
             @ForAll @DoubleRange(min = 0.1, max = 100) double capacity) {
-        SortedMap<Flow, Double> demands = demands(wanted);
+        SortedMap<Flow, Double> demands = demands(demandByFlow);
         SortedMap<Flow, Double> shares = FairShareAllocator.allocate(capacity, demands, WEIGHTS);
         shares.forEach((flow, share) -> assertTrue(share > 0, flow + " is starved"));
-        int first = demands.firstKey().priorityTier();
-        double urgent = demands.entrySet().stream()
-                .filter(e -> e.getKey().priorityTier() == first)
-                .mapToDouble(Map.Entry::getValue)
-                .sum();
-        double given = shares.entrySet().stream()
-                .filter(e -> e.getKey().priorityTier() == first)
-                .mapToDouble(Map.Entry::getValue)
-                .sum();
-        int tiersBelow = (int) demands.keySet().stream()
-                        .map(Flow::priorityTier)
-                        .distinct()
-                        .count()
-                - 1;
-        double kept = Math.max(0, 1 - FairShareAllocator.MIN_TIER_FRACTION * tiersBelow) * capacity;
-        assertTrue(given >= Math.min(urgent, kept) - TOLERANCE, "tier " + first + " has " + given);
+        int firstTier = demands.firstKey().priorityTier();
+        double demandOfFirst = sumOfTier(demands, firstTier);
+        double shareOfFirst = sumOfTier(shares, firstTier);
+        long lowerTiers =
+                demands.keySet().stream().map(Flow::priorityTier).distinct().count() - 1;
+        double notReserved = Math.max(0, 1 - FairShareAllocator.MIN_TIER_FRACTION * lowerTiers) * capacity;
+        assertTrue(
+                shareOfFirst >= Math.min(demandOfFirst, notReserved) - TOLERANCE,
+                "tier " + firstTier + " has " + shareOfFirst);
     }
 
-    /** Of two teams in one tier, both unsatisfied, each has its weight's part: nobody gains by asking for more. */
+    /** Two teams in one tier with more demand than capacity share it by weight: asking for more gains nothing. */
     @Property(tries = 300)
-    void unsatisfiedTeamsHaveTheirWeights(
-            @ForAll @DoubleRange(min = 10, max = 1000) double a, @ForAll @DoubleRange(min = 10, max = 1000) double b) {
+    void unsatisfiedTeamsShareByWeight(
+            @ForAll @DoubleRange(min = 10, max = 1000) double demandOfA,
+            @ForAll @DoubleRange(min = 10, max = 1000) double demandOfB) {
         Flow ofA = new Flow("a", "x", 2);
         Flow ofB = new Flow("b", "x", 2);
-        SortedMap<Flow, Double> shares = FairShareAllocator.allocate(3, Map.of(ofA, a, ofB, b), WEIGHTS);
+        SortedMap<Flow, Double> shares =
+                FairShareAllocator.allocate(3, Map.of(ofA, demandOfA, ofB, demandOfB), WEIGHTS);
         assertEquals(1, shares.get(ofA), TOLERANCE);
         assertEquals(2, shares.get(ofB), TOLERANCE);
     }
 
-    /** Reports of several controllers lead to the same in any order, some of them twice. */
+    /** Reports of several controllers add up to the same in any order, some of them repeated. */
     @Property(tries = 100)
-    void demandMergesInAnyOrderToTheSame(
-            @ForAll @Size(min = 1, max = 200) List<@IntRange(min = 0, max = 400) Integer> ids,
-            @ForAll @LongRange(min = 0, max = 1_000_000) long shuffle) {
+    void mergingDemandIsCommutativeAndIdempotent(
+            @ForAll @Size(min = 1, max = 200) List<@IntRange(min = 0, max = 400) Integer> jobs,
+            @ForAll @LongRange(min = 0, max = 1_000_000) long shuffleSeed) {
         List<DemandReport> reports = new ArrayList<>();
-        DemandEstimator seenByOne = new DemandEstimator(CONFIG);
-        DemandEstimator[] doors = {new DemandEstimator(CONFIG), new DemandEstimator(CONFIG), new DemandEstimator(CONFIG)
-        };
-        for (int i = 0; i < ids.size(); i++) {
-            String id = "job-" + ids.get(i);
-            seenByOne.recordRequest(flow(ids.get(i) % 4), id, 1);
-            doors[i % 3].recordRequest(flow(ids.get(i) % 4), id, 1);
-            reports.add(new DemandReport(doors[i % 3].currentSketches(1)));
+        DemandEstimator single = new DemandEstimator(CONFIG);
+        List<DemandEstimator> controllers =
+                List.of(new DemandEstimator(CONFIG), new DemandEstimator(CONFIG), new DemandEstimator(CONFIG));
+        for (int i = 0; i < jobs.size(); i++) {
+            String id = "job-" + jobs.get(i);
+            Flow flow = flow(jobs.get(i) % 4);
+            DemandEstimator controller = controllers.get(i % controllers.size());
+            single.recordRequest(flow, id, 1);
+            controller.recordRequest(flow, id, 1);
+            reports.add(new DemandReport(controller.currentSketches(1)));
         }
-        Collections.shuffle(reports, new Random(shuffle));
+        Collections.shuffle(reports, new Random(shuffleSeed));
         reports.addAll(List.copyOf(reports.subList(0, reports.size() / 2)));
+        assertEquals(single.waitingJobs(1), merge(reports).waitingJobs(1));
+    }
+
+    private static DemandEstimator merge(List<DemandReport> reports) {
         DemandEstimator merged = new DemandEstimator(CONFIG);
         reports.forEach(report -> AdmissionCodec.decodeDemand(AdmissionCodec.encode(report))
                 .sketches()
                 .forEach((flow, sketch) -> merged.merge(flow, sketch, 1)));
-        assertEquals(seenByOne.waitingJobs(1), merged.waitingJobs(1));
+        return merged;
     }
 
-    /** Sketches against exact counts: no error below their size, and the stated bounds beyond it. */
+    /** Sketches against exact counts: exact below the nominal entries, within the error bound beyond. */
     @Property(tries = 60)
-    void estimatesKeepTheirBounds(
-            @ForAll @IntRange(min = 0, max = 3000) int asking, @ForAll @IntRange(min = 0, max = 3000) int admitted) {
-        DemandEstimator meter = new DemandEstimator(CONFIG);
-        int served = Math.min(asking, admitted);
-        for (int i = 0; i < asking; i++) {
-            meter.recordRequest(flow(0), "job-" + i, 1);
-            if (i < served) {
-                meter.recordAdmission(flow(0), "job-" + i, 1);
+    void demandEstimatesKeepTheirErrorBounds(
+            @ForAll @IntRange(min = 0, max = 3000) int requested,
+            @ForAll @IntRange(min = 0, max = 3000) int maxAdmitted) {
+        DemandEstimator demand = new DemandEstimator(CONFIG);
+        int admitted = Math.min(requested, maxAdmitted);
+        for (int i = 0; i < requested; i++) {
+            demand.recordRequest(flow(0), "job-" + i, 1);
+            if (i < admitted) {
+                demand.recordAdmission(flow(0), "job-" + i, 1);
             }
         }
-        DemandEstimate estimate = meter.waitingJobs(1).getOrDefault(flow(0), DemandEstimate.NONE);
-        int exact = asking - served;
-        if (asking <= FlowDemandSketch.NOMINAL_ENTRIES) {
+        DemandEstimate estimate = demand.waitingJobs(1).getOrDefault(flow(0), DemandEstimate.NONE);
+        int exact = requested - admitted;
+        if (requested <= FlowDemandSketch.NOMINAL_ENTRIES) {
             assertEquals(exact, estimate.waitingJobs());
         } else { // three standard deviations of the larger set
-            assertEquals(exact, estimate.waitingJobs(), 3.0 / 16 * asking, asking + " asked, " + served + " admitted");
+            double tolerance = 3.0 / 16 * requested;
+            assertEquals(exact, estimate.waitingJobs(), tolerance, requested + " requested, " + admitted + " admitted");
         }
     }
 
-    /** Whatever the pointer's speed: everybody's turn comes once a round, and who is told a time is in turn then. */
+    /** At any speed every job is in the window once a round, and is in it when it was told to retry. */
     @Property(tries = 500)
-    void everyTurnComes(
+    void everyJobIsInTheWindowOnceARoundAndWhenTold(
             @ForAll @DoubleRange(min = 0, max = 0.99) double position,
-            @ForAll @DoubleRange(min = 0.01, max = 0.16) double speed,
-            @ForAll @IntRange(min = 0, max = 100_000) int id,
-            @ForAll @DoubleRange(min = 0, max = 100) double later) {
-        AdmissionWindow turn = new AdmissionWindow(position, speed);
-        double place = JobIdHash.ringPosition("job-" + id);
-        double wait = turn.waitS(place, later);
-        assertTrue(wait >= 0 && wait <= 1 / speed, "waits " + wait);
-        if (wait > 0) {
-            assertEquals(0, turn.waitS(place, later + wait + 1), "not in turn when told to come");
+            @ForAll @DoubleRange(min = 0.01, max = 0.16) double roundsPerS,
+            @ForAll @IntRange(min = 0, max = 100_000) int job,
+            @ForAll @DoubleRange(min = 0, max = 100) double ageS) {
+        AdmissionWindow window = new AdmissionWindow(position, roundsPerS);
+        double jobPosition = JobIdHash.ringPosition("job-" + job);
+        double waitS = window.waitS(jobPosition, ageS);
+        assertTrue(waitS >= 0 && waitS <= 1 / roundsPerS, "waits " + waitS);
+        if (waitS > 0) {
+            assertEquals(0, window.waitS(jobPosition, ageS + waitS + 1), "not in the window when told to retry");
         }
     }
 
-    /** A leader alone, many flows, any demand: what is admitted stays within what was divided. */
+    /** A single leader with any flows and demand admits no more than the capacity, and starves no flow. */
     @Property(tries = 40)
     void admissionsStayWithinTheCapacity(
-            @ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 30) Integer> arrivals) {
+            @ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 30) Integer> jobsPerSByFlow) {
+        int seconds = 60;
+        Map<Flow, Integer> admitted = submit(jobsPerSByFlow, seconds);
+        int total = admitted.values().stream().mapToInt(Integer::intValue).sum();
+        // the initial spare tokens of each tier, and what was divided since
+        double maxTotal = CONFIG.maxAdmissionsPerS() * (seconds + (4 + 1) * AdmissionConfig.WINDOW_S);
+        assertTrue(total <= maxTotal, total + " admitted, at most " + maxTotal);
+        for (int i = 0; i < jobsPerSByFlow.size(); i++) {
+            assertTrue(admitted.getOrDefault(flow(i), 0) > 0, flow(i) + " is starved");
+        }
+    }
+
+    private static Map<Flow, Integer> submit(List<Integer> jobsPerSByFlow, int seconds) {
         AdmissionController controller = new AdmissionController(CONFIG, 1, null, 0);
         Map<Flow, Integer> admitted = new HashMap<>();
-        int seconds = 60;
-        int number = 0;
+        int jobs = 0;
         for (int second = 0; second < seconds; second++) {
             long now = 1000L * second;
-            for (int i = 0; i < arrivals.size(); i++) {
-                for (int n = 0; n < arrivals.get(i); n++) {
-                    if (controller.decide(flow(i), "job-" + number++, now).admitted()) {
+            for (int i = 0; i < jobsPerSByFlow.size(); i++) {
+                for (int job = 0; job < jobsPerSByFlow.get(i); job++) {
+                    if (controller.decide(flow(i), "job-" + jobs++, now).admitted()) {
                         admitted.merge(flow(i), 1, Integer::sum);
                     }
                 }
             }
             controller.updateShares(BackPressure.NONE, now);
         }
-        int all = admitted.values().stream().mapToInt(Integer::intValue).sum();
-        // each tier's spare tokens at first, and what was divided since
-        double most = CONFIG.maxAdmissionsPerS() * (seconds + (4 + 1) * AdmissionConfig.WINDOW_S);
-        assertTrue(all <= most, all + " admitted, at most " + most);
-        for (int i = 0; i < arrivals.size(); i++) {
-            assertTrue(admitted.getOrDefault(flow(i), 0) > 0, flow(i) + " is starved");
-        }
+        return admitted;
     }
 }
