--- /dev/null
+++ b/src/main/java/stileferry/admission/FlowDemandSketch.java
@@ -0,0 +1,133 @@
+package stileferry.admission;
+
+import java.util.Arrays;
+import java.util.List;
+import org.apache.datasketches.theta.CompactSketch;
+import org.apache.datasketches.theta.SetOperation;
+import org.apache.datasketches.theta.Sketch;
+import org.apache.datasketches.theta.Union;
+import org.apache.datasketches.theta.UpdateSketch;
+
+/**
+ * The demand of one flow over a sliding window, as a ring buffer of time slices. Each slice holds a theta sketch of the
+ * distinct job ids that were submitted and one of those that were admitted. Memory is fixed, however many jobs there
+ * are. Sketches of other controllers are merged by a union, so order and repetition do not matter.
+ */
+final class FlowDemandSketch {
+    /** Nominal entries of a sketch: exact up to this many ids, a relative standard error of 1/16 beyond. */
+    static final int NOMINAL_ENTRIES = 256;
+
+    private static final int BOUND_STANDARD_DEVIATIONS = 2;
+
+    private final Slice[] ring = new Slice[AdmissionConfig.DEMAND_SLICES];
+
+    /** One time slice. */
+    private static final class Slice {
+        private final long number;
+        private final UpdateSketch requested = newSketch();
+        private final UpdateSketch admitted = newSketch();
+
+        /** What other controllers reported; null: nothing yet. */
+        private Union merged;
+
+        private int admissions;
+
+        Slice(long number) {
+            this.number = number;
+        }
+
+        private static UpdateSketch newSketch() {
+            return UpdateSketch.builder().setNominalEntries(NOMINAL_ENTRIES).build();
+        }
+
+        void merge(Sketch sketch) {
+            if (merged == null) {
+                merged = newUnion();
+            }
+            merged.union(sketch);
+        }
+
+        void addTo(Union allRequested, Union allAdmitted) {
+            allRequested.union(requested);
+            allAdmitted.union(admitted);
+            if (merged != null) {
+                allRequested.union(merged.getResult());
+            }
+        }
+    }
+
+    private static Union newUnion() {
+        return SetOperation.builder().setNominalEntries(NOMINAL_ENTRIES).buildUnion();
+    }
+
+    private int index(long number) {
+        return (int) Math.floorMod(number, (long) ring.length);
+    }
+
+    /** The slice of that number, which takes the place of the one that has left the sliding window. */
+    private Slice slice(long number) {
+        int index = index(number);
+        if (ring[index] == null || ring[index].number < number) {
+            ring[index] = new Slice(number);
+        }
+        return ring[index];
+    }
+
+    /** The slices of the sliding window that ends with the current slice. */
+    private List<Slice> recent(long current) {
+        return Arrays.stream(ring)
+                .filter(slice -> slice != null && slice.number > current - ring.length)
+                .toList();
+    }
+
+    void recordRequest(String id, long current) {
+        slice(current).requested.update(id);
+    }
+
+    void recordAdmission(String id, long current) {
+        Slice slice = slice(current);
+        slice.requested.update(id);
+        slice.admitted.update(id);
+        slice.admissions++;
+    }
+
+    /** Merges another controller's sketch. */
+    void merge(Sketch sketch, long current) {
+        slice(current).merge(sketch);
+    }
+
+    /** The jobs that were submitted to this controller in the current slice; null: none. */
+    CompactSketch ownSketch(long current) {
+        Slice slice = ring[index(current)];
+        if (slice == null || slice.number != current || slice.requested.isEmpty()) {
+            return null;
+        }
+        return slice.requested.rebuild().compact();
+    }
+
+    /** Jobs that were submitted and not admitted within the sliding window. */
+    DemandEstimate waitingJobs(long current) {
+        List<Slice> recent = recent(current);
+        if (recent.isEmpty()) {
+            return DemandEstimate.NONE;
+        }
+        Union requested = newUnion();
+        Union admitted = newUnion();
+        recent.forEach(slice -> slice.addTo(requested, admitted));
+        Sketch waiting = SetOperation.builder().buildANotB().aNotB(requested.getResult(), admitted.getResult());
+        return new DemandEstimate(
+                waiting.getEstimate(),
+                waiting.getLowerBound(BOUND_STANDARD_DEVIATIONS),
+                waiting.getUpperBound(BOUND_STANDARD_DEVIATIONS));
+    }
+
+    /** Admissions within the sliding window. */
+    int admissions(long current) {
+        return recent(current).stream().mapToInt(slice -> slice.admissions).sum();
+    }
+
+    /** Whether the sliding window is empty, so that the flow can be dropped. */
+    boolean isIdle(long current) {
+        return recent(current).isEmpty();
+    }
+}
