--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -74,7 +74,7 @@
     }
 
     /** Another controller answered a request of this one. */
-    public void peerAnswered(String peer, long time) {
+    public void peerRequestAnswered(String peer, long time) {
         Peers.Peer known = links.peers.get(peer);
         links.advance(time);
         known.everHeard = true;
@@ -82,7 +82,7 @@
     }
 
     /** Another controller sent something by itself. */
-    public void peerHeard(String peer, long time) {
+    public void peerMessageReceived(String peer, long time) {
         Peers.Peer known = links.peers.get(peer);
         links.advance(time);
         known.everHeard = true;
@@ -90,7 +90,7 @@
     }
 
     /** A request to another controller failed. */
-    public void peerFailed(String peer, FailureKind kind, long time) {
+    public void peerRequestFailed(String peer, FailureKind kind, long time) {
         Peers.Peer known = links.peers.get(peer);
         require(kind != null, "kind", "missing");
         links.advance(time);
@@ -106,28 +106,28 @@
     }
 
     /** A report came straight from its worker; false when it is a copy, or came late. */
-    public boolean workerReported(WorkerReport report, long time) {
+    public boolean heartbeatReceived(WorkerHeartbeat report, long time) {
         require(report != null, "report", "missing");
         links.advance(time);
         return links.workers.reported(report, links.now());
     }
 
     /** A report came by way of another controller. */
-    public void workerRelayed(WorkerReport report, long time) {
+    public void relayedHeartbeatReceived(WorkerHeartbeat report, long time) {
         require(report != null, "report", "missing");
         links.advance(time);
         links.workers.relayed(report, links.now());
     }
 
     /** The last report that came straight from this worker was answered. */
-    public void workerAnswered(String worker, long time) {
+    public void heartbeatAnswered(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
         links.workers.answered(worker, links.now());
     }
 
     /** A worker has answered a request; {@code probe}: one that was sent to find that out. */
-    public void workerReached(String worker, boolean probe, long time) {
+    public void workerRequestAnswered(String worker, boolean probe, long time) {
         requireName(worker, "worker");
         links.advance(time);
         knowProbed(worker, probe);
@@ -135,7 +135,7 @@
     }
 
     /** A worker has not answered a request; {@code probe}: one that was sent to find that out. */
-    public void workerMissed(String worker, boolean probe, long time) {
+    public void workerRequestFailed(String worker, boolean probe, long time) {
         requireName(worker, "worker");
         links.advance(time);
         knowProbed(worker, probe);
@@ -150,21 +150,21 @@
     }
 
     /** A worker is gone for good. */
-    public void workerGone(String worker, long time) {
+    public void workerRemoved(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
         links.workers.gone(worker);
     }
 
     /** By how much this process's own timers are late, and whether it counts as behind with its work. */
-    public void lagging(long late, boolean behind, long time) {
+    public void eventLoopLagMeasured(long late, boolean behind, long time) {
         require(late >= 0, "late", "negative");
         links.advance(time);
         links.lagging(late, behind);
     }
 
     /** This controller leads from now on. */
-    public void leads(long newTerm, long time) {
+    public void elected(long newTerm, long time) {
         require(newTerm > 0, "term", "must be above 0");
         links.advance(time);
         control.leads(newTerm);
@@ -173,7 +173,7 @@
     }
 
     /** Who leads in which term, as far as this controller knows; empty: it does not know. */
-    public void leaderKnown(long knownTerm, String name, long time) {
+    public void leaderObserved(long knownTerm, String name, long time) {
         require(knownTerm >= 0, "term", "negative");
         require(name != null, "name", "missing");
         links.advance(time);
@@ -181,7 +181,7 @@
     }
 
     /** This controller does not lead any more; {@code storeLost}: since the state service did not answer it. */
-    public void follows(boolean storeLost, long time) {
+    public void deposed(boolean storeLost, long time) {
         links.advance(time);
         control.follows(storeLost);
         links.lead(false);
@@ -192,9 +192,9 @@
     // ---- views
 
     /** The milliseconds after which views should be exchanged with every controller again. */
-    public long exchangeMs() {
+    public long exchangeIntervalMs() {
         boolean many = links.leading() && ProbePlanner.many(links.workers);
-        return config.exchangeMs(many || control.handover().underWay());
+        return config.exchangeIntervalMs(many || control.handover().underWay());
     }
 
     /** What this controller tells another one now. */
@@ -213,22 +213,22 @@
     }
 
     /** Takes in what another controller says. Old and repeated views change nothing. */
-    public void take(ReachabilityView view, long time) {
+    public void receive(ReachabilityView view, long time) {
         require(view != null, "view", "missing");
         Header header = view.header();
         Peers.Peer peer = links.peers.get(header.sender());
         view.workers().check();
         require(header.incarnation() > 0 && header.sequence() > 0, "view", "impossible numbers");
         require(
-                header.seenIncarnation() != incarnation || header.seenSequence() <= sent.newest(),
+                header.ackedIncarnation() != incarnation || header.ackedSequence() <= sent.newest(),
                 "view",
                 "from the future: it has seen a view that was never sent");
         links.advance(time);
-        if (header.seenIncarnation() > incarnation) {
-            incarnation = header.seenIncarnation() + 1; // a former life of this process had a clock that was ahead
+        if (header.ackedIncarnation() > incarnation) {
+            incarnation = header.ackedIncarnation() + 1; // a former life of this process had a clock that was ahead
         }
-        boolean ours = header.seenIncarnation() == incarnation;
-        if (!peer.view.take(view, ours ? sent.sentAt(header.seenSequence()) : -1)) {
+        boolean ours = header.ackedIncarnation() == incarnation;
+        if (!peer.view.take(view, ours ? sent.sentAt(header.ackedSequence()) : -1)) {
             staleViews++;
             return;
         }
@@ -238,8 +238,8 @@
             view.probes().forEach(this::queue);
         }
         control.hear(peer, view.handover());
-        if (view.acceptedHandover() > 0) {
-            control.handover().accepted(peer.name, header.incarnation(), view.acceptedHandover(), links.now());
+        if (view.acceptedHandoverId() > 0) {
+            control.handover().accepted(peer.name, header.incarnation(), view.acceptedHandoverId(), links.now());
         }
     }
 
@@ -247,40 +247,40 @@
      * Whether another controller, which is not behind and answers at once, lately said that it knows a worker. Found on
      * the bench: the workers of one that was merely slow gain nothing if their reports come to it by way of others.
      */
-    public boolean knownBy(String peer, String worker, long time) {
+    public boolean peerKnowsWorker(String peer, String worker, long time) {
         Peers.Peer known = links.peers.get(peer);
         requireName(worker, "worker");
         links.advance(time);
         return links.peers.fresh(known, links.now())
-                && !known.view.standing().busy()
+                && !known.view.standing().lagging()
                 && known.outbound.failuresInRow() == 0
                 && known.view.names(worker);
     }
 
     /** Whether another controller lately said that its requests do not reach a worker. */
-    public boolean missedBy(String peer, String worker, long time) {
+    public boolean peerCannotReachWorker(String peer, String worker, long time) {
         Peers.Peer known = links.peers.get(peer);
-        return knownBy(peer, worker, time) && known.view.knows(worker) && !known.view.reaches(worker);
+        return peerKnowsWorker(peer, worker, time) && known.view.knows(worker) && !known.view.reaches(worker);
     }
 
     /** Whether requests to another controller have been in vain for long, though it did not say that it is behind. */
-    public boolean unreachable(String peer, long time) {
+    public boolean peerUnreachable(String peer, long time) {
         Peers.Peer known = links.peers.get(peer);
         links.advance(time);
-        boolean behind = known.view.standing() != null && known.view.standing().busy();
+        boolean behind = known.view.standing() != null && known.view.standing().lagging();
         return !behind
                 && known.outbound.failuresInRow() >= PEER_FAILURES
                 && known.outbound.condition(links.now(), links.lateMs()) == LinkCondition.FAILING;
     }
 
     /** Who leads in this term or a later one, as another controller lately said; empty: nobody did. */
-    public String leaderSeenByOthers(long leastTerm, long time) {
+    public String leaderReportedByPeers(long leastTerm, long time) {
         links.advance(time);
         return links.peers.leaderSeen(leastTerm, links.now());
     }
 
     /** Whether another controller, as far as its last words go, is handing over the leadership or has just done so. */
-    public boolean handsOver(String peer, long time) {
+    public boolean peerHandsOver(String peer, long time) {
         Peers.Peer known = links.peers.get(peer);
         links.advance(time);
         return control.handsOver(known);
@@ -295,7 +295,7 @@
     }
 
     /** The workers to be asked now whether requests reach them, at most so many; their outcomes are to be told. */
-    public List<ProbeTarget> nextProbes(int most, long time) {
+    public List<ProbeTarget> takeDueProbes(int most, long time) {
         require(most >= 0, "most", "negative");
         links.advance(time);
         if (links.leading()) {
@@ -317,14 +317,14 @@
     // ---- decisions
 
     /** What this controller should do about the leadership. */
-    public Advice advise(long time) {
+    public LeadershipAdvice advise(long time) {
         links.advance(time);
         links.sweep();
         return control.advise();
     }
 
     /** For how long this controller should leave a free leadership to others, in milliseconds. */
-    public long abstainMs(long time) {
+    public long electionDelayMs(long time) {
         links.advance(time);
         return control.abstainMs();
     }
@@ -338,11 +338,11 @@
     }
 
     /** Whether a silent worker may be given up, as far as links are concerned. */
-    public Verdict permitsGivingUp(String worker, long time) {
+    public Verdict permitsRemovingWorker(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
         links.sweep();
-        Verdict verdict = gate.check(Decision.GIVE_UP_WORKER, links.evidence(handingOver()));
+        Verdict verdict = gate.check(Decision.REMOVE_WORKER, links.evidence(handingOver()));
         WorkerLink link = links.workers.find(worker);
         if (!verdict.allowed() || link == null || link.suspectSince < 0) {
             return count(verdict);
@@ -377,14 +377,14 @@
     }
 
     /** What has to be done next in a handover; {@code changesInFlight}: what the state service has not answered yet. */
-    public HandoverAction nextInHandover(int changesInFlight, long time) {
+    public HandoverAction advanceHandover(int changesInFlight, long time) {
         require(changesInFlight >= 0, "changesInFlight", "negative");
         links.advance(time);
         return control.nextInHandover(changesInFlight);
     }
 
     /** This controller has released the leadership, and leaves it to others for a while. */
-    public void released(long time) {
+    public void leadershipReleased(long time) {
         links.advance(time);
         control.released();
     }
--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -9,11 +9,12 @@
  *
  * @param self the name of this controller
  * @param peers the names of the other controllers
- * @param reportMs milliseconds between two reports of a worker
- * @param leaseMs milliseconds after which a worker that was not answered drops its tasks
+ * @param heartbeatIntervalMs milliseconds between two reports of a worker
+ * @param workerLeaseMs milliseconds after which a worker that was not answered drops its tasks
  * @param leaderLeaseMs milliseconds for which the leader key is leased
  */
-public record ConnectivityConfig(String self, List<String> peers, long reportMs, long leaseMs, long leaderLeaseMs) {
+public record ConnectivityConfig(
+        String self, List<String> peers, long heartbeatIntervalMs, long workerLeaseMs, long leaderLeaseMs) {
     /** Exchanges of views in a report interval while something is suspect. */
     private static final int ALERT_EXCHANGES = 3;
 
@@ -27,41 +28,42 @@
         peers = List.copyOf(peers);
         InvalidInputException.require(!peers.contains(self), "peers", "names this controller, " + self);
         InvalidInputException.require(new HashSet<>(peers).size() == peers.size(), "peers", "a name stands twice");
-        InvalidInputException.require(reportMs > 0, "reportMs", "must be above 0");
-        InvalidInputException.require(leaseMs > reportMs, "leaseMs", "must be above reportMs");
+        InvalidInputException.require(heartbeatIntervalMs > 0, "heartbeatIntervalMs", "must be above 0");
+        InvalidInputException.require(
+                workerLeaseMs > heartbeatIntervalMs, "workerLeaseMs", "must be above heartbeatIntervalMs");
         InvalidInputException.require(leaderLeaseMs > 0, "leaderLeaseMs", "must be above 0");
     }
 
     /** Milliseconds between two exchanges of views with the same controller. */
-    public long exchangeMs(boolean alert) {
-        return alert ? Math.max(1, reportMs / ALERT_EXCHANGES) : reportMs;
+    public long exchangeIntervalMs(boolean alert) {
+        return alert ? Math.max(1, heartbeatIntervalMs / ALERT_EXCHANGES) : heartbeatIntervalMs;
     }
 
     /** Milliseconds between two signs of life of the state service, which is asked where nothing else is. */
-    public long storeProbeMs() {
-        return 2 * exchangeMs(true);
+    public long storeProbeIntervalMs() {
+        return 2 * exchangeIntervalMs(true);
     }
 
     /** The age from which on a view of another controller says nothing any more. */
-    public long viewBoundMs() {
-        return VIEW_EXCHANGES * reportMs + leaderLeaseMs;
+    public long viewMaxAgeMs() {
+        return VIEW_EXCHANGES * heartbeatIntervalMs + leaderLeaseMs;
     }
 
     /** The age from which on what was seen of a worker says nothing any more. */
-    public long evidenceMs() {
-        return VIEW_EXCHANGES * reportMs;
+    public long workerEvidenceMaxAgeMs() {
+        return VIEW_EXCHANGES * heartbeatIntervalMs;
     }
 
     /**
      * The age from which on the outcome of a probe says nothing any more. It is less than the silence after which a
      * worker is suspect, so that no outcome from before a cut is taken for one from after it.
      */
-    public long outcomeMs() {
-        return reportMs;
+    public long probeResultMaxAgeMs() {
+        return heartbeatIntervalMs;
     }
 
     /** The age of the state service's last answer from which on no decision is made. */
-    public long storeBoundMs() {
+    public long storeAnswerMaxAgeMs() {
         return leaderLeaseMs;
     }
 }
--- a/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
+++ b/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
@@ -19,20 +19,24 @@
         Link store,
         List<Peer> peers,
         Workers workers,
-        Advice advice,
+        LeadershipAdvice advice,
         Counters counters) {
 
     /**
      * One direction of a link.
      *
      * @param condition what is known of it
-     * @param suspicion how suspect its silence is
+     * @param suspicionLevel how suspect its silence is
      * @param silentMs milliseconds since it last worked; -1: it never has
-     * @param failuresInRow requests that failed since
+     * @param consecutiveFailures requests that failed since
      * @param lastFailure how the last of all that failed did; null: none has
      */
     public record Link(
-            LinkCondition condition, double suspicion, long silentMs, int failuresInRow, FailureKind lastFailure) {}
+            LinkCondition condition,
+            double suspicionLevel,
+            long silentMs,
+            int consecutiveFailures,
+            FailureKind lastFailure) {}
 
     /**
      * The links to another controller, and what it says.
@@ -41,11 +45,16 @@
      * @param inbound what comes from it
      * @param outbound what goes to it and is answered
      * @param viewAgeMs how old its view is at most; -1: not known
-     * @param reached workers that it reaches, of those it was asked about
-     * @param workerShare the share of all workers that it is estimated to reach; -1: not known
+     * @param reachedWorkers workers that it reaches, of those it was asked about
+     * @param reachableShare the share of all workers that it is estimated to reach; -1: not known
      */
     public record Peer(
-            String controller, Link inbound, Link outbound, long viewAgeMs, int reached, double workerShare) {}
+            String controller,
+            Link inbound,
+            Link outbound,
+            long viewAgeMs,
+            int reachedWorkers,
+            double reachableShare) {}
 
     /**
      * The links to workers.
@@ -53,21 +62,21 @@
      * @param known workers that are known
      * @param direct workers that report straight to this controller
      * @param suspect workers with a link that does not work
-     * @param share the share of all workers that it is estimated to reach; -1: not estimated, as it does not lead
-     * @param silenceBoundMs the silence after which a worker is suspect, from measured intervals
+     * @param reachableShare the share of all workers that it is estimated to reach; -1: it does not lead
+     * @param suspicionTimeoutMs the silence after which a worker is suspect, from measured intervals
      */
-    public record Workers(int known, int direct, int suspect, double share, double silenceBoundMs) {}
+    public record Workers(int known, int direct, int suspect, double reachableShare, double suspicionTimeoutMs) {}
 
     /**
      * What has happened since the controller began.
      *
      * @param handoversBegun handovers for which a nominee was asked
      * @param released leaderships released on purpose
-     * @param givenUp handovers given up before the release
+     * @param aborted handovers given up before the release
      * @param suspicions times at which a worker fell silent for longer than is usual
      * @param withheld decisions that were not made for want of a link
      * @param staleViews views that were older than what was known
      */
     public record Counters(
-            long handoversBegun, long released, long givenUp, long suspicions, long withheld, long staleViews) {}
+            long handoversBegun, long released, long aborted, long suspicions, long withheld, long staleViews) {}
 }
--- a/src/main/java/stileferry/connectivity/DecisionGate.java
+++ b/src/main/java/stileferry/connectivity/DecisionGate.java
@@ -41,11 +41,11 @@
         if (evidence.handingOver()) {
             return Verdict.withheld("the leadership is being handed over", config.leaderLeaseMs());
         }
-        if (evidence.storeAgeMs() < 0 || evidence.storeAgeMs() > config.storeBoundMs()) {
+        if (evidence.storeAgeMs() < 0 || evidence.storeAgeMs() > config.storeAnswerMaxAgeMs()) {
             return Verdict.withheld("the state service has not answered lately", config.leaderLeaseMs());
         }
-        boolean waits = decision == Decision.RENT || decision == Decision.PREEMPT;
-        long patienceMs = PATIENCE_REPORTS * config.reportMs();
+        boolean waits = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
+        long patienceMs = PATIENCE_REPORTS * config.heartbeatIntervalMs();
         if (waits && evidence.manyWorkersSuspect() && evidence.manySuspectMs() < patienceMs) {
             return Verdict.withheld("half of the workers are suspect", patienceMs - evidence.manySuspectMs());
         }
@@ -61,10 +61,10 @@
      * @param keptMs for how long the worker has been kept for that reason
      */
     Verdict giveUp(long suspectMs, boolean reachedByPeer, boolean peersSayNothing, long keptMs) {
-        if (reachedByPeer && keptMs < KEPT_LEASES * config.leaseMs()) {
-            return Verdict.withheld("another controller reaches the worker", config.reportMs());
+        if (reachedByPeer && keptMs < KEPT_LEASES * config.workerLeaseMs()) {
+            return Verdict.withheld("another controller reaches the worker", config.heartbeatIntervalMs());
         }
-        long askMs = ASK_EXCHANGES * config.exchangeMs(true);
+        long askMs = ASK_EXCHANGES * config.exchangeIntervalMs(true);
         if (peersSayNothing && suspectMs < askMs) {
             return Verdict.withheld("the other controllers were just asked", askMs - suspectMs);
         }
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -33,7 +33,7 @@
 
     Handover(ConnectivityConfig config) {
         this.config = config;
-        this.askMs = Math.max(config.leaderLeaseMs(), ASK_EXCHANGES * config.exchangeMs(true));
+        this.askMs = Math.max(config.leaderLeaseMs(), ASK_EXCHANGES * config.exchangeIntervalMs(true));
     }
 
     boolean underWay() {
@@ -59,7 +59,7 @@
     /** A controller says for which handover it is ready. */
     void accepted(String controller, long incarnation, long number, long now) {
         boolean matches = step == Step.ASKING
-                && number == notice.number()
+                && number == notice.id()
                 && controller.equals(notice.nominee())
                 && incarnation == notice.nomineeIncarnation();
         if (matches) {
@@ -79,14 +79,14 @@
             case ASKING -> {
                 if (!nomineeGood || now - since > askMs) {
                     giveUp();
-                    return HandoverAction.GIVEN_UP;
+                    return HandoverAction.ABORTED;
                 }
                 return HandoverAction.WAIT;
             }
             case SETTLING -> {
                 if (!nomineeGood) {
                     giveUp();
-                    return HandoverAction.GIVEN_UP;
+                    return HandoverAction.ABORTED;
                 }
                 // what is still in flight then fails its comparison with the leader key, or was carried out before
                 if (changesInFlight == 0 || now - since > config.leaderLeaseMs()) {
@@ -103,8 +103,7 @@
 
     private void giveUp() {
         step = Step.NONE;
-        notice = new HandoverNotice(
-                notice.number(), notice.term(), notice.nominee(), notice.nomineeIncarnation(), false);
+        notice = new HandoverNotice(notice.id(), notice.term(), notice.nominee(), notice.nomineeIncarnation(), false);
     }
 
     /** This controller does not lead any more; the notice stands, so that others can still read it. */
--- a/src/main/java/stileferry/connectivity/HandoverAction.java
+++ b/src/main/java/stileferry/connectivity/HandoverAction.java
@@ -12,5 +12,5 @@
     RELEASE,
 
     /** The handover was given up; the leader goes on as before. */
-    GIVEN_UP
+    ABORTED
 }
--- a/src/main/java/stileferry/connectivity/Suitability.java
+++ b/src/main/java/stileferry/connectivity/LeaderCandidate.java
@@ -13,31 +13,31 @@
  * @param busy whether it is behind with its work
  * @param peersHeard how many other controllers it hears
  */
-public record Suitability(String controller, boolean storeGood, double workerShare, boolean busy, int peersHeard)
-        implements Comparable<Suitability> {
+public record LeaderCandidate(String controller, boolean storeGood, double workerShare, boolean busy, int peersHeard)
+        implements Comparable<LeaderCandidate> {
     /** One controller is clearly better where it reaches so much more of all workers. */
     static final double CLEARLY = 0.25;
 
-    private static final Comparator<Suitability> ORDER = Comparator.comparing(Suitability::storeGood)
-            .thenComparingDouble(Suitability::workerShare)
-            .thenComparing(Suitability::busy, Comparator.reverseOrder())
-            .thenComparingInt(Suitability::peersHeard)
-            .thenComparing(Suitability::controller, Comparator.reverseOrder());
+    private static final Comparator<LeaderCandidate> ORDER = Comparator.comparing(LeaderCandidate::storeGood)
+            .thenComparingDouble(LeaderCandidate::workerShare)
+            .thenComparing(LeaderCandidate::busy, Comparator.reverseOrder())
+            .thenComparingInt(LeaderCandidate::peersHeard)
+            .thenComparing(LeaderCandidate::controller, Comparator.reverseOrder());
 
     /** Checks the share. */
-    public Suitability {
+    public LeaderCandidate {
         InvalidInputException.requireName(controller, "controller");
         InvalidInputException.require(workerShare >= 0 && workerShare <= 1, "workerShare", "not from 0 to 1");
         InvalidInputException.require(peersHeard >= 0, "peersHeard", "negative");
     }
 
     @Override
-    public int compareTo(Suitability other) {
+    public int compareTo(LeaderCandidate other) {
         return ORDER.compare(this, other);
     }
 
     /** Whether leadership should go here from another controller: only where that is worth the change. */
-    public boolean clearlyBetterThan(Suitability other) {
+    public boolean clearlyBetterThan(LeaderCandidate other) {
         return storeGood && !busy && workerShare >= other.workerShare + CLEARLY;
     }
 }
--- a/src/main/java/stileferry/connectivity/Advice.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvice.java
@@ -7,7 +7,7 @@
  * @param nominee who should lead instead; null where nobody is named
  * @param reason why, for people
  */
-public record Advice(Action action, String nominee, String reason) {
+public record LeadershipAdvice(Action action, String nominee, String reason) {
     /** What a controller can do about the leadership. */
     public enum Action {
         /** A leader goes on. */
@@ -26,7 +26,7 @@
         ABSTAIN
     }
 
-    static Advice of(Action action, String reason) {
-        return new Advice(action, null, reason);
+    static LeadershipAdvice of(Action action, String reason) {
+        return new LeadershipAdvice(action, null, reason);
     }
 }
--- a/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
@@ -33,9 +33,9 @@
      * @param peers how well the others could, as far as that is known and recent
      * @param peersLost whether other controllers were heard before and none is now
      */
-    Advice advise(Suitability own, List<Suitability> peers, boolean peersLost, long now) {
-        Suitability best = null;
-        for (Suitability peer : peers) {
+    LeadershipAdvice advise(LeaderCandidate own, List<LeaderCandidate> peers, boolean peersLost, long now) {
+        LeaderCandidate best = null;
+        for (LeaderCandidate peer : peers) {
             if (peer.clearlyBetterThan(own) && (best == null || peer.compareTo(best) > 0)) {
                 best = peer;
             }
@@ -47,21 +47,21 @@
             candidateSince = now;
         }
         if (wanted.isEmpty()) {
-            return Advice.of(Advice.Action.STAY, "nobody is clearly better");
+            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "nobody is clearly better");
         }
-        if (now - candidateSince < CONFIRM_EXCHANGES * config.exchangeMs(true)) {
-            return Advice.of(Advice.Action.STAY, "not yet confirmed");
+        if (now - candidateSince < CONFIRM_EXCHANGES * config.exchangeIntervalMs(true)) {
+            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "not yet confirmed");
         }
         if (!budget.allows(now)) {
-            return Advice.of(Advice.Action.STAY, "leadership has changed too often lately");
+            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "leadership has changed too often lately");
         }
         if (best == null) {
-            return Advice.of(Advice.Action.STEP_DOWN, "no controller and few workers are heard");
+            return LeadershipAdvice.of(LeadershipAdvice.Action.STEP_DOWN, "no controller and few workers are heard");
         }
-        return new Advice(Advice.Action.HAND_OVER, best.controller(), reason(own, best));
+        return new LeadershipAdvice(LeadershipAdvice.Action.HAND_OVER, best.controller(), reason(own, best));
     }
 
-    private static String reason(Suitability own, Suitability best) {
+    private static String reason(LeaderCandidate own, LeaderCandidate best) {
         return best.controller() + " reaches " + percent(best.workerShare()) + " of the workers, " + own.controller()
                 + " " + percent(own.workerShare());
     }
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
+import stileferry.connectivity.ReachabilityView.ControllerHealth;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
-import stileferry.connectivity.ReachabilityView.Standing;
 
 /** What follows from the links for the leadership: staying, handing over, standing for it or leaving it to others. */
 final class LeadershipControl {
@@ -30,7 +30,7 @@
         this.links = links;
         config = links.config;
         shares = new ShareEstimator(config, links.workers, planner);
-        budget = new HandoverBudget(2 * config.leaseMs(), links.now());
+        budget = new HandoverBudget(2 * config.workerLeaseMs(), links.now());
         advisor = new LeadershipAdvisor(config, budget);
         handover = new Handover(config);
         standingDelay = new StandingDelay(config, links.now());
@@ -84,7 +84,7 @@
         if (notice == null || links.leading() || notice.equals(before)) {
             return;
         }
-        if (!notice.given()) {
+        if (!notice.active()) {
             standingDelay.cancel();
         } else if (notice.term() >= term) {
             budget.spend(links.now());
@@ -100,41 +100,42 @@
     long acceptable(Peers.Peer from, long incarnation) {
         HandoverNotice notice = from.handover;
         boolean ready = notice != null
-                && notice.given()
+                && notice.active()
                 && !links.leading()
                 && notice.nominee().equals(config.self())
                 && notice.nomineeIncarnation() == incarnation
                 && notice.term() >= term
                 && links.storeGood()
                 && !links.busy();
-        return ready ? notice.number() : 0;
+        return ready ? notice.id() : 0;
     }
 
     /** Whether another controller, as far as its last words go, is handing over or has just done so. */
     boolean handsOver(Peers.Peer peer) {
-        return peer.handover != null && peer.handover.given() && peer.handover.term() >= term;
+        return peer.handover != null && peer.handover.active() && peer.handover.term() >= term;
     }
 
     // ---- advice
 
-    Advice advise() {
+    LeadershipAdvice advise() {
         if (!links.leading()) {
             return standingDelay.remainingMs(links.now()) > 0
-                    ? Advice.of(Advice.Action.ABSTAIN, standingDelay.reason())
-                    : Advice.of(Advice.Action.STAND, "leads when the leadership is free");
+                    ? LeadershipAdvice.of(LeadershipAdvice.Action.ABSTAIN, standingDelay.reason())
+                    : LeadershipAdvice.of(LeadershipAdvice.Action.STAND, "leads when the leadership is free");
         }
         if (handover.underWay()) {
-            return new Advice(Advice.Action.HAND_OVER, handover.notice().nominee(), "a handover is under way");
+            return new LeadershipAdvice(
+                    LeadershipAdvice.Action.HAND_OVER, handover.notice().nominee(), "a handover is under way");
         }
-        boolean settled = links.now() - leadingSince >= SETTLED_REPORTS * config.reportMs();
+        boolean settled = links.now() - leadingSince >= SETTLED_REPORTS * config.heartbeatIntervalMs();
         if (links.workers.count() == 0 || !settled) {
-            return Advice.of(Advice.Action.STAY, "too little is known yet");
+            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "too little is known yet");
         }
         if (links.busy()) {
             advisor.reset();
-            return Advice.of(Advice.Action.STAY, "this process is behind, so nothing is certain");
+            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "this process is behind, so nothing is certain");
         }
-        List<Suitability> others = new ArrayList<>();
+        List<LeaderCandidate> others = new ArrayList<>();
         for (Peers.Peer peer : links.peers.all()) {
             suitability(peer).ifPresent(others::add);
         }
@@ -147,29 +148,29 @@
         return links.leading() ? 0 : standingDelay.remainingMs(links.now());
     }
 
-    private Suitability own() {
-        Standing standing = links.standing();
-        return new Suitability(
+    private LeaderCandidate own() {
+        ControllerHealth standing = links.standing();
+        return new LeaderCandidate(
                 config.self(),
-                standing.storeGood(),
+                standing.storeReachable(),
                 ownShare(),
-                standing.busy(),
-                standing.heard().size());
+                standing.lagging(),
+                standing.reachablePeers().size());
     }
 
-    private Optional<Suitability> suitability(Peers.Peer peer) {
+    private Optional<LeaderCandidate> suitability(Peers.Peer peer) {
         boolean eligible = links.peers.fresh(peer, links.now()) && peer.view.term() <= term && !peer.view.leading();
         OptionalDouble share = eligible ? share(peer) : OptionalDouble.empty();
         if (share.isEmpty()) {
             return Optional.empty();
         }
-        Standing standing = peer.view.standing();
-        return Optional.of(new Suitability(
+        ControllerHealth standing = peer.view.standing();
+        return Optional.of(new LeaderCandidate(
                 peer.name,
-                standing.storeGood(),
+                standing.storeReachable(),
                 share.getAsDouble(),
-                standing.busy(),
-                standing.heard().size()));
+                standing.lagging(),
+                standing.reachablePeers().size()));
     }
 
     /** The share of workers that this controller reaches. */
@@ -203,9 +204,9 @@
         Peers.Peer nominee = links.peers.get(handover.notice().nominee());
         boolean good = links.peers.fresh(nominee, links.now())
                 && nominee.view.incarnation() == handover.notice().nomineeIncarnation()
-                && nominee.view.standing().storeGood();
+                && nominee.view.standing().storeReachable();
         HandoverAction action = handover.next(changesInFlight, good, links.now());
-        if (action == HandoverAction.GIVEN_UP) {
+        if (action == HandoverAction.ABORTED) {
             givenUp++;
             budget.spend(links.now()); // decisions were withheld meanwhile, which has the same bound
         }
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -2,7 +2,7 @@
 
 import static stileferry.validation.InvalidInputException.requireTime;
 
-import stileferry.connectivity.ReachabilityView.Standing;
+import stileferry.connectivity.ReachabilityView.ControllerHealth;
 
 /** All links of one controller as it has seen them, and the time up to which it has. */
 final class ObservedLinks {
@@ -27,7 +27,7 @@
         this.now = now;
         workers = new WorkerLinks(config);
         peers = new Peers(config, now);
-        store = new LinkObserver(config.storeProbeMs(), now);
+        store = new LinkObserver(config.storeProbeIntervalMs(), now);
     }
 
     /** Takes in the time; one before the last counts as the last. */
@@ -56,7 +56,8 @@
     void lagging(long late, boolean behind) {
         lateMs = late;
         if (behind) {
-            busyUntil = now + BUSY_REPORTS * config.reportMs(); // what it has left undone meanwhile is still to come
+            busyUntil = now
+                    + BUSY_REPORTS * config.heartbeatIntervalMs(); // what it has left undone meanwhile is still to come
         }
     }
 
@@ -74,8 +75,8 @@
         return store.condition(now, lateMs) == LinkCondition.GOOD && store.failuresInRow() < STORE_FAILURES;
     }
 
-    Standing standing() {
-        return new Standing(storeGood(), busy(), peers.heard(now, lateMs));
+    ControllerHealth standing() {
+        return new ControllerHealth(storeGood(), busy(), peers.heard(now, lateMs));
     }
 
     /** Notes what has fallen silent up to now. */
--- a/src/main/java/stileferry/connectivity/PeerView.java
+++ b/src/main/java/stileferry/connectivity/PeerView.java
@@ -14,7 +14,7 @@
     private long term;
     private String leader = "";
     private boolean leading;
-    private ReachabilityView.Standing standing;
+    private ReachabilityView.ControllerHealth standing;
 
     /** The moment that the view certainly describes, or a later one; -1: not known. */
     private long describesAt = -1;
@@ -43,7 +43,7 @@
         term = header.term();
         leader = header.leader();
         leading = header.leading();
-        standing = view.standing();
+        standing = view.senderHealth();
         describesAt = Math.max(describesAt, describesFrom);
         takeWorkers(view.workers());
         return true;
@@ -63,14 +63,14 @@
         if (workers.epoch() > epoch) {
             forgetWorkers(workers.epoch());
         }
-        if (workers.epoch() < epoch || workers.base() > change || workers.upTo() <= change) {
+        if (workers.epoch() < epoch || workers.baseVersion() > change || workers.version() <= change) {
             return;
         }
-        change = workers.upTo();
+        change = workers.version();
         int at = 0;
         for (int number : workers.changed()) {
             String name = workers.names().get(at++);
-            if (workers.departed().contains(number)) {
+            if (workers.removed().contains(number)) {
                 names.remove(number);
                 numbers.remove(name, number);
             } else {
@@ -78,7 +78,7 @@
                 numbers.put(name, number);
             }
         }
-        replace(examined, workers.changed(), workers.examined());
+        replace(examined, workers.changed(), workers.outboundKnown());
         replace(inbound, workers.changed(), workers.inbound());
         replace(outbound, workers.changed(), workers.outbound());
     }
@@ -110,7 +110,7 @@
     }
 
     /** Null: nothing was heard. */
-    ReachabilityView.Standing standing() {
+    ReachabilityView.ControllerHealth standing() {
         return standing;
     }
 
--- a/src/main/java/stileferry/connectivity/Peers.java
+++ b/src/main/java/stileferry/connectivity/Peers.java
@@ -33,15 +33,15 @@
 
         Peer(String name, ConnectivityConfig config, long now) {
             this.name = name;
-            this.inbound = new LinkObserver(config.exchangeMs(false), now);
-            this.outbound = new LinkObserver(config.exchangeMs(false), now);
+            this.inbound = new LinkObserver(config.exchangeIntervalMs(false), now);
+            this.outbound = new LinkObserver(config.exchangeIntervalMs(false), now);
         }
 
         /** Notes what it says it has seen of this controller's words. */
         void confirm(Header header, long ownIncarnation) {
-            boolean ours = header.seenIncarnation() == ownIncarnation;
-            confirmedChange = ours ? header.seenChange() : 0;
-            confirmedEpoch = ours ? header.seenEpoch() : 0;
+            boolean ours = header.ackedIncarnation() == ownIncarnation;
+            confirmedChange = ours ? header.ackedVersion() : 0;
+            confirmedEpoch = ours ? header.ackedEpoch() : 0;
         }
     }
 
@@ -63,7 +63,7 @@
 
     /** Whether a controller's view says something about now. */
     boolean fresh(Peer peer, long now) {
-        return peer.view.standing() != null && peer.view.fresh(now, config.viewBoundMs());
+        return peer.view.standing() != null && peer.view.fresh(now, config.viewMaxAgeMs());
     }
 
     /** The controllers that are heard now. */
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -56,7 +56,7 @@
     List<WorkerLink> plan(WorkerLinks links, long now) {
         boolean suspects = links.suspectCount() > 0;
         boolean many = many(links);
-        long every = suspects ? config.exchangeMs(many) : config.leaseMs() / 2;
+        long every = suspects ? config.exchangeIntervalMs(many) : config.workerLeaseMs() / 2;
         if (plannedAt >= 0 && now - plannedAt < every) {
             return List.of();
         }
--- a/src/main/java/stileferry/connectivity/ReachabilityView.java
+++ b/src/main/java/stileferry/connectivity/ReachabilityView.java
@@ -9,19 +9,19 @@
  * confirmed. No clocks are compared: a view is as old as the receiver's own view that its sender had seen.
  *
  * @param header who says this, and when
- * @param standing how the sender's own links are
+ * @param senderHealth how the sender's own links are
  * @param workers what changed of the links to workers
  * @param probes workers that the receiver shall ask whether it reaches them; only from a leader
  * @param handover an intended handover; null: none
- * @param acceptedHandover the number of the receiver's handover that the sender is ready for; 0: none
+ * @param acceptedHandoverId the number of the receiver's handover that the sender is ready for; 0: none
  */
 public record ReachabilityView(
         Header header,
-        Standing standing,
+        ControllerHealth senderHealth,
         WorkerChanges workers,
         List<ProbeTarget> probes,
         HandoverNotice handover,
-        long acceptedHandover) {
+        long acceptedHandoverId) {
 
     /** Copies what may change. */
     public ReachabilityView {
@@ -36,10 +36,10 @@
      * @param sequence the number of the view, higher than those before of the same incarnation
      * @param term the highest term that the sender knows
      * @param leader who leads in it, as far as the sender knows; empty: it does not know
-     * @param seenIncarnation the receiver's incarnation as the sender knows it; 0: not known
-     * @param seenSequence the number of the receiver's newest view that the sender has seen; 0: none
-     * @param seenChange up to which change the sender has what the receiver said of workers
-     * @param seenEpoch the receiver's numbering of workers to which that belongs
+     * @param ackedIncarnation the receiver's incarnation as the sender knows it; 0: not known
+     * @param ackedSequence the number of the receiver's newest view that the sender has seen; 0: none
+     * @param ackedVersion up to which change the sender has what the receiver said of workers
+     * @param ackedEpoch the receiver's numbering of workers to which that belongs
      */
     public record Header(
             String sender,
@@ -47,10 +47,10 @@
             long sequence,
             long term,
             String leader,
-            long seenIncarnation,
-            long seenSequence,
-            long seenChange,
-            int seenEpoch) {
+            long ackedIncarnation,
+            long ackedSequence,
+            long ackedVersion,
+            int ackedEpoch) {
         /** Whether the sender leads. */
         public boolean leading() {
             return leader.equals(sender);
@@ -60,14 +60,14 @@
     /**
      * How the sender's own links are.
      *
-     * @param storeGood whether the state service answers it
-     * @param busy whether its process is behind with its work
-     * @param heard the controllers that it hears
+     * @param storeReachable whether the state service answers it
+     * @param lagging whether its process is behind with its work
+     * @param reachablePeers the controllers that it hears
      */
-    public record Standing(boolean storeGood, boolean busy, List<String> heard) {
+    public record ControllerHealth(boolean storeReachable, boolean lagging, List<String> reachablePeers) {
         /** Copies what may change. */
-        public Standing {
-            heard = List.copyOf(heard);
+        public ControllerHealth {
+            reachablePeers = List.copyOf(reachablePeers);
         }
     }
 
@@ -75,23 +75,23 @@
      * What changed of the links to workers, which are numbered so that sets of them are small.
      *
      * @param epoch the numbering; with another one all that was said before is void
-     * @param base the change after which these come
-     * @param upTo the last of these changes
+     * @param baseVersion the change after which these come
+     * @param version the last of these changes
      * @param names the names of the changed workers, in the order of their numbers
      * @param changed the numbers of the changed workers
-     * @param departed of these, workers that are gone
-     * @param examined of these, workers of which it is known whether requests reach them
+     * @param removed of these, workers that are gone
+     * @param outboundKnown of these, workers of which it is known whether requests reach them
      * @param inbound of these, workers whose reports come straight to the sender
      * @param outbound of these, workers that requests of the sender reach
      */
     public record WorkerChanges(
             int epoch,
-            long base,
-            long upTo,
+            long baseVersion,
+            long version,
             List<String> names,
             RoaringBitmap changed,
-            RoaringBitmap departed,
-            RoaringBitmap examined,
+            RoaringBitmap removed,
+            RoaringBitmap outboundKnown,
             RoaringBitmap inbound,
             RoaringBitmap outbound) {
         /** Copies what may change, but for the bitmaps, which their makers leave alone. */
@@ -103,10 +103,11 @@
         void check() {
             InvalidInputException.require(
                     names.size() == changed.getCardinality(), "workers", "not a name for each changed worker");
-            for (RoaringBitmap part : List.of(departed, examined, inbound, outbound)) {
+            for (RoaringBitmap part : List.of(removed, outboundKnown, inbound, outbound)) {
                 InvalidInputException.require(changed.contains(part), "workers", "a worker that has not changed");
             }
-            InvalidInputException.require(base >= 0 && upTo >= base && epoch > 0, "workers", "impossible numbers");
+            InvalidInputException.require(
+                    baseVersion >= 0 && version >= baseVersion && epoch > 0, "workers", "impossible numbers");
         }
     }
 
@@ -116,11 +117,11 @@
     /**
      * A handover of the leadership that a leader intends.
      *
-     * @param number tells it from others of the same leader
+     * @param id tells it from others of the same leader
      * @param term the term in which the leader leads
      * @param nominee the controller that shall lead next
      * @param nomineeIncarnation its process
-     * @param given whether it is still intended; false: it was given up
+     * @param active whether it is still intended; false: it was given up
      */
-    public record HandoverNotice(long number, long term, String nominee, long nomineeIncarnation, boolean given) {}
+    public record HandoverNotice(long id, long term, String nominee, long nomineeIncarnation, boolean active) {}
 }
--- a/src/main/java/stileferry/connectivity/ShareEstimator.java
+++ b/src/main/java/stileferry/connectivity/ShareEstimator.java
@@ -35,7 +35,7 @@
 
     /** Who has left for another controller and does not come back has a reason, whatever it answers. */
     private boolean answers(WorkerLink link, long now) {
-        boolean stays = link.relayedSince < 0 || now - link.relayedSince <= RELAYED_LEASES * config.leaseMs();
+        boolean stays = link.relayedSince < 0 || now - link.relayedSince <= RELAYED_LEASES * config.workerLeaseMs();
         return stays && link.probeAnsweredAt > link.probeFailedAt;
     }
 
--- a/src/main/java/stileferry/connectivity/StandingDelay.java
+++ b/src/main/java/stileferry/connectivity/StandingDelay.java
@@ -23,7 +23,7 @@
     }
 
     private void decay(long now) {
-        failures *= Math.pow(0.5, Math.max(0, now - countedAt) / (2.0 * config.leaseMs()));
+        failures *= Math.pow(0.5, Math.max(0, now - countedAt) / (2.0 * config.workerLeaseMs()));
         countedAt = Math.max(countedAt, now);
     }
 
--- a/src/main/java/stileferry/connectivity/ViewCodec.java
+++ b/src/main/java/stileferry/connectivity/ViewCodec.java
@@ -9,10 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.roaringbitmap.RoaringBitmap;
+import stileferry.connectivity.ReachabilityView.ControllerHealth;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 import stileferry.connectivity.ReachabilityView.Header;
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
-import stileferry.connectivity.ReachabilityView.Standing;
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 import stileferry.validation.InvalidInputException;
 
@@ -28,7 +28,7 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORM);
             writeHeader(out, view.header());
-            writeStanding(out, view.standing());
+            writeStanding(out, view.senderHealth());
             writeWorkers(out, view.workers());
             out.writeInt(view.probes().size());
             for (ProbeTarget target : view.probes()) {
@@ -36,7 +36,7 @@
                 out.writeUTF(target.address());
             }
             writeHandover(out, view.handover());
-            out.writeLong(view.acceptedHandover());
+            out.writeLong(view.acceptedHandoverId());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -49,7 +49,7 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             InvalidInputException.require(in.readByte() == FORM, "view", "not a form that is known");
             Header header = readHeader(in);
-            Standing standing = readStanding(in);
+            ControllerHealth standing = readStanding(in);
             WorkerChanges workers = readWorkers(in);
             List<ProbeTarget> probes = new ArrayList<>();
             for (int n = readCount(in); n > 0; n--) {
@@ -67,10 +67,10 @@
         out.writeLong(header.sequence());
         out.writeLong(header.term());
         out.writeUTF(header.leader());
-        out.writeLong(header.seenIncarnation());
-        out.writeLong(header.seenSequence());
-        out.writeLong(header.seenChange());
-        out.writeInt(header.seenEpoch());
+        out.writeLong(header.ackedIncarnation());
+        out.writeLong(header.ackedSequence());
+        out.writeLong(header.ackedVersion());
+        out.writeInt(header.ackedEpoch());
     }
 
     private static Header readHeader(DataInputStream in) throws IOException {
@@ -86,24 +86,24 @@
                 in.readInt());
     }
 
-    private static void writeStanding(DataOutputStream out, Standing standing) throws IOException {
-        out.writeBoolean(standing.storeGood());
-        out.writeBoolean(standing.busy());
-        writeNames(out, standing.heard());
+    private static void writeStanding(DataOutputStream out, ControllerHealth standing) throws IOException {
+        out.writeBoolean(standing.storeReachable());
+        out.writeBoolean(standing.lagging());
+        writeNames(out, standing.reachablePeers());
     }
 
-    private static Standing readStanding(DataInputStream in) throws IOException {
-        return new Standing(in.readBoolean(), in.readBoolean(), readNames(in));
+    private static ControllerHealth readStanding(DataInputStream in) throws IOException {
+        return new ControllerHealth(in.readBoolean(), in.readBoolean(), readNames(in));
     }
 
     private static void writeWorkers(DataOutputStream out, WorkerChanges workers) throws IOException {
         out.writeInt(workers.epoch());
-        out.writeLong(workers.base());
-        out.writeLong(workers.upTo());
+        out.writeLong(workers.baseVersion());
+        out.writeLong(workers.version());
         writeNames(out, workers.names());
         workers.changed().serialize(out);
-        workers.departed().serialize(out);
-        workers.examined().serialize(out);
+        workers.removed().serialize(out);
+        workers.outboundKnown().serialize(out);
         workers.inbound().serialize(out);
         workers.outbound().serialize(out);
     }
@@ -158,11 +158,11 @@
     private static void writeHandover(DataOutputStream out, HandoverNotice notice) throws IOException {
         out.writeBoolean(notice != null);
         if (notice != null) {
-            out.writeLong(notice.number());
+            out.writeLong(notice.id());
             out.writeLong(notice.term());
             out.writeUTF(notice.nominee());
             out.writeLong(notice.nomineeIncarnation());
-            out.writeBoolean(notice.given());
+            out.writeBoolean(notice.active());
         }
     }
 
--- a/src/main/java/stileferry/connectivity/ViewWriter.java
+++ b/src/main/java/stileferry/connectivity/ViewWriter.java
@@ -4,10 +4,10 @@
 import java.util.Comparator;
 import java.util.List;
 import org.roaringbitmap.RoaringBitmap;
+import stileferry.connectivity.ReachabilityView.ControllerHealth;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 import stileferry.connectivity.ReachabilityView.Header;
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
-import stileferry.connectivity.ReachabilityView.Standing;
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 
 /** Writes views for other controllers: only what changed after the last change that the receiver has confirmed. */
@@ -31,7 +31,7 @@
     ReachabilityView write(
             Peers.Peer to,
             Self self,
-            Standing standing,
+            ControllerHealth standing,
             List<ProbeTarget> probes,
             HandoverNotice notice,
             long acceptedHandover,
--- a/src/main/java/stileferry/connectivity/WorkerReport.java
+++ b/src/main/java/stileferry/connectivity/WorkerHeartbeat.java
@@ -7,16 +7,16 @@
  *
  * @param worker the worker's name
  * @param address where requests reach it
- * @param session the number of its session
+ * @param incarnation the number of its session
  * @param sequence the number of its message, higher than those before in the session
- * @param showsTerm whether it has accepted the receiver's term
+ * @param acceptedTerm whether it has accepted the receiver's term
  */
-public record WorkerReport(String worker, String address, long session, long sequence, boolean showsTerm) {
+public record WorkerHeartbeat(String worker, String address, long incarnation, long sequence, boolean acceptedTerm) {
     /** Checks what must hold for any report. */
-    public WorkerReport {
+    public WorkerHeartbeat {
         InvalidInputException.requireName(worker, "worker");
         InvalidInputException.require(address != null, "address", "missing");
-        InvalidInputException.require(session >= 0, "session", "negative");
+        InvalidInputException.require(incarnation >= 0, "incarnation", "negative");
         InvalidInputException.require(sequence >= 0, "sequence", "negative");
     }
 }
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -69,10 +69,11 @@
     }
 
     /** Takes a report's number; false when a newer one was seen, so that this is a copy or came late. */
-    boolean takeNumber(WorkerReport report) {
-        boolean newer = report.session() > session || report.session() == session && report.sequence() > sequence;
+    boolean takeNumber(WorkerHeartbeat report) {
+        boolean newer =
+                report.incarnation() > session || report.incarnation() == session && report.sequence() > sequence;
         if (newer) {
-            session = report.session();
+            session = report.incarnation();
             sequence = report.sequence();
         }
         return newer;
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -51,7 +51,7 @@
 
     WorkerLinks(ConnectivityConfig config) {
         this.config = config;
-        this.intervals = new IntervalStatistics(config.reportMs());
+        this.intervals = new IntervalStatistics(config.heartbeatIntervalMs());
     }
 
     /** Forgets all workers, as their state is to be learnt anew. */
@@ -77,7 +77,7 @@
     }
 
     /** A report that came straight from its worker; false when it is a copy or came late. */
-    boolean reported(WorkerReport report, long now) {
+    boolean reported(WorkerHeartbeat report, long now) {
         WorkerLink link = link(report, now);
         if (!link.takeNumber(report)) {
             return false;
@@ -87,7 +87,7 @@
         }
         boolean answered = link.answeredAt >= link.directAt && link.answeredAt >= 0;
         boolean outbound = link.outbound || !link.examined;
-        if (answered && report.showsTerm()) {
+        if (answered && report.acceptedTerm()) {
             link.requestArrived();
             outbound = true;
         } else if (answered && link.requestLost()) {
@@ -102,7 +102,7 @@
     }
 
     /** A report that came by way of another controller. */
-    void relayed(WorkerReport report, long now) {
+    void relayed(WorkerHeartbeat report, long now) {
         WorkerLink link = link(report, now);
         if (!link.takeNumber(report)) {
             return;
@@ -194,8 +194,8 @@
             update(link, link.examined, false, link.outbound, now);
         }
         if (!kept) {
-            forgetOutcomes(now - config.outcomeMs() - lateMs, now);
-            forget(now - config.evidenceMs() - lateMs);
+            forgetOutcomes(now - config.probeResultMaxAgeMs() - lateMs, now);
+            forget(now - config.workerEvidenceMaxAgeMs() - lateMs);
         }
     }
 
@@ -223,14 +223,14 @@
 
     /** The silence after which a worker is suspect, from the measured intervals of all; computed now and then. */
     double silenceBoundMs(long now) {
-        if (boundAt < 0 || now - boundAt > config.exchangeMs(true)) {
+        if (boundAt < 0 || now - boundAt > config.exchangeIntervalMs(true)) {
             boundAt = now;
-            boundMs = Math.min(config.leaseMs() / 2.0, intervals.silenceMs(LinkObserver.FAILING_SUSPICION));
+            boundMs = Math.min(config.workerLeaseMs() / 2.0, intervals.silenceMs(LinkObserver.FAILING_SUSPICION));
         }
         return boundMs;
     }
 
-    private WorkerLink link(WorkerReport report, long now) {
+    private WorkerLink link(WorkerHeartbeat report, long now) {
         WorkerLink link = byName.get(report.worker());
         if (link == null) {
             link = add(report.worker(), report.address(), now);
--- a/src/main/java/stileferry/links/LeadershipHandover.java
+++ b/src/main/java/stileferry/links/LeadershipHandover.java
@@ -3,9 +3,9 @@
 import java.util.function.IntSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stileferry.connectivity.Advice;
 import stileferry.connectivity.Connectivity;
 import stileferry.connectivity.HandoverAction;
+import stileferry.connectivity.LeadershipAdvice;
 import stileferry.protocol.Environment;
 
 /** Does what {@link Connectivity} advises a leader: hands the leadership over to a better connected controller. */
@@ -23,7 +23,7 @@
     private long term;
     private IntSupplier changesInFlight = () -> 0;
     private boolean releasing;
-    private Advice.Action lastAction;
+    private LeadershipAdvice.Action lastAction;
 
     LeadershipHandover(Environment environment, Connectivity connectivity, ViewExchange viewExchange) {
         this.environment = environment;
@@ -50,7 +50,7 @@
     }
 
     /** Follows an advice as far as it is for leaders. */
-    void follow(Advice advice) {
+    void follow(LeadershipAdvice advice) {
         if (lastAction != advice.action()) {
             LOG.info("leadership advice changed: action={} reason=\"{}\"", advice.action(), advice.reason());
         }
@@ -58,9 +58,9 @@
         if (!host.leading()) {
             return;
         }
-        if (advice.action() == Advice.Action.STEP_DOWN) {
+        if (advice.action() == LeadershipAdvice.Action.STEP_DOWN) {
             release(NOBODY);
-        } else if (advice.action() == Advice.Action.HAND_OVER) {
+        } else if (advice.action() == LeadershipAdvice.Action.HAND_OVER) {
             begin(advice.nominee());
         }
     }
@@ -74,11 +74,11 @@
     }
 
     private void proceed(String nominee) {
-        HandoverAction action = connectivity.nextInHandover(changesInFlight.getAsInt(), environment.now());
+        HandoverAction action = connectivity.advanceHandover(changesInFlight.getAsInt(), environment.now());
         switch (action) {
             case WAIT -> environment.schedule(STEP_MS, () -> proceed(nominee));
             case RELEASE -> release(nominee);
-            case GIVEN_UP -> {
+            case ABORTED -> {
                 LOG.info("leadership handover aborted, still leading: term={} nominee={}", term, nominee);
                 viewExchange.exchangeWithAll();
             }
@@ -91,7 +91,7 @@
             LOG.info("leadership released: term={} nominee={}", term, nominee);
             releasing = true;
             host.releaseLeadership();
-            connectivity.released(environment.now());
+            connectivity.leadershipReleased(environment.now());
         }
     }
 }
--- a/src/main/java/stileferry/links/LinkHealthView.java
+++ b/src/main/java/stileferry/links/LinkHealthView.java
@@ -24,8 +24,8 @@
                     .put("name", peer.controller())
                     .put("exchanges_views", controllersExchangingViews.contains(peer.controller()))
                     .put("view_age_ms", peer.viewAgeMs())
-                    .put("workers_reached", peer.reached())
-                    .put("worker_share", peer.workerShare());
+                    .put("workers_reached", peer.reachedWorkers())
+                    .put("worker_share", peer.reachableShare());
             entry.set("from", link(peer.inbound()));
             entry.set("to", link(peer.outbound()));
         }
@@ -34,13 +34,13 @@
                 .put("known", workers.known())
                 .put("direct", workers.direct())
                 .put("suspect", workers.suspect())
-                .put("share", workers.share())
-                .put("silence_bound_ms", Math.round(workers.silenceBoundMs()));
+                .put("share", workers.reachableShare())
+                .put("silence_bound_ms", Math.round(workers.suspicionTimeoutMs()));
         ConnectivitySnapshot.Counters counters = snapshot.counters();
         view.putObject("counters")
                 .put("handovers_begun", counters.handoversBegun())
                 .put("released", counters.released())
-                .put("handovers_given_up", counters.givenUp())
+                .put("handovers_given_up", counters.aborted())
                 .put("suspicions", counters.suspicions())
                 .put("withheld", counters.withheld())
                 .put("stale_views", counters.staleViews());
@@ -50,9 +50,9 @@
     private static ObjectNode link(ConnectivitySnapshot.Link link) {
         ObjectNode entry = MessageCodec.map()
                 .put("condition", lowerCase(link.condition()))
-                .put("suspicion", Math.round(10 * Math.min(1000, link.suspicion())) / 10.0)
+                .put("suspicion", Math.round(10 * Math.min(1000, link.suspicionLevel())) / 10.0)
                 .put("silent_ms", link.silentMs())
-                .put("failures_in_row", link.failuresInRow());
+                .put("failures_in_row", link.consecutiveFailures());
         return link.lastFailure() == null ? entry : entry.put("last_failure", lowerCase(link.lastFailure()));
     }
 
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -10,7 +10,7 @@
 import stileferry.connectivity.Decision;
 import stileferry.connectivity.FailureKind;
 import stileferry.connectivity.ReachabilityView;
-import stileferry.connectivity.WorkerReport;
+import stileferry.connectivity.WorkerHeartbeat;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.PeerMessage;
@@ -59,10 +59,10 @@
                 Math.round(workers.leaseS() * 1000),
                 leaderLeaseMs);
         this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
-        this.tickMs = config.exchangeMs(true);
+        this.tickMs = config.exchangeIntervalMs(true);
         long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickMs);
-        long exchangeTimeoutMs = config.exchangeMs(false); // longer, as a peer that is merely slow is not lost
-        this.storeProbeMs = config.storeProbeMs();
+        long exchangeTimeoutMs = config.exchangeIntervalMs(false); // longer, as a peer that is merely slow is not lost
+        this.storeProbeMs = config.storeProbeIntervalMs();
         this.viewExchange = new ViewExchange(
                 settings, observedEnvironment(environment), connectivity, exchangeTimeoutMs, this::viewAccepted);
         this.prober = new WorkerProber(settings, environment, connectivity, probeTimeoutMs);
@@ -89,8 +89,8 @@
     private void tick() {
         environment.schedule(tickMs, this::tick);
         long now = environment.now();
-        connectivity.leaderKnown(host.term(), host.leader(), now);
-        connectivity.lagging(host.eventLoopLagMs(), host.behind(), now);
+        connectivity.leaderObserved(host.term(), host.leader(), now);
+        connectivity.eventLoopLagMeasured(host.eventLoopLagMs(), host.behind(), now);
         if (now - storeReachedAt >= storeProbeMs) {
             host.probeStore(); // a link that nothing else uses
         }
@@ -106,19 +106,19 @@
         term = wonTerm;
         handover.elected(wonTerm, changesInFlight);
         workerByAddress.clear();
-        connectivity.leads(wonTerm, environment.now());
+        connectivity.elected(wonTerm, environment.now());
     }
 
     @Override
     public void deposed() {
         boolean released = handover.deposed();
-        connectivity.follows(!released, environment.now());
+        connectivity.deposed(!released, environment.now());
     }
 
     // ---- what the controller observes
 
-    private static WorkerReport workerReport(Heartbeat heartbeat, boolean acceptedTerm) {
-        return new WorkerReport(
+    private static WorkerHeartbeat workerReport(Heartbeat heartbeat, boolean acceptedTerm) {
+        return new WorkerHeartbeat(
                 heartbeat.machine(),
                 heartbeat.address(),
                 Math.max(0, heartbeat.incarnation()),
@@ -129,7 +129,7 @@
     @Override
     public void heartbeatReceived(Heartbeat heartbeat) {
         if (!heartbeat.machine().isEmpty()) {
-            connectivity.workerReported(workerReport(heartbeat, false), environment.now());
+            connectivity.heartbeatReceived(workerReport(heartbeat, false), environment.now());
         }
     }
 
@@ -141,10 +141,10 @@
         long now = environment.now();
         workerByAddress.forcePut(heartbeat.address(), heartbeat.machine());
         if (relayed) {
-            connectivity.workerRelayed(workerReport(heartbeat, heartbeat.fencingToken() >= term), now);
+            connectivity.relayedHeartbeatReceived(workerReport(heartbeat, heartbeat.fencingToken() >= term), now);
         } else {
-            connectivity.workerReported(workerReport(heartbeat, heartbeat.fencingToken() >= term), now);
-            connectivity.workerAnswered(heartbeat.machine(), now);
+            connectivity.heartbeatReceived(workerReport(heartbeat, heartbeat.fencingToken() >= term), now);
+            connectivity.heartbeatAnswered(heartbeat.machine(), now);
         }
     }
 
@@ -158,7 +158,7 @@
 
     @Override
     public void workerGone(String machine) {
-        connectivity.workerGone(machine, environment.now());
+        connectivity.workerRemoved(machine, environment.now());
         workerByAddress.inverse().remove(machine);
     }
 
@@ -187,9 +187,9 @@
 
     private void workerRequestCompleted(String worker, int status) {
         if (answered(status)) {
-            connectivity.workerReached(worker, false, environment.now());
+            connectivity.workerRequestAnswered(worker, false, environment.now());
         } else {
-            connectivity.workerMissed(worker, false, environment.now());
+            connectivity.workerRequestFailed(worker, false, environment.now());
         }
     }
 
@@ -201,9 +201,9 @@
     @Override
     public void peerRequestCompleted(String controller, boolean answered) {
         if (answered) {
-            connectivity.peerAnswered(controller, environment.now());
+            connectivity.peerRequestAnswered(controller, environment.now());
         } else {
-            connectivity.peerFailed(controller, FailureKind.UNANSWERED, environment.now());
+            connectivity.peerRequestFailed(controller, FailureKind.UNANSWERED, environment.now());
         }
     }
 
@@ -219,7 +219,7 @@
         viewExchange.announcementReceived(controller, announcement);
         if (announcement.leading() && announcement.term() > exchangedTerm) {
             exchangedTerm = announcement.term();
-            connectivity.leaderKnown(announcement.term(), controller, environment.now());
+            connectivity.leaderObserved(announcement.term(), controller, environment.now());
             viewExchange.exchangeWithAll(); // another controller may not hear the new leader
         }
     }
@@ -231,7 +231,7 @@
 
     private void viewAccepted(ReachabilityView.Header header) {
         host.observeTerm(header.term(), header.leading() ? header.sender() : "");
-        connectivity.leaderKnown(host.term(), host.leader(), environment.now());
+        connectivity.leaderObserved(host.term(), host.leader(), environment.now());
     }
 
     // ---- what the controller may do
@@ -242,32 +242,32 @@
 
     @Override
     public boolean leaderHearsWorker(String leader, String machine) {
-        return connectivity.knownBy(leader, machine, environment.now());
+        return connectivity.peerKnowsWorker(leader, machine, environment.now());
     }
 
     @Override
     public boolean leaderCannotReachWorker(String leader, String machine) {
-        return connectivity.missedBy(leader, machine, environment.now());
+        return connectivity.peerCannotReachWorker(leader, machine, environment.now());
     }
 
     @Override
     public String leaderHint(long leastTerm) {
-        return connectivity.leaderSeenByOthers(leastTerm, environment.now());
+        return connectivity.leaderReportedByPeers(leastTerm, environment.now());
     }
 
     @Override
     public boolean peerUnreachable(String controller) {
-        return connectivity.unreachable(controller, environment.now());
+        return connectivity.peerUnreachable(controller, environment.now());
     }
 
     @Override
     public boolean leaderHandsOver(String leader) {
-        return connectivity.handsOver(leader, environment.now());
+        return connectivity.peerHandsOver(leader, environment.now());
     }
 
     @Override
     public long electionDelayMs() {
-        return connectivity.abstainMs(environment.now());
+        return connectivity.electionDelayMs(environment.now());
     }
 
     @Override
@@ -277,7 +277,7 @@
 
     @Override
     public boolean permitsTaskStart() {
-        return permits(Decision.START);
+        return permits(Decision.START_TASK);
     }
 
     @Override
@@ -287,22 +287,22 @@
 
     @Override
     public boolean permitsScaleOut() {
-        return permits(Decision.RENT);
+        return permits(Decision.SCALE_OUT);
     }
 
     @Override
     public boolean permitsScaleIn() {
-        return permits(Decision.RETURN_WORKER);
+        return permits(Decision.SCALE_IN);
     }
 
     @Override
     public boolean permitsRemovingMachine(String machine) {
-        return connectivity.permitsGivingUp(machine, environment.now()).allowed();
+        return connectivity.permitsRemovingWorker(machine, environment.now()).allowed();
     }
 
     @Override
     public boolean permitsUserChanges() {
-        return permits(Decision.ACCEPT) && permits(Decision.CONFIRM_CANCELLATION);
+        return permits(Decision.ADMIT_JOB) && permits(Decision.CONFIRM_CANCELLATION);
     }
 
     @Override
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -80,7 +80,7 @@
             return null;
         }
         String sender = view.header().sender();
-        connectivity.peerHeard(sender, environment.now());
+        connectivity.peerMessageReceived(sender, environment.now());
         return new PeerMessage.LinkView(ViewCodec.write(connectivity.viewFor(sender, environment.now())));
     }
 
@@ -88,7 +88,7 @@
     private ReachabilityView accept(PeerMessage.LinkView message) {
         try {
             ReachabilityView view = ViewCodec.read(message.view());
-            connectivity.take(view, environment.now());
+            connectivity.receive(view, environment.now());
             onViewAccepted.accept(view.header());
             return view;
         } catch (InvalidInputException e) {
@@ -99,7 +99,7 @@
 
     /** Exchanges views with each controller whose turn has come. */
     void exchangeWhereDue() {
-        long before = environment.now() - connectivity.exchangeMs();
+        long before = environment.now() - connectivity.exchangeIntervalMs();
         for (Settings.Peer peer : settings.peers()) {
             if (sentAt.getOrDefault(peer.name(), Long.MIN_VALUE) <= before) {
                 exchangeWith(peer);
--- a/src/main/java/stileferry/links/WorkerProber.java
+++ b/src/main/java/stileferry/links/WorkerProber.java
@@ -31,7 +31,7 @@
 
     /** Sends the probes that are due. */
     void probeWhereDue() {
-        for (ProbeTarget target : connectivity.nextProbes(maxInFlight - inFlight.size(), environment.now())) {
+        for (ProbeTarget target : connectivity.takeDueProbes(maxInFlight - inFlight.size(), environment.now())) {
             if (inFlight.add(target.worker())) {
                 probe(target);
             }
@@ -45,9 +45,9 @@
             // another worker may have its address by now
             boolean reached = heartbeat != null && heartbeat.machine().equals(target.worker());
             if (reached) {
-                connectivity.workerReached(target.worker(), true, environment.now());
+                connectivity.workerRequestAnswered(target.worker(), true, environment.now());
             } else {
-                connectivity.workerMissed(target.worker(), true, environment.now());
+                connectivity.workerRequestFailed(target.worker(), true, environment.now());
             }
         });
     }
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -36,11 +36,11 @@
     private static void change(Connectivity links, int event, long now) {
         String worker = "w" + event % WORKERS;
         switch (event / WORKERS % 5) {
-            case 0 -> links.workerReported(new WorkerReport(worker, worker, 1, now, true), now);
-            case 1 -> links.workerReached(worker, false, now);
-            case 2 -> links.workerMissed(worker, true, now);
-            case 3 -> links.workerGone(worker, now);
-            default -> links.workerRelayed(new WorkerReport(worker, worker, 1, now, true), now);
+            case 0 -> links.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
+            case 1 -> links.workerRequestAnswered(worker, false, now);
+            case 2 -> links.workerRequestFailed(worker, true, now);
+            case 3 -> links.workerRemoved(worker, now);
+            default -> links.relayedHeartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
         }
     }
 
@@ -50,7 +50,7 @@
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 59) Integer> events,
             @ForAll @LongRange(min = 0, max = 1_000_000) long shuffle) {
         Connectivity sender = new Connectivity(A, 5, 0);
-        sender.leads(1, 0);
+        sender.elected(1, 0);
         Connectivity inOrder = new Connectivity(B, 6, 0);
         PeerView shuffled = new PeerView();
         List<ReachabilityView> views = new ArrayList<>();
@@ -59,9 +59,9 @@
             change(sender, event, now);
             ReachabilityView view = sender.viewFor("b", now);
             views.add(view);
-            inOrder.take(ViewCodec.read(ViewCodec.write(view)), now);
+            inOrder.receive(ViewCodec.read(ViewCodec.write(view)), now);
             if (event % 3 == 0) {
-                sender.take(inOrder.viewFor("a", now), now);
+                sender.receive(inOrder.viewFor("a", now), now);
             }
             now++;
         }
@@ -93,9 +93,14 @@
                 has.epoch());
         ReachabilityView.WorkerChanges nothing =
                 new ReachabilityView.WorkerChanges(1, 0, 0, List.of(), empty(), empty(), empty(), empty(), empty());
-        sender.take(
+        sender.receive(
                 new ReachabilityView(
-                        header, new ReachabilityView.Standing(true, false, List.of()), nothing, List.of(), null, 0),
+                        header,
+                        new ReachabilityView.ControllerHealth(true, false, List.of()),
+                        nothing,
+                        List.of(),
+                        null,
+                        0),
                 now);
         return sender.viewFor("b", now);
     }
@@ -150,12 +155,12 @@
             @ForAll @LongRange(min = 0, max = 20_000) long manyMs) {
         Verdict verdict =
                 new DecisionGate(A).check(decision, new LinkEvidence(leading, handingOver, storeAgeMs, many, manyMs));
-        boolean mayOpen = leading && !handingOver && storeAgeMs >= 0 && storeAgeMs <= A.storeBoundMs();
+        boolean mayOpen = leading && !handingOver && storeAgeMs >= 0 && storeAgeMs <= A.storeAnswerMaxAgeMs();
         assertFalse(verdict.allowed() && !mayOpen);
-        assertTrue(verdict.allowed() || !verdict.missing().isEmpty());
+        assertTrue(verdict.allowed() || !verdict.reason().isEmpty());
         assertTrue(verdict.allowed() || verdict.retryAfterMs() > 0, "when to come back is always said");
-        boolean patient = decision == Decision.RENT || decision == Decision.PREEMPT;
-        assertTrue(verdict.allowed() || !mayOpen || patient && many && manyMs < 4 * A.reportMs());
+        boolean patient = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
+        assertTrue(verdict.allowed() || !mayOpen || patient && many && manyMs < 4 * A.heartbeatIntervalMs());
     }
 
     /** A silence that lasts longer is never less suspect, whatever was measured. */
@@ -181,8 +186,8 @@
             @ForAll @DoubleRange(min = 0, max = 1) double shareB,
             @ForAll boolean busyA,
             @ForAll boolean busyB) {
-        Suitability a = new Suitability("a", storeA, shareA, busyA, 1);
-        Suitability b = new Suitability("b", storeB, shareB, busyB, 1);
+        LeaderCandidate a = new LeaderCandidate("a", storeA, shareA, busyA, 1);
+        LeaderCandidate b = new LeaderCandidate("b", storeB, shareB, busyB, 1);
         assertEquals(Integer.signum(a.compareTo(b)), -Integer.signum(b.compareTo(a)));
         assertTrue(a.compareTo(b) != 0);
         assertFalse(a.clearlyBetterThan(b) && b.clearlyBetterThan(a));
--- a/src/test/java/stileferry/connectivity/ConnectivityTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityTest.java
@@ -64,20 +64,20 @@
     void ownLatenessIsNoLostLink() {
         Connectivity links = leaderOf(50);
         long late = 20_000;
-        links.lagging(late, true, 30_000 + late);
+        links.eventLoopLagMeasured(late, true, 30_000 + late);
         assertEquals(0, links.snapshot(30_000 + late).workers().suspect());
-        links.lagging(0, false, 30_000 + late);
+        links.eventLoopLagMeasured(0, false, 30_000 + late);
         assertEquals(50, links.snapshot(30_000 + late).workers().suspect(), "without that they are all suspect");
     }
 
     /** A leader whose workers have reported regularly until 30 s. */
     private static Connectivity leaderOf(int workers) {
         Connectivity links = new Connectivity(CONFIG, 1, 0);
-        links.leads(1, 0);
+        links.elected(1, 0);
         for (int t = 1; t <= 30; t++) {
             for (int i = 0; i < workers; i++) {
-                links.workerReported(new WorkerReport("w" + i, "addr" + i, 1, t, true), 1000L * t);
-                links.workerAnswered("w" + i, 1000L * t);
+                links.heartbeatReceived(new WorkerHeartbeat("w" + i, "addr" + i, 1, t, true), 1000L * t);
+                links.heartbeatAnswered("w" + i, 1000L * t);
             }
             links.storeAnswered(1000L * t);
         }
@@ -87,10 +87,10 @@
     @Test
     void copiesOfReportsAreNoSignOfLife() {
         Connectivity links = leaderOf(2);
-        assertFalse(links.workerReported(new WorkerReport("w0", "addr0", 1, 30, true), 40_000));
-        assertFalse(links.workerReported(new WorkerReport("w0", "addr0", 1, 2, true), 40_000));
+        assertFalse(links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 30, true), 40_000));
+        assertFalse(links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 2, true), 40_000));
         assertEquals(2, links.snapshot(40_000).workers().suspect());
-        assertTrue(links.workerReported(new WorkerReport("w0", "addr0", 2, 1, true), 40_000), "a new session");
+        assertTrue(links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 2, 1, true), 40_000), "a new session");
         assertEquals(1, links.snapshot(40_000).workers().suspect());
     }
 
@@ -101,30 +101,30 @@
         ReachabilityView good = links.viewFor("b", 30_000);
         ConnectivitySnapshot before = links.snapshot(30_000);
         refused(links, "now", l -> l.storeAnswered(-1));
-        refused(links, "now", l -> l.workerReported(new WorkerReport("w9", "x", 1, 1, true), -5));
-        refused(links, "peer", l -> l.peerAnswered("nobody", 30_000));
+        refused(links, "now", l -> l.heartbeatReceived(new WorkerHeartbeat("w9", "x", 1, 1, true), -5));
+        refused(links, "peer", l -> l.peerRequestAnswered("nobody", 30_000));
         refused(links, "peer", l -> l.viewFor("a", 30_000));
         refused(links, "kind", l -> l.storeFailed(null, 30_000));
-        refused(links, "worker", l -> l.workerGone("", 30_000));
-        refused(links, "sequence", l -> l.workerReported(new WorkerReport("w0", "x", 1, -1, true), 30_000));
+        refused(links, "worker", l -> l.workerRemoved("", 30_000));
+        refused(links, "sequence", l -> l.heartbeatReceived(new WorkerHeartbeat("w0", "x", 1, -1, true), 30_000));
         refused(links, "decision", l -> l.permits(null, 30_000));
-        refused(links, "late", l -> l.lagging(-1, false, 30_000));
-        refused(links, "term", l -> l.leads(0, 30_000));
-        refused(links, "most", l -> l.nextProbes(-1, 30_000));
-        refused(links, "view", l -> l.take(null, 30_000));
+        refused(links, "late", l -> l.eventLoopLagMeasured(-1, false, 30_000));
+        refused(links, "term", l -> l.elected(0, 30_000));
+        refused(links, "most", l -> l.takeDueProbes(-1, 30_000));
+        refused(links, "view", l -> l.receive(null, 30_000));
         refused(links, "view", l -> ViewCodec.read(new byte[] {1, 2, 3}));
-        refused(links, "peer", l -> l.take(good, 30_000)); // its own view
-        refused(links, "view", l -> l.take(fromTheFuture(good), 30_000));
+        refused(links, "peer", l -> l.receive(good, 30_000)); // its own view
+        refused(links, "view", l -> l.receive(fromTheFuture(good), 30_000));
         assertEquals(before, links.snapshot(30_000));
-        refused(links, "reportMs", l -> new ConnectivityConfig("a", List.of(), 0, 10, 10));
+        refused(links, "heartbeatIntervalMs", l -> new ConnectivityConfig("a", List.of(), 0, 10, 10));
         refused(links, "peers", l -> new ConnectivityConfig("a", List.of("a"), 10, 100, 10));
-        refused(links, "workerShare", l -> new Suitability("a", true, 1.5, false, 0));
+        refused(links, "workerShare", l -> new LeaderCandidate("a", true, 1.5, false, 0));
     }
 
     private static ReachabilityView fromTheFuture(ReachabilityView view) {
         ReachabilityView.Header header =
                 new ReachabilityView.Header("b", 7, 1, 1, "", view.header().incarnation(), 1_000_000, 0, 0);
-        return new ReachabilityView(header, view.standing(), view.workers(), List.of(), null, 0);
+        return new ReachabilityView(header, view.senderHealth(), view.workers(), List.of(), null, 0);
     }
 
     private static void refused(Connectivity links, String argument, Consumer<Connectivity> call) {
@@ -150,13 +150,13 @@
     void aFormerLifeWithAClockAheadDoesNotSilenceTheNextOne() {
         Connectivity a = new Connectivity(CONFIG, 1000, 0);
         Connectivity first = new Connectivity(new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500), 900, 0);
-        a.take(first.viewFor("a", 0), 0);
+        a.receive(first.viewFor("a", 0), 0);
         Connectivity second = new Connectivity(new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500), 880, 0);
-        a.take(second.viewFor("a", 10), 10);
-        second.take(a.viewFor("b", 20), 20); // it says whom it takes for the newest
-        a.take(second.viewFor("a", 30), 30);
-        second.take(a.viewFor("b", 40), 40);
-        a.take(second.viewFor("a", 50), 50);
+        a.receive(second.viewFor("a", 10), 10);
+        second.receive(a.viewFor("b", 20), 20); // it says whom it takes for the newest
+        a.receive(second.viewFor("a", 30), 30);
+        second.receive(a.viewFor("b", 40), 40);
+        a.receive(second.viewFor("a", 50), 50);
         assertTrue(a.snapshot(60).peers().get(0).viewAgeMs() >= 0, "its view is dated again");
     }
 
@@ -168,23 +168,23 @@
         Connectivity peer = new Connectivity(new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500), 2, 0);
         int largest = 0;
         int views = 0;
-        for (long t = 30_001; peer.knownBy("a", "w" + (workers - 1), t) == false && views < 100; t++) {
+        for (long t = 30_001; peer.peerKnowsWorker("a", "w" + (workers - 1), t) == false && views < 100; t++) {
             byte[] bytes = ViewCodec.write(links.viewFor("b", t));
             largest = Math.max(largest, bytes.length);
             views++;
-            peer.take(ViewCodec.read(bytes), t);
-            links.take(peer.viewFor("a", t), t);
+            peer.receive(ViewCodec.read(bytes), t);
+            links.receive(peer.viewFor("a", t), t);
         }
         assertTrue(views <= workers / ViewWriter.MOST_WORKERS + 3, views + " views for a whole fleet");
         assertTrue(largest < 8 * 1024, largest + " bytes");
         int unchanged = ViewCodec.write(links.viewFor("b", 30_200)).length;
         assertTrue(unchanged < 250, unchanged + " bytes when nothing changed");
-        links.workerGone("w7", 30_201);
+        links.workerRemoved("w7", 30_201);
         assertTrue(ViewCodec.write(links.viewFor("b", 30_202)).length < unchanged + 80, "one change");
         links.storeAnswered(60_000);
         assertEquals(workers - 1, links.snapshot(60_000).workers().suspect());
-        int probes = links.nextProbes(1000, 60_000).size();
+        int probes = links.takeDueProbes(1000, 60_000).size();
         assertTrue(probes <= ProbePlanner.SAMPLE, probes + " probes in a round");
-        assertEquals(0, links.nextProbes(1000, 60_001).size(), "the next round has its time");
+        assertEquals(0, links.takeDueProbes(1000, 60_001).size(), "the next round has its time");
     }
 }
--- a/src/test/java/stileferry/connectivity/ExampleHost.java
+++ b/src/test/java/stileferry/connectivity/ExampleHost.java
@@ -70,7 +70,7 @@
                 connectivity.storeFailed(FailureKind.UNANSWERED, now);
             }
             members.values().stream().filter(peer -> peer != this).forEach(this::exchange);
-            for (ProbeTarget target : connectivity.nextProbes(8, now)) {
+            for (ProbeTarget target : connectivity.takeDueProbes(8, now)) {
                 probesSent++;
                 boolean reached = passes.test(name, target.worker()) && passes.test(target.worker(), name);
                 after(5, () -> answer(target.worker(), reached));
@@ -80,23 +80,23 @@
 
         private void answer(String worker, boolean reached) {
             if (reached) {
-                connectivity.workerReached(worker, true, now);
+                connectivity.workerRequestAnswered(worker, true, now);
             } else {
-                connectivity.workerMissed(worker, true, now);
+                connectivity.workerRequestFailed(worker, true, now);
             }
         }
 
         private void lead() {
             if (leader.equals(name)) {
                 heldUntil = now + LEADER_LEASE_MS;
-            } else if (now > heldUntil && connectivity.abstainMs(now) == 0) {
+            } else if (now > heldUntil && connectivity.electionDelayMs(now) == 0) {
                 if (!leader.isEmpty()) {
-                    members.get(leader).connectivity.follows(true, now);
+                    members.get(leader).connectivity.deposed(true, now);
                 }
                 leader = name;
                 leaders.add(name);
                 heldUntil = now + LEADER_LEASE_MS;
-                connectivity.leads(++term, now);
+                connectivity.elected(++term, now);
                 for (int i = 0; i < workers; i++) {
                     connectivity.workerExpected("worker-" + i, "worker-" + i, now);
                 }
@@ -107,7 +107,7 @@
             byte[] words = ViewCodec.write(connectivity.viewFor(peer.name, now));
             viewBytes += words.length;
             if (!passes.test(name, peer.name)) {
-                connectivity.peerFailed(peer.name, FailureKind.UNANSWERED, now);
+                connectivity.peerRequestFailed(peer.name, FailureKind.UNANSWERED, now);
                 return;
             }
             after(2, () -> peer.hear(this, words));
@@ -117,25 +117,25 @@
         }
 
         private void hear(Member from, byte[] words) {
-            connectivity.take(ViewCodec.read(words), now);
-            connectivity.peerHeard(from.name, now);
+            connectivity.receive(ViewCodec.read(words), now);
+            connectivity.peerMessageReceived(from.name, now);
             byte[] answer = ViewCodec.write(connectivity.viewFor(from.name, now));
             viewBytes += answer.length;
             if (passes.test(name, from.name)) {
                 after(2, () -> {
-                    from.connectivity.take(ViewCodec.read(answer), now);
-                    from.connectivity.peerAnswered(name, now);
+                    from.connectivity.receive(ViewCodec.read(answer), now);
+                    from.connectivity.peerRequestAnswered(name, now);
                 });
             }
         }
 
-        private void follow(Advice advice) {
+        private void follow(LeadershipAdvice advice) {
             boolean leads = leader.equals(name) && now <= heldUntil;
-            if (leads && advice.action() == Advice.Action.STEP_DOWN) {
+            if (leads && advice.action() == LeadershipAdvice.Action.STEP_DOWN) {
                 release();
-            } else if (leads && advice.action() == Advice.Action.HAND_OVER) {
+            } else if (leads && advice.action() == LeadershipAdvice.Action.HAND_OVER) {
                 connectivity.beginHandover(advice.nominee(), now);
-                if (connectivity.nextInHandover(0, now) == HandoverAction.RELEASE) {
+                if (connectivity.advanceHandover(0, now) == HandoverAction.RELEASE) {
                     release();
                 }
             }
@@ -143,8 +143,8 @@
 
         private void release() {
             released++;
-            connectivity.follows(false, now);
-            connectivity.released(now);
+            connectivity.deposed(false, now);
+            connectivity.leadershipReleased(now);
             leader = "";
             heldUntil = now;
         }
@@ -155,9 +155,9 @@
             if (!passes.test(worker, name)) {
                 return false;
             }
-            connectivity.workerReported(new WorkerReport(worker, worker, 1, sequence, true), now);
+            connectivity.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, sequence, true), now);
             if (leader.equals(name)) {
-                connectivity.workerAnswered(worker, now);
+                connectivity.heartbeatAnswered(worker, now);
             }
             return passes.test(name, worker);
         }
--- a/src/test/java/stileferry/golden/GoldenViewCodecTest.java
+++ b/src/test/java/stileferry/golden/GoldenViewCodecTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.roaringbitmap.RoaringBitmap;
 import stileferry.connectivity.ReachabilityView;
+import stileferry.connectivity.ReachabilityView.ControllerHealth;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 import stileferry.connectivity.ReachabilityView.Header;
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
-import stileferry.connectivity.ReachabilityView.Standing;
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 import stileferry.connectivity.ViewCodec;
 import stileferry.validation.InvalidInputException;
@@ -50,7 +50,7 @@
     private static ReachabilityView full() {
         return new ReachabilityView(
                 new Header("n0", 0x11, 0x12, 0x13, "n1", 0x14, 0x15, 0x16, 0x17),
-                new Standing(true, false, List.of("n1", "n2")),
+                new ControllerHealth(true, false, List.of("n1", "n2")),
                 new WorkerChanges(
                         3,
                         4,
@@ -69,7 +69,7 @@
     private static ReachabilityView empty() {
         return new ReachabilityView(
                 new Header("n0", 1, 1, 1, "", 0, 0, 0, 0),
-                new Standing(false, true, List.of()),
+                new ControllerHealth(false, true, List.of()),
                 new WorkerChanges(
                         1,
                         0,
