--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -20,24 +20,24 @@
  */
 public final class Connectivity {
     /** Probes that wait to be sent; more are forgotten, since they come again. */
-    private static final int MOST_PROBES = 64;
+    private static final int MAX_QUEUED_PROBES = 64;
 
     /** Failed requests in a row after which another controller counts as out of reach until it answers one. */
-    private static final int PEER_FAILURES = 2;
+    private static final int MAX_PEER_FAILURES = 2;
 
     private final ConnectivityConfig config;
     private final ObservedLinks links;
-    private final ViewLog sent = new ViewLog();
-    private final ViewWriter writer;
-    private final ProbePlanner planner;
-    private final LeadershipControl control;
+    private final SentViewLog sentViews = new SentViewLog();
+    private final ViewBuilder viewBuilder;
+    private final ProbePlanner probePlanner;
+    private final LeadershipControl leadership;
     private final DecisionGate gate;
 
     /** Workers that shall be asked whether requests reach them, in the order of their arrival. */
-    private final Map<String, ProbeTarget> probes = new LinkedHashMap<>();
+    private final Map<String, ProbeTarget> queuedProbes = new LinkedHashMap<>();
 
     private long incarnation;
-    private long withheld;
+    private long withheldDecisions;
     private long staleViews;
 
     /**
@@ -52,9 +52,9 @@
         this.config = config;
         this.incarnation = incarnation;
         links = new ObservedLinks(config, now);
-        writer = new ViewWriter(config, links.workers, sent);
-        planner = new ProbePlanner(config);
-        control = new LeadershipControl(links, planner);
+        viewBuilder = new ViewBuilder(config, links.workers, sentViews);
+        probePlanner = new ProbePlanner(config);
+        leadership = new LeadershipControl(links, probePlanner);
         gate = new DecisionGate(config);
     }
 
@@ -63,7 +63,7 @@
     /** The state service has answered. */
     public void storeAnswered(long time) {
         links.advance(time);
-        links.store.confirmed(links.now());
+        links.store.succeeded(links.now());
     }
 
     /** A request to the state service failed. */
@@ -75,23 +75,23 @@
 
     /** Another controller answered a request of this one. */
     public void peerRequestAnswered(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+        PeerLinks.Peer known = links.peers.get(peer);
         links.advance(time);
-        known.everHeard = true;
-        known.outbound.confirmed(links.now());
+        known.everReachable = true;
+        known.outbound.succeeded(links.now());
     }
 
     /** Another controller sent something by itself. */
     public void peerMessageReceived(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+        PeerLinks.Peer known = links.peers.get(peer);
         links.advance(time);
-        known.everHeard = true;
-        known.inbound.confirmed(links.now());
+        known.everReachable = true;
+        known.inbound.succeeded(links.now());
     }
 
     /** A request to another controller failed. */
     public void peerRequestFailed(String peer, FailureKind kind, long time) {
-        Peers.Peer known = links.peers.get(peer);
+        PeerLinks.Peer known = links.peers.get(peer);
         require(kind != null, "kind", "missing");
         links.advance(time);
         known.outbound.failed(kind);
@@ -109,41 +109,41 @@
     public boolean heartbeatReceived(WorkerHeartbeat report, long time) {
         require(report != null, "report", "missing");
         links.advance(time);
-        return links.workers.reported(report, links.now());
+        return links.workers.heartbeatReceived(report, links.now());
     }
 
     /** A report came by way of another controller. */
     public void relayedHeartbeatReceived(WorkerHeartbeat report, long time) {
         require(report != null, "report", "missing");
         links.advance(time);
-        links.workers.relayed(report, links.now());
+        links.workers.relayedHeartbeatReceived(report, links.now());
     }
 
     /** The last report that came straight from this worker was answered. */
     public void heartbeatAnswered(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        links.workers.answered(worker, links.now());
+        links.workers.heartbeatAnswered(worker, links.now());
     }
 
     /** A worker has answered a request; {@code probe}: one that was sent to find that out. */
     public void workerRequestAnswered(String worker, boolean probe, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        knowProbed(worker, probe);
-        links.workers.reached(worker, probe, links.now());
+        trackProbedWorker(worker, probe);
+        links.workers.requestAnswered(worker, probe, links.now());
     }
 
     /** A worker has not answered a request; {@code probe}: one that was sent to find that out. */
     public void workerRequestFailed(String worker, boolean probe, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        knowProbed(worker, probe);
-        links.workers.missed(worker, probe, links.now());
+        trackProbedWorker(worker, probe);
+        links.workers.requestFailed(worker, probe, links.now());
     }
 
     /** A follower knows no workers but those that the leader asked it to try; a leader's may be gone by now. */
-    private void knowProbed(String worker, boolean probe) {
+    private void trackProbedWorker(String worker, boolean probe) {
         if (probe && !links.leading()) {
             links.workers.expected(worker, "", links.now());
         }
@@ -153,23 +153,23 @@
     public void workerRemoved(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        links.workers.gone(worker);
+        links.workers.removed(worker);
     }
 
     /** By how much this process's own timers are late, and whether it counts as behind with its work. */
     public void eventLoopLagMeasured(long late, boolean behind, long time) {
         require(late >= 0, "late", "negative");
         links.advance(time);
-        links.lagging(late, behind);
+        links.eventLoopLagMeasured(late, behind);
     }
 
     /** This controller leads from now on. */
     public void elected(long newTerm, long time) {
         require(newTerm > 0, "term", "must be above 0");
         links.advance(time);
-        control.leads(newTerm);
-        links.lead(true);
-        planner.reset();
+        leadership.elected(newTerm);
+        links.setLeading(true);
+        probePlanner.reset();
     }
 
     /** Who leads in which term, as far as this controller knows; empty: it does not know. */
@@ -177,38 +177,38 @@
         require(knownTerm >= 0, "term", "negative");
         require(name != null, "name", "missing");
         links.advance(time);
-        control.leaderKnown(knownTerm, name);
+        leadership.leaderObserved(knownTerm, name);
     }
 
     /** This controller does not lead any more; {@code storeLost}: since the state service did not answer it. */
     public void deposed(boolean storeLost, long time) {
         links.advance(time);
-        control.follows(storeLost);
-        links.lead(false);
-        planner.reset();
-        probes.clear();
+        leadership.deposed(storeLost);
+        links.setLeading(false);
+        probePlanner.reset();
+        queuedProbes.clear();
     }
 
     // ---- views
 
     /** The milliseconds after which views should be exchanged with every controller again. */
     public long exchangeIntervalMs() {
-        boolean many = links.leading() && ProbePlanner.many(links.workers);
-        return config.exchangeIntervalMs(many || control.handover().underWay());
+        boolean many = links.leading() && ProbePlanner.manySuspects(links.workers);
+        return config.exchangeIntervalMs(many || leadership.handover().underWay());
     }
 
     /** What this controller tells another one now. */
     public ReachabilityView viewFor(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+        PeerLinks.Peer known = links.peers.get(peer);
         links.advance(time);
-        links.sweep();
-        return writer.write(
+        links.detectSilentWorkers();
+        return viewBuilder.build(
                 known,
-                new ViewWriter.Self(incarnation, control.term(), control.leader()),
-                links.standing(),
-                links.leading() ? planner.newest() : List.of(),
-                links.leading() ? control.handover().notice() : null,
-                control.acceptable(known, incarnation),
+                new ViewBuilder.Self(incarnation, leadership.term(), leadership.leader()),
+                links.health(),
+                links.leading() ? probePlanner.currentTargets() : List.of(),
+                links.leading() ? leadership.handover().notice() : null,
+                leadership.acceptableHandoverId(known, incarnation),
                 links.now());
     }
 
@@ -216,11 +216,11 @@
     public void receive(ReachabilityView view, long time) {
         require(view != null, "view", "missing");
         Header header = view.header();
-        Peers.Peer peer = links.peers.get(header.sender());
+        PeerLinks.Peer peer = links.peers.get(header.sender());
         view.workers().check();
         require(header.incarnation() > 0 && header.sequence() > 0, "view", "impossible numbers");
         require(
-                header.ackedIncarnation() != incarnation || header.ackedSequence() <= sent.newest(),
+                header.ackedIncarnation() != incarnation || header.ackedSequence() <= sentViews.newestSequence(),
                 "view",
                 "from the future: it has seen a view that was never sent");
         links.advance(time);
@@ -228,69 +228,69 @@
             incarnation = header.ackedIncarnation() + 1; // a former life of this process had a clock that was ahead
         }
         boolean ours = header.ackedIncarnation() == incarnation;
-        if (!peer.view.take(view, ours ? sent.sentAt(header.ackedSequence()) : -1)) {
+        if (!peer.view.merge(view, ours ? sentViews.sentAt(header.ackedSequence()) : -1)) {
             staleViews++;
             return;
         }
-        peer.confirm(header, incarnation);
-        control.learnTerm(header.term());
+        peer.acknowledge(header, incarnation);
+        leadership.observeTerm(header.term());
         if (header.leading() && !links.leading()) {
-            view.probes().forEach(this::queue);
+            view.probes().forEach(this::queueProbe);
         }
-        control.hear(peer, view.handover());
+        leadership.handoverNoticeReceived(peer, view.handover());
         if (view.acceptedHandoverId() > 0) {
-            control.handover().accepted(peer.name, header.incarnation(), view.acceptedHandoverId(), links.now());
+            leadership
+                    .handover()
+                    .nomineeAccepted(peer.name, header.incarnation(), view.acceptedHandoverId(), links.now());
         }
     }
 
-    /**
-     * Whether another controller, which is not behind and answers at once, lately said that it knows a worker. Found on
-     * the bench: the workers of one that was merely slow gain nothing if their reports come to it by way of others.
-     */
+    /** Whether another controller, which neither lags nor leaves requests unanswered, lately listed a worker. */
     public boolean peerKnowsWorker(String peer, String worker, long time) {
-        Peers.Peer known = links.peers.get(peer);
+        PeerLinks.Peer known = links.peers.get(peer);
         requireName(worker, "worker");
         links.advance(time);
         return links.peers.fresh(known, links.now())
-                && !known.view.standing().lagging()
-                && known.outbound.failuresInRow() == 0
+                && !known.view.senderHealth().lagging()
+                && known.outbound.consecutiveFailures() == 0
                 && known.view.names(worker);
     }
 
     /** Whether another controller lately said that its requests do not reach a worker. */
     public boolean peerCannotReachWorker(String peer, String worker, long time) {
-        Peers.Peer known = links.peers.get(peer);
-        return peerKnowsWorker(peer, worker, time) && known.view.knows(worker) && !known.view.reaches(worker);
+        PeerLinks.Peer known = links.peers.get(peer);
+        return peerKnowsWorker(peer, worker, time) && known.view.outboundKnown(worker) && !known.view.reaches(worker);
     }
 
     /** Whether requests to another controller have been in vain for long, though it did not say that it is behind. */
     public boolean peerUnreachable(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+        PeerLinks.Peer known = links.peers.get(peer);
         links.advance(time);
-        boolean behind = known.view.standing() != null && known.view.standing().lagging();
+        boolean behind =
+                known.view.senderHealth() != null && known.view.senderHealth().lagging();
         return !behind
-                && known.outbound.failuresInRow() >= PEER_FAILURES
-                && known.outbound.condition(links.now(), links.lateMs()) == LinkCondition.FAILING;
+                && known.outbound.consecutiveFailures() >= MAX_PEER_FAILURES
+                && known.outbound.condition(links.now(), links.eventLoopLagMs()) == LinkCondition.FAILING;
     }
 
     /** Who leads in this term or a later one, as another controller lately said; empty: nobody did. */
     public String leaderReportedByPeers(long leastTerm, long time) {
         links.advance(time);
-        return links.peers.leaderSeen(leastTerm, links.now());
+        return links.peers.reportedLeader(leastTerm, links.now());
     }
 
     /** Whether another controller, as far as its last words go, is handing over the leadership or has just done so. */
     public boolean peerHandsOver(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+        PeerLinks.Peer known = links.peers.get(peer);
         links.advance(time);
-        return control.handsOver(known);
+        return leadership.peerHandsOver(known);
     }
 
     // ---- probes
 
-    private void queue(ProbeTarget target) {
-        if (probes.size() < MOST_PROBES || probes.containsKey(target.worker())) {
-            probes.put(target.worker(), target);
+    private void queueProbe(ProbeTarget target) {
+        if (queuedProbes.size() < MAX_QUEUED_PROBES || queuedProbes.containsKey(target.worker())) {
+            queuedProbes.put(target.worker(), target);
         }
     }
 
@@ -301,16 +301,16 @@
         if (links.leading()) {
             // what is not suspect here needs no question, nor do single suspects, whose reports and commands tell
             // enough
-            boolean many = ProbePlanner.many(links.workers);
-            for (WorkerLink link : planner.plan(links.workers, links.now())) {
+            boolean many = ProbePlanner.manySuspects(links.workers);
+            for (WorkerLink link : probePlanner.planRound(links.workers, links.now())) {
                 if (many && link.suspectSince >= 0) {
-                    ProbePlanner.targets(List.of(link)).forEach(this::queue);
+                    ProbePlanner.targets(List.of(link)).forEach(this::queueProbe);
                 }
             }
         }
         List<ProbeTarget> next = new ArrayList<>();
-        probes.values().stream().limit(most).forEach(next::add);
-        next.forEach(target -> probes.remove(target.worker()));
+        queuedProbes.values().stream().limit(most).forEach(next::add);
+        next.forEach(target -> queuedProbes.remove(target.worker()));
         return next;
     }
 
@@ -319,33 +319,33 @@
     /** What this controller should do about the leadership. */
     public LeadershipAdvice advise(long time) {
         links.advance(time);
-        links.sweep();
-        return control.advise();
+        links.detectSilentWorkers();
+        return leadership.advise();
     }
 
     /** For how long this controller should leave a free leadership to others, in milliseconds. */
     public long electionDelayMs(long time) {
         links.advance(time);
-        return control.abstainMs();
+        return leadership.electionDelayMs();
     }
 
     /** Whether a decision may be made, as far as links are concerned. */
     public Verdict permits(Decision decision, long time) {
         require(decision != null, "decision", "missing");
         links.advance(time);
-        links.sweep();
-        return count(gate.check(decision, links.evidence(handingOver())));
+        links.detectSilentWorkers();
+        return countWithheld(gate.check(decision, links.evidence(handingOver())));
     }
 
     /** Whether a silent worker may be given up, as far as links are concerned. */
     public Verdict permitsRemovingWorker(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        links.sweep();
+        links.detectSilentWorkers();
         Verdict verdict = gate.check(Decision.REMOVE_WORKER, links.evidence(handingOver()));
         WorkerLink link = links.workers.find(worker);
         if (!verdict.allowed() || link == null || link.suspectSince < 0) {
-            return count(verdict);
+            return countWithheld(verdict);
         }
         long now = links.now();
         boolean reached = links.peers.anyReaches(worker, now);
@@ -353,12 +353,12 @@
             link.keptSince = now;
         }
         long keptMs = link.keptSince < 0 ? 0 : now - link.keptSince;
-        boolean saysNothing = links.peers.anySaysNothing(worker, now);
-        return count(gate.giveUp(now - link.suspectSince, reached, saysNothing, keptMs));
+        boolean saysNothing = links.peers.anyUnsureOf(worker, now);
+        return countWithheld(gate.checkRemoval(now - link.suspectSince, reached, saysNothing, keptMs));
     }
 
-    private Verdict count(Verdict verdict) {
-        withheld += verdict.allowed() ? 0 : 1;
+    private Verdict countWithheld(Verdict verdict) {
+        withheldDecisions += verdict.allowed() ? 0 : 1;
         return verdict;
     }
 
@@ -366,27 +366,27 @@
 
     /** Begins to hand over to another controller; false: that is not possible now. No decision is made from here. */
     public boolean beginHandover(String nominee, long time) {
-        Peers.Peer peer = links.peers.get(nominee);
+        PeerLinks.Peer peer = links.peers.get(nominee);
         links.advance(time);
-        return control.beginHandover(peer);
+        return leadership.beginHandover(peer);
     }
 
     /** Whether a handover is under way, so that no decision is made. */
     public boolean handingOver() {
-        return control.handover().underWay();
+        return leadership.handover().underWay();
     }
 
     /** What has to be done next in a handover; {@code changesInFlight}: what the state service has not answered yet. */
     public HandoverAction advanceHandover(int changesInFlight, long time) {
         require(changesInFlight >= 0, "changesInFlight", "negative");
         links.advance(time);
-        return control.nextInHandover(changesInFlight);
+        return leadership.advanceHandover(changesInFlight);
     }
 
     /** This controller has released the leadership, and leaves it to others for a while. */
     public void leadershipReleased(long time) {
         links.advance(time);
-        control.released();
+        leadership.leadershipReleased();
     }
 
     // ---- for people
@@ -394,7 +394,7 @@
     /** All that is known now. */
     public ConnectivitySnapshot snapshot(long time) {
         links.advance(time);
-        links.sweep();
-        return SnapshotWriter.write(links, control, withheld, staleViews);
+        links.detectSilentWorkers();
+        return SnapshotBuilder.build(links, leadership, withheldDecisions, staleViews);
     }
 }
--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -19,7 +19,7 @@
     private static final int ALERT_EXCHANGES = 3;
 
     /** A view is used for so many exchange intervals after the moment that it certainly describes. */
-    private static final int VIEW_EXCHANGES = 3;
+    private static final int MAX_AGE_EXCHANGES = 3;
 
     /** Checks every figure. */
     public ConnectivityConfig {
@@ -46,12 +46,12 @@
 
     /** The age from which on a view of another controller says nothing any more. */
     public long viewMaxAgeMs() {
-        return VIEW_EXCHANGES * heartbeatIntervalMs + leaderLeaseMs;
+        return MAX_AGE_EXCHANGES * heartbeatIntervalMs + leaderLeaseMs;
     }
 
     /** The age from which on what was seen of a worker says nothing any more. */
     public long workerEvidenceMaxAgeMs() {
-        return VIEW_EXCHANGES * heartbeatIntervalMs;
+        return MAX_AGE_EXCHANGES * heartbeatIntervalMs;
     }
 
     /**
--- a/src/main/java/stileferry/connectivity/DecisionGate.java
+++ b/src/main/java/stileferry/connectivity/DecisionGate.java
@@ -16,13 +16,13 @@
  */
 public final class DecisionGate {
     /** Report intervals for which many suspect workers keep back what they would cause. */
-    private static final int PATIENCE_REPORTS = 4;
+    private static final int MAX_WAIT_HEARTBEATS = 4;
 
     /** Leases for which a worker that only another controller reaches is kept. */
-    private static final int KEPT_LEASES = 3;
+    private static final int MAX_KEPT_LEASES = 3;
 
     /** Exchanges with others, while something is suspect, after which their silence on a worker means nothing. */
-    private static final int ASK_EXCHANGES = 5;
+    private static final int PEER_ANSWER_EXCHANGES = 5;
 
     private final ConnectivityConfig config;
 
@@ -41,13 +41,13 @@
         if (evidence.handingOver()) {
             return Verdict.withheld("the leadership is being handed over", config.leaderLeaseMs());
         }
-        if (evidence.storeAgeMs() < 0 || evidence.storeAgeMs() > config.storeAnswerMaxAgeMs()) {
+        if (evidence.storeAnswerAgeMs() < 0 || evidence.storeAnswerAgeMs() > config.storeAnswerMaxAgeMs()) {
             return Verdict.withheld("the state service has not answered lately", config.leaderLeaseMs());
         }
         boolean waits = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
-        long patienceMs = PATIENCE_REPORTS * config.heartbeatIntervalMs();
-        if (waits && evidence.manyWorkersSuspect() && evidence.manySuspectMs() < patienceMs) {
-            return Verdict.withheld("half of the workers are suspect", patienceMs - evidence.manySuspectMs());
+        long patienceMs = MAX_WAIT_HEARTBEATS * config.heartbeatIntervalMs();
+        if (waits && evidence.manySuspects() && evidence.manySuspectsMs() < patienceMs) {
+            return Verdict.withheld("half of the workers are suspect", patienceMs - evidence.manySuspectsMs());
         }
         return Verdict.ALLOWED;
     }
@@ -60,11 +60,11 @@
      * @param peersSayNothing whether a controller that takes part has not said yet whether it reaches the worker
      * @param keptMs for how long the worker has been kept for that reason
      */
-    Verdict giveUp(long suspectMs, boolean reachedByPeer, boolean peersSayNothing, long keptMs) {
-        if (reachedByPeer && keptMs < KEPT_LEASES * config.workerLeaseMs()) {
+    Verdict checkRemoval(long suspectMs, boolean reachedByPeer, boolean peersSayNothing, long keptMs) {
+        if (reachedByPeer && keptMs < MAX_KEPT_LEASES * config.workerLeaseMs()) {
             return Verdict.withheld("another controller reaches the worker", config.heartbeatIntervalMs());
         }
-        long askMs = ASK_EXCHANGES * config.exchangeIntervalMs(true);
+        long askMs = PEER_ANSWER_EXCHANGES * config.exchangeIntervalMs(true);
         if (peersSayNothing && suspectMs < askMs) {
             return Verdict.withheld("the other controllers were just asked", askMs - suspectMs);
         }
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -10,34 +10,35 @@
  */
 final class Handover {
     /** Exchanges within which the nominee must have answered. */
-    private static final int ASK_EXCHANGES = 3;
+    private static final int NOMINEE_ANSWER_EXCHANGES = 3;
 
     private final ConnectivityConfig config;
-    private final long askMs;
-    private Step step = Step.NONE;
+    private final long nomineeTimeoutMs;
+    private Step step = Step.IDLE;
     private HandoverNotice notice;
-    private long since;
-    private long numbers;
+    private long stepStartedAt;
+    private long lastId;
 
     /** Where a handover stands. */
     enum Step {
         /** Nothing is under way. */
-        NONE,
+        IDLE,
 
         /** The nominee has been asked. */
-        ASKING,
+        AWAITING_NOMINEE,
 
         /** The nominee is ready; changes in flight are waited for. */
-        SETTLING
+        AWAITING_COMMITS
     }
 
     Handover(ConnectivityConfig config) {
         this.config = config;
-        this.askMs = Math.max(config.leaderLeaseMs(), ASK_EXCHANGES * config.exchangeIntervalMs(true));
+        this.nomineeTimeoutMs =
+                Math.max(config.leaderLeaseMs(), NOMINEE_ANSWER_EXCHANGES * config.exchangeIntervalMs(true));
     }
 
     boolean underWay() {
-        return step != Step.NONE;
+        return step != Step.IDLE;
     }
 
     Step step() {
@@ -51,20 +52,20 @@
 
     /** Asks a nominee. */
     void begin(long term, String nominee, long nomineeIncarnation, long now) {
-        notice = new HandoverNotice(++numbers, term, nominee, nomineeIncarnation, true);
-        step = Step.ASKING;
-        since = now;
+        notice = new HandoverNotice(++lastId, term, nominee, nomineeIncarnation, true);
+        step = Step.AWAITING_NOMINEE;
+        stepStartedAt = now;
     }
 
     /** A controller says for which handover it is ready. */
-    void accepted(String controller, long incarnation, long number, long now) {
-        boolean matches = step == Step.ASKING
+    void nomineeAccepted(String controller, long incarnation, long number, long now) {
+        boolean matches = step == Step.AWAITING_NOMINEE
                 && number == notice.id()
                 && controller.equals(notice.nominee())
                 && incarnation == notice.nomineeIncarnation();
         if (matches) {
-            step = Step.SETTLING;
-            since = now;
+            step = Step.AWAITING_COMMITS;
+            stepStartedAt = now;
         }
     }
 
@@ -74,23 +75,23 @@
      * @param changesInFlight changes sent to the state service that have no outcome yet
      * @param nomineeGood whether the nominee still says that it could lead
      */
-    HandoverAction next(int changesInFlight, boolean nomineeGood, long now) {
+    HandoverAction advance(int changesInFlight, boolean nomineeGood, long now) {
         switch (step) {
-            case ASKING -> {
-                if (!nomineeGood || now - since > askMs) {
-                    giveUp();
+            case AWAITING_NOMINEE -> {
+                if (!nomineeGood || now - stepStartedAt > nomineeTimeoutMs) {
+                    abort();
                     return HandoverAction.ABORTED;
                 }
                 return HandoverAction.WAIT;
             }
-            case SETTLING -> {
+            case AWAITING_COMMITS -> {
                 if (!nomineeGood) {
-                    giveUp();
+                    abort();
                     return HandoverAction.ABORTED;
                 }
                 // what is still in flight then fails its comparison with the leader key, or was carried out before
-                if (changesInFlight == 0 || now - since > config.leaderLeaseMs()) {
-                    step = Step.NONE;
+                if (changesInFlight == 0 || now - stepStartedAt > config.leaderLeaseMs()) {
+                    step = Step.IDLE;
                     return HandoverAction.RELEASE;
                 }
                 return HandoverAction.WAIT;
@@ -101,13 +102,13 @@
         }
     }
 
-    private void giveUp() {
-        step = Step.NONE;
+    private void abort() {
+        step = Step.IDLE;
         notice = new HandoverNotice(notice.id(), notice.term(), notice.nominee(), notice.nomineeIncarnation(), false);
     }
 
     /** This controller does not lead any more; the notice stands, so that others can still read it. */
     void reset() {
-        step = Step.NONE;
+        step = Step.IDLE;
     }
 }
--- a/src/main/java/stileferry/connectivity/LeaderCandidate.java
+++ b/src/main/java/stileferry/connectivity/LeaderCandidate.java
@@ -16,7 +16,7 @@
 public record LeaderCandidate(String controller, boolean storeGood, double workerShare, boolean busy, int peersHeard)
         implements Comparable<LeaderCandidate> {
     /** One controller is clearly better where it reaches so much more of all workers. */
-    static final double CLEARLY = 0.25;
+    static final double MIN_ADVANTAGE = 0.25;
 
     private static final Comparator<LeaderCandidate> ORDER = Comparator.comparing(LeaderCandidate::storeGood)
             .thenComparingDouble(LeaderCandidate::workerShare)
@@ -38,6 +38,6 @@
 
     /** Whether leadership should go here from another controller: only where that is worth the change. */
     public boolean clearlyBetterThan(LeaderCandidate other) {
-        return storeGood && !busy && workerShare >= other.workerShare + CLEARLY;
+        return storeGood && !busy && workerShare >= other.workerShare + MIN_ADVANTAGE;
     }
 }
--- a/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
@@ -11,17 +11,17 @@
     private static final int CONFIRM_EXCHANGES = 2;
 
     /** A leader with less than this share of workers, which hears no controller, may be the one that is cut off. */
-    private static final double CUT_OFF = 0.5;
+    private static final double CUT_OFF_SHARE = 0.5;
 
     private final ConnectivityConfig config;
-    private final HandoverBudget budget;
+    private final HandoverRateLimiter budget;
     private String candidate = "";
     private long candidateSince;
 
     /** Stands for the candidate where the leadership would be released to nobody in particular. */
     private static final String NOBODY = "\0";
 
-    LeadershipAdvisor(ConnectivityConfig config, HandoverBudget budget) {
+    LeadershipAdvisor(ConnectivityConfig config, HandoverRateLimiter budget) {
         this.config = config;
         this.budget = budget;
     }
@@ -40,7 +40,7 @@
                 best = peer;
             }
         }
-        boolean cutOff = peersLost && peers.isEmpty() && own.workerShare() < CUT_OFF;
+        boolean cutOff = peersLost && peers.isEmpty() && own.workerShare() < CUT_OFF_SHARE;
         String wanted = best != null ? best.controller() : cutOff ? NOBODY : "";
         if (!wanted.equals(candidate)) {
             candidate = wanted;
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -10,30 +10,30 @@
 /** What follows from the links for the leadership: staying, handing over, standing for it or leaving it to others. */
 final class LeadershipControl {
     /** Report intervals after which a new leader has heard all workers that can reach it. */
-    private static final double SETTLED_REPORTS = 2.5;
+    private static final double SETTLING_HEARTBEATS = 2.5;
 
     private final ObservedLinks links;
     private final ConnectivityConfig config;
-    private final ShareEstimator shares;
-    private final HandoverBudget budget;
+    private final ReachableShareEstimator shares;
+    private final HandoverRateLimiter rateLimiter;
     private final LeadershipAdvisor advisor;
     private final Handover handover;
-    private final StandingDelay standingDelay;
+    private final ElectionDelay electionDelay;
     private long term;
     private String leader = "";
-    private long leadingSince;
+    private long electedAt;
     private long handoversBegun;
-    private long released;
-    private long givenUp;
+    private long leadershipReleased;
+    private long handoversAborted;
 
     LeadershipControl(ObservedLinks links, ProbePlanner planner) {
         this.links = links;
         config = links.config;
-        shares = new ShareEstimator(config, links.workers, planner);
-        budget = new HandoverBudget(2 * config.workerLeaseMs(), links.now());
-        advisor = new LeadershipAdvisor(config, budget);
+        shares = new ReachableShareEstimator(config, links.workers, planner);
+        rateLimiter = new HandoverRateLimiter(2 * config.workerLeaseMs(), links.now());
+        advisor = new LeadershipAdvisor(config, rateLimiter);
         handover = new Handover(config);
-        standingDelay = new StandingDelay(config, links.now());
+        electionDelay = new ElectionDelay(config, links.now());
     }
 
     long term() {
@@ -49,28 +49,28 @@
         return handover;
     }
 
-    void learnTerm(long heard) {
+    void observeTerm(long heard) {
         term = Math.max(term, heard);
     }
 
-    void leaderKnown(long knownTerm, String name) {
-        learnTerm(knownTerm);
+    void leaderObserved(long knownTerm, String name) {
+        observeTerm(knownTerm);
         leader = name;
     }
 
     /** This controller leads from now on. */
-    void leads(long newTerm) {
-        learnTerm(newTerm);
-        leadingSince = links.now();
+    void elected(long newTerm) {
+        observeTerm(newTerm);
+        electedAt = links.now();
         handover.reset();
         advisor.reset();
-        standingDelay.cancel();
+        electionDelay.cancel();
     }
 
     /** This controller does not lead any more. */
-    void follows(boolean storeLost) {
+    void deposed(boolean storeLost) {
         if (links.leading() && storeLost) {
-            standingDelay.lostByOwnLinks(links.now());
+            electionDelay.leadershipLost(links.now());
         }
         handover.reset();
     }
@@ -78,26 +78,26 @@
     // ---- what others intend
 
     /** Takes in what another controller says about a handover of its own. */
-    void hear(Peers.Peer peer, HandoverNotice notice) {
+    void handoverNoticeReceived(PeerLinks.Peer peer, HandoverNotice notice) {
         HandoverNotice before = peer.handover;
         peer.handover = notice;
         if (notice == null || links.leading() || notice.equals(before)) {
             return;
         }
         if (!notice.active()) {
-            standingDelay.cancel();
+            electionDelay.cancel();
         } else if (notice.term() >= term) {
-            budget.spend(links.now());
+            rateLimiter.consume(links.now());
             if (notice.nominee().equals(config.self())) {
-                standingDelay.cancel();
+                electionDelay.cancel();
             } else {
-                standingDelay.leaveToOthers(peer.name + " hands over to " + notice.nominee(), links.now());
+                electionDelay.deferToOthers(peer.name + " hands over to " + notice.nominee(), links.now());
             }
         }
     }
 
     /** The number of another controller's handover that this one is ready for; 0: none. */
-    long acceptable(Peers.Peer from, long incarnation) {
+    long acceptableHandoverId(PeerLinks.Peer from, long incarnation) {
         HandoverNotice notice = from.handover;
         boolean ready = notice != null
                 && notice.active()
@@ -105,13 +105,13 @@
                 && notice.nominee().equals(config.self())
                 && notice.nomineeIncarnation() == incarnation
                 && notice.term() >= term
-                && links.storeGood()
-                && !links.busy();
+                && links.storeReachable()
+                && !links.laggingLately();
         return ready ? notice.id() : 0;
     }
 
     /** Whether another controller, as far as its last words go, is handing over or has just done so. */
-    boolean handsOver(Peers.Peer peer) {
+    boolean peerHandsOver(PeerLinks.Peer peer) {
         return peer.handover != null && peer.handover.active() && peer.handover.term() >= term;
     }
 
@@ -119,37 +119,37 @@
 
     LeadershipAdvice advise() {
         if (!links.leading()) {
-            return standingDelay.remainingMs(links.now()) > 0
-                    ? LeadershipAdvice.of(LeadershipAdvice.Action.ABSTAIN, standingDelay.reason())
+            return electionDelay.remainingMs(links.now()) > 0
+                    ? LeadershipAdvice.of(LeadershipAdvice.Action.ABSTAIN, electionDelay.reason())
                     : LeadershipAdvice.of(LeadershipAdvice.Action.STAND, "leads when the leadership is free");
         }
         if (handover.underWay()) {
             return new LeadershipAdvice(
                     LeadershipAdvice.Action.HAND_OVER, handover.notice().nominee(), "a handover is under way");
         }
-        boolean settled = links.now() - leadingSince >= SETTLED_REPORTS * config.heartbeatIntervalMs();
+        boolean settled = links.now() - electedAt >= SETTLING_HEARTBEATS * config.heartbeatIntervalMs();
         if (links.workers.count() == 0 || !settled) {
             return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "too little is known yet");
         }
-        if (links.busy()) {
+        if (links.laggingLately()) {
             advisor.reset();
             return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "this process is behind, so nothing is certain");
         }
         List<LeaderCandidate> others = new ArrayList<>();
-        for (Peers.Peer peer : links.peers.all()) {
-            suitability(peer).ifPresent(others::add);
+        for (PeerLinks.Peer peer : links.peers.all()) {
+            candidate(peer).ifPresent(others::add);
         }
-        boolean peersLost = links.peers.lost(links.now(), links.lateMs());
+        boolean peersLost = links.peers.allLost(links.now(), links.eventLoopLagMs());
         return advisor.advise(own(), others, peersLost, links.now());
     }
 
     /** For how long a free leadership is left to others, in milliseconds. */
-    long abstainMs() {
-        return links.leading() ? 0 : standingDelay.remainingMs(links.now());
+    long electionDelayMs() {
+        return links.leading() ? 0 : electionDelay.remainingMs(links.now());
     }
 
     private LeaderCandidate own() {
-        ControllerHealth standing = links.standing();
+        ControllerHealth standing = links.health();
         return new LeaderCandidate(
                 config.self(),
                 standing.storeReachable(),
@@ -158,13 +158,13 @@
                 standing.reachablePeers().size());
     }
 
-    private Optional<LeaderCandidate> suitability(Peers.Peer peer) {
+    private Optional<LeaderCandidate> candidate(PeerLinks.Peer peer) {
         boolean eligible = links.peers.fresh(peer, links.now()) && peer.view.term() <= term && !peer.view.leading();
-        OptionalDouble share = eligible ? share(peer) : OptionalDouble.empty();
+        OptionalDouble share = eligible ? peerShare(peer) : OptionalDouble.empty();
         if (share.isEmpty()) {
             return Optional.empty();
         }
-        ControllerHealth standing = peer.view.standing();
+        ControllerHealth standing = peer.view.senderHealth();
         return Optional.of(new LeaderCandidate(
                 peer.name,
                 standing.storeReachable(),
@@ -175,21 +175,21 @@
 
     /** The share of workers that this controller reaches. */
     double ownShare() {
-        return shares.own(links.now());
+        return shares.ownShare(links.now());
     }
 
     /** The share of workers that another one reaches; empty: it has said too little. */
-    OptionalDouble share(Peers.Peer peer) {
-        return shares.of(peer.view);
+    OptionalDouble peerShare(PeerLinks.Peer peer) {
+        return shares.peerShare(peer.view);
     }
 
     // ---- handing over
 
-    boolean beginHandover(Peers.Peer nominee) {
+    boolean beginHandover(PeerLinks.Peer nominee) {
         boolean possible = links.leading()
                 && !handover.underWay()
                 && links.peers.fresh(nominee, links.now())
-                && budget.allows(links.now());
+                && rateLimiter.allows(links.now());
         if (possible) {
             handover.begin(term, nominee.name, nominee.view.incarnation(), links.now());
             handoversBegun++;
@@ -197,37 +197,37 @@
         return possible;
     }
 
-    HandoverAction nextInHandover(int changesInFlight) {
+    HandoverAction advanceHandover(int changesInFlight) {
         if (!handover.underWay()) {
             return HandoverAction.NONE;
         }
-        Peers.Peer nominee = links.peers.get(handover.notice().nominee());
+        PeerLinks.Peer nominee = links.peers.get(handover.notice().nominee());
         boolean good = links.peers.fresh(nominee, links.now())
                 && nominee.view.incarnation() == handover.notice().nomineeIncarnation()
-                && nominee.view.standing().storeReachable();
-        HandoverAction action = handover.next(changesInFlight, good, links.now());
+                && nominee.view.senderHealth().storeReachable();
+        HandoverAction action = handover.advance(changesInFlight, good, links.now());
         if (action == HandoverAction.ABORTED) {
-            givenUp++;
-            budget.spend(links.now()); // decisions were withheld meanwhile, which has the same bound
+            handoversAborted++;
+            rateLimiter.consume(links.now()); // decisions were withheld meanwhile, which has the same bound
         }
         return action;
     }
 
-    void released() {
-        released++;
-        budget.spend(links.now());
-        standingDelay.leaveToOthers("this controller has released the leadership", links.now());
+    void leadershipReleased() {
+        leadershipReleased++;
+        rateLimiter.consume(links.now());
+        electionDelay.deferToOthers("this controller has released the leadership", links.now());
     }
 
     long handoversBegun() {
         return handoversBegun;
     }
 
-    long releasedCount() {
-        return released;
+    long releases() {
+        return leadershipReleased;
     }
 
-    long givenUpCount() {
-        return givenUp;
+    long handoversAborted() {
+        return handoversAborted;
     }
 }
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -7,27 +7,27 @@
 /** All links of one controller as it has seen them, and the time up to which it has. */
 final class ObservedLinks {
     /** Failed requests in a row after which the state service counts as lost, long before its silence says so. */
-    private static final int STORE_FAILURES = 2;
+    private static final int MAX_STORE_FAILURES = 2;
 
     /** Report intervals for which a process counts as behind after it was. */
-    private static final int BUSY_REPORTS = 3;
+    private static final int LAGGING_HEARTBEATS = 3;
 
     final ConnectivityConfig config;
     final WorkerLinks workers;
-    final Peers peers;
-    final LinkObserver store;
+    final PeerLinks peers;
+    final LinkFailureDetector store;
     private long now;
-    private long lateMs;
-    private long busyUntil = -1;
+    private long eventLoopLagMs;
+    private long laggingUntil = -1;
     private boolean leading;
-    private long manySuspectSince = -1;
+    private long manySuspectsSince = -1;
 
     ObservedLinks(ConnectivityConfig config, long now) {
         this.config = config;
         this.now = now;
         workers = new WorkerLinks(config);
-        peers = new Peers(config, now);
-        store = new LinkObserver(config.storeProbeIntervalMs(), now);
+        peers = new PeerLinks(config, now);
+        store = new LinkFailureDetector(config.storeProbeIntervalMs(), now);
     }
 
     /** Takes in the time; one before the last counts as the last. */
@@ -41,49 +41,51 @@
     }
 
     /** By how much this process's own timers are late. */
-    long lateMs() {
-        return lateMs;
+    long eventLoopLagMs() {
+        return eventLoopLagMs;
     }
 
-    boolean busy() {
-        return now < busyUntil;
+    boolean laggingLately() {
+        return now < laggingUntil;
     }
 
     boolean leading() {
         return leading;
     }
 
-    void lagging(long late, boolean behind) {
-        lateMs = late;
+    void eventLoopLagMeasured(long late, boolean behind) {
+        eventLoopLagMs = late;
         if (behind) {
-            busyUntil = now
-                    + BUSY_REPORTS * config.heartbeatIntervalMs(); // what it has left undone meanwhile is still to come
+            laggingUntil = now
+                    + LAGGING_HEARTBEATS
+                            * config.heartbeatIntervalMs(); // what it has left undone meanwhile is still to come
         }
     }
 
     /** This controller leads, or does not any more. */
-    void lead(boolean leads) {
+    void setLeading(boolean leads) {
         leading = leads;
-        manySuspectSince = -1;
-        workers.keep(leads);
+        manySuspectsSince = -1;
+        workers.retainSilent(leads);
         if (leads) {
             workers.clear(); // what a follower saw may be gone by now, and nobody would say so
         }
     }
 
-    boolean storeGood() {
-        return store.condition(now, lateMs) == LinkCondition.GOOD && store.failuresInRow() < STORE_FAILURES;
+    boolean storeReachable() {
+        return store.condition(now, eventLoopLagMs) == LinkCondition.GOOD
+                && store.consecutiveFailures() < MAX_STORE_FAILURES;
     }
 
-    ControllerHealth standing() {
-        return new ControllerHealth(storeGood(), busy(), peers.heard(now, lateMs));
+    ControllerHealth health() {
+        return new ControllerHealth(storeReachable(), laggingLately(), peers.reachable(now, eventLoopLagMs));
     }
 
     /** Notes what has fallen silent up to now. */
-    void sweep() {
-        workers.sweep(now, lateMs);
+    void detectSilentWorkers() {
+        workers.detectSilent(now, eventLoopLagMs);
         boolean many = leading && 2 * workers.suspectCount() >= Math.max(2, workers.count());
-        manySuspectSince = !many ? -1 : manySuspectSince >= 0 ? manySuspectSince : now;
+        manySuspectsSince = !many ? -1 : manySuspectsSince >= 0 ? manySuspectsSince : now;
     }
 
     /** What decisions are checked against. */
@@ -91,17 +93,17 @@
         return new LinkEvidence(
                 leading,
                 handingOver,
-                store.confirmedAt() < 0 ? -1 : now - store.confirmedAt(),
-                manySuspectSince >= 0,
-                manySuspectSince < 0 ? 0 : now - manySuspectSince);
+                store.lastSuccessAt() < 0 ? -1 : now - store.lastSuccessAt(),
+                manySuspectsSince >= 0,
+                manySuspectsSince < 0 ? 0 : now - manySuspectsSince);
     }
 
-    ConnectivitySnapshot.Link describe(LinkObserver link) {
+    ConnectivitySnapshot.Link snapshot(LinkFailureDetector link) {
         return new ConnectivitySnapshot.Link(
-                link.condition(now, lateMs),
-                link.suspicion(now, lateMs),
-                link.confirmedAt() < 0 ? -1 : now - link.confirmedAt(),
-                link.failuresInRow(),
+                link.condition(now, eventLoopLagMs),
+                link.suspicionLevel(now, eventLoopLagMs),
+                link.lastSuccessAt() < 0 ? -1 : now - link.lastSuccessAt(),
+                link.consecutiveFailures(),
                 link.lastFailure());
     }
 }
--- a/src/main/java/stileferry/connectivity/Peers.java
+++ b/src/main/java/stileferry/connectivity/PeerLinks.java
@@ -9,7 +9,7 @@
 import stileferry.validation.InvalidInputException;
 
 /** The links to the other controllers and what they said, with what they have seen of this one. */
-final class Peers {
+final class PeerLinks {
     private final ConnectivityConfig config;
     private final Map<String, Peer> peers = new LinkedHashMap<>();
 
@@ -17,35 +17,35 @@
     static final class Peer {
         final String name;
         final PeerView view = new PeerView();
-        final LinkObserver inbound;
-        final LinkObserver outbound;
+        final LinkFailureDetector inbound;
+        final LinkFailureDetector outbound;
 
         /** Whether anything was ever heard of it. */
-        boolean everHeard;
+        boolean everReachable;
 
         /** Up to which change it has what was said of workers, in which numbering. */
-        long confirmedChange;
+        long ackedVersion;
 
-        int confirmedEpoch;
+        int ackedEpoch;
 
         /** The handover that it last spoke of; null: none. */
         ReachabilityView.HandoverNotice handover;
 
         Peer(String name, ConnectivityConfig config, long now) {
             this.name = name;
-            this.inbound = new LinkObserver(config.exchangeIntervalMs(false), now);
-            this.outbound = new LinkObserver(config.exchangeIntervalMs(false), now);
+            this.inbound = new LinkFailureDetector(config.exchangeIntervalMs(false), now);
+            this.outbound = new LinkFailureDetector(config.exchangeIntervalMs(false), now);
         }
 
         /** Notes what it says it has seen of this controller's words. */
-        void confirm(Header header, long ownIncarnation) {
+        void acknowledge(Header header, long ownIncarnation) {
             boolean ours = header.ackedIncarnation() == ownIncarnation;
-            confirmedChange = ours ? header.ackedVersion() : 0;
-            confirmedEpoch = ours ? header.ackedEpoch() : 0;
+            ackedVersion = ours ? header.ackedVersion() : 0;
+            ackedEpoch = ours ? header.ackedEpoch() : 0;
         }
     }
 
-    Peers(ConnectivityConfig config, long now) {
+    PeerLinks(ConnectivityConfig config, long now) {
         this.config = config;
         config.peers().forEach(name -> peers.put(name, new Peer(name, config, now)));
     }
@@ -63,33 +63,33 @@
 
     /** Whether a controller's view says something about now. */
     boolean fresh(Peer peer, long now) {
-        return peer.view.standing() != null && peer.view.fresh(now, config.viewMaxAgeMs());
+        return peer.view.senderHealth() != null && peer.view.fresh(now, config.viewMaxAgeMs());
     }
 
     /** The controllers that are heard now. */
-    List<String> heard(long now, long lateMs) {
+    List<String> reachable(long now, long lateMs) {
         List<String> names = new ArrayList<>();
         for (Peer peer : peers.values()) {
-            if (peer.everHeard && heardLately(peer, now, lateMs)) {
+            if (peer.everReachable && reachable(peer, now, lateMs)) {
                 names.add(peer.name);
             }
         }
         return names;
     }
 
-    private static boolean heardLately(Peer peer, long now, long lateMs) {
+    private static boolean reachable(Peer peer, long now, long lateMs) {
         return peer.inbound.condition(now, lateMs) == LinkCondition.GOOD
                 || peer.outbound.condition(now, lateMs) == LinkCondition.GOOD;
     }
 
     /** Whether others were heard before and none is now. */
-    boolean lost(long now, long lateMs) {
-        return peers.values().stream().anyMatch(p -> p.everHeard)
-                && heard(now, lateMs).isEmpty();
+    boolean allLost(long now, long lateMs) {
+        return peers.values().stream().anyMatch(p -> p.everReachable)
+                && reachable(now, lateMs).isEmpty();
     }
 
     /** Who leads in this term or a later one, as another controller lately said; empty: nobody did. */
-    String leaderSeen(long leastTerm, long now) {
+    String reportedLeader(long leastTerm, long now) {
         String name = "";
         long newest = leastTerm - 1;
         for (Peer peer : peers.values()) {
@@ -114,9 +114,9 @@
     }
 
     /** Whether a controller that takes part has not said whether it reaches a worker. */
-    boolean anySaysNothing(String worker, long now) {
+    boolean anyUnsureOf(String worker, long now) {
         for (Peer peer : peers.values()) {
-            if (fresh(peer, now) && !peer.view.knows(worker)) {
+            if (fresh(peer, now) && !peer.view.outboundKnown(worker)) {
                 return true;
             }
         }
--- a/src/main/java/stileferry/connectivity/PeerView.java
+++ b/src/main/java/stileferry/connectivity/PeerView.java
@@ -14,21 +14,21 @@
     private long term;
     private String leader = "";
     private boolean leading;
-    private ReachabilityView.ControllerHealth standing;
+    private ReachabilityView.ControllerHealth senderHealth;
 
     /** The moment that the view certainly describes, or a later one; -1: not known. */
-    private long describesAt = -1;
+    private long validAt = -1;
 
     private int epoch;
-    private long change;
-    private final Map<String, Integer> numbers = new HashMap<>();
+    private long version;
+    private final Map<String, Integer> idByWorker = new HashMap<>();
     private final Map<Integer, String> names = new HashMap<>();
     private final RoaringBitmap examined = new RoaringBitmap();
     private final RoaringBitmap inbound = new RoaringBitmap();
     private final RoaringBitmap outbound = new RoaringBitmap();
 
     /** Takes a view in that describes this moment or a later one (-1: not known); false: it is an old one. */
-    boolean take(ReachabilityView view, long describesFrom) {
+    boolean merge(ReachabilityView view, long describesFrom) {
         ReachabilityView.Header header = view.header();
         if (header.incarnation() < incarnation
                 || header.incarnation() == incarnation && header.sequence() <= sequence) {
@@ -36,46 +36,46 @@
         }
         if (header.incarnation() > incarnation) {
             incarnation = header.incarnation();
-            describesAt = -1;
-            forgetWorkers(0);
+            validAt = -1;
+            resetWorkers(0);
         }
         sequence = header.sequence();
         term = header.term();
         leader = header.leader();
         leading = header.leading();
-        standing = view.senderHealth();
-        describesAt = Math.max(describesAt, describesFrom);
-        takeWorkers(view.workers());
+        senderHealth = view.senderHealth();
+        validAt = Math.max(validAt, describesFrom);
+        mergeWorkers(view.workers());
         return true;
     }
 
-    private void forgetWorkers(int newEpoch) {
+    private void resetWorkers(int newEpoch) {
         epoch = newEpoch;
-        change = 0;
-        numbers.clear();
+        version = 0;
+        idByWorker.clear();
         names.clear();
         examined.clear();
         inbound.clear();
         outbound.clear();
     }
 
-    private void takeWorkers(ReachabilityView.WorkerChanges workers) {
+    private void mergeWorkers(ReachabilityView.WorkerChanges workers) {
         if (workers.epoch() > epoch) {
-            forgetWorkers(workers.epoch());
+            resetWorkers(workers.epoch());
         }
-        if (workers.epoch() < epoch || workers.baseVersion() > change || workers.version() <= change) {
+        if (workers.epoch() < epoch || workers.baseVersion() > version || workers.version() <= version) {
             return;
         }
-        change = workers.version();
+        version = workers.version();
         int at = 0;
         for (int number : workers.changed()) {
             String name = workers.names().get(at++);
             if (workers.removed().contains(number)) {
                 names.remove(number);
-                numbers.remove(name, number);
+                idByWorker.remove(name, number);
             } else {
                 names.put(number, name);
-                numbers.put(name, number);
+                idByWorker.put(name, number);
             }
         }
         replace(examined, workers.changed(), workers.outboundKnown());
@@ -110,8 +110,8 @@
     }
 
     /** Null: nothing was heard. */
-    ReachabilityView.ControllerHealth standing() {
-        return standing;
+    ReachabilityView.ControllerHealth senderHealth() {
+        return senderHealth;
     }
 
     int epoch() {
@@ -119,39 +119,39 @@
     }
 
     /** Up to which change of workers all is known here. */
-    long change() {
-        return change;
+    long version() {
+        return version;
     }
 
     /** Whether it describes a moment no longer ago than a bound. */
     boolean fresh(long now, long boundMs) {
-        return describesAt >= 0 && now - describesAt <= boundMs;
+        return validAt >= 0 && now - validAt <= boundMs;
     }
 
     /** Milliseconds since the moment that it certainly describes; -1: not known. */
     long ageMs(long now) {
-        return describesAt < 0 ? -1 : now - describesAt;
+        return validAt < 0 ? -1 : now - validAt;
     }
 
     /** How many workers requests of the sender reach. */
-    int reachedCount() {
+    int reachedWorkers() {
         return RoaringBitmap.andCardinality(examined, outbound);
     }
 
     /** Whether it says anything about requests to a worker. */
-    boolean knows(String worker) {
-        Integer number = numbers.get(worker);
+    boolean outboundKnown(String worker) {
+        Integer number = idByWorker.get(worker);
         return number != null && examined.contains(number);
     }
 
     /** Whether it names a worker at all. */
     boolean names(String worker) {
-        return numbers.containsKey(worker);
+        return idByWorker.containsKey(worker);
     }
 
     /** Whether requests of the sender reach a worker. */
     boolean reaches(String worker) {
-        Integer number = numbers.get(worker);
+        Integer number = idByWorker.get(worker);
         return number != null && examined.contains(number) && outbound.contains(number);
     }
 }
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -15,27 +15,27 @@
  */
 final class ProbePlanner {
     /** Single suspects that are asked in one round: most are machines that are gone, not worth many questions. */
-    private static final int FEW = 4;
+    private static final int FEW_SUSPECTS_SAMPLE = 4;
 
     /** Workers of each group that are asked in one round. */
-    static final int SAMPLE = 8;
+    static final int SAMPLE_SIZE = 8;
 
     /** Workers that are asked now and then while nothing is suspect, so that followers know their links. */
-    private static final int IDLE_SAMPLE = 2;
+    private static final int IDLE_SAMPLE_SIZE = 2;
 
     /** Of all workers, the share from which on suspect ones are many. */
-    private static final double MANY = 1 / 8.0;
+    private static final double MANY_SUSPECTS_SHARE = 1 / 8.0;
 
     /** Rounds whose samples are looked at. */
-    private static final int ROUNDS = 4;
+    private static final int KEPT_ROUNDS = 4;
 
     private final ConnectivityConfig config;
     private final ArrayDeque<Round> rounds = new ArrayDeque<>();
     private long plannedAt = -1;
-    private int lastSound = -1;
+    private int lastHealthyId = -1;
 
     /** The workers of one round, by name. */
-    private record Round(List<WorkerLink> suspects, List<WorkerLink> sound) {}
+    private record Round(List<WorkerLink> suspects, List<WorkerLink> healthy) {}
 
     ProbePlanner(ConnectivityConfig config) {
         this.config = config;
@@ -48,30 +48,30 @@
     }
 
     /** Whether so many suspects are no matter of single workers. */
-    static boolean many(WorkerLinks links) {
-        return links.suspectCount() >= 2 && links.suspectCount() >= MANY * links.count();
+    static boolean manySuspects(WorkerLinks links) {
+        return links.suspectCount() >= 2 && links.suspectCount() >= MANY_SUSPECTS_SHARE * links.count();
     }
 
     /** Plans the next round if it is time; the workers to be asked in it. */
-    List<WorkerLink> plan(WorkerLinks links, long now) {
+    List<WorkerLink> planRound(WorkerLinks links, long now) {
         boolean suspects = links.suspectCount() > 0;
-        boolean many = many(links);
+        boolean many = manySuspects(links);
         long every = suspects ? config.exchangeIntervalMs(many) : config.workerLeaseMs() / 2;
         if (plannedAt >= 0 && now - plannedAt < every) {
             return List.of();
         }
         plannedAt = now;
-        List<WorkerLink> suspectSample = links.nextSuspects(many ? SAMPLE : FEW);
-        int soundWanted = many ? SAMPLE : suspects ? 0 : IDLE_SAMPLE;
-        List<WorkerLink> soundSample = new ArrayList<>(links.nextSound(lastSound, soundWanted));
+        List<WorkerLink> suspectSample = links.nextSuspects(many ? SAMPLE_SIZE : FEW_SUSPECTS_SAMPLE);
+        int soundWanted = many ? SAMPLE_SIZE : suspects ? 0 : IDLE_SAMPLE_SIZE;
+        List<WorkerLink> soundSample = new ArrayList<>(links.nextHealthy(lastHealthyId, soundWanted));
         if (soundSample.size() < soundWanted) {
-            soundSample.addAll(links.nextSound(-1, soundWanted - soundSample.size()));
+            soundSample.addAll(links.nextHealthy(-1, soundWanted - soundSample.size()));
         }
         if (!soundSample.isEmpty()) {
-            lastSound = soundSample.get(soundSample.size() - 1).index;
+            lastHealthyId = soundSample.get(soundSample.size() - 1).id;
         }
         rounds.addLast(new Round(suspectSample, soundSample));
-        if (rounds.size() > ROUNDS) {
+        if (rounds.size() > KEPT_ROUNDS) {
             rounds.removeFirst();
         }
         Set<WorkerLink> all = new LinkedHashSet<>(suspectSample);
@@ -80,20 +80,20 @@
     }
 
     /** The targets of the newest round. */
-    List<ProbeTarget> newest() {
+    List<ProbeTarget> currentTargets() {
         if (rounds.isEmpty()) {
             return List.of();
         }
         Round round = rounds.getLast();
         Set<WorkerLink> all = new LinkedHashSet<>(round.suspects);
-        all.addAll(round.sound);
+        all.addAll(round.healthy);
         return targets(all);
     }
 
     static List<ProbeTarget> targets(Collection<WorkerLink> links) {
         List<ProbeTarget> targets = new ArrayList<>();
         for (WorkerLink link : links) {
-            if (!link.departed && !link.address.isEmpty()) {
+            if (!link.removed && !link.address.isEmpty()) {
                 targets.add(new ProbeTarget(link.name, link.address));
             }
         }
@@ -104,15 +104,15 @@
     Set<WorkerLink> sampledSuspects() {
         Set<WorkerLink> sampled = new LinkedHashSet<>();
         rounds.forEach(round -> sampled.addAll(round.suspects));
-        sampled.removeIf(link -> link.departed || link.suspectSince < 0);
+        sampled.removeIf(link -> link.removed || link.suspectSince < 0);
         return sampled;
     }
 
     /** Sampled workers that are not suspect. */
-    Set<WorkerLink> sampledSound() {
+    Set<WorkerLink> sampledHealthy() {
         Set<WorkerLink> sampled = new LinkedHashSet<>();
-        rounds.forEach(round -> sampled.addAll(round.sound));
-        sampled.removeIf(link -> link.departed || link.suspectSince >= 0);
+        rounds.forEach(round -> sampled.addAll(round.healthy));
+        sampled.removeIf(link -> link.removed || link.suspectSince >= 0);
         return sampled;
     }
 }
--- a/src/main/java/stileferry/connectivity/ShareEstimator.java
+++ b/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
@@ -5,15 +5,15 @@
 import java.util.function.Predicate;
 
 /** Estimates the shares of workers that controllers reach, from the samples that were asked for. */
-final class ShareEstimator {
+final class ReachableShareEstimator {
     /** Leases for which a worker that reports by way of others but answers questions counts as reached. */
-    private static final int RELAYED_LEASES = 3;
+    private static final int MAX_RELAYED_LEASES = 3;
 
     private final ConnectivityConfig config;
     private final WorkerLinks links;
     private final ProbePlanner planner;
 
-    ShareEstimator(ConnectivityConfig config, WorkerLinks links, ProbePlanner planner) {
+    ReachableShareEstimator(ConnectivityConfig config, WorkerLinks links, ProbePlanner planner) {
         this.config = config;
         this.links = links;
         this.planner = planner;
@@ -24,7 +24,7 @@
     }
 
     /** The leader's own share: all that is not suspect, and of the rest as much as answers its questions. */
-    double own(long now) {
+    double ownShare(long now) {
         double suspects = suspectShare();
         OptionalDouble answering = share(
                 planner.sampledSuspects(),
@@ -35,16 +35,17 @@
 
     /** Who has left for another controller and does not come back has a reason, whatever it answers. */
     private boolean answers(WorkerLink link, long now) {
-        boolean stays = link.relayedSince < 0 || now - link.relayedSince <= RELAYED_LEASES * config.workerLeaseMs();
+        boolean stays = link.relayedSince < 0 || now - link.relayedSince <= MAX_RELAYED_LEASES * config.workerLeaseMs();
         return stays && link.probeAnsweredAt > link.probeFailedAt;
     }
 
     /** Another controller's share; empty: it has said too little. */
-    OptionalDouble of(PeerView peer) {
+    OptionalDouble peerShare(PeerView peer) {
         double suspects = suspectShare();
         OptionalDouble ofSuspects =
-                share(planner.sampledSuspects(), l -> peer.knows(l.name), l -> peer.reaches(l.name));
-        OptionalDouble ofSound = share(planner.sampledSound(), l -> peer.knows(l.name), l -> peer.reaches(l.name));
+                share(planner.sampledSuspects(), l -> peer.outboundKnown(l.name), l -> peer.reaches(l.name));
+        OptionalDouble ofSound =
+                share(planner.sampledHealthy(), l -> peer.outboundKnown(l.name), l -> peer.reaches(l.name));
         if (suspects > 0 && ofSuspects.isEmpty() || suspects < 1 && ofSound.isEmpty()) {
             return OptionalDouble.empty();
         }
@@ -62,7 +63,7 @@
                 reachedCount += reached.test(link) ? 1 : 0;
             }
         }
-        return knownCount == 0 || 2 * knownCount < Math.min(sample.size(), ProbePlanner.SAMPLE)
+        return knownCount == 0 || 2 * knownCount < Math.min(sample.size(), ProbePlanner.SAMPLE_SIZE)
                 ? OptionalDouble.empty()
                 : OptionalDouble.of(reachedCount / (double) knownCount);
     }
--- a/src/main/java/stileferry/connectivity/SnapshotWriter.java
+++ b/src/main/java/stileferry/connectivity/SnapshotBuilder.java
@@ -4,40 +4,40 @@
 import java.util.List;
 
 /** Writes down all that one controller knows of its links. */
-final class SnapshotWriter {
+final class SnapshotBuilder {
     /** Stands for a share that is not known. */
-    private static final double UNKNOWN = -1;
+    private static final double SHARE_UNKNOWN = -1;
 
-    private SnapshotWriter() {}
+    private SnapshotBuilder() {}
 
-    static ConnectivitySnapshot write(ObservedLinks links, LeadershipControl control, long withheld, long staleViews) {
+    static ConnectivitySnapshot build(ObservedLinks links, LeadershipControl control, long withheld, long staleViews) {
         List<ConnectivitySnapshot.Peer> others = new ArrayList<>();
-        for (Peers.Peer peer : links.peers.all()) {
+        for (PeerLinks.Peer peer : links.peers.all()) {
             others.add(new ConnectivitySnapshot.Peer(
                     peer.name,
-                    links.describe(peer.inbound),
-                    links.describe(peer.outbound),
+                    links.snapshot(peer.inbound),
+                    links.snapshot(peer.outbound),
                     peer.view.ageMs(links.now()),
-                    peer.view.reachedCount(),
-                    links.leading() ? control.share(peer).orElse(UNKNOWN) : UNKNOWN));
+                    peer.view.reachedWorkers(),
+                    links.leading() ? control.peerShare(peer).orElse(SHARE_UNKNOWN) : SHARE_UNKNOWN));
         }
         WorkerLinks workers = links.workers;
         return new ConnectivitySnapshot(
                 links.config.self(),
                 links.leading(),
-                links.describe(links.store),
+                links.snapshot(links.store),
                 others,
                 new ConnectivitySnapshot.Workers(
                         workers.count(),
                         workers.directCount(),
                         workers.suspectCount(),
-                        links.leading() ? control.ownShare() : UNKNOWN,
-                        workers.silenceBoundMs(links.now())),
+                        links.leading() ? control.ownShare() : SHARE_UNKNOWN,
+                        workers.suspicionTimeoutMs(links.now())),
                 control.advise(),
                 new ConnectivitySnapshot.Counters(
                         control.handoversBegun(),
-                        control.releasedCount(),
-                        control.givenUpCount(),
+                        control.releases(),
+                        control.handoversAborted(),
                         workers.suspicions(),
                         withheld,
                         staleViews));
--- a/src/main/java/stileferry/connectivity/ViewWriter.java
+++ b/src/main/java/stileferry/connectivity/ViewBuilder.java
@@ -11,25 +11,25 @@
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 
 /** Writes views for other controllers: only what changed after the last change that the receiver has confirmed. */
-final class ViewWriter {
+final class ViewBuilder {
     /** Workers in one view: a fleet that is new to the receiver takes several. */
-    static final int MOST_WORKERS = 256;
+    static final int MAX_WORKERS = 256;
 
     private final ConnectivityConfig config;
     private final WorkerLinks workers;
-    private final ViewLog sent;
+    private final SentViewLog sentViews;
 
     /** Who writes. */
     record Self(long incarnation, long term, String leader) {}
 
-    ViewWriter(ConnectivityConfig config, WorkerLinks workers, ViewLog sent) {
+    ViewBuilder(ConnectivityConfig config, WorkerLinks workers, SentViewLog sent) {
         this.config = config;
         this.workers = workers;
-        this.sent = sent;
+        this.sentViews = sent;
     }
 
-    ReachabilityView write(
-            Peers.Peer to,
+    ReachabilityView build(
+            PeerLinks.Peer to,
             Self self,
             ControllerHealth standing,
             List<ProbeTarget> probes,
@@ -39,21 +39,21 @@
         Header header = new Header(
                 config.self(),
                 self.incarnation(),
-                sent.next(now),
+                sentViews.record(now),
                 self.term(),
                 self.leader(),
                 to.view.incarnation(),
                 to.view.sequence(),
-                to.view.change(),
+                to.view.version(),
                 to.view.epoch());
         return new ReachabilityView(header, standing, changes(to), probes, notice, acceptedHandover);
     }
 
-    private WorkerChanges changes(Peers.Peer to) {
-        long base = to.confirmedEpoch == workers.epoch() ? to.confirmedChange : 0;
-        List<WorkerLink> changed = new ArrayList<>(workers.changedAfter(base, MOST_WORKERS));
-        long upTo = changed.isEmpty() ? base : changed.get(changed.size() - 1).change;
-        changed.sort(Comparator.comparingInt(link -> link.index));
+    private WorkerChanges changes(PeerLinks.Peer to) {
+        long base = to.ackedEpoch == workers.epoch() ? to.ackedVersion : 0;
+        List<WorkerLink> changed = new ArrayList<>(workers.changedAfter(base, MAX_WORKERS));
+        long upTo = changed.isEmpty() ? base : changed.get(changed.size() - 1).version;
+        changed.sort(Comparator.comparingInt(link -> link.id));
         List<String> names = new ArrayList<>(changed.size());
         RoaringBitmap numbers = new RoaringBitmap();
         RoaringBitmap departed = new RoaringBitmap();
@@ -62,18 +62,18 @@
         RoaringBitmap outbound = new RoaringBitmap();
         for (WorkerLink link : changed) {
             names.add(link.name);
-            numbers.add(link.index);
-            add(departed, link, link.departed);
-            add(examined, link, link.examined && !link.departed);
-            add(inbound, link, link.inbound && !link.departed);
-            add(outbound, link, link.outbound && !link.departed);
+            numbers.add(link.id);
+            add(departed, link, link.removed);
+            add(examined, link, link.outboundKnown && !link.removed);
+            add(inbound, link, link.inbound && !link.removed);
+            add(outbound, link, link.outbound && !link.removed);
         }
         return new WorkerChanges(workers.epoch(), base, upTo, names, numbers, departed, examined, inbound, outbound);
     }
 
     private static void add(RoaringBitmap set, WorkerLink link, boolean holds) {
         if (holds) {
-            set.add(link.index);
+            set.add(link.id);
         }
     }
 }
--- a/src/main/java/stileferry/connectivity/ViewCodec.java
+++ b/src/main/java/stileferry/connectivity/ViewCodec.java
@@ -18,7 +18,7 @@
 
 /** Views as bytes. What follows the known fields is not looked at, so later versions may add to them. */
 public final class ViewCodec {
-    private static final byte FORM = 1;
+    private static final byte FORMAT_VERSION = 1;
 
     private ViewCodec() {}
 
@@ -26,7 +26,7 @@
     public static byte[] write(ReachabilityView view) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(FORM);
+            out.writeByte(FORMAT_VERSION);
             writeHeader(out, view.header());
             writeStanding(out, view.senderHealth());
             writeWorkers(out, view.workers());
@@ -47,7 +47,7 @@
     public static ReachabilityView read(byte[] bytes) {
         InvalidInputException.require(bytes != null, "view", "missing");
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            InvalidInputException.require(in.readByte() == FORM, "view", "not a form that is known");
+            InvalidInputException.require(in.readByte() == FORMAT_VERSION, "view", "not a form that is known");
             Header header = readHeader(in);
             ControllerHealth standing = readStanding(in);
             WorkerChanges workers = readWorkers(in);
@@ -114,14 +114,14 @@
                 in.readLong(),
                 in.readLong(),
                 readNames(in),
-                readNumbers(in),
-                readNumbers(in),
-                readNumbers(in),
-                readNumbers(in),
-                readNumbers(in));
+                readIds(in),
+                readIds(in),
+                readIds(in),
+                readIds(in),
+                readIds(in));
     }
 
-    private static RoaringBitmap readNumbers(DataInputStream in) throws IOException {
+    private static RoaringBitmap readIds(DataInputStream in) throws IOException {
         RoaringBitmap numbers = new RoaringBitmap();
         try {
             numbers.deserialize(in);
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -17,49 +17,49 @@
  */
 final class WorkerLinks {
     /** Departed workers that are remembered beyond as many as there are, before numbers are given anew. */
-    private static final int SPARE_NUMBERS = 64;
+    private static final int MAX_SPARE_IDS = 64;
 
     private final ConnectivityConfig config;
-    private final IntervalStatistics intervals;
+    private final PhiAccrualEstimator intervals;
     private final Map<String, WorkerLink> byName = new HashMap<>();
 
     /** Workers that report straight to this controller, the one that has been silent for longest first. */
     private final Set<WorkerLink> direct = new LinkedHashSet<>();
 
     /** All workers, that of which nothing has been seen for longest first. */
-    private final Set<WorkerLink> byEvidence = new LinkedHashSet<>();
+    private final Set<WorkerLink> byLastSeen = new LinkedHashSet<>();
 
     /** Workers to which a request was sent, the one whose last outcome is oldest first. */
-    private final Set<WorkerLink> byExamination = new LinkedHashSet<>();
+    private final Set<WorkerLink> byOutboundObserved = new LinkedHashSet<>();
 
     /** Workers with a link that does not work, the one that was asked after least lately first. */
     private final Set<WorkerLink> suspects = new LinkedHashSet<>();
 
     /** The numbers of workers with links that work. */
-    private RoaringBitmap sound = new RoaringBitmap();
+    private RoaringBitmap healthy = new RoaringBitmap();
 
     /** All workers, also departed ones, by the number of their last change. */
-    private final TreeMap<Long, WorkerLink> changes = new TreeMap<>();
+    private final TreeMap<Long, WorkerLink> byVersion = new TreeMap<>();
 
-    private final List<WorkerLink> byIndex = new ArrayList<>();
+    private final List<WorkerLink> byId = new ArrayList<>();
     private int epoch = 1;
-    private long lastChange;
+    private long lastVersion;
     private long suspicions;
-    private boolean kept;
-    private double boundMs;
-    private long boundAt = -1;
+    private boolean retainSilent;
+    private double timeoutMs;
+    private long timeoutComputedAt = -1;
 
     WorkerLinks(ConnectivityConfig config) {
         this.config = config;
-        this.intervals = new IntervalStatistics(config.heartbeatIntervalMs());
+        this.intervals = new PhiAccrualEstimator(config.heartbeatIntervalMs());
     }
 
     /** Forgets all workers, as their state is to be learnt anew. */
     void clear() {
         byName.clear();
         direct.clear();
-        byEvidence.clear();
-        byExamination.clear();
+        byLastSeen.clear();
+        byOutboundObserved.clear();
         suspects.clear();
         renumber();
     }
@@ -77,132 +77,132 @@
     }
 
     /** A report that came straight from its worker; false when it is a copy or came late. */
-    boolean reported(WorkerHeartbeat report, long now) {
+    boolean heartbeatReceived(WorkerHeartbeat report, long now) {
         WorkerLink link = link(report, now);
-        if (!link.takeNumber(report)) {
+        if (!link.acceptIfNewer(report)) {
             return false;
         }
-        if (link.directAt >= 0 && link.relayedSince < 0) {
-            intervals.add(now - link.directAt);
+        if (link.directHeartbeatAt >= 0 && link.relayedSince < 0) {
+            intervals.addInterval(now - link.directHeartbeatAt);
         }
-        boolean answered = link.answeredAt >= link.directAt && link.answeredAt >= 0;
-        boolean outbound = link.outbound || !link.examined;
+        boolean answered = link.heartbeatAnsweredAt >= link.directHeartbeatAt && link.heartbeatAnsweredAt >= 0;
+        boolean outbound = link.outbound || !link.outboundKnown;
         if (answered && report.acceptedTerm()) {
-            link.requestArrived();
+            link.requestAnswered();
             outbound = true;
-        } else if (answered && link.requestLost()) {
+        } else if (answered && link.requestFailed()) {
             outbound = false;
         }
-        link.directAt = now;
+        link.directHeartbeatAt = now;
         link.relayedSince = -1;
-        seen(link, now);
+        markSeen(link, now);
         moveToEnd(direct, link);
-        update(link, link.examined, true, outbound, now);
+        update(link, link.outboundKnown, true, outbound, now);
         return true;
     }
 
     /** A report that came by way of another controller. */
-    void relayed(WorkerHeartbeat report, long now) {
+    void relayedHeartbeatReceived(WorkerHeartbeat report, long now) {
         WorkerLink link = link(report, now);
-        if (!link.takeNumber(report)) {
+        if (!link.acceptIfNewer(report)) {
             return;
         }
-        boolean outbound = link.outbound && !link.leftAlthoughAnswered();
+        boolean outbound = link.outbound && !link.leftDespiteAnswers();
         if (link.relayedSince < 0) {
             link.relayedSince = now;
         }
-        seen(link, now);
+        markSeen(link, now);
         direct.remove(link);
-        update(link, link.examined, false, outbound, now);
+        update(link, link.outboundKnown, false, outbound, now);
     }
 
     /** The worker's last report was answered. */
-    void answered(String name, long now) {
+    void heartbeatAnswered(String name, long now) {
         WorkerLink link = byName.get(name);
         if (link != null) {
-            link.answeredAt = now;
+            link.heartbeatAnsweredAt = now;
         }
     }
 
     /** A request to the worker was answered. */
-    void reached(String name, boolean probe, long now) {
+    void requestAnswered(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
         if (link == null) {
             return;
         }
-        link.requestArrived();
+        link.requestAnswered();
         link.probeAnsweredAt = probe ? now : link.probeAnsweredAt;
-        seen(link, now);
-        examined(link, now);
+        markSeen(link, now);
+        markOutboundObserved(link, now);
         update(link, true, link.inbound, true, now);
     }
 
     /** A request to the worker was not answered. */
-    void missed(String name, boolean probe, long now) {
+    void requestFailed(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
         if (link == null) {
             return;
         }
         link.probeFailedAt = probe ? now : link.probeFailedAt;
-        boolean lost = link.requestLost() || probe;
+        boolean lost = link.requestFailed() || probe;
         if (probe) {
-            seen(link, now);
+            markSeen(link, now);
         }
-        examined(link, now);
+        markOutboundObserved(link, now);
         update(link, true, link.inbound, link.outbound && !lost, now);
     }
 
     /** The worker is gone for good. */
-    void gone(String name) {
+    void removed(String name) {
         WorkerLink link = byName.remove(name);
         if (link == null) {
             return;
         }
         direct.remove(link);
-        byEvidence.remove(link);
-        byExamination.remove(link);
+        byLastSeen.remove(link);
+        byOutboundObserved.remove(link);
         suspects.remove(link);
-        sound.remove(link.index);
-        link.departed = true;
-        changed(link);
-        if (byIndex.size() > 2 * byName.size() + SPARE_NUMBERS) {
+        healthy.remove(link.id);
+        link.removed = true;
+        markChanged(link);
+        if (byId.size() > 2 * byName.size() + MAX_SPARE_IDS) {
             renumber();
         }
     }
 
     /** Whether workers of which nothing is seen are kept, as a leader keeps all until they are gone. */
-    void keep(boolean all) {
-        kept = all;
-        if (!kept) {
-            byEvidence.clear();
+    void retainSilent(boolean all) {
+        retainSilent = all;
+        if (!retainSilent) {
+            byLastSeen.clear();
             byName.values().stream()
-                    .sorted(Comparator.comparingLong(link -> link.evidenceAt))
-                    .forEach(byEvidence::add);
+                    .sorted(Comparator.comparingLong(link -> link.lastSeenAt))
+                    .forEach(byLastSeen::add);
         }
     }
 
     /** Notes who has fallen silent; who is not kept and of whom nothing is seen any more is forgotten. */
-    void sweep(long now, long lateMs) {
-        double silent = silenceBoundMs(now) + lateMs;
+    void detectSilent(long now, long lateMs) {
+        double silent = suspicionTimeoutMs(now) + lateMs;
         for (Iterator<WorkerLink> oldest = direct.iterator(); oldest.hasNext(); ) {
             WorkerLink link = oldest.next();
-            if (now - link.directAt <= silent) {
+            if (now - link.directHeartbeatAt <= silent) {
                 break;
             }
             oldest.remove();
             suspicions++;
-            update(link, link.examined, false, link.outbound, now);
+            update(link, link.outboundKnown, false, link.outbound, now);
         }
-        if (!kept) {
-            forgetOutcomes(now - config.probeResultMaxAgeMs() - lateMs, now);
-            forget(now - config.workerEvidenceMaxAgeMs() - lateMs);
+        if (!retainSilent) {
+            expireOutboundResults(now - config.probeResultMaxAgeMs() - lateMs, now);
+            forgetUnseen(now - config.workerEvidenceMaxAgeMs() - lateMs);
         }
     }
 
-    private void forgetOutcomes(long before, long now) {
-        for (Iterator<WorkerLink> oldest = byExamination.iterator(); oldest.hasNext(); ) {
+    private void expireOutboundResults(long before, long now) {
+        for (Iterator<WorkerLink> oldest = byOutboundObserved.iterator(); oldest.hasNext(); ) {
             WorkerLink link = oldest.next();
-            if (link.examinedAt >= before) {
+            if (link.outboundObservedAt >= before) {
                 break;
             }
             oldest.remove();
@@ -210,24 +210,25 @@
         }
     }
 
-    private void forget(long before) {
+    private void forgetUnseen(long before) {
         List<String> names = new ArrayList<>();
-        for (WorkerLink link : byEvidence) {
-            if (link.evidenceAt >= before) {
+        for (WorkerLink link : byLastSeen) {
+            if (link.lastSeenAt >= before) {
                 break;
             }
             names.add(link.name);
         }
-        names.forEach(this::gone);
+        names.forEach(this::removed);
     }
 
     /** The silence after which a worker is suspect, from the measured intervals of all; computed now and then. */
-    double silenceBoundMs(long now) {
-        if (boundAt < 0 || now - boundAt > config.exchangeIntervalMs(true)) {
-            boundAt = now;
-            boundMs = Math.min(config.workerLeaseMs() / 2.0, intervals.silenceMs(LinkObserver.FAILING_SUSPICION));
+    double suspicionTimeoutMs(long now) {
+        if (timeoutComputedAt < 0 || now - timeoutComputedAt > config.exchangeIntervalMs(true)) {
+            timeoutComputedAt = now;
+            timeoutMs = Math.min(
+                    config.workerLeaseMs() / 2.0, intervals.timeoutMs(LinkFailureDetector.SUSPICION_THRESHOLD));
         }
-        return boundMs;
+        return timeoutMs;
     }
 
     private WorkerLink link(WorkerHeartbeat report, long now) {
@@ -241,26 +242,26 @@
 
     private WorkerLink add(String name, String address, long now) {
         WorkerLink link = new WorkerLink(name, address);
-        link.index = byIndex.size();
-        link.evidenceAt = now;
-        byIndex.add(link);
+        link.id = byId.size();
+        link.lastSeenAt = now;
+        byId.add(link);
         byName.put(name, link);
-        byEvidence.add(link);
-        changed(link);
-        judge(link, now);
+        byLastSeen.add(link);
+        markChanged(link);
+        updateSuspicion(link, now);
         return link;
     }
 
-    private void seen(WorkerLink link, long now) {
-        link.evidenceAt = now;
-        if (!kept) {
-            moveToEnd(byEvidence, link);
+    private void markSeen(WorkerLink link, long now) {
+        link.lastSeenAt = now;
+        if (!retainSilent) {
+            moveToEnd(byLastSeen, link);
         }
     }
 
-    private void examined(WorkerLink link, long now) {
-        link.examinedAt = now;
-        moveToEnd(byExamination, link);
+    private void markOutboundObserved(WorkerLink link, long now) {
+        link.outboundObservedAt = now;
+        moveToEnd(byOutboundObserved, link);
     }
 
     private static void moveToEnd(Set<WorkerLink> set, WorkerLink link) {
@@ -269,55 +270,55 @@
     }
 
     private void update(WorkerLink link, boolean examined, boolean inbound, boolean outbound, long now) {
-        if (link.examined != examined || link.inbound != inbound || link.outbound != outbound) {
-            link.examined = examined;
+        if (link.outboundKnown != examined || link.inbound != inbound || link.outbound != outbound) {
+            link.outboundKnown = examined;
             link.inbound = inbound;
             link.outbound = outbound;
-            changed(link);
+            markChanged(link);
         }
-        judge(link, now);
+        updateSuspicion(link, now);
     }
 
-    private void judge(WorkerLink link, long now) {
-        boolean works = link.inbound && (link.outbound || !link.examined);
-        if (works && link.sound) {
+    private void updateSuspicion(WorkerLink link, long now) {
+        boolean works = link.inbound && (link.outbound || !link.outboundKnown);
+        if (works && link.healthy) {
             return;
         }
-        link.sound = works;
+        link.healthy = works;
         if (works) {
             suspects.remove(link);
-            sound.add(link.index);
+            healthy.add(link.id);
             link.suspectSince = -1;
             link.keptSince = -1;
         } else if (link.suspectSince < 0) {
             suspects.add(link);
-            sound.remove(link.index);
+            healthy.remove(link.id);
             link.suspectSince = now;
         }
     }
 
     // ---- what others are told
 
-    private void changed(WorkerLink link) {
-        changes.remove(link.change);
-        link.change = ++lastChange;
-        changes.put(link.change, link);
+    private void markChanged(WorkerLink link) {
+        byVersion.remove(link.version);
+        link.version = ++lastVersion;
+        byVersion.put(link.version, link);
     }
 
     /** Departed workers' numbers are given up, and every number is given anew. */
     private void renumber() {
         epoch++;
-        byIndex.clear();
-        changes.clear();
-        sound = new RoaringBitmap();
+        byId.clear();
+        byVersion.clear();
+        healthy = new RoaringBitmap();
         for (WorkerLink link : byName.values()) {
-            link.index = byIndex.size();
-            byIndex.add(link);
+            link.id = byId.size();
+            byId.add(link);
             if (link.suspectSince < 0) {
-                sound.add(link.index);
+                healthy.add(link.id);
             }
-            link.change = ++lastChange;
-            changes.put(link.change, link);
+            link.version = ++lastVersion;
+            byVersion.put(link.version, link);
         }
     }
 
@@ -329,7 +330,7 @@
     /** Workers that changed after a change, in the order of their last changes, at most so many. */
     List<WorkerLink> changedAfter(long change, int most) {
         List<WorkerLink> list = new ArrayList<>();
-        for (WorkerLink link : changes.tailMap(change, false).values()) {
+        for (WorkerLink link : byVersion.tailMap(change, false).values()) {
             if (list.size() >= most) {
                 break;
             }
@@ -375,12 +376,12 @@
     }
 
     /** The next workers with links that work, in the order of their numbers after this one. */
-    List<WorkerLink> nextSound(int after, int most) {
+    List<WorkerLink> nextHealthy(int after, int most) {
         List<WorkerLink> next = new ArrayList<>();
-        long at = sound.nextValue(after + 1);
+        long at = healthy.nextValue(after + 1);
         while (next.size() < most && at >= 0) {
-            next.add(byIndex.get((int) at));
-            at = sound.nextValue((int) at + 1);
+            next.add(byId.get((int) at));
+            at = healthy.nextValue((int) at + 1);
         }
         return next;
     }
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -28,7 +28,7 @@
         TreeMap<String, String> known = new TreeMap<>();
         for (int i = 0; i < WORKERS; i++) {
             String name = "w" + i;
-            known.put(name, view.names(name) + " " + view.knows(name) + " " + view.reaches(name));
+            known.put(name, view.names(name) + " " + view.outboundKnown(name) + " " + view.reaches(name));
         }
         return known;
     }
@@ -69,13 +69,13 @@
         List<ReachabilityView> late = new ArrayList<>(views);
         late.addAll(views.subList(0, views.size() / 2));
         Collections.shuffle(late, random);
-        late.subList(0, random.nextInt(late.size())).forEach(view -> shuffled.take(view, -1));
+        late.subList(0, random.nextInt(late.size())).forEach(view -> shuffled.merge(view, -1));
 
         // whoever lacks something says so, and gets it
         PeerView fresh = new PeerView();
         ReachabilityView rest = viewFrom(sender, shuffled, now);
-        shuffled.take(rest, -1);
-        fresh.take(viewFrom(sender, new PeerView(), now + 1), -1);
+        shuffled.merge(rest, -1);
+        fresh.merge(viewFrom(sender, new PeerView(), now + 1), -1);
         assertEquals(known(fresh), known(shuffled));
     }
 
@@ -89,7 +89,7 @@
                 "",
                 sender.viewFor("b", now).header().incarnation(),
                 1,
-                has.change(),
+                has.version(),
                 has.epoch());
         ReachabilityView.WorkerChanges nothing =
                 new ReachabilityView.WorkerChanges(1, 0, 0, List.of(), empty(), empty(), empty(), empty(), empty());
@@ -169,12 +169,12 @@
             @ForAll @Size(max = 200) List<@DoubleRange(min = 0, max = 5000) Double> intervals,
             @ForAll @DoubleRange(min = 0, max = 50_000) double silence,
             @ForAll @DoubleRange(min = 0, max = 50_000) double more) {
-        IntervalStatistics statistics = new IntervalStatistics(1000);
-        intervals.forEach(statistics::add);
-        double shorter = statistics.suspicion(silence);
-        assertTrue(shorter >= 0 && statistics.suspicion(silence + more) >= shorter);
-        double bound = statistics.silenceMs(5);
-        assertTrue(statistics.suspicion(bound) >= 5 && bound > statistics.meanMs());
+        PhiAccrualEstimator statistics = new PhiAccrualEstimator(1000);
+        intervals.forEach(statistics::addInterval);
+        double shorter = statistics.suspicionLevel(silence);
+        assertTrue(shorter >= 0 && statistics.suspicionLevel(silence + more) >= shorter);
+        double bound = statistics.timeoutMs(5);
+        assertTrue(statistics.suspicionLevel(bound) >= 5 && bound > statistics.meanMs());
     }
 
     /** The order of controllers is total, and nobody is clearly better than who is clearly better than them. */
--- a/src/test/java/stileferry/connectivity/ConnectivityTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityTest.java
@@ -175,7 +175,7 @@
             peer.receive(ViewCodec.read(bytes), t);
             links.receive(peer.viewFor("a", t), t);
         }
-        assertTrue(views <= workers / ViewWriter.MOST_WORKERS + 3, views + " views for a whole fleet");
+        assertTrue(views <= workers / ViewBuilder.MAX_WORKERS + 3, views + " views for a whole fleet");
         assertTrue(largest < 8 * 1024, largest + " bytes");
         int unchanged = ViewCodec.write(links.viewFor("b", 30_200)).length;
         assertTrue(unchanged < 250, unchanged + " bytes when nothing changed");
@@ -184,7 +184,7 @@
         links.storeAnswered(60_000);
         assertEquals(workers - 1, links.snapshot(60_000).workers().suspect());
         int probes = links.takeDueProbes(1000, 60_000).size();
-        assertTrue(probes <= ProbePlanner.SAMPLE, probes + " probes in a round");
+        assertTrue(probes <= ProbePlanner.SAMPLE_SIZE, probes + " probes in a round");
         assertEquals(0, links.takeDueProbes(1000, 60_001).size(), "the next round has its time");
     }
 }
