--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -303,7 +303,7 @@
             // enough
             boolean many = ProbePlanner.manySuspects(links.workers);
             for (WorkerLink link : probePlanner.planRound(links.workers, links.now())) {
-                if (many && link.suspectSince >= 0) {
+                if (many && link.suspect()) {
                     ProbePlanner.targets(List.of(link)).forEach(this::queueProbe);
                 }
             }
@@ -344,7 +344,7 @@
         links.detectSilentWorkers();
         Verdict verdict = gate.check(Decision.REMOVE_WORKER, links.evidence(handingOver()));
         WorkerLink link = links.workers.find(worker);
-        if (!verdict.allowed() || link == null || link.suspectSince < 0) {
+        if (!verdict.allowed() || link == null || !link.suspect()) {
             return countWithheld(verdict);
         }
         long now = links.now();
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -61,11 +61,11 @@
             return List.of();
         }
         plannedAt = now;
-        List<WorkerLink> suspectSample = links.nextSuspects(many ? SAMPLE_SIZE : FEW_SUSPECTS_SAMPLE);
+        List<WorkerLink> suspectSample = links.suspects().nextSuspects(many ? SAMPLE_SIZE : FEW_SUSPECTS_SAMPLE);
         int soundWanted = many ? SAMPLE_SIZE : suspects ? 0 : IDLE_SAMPLE_SIZE;
-        List<WorkerLink> soundSample = new ArrayList<>(links.nextHealthy(lastHealthyId, soundWanted));
+        List<WorkerLink> soundSample = new ArrayList<>(links.suspects().nextHealthy(lastHealthyId, soundWanted));
         if (soundSample.size() < soundWanted) {
-            soundSample.addAll(links.nextHealthy(-1, soundWanted - soundSample.size()));
+            soundSample.addAll(links.suspects().nextHealthy(-1, soundWanted - soundSample.size()));
         }
         if (!soundSample.isEmpty()) {
             lastHealthyId = soundSample.get(soundSample.size() - 1).id;
@@ -104,7 +104,7 @@
     Set<WorkerLink> sampledSuspects() {
         Set<WorkerLink> sampled = new LinkedHashSet<>();
         rounds.forEach(round -> sampled.addAll(round.suspects));
-        sampled.removeIf(link -> link.removed || link.suspectSince < 0);
+        sampled.removeIf(link -> link.removed || !link.suspect());
         return sampled;
     }
 
@@ -112,7 +112,7 @@
     Set<WorkerLink> sampledHealthy() {
         Set<WorkerLink> sampled = new LinkedHashSet<>();
         rounds.forEach(round -> sampled.addAll(round.healthy));
-        sampled.removeIf(link -> link.removed || link.suspectSince >= 0);
+        sampled.removeIf(link -> link.removed || link.suspect());
         return sampled;
     }
 }
--- a/src/main/java/stileferry/connectivity/ViewBuilder.java
+++ b/src/main/java/stileferry/connectivity/ViewBuilder.java
@@ -50,8 +50,8 @@
     }
 
     private WorkerChanges changes(PeerLinks.Peer to) {
-        long base = to.ackedEpoch == workers.epoch() ? to.ackedVersion : 0;
-        List<WorkerLink> changed = new ArrayList<>(workers.changedAfter(base, MAX_WORKERS));
+        long base = to.ackedEpoch == workers.numbering().epoch() ? to.ackedVersion : 0;
+        List<WorkerLink> changed = new ArrayList<>(workers.numbering().changedAfter(base, MAX_WORKERS));
         long upTo = changed.isEmpty() ? base : changed.get(changed.size() - 1).version;
         changed.sort(Comparator.comparingInt(link -> link.id));
         List<String> names = new ArrayList<>(changed.size());
@@ -64,11 +64,12 @@
             names.add(link.name);
             numbers.add(link.id);
             add(departed, link, link.removed);
-            add(examined, link, link.outboundKnown && !link.removed);
-            add(inbound, link, link.inbound && !link.removed);
-            add(outbound, link, link.outbound && !link.removed);
+            add(examined, link, link.reachability.outboundKnown() && !link.removed);
+            add(inbound, link, link.reachability.inbound() && !link.removed);
+            add(outbound, link, link.reachability.outbound() && !link.removed);
         }
-        return new WorkerChanges(workers.epoch(), base, upTo, names, numbers, departed, examined, inbound, outbound);
+        return new WorkerChanges(
+                workers.numbering().epoch(), base, upTo, names, numbers, departed, examined, inbound, outbound);
     }
 
     private static void add(RoaringBitmap set, WorkerLink link, boolean holds) {
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -1,96 +1,109 @@
 package stileferry.connectivity;
 
-/** The links to one worker, in each direction, as this controller sees them. */
+/** The links to one worker, in each direction, as this controller sees them. Times are -1 where there is none. */
 final class WorkerLink {
-    /** Requests without an answer in a row after which the way to the worker counts as lost: one may get lost. */
+    /** Consecutive requests without an answer after which requests count as not reaching the worker. */
     private static final int MAX_LOST_REQUESTS = 2;
 
     final String name;
     String address;
 
-    /** Its number in this controller's views; never another worker's within an epoch. */
+    /** Its id in this controller's views, unique within an epoch. */
     int id;
 
-    /** The number of its last change in this controller's views. */
+    /** The version of its last change in this controller's views. */
     long version;
 
-    /** The newest report that was seen, in the order of session and sequence. */
+    /** The incarnation and sequence of the newest heartbeat. */
     private long incarnation = -1;
 
     private long sequence = -1;
 
-    /** When it last reported straight to this controller; -1: it has not. */
+    /** When its last heartbeat that was not relayed arrived. */
     long directHeartbeatAt = -1;
 
-    /** Since when its reports come by way of another controller, without one of its own between; -1: they do not. */
+    /** Since when its heartbeats arrive through another controller only. */
     long relayedSince = -1;
 
-    /** When its last report was answered; before {@link #directHeartbeatAt}: not yet. */
+    /** When its last heartbeat was answered; before {@link #directHeartbeatAt}: not yet. */
     long heartbeatAnsweredAt = -1;
 
     /** When the outcome of a request to it was last known. */
     long outboundObservedAt;
 
-    /** When anything was last seen of it. */
+    /** When a heartbeat or an outcome of a request was last seen. */
     long lastSeenAt;
 
-    /** Since when its links are suspect here; -1: they are not. */
+    /** Since when its links are suspect. */
     long suspectSince = -1;
 
-    /** Since when it is kept although it is silent, because another controller reaches it; -1: it is not. */
+    /** Since when it is kept, although it is silent, because another controller reaches it. */
     long keptSince = -1;
 
     private int consecutiveLosses;
 
-    /** When it last answered a question that was sent for that purpose, and when one last was in vain; -1: never. */
+    /** When it last answered a probe. */
     long probeAnsweredAt = -1;
 
+    /** When a probe of it last failed. */
     long probeFailedAt = -1;
 
-    // what the views of this controller say of it
-
-    /** Something recent is known of the way to it. */
-    boolean outboundKnown;
-
-    /** It reports straight to this controller. */
-    boolean inbound;
-
-    /** What is sent to it arrives. */
-    boolean outbound;
+    WorkerReachability reachability = WorkerReachability.UNKNOWN;
 
+    /** Whether the worker no longer exists. */
     boolean removed;
 
-    /** It is in the set of workers with links that work. */
-    boolean healthy;
-
     WorkerLink(String name, String address) {
         this.name = name;
         this.address = address;
     }
 
-    /** Takes a report's number; false when a newer one was seen, so that this is a copy or came late. */
-    boolean acceptIfNewer(WorkerHeartbeat report) {
-        boolean newer = report.incarnation() > incarnation
-                || report.incarnation() == incarnation && report.sequence() > sequence;
+    boolean suspect() {
+        return suspectSince >= 0;
+    }
+
+    /** Notes a heartbeat's number; false where a newer heartbeat is known, so that this one is a copy or late. */
+    boolean acceptIfNewer(WorkerHeartbeat heartbeat) {
+        boolean newer = heartbeat.incarnation() > incarnation
+                || heartbeat.incarnation() == incarnation && heartbeat.sequence() > sequence;
         if (newer) {
-            incarnation = report.incarnation();
-            sequence = report.sequence();
+            incarnation = heartbeat.incarnation();
+            sequence = heartbeat.sequence();
         }
         return newer;
     }
 
-    /** Something that was sent has arrived. */
+    /** A request or a heartbeat's answer has reached the worker. */
     void requestAnswered() {
         consecutiveLosses = 0;
     }
 
-    /** Something that was sent got no answer; true when the way counts as lost from now on. */
+    /** A request or a heartbeat's answer was lost; returns whether the worker counts as out of reach from now on. */
     boolean requestFailed() {
         consecutiveLosses++;
         return consecutiveLosses >= MAX_LOST_REQUESTS;
     }
 
-    /** Whether it was answered since its last report and has gone to another controller all the same. */
+    /**
+     * Whether answers reach the worker, as far as its new heartbeat shows: one that has not accepted the term lacks the
+     * answer to the heartbeat before.
+     */
+    boolean outboundAfter(WorkerHeartbeat heartbeat) {
+        if (!lastHeartbeatAnswered()) {
+            return reachability.outboundAssumed();
+        }
+        if (heartbeat.acceptedTerm()) {
+            requestAnswered();
+            return true;
+        }
+        return !requestFailed() && reachability.outboundAssumed();
+    }
+
+    private boolean lastHeartbeatAnswered() {
+        return heartbeatAnsweredAt >= 0 && heartbeatAnsweredAt >= directHeartbeatAt;
+    }
+
+    /** Whether its last direct heartbeat was answered and it has gone to another controller all the same. */
     boolean leftDespiteAnswers() {
         return directHeartbeatAt >= 0 && heartbeatAnsweredAt >= directHeartbeatAt && relayedSince < 0;
     }
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -8,65 +8,48 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
-import org.roaringbitmap.RoaringBitmap;
 
 /**
- * The links to all workers that this controller has seen. A report costs the same whatever the number of workers; a
- * sweep looks only at those that have fallen silent since the last one.
+ * The links to all known workers. A heartbeat costs the same whatever the number of workers; the detection of silent
+ * workers looks only at those that have fallen silent since the last one.
  */
 final class WorkerLinks {
-    /** Departed workers that are remembered beyond as many as there are, before numbers are given anew. */
-    private static final int MAX_SPARE_IDS = 64;
-
     private final ConnectivityConfig config;
-    private final PhiAccrualEstimator intervals;
+    private final WorkerSuspicionTimeout suspicionTimeout;
+    private final WorkerNumbering numbering = new WorkerNumbering();
+    private final SuspectTracker suspects = new SuspectTracker(numbering);
     private final Map<String, WorkerLink> byName = new HashMap<>();
 
-    /** Workers that report straight to this controller, the one that has been silent for longest first. */
+    /** Workers whose heartbeats come straight to this controller, the one that has been silent for longest first. */
     private final Set<WorkerLink> direct = new LinkedHashSet<>();
 
-    /** All workers, that of which nothing has been seen for longest first. */
+    /** All workers, the least recently seen first. */
     private final Set<WorkerLink> byLastSeen = new LinkedHashSet<>();
 
-    /** Workers to which a request was sent, the one whose last outcome is oldest first. */
+    /** Workers with a known outcome of a request, the oldest outcome first. */
     private final Set<WorkerLink> byOutboundObserved = new LinkedHashSet<>();
 
-    /** Workers with a link that does not work, the one that was asked after least lately first. */
-    private final Set<WorkerLink> suspects = new LinkedHashSet<>();
-
-    /** The numbers of workers with links that work. */
-    private RoaringBitmap healthy = new RoaringBitmap();
-
-    /** All workers, also departed ones, by the number of their last change. */
-    private final TreeMap<Long, WorkerLink> byVersion = new TreeMap<>();
-
-    private final List<WorkerLink> byId = new ArrayList<>();
-    private int epoch = 1;
-    private long lastVersion;
     private long suspicions;
     private boolean retainSilent;
-    private double timeoutMs;
-    private long timeoutComputedAt = -1;
 
     WorkerLinks(ConnectivityConfig config) {
         this.config = config;
-        this.intervals = new PhiAccrualEstimator(config.heartbeatIntervalMs());
+        this.suspicionTimeout = new WorkerSuspicionTimeout(config);
     }
 
-    /** Forgets all workers, as their state is to be learnt anew. */
+    /** Forgets all workers. */
     void clear() {
         byName.clear();
         direct.clear();
         byLastSeen.clear();
         byOutboundObserved.clear();
         suspects.clear();
-        renumber();
+        startEpoch();
     }
 
-    // ---- what is seen
+    // ---- observations
 
-    /** A worker that should be there, though nothing was heard of it. */
+    /** A worker is expected to exist, though no heartbeat of it has arrived. */
     void expected(String name, String address, long now) {
         WorkerLink known = byName.get(name);
         if (known == null) {
@@ -76,47 +59,40 @@
         }
     }
 
-    /** A report that came straight from its worker; false when it is a copy or came late. */
-    boolean heartbeatReceived(WorkerHeartbeat report, long now) {
-        WorkerLink link = link(report, now);
-        if (!link.acceptIfNewer(report)) {
+    /** A heartbeat arrived straight from its worker; false where it is a copy or late. */
+    boolean heartbeatReceived(WorkerHeartbeat heartbeat, long now) {
+        WorkerLink link = findOrAdd(heartbeat, now);
+        if (!link.acceptIfNewer(heartbeat)) {
             return false;
         }
         if (link.directHeartbeatAt >= 0 && link.relayedSince < 0) {
-            intervals.addInterval(now - link.directHeartbeatAt);
-        }
-        boolean answered = link.heartbeatAnsweredAt >= link.directHeartbeatAt && link.heartbeatAnsweredAt >= 0;
-        boolean outbound = link.outbound || !link.outboundKnown;
-        if (answered && report.acceptedTerm()) {
-            link.requestAnswered();
-            outbound = true;
-        } else if (answered && link.requestFailed()) {
-            outbound = false;
+            suspicionTimeout.addInterval(now - link.directHeartbeatAt);
         }
+        boolean outbound = link.outboundAfter(heartbeat);
         link.directHeartbeatAt = now;
         link.relayedSince = -1;
         markSeen(link, now);
         moveToEnd(direct, link);
-        update(link, link.outboundKnown, true, outbound, now);
+        update(link, link.reachability.withInbound(true).withOutbound(outbound), now);
         return true;
     }
 
-    /** A report that came by way of another controller. */
-    void relayedHeartbeatReceived(WorkerHeartbeat report, long now) {
-        WorkerLink link = link(report, now);
-        if (!link.acceptIfNewer(report)) {
+    /** A heartbeat was relayed by another controller. */
+    void relayedHeartbeatReceived(WorkerHeartbeat heartbeat, long now) {
+        WorkerLink link = findOrAdd(heartbeat, now);
+        if (!link.acceptIfNewer(heartbeat)) {
             return;
         }
-        boolean outbound = link.outbound && !link.leftDespiteAnswers();
+        boolean outbound = link.reachability.outbound() && !link.leftDespiteAnswers();
         if (link.relayedSince < 0) {
             link.relayedSince = now;
         }
         markSeen(link, now);
         direct.remove(link);
-        update(link, link.outboundKnown, false, outbound, now);
+        update(link, link.reachability.withInbound(false).withOutbound(outbound), now);
     }
 
-    /** The worker's last report was answered. */
+    /** The worker's last heartbeat was answered. */
     void heartbeatAnswered(String name, long now) {
         WorkerLink link = byName.get(name);
         if (link != null) {
@@ -131,28 +107,30 @@
             return;
         }
         link.requestAnswered();
-        link.probeAnsweredAt = probe ? now : link.probeAnsweredAt;
+        if (probe) {
+            link.probeAnsweredAt = now;
+        }
         markSeen(link, now);
         markOutboundObserved(link, now);
-        update(link, true, link.inbound, true, now);
+        update(link, link.reachability.withOutboundResult(true), now);
     }
 
-    /** A request to the worker was not answered. */
+    /** A request to the worker was not answered; a single failed probe counts, other requests may get lost. */
     void requestFailed(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
         if (link == null) {
             return;
         }
-        link.probeFailedAt = probe ? now : link.probeFailedAt;
         boolean lost = link.requestFailed() || probe;
         if (probe) {
+            link.probeFailedAt = now;
             markSeen(link, now);
         }
         markOutboundObserved(link, now);
-        update(link, true, link.inbound, link.outbound && !lost, now);
+        update(link, link.reachability.withOutboundResult(link.reachability.outbound() && !lost), now);
     }
 
-    /** The worker is gone for good. */
+    /** The worker no longer exists. */
     void removed(String name) {
         WorkerLink link = byName.remove(name);
         if (link == null) {
@@ -162,17 +140,18 @@
         byLastSeen.remove(link);
         byOutboundObserved.remove(link);
         suspects.remove(link);
-        healthy.remove(link.id);
         link.removed = true;
-        markChanged(link);
-        if (byId.size() > 2 * byName.size() + MAX_SPARE_IDS) {
-            renumber();
+        numbering.markChanged(link);
+        if (numbering.hasTooManySpareIds(byName.size())) {
+            startEpoch();
         }
     }
 
-    /** Whether workers of which nothing is seen are kept, as a leader keeps all until they are gone. */
-    void retainSilent(boolean all) {
-        retainSilent = all;
+    // ---- silence
+
+    /** Whether silent workers are retained, as a leader retains all until they are removed. */
+    void retainSilent(boolean retain) {
+        retainSilent = retain;
         if (!retainSilent) {
             byLastSeen.clear();
             byName.values().stream()
@@ -181,21 +160,21 @@
         }
     }
 
-    /** Notes who has fallen silent; who is not kept and of whom nothing is seen any more is forgotten. */
-    void detectSilent(long now, long lateMs) {
-        double silent = suspicionTimeoutMs(now) + lateMs;
+    /** Marks workers that have fallen silent; forgets those that are not retained and were not seen for long. */
+    void detectSilent(long now, long eventLoopLagMs) {
+        double timeoutMs = suspicionTimeoutMs(now) + eventLoopLagMs;
         for (Iterator<WorkerLink> oldest = direct.iterator(); oldest.hasNext(); ) {
             WorkerLink link = oldest.next();
-            if (now - link.directHeartbeatAt <= silent) {
+            if (now - link.directHeartbeatAt <= timeoutMs) {
                 break;
             }
             oldest.remove();
             suspicions++;
-            update(link, link.outboundKnown, false, link.outbound, now);
+            update(link, link.reachability.withInbound(false), now);
         }
         if (!retainSilent) {
-            expireOutboundResults(now - config.probeResultMaxAgeMs() - lateMs, now);
-            forgetUnseen(now - config.workerEvidenceMaxAgeMs() - lateMs);
+            expireOutboundResults(now - config.probeResultMaxAgeMs() - eventLoopLagMs, now);
+            forgetUnseen(now - config.workerEvidenceMaxAgeMs() - eventLoopLagMs);
         }
     }
 
@@ -206,7 +185,7 @@
                 break;
             }
             oldest.remove();
-            update(link, false, link.inbound, link.outbound, now);
+            update(link, link.reachability.withOutboundExpired(), now);
         }
     }
 
@@ -221,34 +200,24 @@
         names.forEach(this::removed);
     }
 
-    /** The silence after which a worker is suspect, from the measured intervals of all; computed now and then. */
-    double suspicionTimeoutMs(long now) {
-        if (timeoutComputedAt < 0 || now - timeoutComputedAt > config.exchangeIntervalMs(true)) {
-            timeoutComputedAt = now;
-            timeoutMs = Math.min(
-                    config.workerLeaseMs() / 2.0, intervals.timeoutMs(LinkFailureDetector.SUSPICION_THRESHOLD));
-        }
-        return timeoutMs;
-    }
+    // ---- bookkeeping
 
-    private WorkerLink link(WorkerHeartbeat report, long now) {
-        WorkerLink link = byName.get(report.worker());
+    private WorkerLink findOrAdd(WorkerHeartbeat heartbeat, long now) {
+        WorkerLink link = byName.get(heartbeat.worker());
         if (link == null) {
-            link = add(report.worker(), report.address(), now);
+            link = add(heartbeat.worker(), heartbeat.address(), now);
         }
-        link.address = report.address();
+        link.address = heartbeat.address();
         return link;
     }
 
     private WorkerLink add(String name, String address, long now) {
         WorkerLink link = new WorkerLink(name, address);
-        link.id = byId.size();
         link.lastSeenAt = now;
-        byId.add(link);
         byName.put(name, link);
         byLastSeen.add(link);
-        markChanged(link);
-        updateSuspicion(link, now);
+        numbering.add(link);
+        suspects.update(link, now);
         return link;
     }
 
@@ -264,125 +233,61 @@
         moveToEnd(byOutboundObserved, link);
     }
 
-    private static void moveToEnd(Set<WorkerLink> set, WorkerLink link) {
-        set.remove(link);
-        set.add(link);
+    private static void moveToEnd(Set<WorkerLink> links, WorkerLink link) {
+        links.remove(link);
+        links.add(link);
     }
 
-    private void update(WorkerLink link, boolean examined, boolean inbound, boolean outbound, long now) {
-        if (link.outboundKnown != examined || link.inbound != inbound || link.outbound != outbound) {
-            link.outboundKnown = examined;
-            link.inbound = inbound;
-            link.outbound = outbound;
-            markChanged(link);
+    private void update(WorkerLink link, WorkerReachability reachability, long now) {
+        if (!link.reachability.equals(reachability)) {
+            link.reachability = reachability;
+            numbering.markChanged(link);
         }
-        updateSuspicion(link, now);
+        suspects.update(link, now);
     }
 
-    private void updateSuspicion(WorkerLink link, long now) {
-        boolean works = link.inbound && (link.outbound || !link.outboundKnown);
-        if (works && link.healthy) {
-            return;
-        }
-        link.healthy = works;
-        if (works) {
-            suspects.remove(link);
-            healthy.add(link.id);
-            link.suspectSince = -1;
-            link.keptSince = -1;
-        } else if (link.suspectSince < 0) {
-            suspects.add(link);
-            healthy.remove(link.id);
-            link.suspectSince = now;
-        }
+    private void startEpoch() {
+        numbering.startEpoch(byName.values());
+        suspects.idsReassigned(byName.values());
     }
 
-    // ---- what others are told
+    // ---- queries
 
-    private void markChanged(WorkerLink link) {
-        byVersion.remove(link.version);
-        link.version = ++lastVersion;
-        byVersion.put(link.version, link);
+    /** The ids and versions of workers in this controller's views. */
+    WorkerNumbering numbering() {
+        return numbering;
     }
 
-    /** Departed workers' numbers are given up, and every number is given anew. */
-    private void renumber() {
-        epoch++;
-        byId.clear();
-        byVersion.clear();
-        healthy = new RoaringBitmap();
-        for (WorkerLink link : byName.values()) {
-            link.id = byId.size();
-            byId.add(link);
-            if (link.suspectSince < 0) {
-                healthy.add(link.id);
-            }
-            link.version = ++lastVersion;
-            byVersion.put(link.version, link);
-        }
+    /** The suspect and the healthy workers. */
+    SuspectTracker suspects() {
+        return suspects;
     }
 
-    /** The number of the time for which workers keep their numbers. */
-    int epoch() {
-        return epoch;
-    }
-
-    /** Workers that changed after a change, in the order of their last changes, at most so many. */
-    List<WorkerLink> changedAfter(long change, int most) {
-        List<WorkerLink> list = new ArrayList<>();
-        for (WorkerLink link : byVersion.tailMap(change, false).values()) {
-            if (list.size() >= most) {
-                break;
-            }
-            list.add(link);
-        }
-        return list;
-    }
-
-    // ---- what is asked
-
     int count() {
         return byName.size();
     }
 
     int suspectCount() {
-        return suspects.size();
+        return suspects.suspectCount();
     }
 
-    /** Workers from which reports come straight. */
+    /** Workers whose heartbeats come straight to this controller. */
     int directCount() {
         return direct.size();
     }
 
-    /** How often a worker has fallen silent for longer than is usual. */
+    /** How often a worker has become suspect by its silence. */
     long suspicions() {
         return suspicions;
     }
 
-    /** Null: nothing is known of it. */
-    WorkerLink find(String name) {
-        return byName.get(name);
-    }
-
-    /** The next suspects in turn. */
-    List<WorkerLink> nextSuspects(int most) {
-        List<WorkerLink> next = new ArrayList<>();
-        Iterator<WorkerLink> first = suspects.iterator();
-        while (next.size() < most && first.hasNext()) {
-            next.add(first.next());
-        }
-        next.forEach(link -> moveToEnd(suspects, link));
-        return next;
+    /** The silence in milliseconds after which a worker is suspect. */
+    double suspicionTimeoutMs(long now) {
+        return suspicionTimeout.timeoutMs(now);
     }
 
-    /** The next workers with links that work, in the order of their numbers after this one. */
-    List<WorkerLink> nextHealthy(int after, int most) {
-        List<WorkerLink> next = new ArrayList<>();
-        long at = healthy.nextValue(after + 1);
-        while (next.size() < most && at >= 0) {
-            next.add(byId.get((int) at));
-            at = healthy.nextValue((int) at + 1);
-        }
-        return next;
+    /** Null: not known. */
+    WorkerLink find(String name) {
+        return byName.get(name);
     }
 }
--- /dev/null
+++ b/src/main/java/stileferry/connectivity/WorkerNumbering.java
@@ -0,0 +1,71 @@
+package stileferry.connectivity;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.TreeMap;
+
+/**
+ * The ids and versions of workers in this controller's views: small ids make small bitmaps, and versions tell which
+ * changes a receiver lacks.
+ */
+final class WorkerNumbering {
+    /** Ids of removed workers that are kept, beyond as many as there are workers, before ids are assigned anew. */
+    private static final int MAX_SPARE_IDS = 64;
+
+    private final List<WorkerLink> byId = new ArrayList<>();
+
+    /** All workers, also removed ones, by the version of their last change. */
+    private final TreeMap<Long, WorkerLink> byVersion = new TreeMap<>();
+
+    private int epoch = 1;
+    private long lastVersion;
+
+    /** Assigns the next id to a new worker. */
+    void add(WorkerLink link) {
+        link.id = byId.size();
+        byId.add(link);
+        markChanged(link);
+    }
+
+    /** Gives the worker the next version, so that the next views contain it. */
+    void markChanged(WorkerLink link) {
+        byVersion.remove(link.version);
+        link.version = ++lastVersion;
+        byVersion.put(link.version, link);
+    }
+
+    /** Whether too many ids belong to removed workers. */
+    boolean hasTooManySpareIds(int workers) {
+        return byId.size() > 2 * workers + MAX_SPARE_IDS;
+    }
+
+    /** Starts a new epoch, in which only these workers have ids. */
+    void startEpoch(Collection<WorkerLink> workers) {
+        epoch++;
+        byId.clear();
+        byVersion.clear();
+        workers.forEach(this::add);
+    }
+
+    /** The number of the current assignment of ids. */
+    int epoch() {
+        return epoch;
+    }
+
+    WorkerLink byId(int id) {
+        return byId.get(id);
+    }
+
+    /** At most {@code max} workers that changed after a version, by ascending version. */
+    List<WorkerLink> changedAfter(long version, int max) {
+        List<WorkerLink> changed = new ArrayList<>();
+        for (WorkerLink link : byVersion.tailMap(version, false).values()) {
+            if (changed.size() >= max) {
+                break;
+            }
+            changed.add(link);
+        }
+        return changed;
+    }
+}
