--- /dev/null
+++ b/src/main/java/stileferry/connectivity/LeaderPermissions.java
@@ -0,0 +1,56 @@
+package stileferry.connectivity;
+
+/** Permits or withholds the decisions of this controller as leader, and counts those withheld. */
+final class LeaderPermissions {
+    private final ObservedLinks links;
+    private final LeadershipControl leadership;
+    private final DecisionGate gate;
+    private long withheld;
+
+    LeaderPermissions(ObservedLinks links, LeadershipControl leadership) {
+        this.links = links;
+        this.leadership = leadership;
+        this.gate = new DecisionGate(links.config);
+    }
+
+    Verdict permits(Decision decision) {
+        return countWithheld(check(decision));
+    }
+
+    /** Whether a silent worker may be removed before its lease has expired. */
+    Verdict permitsRemoving(String worker) {
+        Verdict verdict = check(Decision.REMOVE_WORKER);
+        WorkerLink link = links.workers.find(worker);
+        if (verdict.allowed() && link != null && link.suspect()) {
+            verdict = checkRemoval(link);
+        }
+        return countWithheld(verdict);
+    }
+
+    private Verdict checkRemoval(WorkerLink link) {
+        long now = links.now();
+        boolean reachedByPeer = links.peers.anyReaches(link.name, now);
+        if (reachedByPeer && link.keptSince < 0) {
+            link.keptSince = now;
+        }
+        long keptMs = link.keptSince < 0 ? 0 : now - link.keptSince;
+        boolean peersUnsure = links.peers.anyUnsureOf(link.name, now);
+        return gate.checkRemoval(now - link.suspectSince, reachedByPeer, peersUnsure, keptMs);
+    }
+
+    private Verdict check(Decision decision) {
+        return gate.check(decision, links.evidence(leadership.handover().underWay()));
+    }
+
+    private Verdict countWithheld(Verdict verdict) {
+        if (!verdict.allowed()) {
+            withheld++;
+        }
+        return verdict;
+    }
+
+    /** Decisions that were withheld. */
+    long withheld() {
+        return withheld;
+    }
+}
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -78,7 +78,7 @@
     // ---- what others intend
 
     /** Takes in what another controller says about a handover of its own. */
-    void handoverNoticeReceived(PeerLinks.Peer peer, HandoverNotice notice) {
+    void handoverNoticeReceived(PeerLink peer, HandoverNotice notice) {
         HandoverNotice before = peer.handover;
         peer.handover = notice;
         if (notice == null || links.leading() || notice.equals(before)) {
@@ -97,7 +97,7 @@
     }
 
     /** The number of another controller's handover that this one is ready for; 0: none. */
-    long acceptableHandoverId(PeerLinks.Peer from, long incarnation) {
+    long acceptableHandoverId(PeerLink from, long incarnation) {
         HandoverNotice notice = from.handover;
         boolean ready = notice != null
                 && notice.active()
@@ -111,7 +111,7 @@
     }
 
     /** Whether another controller, as far as its last words go, is handing over or has just done so. */
-    boolean peerHandsOver(PeerLinks.Peer peer) {
+    boolean peerHandsOver(PeerLink peer) {
         return peer.handover != null && peer.handover.active() && peer.handover.term() >= term;
     }
 
@@ -136,7 +136,7 @@
             return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "this process is behind, so nothing is certain");
         }
         List<LeaderCandidate> others = new ArrayList<>();
-        for (PeerLinks.Peer peer : links.peers.all()) {
+        for (PeerLink peer : links.peers.all()) {
             candidate(peer).ifPresent(others::add);
         }
         boolean peersLost = links.peers.allLost(links.now(), links.eventLoopLagMs());
@@ -158,7 +158,7 @@
                 standing.reachablePeers().size());
     }
 
-    private Optional<LeaderCandidate> candidate(PeerLinks.Peer peer) {
+    private Optional<LeaderCandidate> candidate(PeerLink peer) {
         boolean eligible = links.peers.fresh(peer, links.now()) && peer.view.term() <= term && !peer.view.leading();
         OptionalDouble share = eligible ? peerShare(peer) : OptionalDouble.empty();
         if (share.isEmpty()) {
@@ -179,13 +179,13 @@
     }
 
     /** The share of workers that another one reaches; empty: it has said too little. */
-    OptionalDouble peerShare(PeerLinks.Peer peer) {
+    OptionalDouble peerShare(PeerLink peer) {
         return shares.peerShare(peer.view);
     }
 
     // ---- handing over
 
-    boolean beginHandover(PeerLinks.Peer nominee) {
+    boolean beginHandover(PeerLink nominee) {
         boolean possible = links.leading()
                 && !handover.underWay()
                 && links.peers.fresh(nominee, links.now())
@@ -201,7 +201,7 @@
         if (!handover.underWay()) {
             return HandoverAction.NONE;
         }
-        PeerLinks.Peer nominee = links.peers.get(handover.notice().nominee());
+        PeerLink nominee = links.peers.get(handover.notice().nominee());
         boolean good = links.peers.fresh(nominee, links.now())
                 && nominee.view.incarnation() == handover.notice().nomineeIncarnation()
                 && nominee.view.senderHealth().storeReachable();
--- a/src/main/java/stileferry/connectivity/PeerView.java
+++ b/src/main/java/stileferry/connectivity/PeerView.java
@@ -1,12 +1,16 @@
 package stileferry.connectivity;
 
 import java.util.HashMap;
+import java.util.Iterator;
 import java.util.Map;
 import org.roaringbitmap.RoaringBitmap;
+import stileferry.connectivity.ReachabilityView.ControllerHealth;
+import stileferry.connectivity.ReachabilityView.Header;
+import stileferry.connectivity.ReachabilityView.WorkerChanges;
 
 /**
- * What another controller has said of its links. Views may come late, again, or in another order than they were sent:
- * an older view changes nothing, and changes are only taken in after those that they follow.
+ * The merged views of another controller. Views may arrive late, repeatedly or out of order: an older view changes
+ * nothing, and changes of workers are merged only after those that they follow.
  */
 final class PeerView {
     private long incarnation;
@@ -14,78 +18,80 @@
     private long term;
     private String leader = "";
     private boolean leading;
-    private ReachabilityView.ControllerHealth senderHealth;
+    private ControllerHealth senderHealth;
 
-    /** The moment that the view certainly describes, or a later one; -1: not known. */
+    /** The view describes this moment or a later one; -1: not known. */
     private long validAt = -1;
 
     private int epoch;
     private long version;
     private final Map<String, Integer> idByWorker = new HashMap<>();
-    private final Map<Integer, String> names = new HashMap<>();
-    private final RoaringBitmap examined = new RoaringBitmap();
-    private final RoaringBitmap inbound = new RoaringBitmap();
-    private final RoaringBitmap outbound = new RoaringBitmap();
-
-    /** Takes a view in that describes this moment or a later one (-1: not known); false: it is an old one. */
-    boolean merge(ReachabilityView view, long describesFrom) {
-        ReachabilityView.Header header = view.header();
-        if (header.incarnation() < incarnation
-                || header.incarnation() == incarnation && header.sequence() <= sequence) {
+    private final RoaringBitmap outboundKnownIds = new RoaringBitmap();
+    private final RoaringBitmap outboundIds = new RoaringBitmap();
+
+    /** Merges a view that describes {@code validFrom} or a later moment (-1: not known); false: it is stale. */
+    boolean merge(ReachabilityView view, long validFrom) {
+        Header header = view.header();
+        if (stale(header)) {
             return false;
         }
         if (header.incarnation() > incarnation) {
             incarnation = header.incarnation();
             validAt = -1;
-            resetWorkers(0);
+            startEpoch(0);
         }
         sequence = header.sequence();
         term = header.term();
         leader = header.leader();
         leading = header.leading();
         senderHealth = view.senderHealth();
-        validAt = Math.max(validAt, describesFrom);
+        validAt = Math.max(validAt, validFrom);
         mergeWorkers(view.workers());
         return true;
     }
 
-    private void resetWorkers(int newEpoch) {
+    private boolean stale(Header header) {
+        return header.incarnation() < incarnation
+                || header.incarnation() == incarnation && header.sequence() <= sequence;
+    }
+
+    private void startEpoch(int newEpoch) {
         epoch = newEpoch;
         version = 0;
         idByWorker.clear();
-        names.clear();
-        examined.clear();
-        inbound.clear();
-        outbound.clear();
+        outboundKnownIds.clear();
+        outboundIds.clear();
     }
 
-    private void mergeWorkers(ReachabilityView.WorkerChanges workers) {
-        if (workers.epoch() > epoch) {
-            resetWorkers(workers.epoch());
+    private void mergeWorkers(WorkerChanges changes) {
+        if (changes.epoch() > epoch) {
+            startEpoch(changes.epoch());
         }
-        if (workers.epoch() < epoch || workers.baseVersion() > version || workers.version() <= version) {
+        boolean follows = changes.epoch() == epoch && changes.baseVersion() <= version;
+        if (!follows || changes.version() <= version) {
             return;
         }
-        version = workers.version();
-        int at = 0;
-        for (int number : workers.changed()) {
-            String name = workers.names().get(at++);
-            if (workers.removed().contains(number)) {
-                names.remove(number);
-                idByWorker.remove(name, number);
+        version = changes.version();
+        mergeIds(changes);
+        replace(outboundKnownIds, changes.changed(), changes.outboundKnown());
+        replace(outboundIds, changes.changed(), changes.outbound());
+    }
+
+    private void mergeIds(WorkerChanges changes) {
+        Iterator<String> names = changes.names().iterator();
+        for (int id : changes.changed()) {
+            String name = names.next();
+            if (changes.removed().contains(id)) {
+                idByWorker.remove(name, id); // the name may belong to a newer worker by now
             } else {
-                names.put(number, name);
-                idByWorker.put(name, number);
+                idByWorker.put(name, id);
             }
         }
-        replace(examined, workers.changed(), workers.outboundKnown());
-        replace(inbound, workers.changed(), workers.inbound());
-        replace(outbound, workers.changed(), workers.outbound());
     }
 
-    private static void replace(RoaringBitmap all, RoaringBitmap changed, RoaringBitmap now) {
+    private static void replace(RoaringBitmap all, RoaringBitmap changed, RoaringBitmap current) {
         all.andNot(changed);
-        all.or(now);
+        all.or(current);
     }
 
     long incarnation() {
@@ -100,17 +106,18 @@
         return term;
     }
 
-    /** Who leads as far as its sender knows; empty: it does not know. */
+    /** Who leads, as far as the sender knows; empty: it does not know. */
     String leader() {
         return leader;
     }
 
+    /** Whether the sender leads. */
     boolean leading() {
         return leading;
     }
 
-    /** Null: nothing was heard. */
-    ReachabilityView.ControllerHealth senderHealth() {
+    /** Null: no view was received. */
+    ControllerHealth senderHealth() {
         return senderHealth;
     }
 
@@ -118,40 +125,40 @@
         return epoch;
     }
 
-    /** Up to which change of workers all is known here. */
+    /** The version of the sender's workers up to which all changes are merged. */
     long version() {
         return version;
     }
 
-    /** Whether it describes a moment no longer ago than a bound. */
-    boolean fresh(long now, long boundMs) {
-        return validAt >= 0 && now - validAt <= boundMs;
+    /** Whether the view describes a moment at most {@code maxAgeMs} ago. */
+    boolean fresh(long now, long maxAgeMs) {
+        return validAt >= 0 && now - validAt <= maxAgeMs;
     }
 
-    /** Milliseconds since the moment that it certainly describes; -1: not known. */
+    /** The greatest possible age in milliseconds; -1: not known. */
     long ageMs(long now) {
         return validAt < 0 ? -1 : now - validAt;
     }
 
     /** How many workers requests of the sender reach. */
     int reachedWorkers() {
-        return RoaringBitmap.andCardinality(examined, outbound);
+        return RoaringBitmap.andCardinality(outboundKnownIds, outboundIds);
     }
 
-    /** Whether it says anything about requests to a worker. */
-    boolean outboundKnown(String worker) {
-        Integer number = idByWorker.get(worker);
-        return number != null && examined.contains(number);
+    /** Whether the sender knows the worker. */
+    boolean lists(String worker) {
+        return idByWorker.containsKey(worker);
     }
 
-    /** Whether it names a worker at all. */
-    boolean names(String worker) {
-        return idByWorker.containsKey(worker);
+    /** Whether the sender knows if its requests reach the worker. */
+    boolean outboundKnown(String worker) {
+        Integer id = idByWorker.get(worker);
+        return id != null && outboundKnownIds.contains(id);
     }
 
-    /** Whether requests of the sender reach a worker. */
+    /** Whether requests of the sender reach the worker. */
     boolean reaches(String worker) {
-        Integer number = idByWorker.get(worker);
-        return number != null && examined.contains(number) && outbound.contains(number);
+        Integer id = idByWorker.get(worker);
+        return id != null && outboundKnownIds.contains(id) && outboundIds.contains(id);
     }
 }
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -90,7 +90,17 @@
         return targets(all);
     }
 
-    static List<ProbeTarget> targets(Collection<WorkerLink> links) {
+    /**
+     * Plans the next round if it is due; the probes of it that the leader itself sends. Heartbeats and commands show
+     * enough of healthy workers and of single suspects.
+     */
+    List<ProbeTarget> ownProbes(WorkerLinks workers, long now) {
+        boolean many = manySuspects(workers);
+        List<WorkerLink> sample = planRound(workers, now);
+        return many ? targets(sample.stream().filter(WorkerLink::suspect).toList()) : List.of();
+    }
+
+    private static List<ProbeTarget> targets(Collection<WorkerLink> links) {
         List<ProbeTarget> targets = new ArrayList<>();
         for (WorkerLink link : links) {
             if (!link.removed && !link.address.isEmpty()) {
--- a/src/main/java/stileferry/connectivity/SnapshotBuilder.java
+++ b/src/main/java/stileferry/connectivity/SnapshotBuilder.java
@@ -12,7 +12,7 @@
 
     static ConnectivitySnapshot build(ObservedLinks links, LeadershipControl control, long withheld, long staleViews) {
         List<ConnectivitySnapshot.Peer> others = new ArrayList<>();
-        for (PeerLinks.Peer peer : links.peers.all()) {
+        for (PeerLink peer : links.peers.all()) {
             others.add(new ConnectivitySnapshot.Peer(
                     peer.name,
                     links.snapshot(peer.inbound),
--- a/src/main/java/stileferry/connectivity/ViewBuilder.java
+++ b/src/main/java/stileferry/connectivity/ViewBuilder.java
@@ -29,7 +29,7 @@
     }
 
     ReachabilityView build(
-            PeerLinks.Peer to,
+            PeerLink to,
             Self self,
             ControllerHealth standing,
             List<ProbeTarget> probes,
@@ -49,7 +49,7 @@
         return new ReachabilityView(header, standing, changes(to), probes, notice, acceptedHandover);
     }
 
-    private WorkerChanges changes(PeerLinks.Peer to) {
+    private WorkerChanges changes(PeerLink to) {
         long base = to.ackedEpoch == workers.numbering().epoch() ? to.ackedVersion : 0;
         List<WorkerLink> changed = new ArrayList<>(workers.numbering().changedAfter(base, MAX_WORKERS));
         long upTo = changed.isEmpty() ? base : changed.get(changed.size() - 1).version;
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -28,7 +28,7 @@
         TreeMap<String, String> known = new TreeMap<>();
         for (int i = 0; i < WORKERS; i++) {
             String name = "w" + i;
-            known.put(name, view.names(name) + " " + view.outboundKnown(name) + " " + view.reaches(name));
+            known.put(name, view.lists(name) + " " + view.outboundKnown(name) + " " + view.reaches(name));
         }
         return known;
     }
--- a/src/test/java/stileferry/connectivity/ConnectivityTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityTest.java
@@ -108,9 +108,9 @@
         refused(links, "worker", l -> l.workerRemoved("", 30_000));
         refused(links, "sequence", l -> l.heartbeatReceived(new WorkerHeartbeat("w0", "x", 1, -1, true), 30_000));
         refused(links, "decision", l -> l.permits(null, 30_000));
-        refused(links, "late", l -> l.eventLoopLagMeasured(-1, false, 30_000));
+        refused(links, "lagMs", l -> l.eventLoopLagMeasured(-1, false, 30_000));
         refused(links, "term", l -> l.elected(0, 30_000));
-        refused(links, "most", l -> l.takeDueProbes(-1, 30_000));
+        refused(links, "max", l -> l.takeDueProbes(-1, 30_000));
         refused(links, "view", l -> l.receive(null, 30_000));
         refused(links, "view", l -> ViewCodec.read(new byte[] {1, 2, 3}));
         refused(links, "peer", l -> l.receive(good, 30_000)); // its own view
