--- a/src/main/java/stileferry/connectivity/ElectionDelay.java
+++ b/src/main/java/stileferry/connectivity/ElectionDelay.java
@@ -1,20 +1,23 @@
 package stileferry.connectivity;
 
 /**
- * For how long a controller leaves a free leadership to others. It is bounded each time, so that somebody always stands
- * in the end, and the last one left may be a poor one.
+ * For how long a controller does not become a candidate, so that another one is elected first. Each delay is bounded,
+ * so a controller with poor links is still elected where no other one is a candidate.
  */
 final class ElectionDelay {
-    /** Times of a leader's lease that somebody else has to take over after a release. */
+    /** Leader leases that another controller gets for its election after a release. */
     private static final int AFTER_RELEASE_LEASES = 2;
 
-    /** Times of a leader's lease for which a controller waits whose own links failed it, for each time. */
+    /** The longest delay after losses of the state service, in leader leases. */
     private static final double MAX_FAILURES = 2;
 
     private final ConnectivityConfig config;
     private long delayedUntil;
     private String reason = "";
+
+    /** Recent losses of the state service; halved every two worker leases. */
     private double recentFailures;
+
     private long decayedAt;
 
     ElectionDelay(ConnectivityConfig config, long now) {
@@ -27,30 +30,35 @@
         decayedAt = Math.max(decayedAt, now);
     }
 
-    /** This controller released the leadership, or another one named a nominee. */
-    void deferToOthers(String why, long now) {
-        delayedUntil = Math.max(delayedUntil, now + AFTER_RELEASE_LEASES * config.leaderLeaseMs());
-        reason = why;
-    }
-
-    /** What it was left to others for is off. */
-    void cancel() {
-        delayedUntil = 0;
+    /** This controller released the leadership, or another one announced a nominee. */
+    void deferToOthers(String newReason, long now) {
+        extend(AFTER_RELEASE_LEASES * config.leaderLeaseMs(), newReason, now);
     }
 
-    /** This controller lost the leadership while the state service did not answer it. */
+    /** This controller lost the leadership because the state service did not answer it. */
     void leadershipLost(long now) {
         decay(now);
         recentFailures = Math.min(MAX_FAILURES, recentFailures + 1);
-        delayedUntil = Math.max(delayedUntil, now + Math.round(recentFailures * config.leaderLeaseMs()));
-        reason = "the state service did not answer this controller";
+        long delayMs = Math.round(recentFailures * config.leaderLeaseMs());
+        extend(delayMs, "the state service did not answer this controller", now);
+    }
+
+    private void extend(long delayMs, String newReason, long now) {
+        delayedUntil = Math.max(delayedUntil, now + delayMs);
+        reason = newReason;
+    }
+
+    /** Ends the delay. */
+    void cancel() {
+        delayedUntil = 0;
     }
 
-    /** For how long it still leaves the leadership to others, in milliseconds. */
+    /** The rest of the delay in milliseconds. */
     long remainingMs(long now) {
         return Math.max(0, delayedUntil - now);
     }
 
+    /** Why the last delay began, for operators. */
     String reason() {
         return reason;
     }
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -3,13 +3,12 @@
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 
 /**
- * One leader's handover, step by step: the nominee is asked and answers that it is ready; no decision is made from the
- * first step on; the changes in flight are settled or given up; the leader key is released. Before the release the
- * leader still leads, so wherever it stops it goes on as before, or its lease ends as after a crash. After the release
- * nothing is left to do: who leads next is decided by the state service alone.
+ * A leader's handover of the leadership, step by step: the nominee is asked until it is ready; pending commits complete
+ * or time out; the leader key is released. No decision is made from the first step on. Until the release the leader
+ * leads as before; after it the state service alone decides who leads.
  */
 final class Handover {
-    /** Exchanges within which the nominee must have answered. */
+    /** Exchanges of views within which the nominee must be ready. */
     private static final int NOMINEE_ANSWER_EXCHANGES = 3;
 
     private final ConnectivityConfig config;
@@ -19,15 +18,9 @@
     private long stepStartedAt;
     private long lastId;
 
-    /** Where a handover stands. */
-    enum Step {
-        /** Nothing is under way. */
+    private enum Step {
         IDLE,
-
-        /** The nominee has been asked. */
         AWAITING_NOMINEE,
-
-        /** The nominee is ready; changes in flight are waited for. */
         AWAITING_COMMITS
     }
 
@@ -41,73 +34,66 @@
         return step != Step.IDLE;
     }
 
-    Step step() {
-        return step;
-    }
-
-    /** What others are told; null: nothing was ever intended in this term. */
+    /** What this controller's views say of its last handover; null: there was none. */
     HandoverNotice notice() {
         return notice;
     }
 
-    /** Asks a nominee. */
+    /** Starts a handover by asking a nominee. */
     void begin(long term, String nominee, long nomineeIncarnation, long now) {
         notice = new HandoverNotice(++lastId, term, nominee, nomineeIncarnation, true);
-        step = Step.AWAITING_NOMINEE;
-        stepStartedAt = now;
+        enter(Step.AWAITING_NOMINEE, now);
     }
 
-    /** A controller says for which handover it is ready. */
-    void nomineeAccepted(String controller, long incarnation, long number, long now) {
+    /** A controller is ready for the handover with this id. */
+    void nomineeAccepted(String controller, long incarnation, long id, long now) {
         boolean matches = step == Step.AWAITING_NOMINEE
-                && number == notice.id()
+                && id == notice.id()
                 && controller.equals(notice.nominee())
                 && incarnation == notice.nomineeIncarnation();
         if (matches) {
-            step = Step.AWAITING_COMMITS;
-            stepStartedAt = now;
+            enter(Step.AWAITING_COMMITS, now);
         }
     }
 
+    private void enter(Step next, long now) {
+        step = next;
+        stepStartedAt = now;
+    }
+
     /**
      * What to do now.
      *
-     * @param changesInFlight changes sent to the state service that have no outcome yet
-     * @param nomineeGood whether the nominee still says that it could lead
+     * @param changesInFlight commits that the state service has not answered yet
+     * @param nomineeReady whether the nominee's view still says that it could lead
      */
-    HandoverAction advance(int changesInFlight, boolean nomineeGood, long now) {
-        switch (step) {
+    HandoverAction advance(int changesInFlight, boolean nomineeReady, long now) {
+        return switch (step) {
+            case IDLE -> HandoverAction.NONE;
             case AWAITING_NOMINEE -> {
-                if (!nomineeGood || now - stepStartedAt > nomineeTimeoutMs) {
-                    abort();
-                    return HandoverAction.ABORTED;
-                }
-                return HandoverAction.WAIT;
-            }
-            case AWAITING_COMMITS -> {
-                if (!nomineeGood) {
-                    abort();
-                    return HandoverAction.ABORTED;
-                }
-                // what is still in flight then fails its comparison with the leader key, or was carried out before
-                if (changesInFlight == 0 || now - stepStartedAt > config.leaderLeaseMs()) {
-                    step = Step.IDLE;
-                    return HandoverAction.RELEASE;
-                }
-                return HandoverAction.WAIT;
-            }
-            default -> {
-                return HandoverAction.NONE;
+                boolean timedOut = now - stepStartedAt > nomineeTimeoutMs;
+                yield nomineeReady && !timedOut ? HandoverAction.WAIT : abort();
             }
+            case AWAITING_COMMITS -> nomineeReady ? awaitCommits(changesInFlight, now) : abort();
+        };
+    }
+
+    /** Commits that still lack an answer after a leader's lease fail their check of the leader key, or are done. */
+    private HandoverAction awaitCommits(int changesInFlight, long now) {
+        if (changesInFlight > 0 && now - stepStartedAt <= config.leaderLeaseMs()) {
+            return HandoverAction.WAIT;
         }
+        step = Step.IDLE;
+        return HandoverAction.RELEASE;
     }
 
-    private void abort() {
+    private HandoverAction abort() {
         step = Step.IDLE;
         notice = new HandoverNotice(notice.id(), notice.term(), notice.nominee(), notice.nomineeIncarnation(), false);
+        return HandoverAction.ABORTED;
     }
 
-    /** This controller does not lead any more; the notice stands, so that others can still read it. */
+    /** This controller no longer leads; its views keep the notice, so that the others still receive it. */
     void reset() {
         step = Step.IDLE;
     }
--- a/src/main/java/stileferry/connectivity/HandoverAction.java
+++ b/src/main/java/stileferry/connectivity/HandoverAction.java
@@ -5,12 +5,12 @@
     /** No handover is under way. */
     NONE,
 
-    /** A handover is under way; no decisions are made meanwhile. */
+    /** A handover is under way and needs more time. */
     WAIT,
 
-    /** The leader key is to be released now. */
+    /** The leader key must be released now. */
     RELEASE,
 
-    /** The handover was given up; the leader goes on as before. */
+    /** The handover was aborted; the leader continues as before. */
     ABORTED
 }
--- a/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
+++ b/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
@@ -1,8 +1,8 @@
 package stileferry.connectivity;
 
 /**
- * Bounds how often leadership is released on purpose: twice at once, and once more in each rest. In any time T a
- * controller releases it {@code 2 + T / rest} times at most, whatever its links do.
+ * A token bucket that bounds deliberate releases of the leadership: in any time T at most {@code 2 + T / refillMs},
+ * whatever the links do.
  */
 final class HandoverRateLimiter {
     private static final double CAPACITY = 2;
@@ -11,8 +11,9 @@
     private double tokens = CAPACITY;
     private long refilledAt;
 
-    HandoverRateLimiter(long restMs, long now) {
-        this.refillMs = restMs;
+    /** One token is added every {@code refillMs}. */
+    HandoverRateLimiter(long refillMs, long now) {
+        this.refillMs = refillMs;
         this.refilledAt = now;
     }
 
@@ -21,13 +22,13 @@
         refilledAt = Math.max(refilledAt, now);
     }
 
-    /** Whether one more is within the bound. */
+    /** Whether one more handover is within the bound. */
     boolean allows(long now) {
         refill(now);
         return tokens >= 1;
     }
 
-    /** Counts one, also one of another controller. */
+    /** Counts a handover, also one of another controller, which may exceed the bound. */
     void consume(long now) {
         refill(now);
         tokens = Math.max(0, tokens - 1);
--- a/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
@@ -1,77 +1,83 @@
 package stileferry.connectivity;
 
 import java.util.List;
+import java.util.Optional;
 
 /**
- * Says whether the leader should stay. Who is clearly better must have been so for a while, always the same one, and
- * the bound on handovers holds on top of that, so that a link that comes and goes can't make leadership wander.
+ * Advises a leader whether to keep the leadership. The hysteresis has three parts, so that a link that comes and goes
+ * does not make the leadership flap: a margin, a time for which the same controller must be better, and a rate limit.
  */
 final class LeadershipAdvisor {
-    /** Exchange intervals for which somebody must have been clearly better. */
+    /** Short exchange intervals for which the same controller must be clearly better. */
     private static final int CONFIRM_EXCHANGES = 2;
 
-    /** A leader with less than this share of workers, which hears no controller, may be the one that is cut off. */
+    /** A leader that reaches no controller and less than this share of workers steps down. */
     private static final double CUT_OFF_SHARE = 0.5;
 
-    private final ConnectivityConfig config;
-    private final HandoverRateLimiter budget;
-    private String candidate = "";
-    private long candidateSince;
-
-    /** Stands for the candidate where the leadership would be released to nobody in particular. */
+    /** The nominee where the leader should step down without one; no valid controller name. */
     private static final String NOBODY = "\0";
 
-    LeadershipAdvisor(ConnectivityConfig config, HandoverRateLimiter budget) {
+    private static final String NO_CHANGE = "";
+
+    private final ConnectivityConfig config;
+    private final HandoverRateLimiter rateLimiter;
+    private String nominee = NO_CHANGE;
+    private long nomineeSince;
+
+    LeadershipAdvisor(ConnectivityConfig config, HandoverRateLimiter rateLimiter) {
         this.config = config;
-        this.budget = budget;
+        this.rateLimiter = rateLimiter;
     }
 
     /**
      * What a leader should do.
      *
-     * @param own how well it could lead
-     * @param peers how well the others could, as far as that is known and recent
-     * @param peersLost whether other controllers were heard before and none is now
+     * @param own this controller as a candidate
+     * @param peers the other controllers with fresh views
+     * @param allPeersLost whether other controllers were reachable before and none is now
      */
-    LeadershipAdvice advise(LeaderCandidate own, List<LeaderCandidate> peers, boolean peersLost, long now) {
-        LeaderCandidate best = null;
-        for (LeaderCandidate peer : peers) {
-            if (peer.clearlyBetterThan(own) && (best == null || peer.compareTo(best) > 0)) {
-                best = peer;
-            }
-        }
-        boolean cutOff = peersLost && peers.isEmpty() && own.workerShare() < CUT_OFF_SHARE;
-        String wanted = best != null ? best.controller() : cutOff ? NOBODY : "";
-        if (!wanted.equals(candidate)) {
-            candidate = wanted;
-            candidateSince = now;
+    LeadershipAdvice advise(LeaderCandidate own, List<LeaderCandidate> peers, boolean allPeersLost, long now) {
+        Optional<LeaderCandidate> best =
+                peers.stream().filter(peer -> peer.clearlyBetterThan(own)).max(LeaderCandidate::compareTo);
+        boolean cutOff = allPeersLost && peers.isEmpty() && own.workerShare() < CUT_OFF_SHARE;
+        observeNominee(best.map(LeaderCandidate::controller).orElse(cutOff ? NOBODY : NO_CHANGE), now);
+        if (nominee.equals(NO_CHANGE)) {
+            return stay("nobody is clearly better");
         }
-        if (wanted.isEmpty()) {
-            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "nobody is clearly better");
+        if (now - nomineeSince < CONFIRM_EXCHANGES * config.exchangeIntervalMs(true)) {
+            return stay("not yet confirmed");
         }
-        if (now - candidateSince < CONFIRM_EXCHANGES * config.exchangeIntervalMs(true)) {
-            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "not yet confirmed");
+        if (!rateLimiter.allows(now)) {
+            return stay("leadership has changed too often lately");
         }
-        if (!budget.allows(now)) {
-            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "leadership has changed too often lately");
-        }
-        if (best == null) {
-            return LeadershipAdvice.of(LeadershipAdvice.Action.STEP_DOWN, "no controller and few workers are heard");
+        return best.map(candidate -> handOver(own, candidate))
+                .orElse(LeadershipAdvice.of(
+                        LeadershipAdvice.Action.STEP_DOWN, "no controller and few workers are heard"));
+    }
+
+    private void observeNominee(String current, long now) {
+        if (!current.equals(nominee)) {
+            nominee = current;
+            nomineeSince = now;
         }
-        return new LeadershipAdvice(LeadershipAdvice.Action.HAND_OVER, best.controller(), reason(own, best));
     }
 
-    private static String reason(LeaderCandidate own, LeaderCandidate best) {
-        return best.controller() + " reaches " + percent(best.workerShare()) + " of the workers, " + own.controller()
-                + " " + percent(own.workerShare());
+    private static LeadershipAdvice stay(String reason) {
+        return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, reason);
+    }
+
+    private static LeadershipAdvice handOver(LeaderCandidate own, LeaderCandidate best) {
+        String reason = best.controller() + " reaches " + percent(best.workerShare()) + " of the workers, "
+                + own.controller() + " " + percent(own.workerShare());
+        return new LeadershipAdvice(LeadershipAdvice.Action.HAND_OVER, best.controller(), reason);
     }
 
     private static String percent(double share) {
         return Math.round(100 * share) + "%";
     }
 
-    /** Forgets who was better. */
+    /** Forgets the current nominee. */
     void reset() {
-        candidate = "";
+        nominee = NO_CHANGE;
     }
 }
