--- a/src/main/java/stileferry/connectivity/LeaderCandidate.java
+++ b/src/main/java/stileferry/connectivity/LeaderCandidate.java
@@ -1,34 +1,45 @@
 package stileferry.connectivity;
 
 import java.util.Comparator;
+import stileferry.connectivity.ReachabilityView.ControllerHealth;
 import stileferry.validation.InvalidInputException;
 
 /**
- * How well a controller could lead. The order is total: the state service first, then the workers that it reaches, then
- * whether it has time, then the controllers that it hears, and at last its name.
+ * A controller as a candidate for the leadership. The order is total: the reachability of the state service first, then
+ * the share of workers, event-loop lag, the number of reachable controllers, and at last the name.
  *
  * @param controller its name
- * @param storeGood whether the state service answers it
+ * @param storeReachable whether the state service answers it
  * @param workerShare the share of workers that it reaches, from 0 to 1
- * @param busy whether it is behind with its work
- * @param peersHeard how many other controllers it hears
+ * @param lagging whether its event loop lags
+ * @param reachablePeers how many other controllers it reaches or is reached by
  */
-public record LeaderCandidate(String controller, boolean storeGood, double workerShare, boolean busy, int peersHeard)
+public record LeaderCandidate(
+        String controller, boolean storeReachable, double workerShare, boolean lagging, int reachablePeers)
         implements Comparable<LeaderCandidate> {
-    /** One controller is clearly better where it reaches so much more of all workers. */
+    /** The margin of the hysteresis, as a share of all workers. */
     static final double MIN_ADVANTAGE = 0.25;
 
-    private static final Comparator<LeaderCandidate> ORDER = Comparator.comparing(LeaderCandidate::storeGood)
+    private static final Comparator<LeaderCandidate> ORDER = Comparator.comparing(LeaderCandidate::storeReachable)
             .thenComparingDouble(LeaderCandidate::workerShare)
-            .thenComparing(LeaderCandidate::busy, Comparator.reverseOrder())
-            .thenComparingInt(LeaderCandidate::peersHeard)
+            .thenComparing(LeaderCandidate::lagging, Comparator.reverseOrder())
+            .thenComparingInt(LeaderCandidate::reachablePeers)
             .thenComparing(LeaderCandidate::controller, Comparator.reverseOrder());
 
     /** Checks the share. */
     public LeaderCandidate {
         InvalidInputException.requireName(controller, "controller");
         InvalidInputException.require(workerShare >= 0 && workerShare <= 1, "workerShare", "not from 0 to 1");
-        InvalidInputException.require(peersHeard >= 0, "peersHeard", "negative");
+        InvalidInputException.require(reachablePeers >= 0, "reachablePeers", "negative");
+    }
+
+    static LeaderCandidate of(String controller, ControllerHealth health, double workerShare) {
+        return new LeaderCandidate(
+                controller,
+                health.storeReachable(),
+                workerShare,
+                health.lagging(),
+                health.reachablePeers().size());
     }
 
     @Override
@@ -38,6 +49,6 @@
 
     /** Whether leadership should go here from another controller: only where that is worth the change. */
     public boolean clearlyBetterThan(LeaderCandidate other) {
-        return storeGood && !busy && workerShare >= other.workerShare + MIN_ADVANTAGE;
+        return storeReachable && !lagging && workerShare >= other.workerShare + MIN_ADVANTAGE;
     }
 }
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -1,15 +1,13 @@
 package stileferry.connectivity;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
-import stileferry.connectivity.ReachabilityView.ControllerHealth;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 
-/** What follows from the links for the leadership: staying, handing over, standing for it or leaving it to others. */
+/** What follows from the links for the leadership: keeping it, handing it over, or delaying a candidacy. */
 final class LeadershipControl {
-    /** Report intervals after which a new leader has heard all workers that can reach it. */
+    /** Heartbeat intervals within which all workers that can reach a new leader have sent it a heartbeat. */
     private static final double SETTLING_HEARTBEATS = 2.5;
 
     private final ObservedLinks links;
@@ -23,7 +21,7 @@
     private String leader = "";
     private long electedAt;
     private long handoversBegun;
-    private long leadershipReleased;
+    private long releases;
     private long handoversAborted;
 
     LeadershipControl(ObservedLinks links, ProbePlanner planner) {
@@ -40,7 +38,7 @@
         return term;
     }
 
-    /** Who leads, as far as this controller knows; empty: it does not know. */
+    /** Who leads, as far as this controller knows; empty: not known. */
     String leader() {
         return links.leading() ? config.self() : leader;
     }
@@ -49,12 +47,12 @@
         return handover;
     }
 
-    void observeTerm(long heard) {
-        term = Math.max(term, heard);
+    void observeTerm(long observed) {
+        term = Math.max(term, observed);
     }
 
-    void leaderObserved(long knownTerm, String name) {
-        observeTerm(knownTerm);
+    void leaderObserved(long observedTerm, String name) {
+        observeTerm(observedTerm);
         leader = name;
     }
 
@@ -67,7 +65,7 @@
         electionDelay.cancel();
     }
 
-    /** This controller does not lead any more. */
+    /** This controller no longer leads; {@code storeLost}: because the state service did not answer it. */
     void deposed(boolean storeLost) {
         if (links.leading() && storeLost) {
             electionDelay.leadershipLost(links.now());
@@ -75,9 +73,9 @@
         handover.reset();
     }
 
-    // ---- what others intend
+    // ---- handovers of other controllers
 
-    /** Takes in what another controller says about a handover of its own. */
+    /** Takes in the handover notice of another controller's view; null: there is none. */
     void handoverNoticeReceived(PeerLink peer, HandoverNotice notice) {
         HandoverNotice before = peer.handover;
         peer.handover = notice;
@@ -96,7 +94,7 @@
         }
     }
 
-    /** The number of another controller's handover that this one is ready for; 0: none. */
+    /** The id of another controller's handover that this controller, as its nominee, is ready for; 0: none. */
     long acceptableHandoverId(PeerLink from, long incarnation) {
         HandoverNotice notice = from.handover;
         boolean ready = notice != null
@@ -110,7 +108,7 @@
         return ready ? notice.id() : 0;
     }
 
-    /** Whether another controller, as far as its last words go, is handing over or has just done so. */
+    /** Whether another controller, by its last view, is handing over the leadership or has just done so. */
     boolean peerHandsOver(PeerLink peer) {
         return peer.handover != null && peer.handover.active() && peer.handover.term() >= term;
     }
@@ -118,11 +116,16 @@
     // ---- advice
 
     LeadershipAdvice advise() {
-        if (!links.leading()) {
-            return electionDelay.remainingMs(links.now()) > 0
-                    ? LeadershipAdvice.of(LeadershipAdvice.Action.ABSTAIN, electionDelay.reason())
-                    : LeadershipAdvice.of(LeadershipAdvice.Action.STAND, "leads when the leadership is free");
-        }
+        return links.leading() ? adviseLeader() : adviseFollower();
+    }
+
+    private LeadershipAdvice adviseFollower() {
+        return electionDelay.remainingMs(links.now()) > 0
+                ? LeadershipAdvice.of(LeadershipAdvice.Action.ABSTAIN, electionDelay.reason())
+                : LeadershipAdvice.of(LeadershipAdvice.Action.STAND, "leads when the leadership is free");
+    }
+
+    private LeadershipAdvice adviseLeader() {
         if (handover.underWay()) {
             return new LeadershipAdvice(
                     LeadershipAdvice.Action.HAND_OVER, handover.notice().nominee(), "a handover is under way");
@@ -135,42 +138,26 @@
             advisor.reset();
             return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "this process is behind, so nothing is certain");
         }
-        List<LeaderCandidate> others = new ArrayList<>();
-        for (PeerLink peer : links.peers.all()) {
-            candidate(peer).ifPresent(others::add);
-        }
-        boolean peersLost = links.peers.allLost(links.now(), links.eventLoopLagMs());
-        return advisor.advise(own(), others, peersLost, links.now());
+        LeaderCandidate own = LeaderCandidate.of(config.self(), links.health(), ownShare());
+        List<LeaderCandidate> others = links.peers.all().stream()
+                .flatMap(peer -> candidate(peer).stream())
+                .toList();
+        boolean allPeersLost = links.peers.allLost(links.now(), links.eventLoopLagMs());
+        return advisor.advise(own, others, allPeersLost, links.now());
     }
 
-    /** For how long a free leadership is left to others, in milliseconds. */
+    /** For how many milliseconds this controller should not become a candidate. */
     long electionDelayMs() {
         return links.leading() ? 0 : electionDelay.remainingMs(links.now());
     }
 
-    private LeaderCandidate own() {
-        ControllerHealth standing = links.health();
-        return new LeaderCandidate(
-                config.self(),
-                standing.storeReachable(),
-                ownShare(),
-                standing.lagging(),
-                standing.reachablePeers().size());
-    }
-
+    /** Another controller as a candidate; empty: it leads, or too little is known of it. */
     private Optional<LeaderCandidate> candidate(PeerLink peer) {
         boolean eligible = links.peers.fresh(peer, links.now()) && peer.view.term() <= term && !peer.view.leading();
         OptionalDouble share = eligible ? peerShare(peer) : OptionalDouble.empty();
-        if (share.isEmpty()) {
-            return Optional.empty();
-        }
-        ControllerHealth standing = peer.view.senderHealth();
-        return Optional.of(new LeaderCandidate(
-                peer.name,
-                standing.storeReachable(),
-                share.getAsDouble(),
-                standing.lagging(),
-                standing.reachablePeers().size()));
+        return share.isEmpty()
+                ? Optional.empty()
+                : Optional.of(LeaderCandidate.of(peer.name, peer.view.senderHealth(), share.getAsDouble()));
     }
 
     /** The share of workers that this controller reaches. */
@@ -178,13 +165,14 @@
         return shares.ownShare(links.now());
     }
 
-    /** The share of workers that another one reaches; empty: it has said too little. */
+    /** The share of workers that another controller reaches; empty: too little is known. */
     OptionalDouble peerShare(PeerLink peer) {
         return shares.peerShare(peer.view);
     }
 
-    // ---- handing over
+    // ---- handover of this controller
 
+    /** Starts a handover; false: not possible now. */
     boolean beginHandover(PeerLink nominee) {
         boolean possible = links.leading()
                 && !handover.underWay()
@@ -202,19 +190,19 @@
             return HandoverAction.NONE;
         }
         PeerLink nominee = links.peers.get(handover.notice().nominee());
-        boolean good = links.peers.fresh(nominee, links.now())
+        boolean ready = links.peers.fresh(nominee, links.now())
                 && nominee.view.incarnation() == handover.notice().nomineeIncarnation()
                 && nominee.view.senderHealth().storeReachable();
-        HandoverAction action = handover.advance(changesInFlight, good, links.now());
+        HandoverAction action = handover.advance(changesInFlight, ready, links.now());
         if (action == HandoverAction.ABORTED) {
             handoversAborted++;
-            rateLimiter.consume(links.now()); // decisions were withheld meanwhile, which has the same bound
+            rateLimiter.consume(links.now()); // it withheld decisions, which has the same bound as releases
         }
         return action;
     }
 
     void leadershipReleased() {
-        leadershipReleased++;
+        releases++;
         rateLimiter.consume(links.now());
         electionDelay.deferToOthers("this controller has released the leadership", links.now());
     }
@@ -223,8 +211,9 @@
         return handoversBegun;
     }
 
+    /** Deliberate releases of the leadership. */
     long releases() {
-        return leadershipReleased;
+        return releases;
     }
 
     long handoversAborted() {
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -6,27 +6,28 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.function.Function;
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 
 /**
- * Chooses workers of which all controllers shall find out whether they reach them: some of those that are suspect, and,
- * where these are many, some of the others. So the share of workers that a controller reaches is estimated from samples
- * of bounded size, one of each group.
+ * Chooses the workers that all controllers probe, as in SWIM's indirect probes: a sample of the suspects and, where
+ * these are many, one of the healthy workers. From both samples the share of workers that a controller reaches is
+ * estimated, at a cost that does not grow with the fleet.
  */
 final class ProbePlanner {
-    /** Single suspects that are asked in one round: most are machines that are gone, not worth many questions. */
-    private static final int FEW_SUSPECTS_SAMPLE = 4;
-
-    /** Workers of each group that are asked in one round. */
+    /** Sampled workers of each group in one round while suspects are many. */
     static final int SAMPLE_SIZE = 8;
 
-    /** Workers that are asked now and then while nothing is suspect, so that followers know their links. */
+    /** Sampled suspects in one round while they are few: most are machines that no longer exist. */
+    private static final int FEW_SUSPECTS_SAMPLE_SIZE = 4;
+
+    /** Sampled workers in one round while none is suspect, so that followers know their links. */
     private static final int IDLE_SAMPLE_SIZE = 2;
 
-    /** Of all workers, the share from which on suspect ones are many. */
+    /** Suspects are many from this share of all workers on. */
     private static final double MANY_SUSPECTS_SHARE = 1 / 8.0;
 
-    /** Rounds whose samples are looked at. */
+    /** Rounds whose samples are used for estimates. */
     private static final int KEPT_ROUNDS = 4;
 
     private final ConnectivityConfig config;
@@ -34,95 +35,107 @@
     private long plannedAt = -1;
     private int lastHealthyId = -1;
 
-    /** The workers of one round, by name. */
-    private record Round(List<WorkerLink> suspects, List<WorkerLink> healthy) {}
+    /** The samples of one round. */
+    private record Round(List<WorkerLink> suspects, List<WorkerLink> healthy) {
+        List<WorkerLink> all() {
+            Set<WorkerLink> all = new LinkedHashSet<>(suspects);
+            all.addAll(healthy);
+            return List.copyOf(all);
+        }
+    }
 
     ProbePlanner(ConnectivityConfig config) {
         this.config = config;
     }
 
-    /** Begins anew. */
+    /** Forgets all rounds. */
     void reset() {
         rounds.clear();
         plannedAt = -1;
     }
 
-    /** Whether so many suspects are no matter of single workers. */
-    static boolean manySuspects(WorkerLinks links) {
-        return links.suspectCount() >= 2 && links.suspectCount() >= MANY_SUSPECTS_SHARE * links.count();
+    /** Whether there are so many suspects that a lost link is likelier than lost machines. */
+    static boolean manySuspects(WorkerLinks workers) {
+        return workers.suspectCount() >= 2 && workers.suspectCount() >= MANY_SUSPECTS_SHARE * workers.count();
+    }
+
+    /**
+     * Plans the next round if it is due; the probes of it that the leader itself sends. Heartbeats and commands show
+     * enough of healthy workers and of single suspects.
+     */
+    List<ProbeTarget> ownProbes(WorkerLinks workers, long now) {
+        boolean many = manySuspects(workers);
+        List<WorkerLink> sample = planRound(workers, now);
+        return many ? targets(sample.stream().filter(WorkerLink::suspect).toList()) : List.of();
     }
 
-    /** Plans the next round if it is time; the workers to be asked in it. */
-    List<WorkerLink> planRound(WorkerLinks links, long now) {
-        boolean suspects = links.suspectCount() > 0;
-        boolean many = manySuspects(links);
-        long every = suspects ? config.exchangeIntervalMs(many) : config.workerLeaseMs() / 2;
-        if (plannedAt >= 0 && now - plannedAt < every) {
+    /** Plans the next round; empty where it is not due yet. */
+    private List<WorkerLink> planRound(WorkerLinks workers, long now) {
+        boolean many = manySuspects(workers);
+        if (plannedAt >= 0 && now - plannedAt < roundIntervalMs(workers, many)) {
             return List.of();
         }
         plannedAt = now;
-        List<WorkerLink> suspectSample = links.suspects().nextSuspects(many ? SAMPLE_SIZE : FEW_SUSPECTS_SAMPLE);
-        int soundWanted = many ? SAMPLE_SIZE : suspects ? 0 : IDLE_SAMPLE_SIZE;
-        List<WorkerLink> soundSample = new ArrayList<>(links.suspects().nextHealthy(lastHealthyId, soundWanted));
-        if (soundSample.size() < soundWanted) {
-            soundSample.addAll(links.suspects().nextHealthy(-1, soundWanted - soundSample.size()));
-        }
-        if (!soundSample.isEmpty()) {
-            lastHealthyId = soundSample.get(soundSample.size() - 1).id;
-        }
-        rounds.addLast(new Round(suspectSample, soundSample));
+        int suspectSampleSize = many ? SAMPLE_SIZE : FEW_SUSPECTS_SAMPLE_SIZE;
+        List<WorkerLink> suspects = workers.suspects().nextSuspects(suspectSampleSize);
+        List<WorkerLink> healthy = sampleHealthy(workers.suspects(), healthySampleSize(workers, many));
+        Round round = new Round(suspects, healthy);
+        rounds.addLast(round);
         if (rounds.size() > KEPT_ROUNDS) {
             rounds.removeFirst();
         }
-        Set<WorkerLink> all = new LinkedHashSet<>(suspectSample);
-        all.addAll(soundSample);
-        return List.copyOf(all);
+        return round.all();
     }
 
-    /** The targets of the newest round. */
-    List<ProbeTarget> currentTargets() {
-        if (rounds.isEmpty()) {
-            return List.of();
+    private long roundIntervalMs(WorkerLinks workers, boolean many) {
+        return workers.suspectCount() > 0 ? config.exchangeIntervalMs(many) : config.workerLeaseMs() / 2;
+    }
+
+    private static int healthySampleSize(WorkerLinks workers, boolean many) {
+        if (many) {
+            return SAMPLE_SIZE;
         }
-        Round round = rounds.getLast();
-        Set<WorkerLink> all = new LinkedHashSet<>(round.suspects);
-        all.addAll(round.healthy);
-        return targets(all);
+        return workers.suspectCount() > 0 ? 0 : IDLE_SAMPLE_SIZE;
     }
 
-    /**
-     * Plans the next round if it is due; the probes of it that the leader itself sends. Heartbeats and commands show
-     * enough of healthy workers and of single suspects.
-     */
-    List<ProbeTarget> ownProbes(WorkerLinks workers, long now) {
-        boolean many = manySuspects(workers);
-        List<WorkerLink> sample = planRound(workers, now);
-        return many ? targets(sample.stream().filter(WorkerLink::suspect).toList()) : List.of();
+    /** The healthy workers whose turn it is, by ascending id and then from the lowest id again. */
+    private List<WorkerLink> sampleHealthy(SuspectTracker workers, int size) {
+        List<WorkerLink> sample = new ArrayList<>(workers.nextHealthy(lastHealthyId, size));
+        if (sample.size() < size) {
+            sample.addAll(workers.nextHealthy(-1, size - sample.size()));
+        }
+        if (!sample.isEmpty()) {
+            lastHealthyId = sample.get(sample.size() - 1).id;
+        }
+        return sample;
+    }
+
+    /** The probes of the newest round, for the other controllers. */
+    List<ProbeTarget> currentTargets() {
+        return rounds.isEmpty() ? List.of() : targets(rounds.getLast().all());
     }
 
     private static List<ProbeTarget> targets(Collection<WorkerLink> links) {
-        List<ProbeTarget> targets = new ArrayList<>();
-        for (WorkerLink link : links) {
-            if (!link.removed && !link.address.isEmpty()) {
-                targets.add(new ProbeTarget(link.name, link.address));
-            }
-        }
-        return targets;
+        return links.stream()
+                .filter(link -> !link.removed && !link.address.isEmpty())
+                .map(link -> new ProbeTarget(link.name, link.address))
+                .toList();
     }
 
-    /** Sampled workers that are suspect. */
+    /** Sampled workers that are still suspect. */
     Set<WorkerLink> sampledSuspects() {
-        Set<WorkerLink> sampled = new LinkedHashSet<>();
-        rounds.forEach(round -> sampled.addAll(round.suspects));
-        sampled.removeIf(link -> link.removed || !link.suspect());
-        return sampled;
+        return sampled(Round::suspects, true);
     }
 
-    /** Sampled workers that are not suspect. */
+    /** Sampled workers that are still healthy. */
     Set<WorkerLink> sampledHealthy() {
+        return sampled(Round::healthy, false);
+    }
+
+    private Set<WorkerLink> sampled(Function<Round, List<WorkerLink>> group, boolean suspect) {
         Set<WorkerLink> sampled = new LinkedHashSet<>();
-        rounds.forEach(round -> sampled.addAll(round.healthy));
-        sampled.removeIf(link -> link.removed || link.suspect());
+        rounds.forEach(round -> sampled.addAll(group.apply(round)));
+        sampled.removeIf(link -> link.removed || link.suspect() != suspect);
         return sampled;
     }
 }
