--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -1,68 +1,69 @@
 package stileferry.connectivity;
 
+import static stileferry.validation.InvalidInputException.require;
+import static stileferry.validation.InvalidInputException.requireName;
+
 import java.util.HashSet;
 import java.util.List;
-import stileferry.validation.InvalidInputException;
 
 /**
- * What the times of one deployment are. Everything else in this package is a ratio to them.
+ * The names and times of one deployment. All other times of this package are multiples of these.
  *
  * @param self the name of this controller
  * @param peers the names of the other controllers
- * @param heartbeatIntervalMs milliseconds between two reports of a worker
- * @param workerLeaseMs milliseconds after which a worker that was not answered drops its tasks
- * @param leaderLeaseMs milliseconds for which the leader key is leased
+ * @param heartbeatIntervalMs milliseconds between two heartbeats of a worker
+ * @param workerLeaseMs milliseconds after which a worker whose heartbeats are not answered stops its tasks
+ * @param leaderLeaseMs milliseconds of the leader key's lease
  */
 public record ConnectivityConfig(
         String self, List<String> peers, long heartbeatIntervalMs, long workerLeaseMs, long leaderLeaseMs) {
-    /** Exchanges of views in a report interval while something is suspect. */
+    /** Exchanges of views in a heartbeat interval while links are suspect. */
     private static final int ALERT_EXCHANGES = 3;
 
-    /** A view is used for so many exchange intervals after the moment that it certainly describes. */
+    /** Exchange intervals after which a view, or what was observed of a worker, is stale. */
     private static final int MAX_AGE_EXCHANGES = 3;
 
-    /** Checks every figure. */
+    /** Throws for names that are missing or repeated, and for times that are not positive. */
     public ConnectivityConfig {
-        InvalidInputException.requireName(self, "self");
-        InvalidInputException.require(peers != null, "peers", "missing");
+        requireName(self, "self");
+        require(peers != null, "peers", "missing");
         peers = List.copyOf(peers);
-        InvalidInputException.require(!peers.contains(self), "peers", "names this controller, " + self);
-        InvalidInputException.require(new HashSet<>(peers).size() == peers.size(), "peers", "a name stands twice");
-        InvalidInputException.require(heartbeatIntervalMs > 0, "heartbeatIntervalMs", "must be above 0");
-        InvalidInputException.require(
-                workerLeaseMs > heartbeatIntervalMs, "workerLeaseMs", "must be above heartbeatIntervalMs");
-        InvalidInputException.require(leaderLeaseMs > 0, "leaderLeaseMs", "must be above 0");
+        require(!peers.contains(self), "peers", "names this controller, " + self);
+        require(new HashSet<>(peers).size() == peers.size(), "peers", "a name stands twice");
+        require(heartbeatIntervalMs > 0, "heartbeatIntervalMs", "must be above 0");
+        require(workerLeaseMs > heartbeatIntervalMs, "workerLeaseMs", "must be above heartbeatIntervalMs");
+        require(leaderLeaseMs > 0, "leaderLeaseMs", "must be above 0");
     }
 
-    /** Milliseconds between two exchanges of views with the same controller. */
+    /** Milliseconds between two exchanges of views with the same controller; {@code alert}: while links are suspect. */
     public long exchangeIntervalMs(boolean alert) {
         return alert ? Math.max(1, heartbeatIntervalMs / ALERT_EXCHANGES) : heartbeatIntervalMs;
     }
 
-    /** Milliseconds between two signs of life of the state service, which is asked where nothing else is. */
+    /** Milliseconds after which an idle link to the state service is probed. */
     public long storeProbeIntervalMs() {
         return 2 * exchangeIntervalMs(true);
     }
 
-    /** The age from which on a view of another controller says nothing any more. */
+    /** The age in milliseconds above which a view of another controller is stale. */
     public long viewMaxAgeMs() {
         return MAX_AGE_EXCHANGES * heartbeatIntervalMs + leaderLeaseMs;
     }
 
-    /** The age from which on what was seen of a worker says nothing any more. */
+    /** The age in milliseconds above which a follower forgets what it observed of a worker. */
     public long workerEvidenceMaxAgeMs() {
         return MAX_AGE_EXCHANGES * heartbeatIntervalMs;
     }
 
     /**
-     * The age from which on the outcome of a probe says nothing any more. It is less than the silence after which a
-     * worker is suspect, so that no outcome from before a cut is taken for one from after it.
+     * The age in milliseconds above which a probe's result is stale. It is less than the silence after which a worker
+     * is suspect, so that a result from before a cut is not taken for one from after it.
      */
     public long probeResultMaxAgeMs() {
         return heartbeatIntervalMs;
     }
 
-    /** The age of the state service's last answer from which on no decision is made. */
+    /** The age in milliseconds of the state service's last answer above which no decision is made. */
     public long storeAnswerMaxAgeMs() {
         return leaderLeaseMs;
     }
--- a/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
+++ b/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What is known of all links at a moment, for people.
+ * What is known of all links at a moment, for operators.
  *
- * @param controller the controller that sees them so
+ * @param controller the controller whose links these are
  * @param leading whether it leads
  * @param store its link to the state service
  * @param peers its links to the other controllers
  * @param workers its links to workers
- * @param advice what it should do about the leadership
- * @param counters what has happened since it began
+ * @param advice the advice on its leadership
+ * @param counters events since its process started
  */
 public record ConnectivitySnapshot(
         String controller,
@@ -26,10 +26,10 @@
      * One direction of a link.
      *
      * @param condition what is known of it
-     * @param suspicionLevel how suspect its silence is
-     * @param silentMs milliseconds since it last worked; -1: it never has
-     * @param consecutiveFailures requests that failed since
-     * @param lastFailure how the last of all that failed did; null: none has
+     * @param suspicionLevel phi of its silence
+     * @param silentMs milliseconds since it last succeeded; -1: never
+     * @param consecutiveFailures requests that have failed since
+     * @param lastFailure how the last failed request failed; null: none has
      */
     public record Link(
             LinkCondition condition,
@@ -39,13 +39,13 @@
             FailureKind lastFailure) {}
 
     /**
-     * The links to another controller, and what it says.
+     * The links to another controller, and its view.
      *
      * @param controller its name
-     * @param inbound what comes from it
-     * @param outbound what goes to it and is answered
-     * @param viewAgeMs how old its view is at most; -1: not known
-     * @param reachedWorkers workers that it reaches, of those it was asked about
+     * @param inbound requests from it
+     * @param outbound requests to it that are answered
+     * @param viewAgeMs the greatest possible age of its view in milliseconds; -1: not known
+     * @param reachedWorkers workers that it reaches, of those that it probed
      * @param reachableShare the share of all workers that it is estimated to reach; -1: not known
      */
     public record Peer(
@@ -60,22 +60,22 @@
      * The links to workers.
      *
      * @param known workers that are known
-     * @param direct workers that report straight to this controller
-     * @param suspect workers with a link that does not work
+     * @param direct workers whose heartbeats come straight to this controller
+     * @param suspect workers with a suspect link
      * @param reachableShare the share of all workers that it is estimated to reach; -1: it does not lead
-     * @param suspicionTimeoutMs the silence after which a worker is suspect, from measured intervals
+     * @param suspicionTimeoutMs milliseconds of silence after which a worker is suspect
      */
     public record Workers(int known, int direct, int suspect, double reachableShare, double suspicionTimeoutMs) {}
 
     /**
-     * What has happened since the controller began.
+     * Events since the controller's process started.
      *
-     * @param handoversBegun handovers for which a nominee was asked
-     * @param released leaderships released on purpose
-     * @param aborted handovers given up before the release
-     * @param suspicions times at which a worker fell silent for longer than is usual
-     * @param withheld decisions that were not made for want of a link
-     * @param staleViews views that were older than what was known
+     * @param handoversBegun handovers that were started
+     * @param released deliberate releases of the leadership
+     * @param aborted handovers aborted before the release
+     * @param suspicions times at which a worker became suspect by its silence
+     * @param withheld decisions that were withheld
+     * @param staleViews views that were older than a view received before
      */
     public record Counters(
             long handoversBegun, long released, long aborted, long suspicions, long withheld, long staleViews) {}
--- a/src/main/java/stileferry/connectivity/Decision.java
+++ b/src/main/java/stileferry/connectivity/Decision.java
@@ -1,25 +1,25 @@
 package stileferry.connectivity;
 
-/** The kinds of decisions that a leader makes. */
+/** The kinds of decisions of a leader. */
 public enum Decision {
     /** A task starts. */
     START_TASK,
 
-    /** Work is stopped to make room for other work. */
+    /** A task is preempted for other work. */
     PREEMPT,
 
-    /** A silent worker is given up, before its lease has lapsed. */
+    /** A silent worker is removed before its lease has expired. */
     REMOVE_WORKER,
 
-    /** Machines are rented. */
+    /** Machines are added. */
     SCALE_OUT,
 
-    /** A machine is returned. */
+    /** A machine is returned to the provider. */
     SCALE_IN,
 
-    /** A user hears that a job is cancelled. */
+    /** A user is told that a job is cancelled. */
     CONFIRM_CANCELLATION,
 
-    /** A user's job is accepted. */
+    /** A user's job is admitted. */
     ADMIT_JOB
 }
--- a/src/main/java/stileferry/connectivity/DecisionGate.java
+++ b/src/main/java/stileferry/connectivity/DecisionGate.java
@@ -3,35 +3,34 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * Which links a decision needs. It only ever withholds what would be allowed without it: whether this controller is
- * sure to lead, and what is proven of a task, is for others to say.
+ * Decides whether the links permit a decision of the leader. It only withholds: that this controller leads
+ * for certain, and what is proven of a task, is checked elsewhere.
  *
  * <ul>
- *   <li>Every decision needs a leader that is not handing over, and an answer of the state service within its bound.
- *   <li>To rent and to preempt needs, in addition, that not half of the workers are suspect; but no longer than until
- *       it is known whether another controller reaches them, and never longer than a bound: if every controller is
- *       poor, the leader still serves.
- *   <li>To give a silent worker up needs, in addition, that no other controller reaches it.
+ *   <li>Every decision needs a leader that is not handing over, and a recent answer of the state service.
+ *   <li>Scaling out and preempting also need that less than half of the workers are suspect. This is waited for only
+ *       until a better connected controller would have been found, so that the leader still serves where none is.
+ *   <li>Removing a silent worker also needs that no other controller reaches it.
  * </ul>
  */
 public final class DecisionGate {
-    /** Report intervals for which many suspect workers keep back what they would cause. */
+    /** Heartbeat intervals for which many suspects withhold scaling out and preempting. */
     private static final int MAX_WAIT_HEARTBEATS = 4;
 
-    /** Leases for which a worker that only another controller reaches is kept. */
+    /** Worker leases for which a silent worker that another controller reaches is kept. */
     private static final int MAX_KEPT_LEASES = 3;
 
-    /** Exchanges with others, while something is suspect, after which their silence on a worker means nothing. */
+    /** Short exchange intervals within which the other controllers must have probed a suspect. */
     private static final int PEER_ANSWER_EXCHANGES = 5;
 
     private final ConnectivityConfig config;
 
-    /** A gate with the bounds of a deployment. */
+    /** Creates a gate with the times of a deployment. */
     public DecisionGate(ConnectivityConfig config) {
         this.config = config;
     }
 
-    /** Whether a decision may be made on this evidence. */
+    /** Whether the evidence permits a decision. */
     public Verdict check(Decision decision, LinkEvidence evidence) {
         InvalidInputException.require(decision != null, "decision", "missing");
         InvalidInputException.require(evidence != null, "evidence", "missing");
@@ -44,29 +43,33 @@
         if (evidence.storeAnswerAgeMs() < 0 || evidence.storeAnswerAgeMs() > config.storeAnswerMaxAgeMs()) {
             return Verdict.withheld("the state service has not answered lately", config.leaderLeaseMs());
         }
-        boolean waits = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
-        long patienceMs = MAX_WAIT_HEARTBEATS * config.heartbeatIntervalMs();
-        if (waits && evidence.manySuspects() && evidence.manySuspectsMs() < patienceMs) {
-            return Verdict.withheld("half of the workers are suspect", patienceMs - evidence.manySuspectsMs());
+        return checkSuspects(decision, evidence);
+    }
+
+    private Verdict checkSuspects(Decision decision, LinkEvidence evidence) {
+        boolean affected = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
+        long maxWaitMs = MAX_WAIT_HEARTBEATS * config.heartbeatIntervalMs();
+        if (affected && evidence.manySuspects() && evidence.manySuspectsMs() < maxWaitMs) {
+            return Verdict.withheld("half of the workers are suspect", maxWaitMs - evidence.manySuspectsMs());
         }
         return Verdict.ALLOWED;
     }
 
     /**
-     * Whether a silent worker may be given up, where that is allowed as such.
+     * Whether a silent worker may be removed, where {@link #check} allows removals.
      *
      * @param suspectMs for how long its links have been suspect
-     * @param reachedByPeer whether another controller says, lately, that it reaches the worker
-     * @param peersSayNothing whether a controller that takes part has not said yet whether it reaches the worker
-     * @param keptMs for how long the worker has been kept for that reason
+     * @param reachedByPeer whether a fresh view of another controller says that it reaches the worker
+     * @param peersUnsure whether a fresh view of another controller does not say if it reaches the worker
+     * @param keptMs for how long the worker has been kept because another controller reaches it
      */
-    Verdict checkRemoval(long suspectMs, boolean reachedByPeer, boolean peersSayNothing, long keptMs) {
+    Verdict checkRemoval(long suspectMs, boolean reachedByPeer, boolean peersUnsure, long keptMs) {
         if (reachedByPeer && keptMs < MAX_KEPT_LEASES * config.workerLeaseMs()) {
             return Verdict.withheld("another controller reaches the worker", config.heartbeatIntervalMs());
         }
-        long askMs = PEER_ANSWER_EXCHANGES * config.exchangeIntervalMs(true);
-        if (peersSayNothing && suspectMs < askMs) {
-            return Verdict.withheld("the other controllers were just asked", askMs - suspectMs);
+        long peerAnswerMs = PEER_ANSWER_EXCHANGES * config.exchangeIntervalMs(true);
+        if (peersUnsure && suspectMs < peerAnswerMs) {
+            return Verdict.withheld("the other controllers were just asked", peerAnswerMs - suspectMs);
         }
         return Verdict.ALLOWED;
     }
--- a/src/main/java/stileferry/connectivity/FailureKind.java
+++ b/src/main/java/stileferry/connectivity/FailureKind.java
@@ -2,9 +2,9 @@
 
 /** How a request failed. */
 public enum FailureKind {
-    /** The connection or the request was turned down: nothing was carried out. */
+    /** The connection or the request was refused: it was not executed. */
     REFUSED,
 
-    /** No answer came in time: it is not known whether it was carried out. */
+    /** The request timed out: it may have been executed. */
     UNANSWERED
 }
--- a/src/main/java/stileferry/connectivity/LinkCondition.java
+++ b/src/main/java/stileferry/connectivity/LinkCondition.java
@@ -1,13 +1,13 @@
 package stileferry.connectivity;
 
-/** What is known of a link in one direction. */
+/** The condition of one direction of a link, by its failure detector. */
 public enum LinkCondition {
-    /** Nothing has been seen of it yet. */
+    /** It has never succeeded, and its silence is not suspect yet. */
     UNKNOWN,
 
-    /** Signs of life come as often as they usually do. */
+    /** It succeeds as often as usual. */
     GOOD,
 
-    /** The silence has lasted longer than the measured intervals explain. */
+    /** Its suspicion level has reached the threshold. */
     FAILING
 }
--- a/src/main/java/stileferry/connectivity/LinkEvidence.java
+++ b/src/main/java/stileferry/connectivity/LinkEvidence.java
@@ -1,13 +1,13 @@
 package stileferry.connectivity;
 
 /**
- * What a decision is checked against.
+ * What is known of the links when a decision is checked.
  *
  * @param leading whether this controller leads
- * @param handingOver whether it is handing the leadership over
+ * @param handingOver whether a handover is under way
  * @param storeAnswerAgeMs milliseconds since the state service last answered; -1: it never has
  * @param manySuspects whether half of all workers or more are suspect
- * @param manySuspectsMs for how long that has been so
+ * @param manySuspectsMs milliseconds for which that has been so; 0 where it is not
  */
 public record LinkEvidence(
         boolean leading, boolean handingOver, long storeAnswerAgeMs, boolean manySuspects, long manySuspectsMs) {}
--- a/src/main/java/stileferry/connectivity/LinkFailureDetector.java
+++ b/src/main/java/stileferry/connectivity/LinkFailureDetector.java
@@ -1,14 +1,11 @@
 package stileferry.connectivity;
 
 /**
- * One link in one direction: signs of life from the real traffic, and how suspect their absence is. Signs that follow
- * each other closely count once, so that a burst does not make an ordinary pause look like a lost link.
+ * An accrual failure detector for one direction of a link, fed by the regular traffic. Successes that follow each other
+ * closely count as one interval, so that a burst does not make an ordinary pause suspect.
  */
 final class LinkFailureDetector {
-    /**
-     * The suspicion from which on a link counts as failing: one false alarm in a hundred thousand intervals, of which
-     * nothing follows alone.
-     */
+    /** The suspicion level (phi) from which on a link counts as failing: one false alarm in 100,000 intervals. */
     static final double SUSPICION_THRESHOLD = 5;
 
     private final long expectedIntervalMs;
@@ -19,14 +16,14 @@
     private int consecutiveFailures;
     private FailureKind lastFailure;
 
-    /** A link that is expected to show a sign of life once in so many milliseconds. */
+    /** A link that is expected to succeed once every {@code expectedIntervalMs}. */
     LinkFailureDetector(long expectedMs, long now) {
         this.expectedIntervalMs = expectedMs;
         this.intervals = new PhiAccrualEstimator(expectedMs);
         this.startedAt = now;
     }
 
-    /** The link has worked. */
+    /** A message or an answer has arrived. */
     void succeeded(long now) {
         lastSuccessAt = Math.max(lastSuccessAt, now);
         consecutiveFailures = 0;
@@ -39,13 +36,13 @@
         lastSampleAt = now;
     }
 
-    /** The link did not work for one request. */
+    /** A request has failed. */
     void failed(FailureKind kind) {
         consecutiveFailures++;
         lastFailure = kind;
     }
 
-    /** When the link last worked; -1: never. */
+    /** When the link last succeeded; -1: never. */
     long lastSuccessAt() {
         return lastSuccessAt;
     }
@@ -54,20 +51,20 @@
         return consecutiveFailures;
     }
 
-    /** How the last request that failed did; null: none has. */
+    /** How the last failed request failed; null: none has. */
     FailureKind lastFailure() {
         return lastFailure;
     }
 
-    /** How suspect the silence is; a process whose own timers are late makes up for it. */
-    double suspicionLevel(long now, long lateMs) {
-        long since = lastSuccessAt >= 0 ? lastSuccessAt : startedAt;
-        return intervals.suspicionLevel(Math.max(0, now - since - lateMs));
+    /** The suspicion level (phi) of the silence, less this process's own event-loop lag. */
+    double suspicionLevel(long now, long eventLoopLagMs) {
+        long silentSince = lastSuccessAt >= 0 ? lastSuccessAt : startedAt;
+        return intervals.suspicionLevel(Math.max(0, now - silentSince - eventLoopLagMs));
     }
 
     /** What is known of the link. */
-    LinkCondition condition(long now, long lateMs) {
-        if (suspicionLevel(now, lateMs) >= SUSPICION_THRESHOLD) {
+    LinkCondition condition(long now, long eventLoopLagMs) {
+        if (suspicionLevel(now, eventLoopLagMs) >= SUSPICION_THRESHOLD) {
             return LinkCondition.FAILING;
         }
         return lastSuccessAt < 0 ? LinkCondition.UNKNOWN : LinkCondition.GOOD;
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -4,12 +4,12 @@
 
 import stileferry.connectivity.ReachabilityView.ControllerHealth;
 
-/** All links of one controller as it has seen them, and the time up to which it has. */
+/** All links of one controller as observed up to now. */
 final class ObservedLinks {
-    /** Failed requests in a row after which the state service counts as lost, long before its silence says so. */
+    /** Consecutive failures after which the state service counts as unreachable, before its silence is suspect. */
     private static final int MAX_STORE_FAILURES = 2;
 
-    /** Report intervals for which a process counts as behind after it was. */
+    /** Heartbeat intervals for which a process still counts as lagging, as it has a backlog to process. */
     private static final int LAGGING_HEARTBEATS = 3;
 
     final ConnectivityConfig config;
@@ -30,7 +30,7 @@
         store = new LinkFailureDetector(config.storeProbeIntervalMs(), now);
     }
 
-    /** Takes in the time; one before the last counts as the last. */
+    /** Advances the time; one before the last counts as the last. */
     void advance(long time) {
         requireTime(time);
         now = Math.max(now, time);
@@ -40,11 +40,12 @@
         return now;
     }
 
-    /** By how much this process's own timers are late. */
+    /** By how many milliseconds this process's own timers are late. */
     long eventLoopLagMs() {
         return eventLoopLagMs;
     }
 
+    /** Whether this process is behind with its work, or was lately. */
     boolean laggingLately() {
         return now < laggingUntil;
     }
@@ -53,8 +54,8 @@
         return leading;
     }
 
-    void eventLoopLagMeasured(long late, boolean behind) {
-        eventLoopLagMs = late;
+    void eventLoopLagMeasured(long lagMs, boolean behind) {
+        eventLoopLagMs = lagMs;
         if (behind) {
             laggingUntil = now
                     + LAGGING_HEARTBEATS
@@ -62,13 +63,13 @@
         }
     }
 
-    /** This controller leads, or does not any more. */
-    void setLeading(boolean leads) {
-        leading = leads;
+    /** This controller has been elected or deposed. */
+    void setLeading(boolean elected) {
+        leading = elected;
         manySuspectsSince = -1;
-        workers.retainSilent(leads);
-        if (leads) {
-            workers.clear(); // what a follower saw may be gone by now, and nobody would say so
+        workers.retainSilent(elected);
+        if (elected) {
+            workers.clear(); // a follower is not told when workers are removed
         }
     }
 
@@ -81,7 +82,7 @@
         return new ControllerHealth(storeReachable(), laggingLately(), peers.reachable(now, eventLoopLagMs));
     }
 
-    /** Notes what has fallen silent up to now. */
+    /** Marks workers that have fallen silent up to now. */
     void detectSilentWorkers() {
         workers.detectSilent(now, eventLoopLagMs);
         boolean many = leading && 2 * workers.suspectCount() >= Math.max(2, workers.count());
--- a/src/main/java/stileferry/connectivity/PeerLinks.java
+++ b/src/main/java/stileferry/connectivity/PeerLinks.java
@@ -1,13 +1,14 @@
 package stileferry.connectivity;
 
+import static stileferry.validation.InvalidInputException.require;
+
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import stileferry.validation.InvalidInputException;
 
-/** The links to the other controllers and what they said, with what they have seen of this one. */
+/** The links to all other controllers. */
 final class PeerLinks {
     private final ConnectivityConfig config;
     private final Map<String, PeerLink> peers = new LinkedHashMap<>();
@@ -20,7 +21,7 @@
     /** The controller with this name; throws for one that is not known. */
     PeerLink get(String name) {
         PeerLink peer = peers.get(name);
-        InvalidInputException.require(peer != null, "peer", "no such controller: " + name);
+        require(peer != null, "peer", "no such controller: " + name);
         return peer;
     }
 
@@ -28,12 +29,12 @@
         return peers.values();
     }
 
-    /** Whether a controller's view says something about now. */
+    /** Whether a controller's view is fresh enough to be used. */
     boolean fresh(PeerLink peer, long now) {
         return peer.view.senderHealth() != null && peer.view.fresh(now, config.viewMaxAgeMs());
     }
 
-    /** The controllers that are heard now. */
+    /** The names of the controllers that are reachable now. */
     List<String> reachable(long now, long eventLoopLagMs) {
         List<String> names = new ArrayList<>();
         for (PeerLink peer : peers.values()) {
@@ -44,28 +45,28 @@
         return names;
     }
 
-    /** Whether others were heard before and none is now. */
+    /** Whether other controllers were reachable before and none is now. */
     boolean allLost(long now, long eventLoopLagMs) {
         return peers.values().stream().anyMatch(peer -> peer.everReachable)
                 && reachable(now, eventLoopLagMs).isEmpty();
     }
 
-    /** Who leads in this term or a later one, as another controller lately said; empty: nobody did. */
-    String reportedLeader(long leastTerm, long now) {
-        String name = "";
-        long newest = leastTerm - 1;
+    /** The leader in the newest term, from {@code minTerm} on, that a fresh view names one in; empty: none does. */
+    String reportedLeader(long minTerm, long now) {
+        String leader = "";
+        long newestTerm = minTerm - 1;
         for (PeerLink peer : peers.values()) {
-            String said = peer.view.leader();
-            boolean useful = fresh(peer, now) && !said.isEmpty() && !said.equals(config.self());
-            if (useful && peer.view.term() > newest) {
-                newest = peer.view.term();
-                name = said;
+            String reported = peer.view.leader();
+            boolean usable = fresh(peer, now) && !reported.isEmpty() && !reported.equals(config.self());
+            if (usable && peer.view.term() > newestTerm) {
+                newestTerm = peer.view.term();
+                leader = reported;
             }
         }
-        return name;
+        return leader;
     }
 
-    /** Whether a controller lately said that it reaches a worker. */
+    /** Whether a fresh view says that its sender reaches a worker. */
     boolean anyReaches(String worker, long now) {
         for (PeerLink peer : peers.values()) {
             if (fresh(peer, now) && peer.view.reaches(worker)) {
@@ -75,7 +76,7 @@
         return false;
     }
 
-    /** Whether a controller that takes part has not said whether it reaches a worker. */
+    /** Whether a fresh view does not say if its sender reaches a worker. */
     boolean anyUnsureOf(String worker, long now) {
         for (PeerLink peer : peers.values()) {
             if (fresh(peer, now) && !peer.view.outboundKnown(worker)) {
--- a/src/main/java/stileferry/connectivity/PhiAccrualEstimator.java
+++ b/src/main/java/stileferry/connectivity/PhiAccrualEstimator.java
@@ -1,21 +1,23 @@
 package stileferry.connectivity;
 
 /**
- * How long the intervals between signs of life are, measured in memory of a fixed size, and how unusual a silence is.
- * After Hayashibara et al., "The phi accrual failure detector": the suspicion is the negative decimal logarithm of the
- * probability that an interval lasts as long as the silence has lasted.
+ * The suspicion level phi of a silence, from moving averages of the intervals' mean and variance. After Hayashibara
+ * et al., "The phi accrual failure detector": phi is the negative decimal logarithm of the probability that an interval
+ * lasts as long as the silence has lasted.
  */
 final class PhiAccrualEstimator {
-    /** The share of the newest interval in the running figures. */
+    /** The weight of the newest interval in the exponential moving averages. */
     private static final double SMOOTHING_FACTOR = 1 / 64.0;
 
-    /** Intervals are taken to vary by this share of the expected one at least. */
+    /** The least standard deviation, as a share of the expected interval. */
     private static final double MIN_DEVIATION_SHARE = 1 / 8.0;
 
-    /** What lasts longer than so many expected intervals was a silence and no interval. */
+    /** Intervals longer than so many expected ones were outages and are not measured. */
     private static final double MAX_INTERVAL_FACTOR = 3;
 
-    // the logistic approximation of the normal distribution
+    private static final int BISECTION_STEPS = 50;
+
+    // coefficients of the logistic approximation of the normal distribution
     private static final double LOGISTIC_LINEAR = 1.5976;
     private static final double LOGISTIC_CUBIC = 0.070566;
 
@@ -23,14 +25,14 @@
     private double meanMs;
     private double variance;
 
-    /** Intervals that are expected to last so long; until more is measured they vary by a quarter of that. */
-    PhiAccrualEstimator(double expectedMs) {
-        this.expectedIntervalMs = expectedMs;
-        this.meanMs = expectedMs;
-        this.variance = expectedMs * expectedMs / 16;
+    /** Starts with the expected interval as the mean and a quarter of it as the standard deviation. */
+    PhiAccrualEstimator(double expectedIntervalMs) {
+        this.expectedIntervalMs = expectedIntervalMs;
+        this.meanMs = expectedIntervalMs;
+        this.variance = expectedIntervalMs * expectedIntervalMs / 16;
     }
 
-    /** Takes in one more interval. */
+    /** Adds a measured interval. */
     void addInterval(double intervalMs) {
         if (intervalMs > MAX_INTERVAL_FACTOR * expectedIntervalMs) {
             return;
@@ -48,7 +50,7 @@
         return Math.max(Math.sqrt(variance), MIN_DEVIATION_SHARE * expectedIntervalMs);
     }
 
-    /** The suspicion after a silence of this length; it never falls while the silence lasts. */
+    /** The suspicion level after a silence; it never falls while the silence lasts. */
     double suspicionLevel(double silentMs) {
         double deviations = (silentMs - meanMs) / deviationMs();
         double exponent = deviations * (LOGISTIC_LINEAR + LOGISTIC_CUBIC * deviations * deviations);
@@ -58,11 +60,11 @@
                 : Math.log1p(Math.exp(exponent)) / Math.log(10);
     }
 
-    /** The length of silence at which the suspicion reaches a level. */
+    /** The silence in milliseconds at which the suspicion level reaches a threshold; found by bisection. */
     double timeoutMs(double suspicion) {
         double low = 0;
         double high = meanMs + 100 * deviationMs();
-        for (int i = 0; i < 50; i++) {
+        for (int step = 0; step < BISECTION_STEPS; step++) {
             double middle = (low + high) / 2;
             if (suspicionLevel(middle) < suspicion) {
                 low = middle;
--- a/src/main/java/stileferry/connectivity/ReachabilityView.java
+++ b/src/main/java/stileferry/connectivity/ReachabilityView.java
@@ -5,15 +5,16 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * What one controller tells another one of its links. It holds what changed since the last change that the receiver has
- * confirmed. No clocks are compared: a view is as old as the receiver's own view that its sender had seen.
+ * One controller's view of its links, as sent to another one: the changes since the last version that the receiver has
+ * acknowledged (delta anti-entropy). No clocks are compared: a view is at most as old as the receiver's view that it
+ * acknowledges.
  *
- * @param header who says this, and when
- * @param senderHealth how the sender's own links are
- * @param workers what changed of the links to workers
- * @param probes workers that the receiver shall ask whether it reaches them; only from a leader
- * @param handover an intended handover; null: none
- * @param acceptedHandoverId the number of the receiver's handover that the sender is ready for; 0: none
+ * @param header the sender, its position in its own sequence of views, and its acknowledgements
+ * @param senderHealth the condition of the sender
+ * @param workers the changes of the links to workers
+ * @param probes workers that the receiver must probe; only from a leader
+ * @param handover the sender's last handover; null: none
+ * @param acceptedHandoverId the id of the receiver's handover that the sender is ready for; 0: none
  */
 public record ReachabilityView(
         Header header,
@@ -23,23 +24,23 @@
         HandoverNotice handover,
         long acceptedHandoverId) {
 
-    /** Copies what may change. */
+    /** Copies the list. */
     public ReachabilityView {
         probes = List.copyOf(probes);
     }
 
     /**
-     * Who says this, and when.
+     * The sender, its position in its own sequence of views, and its acknowledgements.
      *
      * @param sender the sender's name
-     * @param incarnation tells the sender's process from its former lives, and is higher than theirs
-     * @param sequence the number of the view, higher than those before of the same incarnation
+     * @param incarnation the incarnation of the sender's process, higher than those before
+     * @param sequence the number of the view, ascending within the incarnation
      * @param term the highest term that the sender knows
-     * @param leader who leads in it, as far as the sender knows; empty: it does not know
-     * @param ackedIncarnation the receiver's incarnation as the sender knows it; 0: not known
-     * @param ackedSequence the number of the receiver's newest view that the sender has seen; 0: none
-     * @param ackedVersion up to which change the sender has what the receiver said of workers
-     * @param ackedEpoch the receiver's numbering of workers to which that belongs
+     * @param leader the leader, as far as the sender knows; empty: not known
+     * @param ackedIncarnation the receiver's incarnation in its newest view that the sender has; 0: none
+     * @param ackedSequence the sequence of the receiver's newest view that the sender has; 0: none
+     * @param ackedVersion the version of the receiver's workers that the sender has
+     * @param ackedEpoch the receiver's epoch to which that version belongs
      */
     public record Header(
             String sender,
@@ -58,30 +59,30 @@
     }
 
     /**
-     * How the sender's own links are.
+     * The condition of a controller.
      *
-     * @param storeReachable whether the state service answers it
-     * @param lagging whether its process is behind with its work
-     * @param reachablePeers the controllers that it hears
+     * @param storeReachable whether the state service answers the controller
+     * @param lagging whether its event loop lags, or did lately
+     * @param reachablePeers the controllers that it reaches or is reached by
      */
     public record ControllerHealth(boolean storeReachable, boolean lagging, List<String> reachablePeers) {
-        /** Copies what may change. */
+        /** Copies the list. */
         public ControllerHealth {
             reachablePeers = List.copyOf(reachablePeers);
         }
     }
 
     /**
-     * What changed of the links to workers, which are numbered so that sets of them are small.
+     * The changes of the links to workers. Workers have small ids, so that sets of them are small bitmaps.
      *
-     * @param epoch the numbering; with another one all that was said before is void
-     * @param baseVersion the change after which these come
-     * @param version the last of these changes
-     * @param names the names of the changed workers, in the order of their numbers
-     * @param changed the numbers of the changed workers
-     * @param removed of these, workers that are gone
-     * @param outboundKnown of these, workers of which it is known whether requests reach them
-     * @param inbound of these, workers whose reports come straight to the sender
+     * @param epoch the assignment of ids; a new one voids all that was sent before
+     * @param baseVersion the version that these changes follow
+     * @param version the version that these changes lead to
+     * @param names the names of the changed workers, by ascending id
+     * @param changed the ids of the changed workers
+     * @param removed of these, workers that no longer exist
+     * @param outboundKnown of these, workers with a known recent outcome of a request
+     * @param inbound of these, workers whose heartbeats come straight to the sender
      * @param outbound of these, workers that requests of the sender reach
      */
     public record WorkerChanges(
@@ -94,34 +95,34 @@
             RoaringBitmap outboundKnown,
             RoaringBitmap inbound,
             RoaringBitmap outbound) {
-        /** Copies what may change, but for the bitmaps, which their makers leave alone. */
+        /** Copies the list, not the bitmaps, which must not change any more. */
         public WorkerChanges {
             names = List.copyOf(names);
         }
 
-        /** Checks that the sets belong together. */
+        /** Throws where the parts contradict each other. */
         void check() {
             InvalidInputException.require(
                     names.size() == changed.getCardinality(), "workers", "not a name for each changed worker");
-            for (RoaringBitmap part : List.of(removed, outboundKnown, inbound, outbound)) {
-                InvalidInputException.require(changed.contains(part), "workers", "a worker that has not changed");
+            for (RoaringBitmap subset : List.of(removed, outboundKnown, inbound, outbound)) {
+                InvalidInputException.require(changed.contains(subset), "workers", "a worker that has not changed");
             }
             InvalidInputException.require(
                     baseVersion >= 0 && version >= baseVersion && epoch > 0, "workers", "impossible numbers");
         }
     }
 
-    /** A worker that shall be asked whether requests reach it. */
+    /** A worker to be probed, and the address of its agent. */
     public record ProbeTarget(String worker, String address) {}
 
     /**
-     * A handover of the leadership that a leader intends.
+     * A leader's announcement of a handover of the leadership.
      *
-     * @param id tells it from others of the same leader
+     * @param id the number of the handover, ascending within the leader's process
      * @param term the term in which the leader leads
-     * @param nominee the controller that shall lead next
-     * @param nomineeIncarnation its process
-     * @param active whether it is still intended; false: it was given up
+     * @param nominee the controller that should lead next
+     * @param nomineeIncarnation the incarnation of its process
+     * @param active whether the handover goes on; false: it was aborted
      */
     public record HandoverNotice(long id, long term, String nominee, long nomineeIncarnation, boolean active) {}
 }
--- a/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
+++ b/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
@@ -4,67 +4,65 @@
 import java.util.OptionalDouble;
 import java.util.function.Predicate;
 
-/** Estimates the shares of workers that controllers reach, from the samples that were asked for. */
+/** Estimates the share of workers that a controller reaches from the probed samples of suspect and healthy workers. */
 final class ReachableShareEstimator {
-    /** Leases for which a worker that reports by way of others but answers questions counts as reached. */
+    /** Worker leases for which a worker whose heartbeats are relayed still counts as reached if it answers probes. */
     private static final int MAX_RELAYED_LEASES = 3;
 
     private final ConnectivityConfig config;
-    private final WorkerLinks links;
+    private final WorkerLinks workers;
     private final ProbePlanner planner;
 
-    ReachableShareEstimator(ConnectivityConfig config, WorkerLinks links, ProbePlanner planner) {
+    ReachableShareEstimator(ConnectivityConfig config, WorkerLinks workers, ProbePlanner planner) {
         this.config = config;
-        this.links = links;
+        this.workers = workers;
         this.planner = planner;
     }
 
     private double suspectShare() {
-        return links.count() == 0 ? 0 : links.suspectCount() / (double) links.count();
+        return workers.count() == 0 ? 0 : workers.suspectCount() / (double) workers.count();
     }
 
-    /** The leader's own share: all that is not suspect, and of the rest as much as answers its questions. */
+    /** The leader's own share: all healthy workers, and as many of the suspects as answer its probes. */
     double ownShare(long now) {
-        double suspects = suspectShare();
-        OptionalDouble answering = share(
+        double suspectShare = suspectShare();
+        OptionalDouble reachedSuspects = reachedShare(
                 planner.sampledSuspects(),
                 link -> link.probeAnsweredAt >= 0 || link.probeFailedAt >= 0,
-                link -> answers(link, now));
-        return 1 - suspects + suspects * answering.orElse(0);
+                link -> reached(link, now));
+        return 1 - suspectShare + suspectShare * reachedSuspects.orElse(0);
     }
 
-    /** Who has left for another controller and does not come back has a reason, whatever it answers. */
-    private boolean answers(WorkerLink link, long now) {
-        boolean stays = link.relayedSince < 0 || now - link.relayedSince <= MAX_RELAYED_LEASES * config.workerLeaseMs();
-        return stays && link.probeAnsweredAt > link.probeFailedAt;
+    /** A worker whose heartbeats are relayed for long counts as not reached, even if it answers probes. */
+    private boolean reached(WorkerLink link, long now) {
+        long maxRelayedMs = MAX_RELAYED_LEASES * config.workerLeaseMs();
+        boolean relayedForLong = link.relayedSince >= 0 && now - link.relayedSince > maxRelayedMs;
+        return !relayedForLong && link.probeAnsweredAt > link.probeFailedAt;
     }
 
-    /** Another controller's share; empty: it has said too little. */
-    OptionalDouble peerShare(PeerView peer) {
-        double suspects = suspectShare();
-        OptionalDouble ofSuspects =
-                share(planner.sampledSuspects(), l -> peer.outboundKnown(l.name), l -> peer.reaches(l.name));
-        OptionalDouble ofSound =
-                share(planner.sampledHealthy(), l -> peer.outboundKnown(l.name), l -> peer.reaches(l.name));
-        if (suspects > 0 && ofSuspects.isEmpty() || suspects < 1 && ofSound.isEmpty()) {
+    /** Another controller's share, by its view; empty: too little is known. */
+    OptionalDouble peerShare(PeerView view) {
+        double suspectShare = suspectShare();
+        OptionalDouble reachedSuspects = reachedShare(planner.sampledSuspects(), view);
+        OptionalDouble reachedHealthy = reachedShare(planner.sampledHealthy(), view);
+        boolean unknown = suspectShare > 0 && reachedSuspects.isEmpty() || suspectShare < 1 && reachedHealthy.isEmpty();
+        if (unknown) {
             return OptionalDouble.empty();
         }
-        return OptionalDouble.of(Math.min(1, suspects * ofSuspects.orElse(0) + (1 - suspects) * ofSound.orElse(0)));
+        double share = suspectShare * reachedSuspects.orElse(0) + (1 - suspectShare) * reachedHealthy.orElse(0);
+        return OptionalDouble.of(Math.min(1, share));
     }
 
-    /** The share of a sample that is reached; empty where half of the sample is not known. */
-    private static OptionalDouble share(
+    private static OptionalDouble reachedShare(Collection<WorkerLink> sample, PeerView view) {
+        return reachedShare(sample, link -> view.outboundKnown(link.name), link -> view.reaches(link.name));
+    }
+
+    /** The reached share of a sample; empty where less than half of the sample is known. */
+    private static OptionalDouble reachedShare(
             Collection<WorkerLink> sample, Predicate<WorkerLink> known, Predicate<WorkerLink> reached) {
-        int knownCount = 0;
-        int reachedCount = 0;
-        for (WorkerLink link : sample) {
-            if (known.test(link)) {
-                knownCount++;
-                reachedCount += reached.test(link) ? 1 : 0;
-            }
-        }
-        return knownCount == 0 || 2 * knownCount < Math.min(sample.size(), ProbePlanner.SAMPLE_SIZE)
-                ? OptionalDouble.empty()
-                : OptionalDouble.of(reachedCount / (double) knownCount);
+        long knownCount = sample.stream().filter(known).count();
+        long reachedCount = sample.stream().filter(known.and(reached)).count();
+        boolean tooFewKnown = knownCount == 0 || 2 * knownCount < Math.min(sample.size(), ProbePlanner.SAMPLE_SIZE);
+        return tooFewKnown ? OptionalDouble.empty() : OptionalDouble.of(reachedCount / (double) knownCount);
     }
 }
--- a/src/main/java/stileferry/connectivity/SentViewLog.java
+++ b/src/main/java/stileferry/connectivity/SentViewLog.java
@@ -1,8 +1,8 @@
 package stileferry.connectivity;
 
 /**
- * When this controller's own views were sent, as far back as it matters. Whoever has seen one of them said whatever it
- * says after that moment, which dates it without a clock that both have.
+ * When this controller's last views were sent. A view of another controller that acknowledges one of them is newer than
+ * that, which bounds its age without comparing clocks.
  */
 final class SentViewLog {
     private static final int CAPACITY = 256;
@@ -10,7 +10,7 @@
     private final long[] sentAt = new long[CAPACITY];
     private long newestSequence;
 
-    /** The number of the next view, which is sent now. */
+    /** Records that a view is sent now; returns its sequence number. */
     long record(long now) {
         newestSequence++;
         sentAt[(int) (newestSequence % CAPACITY)] = now;
@@ -21,10 +21,10 @@
         return newestSequence;
     }
 
-    /** When a view was sent; -1: never, or too long ago to be remembered. */
-    long sentAt(long number) {
-        return number <= 0 || number > newestSequence || number <= newestSequence - CAPACITY
+    /** When a view was sent; -1: it was not, or it is no longer in the log. */
+    long sentAt(long sequence) {
+        return sequence <= 0 || sequence > newestSequence || sequence <= newestSequence - CAPACITY
                 ? -1
-                : sentAt[(int) (number % CAPACITY)];
+                : sentAt[(int) (sequence % CAPACITY)];
     }
 }
--- a/src/main/java/stileferry/connectivity/ViewCodec.java
+++ b/src/main/java/stileferry/connectivity/ViewCodec.java
@@ -16,19 +16,19 @@
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 import stileferry.validation.InvalidInputException;
 
-/** Views as bytes. What follows the known fields is not looked at, so later versions may add to them. */
+/** The binary encoding of views. Bytes after the known fields are ignored, so that later versions may append fields. */
 public final class ViewCodec {
     private static final byte FORMAT_VERSION = 1;
 
     private ViewCodec() {}
 
-    /** Writes a view. */
+    /** Encodes a view. */
     public static byte[] write(ReachabilityView view) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORMAT_VERSION);
             writeHeader(out, view.header());
-            writeStanding(out, view.senderHealth());
+            writeHealth(out, view.senderHealth());
             writeWorkers(out, view.workers());
             out.writeInt(view.probes().size());
             for (ProbeTarget target : view.probes()) {
@@ -43,19 +43,19 @@
         return bytes.toByteArray();
     }
 
-    /** Reads a view; throws {@link InvalidInputException} for what is none. */
+    /** Decodes a view; throws {@link InvalidInputException} for malformed bytes. */
     public static ReachabilityView read(byte[] bytes) {
         InvalidInputException.require(bytes != null, "view", "missing");
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             InvalidInputException.require(in.readByte() == FORMAT_VERSION, "view", "not a form that is known");
             Header header = readHeader(in);
-            ControllerHealth standing = readStanding(in);
+            ControllerHealth health = readHealth(in);
             WorkerChanges workers = readWorkers(in);
             List<ProbeTarget> probes = new ArrayList<>();
-            for (int n = readCount(in); n > 0; n--) {
+            for (int remaining = readCount(in); remaining > 0; remaining--) {
                 probes.add(new ProbeTarget(in.readUTF(), in.readUTF()));
             }
-            return new ReachabilityView(header, standing, workers, probes, readHandover(in), in.readLong());
+            return new ReachabilityView(header, health, workers, probes, readHandover(in), in.readLong());
         } catch (IOException | IndexOutOfBoundsException | NegativeArraySizeException e) {
             throw new InvalidInputException("view", "can't be read: " + e);
         }
@@ -86,13 +86,13 @@
                 in.readInt());
     }
 
-    private static void writeStanding(DataOutputStream out, ControllerHealth standing) throws IOException {
-        out.writeBoolean(standing.storeReachable());
-        out.writeBoolean(standing.lagging());
-        writeNames(out, standing.reachablePeers());
+    private static void writeHealth(DataOutputStream out, ControllerHealth health) throws IOException {
+        out.writeBoolean(health.storeReachable());
+        out.writeBoolean(health.lagging());
+        writeNames(out, health.reachablePeers());
     }
 
-    private static ControllerHealth readStanding(DataInputStream in) throws IOException {
+    private static ControllerHealth readHealth(DataInputStream in) throws IOException {
         return new ControllerHealth(in.readBoolean(), in.readBoolean(), readNames(in));
     }
 
@@ -114,21 +114,21 @@
                 in.readLong(),
                 in.readLong(),
                 readNames(in),
-                readIds(in),
-                readIds(in),
-                readIds(in),
-                readIds(in),
-                readIds(in));
+                readBitmap(in),
+                readBitmap(in),
+                readBitmap(in),
+                readBitmap(in),
+                readBitmap(in));
     }
 
-    private static RoaringBitmap readIds(DataInputStream in) throws IOException {
-        RoaringBitmap numbers = new RoaringBitmap();
+    private static RoaringBitmap readBitmap(DataInputStream in) throws IOException {
+        RoaringBitmap bitmap = new RoaringBitmap();
         try {
-            numbers.deserialize(in);
-        } catch (RuntimeException e) {
+            bitmap.deserialize(in);
+        } catch (RuntimeException e) { // malformed bytes raise several unchecked types
             throw new IOException("not a set of numbers", e);
         }
-        return numbers;
+        return bitmap;
     }
 
     private static void writeNames(DataOutputStream out, List<String> names) throws IOException {
@@ -140,13 +140,13 @@
 
     private static List<String> readNames(DataInputStream in) throws IOException {
         List<String> names = new ArrayList<>();
-        for (int n = readCount(in); n > 0; n--) {
+        for (int remaining = readCount(in); remaining > 0; remaining--) {
             names.add(in.readUTF());
         }
         return names;
     }
 
-    /** A count of things that take two bytes each at least. */
+    /** Reads the size of a list whose elements take at least two bytes each. */
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available() / 2) {
--- a/src/main/java/stileferry/connectivity/ViewSynchronizer.java
+++ b/src/main/java/stileferry/connectivity/ViewSynchronizer.java
@@ -33,7 +33,7 @@
     ReachabilityView viewFor(PeerLink peer) {
         return viewBuilder.build(
                 peer,
-                new ViewBuilder.Self(incarnation, leadership.term(), leadership.leader()),
+                new ViewBuilder.Sender(incarnation, leadership.term(), leadership.leader()),
                 links.health(),
                 links.leading() ? probePlanner.currentTargets() : List.of(),
                 links.leading() ? leadership.handover().notice() : null,
--- a/src/main/java/stileferry/connectivity/WorkerHeartbeat.java
+++ b/src/main/java/stileferry/connectivity/WorkerHeartbeat.java
@@ -3,16 +3,16 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * What a worker's report says of its links.
+ * What a worker's heartbeat says of its links.
  *
  * @param worker the worker's name
- * @param address where requests reach it
- * @param incarnation the number of its session
- * @param sequence the number of its message, higher than those before in the session
- * @param acceptedTerm whether it has accepted the receiver's term
+ * @param address the address of its agent
+ * @param incarnation the incarnation of its agent
+ * @param sequence the number of the heartbeat, ascending within the incarnation
+ * @param acceptedTerm whether it has accepted the receiver's term as the newest
  */
 public record WorkerHeartbeat(String worker, String address, long incarnation, long sequence, boolean acceptedTerm) {
-    /** Checks what must hold for any report. */
+    /** Throws for missing names and negative numbers. */
     public WorkerHeartbeat {
         InvalidInputException.requireName(worker, "worker");
         InvalidInputException.require(address != null, "address", "missing");
