--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -117,7 +117,7 @@
 
     // ---- what the controller observes
 
-    private static WorkerHeartbeat workerReport(Heartbeat heartbeat, boolean acceptedTerm) {
+    private static WorkerHeartbeat workerHeartbeat(Heartbeat heartbeat, boolean acceptedTerm) {
         return new WorkerHeartbeat(
                 heartbeat.machine(),
                 heartbeat.address(),
@@ -129,7 +129,7 @@
     @Override
     public void heartbeatReceived(Heartbeat heartbeat) {
         if (!heartbeat.machine().isEmpty()) {
-            connectivity.heartbeatReceived(workerReport(heartbeat, false), environment.now());
+            connectivity.heartbeatReceived(workerHeartbeat(heartbeat, false), environment.now());
         }
     }
 
@@ -141,9 +141,9 @@
         long now = environment.now();
         workerByAddress.forcePut(heartbeat.address(), heartbeat.machine());
         if (relayed) {
-            connectivity.relayedHeartbeatReceived(workerReport(heartbeat, heartbeat.fencingToken() >= term), now);
+            connectivity.relayedHeartbeatReceived(workerHeartbeat(heartbeat, heartbeat.fencingToken() >= term), now);
         } else {
-            connectivity.heartbeatReceived(workerReport(heartbeat, heartbeat.fencingToken() >= term), now);
+            connectivity.heartbeatReceived(workerHeartbeat(heartbeat, heartbeat.fencingToken() >= term), now);
             connectivity.heartbeatAnswered(heartbeat.machine(), now);
         }
     }
