--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -17,13 +17,13 @@
 import net.jqwik.api.constraints.Size;
 import org.roaringbitmap.RoaringBitmap;
 
-/** What must hold for any sequence of events. */
+/** Properties that hold for any sequence of events. */
 class ConnectivityPropertiesTest {
-    private static final ConnectivityConfig A = new ConnectivityConfig("a", List.of("b"), 1000, 10_000, 1500);
-    private static final ConnectivityConfig B = new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500);
+    private static final ConnectivityConfig CONFIG_OF_A = new ConnectivityConfig("a", List.of("b"), 1000, 10_000, 1500);
+    private static final ConnectivityConfig CONFIG_OF_B = new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500);
     private static final int WORKERS = 12;
 
-    /** What a view holds of each worker, as the collector has it. */
+    /** What the merged view says of each worker. */
     private static TreeMap<String, String> known(PeerView view) {
         TreeMap<String, String> known = new TreeMap<>();
         for (int i = 0; i < WORKERS; i++) {
@@ -33,7 +33,7 @@
         return known;
     }
 
-    private static void change(Connectivity links, int event, long now) {
+    private static void apply(Connectivity links, int event, long now) {
         String worker = "w" + event % WORKERS;
         switch (event / WORKERS % 5) {
             case 0 -> links.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
@@ -44,19 +44,19 @@
         }
     }
 
-    /** Views that arrive in any order, some of them twice and some never, lead to the same once all has been said. */
+    /** Views that arrive in any order, some of them twice and some never, converge after one more complete view. */
     @Property(tries = 300)
-    void viewsMergeInAnyOrderToTheSame(
+    void viewsConvergeInAnyOrder(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 59) Integer> events,
             @ForAll @LongRange(min = 0, max = 1_000_000) long shuffle) {
-        Connectivity sender = new Connectivity(A, 5, 0);
+        Connectivity sender = new Connectivity(CONFIG_OF_A, 5, 0);
         sender.elected(1, 0);
-        Connectivity inOrder = new Connectivity(B, 6, 0);
+        Connectivity inOrder = new Connectivity(CONFIG_OF_B, 6, 0);
         PeerView shuffled = new PeerView();
         List<ReachabilityView> views = new ArrayList<>();
         long now = 1;
         for (int event : events) {
-            change(sender, event, now);
+            apply(sender, event, now);
             ReachabilityView view = sender.viewFor("b", now);
             views.add(view);
             inOrder.receive(ViewCodec.read(ViewCodec.write(view)), now);
@@ -71,7 +71,7 @@
         Collections.shuffle(late, random);
         late.subList(0, random.nextInt(late.size())).forEach(view -> shuffled.merge(view, -1));
 
-        // whoever lacks something says so, and gets it
+        // the next view contains what the receiver has not acknowledged
         PeerView fresh = new PeerView();
         ReachabilityView rest = viewFrom(sender, shuffled, now);
         shuffled.merge(rest, -1);
@@ -79,8 +79,8 @@
         assertEquals(known(fresh), known(shuffled));
     }
 
-    /** What the sender says to a receiver that has this. */
-    private static ReachabilityView viewFrom(Connectivity sender, PeerView has, long now) {
+    /** The next view for a receiver with these acknowledgements. */
+    private static ReachabilityView viewFrom(Connectivity sender, PeerView receiver, long now) {
         ReachabilityView.Header header = new ReachabilityView.Header(
                 "b",
                 1000 + now,
@@ -89,8 +89,8 @@
                 "",
                 sender.viewFor("b", now).header().incarnation(),
                 1,
-                has.version(),
-                has.epoch());
+                receiver.version(),
+                receiver.epoch());
         ReachabilityView.WorkerChanges nothing =
                 new ReachabilityView.WorkerChanges(1, 0, 0, List.of(), empty(), empty(), empty(), empty(), empty());
         sender.receive(
@@ -109,14 +109,14 @@
         return new RoaringBitmap();
     }
 
-    /** Whatever links do, leadership is released within the stated bound, and somebody leads when they are mended. */
+    /** Whatever the links do, releases are rate-limited, and there is a leader after the links recover. */
     @Property(tries = 40)
-    void leadershipDoesNotWander(
+    void leadershipDoesNotFlap(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
             @ForAll @Size(min = 5, max = 40) List<@IntRange(min = 0, max = 63) Integer> cuts,
             @ForAll @IntRange(min = 200, max = 4000) int periodMs) {
         ExampleHost host = new ExampleHost(seed, 9);
-        host.lateCopies = 0.2;
+        host.lateCopyShare = 0.2;
         host.play(10);
         for (int cut : cuts) {
             host.passes = (from, to) -> !broken(cut, from, to) && !broken(cut, to, from);
@@ -129,67 +129,70 @@
         }
         host.passes = (from, to) -> true;
         host.play(15);
-        assertTrue(host.leader() != null, "nobody leads with all links mended");
+        assertTrue(host.leader() != null, "no leader with all links working");
     }
 
-    /** Each bit of the number breaks one kind of link of one controller. */
+    /** Each bit of {@code cut} cuts one kind of link of one controller. */
     private static boolean broken(int cut, String from, String to) {
-        boolean a = from.equals("a");
-        boolean b = from.equals("b");
-        return a && (cut & 1) != 0 && to.startsWith("worker")
-                || a && (cut & 2) != 0 && to.equals("b")
-                || b && (cut & 4) != 0 && to.startsWith("worker")
-                || b && (cut & 8) != 0 && to.equals("c")
-                || a && (cut & 16) != 0 && to.equals("store")
-                || b && (cut & 32) != 0 && to.equals("store");
+        boolean fromA = from.equals("a");
+        boolean fromB = from.equals("b");
+        return fromA && (cut & 1) != 0 && to.startsWith("worker")
+                || fromA && (cut & 2) != 0 && to.equals("b")
+                || fromB && (cut & 4) != 0 && to.startsWith("worker")
+                || fromB && (cut & 8) != 0 && to.equals("c")
+                || fromA && (cut & 16) != 0 && to.equals("store")
+                || fromB && (cut & 32) != 0 && to.equals("store");
     }
 
-    /** The gate never opens on an answer of the state service that is older than its bound, nor during a handover. */
+    /** No decision is permitted during a handover, or when the state service's last answer is too old. */
     @Property
-    void theGateNeverOpensOnAnOldView(
+    void decisionsAreWithheldOnStaleEvidence(
             @ForAll Decision decision,
             @ForAll boolean leading,
             @ForAll boolean handingOver,
             @ForAll @LongRange(min = -1, max = 10_000) long storeAgeMs,
             @ForAll boolean many,
             @ForAll @LongRange(min = 0, max = 20_000) long manyMs) {
-        Verdict verdict =
-                new DecisionGate(A).check(decision, new LinkEvidence(leading, handingOver, storeAgeMs, many, manyMs));
-        boolean mayOpen = leading && !handingOver && storeAgeMs >= 0 && storeAgeMs <= A.storeAnswerMaxAgeMs();
-        assertFalse(verdict.allowed() && !mayOpen);
+        Verdict verdict = new DecisionGate(CONFIG_OF_A)
+                .check(decision, new LinkEvidence(leading, handingOver, storeAgeMs, many, manyMs));
+        boolean mayPermit =
+                leading && !handingOver && storeAgeMs >= 0 && storeAgeMs <= CONFIG_OF_A.storeAnswerMaxAgeMs();
+        assertFalse(verdict.allowed() && !mayPermit);
         assertTrue(verdict.allowed() || !verdict.reason().isEmpty());
-        assertTrue(verdict.allowed() || verdict.retryAfterMs() > 0, "when to come back is always said");
-        boolean patient = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
-        assertTrue(verdict.allowed() || !mayOpen || patient && many && manyMs < 4 * A.heartbeatIntervalMs());
+        assertTrue(verdict.allowed() || verdict.retryAfterMs() > 0, "retryAfterMs is set");
+        boolean waitsForSuspects = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
+        assertTrue(verdict.allowed()
+                || !mayPermit
+                || waitsForSuspects && many && manyMs < 4 * CONFIG_OF_A.heartbeatIntervalMs());
     }
 
-    /** A silence that lasts longer is never less suspect, whatever was measured. */
+    /** A longer silence is never less suspect, whatever intervals were measured. */
     @Property
-    void suspicionGrowsWithSilence(
+    void suspicionLevelGrowsWithSilence(
             @ForAll @Size(max = 200) List<@DoubleRange(min = 0, max = 5000) Double> intervals,
             @ForAll @DoubleRange(min = 0, max = 50_000) double silence,
             @ForAll @DoubleRange(min = 0, max = 50_000) double more) {
-        PhiAccrualEstimator statistics = new PhiAccrualEstimator(1000);
-        intervals.forEach(statistics::addInterval);
-        double shorter = statistics.suspicionLevel(silence);
-        assertTrue(shorter >= 0 && statistics.suspicionLevel(silence + more) >= shorter);
-        double bound = statistics.timeoutMs(5);
-        assertTrue(statistics.suspicionLevel(bound) >= 5 && bound > statistics.meanMs());
+        PhiAccrualEstimator estimator = new PhiAccrualEstimator(1000);
+        intervals.forEach(estimator::addInterval);
+        double shorter = estimator.suspicionLevel(silence);
+        assertTrue(shorter >= 0 && estimator.suspicionLevel(silence + more) >= shorter);
+        double timeoutMs = estimator.timeoutMs(5);
+        assertTrue(estimator.suspicionLevel(timeoutMs) >= 5 && timeoutMs > estimator.meanMs());
     }
 
-    /** The order of controllers is total, and nobody is clearly better than who is clearly better than them. */
+    /** No two candidates are equal, and none is clearly better than one that is clearly better than it. */
     @Property
-    void suitabilityIsATotalOrder(
+    void candidatesAreTotallyOrdered(
             @ForAll boolean storeA,
             @ForAll boolean storeB,
             @ForAll @DoubleRange(min = 0, max = 1) double shareA,
             @ForAll @DoubleRange(min = 0, max = 1) double shareB,
-            @ForAll boolean busyA,
-            @ForAll boolean busyB) {
-        LeaderCandidate a = new LeaderCandidate("a", storeA, shareA, busyA, 1);
-        LeaderCandidate b = new LeaderCandidate("b", storeB, shareB, busyB, 1);
-        assertEquals(Integer.signum(a.compareTo(b)), -Integer.signum(b.compareTo(a)));
-        assertTrue(a.compareTo(b) != 0);
-        assertFalse(a.clearlyBetterThan(b) && b.clearlyBetterThan(a));
+            @ForAll boolean laggingA,
+            @ForAll boolean laggingB) {
+        LeaderCandidate first = new LeaderCandidate("a", storeA, shareA, laggingA, 1);
+        LeaderCandidate second = new LeaderCandidate("b", storeB, shareB, laggingB, 1);
+        assertEquals(Integer.signum(first.compareTo(second)), -Integer.signum(second.compareTo(first)));
+        assertTrue(first.compareTo(second) != 0);
+        assertFalse(first.clearlyBetterThan(second) && second.clearlyBetterThan(first));
     }
 }
--- a/src/test/java/stileferry/connectivity/ExampleHost.java
+++ b/src/test/java/stileferry/connectivity/ExampleHost.java
@@ -11,12 +11,12 @@
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 
 /**
- * An example of a host program: three controllers in one process, with a clock and a transport of their own and no part
- * of the service but this package. Leadership is a variable here, as a lock service would hold it.
+ * An example of a host program: three controllers in one process on a simulated clock and network, without any other
+ * package of the service. A variable holds the leadership in place of a lock service.
  */
 final class ExampleHost {
-    static final long REPORT_MS = 1000;
-    static final long LEASE_MS = 10_000;
+    static final long HEARTBEAT_INTERVAL_MS = 1000;
+    static final long WORKER_LEASE_MS = 10_000;
     static final long LEADER_LEASE_MS = 1500;
     private static final String STORE = "store";
 
@@ -25,20 +25,20 @@
     final SplittableRandom random;
     long now = 1;
 
-    /** Whether what the first sends reaches the second. */
+    /** Whether messages from the first to the second arrive. */
     BiPredicate<String, String> passes = (from, to) -> true;
 
-    /** The share of views that come again, much later. */
-    double lateCopies;
+    /** The share of views of which a copy arrives much later. */
+    double lateCopyShare;
 
     private final int workers;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long eventNumbers;
+    private long nextEventNumber;
     private String leader = "";
     private long term;
-    private long heldUntil;
+    private long leaseEndsAt;
 
-    /** Something that happens at some time. */
+    /** A scheduled task; {@code number} orders those of one time. */
     private record Event(long at, long number, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -51,51 +51,49 @@
         final String name;
         final Connectivity connectivity;
         final Map<String, Long> sequences = new TreeMap<>();
-        long viewBytes;
-        long probesSent;
         long released;
 
         Member(String name, List<String> peers) {
             this.name = name;
-            ConnectivityConfig config = new ConnectivityConfig(name, peers, REPORT_MS, LEASE_MS, LEADER_LEASE_MS);
+            ConnectivityConfig config =
+                    new ConnectivityConfig(name, peers, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS, LEADER_LEASE_MS);
             this.connectivity = new Connectivity(config, 1 + random.nextInt(1000), now);
         }
 
         private void tick() {
-            after(REPORT_MS / 3, this::tick);
+            after(HEARTBEAT_INTERVAL_MS / 3, this::tick);
             if (passes.test(name, STORE) && passes.test(STORE, name)) {
                 connectivity.storeAnswered(now);
-                lead();
+                campaignOrRenew();
             } else {
                 connectivity.storeFailed(FailureKind.UNANSWERED, now);
             }
             members.values().stream().filter(peer -> peer != this).forEach(this::exchange);
             for (ProbeTarget target : connectivity.takeDueProbes(8, now)) {
-                probesSent++;
-                boolean reached = passes.test(name, target.worker()) && passes.test(target.worker(), name);
-                after(5, () -> answer(target.worker(), reached));
+                boolean answered = passes.test(name, target.worker()) && passes.test(target.worker(), name);
+                after(5, () -> probeCompleted(target.worker(), answered));
             }
-            follow(connectivity.advise(now));
+            followAdvice(connectivity.advise(now));
         }
 
-        private void answer(String worker, boolean reached) {
-            if (reached) {
+        private void probeCompleted(String worker, boolean answered) {
+            if (answered) {
                 connectivity.workerRequestAnswered(worker, true, now);
             } else {
                 connectivity.workerRequestFailed(worker, true, now);
             }
         }
 
-        private void lead() {
+        private void campaignOrRenew() {
             if (leader.equals(name)) {
-                heldUntil = now + LEADER_LEASE_MS;
-            } else if (now > heldUntil && connectivity.electionDelayMs(now) == 0) {
+                leaseEndsAt = now + LEADER_LEASE_MS;
+            } else if (now > leaseEndsAt && connectivity.electionDelayMs(now) == 0) {
                 if (!leader.isEmpty()) {
                     members.get(leader).connectivity.deposed(true, now);
                 }
                 leader = name;
                 leaders.add(name);
-                heldUntil = now + LEADER_LEASE_MS;
+                leaseEndsAt = now + LEADER_LEASE_MS;
                 connectivity.elected(++term, now);
                 for (int i = 0; i < workers; i++) {
                     connectivity.workerExpected("worker-" + i, "worker-" + i, now);
@@ -104,36 +102,34 @@
         }
 
         private void exchange(Member peer) {
-            byte[] words = ViewCodec.write(connectivity.viewFor(peer.name, now));
-            viewBytes += words.length;
+            byte[] view = ViewCodec.write(connectivity.viewFor(peer.name, now));
             if (!passes.test(name, peer.name)) {
                 connectivity.peerRequestFailed(peer.name, FailureKind.UNANSWERED, now);
                 return;
             }
-            after(2, () -> peer.hear(this, words));
-            if (random.nextDouble() < lateCopies) {
-                after(LEASE_MS + random.nextLong(LEASE_MS), () -> peer.hear(this, words));
+            after(2, () -> peer.receiveView(this, view));
+            if (random.nextDouble() < lateCopyShare) {
+                after(WORKER_LEASE_MS + random.nextLong(WORKER_LEASE_MS), () -> peer.receiveView(this, view));
             }
         }
 
-        private void hear(Member from, byte[] words) {
-            connectivity.receive(ViewCodec.read(words), now);
+        private void receiveView(Member from, byte[] view) {
+            connectivity.receive(ViewCodec.read(view), now);
             connectivity.peerMessageReceived(from.name, now);
-            byte[] answer = ViewCodec.write(connectivity.viewFor(from.name, now));
-            viewBytes += answer.length;
+            byte[] reply = ViewCodec.write(connectivity.viewFor(from.name, now));
             if (passes.test(name, from.name)) {
                 after(2, () -> {
-                    from.connectivity.receive(ViewCodec.read(answer), now);
+                    from.connectivity.receive(ViewCodec.read(reply), now);
                     from.connectivity.peerRequestAnswered(name, now);
                 });
             }
         }
 
-        private void follow(LeadershipAdvice advice) {
-            boolean leads = leader.equals(name) && now <= heldUntil;
-            if (leads && advice.action() == LeadershipAdvice.Action.STEP_DOWN) {
+        private void followAdvice(LeadershipAdvice advice) {
+            boolean leading = leader.equals(name) && now <= leaseEndsAt;
+            if (leading && advice.action() == LeadershipAdvice.Action.STEP_DOWN) {
                 release();
-            } else if (leads && advice.action() == LeadershipAdvice.Action.HAND_OVER) {
+            } else if (leading && advice.action() == LeadershipAdvice.Action.HAND_OVER) {
                 connectivity.beginHandover(advice.nominee(), now);
                 if (connectivity.advanceHandover(0, now) == HandoverAction.RELEASE) {
                     release();
@@ -146,11 +142,11 @@
             connectivity.deposed(false, now);
             connectivity.leadershipReleased(now);
             leader = "";
-            heldUntil = now;
+            leaseEndsAt = now;
         }
 
-        /** A report of a worker, straight from it. */
-        private boolean report(String worker) {
+        /** A heartbeat arrives from a worker, unless it is lost; returns whether the answer arrives. */
+        private boolean receiveHeartbeat(String worker) {
             long sequence = sequences.merge(worker, 1L, Long::sum);
             if (!passes.test(worker, name)) {
                 return false;
@@ -170,28 +166,30 @@
         for (String name : names) {
             members.put(
                     name,
-                    new Member(name, names.stream().filter(n -> !n.equals(name)).toList()));
+                    new Member(
+                            name,
+                            names.stream().filter(peer -> !peer.equals(name)).toList()));
         }
         members.values().forEach(member -> after(random.nextLong(100), member::tick));
         for (int i = 0; i < workers; i++) {
             String worker = "worker-" + i;
-            after(random.nextLong(REPORT_MS), () -> report(worker));
+            after(random.nextLong(HEARTBEAT_INTERVAL_MS), () -> sendHeartbeat(worker));
         }
     }
 
-    private void report(String worker) {
-        after(REPORT_MS * 3 / 4 + random.nextLong(REPORT_MS / 2), () -> report(worker));
-        Member to = members.get(leader);
-        if (to != null) {
-            to.report(worker);
+    private void sendHeartbeat(String worker) {
+        after(HEARTBEAT_INTERVAL_MS * 3 / 4 + random.nextLong(HEARTBEAT_INTERVAL_MS / 2), () -> sendHeartbeat(worker));
+        Member receiver = members.get(leader);
+        if (receiver != null) {
+            receiver.receiveHeartbeat(worker);
         }
     }
 
-    void after(long ms, Runnable task) {
-        events.add(new Event(now + ms, eventNumbers++, task));
+    void after(long delayMs, Runnable task) {
+        events.add(new Event(now + delayMs, nextEventNumber++, task));
     }
 
-    /** Plays so many seconds. */
+    /** Runs the simulation for so many seconds. */
     void play(double seconds) {
         long end = now + Math.round(1000 * seconds);
         while (!events.isEmpty() && events.peek().at <= end) {
@@ -202,16 +200,12 @@
         now = end;
     }
 
-    /** Who leads; null: nobody. */
+    /** Null: there is no leader. */
     Member leader() {
         return members.get(leader);
     }
 
-    int workers() {
-        return workers;
-    }
-
-    /** Cuts one member off from all workers, or mends that. */
+    /** Cuts one member off from all workers; {@code cut} false: restores all links. */
     void cutFromWorkers(String member, boolean cut) {
         passes = cut
                 ? (from, to) -> !(from.equals(member) && to.startsWith("worker"))
