--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -60,16 +60,14 @@
     public void peerRequestAnswered(String peer, long time) {
         PeerLink link = links.peers.get(peer);
         links.advance(time);
-        link.everReachable = true;
-        link.outbound.succeeded(links.now());
+        link.requestAnswered(links.now());
     }
 
     /** Another controller sent a request to this one. */
     public void peerMessageReceived(String peer, long time) {
         PeerLink link = links.peers.get(peer);
         links.advance(time);
-        link.everReachable = true;
-        link.inbound.succeeded(links.now());
+        link.messageReceived(links.now());
     }
 
     /** A request to another controller failed. */
--- a/src/main/java/stileferry/connectivity/LinkFailureDetector.java
+++ b/src/main/java/stileferry/connectivity/LinkFailureDetector.java
@@ -17,9 +17,9 @@
     private FailureKind lastFailure;
 
     /** A link that is expected to succeed once every {@code expectedIntervalMs}. */
-    LinkFailureDetector(long expectedMs, long now) {
-        this.expectedIntervalMs = expectedMs;
-        this.intervals = new PhiAccrualEstimator(expectedMs);
+    LinkFailureDetector(long expectedIntervalMs, long now) {
+        this.expectedIntervalMs = expectedIntervalMs;
+        this.intervals = new PhiAccrualEstimator(expectedIntervalMs);
         this.startedAt = now;
     }
 
@@ -62,7 +62,7 @@
         return intervals.suspicionLevel(Math.max(0, now - silentSince - eventLoopLagMs));
     }
 
-    /** What is known of the link. */
+    /** The condition of the link, by its suspicion level. */
     LinkCondition condition(long now, long eventLoopLagMs) {
         if (suspicionLevel(now, eventLoopLagMs) >= SUSPICION_THRESHOLD) {
             return LinkCondition.FAILING;
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -20,6 +20,8 @@
     private long eventLoopLagMs;
     private long laggingUntil = -1;
     private boolean leading;
+
+    /** Since when half of all workers are suspect while this controller leads; -1: they are not. */
     private long manySuspectsSince = -1;
 
     ObservedLinks(ConnectivityConfig config, long now) {
@@ -57,9 +59,7 @@
     void eventLoopLagMeasured(long lagMs, boolean behind) {
         eventLoopLagMs = lagMs;
         if (behind) {
-            laggingUntil = now
-                    + LAGGING_HEARTBEATS
-                            * config.heartbeatIntervalMs(); // what it has left undone meanwhile is still to come
+            laggingUntil = now + LAGGING_HEARTBEATS * config.heartbeatIntervalMs();
         }
     }
 
@@ -73,6 +73,7 @@
         }
     }
 
+    /** Whether the state service answers this controller. */
     boolean storeReachable() {
         return store.condition(now, eventLoopLagMs) == LinkCondition.GOOD
                 && store.consecutiveFailures() < MAX_STORE_FAILURES;
@@ -86,10 +87,14 @@
     void detectSilentWorkers() {
         workers.detectSilent(now, eventLoopLagMs);
         boolean many = leading && 2 * workers.suspectCount() >= Math.max(2, workers.count());
-        manySuspectsSince = !many ? -1 : manySuspectsSince >= 0 ? manySuspectsSince : now;
+        if (!many) {
+            manySuspectsSince = -1;
+        } else if (manySuspectsSince < 0) {
+            manySuspectsSince = now;
+        }
     }
 
-    /** What decisions are checked against. */
+    /** What is known of the links when a decision is checked. */
     LinkEvidence evidence(boolean handingOver) {
         return new LinkEvidence(
                 leading,
--- a/src/main/java/stileferry/connectivity/PeerLink.java
+++ b/src/main/java/stileferry/connectivity/PeerLink.java
@@ -14,7 +14,7 @@
     final LinkFailureDetector outbound;
 
     /** Whether it has ever sent or answered anything. */
-    boolean everReachable;
+    private boolean everReachable;
 
     /** The version of this controller's workers that it has, in the numbering of {@link #ackedEpoch}. */
     long ackedVersion;
@@ -30,6 +30,18 @@
         this.outbound = new LinkFailureDetector(config.exchangeIntervalMs(false), now);
     }
 
+    /** It answered a request. */
+    void requestAnswered(long now) {
+        everReachable = true;
+        outbound.succeeded(now);
+    }
+
+    /** It sent a request. */
+    void messageReceived(long now) {
+        everReachable = true;
+        inbound.succeeded(now);
+    }
+
     /** Notes what a view acknowledges; what belongs to another incarnation of this controller is void. */
     void acknowledge(Header header, long ownIncarnation) {
         boolean current = header.ackedIncarnation() == ownIncarnation;
@@ -37,6 +49,11 @@
         ackedEpoch = current ? header.ackedEpoch() : 0;
     }
 
+    /** Whether it has ever sent or answered anything. */
+    boolean everReachable() {
+        return everReachable;
+    }
+
     /** Whether messages pass in either direction. */
     boolean reachable(long now, long eventLoopLagMs) {
         return everReachable
--- a/src/main/java/stileferry/connectivity/PeerLinks.java
+++ b/src/main/java/stileferry/connectivity/PeerLinks.java
@@ -47,7 +47,7 @@
 
     /** Whether other controllers were reachable before and none is now. */
     boolean allLost(long now, long eventLoopLagMs) {
-        return peers.values().stream().anyMatch(peer -> peer.everReachable)
+        return peers.values().stream().anyMatch(PeerLink::everReachable)
                 && reachable(now, eventLoopLagMs).isEmpty();
     }
 
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -103,8 +103,8 @@
         return heartbeatAnsweredAt >= 0 && heartbeatAnsweredAt >= directHeartbeatAt;
     }
 
-    /** Whether its last direct heartbeat was answered and it has gone to another controller all the same. */
+    /** Whether its last direct heartbeat was answered and its heartbeats are relayed only from now on. */
     boolean leftDespiteAnswers() {
-        return directHeartbeatAt >= 0 && heartbeatAnsweredAt >= directHeartbeatAt && relayedSince < 0;
+        return directHeartbeatAt >= 0 && lastHeartbeatAnswered() && relayedSince < 0;
     }
 }
