--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -4,66 +4,49 @@
 import static stileferry.validation.InvalidInputException.requireName;
 import static stileferry.validation.InvalidInputException.requireTime;
 
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import stileferry.connectivity.ReachabilityView.Header;
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 
 /**
- * What one controller knows of all links, and what follows from it. A host program tells it what it sees, with the time
- * of a steady clock in milliseconds, carries its views to the other controllers and back, and asks it for advice.
+ * What one controller knows of the links between controllers, workers and the state service, and what follows from it
+ * for the leadership. A host program reports what it observes, carries this controller's views to the other controllers
+ * and theirs back, and asks for advice and permissions.
  *
- * <p>Not safe for use by several threads. Input that can't be right throws {@code InvalidInputException} and changes
- * nothing. A time before the last one counts as the last one.
+ * <p>All times are milliseconds of a monotonic clock; one before the last counts as the last. Not thread-safe. Invalid
+ * input, including the name of an unknown controller, throws {@code InvalidInputException} and changes nothing.
  */
 public final class Connectivity {
-    /** Probes that wait to be sent; more are forgotten, since they come again. */
-    private static final int MOST_PROBES = 64;
-
-    /** Failed requests in a row after which another controller counts as out of reach until it answers one. */
-    private static final int PEER_FAILURES = 2;
-
     private final ConnectivityConfig config;
     private final ObservedLinks links;
-    private final ViewLog sent = new ViewLog();
-    private final ViewWriter writer;
-    private final ProbePlanner planner;
-    private final LeadershipControl control;
-    private final DecisionGate gate;
-
-    /** Workers that shall be asked whether requests reach them, in the order of their arrival. */
-    private final Map<String, ProbeTarget> probes = new LinkedHashMap<>();
-
-    private long incarnation;
-    private long withheld;
-    private long staleViews;
+    private final ProbePlanner probePlanner;
+    private final ProbeQueue probeQueue = new ProbeQueue();
+    private final LeadershipControl leadership;
+    private final ViewSynchronizer views;
+    private final LeaderPermissions permissions;
 
     /**
-     * Begins to watch.
+     * Starts to monitor the links of one controller.
      *
-     * @param incarnation higher than that of the process's former lives, such as the time of day at its start
+     * @param incarnation higher than that of the controller's former processes, such as the time of day at its start
      */
     public Connectivity(ConnectivityConfig config, long incarnation, long now) {
         require(config != null, "config", "missing");
         require(incarnation > 0, "incarnation", "must be above 0");
         requireTime(now);
         this.config = config;
-        this.incarnation = incarnation;
         links = new ObservedLinks(config, now);
-        writer = new ViewWriter(config, links.workers, sent);
-        planner = new ProbePlanner(config);
-        control = new LeadershipControl(links, planner);
-        gate = new DecisionGate(config);
+        probePlanner = new ProbePlanner(config);
+        leadership = new LeadershipControl(links, probePlanner);
+        views = new ViewSynchronizer(links, leadership, probePlanner, probeQueue, incarnation);
+        permissions = new LeaderPermissions(links, leadership);
     }
 
-    // ---- what the host sees
+    // ---- observations: state service and controllers
 
-    /** The state service has answered. */
+    /** The state service answered a request. */
     public void storeAnswered(long time) {
         links.advance(time);
-        links.store.confirmed(links.now());
+        links.store.succeeded(links.now());
     }
 
     /** A request to the state service failed. */
@@ -74,30 +57,30 @@
     }
 
     /** Another controller answered a request of this one. */
-    public void peerAnswered(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+    public void peerRequestAnswered(String peer, long time) {
+        PeerLink link = links.peers.get(peer);
         links.advance(time);
-        known.everHeard = true;
-        known.outbound.confirmed(links.now());
+        link.requestAnswered(links.now());
     }
 
-    /** Another controller sent something by itself. */
-    public void peerHeard(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+    /** Another controller sent a request to this one. */
+    public void peerMessageReceived(String peer, long time) {
+        PeerLink link = links.peers.get(peer);
         links.advance(time);
-        known.everHeard = true;
-        known.inbound.confirmed(links.now());
+        link.messageReceived(links.now());
     }
 
     /** A request to another controller failed. */
-    public void peerFailed(String peer, FailureKind kind, long time) {
-        Peers.Peer known = links.peers.get(peer);
+    public void peerRequestFailed(String peer, FailureKind kind, long time) {
+        PeerLink link = links.peers.get(peer);
         require(kind != null, "kind", "missing");
         links.advance(time);
-        known.outbound.failed(kind);
+        link.outbound.failed(kind);
     }
 
-    /** A worker should be there, though nothing was heard of it yet; only a leader knows. */
+    // ---- observations: workers
+
+    /** A worker is expected to exist, though no heartbeat of it has arrived; only a leader knows. */
     public void workerExpected(String worker, String address, long time) {
         requireName(worker, "worker");
         require(address != null, "address", "missing");
@@ -105,296 +88,230 @@
         links.workers.expected(worker, address, links.now());
     }
 
-    /** A report came straight from its worker; false when it is a copy, or came late. */
-    public boolean workerReported(WorkerReport report, long time) {
-        require(report != null, "report", "missing");
+    /** A heartbeat arrived straight from its worker; returns false where it is a copy or late. */
+    public boolean heartbeatReceived(WorkerHeartbeat heartbeat, long time) {
+        require(heartbeat != null, "heartbeat", "missing");
         links.advance(time);
-        return links.workers.reported(report, links.now());
+        return links.workers.heartbeatReceived(heartbeat, links.now());
     }
 
-    /** A report came by way of another controller. */
-    public void workerRelayed(WorkerReport report, long time) {
-        require(report != null, "report", "missing");
+    /** A heartbeat was relayed by another controller. */
+    public void relayedHeartbeatReceived(WorkerHeartbeat heartbeat, long time) {
+        require(heartbeat != null, "heartbeat", "missing");
         links.advance(time);
-        links.workers.relayed(report, links.now());
+        links.workers.relayedHeartbeatReceived(heartbeat, links.now());
     }
 
-    /** The last report that came straight from this worker was answered. */
-    public void workerAnswered(String worker, long time) {
+    /** The worker's last heartbeat that was not relayed was answered. */
+    public void heartbeatAnswered(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        links.workers.answered(worker, links.now());
+        links.workers.heartbeatAnswered(worker, links.now());
     }
 
-    /** A worker has answered a request; {@code probe}: one that was sent to find that out. */
-    public void workerReached(String worker, boolean probe, long time) {
+    /** A worker answered a request; {@code probe}: one from {@link #takeDueProbes}. */
+    public void workerRequestAnswered(String worker, boolean probe, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        knowProbed(worker, probe);
-        links.workers.reached(worker, probe, links.now());
+        trackProbedWorker(worker, probe);
+        links.workers.requestAnswered(worker, probe, links.now());
     }
 
-    /** A worker has not answered a request; {@code probe}: one that was sent to find that out. */
-    public void workerMissed(String worker, boolean probe, long time) {
+    /** A worker did not answer a request; {@code probe}: one from {@link #takeDueProbes}. */
+    public void workerRequestFailed(String worker, boolean probe, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        knowProbed(worker, probe);
-        links.workers.missed(worker, probe, links.now());
+        trackProbedWorker(worker, probe);
+        links.workers.requestFailed(worker, probe, links.now());
     }
 
-    /** A follower knows no workers but those that the leader asked it to try; a leader's may be gone by now. */
-    private void knowProbed(String worker, boolean probe) {
+    /** A follower learns of workers from the leader's probe targets; a worker that a leader lacks may be removed. */
+    private void trackProbedWorker(String worker, boolean probe) {
         if (probe && !links.leading()) {
             links.workers.expected(worker, "", links.now());
         }
     }
 
-    /** A worker is gone for good. */
-    public void workerGone(String worker, long time) {
+    /** A worker no longer exists. */
+    public void workerRemoved(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        links.workers.gone(worker);
+        links.workers.removed(worker);
     }
 
-    /** By how much this process's own timers are late, and whether it counts as behind with its work. */
-    public void lagging(long late, boolean behind, long time) {
-        require(late >= 0, "late", "negative");
+    // ---- observations: this controller
+
+    /** The event-loop lag in milliseconds, and whether this process counts as behind with its work. */
+    public void eventLoopLagMeasured(long lagMs, boolean behind, long time) {
+        require(lagMs >= 0, "lagMs", "negative");
         links.advance(time);
-        links.lagging(late, behind);
+        links.eventLoopLagMeasured(lagMs, behind);
     }
 
     /** This controller leads from now on. */
-    public void leads(long newTerm, long time) {
+    public void elected(long newTerm, long time) {
         require(newTerm > 0, "term", "must be above 0");
         links.advance(time);
-        control.leads(newTerm);
-        links.lead(true);
-        planner.reset();
+        leadership.elected(newTerm);
+        links.setLeading(true);
+        probePlanner.reset();
     }
 
-    /** Who leads in which term, as far as this controller knows; empty: it does not know. */
-    public void leaderKnown(long knownTerm, String name, long time) {
-        require(knownTerm >= 0, "term", "negative");
-        require(name != null, "name", "missing");
+    /** Which controller leads in which term, as far as this controller knows; empty: not known. */
+    public void leaderObserved(long term, String leader, long time) {
+        require(term >= 0, "term", "negative");
+        require(leader != null, "leader", "missing");
         links.advance(time);
-        control.leaderKnown(knownTerm, name);
+        leadership.leaderObserved(term, leader);
     }
 
-    /** This controller does not lead any more; {@code storeLost}: since the state service did not answer it. */
-    public void follows(boolean storeLost, long time) {
+    /** This controller no longer leads; {@code storeLost}: because the state service did not answer it. */
+    public void deposed(boolean storeLost, long time) {
         links.advance(time);
-        control.follows(storeLost);
-        links.lead(false);
-        planner.reset();
-        probes.clear();
+        leadership.deposed(storeLost);
+        links.setLeading(false);
+        probePlanner.reset();
+        probeQueue.clear();
     }
 
     // ---- views
 
-    /** The milliseconds after which views should be exchanged with every controller again. */
-    public long exchangeMs() {
-        boolean many = links.leading() && ProbePlanner.many(links.workers);
-        return config.exchangeMs(many || control.handover().underWay());
+    /** The interval in milliseconds at which views should be exchanged with each controller now. */
+    public long exchangeIntervalMs() {
+        boolean manySuspects = links.leading() && ProbePlanner.manySuspects(links.workers);
+        return config.exchangeIntervalMs(manySuspects || handingOver());
     }
 
-    /** What this controller tells another one now. */
+    /** The view to be sent to another controller now. */
     public ReachabilityView viewFor(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+        PeerLink link = links.peers.get(peer);
         links.advance(time);
-        links.sweep();
-        return writer.write(
-                known,
-                new ViewWriter.Self(incarnation, control.term(), control.leader()),
-                links.standing(),
-                links.leading() ? planner.newest() : List.of(),
-                links.leading() ? control.handover().notice() : null,
-                control.acceptable(known, incarnation),
-                links.now());
-    }
-
-    /** Takes in what another controller says. Old and repeated views change nothing. */
-    public void take(ReachabilityView view, long time) {
+        links.detectSilentWorkers();
+        return views.viewFor(link);
+    }
+
+    /** Merges another controller's view; stale and repeated views change nothing. */
+    public void receive(ReachabilityView view, long time) {
         require(view != null, "view", "missing");
-        Header header = view.header();
-        Peers.Peer peer = links.peers.get(header.sender());
-        view.workers().check();
-        require(header.incarnation() > 0 && header.sequence() > 0, "view", "impossible numbers");
-        require(
-                header.seenIncarnation() != incarnation || header.seenSequence() <= sent.newest(),
-                "view",
-                "from the future: it has seen a view that was never sent");
+        PeerLink link = links.peers.get(view.header().sender());
+        views.check(view);
         links.advance(time);
-        if (header.seenIncarnation() > incarnation) {
-            incarnation = header.seenIncarnation() + 1; // a former life of this process had a clock that was ahead
-        }
-        boolean ours = header.seenIncarnation() == incarnation;
-        if (!peer.view.take(view, ours ? sent.sentAt(header.seenSequence()) : -1)) {
-            staleViews++;
-            return;
-        }
-        peer.confirm(header, incarnation);
-        control.learnTerm(header.term());
-        if (header.leading() && !links.leading()) {
-            view.probes().forEach(this::queue);
-        }
-        control.hear(peer, view.handover());
-        if (view.acceptedHandover() > 0) {
-            control.handover().accepted(peer.name, header.incarnation(), view.acceptedHandover(), links.now());
-        }
+        views.receive(link, view);
     }
 
-    /**
-     * Whether another controller, which is not behind and answers at once, lately said that it knows a worker. Found on
-     * the bench: the workers of one that was merely slow gain nothing if their reports come to it by way of others.
-     */
-    public boolean knownBy(String peer, String worker, long time) {
-        Peers.Peer known = links.peers.get(peer);
+    /** Whether a fresh view of another controller, which is neither lagging nor failing requests, lists a worker. */
+    public boolean peerKnowsWorker(String peer, String worker, long time) {
+        PeerLink link = links.peers.get(peer);
         requireName(worker, "worker");
         links.advance(time);
-        return links.peers.fresh(known, links.now())
-                && !known.view.standing().busy()
-                && known.outbound.failuresInRow() == 0
-                && known.view.names(worker);
+        return links.peers.fresh(link, links.now())
+                && !link.reportsLag()
+                && link.outbound.consecutiveFailures() == 0
+                && link.view.lists(worker);
     }
 
-    /** Whether another controller lately said that its requests do not reach a worker. */
-    public boolean missedBy(String peer, String worker, long time) {
-        Peers.Peer known = links.peers.get(peer);
-        return knownBy(peer, worker, time) && known.view.knows(worker) && !known.view.reaches(worker);
+    /** Whether a fresh view of another controller says that its requests do not reach a worker. */
+    public boolean peerCannotReachWorker(String peer, String worker, long time) {
+        PeerView view = links.peers.get(peer).view;
+        return peerKnowsWorker(peer, worker, time) && view.outboundKnown(worker) && !view.reaches(worker);
     }
 
-    /** Whether requests to another controller have been in vain for long, though it did not say that it is behind. */
-    public boolean unreachable(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+    /** Whether requests to another controller have failed for long, though it does not report lag. */
+    public boolean peerUnreachable(String peer, long time) {
+        PeerLink link = links.peers.get(peer);
         links.advance(time);
-        boolean behind = known.view.standing() != null && known.view.standing().busy();
-        return !behind
-                && known.outbound.failuresInRow() >= PEER_FAILURES
-                && known.outbound.condition(links.now(), links.lateMs()) == LinkCondition.FAILING;
+        return link.unreachable(links.now(), links.eventLoopLagMs());
     }
 
-    /** Who leads in this term or a later one, as another controller lately said; empty: nobody did. */
-    public String leaderSeenByOthers(long leastTerm, long time) {
+    /** Who leads in the newest term, from {@code minTerm} on, that a fresh view names a leader in; empty: none does. */
+    public String leaderReportedByPeers(long minTerm, long time) {
         links.advance(time);
-        return links.peers.leaderSeen(leastTerm, links.now());
+        return links.peers.reportedLeader(minTerm, links.now());
     }
 
-    /** Whether another controller, as far as its last words go, is handing over the leadership or has just done so. */
-    public boolean handsOver(String peer, long time) {
-        Peers.Peer known = links.peers.get(peer);
+    /** Whether another controller, by its last view, is handing over the leadership or has just done so. */
+    public boolean peerHandsOver(String peer, long time) {
+        PeerLink link = links.peers.get(peer);
         links.advance(time);
-        return control.handsOver(known);
+        return leadership.peerHandsOver(link);
     }
 
     // ---- probes
 
-    private void queue(ProbeTarget target) {
-        if (probes.size() < MOST_PROBES || probes.containsKey(target.worker())) {
-            probes.put(target.worker(), target);
-        }
-    }
-
-    /** The workers to be asked now whether requests reach them, at most so many; their outcomes are to be told. */
-    public List<ProbeTarget> nextProbes(int most, long time) {
-        require(most >= 0, "most", "negative");
+    /** Removes and returns at most {@code max} probes to be sent now; the host must report the outcome of each. */
+    public List<ProbeTarget> takeDueProbes(int max, long time) {
+        require(max >= 0, "max", "negative");
         links.advance(time);
         if (links.leading()) {
-            // what is not suspect here needs no question, nor do single suspects, whose reports and commands tell
-            // enough
-            boolean many = ProbePlanner.many(links.workers);
-            for (WorkerLink link : planner.plan(links.workers, links.now())) {
-                if (many && link.suspectSince >= 0) {
-                    ProbePlanner.targets(List.of(link)).forEach(this::queue);
-                }
-            }
+            probePlanner.ownProbes(links.workers, links.now()).forEach(probeQueue::offer);
         }
-        List<ProbeTarget> next = new ArrayList<>();
-        probes.values().stream().limit(most).forEach(next::add);
-        next.forEach(target -> probes.remove(target.worker()));
-        return next;
+        return probeQueue.poll(max);
     }
 
-    // ---- decisions
+    // ---- leadership
 
     /** What this controller should do about the leadership. */
-    public Advice advise(long time) {
+    public LeadershipAdvice advise(long time) {
         links.advance(time);
-        links.sweep();
-        return control.advise();
+        links.detectSilentWorkers();
+        return leadership.advise();
     }
 
-    /** For how long this controller should leave a free leadership to others, in milliseconds. */
-    public long abstainMs(long time) {
+    /** For how many milliseconds this controller should not become a candidate. */
+    public long electionDelayMs(long time) {
         links.advance(time);
-        return control.abstainMs();
+        return leadership.electionDelayMs();
     }
 
-    /** Whether a decision may be made, as far as links are concerned. */
+    /** Whether the links permit a decision. */
     public Verdict permits(Decision decision, long time) {
         require(decision != null, "decision", "missing");
         links.advance(time);
-        links.sweep();
-        return count(gate.check(decision, links.evidence(handingOver())));
+        links.detectSilentWorkers();
+        return permissions.permits(decision);
     }
 
-    /** Whether a silent worker may be given up, as far as links are concerned. */
-    public Verdict permitsGivingUp(String worker, long time) {
+    /** Whether the links permit the removal of a silent worker before its lease has expired. */
+    public Verdict permitsRemovingWorker(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
-        links.sweep();
-        Verdict verdict = gate.check(Decision.GIVE_UP_WORKER, links.evidence(handingOver()));
-        WorkerLink link = links.workers.find(worker);
-        if (!verdict.allowed() || link == null || link.suspectSince < 0) {
-            return count(verdict);
-        }
-        long now = links.now();
-        boolean reached = links.peers.anyReaches(worker, now);
-        if (reached && link.keptSince < 0) {
-            link.keptSince = now;
-        }
-        long keptMs = link.keptSince < 0 ? 0 : now - link.keptSince;
-        boolean saysNothing = links.peers.anySaysNothing(worker, now);
-        return count(gate.giveUp(now - link.suspectSince, reached, saysNothing, keptMs));
-    }
-
-    private Verdict count(Verdict verdict) {
-        withheld += verdict.allowed() ? 0 : 1;
-        return verdict;
+        links.detectSilentWorkers();
+        return permissions.permitsRemoving(worker);
     }
 
-    // ---- handing over
+    // ---- handover
 
-    /** Begins to hand over to another controller; false: that is not possible now. No decision is made from here. */
+    /** Starts a handover to another controller, which withholds all decisions; false: not possible now. */
     public boolean beginHandover(String nominee, long time) {
-        Peers.Peer peer = links.peers.get(nominee);
+        PeerLink link = links.peers.get(nominee);
         links.advance(time);
-        return control.beginHandover(peer);
+        return leadership.beginHandover(link);
     }
 
-    /** Whether a handover is under way, so that no decision is made. */
+    /** Whether a handover is under way. */
     public boolean handingOver() {
-        return control.handover().underWay();
+        return leadership.handover().underWay();
     }
 
-    /** What has to be done next in a handover; {@code changesInFlight}: what the state service has not answered yet. */
-    public HandoverAction nextInHandover(int changesInFlight, long time) {
+    /** The next step of a handover; {@code changesInFlight}: commits that the state service has not answered yet. */
+    public HandoverAction advanceHandover(int changesInFlight, long time) {
         require(changesInFlight >= 0, "changesInFlight", "negative");
         links.advance(time);
-        return control.nextInHandover(changesInFlight);
+        return leadership.advanceHandover(changesInFlight);
     }
 
-    /** This controller has released the leadership, and leaves it to others for a while. */
-    public void released(long time) {
+    /** This controller has released the leadership, and delays its next candidacy. */
+    public void leadershipReleased(long time) {
         links.advance(time);
-        control.released();
+        leadership.leadershipReleased();
     }
 
-    // ---- for people
+    // ---- operators
 
     /** All that is known now. */
     public ConnectivitySnapshot snapshot(long time) {
         links.advance(time);
-        links.sweep();
-        return SnapshotWriter.write(links, control, withheld, staleViews);
+        links.detectSilentWorkers();
+        return SnapshotBuilder.build(links, leadership, permissions.withheld(), views.staleViews());
     }
 }
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -3,112 +3,98 @@
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 
 /**
- * One leader's handover, step by step: the nominee is asked and answers that it is ready; no decision is made from the
- * first step on; the changes in flight are settled or given up; the leader key is released. Before the release the
- * leader still leads, so wherever it stops it goes on as before, or its lease ends as after a crash. After the release
- * nothing is left to do: who leads next is decided by the state service alone.
+ * A leader's handover of the leadership, step by step: the nominee is asked until it is ready; pending commits complete
+ * or time out; the leader key is released. No decision is made from the first step on. Until the release the leader
+ * leads as before; after it the state service alone decides who leads.
  */
 final class Handover {
-    /** Exchanges within which the nominee must have answered. */
-    private static final int ASK_EXCHANGES = 3;
+    /** Exchanges of views within which the nominee must be ready. */
+    private static final int NOMINEE_ANSWER_EXCHANGES = 3;
 
     private final ConnectivityConfig config;
-    private final long askMs;
-    private Step step = Step.NONE;
+    private final long nomineeTimeoutMs;
+    private Step step = Step.IDLE;
     private HandoverNotice notice;
-    private long since;
-    private long numbers;
+    private long stepStartedAt;
+    private long lastId;
 
-    /** Where a handover stands. */
-    enum Step {
-        /** Nothing is under way. */
-        NONE,
-
-        /** The nominee has been asked. */
-        ASKING,
-
-        /** The nominee is ready; changes in flight are waited for. */
-        SETTLING
+    private enum Step {
+        IDLE,
+        AWAITING_NOMINEE,
+        AWAITING_COMMITS
     }
 
     Handover(ConnectivityConfig config) {
         this.config = config;
-        this.askMs = Math.max(config.leaderLeaseMs(), ASK_EXCHANGES * config.exchangeMs(true));
+        this.nomineeTimeoutMs =
+                Math.max(config.leaderLeaseMs(), NOMINEE_ANSWER_EXCHANGES * config.exchangeIntervalMs(true));
     }
 
     boolean underWay() {
-        return step != Step.NONE;
+        return step != Step.IDLE;
     }
 
-    Step step() {
-        return step;
-    }
-
-    /** What others are told; null: nothing was ever intended in this term. */
+    /** What this controller's views say of its last handover; null: there was none. */
     HandoverNotice notice() {
         return notice;
     }
 
-    /** Asks a nominee. */
+    /** Starts a handover by asking a nominee. */
     void begin(long term, String nominee, long nomineeIncarnation, long now) {
-        notice = new HandoverNotice(++numbers, term, nominee, nomineeIncarnation, true);
-        step = Step.ASKING;
-        since = now;
+        notice = new HandoverNotice(++lastId, term, nominee, nomineeIncarnation, true);
+        enter(Step.AWAITING_NOMINEE, now);
     }
 
-    /** A controller says for which handover it is ready. */
-    void accepted(String controller, long incarnation, long number, long now) {
-        boolean matches = step == Step.ASKING
-                && number == notice.number()
+    /** A controller is ready for the handover with this id. */
+    void nomineeAccepted(String controller, long incarnation, long id, long now) {
+        boolean matches = step == Step.AWAITING_NOMINEE
+                && id == notice.id()
                 && controller.equals(notice.nominee())
                 && incarnation == notice.nomineeIncarnation();
         if (matches) {
-            step = Step.SETTLING;
-            since = now;
+            enter(Step.AWAITING_COMMITS, now);
         }
     }
 
+    private void enter(Step next, long now) {
+        step = next;
+        stepStartedAt = now;
+    }
+
     /**
      * What to do now.
      *
-     * @param changesInFlight changes sent to the state service that have no outcome yet
-     * @param nomineeGood whether the nominee still says that it could lead
+     * @param changesInFlight commits that the state service has not answered yet
+     * @param nomineeReady whether the nominee's view still says that it could lead
      */
-    HandoverAction next(int changesInFlight, boolean nomineeGood, long now) {
-        switch (step) {
-            case ASKING -> {
-                if (!nomineeGood || now - since > askMs) {
-                    giveUp();
-                    return HandoverAction.GIVEN_UP;
-                }
-                return HandoverAction.WAIT;
-            }
-            case SETTLING -> {
-                if (!nomineeGood) {
-                    giveUp();
-                    return HandoverAction.GIVEN_UP;
-                }
-                // what is still in flight then fails its comparison with the leader key, or was carried out before
-                if (changesInFlight == 0 || now - since > config.leaderLeaseMs()) {
-                    step = Step.NONE;
-                    return HandoverAction.RELEASE;
-                }
-                return HandoverAction.WAIT;
-            }
-            default -> {
-                return HandoverAction.NONE;
+    HandoverAction advance(int changesInFlight, boolean nomineeReady, long now) {
+        return switch (step) {
+            case IDLE -> HandoverAction.NONE;
+            case AWAITING_NOMINEE -> {
+                boolean timedOut = now - stepStartedAt > nomineeTimeoutMs;
+                yield nomineeReady && !timedOut ? HandoverAction.WAIT : abort();
             }
+            case AWAITING_COMMITS -> nomineeReady ? awaitCommits(changesInFlight, now) : abort();
+        };
+    }
+
+    /** Commits that still lack an answer after a leader's lease fail their check of the leader key, or are done. */
+    private HandoverAction awaitCommits(int changesInFlight, long now) {
+        if (changesInFlight > 0 && now - stepStartedAt <= config.leaderLeaseMs()) {
+            return HandoverAction.WAIT;
         }
+        step = Step.IDLE;
+        return HandoverAction.RELEASE;
     }
 
-    private void giveUp() {
-        step = Step.NONE;
-        notice = new HandoverNotice(
-                notice.number(), notice.term(), notice.nominee(), notice.nomineeIncarnation(), false);
+    private HandoverAction abort() {
+        step = Step.IDLE;
+        notice = new HandoverNotice(notice.id(), notice.term(), notice.nominee(), notice.nomineeIncarnation(), false);
+        return HandoverAction.ABORTED;
     }
 
-    /** This controller does not lead any more; the notice stands, so that others can still read it. */
+    /** This controller no longer leads; its views keep the notice, so that the others still receive it. */
     void reset() {
-        step = Step.NONE;
+        step = Step.IDLE;
     }
 }
--- /dev/null
+++ b/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
@@ -0,0 +1,36 @@
+package stileferry.connectivity;
+
+/**
+ * A token bucket that bounds deliberate releases of the leadership: in any time T at most {@code 2 + T / refillMs},
+ * whatever the links do.
+ */
+final class HandoverRateLimiter {
+    private static final double CAPACITY = 2;
+
+    private final long refillMs;
+    private double tokens = CAPACITY;
+    private long refilledAt;
+
+    /** One token is added every {@code refillMs}. */
+    HandoverRateLimiter(long refillMs, long now) {
+        this.refillMs = refillMs;
+        this.refilledAt = now;
+    }
+
+    private void refill(long now) {
+        tokens = Math.min(CAPACITY, tokens + Math.max(0, now - refilledAt) / (double) refillMs);
+        refilledAt = Math.max(refilledAt, now);
+    }
+
+    /** Whether one more handover is within the bound. */
+    boolean allows(long now) {
+        refill(now);
+        return tokens >= 1;
+    }
+
+    /** Counts a handover, also one of another controller, which may exceed the bound. */
+    void consume(long now) {
+        refill(now);
+        tokens = Math.max(0, tokens - 1);
+    }
+}
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -1,46 +1,44 @@
 package stileferry.connectivity;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
-import stileferry.connectivity.ReachabilityView.Standing;
 
-/** What follows from the links for the leadership: staying, handing over, standing for it or leaving it to others. */
+/** What follows from the links for the leadership: keeping it, handing it over, or delaying a candidacy. */
 final class LeadershipControl {
-    /** Report intervals after which a new leader has heard all workers that can reach it. */
-    private static final double SETTLED_REPORTS = 2.5;
+    /** Heartbeat intervals within which all workers that can reach a new leader have sent it a heartbeat. */
+    private static final double SETTLING_HEARTBEATS = 2.5;
 
     private final ObservedLinks links;
     private final ConnectivityConfig config;
-    private final ShareEstimator shares;
-    private final HandoverBudget budget;
+    private final ReachableShareEstimator shares;
+    private final HandoverRateLimiter rateLimiter;
     private final LeadershipAdvisor advisor;
     private final Handover handover;
-    private final StandingDelay standingDelay;
+    private final ElectionDelay electionDelay;
     private long term;
     private String leader = "";
-    private long leadingSince;
+    private long electedAt;
     private long handoversBegun;
-    private long released;
-    private long givenUp;
+    private long releases;
+    private long handoversAborted;
 
     LeadershipControl(ObservedLinks links, ProbePlanner planner) {
         this.links = links;
         config = links.config;
-        shares = new ShareEstimator(config, links.workers, planner);
-        budget = new HandoverBudget(2 * config.leaseMs(), links.now());
-        advisor = new LeadershipAdvisor(config, budget);
+        shares = new ReachableShareEstimator(config, links.workers, planner);
+        rateLimiter = new HandoverRateLimiter(2 * config.workerLeaseMs(), links.now());
+        advisor = new LeadershipAdvisor(config, rateLimiter);
         handover = new Handover(config);
-        standingDelay = new StandingDelay(config, links.now());
+        electionDelay = new ElectionDelay(config, links.now());
     }
 
     long term() {
         return term;
     }
 
-    /** Who leads, as far as this controller knows; empty: it does not know. */
+    /** Who leads, as far as this controller knows; empty: not known. */
     String leader() {
         return links.leading() ? config.self() : leader;
     }
@@ -49,146 +47,137 @@
         return handover;
     }
 
-    void learnTerm(long heard) {
-        term = Math.max(term, heard);
+    void observeTerm(long observed) {
+        term = Math.max(term, observed);
     }
 
-    void leaderKnown(long knownTerm, String name) {
-        learnTerm(knownTerm);
+    void leaderObserved(long observedTerm, String name) {
+        observeTerm(observedTerm);
         leader = name;
     }
 
     /** This controller leads from now on. */
-    void leads(long newTerm) {
-        learnTerm(newTerm);
-        leadingSince = links.now();
+    void elected(long newTerm) {
+        observeTerm(newTerm);
+        electedAt = links.now();
         handover.reset();
         advisor.reset();
-        standingDelay.cancel();
+        electionDelay.cancel();
     }
 
-    /** This controller does not lead any more. */
-    void follows(boolean storeLost) {
+    /** This controller no longer leads; {@code storeLost}: because the state service did not answer it. */
+    void deposed(boolean storeLost) {
         if (links.leading() && storeLost) {
-            standingDelay.lostByOwnLinks(links.now());
+            electionDelay.leadershipLost(links.now());
         }
         handover.reset();
     }
 
-    // ---- what others intend
+    // ---- handovers of other controllers
 
-    /** Takes in what another controller says about a handover of its own. */
-    void hear(Peers.Peer peer, HandoverNotice notice) {
+    /** Takes in the handover notice of another controller's view; null: there is none. */
+    void handoverNoticeReceived(PeerLink peer, HandoverNotice notice) {
         HandoverNotice before = peer.handover;
         peer.handover = notice;
         if (notice == null || links.leading() || notice.equals(before)) {
             return;
         }
-        if (!notice.given()) {
-            standingDelay.cancel();
+        if (!notice.active()) {
+            electionDelay.cancel();
         } else if (notice.term() >= term) {
-            budget.spend(links.now());
+            rateLimiter.consume(links.now());
             if (notice.nominee().equals(config.self())) {
-                standingDelay.cancel();
+                electionDelay.cancel();
             } else {
-                standingDelay.leaveToOthers(peer.name + " hands over to " + notice.nominee(), links.now());
+                electionDelay.deferToOthers(peer.name + " hands over to " + notice.nominee(), links.now());
             }
         }
     }
 
-    /** The number of another controller's handover that this one is ready for; 0: none. */
-    long acceptable(Peers.Peer from, long incarnation) {
+    /** The id of another controller's handover that this controller, as its nominee, is ready for; 0: none. */
+    long acceptableHandoverId(PeerLink from, long incarnation) {
         HandoverNotice notice = from.handover;
         boolean ready = notice != null
-                && notice.given()
+                && notice.active()
                 && !links.leading()
                 && notice.nominee().equals(config.self())
                 && notice.nomineeIncarnation() == incarnation
                 && notice.term() >= term
-                && links.storeGood()
-                && !links.busy();
-        return ready ? notice.number() : 0;
+                && links.storeReachable()
+                && !links.laggingLately();
+        return ready ? notice.id() : 0;
     }
 
-    /** Whether another controller, as far as its last words go, is handing over or has just done so. */
-    boolean handsOver(Peers.Peer peer) {
-        return peer.handover != null && peer.handover.given() && peer.handover.term() >= term;
+    /** Whether another controller, by its last view, is handing over the leadership or has just done so. */
+    boolean peerHandsOver(PeerLink peer) {
+        return peer.handover != null && peer.handover.active() && peer.handover.term() >= term;
     }
 
     // ---- advice
 
-    Advice advise() {
-        if (!links.leading()) {
-            return standingDelay.remainingMs(links.now()) > 0
-                    ? Advice.of(Advice.Action.ABSTAIN, standingDelay.reason())
-                    : Advice.of(Advice.Action.STAND, "leads when the leadership is free");
-        }
+    LeadershipAdvice advise() {
+        return links.leading() ? adviseLeader() : adviseFollower();
+    }
+
+    private LeadershipAdvice adviseFollower() {
+        return electionDelay.remainingMs(links.now()) > 0
+                ? LeadershipAdvice.of(LeadershipAdvice.Action.ABSTAIN, electionDelay.reason())
+                : LeadershipAdvice.of(LeadershipAdvice.Action.STAND, "leads when the leadership is free");
+    }
+
+    private LeadershipAdvice adviseLeader() {
         if (handover.underWay()) {
-            return new Advice(Advice.Action.HAND_OVER, handover.notice().nominee(), "a handover is under way");
+            return new LeadershipAdvice(
+                    LeadershipAdvice.Action.HAND_OVER, handover.notice().nominee(), "a handover is under way");
         }
-        boolean settled = links.now() - leadingSince >= SETTLED_REPORTS * config.reportMs();
+        boolean settled = links.now() - electedAt >= SETTLING_HEARTBEATS * config.heartbeatIntervalMs();
         if (links.workers.count() == 0 || !settled) {
-            return Advice.of(Advice.Action.STAY, "too little is known yet");
+            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "too little is known yet");
         }
-        if (links.busy()) {
+        if (links.laggingLately()) {
             advisor.reset();
-            return Advice.of(Advice.Action.STAY, "this process is behind, so nothing is certain");
+            return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "this process is behind, so nothing is certain");
         }
-        List<Suitability> others = new ArrayList<>();
-        for (Peers.Peer peer : links.peers.all()) {
-            suitability(peer).ifPresent(others::add);
-        }
-        boolean peersLost = links.peers.lost(links.now(), links.lateMs());
-        return advisor.advise(own(), others, peersLost, links.now());
-    }
-
-    /** For how long a free leadership is left to others, in milliseconds. */
-    long abstainMs() {
-        return links.leading() ? 0 : standingDelay.remainingMs(links.now());
+        LeaderCandidate own = LeaderCandidate.of(config.self(), links.health(), ownShare());
+        List<LeaderCandidate> others = links.peers.all().stream()
+                .flatMap(peer -> candidate(peer).stream())
+                .toList();
+        boolean allPeersLost = links.peers.allLost(links.now(), links.eventLoopLagMs());
+        return advisor.advise(own, others, allPeersLost, links.now());
     }
 
-    private Suitability own() {
-        Standing standing = links.standing();
-        return new Suitability(
-                config.self(),
-                standing.storeGood(),
-                ownShare(),
-                standing.busy(),
-                standing.heard().size());
+    /** For how many milliseconds this controller should not become a candidate. */
+    long electionDelayMs() {
+        return links.leading() ? 0 : electionDelay.remainingMs(links.now());
     }
 
-    private Optional<Suitability> suitability(Peers.Peer peer) {
+    /** Another controller as a candidate; empty: it leads, or too little is known of it. */
+    private Optional<LeaderCandidate> candidate(PeerLink peer) {
         boolean eligible = links.peers.fresh(peer, links.now()) && peer.view.term() <= term && !peer.view.leading();
-        OptionalDouble share = eligible ? share(peer) : OptionalDouble.empty();
-        if (share.isEmpty()) {
-            return Optional.empty();
-        }
-        Standing standing = peer.view.standing();
-        return Optional.of(new Suitability(
-                peer.name,
-                standing.storeGood(),
-                share.getAsDouble(),
-                standing.busy(),
-                standing.heard().size()));
+        OptionalDouble share = eligible ? peerShare(peer) : OptionalDouble.empty();
+        return share.isEmpty()
+                ? Optional.empty()
+                : Optional.of(LeaderCandidate.of(peer.name, peer.view.senderHealth(), share.getAsDouble()));
     }
 
     /** The share of workers that this controller reaches. */
     double ownShare() {
-        return shares.own(links.now());
+        return shares.ownShare(links.now());
     }
 
-    /** The share of workers that another one reaches; empty: it has said too little. */
-    OptionalDouble share(Peers.Peer peer) {
-        return shares.of(peer.view);
+    /** The share of workers that another controller reaches; empty: too little is known. */
+    OptionalDouble peerShare(PeerLink peer) {
+        return shares.peerShare(peer.view);
     }
 
-    // ---- handing over
+    // ---- handover of this controller
 
-    boolean beginHandover(Peers.Peer nominee) {
+    /** Starts a handover; false: not possible now. */
+    boolean beginHandover(PeerLink nominee) {
         boolean possible = links.leading()
                 && !handover.underWay()
                 && links.peers.fresh(nominee, links.now())
-                && budget.allows(links.now());
+                && rateLimiter.allows(links.now());
         if (possible) {
             handover.begin(term, nominee.name, nominee.view.incarnation(), links.now());
             handoversBegun++;
@@ -196,37 +185,38 @@
         return possible;
     }
 
-    HandoverAction nextInHandover(int changesInFlight) {
+    HandoverAction advanceHandover(int changesInFlight) {
         if (!handover.underWay()) {
             return HandoverAction.NONE;
         }
-        Peers.Peer nominee = links.peers.get(handover.notice().nominee());
-        boolean good = links.peers.fresh(nominee, links.now())
+        PeerLink nominee = links.peers.get(handover.notice().nominee());
+        boolean ready = links.peers.fresh(nominee, links.now())
                 && nominee.view.incarnation() == handover.notice().nomineeIncarnation()
-                && nominee.view.standing().storeGood();
-        HandoverAction action = handover.next(changesInFlight, good, links.now());
-        if (action == HandoverAction.GIVEN_UP) {
-            givenUp++;
-            budget.spend(links.now()); // decisions were withheld meanwhile, which has the same bound
+                && nominee.view.senderHealth().storeReachable();
+        HandoverAction action = handover.advance(changesInFlight, ready, links.now());
+        if (action == HandoverAction.ABORTED) {
+            handoversAborted++;
+            rateLimiter.consume(links.now()); // it withheld decisions, which has the same bound as releases
         }
         return action;
     }
 
-    void released() {
-        released++;
-        budget.spend(links.now());
-        standingDelay.leaveToOthers("this controller has released the leadership", links.now());
+    void leadershipReleased() {
+        releases++;
+        rateLimiter.consume(links.now());
+        electionDelay.deferToOthers("this controller has released the leadership", links.now());
     }
 
     long handoversBegun() {
         return handoversBegun;
     }
 
-    long releasedCount() {
-        return released;
+    /** Deliberate releases of the leadership. */
+    long releases() {
+        return releases;
     }
 
-    long givenUpCount() {
-        return givenUp;
+    long handoversAborted() {
+        return handoversAborted;
     }
 }
--- a/src/main/java/stileferry/connectivity/ViewCodec.java
+++ b/src/main/java/stileferry/connectivity/ViewCodec.java
@@ -9,26 +9,26 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.roaringbitmap.RoaringBitmap;
+import stileferry.connectivity.ReachabilityView.ControllerHealth;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 import stileferry.connectivity.ReachabilityView.Header;
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
-import stileferry.connectivity.ReachabilityView.Standing;
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 import stileferry.validation.InvalidInputException;
 
-/** Views as bytes. What follows the known fields is not looked at, so later versions may add to them. */
+/** The binary encoding of views. Bytes after the known fields are ignored, so that later versions may append fields. */
 public final class ViewCodec {
-    private static final byte FORM = 1;
+    private static final byte FORMAT_VERSION = 1;
 
     private ViewCodec() {}
 
-    /** Writes a view. */
+    /** Encodes a view. */
     public static byte[] write(ReachabilityView view) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(FORM);
+            out.writeByte(FORMAT_VERSION);
             writeHeader(out, view.header());
-            writeStanding(out, view.standing());
+            writeHealth(out, view.senderHealth());
             writeWorkers(out, view.workers());
             out.writeInt(view.probes().size());
             for (ProbeTarget target : view.probes()) {
@@ -36,26 +36,26 @@
                 out.writeUTF(target.address());
             }
             writeHandover(out, view.handover());
-            out.writeLong(view.acceptedHandover());
+            out.writeLong(view.acceptedHandoverId());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    /** Reads a view; throws {@link InvalidInputException} for what is none. */
+    /** Decodes a view; throws {@link InvalidInputException} for malformed bytes. */
     public static ReachabilityView read(byte[] bytes) {
         InvalidInputException.require(bytes != null, "view", "missing");
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            InvalidInputException.require(in.readByte() == FORM, "view", "not a form that is known");
+            InvalidInputException.require(in.readByte() == FORMAT_VERSION, "view", "not a form that is known");
             Header header = readHeader(in);
-            Standing standing = readStanding(in);
+            ControllerHealth health = readHealth(in);
             WorkerChanges workers = readWorkers(in);
             List<ProbeTarget> probes = new ArrayList<>();
-            for (int n = readCount(in); n > 0; n--) {
+            for (int remaining = readCount(in); remaining > 0; remaining--) {
                 probes.add(new ProbeTarget(in.readUTF(), in.readUTF()));
             }
-            return new ReachabilityView(header, standing, workers, probes, readHandover(in), in.readLong());
+            return new ReachabilityView(header, health, workers, probes, readHandover(in), in.readLong());
         } catch (IOException | IndexOutOfBoundsException | NegativeArraySizeException e) {
             throw new InvalidInputException("view", "can't be read: " + e);
         }
@@ -67,10 +67,10 @@
         out.writeLong(header.sequence());
         out.writeLong(header.term());
         out.writeUTF(header.leader());
-        out.writeLong(header.seenIncarnation());
-        out.writeLong(header.seenSequence());
-        out.writeLong(header.seenChange());
-        out.writeInt(header.seenEpoch());
+        out.writeLong(header.ackedIncarnation());
+        out.writeLong(header.ackedSequence());
+        out.writeLong(header.ackedVersion());
+        out.writeInt(header.ackedEpoch());
     }
 
     private static Header readHeader(DataInputStream in) throws IOException {
@@ -86,24 +86,24 @@
                 in.readInt());
     }
 
-    private static void writeStanding(DataOutputStream out, Standing standing) throws IOException {
-        out.writeBoolean(standing.storeGood());
-        out.writeBoolean(standing.busy());
-        writeNames(out, standing.heard());
+    private static void writeHealth(DataOutputStream out, ControllerHealth health) throws IOException {
+        out.writeBoolean(health.storeReachable());
+        out.writeBoolean(health.lagging());
+        writeNames(out, health.reachablePeers());
     }
 
-    private static Standing readStanding(DataInputStream in) throws IOException {
-        return new Standing(in.readBoolean(), in.readBoolean(), readNames(in));
+    private static ControllerHealth readHealth(DataInputStream in) throws IOException {
+        return new ControllerHealth(in.readBoolean(), in.readBoolean(), readNames(in));
     }
 
     private static void writeWorkers(DataOutputStream out, WorkerChanges workers) throws IOException {
         out.writeInt(workers.epoch());
-        out.writeLong(workers.base());
-        out.writeLong(workers.upTo());
+        out.writeLong(workers.baseVersion());
+        out.writeLong(workers.version());
         writeNames(out, workers.names());
         workers.changed().serialize(out);
-        workers.departed().serialize(out);
-        workers.examined().serialize(out);
+        workers.removed().serialize(out);
+        workers.outboundKnown().serialize(out);
         workers.inbound().serialize(out);
         workers.outbound().serialize(out);
     }
@@ -114,21 +114,21 @@
                 in.readLong(),
                 in.readLong(),
                 readNames(in),
-                readNumbers(in),
-                readNumbers(in),
-                readNumbers(in),
-                readNumbers(in),
-                readNumbers(in));
+                readBitmap(in),
+                readBitmap(in),
+                readBitmap(in),
+                readBitmap(in),
+                readBitmap(in));
     }
 
-    private static RoaringBitmap readNumbers(DataInputStream in) throws IOException {
-        RoaringBitmap numbers = new RoaringBitmap();
+    private static RoaringBitmap readBitmap(DataInputStream in) throws IOException {
+        RoaringBitmap bitmap = new RoaringBitmap();
         try {
-            numbers.deserialize(in);
-        } catch (RuntimeException e) {
+            bitmap.deserialize(in);
+        } catch (RuntimeException e) { // malformed bytes raise several unchecked types
             throw new IOException("not a set of numbers", e);
         }
-        return numbers;
+        return bitmap;
     }
 
     private static void writeNames(DataOutputStream out, List<String> names) throws IOException {
@@ -140,13 +140,13 @@
 
     private static List<String> readNames(DataInputStream in) throws IOException {
         List<String> names = new ArrayList<>();
-        for (int n = readCount(in); n > 0; n--) {
+        for (int remaining = readCount(in); remaining > 0; remaining--) {
             names.add(in.readUTF());
         }
         return names;
     }
 
-    /** A count of things that take two bytes each at least. */
+    /** Reads the size of a list whose elements take at least two bytes each. */
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available() / 2) {
@@ -158,11 +158,11 @@
     private static void writeHandover(DataOutputStream out, HandoverNotice notice) throws IOException {
         out.writeBoolean(notice != null);
         if (notice != null) {
-            out.writeLong(notice.number());
+            out.writeLong(notice.id());
             out.writeLong(notice.term());
             out.writeUTF(notice.nominee());
             out.writeLong(notice.nomineeIncarnation());
-            out.writeBoolean(notice.given());
+            out.writeBoolean(notice.active());
         }
     }
 
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -1,96 +1,110 @@
 package stileferry.connectivity;
 
-/** The links to one worker, in each direction, as this controller sees them. */
+/** The links to one worker, in each direction, as this controller sees them. Times are -1 where there is none. */
 final class WorkerLink {
-    /** Requests without an answer in a row after which the way to the worker counts as lost: one may get lost. */
-    private static final int LOST_REQUESTS = 2;
+    /** Consecutive requests without an answer after which requests count as not reaching the worker. */
+    private static final int MAX_LOST_REQUESTS = 2;
 
     final String name;
     String address;
 
-    /** Its number in this controller's views; never another worker's within an epoch. */
-    int index;
+    /** Its id in this controller's views, unique within an epoch. */
+    int id;
 
-    /** The number of its last change in this controller's views. */
-    long change;
+    /** The version of its last change in this controller's views. */
+    long version;
 
-    /** The newest report that was seen, in the order of session and sequence. */
-    private long session = -1;
+    /** The incarnation and sequence of the newest heartbeat. */
+    private long incarnation = -1;
 
     private long sequence = -1;
 
-    /** When it last reported straight to this controller; -1: it has not. */
-    long directAt = -1;
+    /** When its last heartbeat that was not relayed arrived. */
+    long directHeartbeatAt = -1;
 
-    /** Since when its reports come by way of another controller, without one of its own between; -1: they do not. */
+    /** Since when its heartbeats arrive through another controller only. */
     long relayedSince = -1;
 
-    /** When its last report was answered; before {@link #directAt}: not yet. */
-    long answeredAt = -1;
+    /** When its last heartbeat was answered; before {@link #directHeartbeatAt}: not yet. */
+    long heartbeatAnsweredAt = -1;
 
     /** When the outcome of a request to it was last known. */
-    long examinedAt;
+    long outboundObservedAt;
 
-    /** When anything was last seen of it. */
-    long evidenceAt;
+    /** When a heartbeat or an outcome of a request was last seen. */
+    long lastSeenAt;
 
-    /** Since when its links are suspect here; -1: they are not. */
+    /** Since when its links are suspect. */
     long suspectSince = -1;
 
-    /** Since when it is kept although it is silent, because another controller reaches it; -1: it is not. */
+    /** Since when it is kept, although it is silent, because another controller reaches it. */
     long keptSince = -1;
 
-    private int requestsLost;
+    private int consecutiveLosses;
 
-    /** When it last answered a question that was sent for that purpose, and when one last was in vain; -1: never. */
+    /** When it last answered a probe. */
     long probeAnsweredAt = -1;
 
+    /** When a probe of it last failed. */
     long probeFailedAt = -1;
 
-    // what the views of this controller say of it
+    WorkerReachability reachability = WorkerReachability.UNKNOWN;
 
-    /** Something recent is known of the way to it. */
-    boolean examined;
-
-    /** It reports straight to this controller. */
-    boolean inbound;
-
-    /** What is sent to it arrives. */
-    boolean outbound;
-
-    boolean departed;
-
-    /** It is in the set of workers with links that work. */
-    boolean sound;
+    /** Whether the worker no longer exists. */
+    boolean removed;
 
     WorkerLink(String name, String address) {
         this.name = name;
         this.address = address;
     }
 
-    /** Takes a report's number; false when a newer one was seen, so that this is a copy or came late. */
-    boolean takeNumber(WorkerReport report) {
-        boolean newer = report.session() > session || report.session() == session && report.sequence() > sequence;
+    boolean suspect() {
+        return suspectSince >= 0;
+    }
+
+    /** Notes a heartbeat's number; false where a newer heartbeat is known, so that this one is a copy or late. */
+    boolean acceptIfNewer(WorkerHeartbeat heartbeat) {
+        boolean newer = heartbeat.incarnation() > incarnation
+                || heartbeat.incarnation() == incarnation && heartbeat.sequence() > sequence;
         if (newer) {
-            session = report.session();
-            sequence = report.sequence();
+            incarnation = heartbeat.incarnation();
+            sequence = heartbeat.sequence();
         }
         return newer;
     }
 
-    /** Something that was sent has arrived. */
-    void requestArrived() {
-        requestsLost = 0;
+    /** A request or a heartbeat's answer has reached the worker. */
+    void requestAnswered() {
+        consecutiveLosses = 0;
+    }
+
+    /** A request or a heartbeat's answer was lost; returns whether the worker counts as out of reach from now on. */
+    boolean requestFailed() {
+        consecutiveLosses++;
+        return consecutiveLosses >= MAX_LOST_REQUESTS;
+    }
+
+    /**
+     * Whether answers reach the worker, as far as its new heartbeat shows: one that has not accepted the term lacks the
+     * answer to the heartbeat before.
+     */
+    boolean outboundAfter(WorkerHeartbeat heartbeat) {
+        if (!lastHeartbeatAnswered()) {
+            return reachability.outboundAssumed();
+        }
+        if (heartbeat.acceptedTerm()) {
+            requestAnswered();
+            return true;
+        }
+        return !requestFailed() && reachability.outboundAssumed();
     }
 
-    /** Something that was sent got no answer; true when the way counts as lost from now on. */
-    boolean requestLost() {
-        requestsLost++;
-        return requestsLost >= LOST_REQUESTS;
+    private boolean lastHeartbeatAnswered() {
+        return heartbeatAnsweredAt >= 0 && heartbeatAnsweredAt >= directHeartbeatAt;
     }
 
-    /** Whether it was answered since its last report and has gone to another controller all the same. */
-    boolean leftAlthoughAnswered() {
-        return directAt >= 0 && answeredAt >= directAt && relayedSince < 0;
+    /** Whether its last direct heartbeat was answered and its heartbeats are relayed only from now on. */
+    boolean leftDespiteAnswers() {
+        return directHeartbeatAt >= 0 && lastHeartbeatAnswered() && relayedSince < 0;
     }
 }
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -8,65 +8,48 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
-import org.roaringbitmap.RoaringBitmap;
 
 /**
- * The links to all workers that this controller has seen. A report costs the same whatever the number of workers; a
- * sweep looks only at those that have fallen silent since the last one.
+ * The links to all known workers. A heartbeat costs the same whatever the number of workers; the detection of silent
+ * workers looks only at those that have fallen silent since the last one.
  */
 final class WorkerLinks {
-    /** Departed workers that are remembered beyond as many as there are, before numbers are given anew. */
-    private static final int SPARE_NUMBERS = 64;
-
     private final ConnectivityConfig config;
-    private final IntervalStatistics intervals;
+    private final WorkerSuspicionTimeout suspicionTimeout;
+    private final WorkerNumbering numbering = new WorkerNumbering();
+    private final SuspectTracker suspects = new SuspectTracker(numbering);
     private final Map<String, WorkerLink> byName = new HashMap<>();
 
-    /** Workers that report straight to this controller, the one that has been silent for longest first. */
+    /** Workers whose heartbeats come straight to this controller, the one that has been silent for longest first. */
     private final Set<WorkerLink> direct = new LinkedHashSet<>();
 
-    /** All workers, that of which nothing has been seen for longest first. */
-    private final Set<WorkerLink> byEvidence = new LinkedHashSet<>();
-
-    /** Workers to which a request was sent, the one whose last outcome is oldest first. */
-    private final Set<WorkerLink> byExamination = new LinkedHashSet<>();
-
-    /** Workers with a link that does not work, the one that was asked after least lately first. */
-    private final Set<WorkerLink> suspects = new LinkedHashSet<>();
-
-    /** The numbers of workers with links that work. */
-    private RoaringBitmap sound = new RoaringBitmap();
+    /** All workers, the least recently seen first. */
+    private final Set<WorkerLink> byLastSeen = new LinkedHashSet<>();
 
-    /** All workers, also departed ones, by the number of their last change. */
-    private final TreeMap<Long, WorkerLink> changes = new TreeMap<>();
+    /** Workers with a known outcome of a request, the oldest outcome first. */
+    private final Set<WorkerLink> byOutboundObserved = new LinkedHashSet<>();
 
-    private final List<WorkerLink> byIndex = new ArrayList<>();
-    private int epoch = 1;
-    private long lastChange;
     private long suspicions;
-    private boolean kept;
-    private double boundMs;
-    private long boundAt = -1;
+    private boolean retainSilent;
 
     WorkerLinks(ConnectivityConfig config) {
         this.config = config;
-        this.intervals = new IntervalStatistics(config.reportMs());
+        this.suspicionTimeout = new WorkerSuspicionTimeout(config);
     }
 
-    /** Forgets all workers, as their state is to be learnt anew. */
+    /** Forgets all workers. */
     void clear() {
         byName.clear();
         direct.clear();
-        byEvidence.clear();
-        byExamination.clear();
+        byLastSeen.clear();
+        byOutboundObserved.clear();
         suspects.clear();
-        renumber();
+        startEpoch();
     }
 
-    // ---- what is seen
+    // ---- observations
 
-    /** A worker that should be there, though nothing was heard of it. */
+    /** A worker is expected to exist, though no heartbeat of it has arrived. */
     void expected(String name, String address, long now) {
         WorkerLink known = byName.get(name);
         if (known == null) {
@@ -76,312 +59,235 @@
         }
     }
 
-    /** A report that came straight from its worker; false when it is a copy or came late. */
-    boolean reported(WorkerReport report, long now) {
-        WorkerLink link = link(report, now);
-        if (!link.takeNumber(report)) {
+    /** A heartbeat arrived straight from its worker; false where it is a copy or late. */
+    boolean heartbeatReceived(WorkerHeartbeat heartbeat, long now) {
+        WorkerLink link = findOrAdd(heartbeat, now);
+        if (!link.acceptIfNewer(heartbeat)) {
             return false;
         }
-        if (link.directAt >= 0 && link.relayedSince < 0) {
-            intervals.add(now - link.directAt);
+        if (link.directHeartbeatAt >= 0 && link.relayedSince < 0) {
+            suspicionTimeout.addInterval(now - link.directHeartbeatAt);
         }
-        boolean answered = link.answeredAt >= link.directAt && link.answeredAt >= 0;
-        boolean outbound = link.outbound || !link.examined;
-        if (answered && report.showsTerm()) {
-            link.requestArrived();
-            outbound = true;
-        } else if (answered && link.requestLost()) {
-            outbound = false;
-        }
-        link.directAt = now;
+        boolean outbound = link.outboundAfter(heartbeat);
+        link.directHeartbeatAt = now;
         link.relayedSince = -1;
-        seen(link, now);
+        markSeen(link, now);
         moveToEnd(direct, link);
-        update(link, link.examined, true, outbound, now);
+        update(link, link.reachability.withInbound(true).withOutbound(outbound), now);
         return true;
     }
 
-    /** A report that came by way of another controller. */
-    void relayed(WorkerReport report, long now) {
-        WorkerLink link = link(report, now);
-        if (!link.takeNumber(report)) {
+    /** A heartbeat was relayed by another controller. */
+    void relayedHeartbeatReceived(WorkerHeartbeat heartbeat, long now) {
+        WorkerLink link = findOrAdd(heartbeat, now);
+        if (!link.acceptIfNewer(heartbeat)) {
             return;
         }
-        boolean outbound = link.outbound && !link.leftAlthoughAnswered();
+        boolean outbound = link.reachability.outbound() && !link.leftDespiteAnswers();
         if (link.relayedSince < 0) {
             link.relayedSince = now;
         }
-        seen(link, now);
+        markSeen(link, now);
         direct.remove(link);
-        update(link, link.examined, false, outbound, now);
+        update(link, link.reachability.withInbound(false).withOutbound(outbound), now);
     }
 
-    /** The worker's last report was answered. */
-    void answered(String name, long now) {
+    /** The worker's last heartbeat was answered. */
+    void heartbeatAnswered(String name, long now) {
         WorkerLink link = byName.get(name);
         if (link != null) {
-            link.answeredAt = now;
+            link.heartbeatAnsweredAt = now;
         }
     }
 
     /** A request to the worker was answered. */
-    void reached(String name, boolean probe, long now) {
+    void requestAnswered(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
         if (link == null) {
             return;
         }
-        link.requestArrived();
-        link.probeAnsweredAt = probe ? now : link.probeAnsweredAt;
-        seen(link, now);
-        examined(link, now);
-        update(link, true, link.inbound, true, now);
+        link.requestAnswered();
+        if (probe) {
+            link.probeAnsweredAt = now;
+        }
+        markSeen(link, now);
+        markOutboundObserved(link, now);
+        update(link, link.reachability.withOutboundResult(true), now);
     }
 
-    /** A request to the worker was not answered. */
-    void missed(String name, boolean probe, long now) {
+    /** A request to the worker was not answered; a single failed probe counts, other requests may get lost. */
+    void requestFailed(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
         if (link == null) {
             return;
         }
-        link.probeFailedAt = probe ? now : link.probeFailedAt;
-        boolean lost = link.requestLost() || probe;
+        boolean lost = link.requestFailed() || probe;
         if (probe) {
-            seen(link, now);
+            link.probeFailedAt = now;
+            markSeen(link, now);
         }
-        examined(link, now);
-        update(link, true, link.inbound, link.outbound && !lost, now);
+        markOutboundObserved(link, now);
+        update(link, link.reachability.withOutboundResult(link.reachability.outbound() && !lost), now);
     }
 
-    /** The worker is gone for good. */
-    void gone(String name) {
+    /** The worker no longer exists. */
+    void removed(String name) {
         WorkerLink link = byName.remove(name);
         if (link == null) {
             return;
         }
         direct.remove(link);
-        byEvidence.remove(link);
-        byExamination.remove(link);
+        byLastSeen.remove(link);
+        byOutboundObserved.remove(link);
         suspects.remove(link);
-        sound.remove(link.index);
-        link.departed = true;
-        changed(link);
-        if (byIndex.size() > 2 * byName.size() + SPARE_NUMBERS) {
-            renumber();
+        link.removed = true;
+        numbering.markChanged(link);
+        if (numbering.hasTooManySpareIds(byName.size())) {
+            startEpoch();
         }
     }
 
-    /** Whether workers of which nothing is seen are kept, as a leader keeps all until they are gone. */
-    void keep(boolean all) {
-        kept = all;
-        if (!kept) {
-            byEvidence.clear();
+    // ---- silence
+
+    /** Whether silent workers are retained, as a leader retains all until they are removed. */
+    void retainSilent(boolean retain) {
+        retainSilent = retain;
+        if (!retainSilent) {
+            byLastSeen.clear();
             byName.values().stream()
-                    .sorted(Comparator.comparingLong(link -> link.evidenceAt))
-                    .forEach(byEvidence::add);
+                    .sorted(Comparator.comparingLong(link -> link.lastSeenAt))
+                    .forEach(byLastSeen::add);
         }
     }
 
-    /** Notes who has fallen silent; who is not kept and of whom nothing is seen any more is forgotten. */
-    void sweep(long now, long lateMs) {
-        double silent = silenceBoundMs(now) + lateMs;
+    /** Marks workers that have fallen silent; forgets those that are not retained and were not seen for long. */
+    void detectSilent(long now, long eventLoopLagMs) {
+        double timeoutMs = suspicionTimeoutMs(now) + eventLoopLagMs;
         for (Iterator<WorkerLink> oldest = direct.iterator(); oldest.hasNext(); ) {
             WorkerLink link = oldest.next();
-            if (now - link.directAt <= silent) {
+            if (now - link.directHeartbeatAt <= timeoutMs) {
                 break;
             }
             oldest.remove();
             suspicions++;
-            update(link, link.examined, false, link.outbound, now);
+            update(link, link.reachability.withInbound(false), now);
         }
-        if (!kept) {
-            forgetOutcomes(now - config.outcomeMs() - lateMs, now);
-            forget(now - config.evidenceMs() - lateMs);
+        if (!retainSilent) {
+            expireOutboundResults(now - config.probeResultMaxAgeMs() - eventLoopLagMs, now);
+            forgetUnseen(now - config.workerEvidenceMaxAgeMs() - eventLoopLagMs);
         }
     }
 
-    private void forgetOutcomes(long before, long now) {
-        for (Iterator<WorkerLink> oldest = byExamination.iterator(); oldest.hasNext(); ) {
+    private void expireOutboundResults(long before, long now) {
+        for (Iterator<WorkerLink> oldest = byOutboundObserved.iterator(); oldest.hasNext(); ) {
             WorkerLink link = oldest.next();
-            if (link.examinedAt >= before) {
+            if (link.outboundObservedAt >= before) {
                 break;
             }
             oldest.remove();
-            update(link, false, link.inbound, link.outbound, now);
+            update(link, link.reachability.withOutboundExpired(), now);
         }
     }
 
-    private void forget(long before) {
+    private void forgetUnseen(long before) {
         List<String> names = new ArrayList<>();
-        for (WorkerLink link : byEvidence) {
-            if (link.evidenceAt >= before) {
+        for (WorkerLink link : byLastSeen) {
+            if (link.lastSeenAt >= before) {
                 break;
             }
             names.add(link.name);
         }
-        names.forEach(this::gone);
+        names.forEach(this::removed);
     }
 
-    /** The silence after which a worker is suspect, from the measured intervals of all; computed now and then. */
-    double silenceBoundMs(long now) {
-        if (boundAt < 0 || now - boundAt > config.exchangeMs(true)) {
-            boundAt = now;
-            boundMs = Math.min(config.leaseMs() / 2.0, intervals.silenceMs(LinkObserver.FAILING_SUSPICION));
-        }
-        return boundMs;
-    }
+    // ---- bookkeeping
 
-    private WorkerLink link(WorkerReport report, long now) {
-        WorkerLink link = byName.get(report.worker());
+    private WorkerLink findOrAdd(WorkerHeartbeat heartbeat, long now) {
+        WorkerLink link = byName.get(heartbeat.worker());
         if (link == null) {
-            link = add(report.worker(), report.address(), now);
+            link = add(heartbeat.worker(), heartbeat.address(), now);
         }
-        link.address = report.address();
+        link.address = heartbeat.address();
         return link;
     }
 
     private WorkerLink add(String name, String address, long now) {
         WorkerLink link = new WorkerLink(name, address);
-        link.index = byIndex.size();
-        link.evidenceAt = now;
-        byIndex.add(link);
+        link.lastSeenAt = now;
         byName.put(name, link);
-        byEvidence.add(link);
-        changed(link);
-        judge(link, now);
+        byLastSeen.add(link);
+        numbering.add(link);
+        suspects.update(link, now);
         return link;
     }
 
-    private void seen(WorkerLink link, long now) {
-        link.evidenceAt = now;
-        if (!kept) {
-            moveToEnd(byEvidence, link);
+    private void markSeen(WorkerLink link, long now) {
+        link.lastSeenAt = now;
+        if (!retainSilent) {
+            moveToEnd(byLastSeen, link);
         }
     }
 
-    private void examined(WorkerLink link, long now) {
-        link.examinedAt = now;
-        moveToEnd(byExamination, link);
+    private void markOutboundObserved(WorkerLink link, long now) {
+        link.outboundObservedAt = now;
+        moveToEnd(byOutboundObserved, link);
     }
 
-    private static void moveToEnd(Set<WorkerLink> set, WorkerLink link) {
-        set.remove(link);
-        set.add(link);
+    private static void moveToEnd(Set<WorkerLink> links, WorkerLink link) {
+        links.remove(link);
+        links.add(link);
     }
 
-    private void update(WorkerLink link, boolean examined, boolean inbound, boolean outbound, long now) {
-        if (link.examined != examined || link.inbound != inbound || link.outbound != outbound) {
-            link.examined = examined;
-            link.inbound = inbound;
-            link.outbound = outbound;
-            changed(link);
+    private void update(WorkerLink link, WorkerReachability reachability, long now) {
+        if (!link.reachability.equals(reachability)) {
+            link.reachability = reachability;
+            numbering.markChanged(link);
         }
-        judge(link, now);
+        suspects.update(link, now);
     }
 
-    private void judge(WorkerLink link, long now) {
-        boolean works = link.inbound && (link.outbound || !link.examined);
-        if (works && link.sound) {
-            return;
-        }
-        link.sound = works;
-        if (works) {
-            suspects.remove(link);
-            sound.add(link.index);
-            link.suspectSince = -1;
-            link.keptSince = -1;
-        } else if (link.suspectSince < 0) {
-            suspects.add(link);
-            sound.remove(link.index);
-            link.suspectSince = now;
-        }
+    private void startEpoch() {
+        numbering.startEpoch(byName.values());
+        suspects.idsReassigned(byName.values());
     }
 
-    // ---- what others are told
+    // ---- queries
 
-    private void changed(WorkerLink link) {
-        changes.remove(link.change);
-        link.change = ++lastChange;
-        changes.put(link.change, link);
+    /** The ids and versions of workers in this controller's views. */
+    WorkerNumbering numbering() {
+        return numbering;
     }
 
-    /** Departed workers' numbers are given up, and every number is given anew. */
-    private void renumber() {
-        epoch++;
-        byIndex.clear();
-        changes.clear();
-        sound = new RoaringBitmap();
-        for (WorkerLink link : byName.values()) {
-            link.index = byIndex.size();
-            byIndex.add(link);
-            if (link.suspectSince < 0) {
-                sound.add(link.index);
-            }
-            link.change = ++lastChange;
-            changes.put(link.change, link);
-        }
+    /** The suspect and the healthy workers. */
+    SuspectTracker suspects() {
+        return suspects;
     }
 
-    /** The number of the time for which workers keep their numbers. */
-    int epoch() {
-        return epoch;
-    }
-
-    /** Workers that changed after a change, in the order of their last changes, at most so many. */
-    List<WorkerLink> changedAfter(long change, int most) {
-        List<WorkerLink> list = new ArrayList<>();
-        for (WorkerLink link : changes.tailMap(change, false).values()) {
-            if (list.size() >= most) {
-                break;
-            }
-            list.add(link);
-        }
-        return list;
-    }
-
-    // ---- what is asked
-
     int count() {
         return byName.size();
     }
 
     int suspectCount() {
-        return suspects.size();
+        return suspects.suspectCount();
     }
 
-    /** Workers from which reports come straight. */
+    /** Workers whose heartbeats come straight to this controller. */
     int directCount() {
         return direct.size();
     }
 
-    /** How often a worker has fallen silent for longer than is usual. */
+    /** How often a worker has become suspect by its silence. */
     long suspicions() {
         return suspicions;
     }
 
-    /** Null: nothing is known of it. */
-    WorkerLink find(String name) {
-        return byName.get(name);
-    }
-
-    /** The next suspects in turn. */
-    List<WorkerLink> nextSuspects(int most) {
-        List<WorkerLink> next = new ArrayList<>();
-        Iterator<WorkerLink> first = suspects.iterator();
-        while (next.size() < most && first.hasNext()) {
-            next.add(first.next());
-        }
-        next.forEach(link -> moveToEnd(suspects, link));
-        return next;
+    /** The silence in milliseconds after which a worker is suspect. */
+    double suspicionTimeoutMs(long now) {
+        return suspicionTimeout.timeoutMs(now);
     }
 
-    /** The next workers with links that work, in the order of their numbers after this one. */
-    List<WorkerLink> nextSound(int after, int most) {
-        List<WorkerLink> next = new ArrayList<>();
-        long at = sound.nextValue(after + 1);
-        while (next.size() < most && at >= 0) {
-            next.add(byIndex.get((int) at));
-            at = sound.nextValue((int) at + 1);
-        }
-        return next;
+    /** Null: not known. */
+    WorkerLink find(String name) {
+        return byName.get(name);
     }
 }
