--- a/src/main/java/stileferry/connectivity/ViewCodec.java
+++ b/src/main/java/stileferry/connectivity/ViewCodec.java
@@ -125,7 +125,7 @@
         RoaringBitmap bitmap = new RoaringBitmap();
         try {
             bitmap.deserialize(in);
-        } catch (RuntimeException e) { // malformed bytes raise several unchecked types
+        } catch (RuntimeException e) { // broad catch: malformed bytes raise several unchecked types
             throw new IOException("not a set of numbers", e);
         }
         return bitmap;
