--- a/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
@@ -10,7 +10,7 @@
 
 /** Reconciles what the leader knows of a machine with what its agent reports. */
 final class HeartbeatReconciliation {
-    private static final Logger LOG = LoggerFactory.getLogger("fleet");
+    private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
 
     private final ClusterState cluster;
     private final Environment environment;
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -26,7 +26,7 @@
  * when it last consented, or that it did not live yet.
  */
 public final class LastHeartbeatJournal {
-    private static final Logger LOG = LoggerFactory.getLogger("fleet");
+    private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
 
     /** Kind of event: when a machine that missed heartbeats was last answered. */
     public static final int LAST_HEARTBEAT_EVENT = 3;
--- a/src/main/java/stileferry/heartbeat/LeaseExpiry.java
+++ b/src/main/java/stileferry/heartbeat/LeaseExpiry.java
@@ -15,7 +15,7 @@
  * when its lease runs out.
  */
 final class LeaseExpiry {
-    private static final Logger LOG = LoggerFactory.getLogger("fleet");
+    private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
 
     /** Twice what two clocks that drift by 0.05% at most can differ. */
     private static final double MAX_CLOCK_DRIFT = 0.001;
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -13,7 +13,7 @@
 
 /** Reconciles the tasks that an agent reports with the assignments to its machine. */
 final class TaskReconciliation {
-    private static final Logger LOG = LoggerFactory.getLogger("fleet");
+    private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
 
     private final long term;
     private final TaskObserver taskObserver;
--- a/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
+++ b/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
@@ -17,7 +17,7 @@
  * gets no work until it has answered a direct request.
  */
 final class UnreachableAgentDetector {
-    private static final Logger LOG = LoggerFactory.getLogger("fleet");
+    private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
 
     private final Environment environment;
     private final long term;
--- a/src/main/java/stileferry/overload/AdmissionView.java
+++ b/src/main/java/stileferry/overload/AdmissionView.java
@@ -16,16 +16,16 @@
     private AdmissionView() {}
 
     /** {@code controller}: null while this one does not lead. */
-    static ObjectNode describe(LoadShedder door, AdmissionController controller, long now) {
+    static ObjectNode describe(LoadShedder loadShedder, AdmissionController controller, long now) {
         ObjectNode view = MessageCodec.map()
                 .put("leads", controller != null)
-                .put("holds_table", door.hasValidTable(now))
-                .put("refused_at_door", door.refusedCount());
-        if (door.lastTable() != null) {
-            view.put("table_term", door.lastTable().term())
-                    .put("table_sequence", door.lastTable().sequence())
-                    .put("table_age_s", door.tableAgeS(now))
-                    .put("closed_flows", door.lastTable().windows().size());
+                .put("holds_table", loadShedder.hasValidTable(now))
+                .put("refused_at_door", loadShedder.refusedCount());
+        if (loadShedder.lastTable() != null) {
+            view.put("table_term", loadShedder.lastTable().term())
+                    .put("table_sequence", loadShedder.lastTable().sequence())
+                    .put("table_age_s", loadShedder.tableAgeS(now))
+                    .put("closed_flows", loadShedder.lastTable().windows().size());
         }
         if (controller != null) {
             view.put("capacity_per_s", controller.capacityPerS());
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -50,7 +50,7 @@
 
     private final Environment environment;
     private final AdmissionConfig config;
-    private final LoadShedder door;
+    private final LoadShedder loadShedder;
     private final AdmissionTotalsReader totalsReader;
     private final RequestForwarder statusRequests;
     private final RequestForwarder changeRequests;
@@ -71,7 +71,7 @@
     public FairAdmission(Settings settings, Environment environment, KeyValueStoreClient store) {
         this.environment = environment;
         this.config = AdmissionSettings.config(settings);
-        this.door = new LoadShedder(config, REMEMBERED_EACH_SOCKET * settings.maxSockets());
+        this.loadShedder = new LoadShedder(config, REMEMBERED_EACH_SOCKET * settings.maxSockets());
         this.totalsReader = new AdmissionTotalsReader(store);
         this.statusRequests = new RequestForwarder(environment, MAX_STATUS_BATCHES);
         this.changeRequests = new RequestForwarder(environment, MAX_CHANGE_BATCHES);
@@ -90,12 +90,12 @@
 
     private void tick() {
         environment.schedule(config.intervalMs(), this::tick);
-        door.observeTerm(host.term());
+        loadShedder.observeTerm(host.term());
         long now = environment.now();
         if (controller != null) {
             saturatedAt = host.saturated() ? now : saturatedAt;
             controller.updateShares(pressure(), now);
-            door.updateTable(controller.table(), now, now);
+            loadShedder.updateTable(controller.table(), now, now);
             logClosed();
         } else if (host.leaderPeer() != null && !exchanging) {
             exchangeWith(host.leaderPeer());
@@ -130,7 +130,7 @@
     private void exchangeWith(Settings.Peer leader) {
         exchanging = true;
         long askedAt = environment.now();
-        byte[] demand = AdmissionCodec.encode(door.demandReport(askedAt));
+        byte[] demand = AdmissionCodec.encode(loadShedder.demandReport(askedAt));
         environment.sendToPeer(leader, new PeerMessage.AdmissionExchange(demand), config.tableValidityMs(), record -> {
             exchanging = false;
             tableLeader = "";
@@ -142,8 +142,8 @@
 
     private void takeTable(Settings.Peer leader, PeerMessage.AdmissionExchange answer, long askedAt) {
         try {
-            door.observeTerm(host.term());
-            door.updateTable(AdmissionCodec.decodeTable(answer.message()), askedAt, environment.now());
+            loadShedder.observeTerm(host.term());
+            loadShedder.updateTable(AdmissionCodec.decodeTable(answer.message()), askedAt, environment.now());
             tableLeader = leader.name();
         } catch (InvalidInputException e) {
             LOG.info("admission table invalid: leader={} reason={}", leader.name(), e.getMessage());
@@ -167,9 +167,9 @@
 
     @Override
     public void elected(long term) {
-        double ageS = door.tableAgeS(environment.now());
-        controller = new AdmissionController(config, term, door.lastTable(), ageS);
-        door.observeTerm(term);
+        double ageS = loadShedder.tableAgeS(environment.now());
+        controller = new AdmissionController(config, term, loadShedder.lastTable(), ageS);
+        loadShedder.observeTerm(term);
     }
 
     @Override
@@ -206,8 +206,8 @@
     private int retryAfterS(Flow flow, String id) {
         long now = environment.now();
         if (controller == null) {
-            door.observeTerm(host.term());
-            return door.retryAfterS(flow, id, now);
+            loadShedder.observeTerm(host.term());
+            return loadShedder.retryAfterS(flow, id, now);
         }
         if (!host.mayAcceptChanges() || host.knowsJob(id)) {
             return 0;
@@ -223,12 +223,12 @@
      */
     private PeerMessage.Response remember(String id, PeerMessage.Response answer) {
         if (answer.status() == 200 || answer.status() == 201) {
-            door.recordAccepted(id);
+            loadShedder.recordAccepted(id);
         } else if (answer.status() == 503) {
-            door.recordDeferred(id);
+            loadShedder.recordDeferred(id);
         }
         if (answer.status() == 503 && answer.retryAfterS() <= 1) {
-            return new PeerMessage.Response(503, door.retryAfterFailureS(id, environment.now()), answer.body());
+            return new PeerMessage.Response(503, loadShedder.retryAfterFailureS(id, environment.now()), answer.body());
         }
         return answer;
     }
@@ -247,7 +247,7 @@
             return 1;
         }
         boolean critical = header.priority() == JobSpec.Priority.CRITICAL;
-        return critical ? 0 : door.retryAfterFailureS(header.id(), environment.now());
+        return critical ? 0 : loadShedder.retryAfterFailureS(header.id(), environment.now());
     }
 
     // ---- what goes to the leader
@@ -274,7 +274,7 @@
             } else {
                 ObjectNode view = MessageCodec.map();
                 view.set("totals", AdmissionTotalsReader.describe(read));
-                view.set("here", AdmissionView.describe(door, controller, environment.now()));
+                view.set("here", AdmissionView.describe(loadShedder, controller, environment.now()));
                 reply.accept(Responses.ok(200, view));
             }
         });
--- a/src/main/java/stileferry/protocol/ExitReason.java
+++ b/src/main/java/stileferry/protocol/ExitReason.java
@@ -8,7 +8,7 @@
     STOPPED("halted"),
     /** Failed: mostly its machine is at fault, sometimes its job. */
     FAILED("error"),
-    /** The start was refused: the machine has not enough room. */
+    /** The start was refused: the machine lacks free resources. */
     INSUFFICIENT_RESOURCES("full"),
     /** The start was refused: another attempt of the task is on the machine. */
     CONFLICTING_ATTEMPT("busy"),
--- a/src/main/java/stileferry/protocol/MachineType.java
+++ b/src/main/java/stileferry/protocol/MachineType.java
@@ -7,7 +7,7 @@
 /**
  * A machine type that the cloud rents.
  *
- * @param cacheGb the room for images on a machine
+ * @param cacheGb the space for images on a machine, in GB
  * @param fetchGbPerS how fast a machine fetches images
  * @param bootS from the creation of a machine until its agent is heard
  */
--- a/src/main/java/stileferry/protocol/PeerMessage.java
+++ b/src/main/java/stileferry/protocol/PeerMessage.java
@@ -61,8 +61,9 @@
     record LinkView(byte[] view) implements PeerMessage {}
 
     /**
-     * A controller's demand for admissions on its way to the leader, and the leader's table of turns in answer, in the
-     * forms that {@code stileferry.admission} writes. A controller that does not take part answers with something else.
+     * A controller's demand for admissions on its way to the leader, and the leader's table of admission windows in
+     * answer, in the forms that {@code stileferry.admission} writes. A controller that does not take part answers with
+     * something else.
      */
     record AdmissionExchange(byte[] message) implements PeerMessage {}
 
--- a/src/main/java/stileferry/scheduling/ImageHoldBack.java
+++ b/src/main/java/stileferry/scheduling/ImageHoldBack.java
@@ -71,7 +71,7 @@
         return false;
     }
 
-    /** Whether capacity is being freed for this job, so that no machine has to be rented for it. */
+    /** Whether capacity is being freed for this job, so that no machine has to be requested for it. */
     boolean heldBack(Job job, long now) {
         return job.heldBackSince() != 0
                 && now - job.heldBackSince() <= PATIENCE_MS_PER_S * objectives.startWithinS(job);
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -52,7 +52,7 @@
      * Decides for the waiting jobs, in queue order, and reserves the capacity for them. Capacity that is being freed
      * already goes to the first that fits it.
      *
-     * @param bootMs how long a rented machine boots, which jobs without urgency wait before they may preempt
+     * @param bootMs how long a requested machine boots, which jobs without urgency wait before they may preempt
      */
     List<Stop> decide(List<Job> waiting, long now, long bootMs, long timeOfDay) {
         PreemptionPlan plan = new PreemptionPlan();
@@ -88,7 +88,7 @@
             return true;
         }
         long waitedMs = timeOfDay - job.acceptedAt();
-        // a machine to be rented boots too late for a gang that is to start soon, so it doesn't wait for one
+        // a machine to be requested boots too late for a gang that is to start soon, so it doesn't wait for one
         double patienceMs =
                 job.spec().gang() ? Math.min(bootMs, GANG_PATIENCE * 1000 * objectives.startWithinS(job)) : bootMs;
         return job.spec().priority() == JobSpec.Priority.NORMAL && waitedMs > patienceMs;
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -12,7 +12,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.OperatorSettings;
 
-/** A scheduling pass: starts what fits, preempts, and on regular passes rents and drains machines. */
+/** A scheduling pass: starts what fits, preempts, and on regular passes scales out and drains machines. */
 public final class SchedulingPass {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
@@ -47,7 +47,7 @@
     /**
      * Runs one pass.
      *
-     * @param regular whether machines may be rented and drained too, which is done once an interval
+     * @param regular whether the cluster may be scaled out and machines drained too, which is done once an interval
      * @param settled whether all machines that can report have reported in this term
      */
     public void run(boolean regular, boolean settled) {
--- a/src/main/java/stileferry/storage/TransactionCommitter.java
+++ b/src/main/java/stileferry/storage/TransactionCommitter.java
@@ -12,7 +12,7 @@
  * keys is read back and recognised by the transaction's stamp.
  */
 final class TransactionCommitter {
-    private static final Logger LOG = LoggerFactory.getLogger("ledger");
+    private static final Logger LOG = LoggerFactory.getLogger("commits");
 
     private static final long MIN_RETRY_MS = 50;
     private static final long MAX_RETRY_MS = 1000;
--- a/src/main/java/stileferry/transport/CommandQueue.java
+++ b/src/main/java/stileferry/transport/CommandQueue.java
@@ -8,7 +8,7 @@
 
 /** The queue of commands for the owner of the state, drained in batches on the one IO thread. */
 final class CommandQueue {
-    private static final Logger LOG = LoggerFactory.getLogger("owner");
+    private static final Logger LOG = LoggerFactory.getLogger("command-queue");
     private static final int CAPACITY = 16 * 1024;
     private static final int MAX_BATCH = 256;
 
