--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenAdministrationUnavailableTest.java
@@ -0,0 +1,72 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Path;
+import org.junit.jupiter.api.AfterAll;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Pins what a controller answers while the state service can't be reached and nobody leads. */
+class GoldenAdministrationUnavailableTest {
+    private static final int ONLY = 0;
+
+    @TempDir
+    static Path dir;
+
+    private static GoldenAdministrationCluster cluster;
+
+    @BeforeAll
+    static void start() throws Exception {
+        cluster = new GoldenAdministrationCluster(dir);
+        cluster.endStandIns();
+        cluster.serve(ONLY, "deploy/features-all.json");
+        cluster.await(ONLY, "/admin/counters", answer -> answer.status() == 200);
+    }
+
+    @AfterAll
+    static void stop() throws Exception {
+        cluster.close();
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "GET, /admin/settings, 'not available, try again'",
+        "POST, /admin/settings, 'not available, try again'",
+        "POST, /admin/settings/reset, 'not available, try again'",
+        "GET, /admin/leader, 'not available, try again'",
+        "GET, /admin/machines, 'not available, try again'",
+        "GET, /admin/queue, 'not available, try again'",
+        "GET, /admin/teams, 'not available, try again'",
+        "GET, /admin/nothing, 'not available, try again'",
+        "GET, /admin/admission, 'no leader, or not sure of it'"
+    })
+    void whatTheLeaderTellsIsUnavailable(String method, String path, String error) throws Exception {
+        assertEquals(
+                new GoldenAdministrationCluster.Answer(
+                        503, "{\"error\":\"" + error + "\"}", "application/msgpack", "1"),
+                cluster.ask(ONLY, method, path, null));
+    }
+
+    @Test
+    void theControllerIsNotReady() throws Exception {
+        assertEquals(new GoldenAdministrationCluster.Answer(503, "", "", ""), cluster.get(ONLY, "/ready"));
+    }
+
+    @Test
+    void itsOwnViewsAreTold() throws Exception {
+        assertEquals(
+                "", cluster.get(ONLY, "/admin/counters").json().path("leader").asText("none"));
+        assertEquals(200, cluster.get(ONLY, "/admin/links").status());
+    }
+
+    @Test
+    void theCommandLineFails() {
+        assertEquals(
+                new GoldenCommandLineRunner.Outcome(1, "", "stileferry: refused with 503: not available, try again"),
+                GoldenCommandLineRunner.run("status", "--node=" + cluster.address(ONLY), "--patience=0", "job-1"));
+    }
+}
