--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -93,38 +93,18 @@
     private void compare(List<Messages.ListedMachine> list) {
         long now = environment.now();
         Set<String> names = new HashSet<>();
-        for (Messages.ListedMachine l : list) {
-            if (cluster.deletedMachines().contains(l.name())) {
+        for (Messages.ListedMachine listed : list) {
+            if (cluster.deletedMachines().contains(listed.name())) {
                 continue; // the list lags behind the deletion
             }
-            names.add(l.name());
-            Machine m = cluster.machine(l.name());
-            m.instance().setListed(true);
-            m.instance().setMissingSince(0);
-            if (m.type() == null || m.address().isEmpty()) {
-                m.setAddress(m.address().isEmpty() ? l.address() : m.address());
-                m.setTypeName(l.type());
-                m.setType(cluster.machineType(l.type()));
-                m.setSpot(l.spot());
-                cluster.setZone(m, l.zone());
-            }
-            if (m.instance().requestedAt() == 0) {
-                m.instance().setRequestedAt(now - Math.round(l.ageS() * 1000));
-            }
-            if (!m.agent().heardThisTerm()) {
-                m.instance().setBooting(l.state().equals("booting"));
-            }
-            if (l.state().equals("failed") && !m.instance().terminating()) {
-                LOG.info("machine {} has failed", m.name());
-                m.instance().setTerminating(true);
-                cluster.freeCapacity().update(m);
-            }
+            names.add(listed.name());
+            update(listed, now);
         }
-        for (Machine m : cluster.machines().values()) {
-            if (m.instance().listed()
-                    && !names.contains(m.name())
-                    && m.instance().missingSince() == 0) {
-                m.instance().setMissingSince(now);
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.instance().listed()
+                    && !names.contains(machine.name())
+                    && machine.instance().missingSince() == 0) {
+                machine.instance().setMissingSince(now);
             }
         }
         if (!listedOnce) {
@@ -132,4 +112,28 @@
             firstRead.run();
         }
     }
+
+    private void update(Messages.ListedMachine listed, long now) {
+        Machine machine = cluster.machine(listed.name());
+        machine.instance().setListed(true);
+        machine.instance().setMissingSince(0);
+        if (machine.type() == null || machine.address().isEmpty()) {
+            machine.setAddress(machine.address().isEmpty() ? listed.address() : machine.address());
+            machine.setTypeName(listed.type());
+            machine.setType(cluster.machineType(listed.type()));
+            machine.setSpot(listed.spot());
+            cluster.setZone(machine, listed.zone());
+        }
+        if (machine.instance().requestedAt() == 0) {
+            machine.instance().setRequestedAt(now - Math.round(listed.ageS() * 1000));
+        }
+        if (!machine.agent().heardThisTerm()) {
+            machine.instance().setBooting(listed.state().equals("booting"));
+        }
+        if (listed.state().equals("failed") && !machine.instance().terminating()) {
+            LOG.info("machine {} has failed", machine.name());
+            machine.instance().setTerminating(true);
+            cluster.freeCapacity().update(machine);
+        }
+    }
 }
--- a/src/main/java/stileferry/autoscaling/PlannedMachine.java
+++ b/src/main/java/stileferry/autoscaling/PlannedMachine.java
@@ -23,22 +23,22 @@
         this.memory = type.memoryGb();
     }
 
-    boolean fits(JobSpec s) {
-        return (s.allowsSpot() || !spot)
-                && (s.zone() == null || s.zone().equals(zone))
-                && s.fitsType(type)
-                && s.cpus() <= cpus + ROUNDING
-                && s.gpus() <= gpus + ROUNDING
-                && s.memoryGb() <= memory + ROUNDING;
+    boolean fits(JobSpec spec) {
+        return (spec.allowsSpot() || !spot)
+                && (spec.zone() == null || spec.zone().equals(zone))
+                && spec.fitsType(type)
+                && spec.cpus() <= cpus + ROUNDING
+                && spec.gpus() <= gpus + ROUNDING
+                && spec.memoryGb() <= memory + ROUNDING;
     }
 
     /** Takes as many tasks as fit, and returns how many. */
-    int take(JobSpec s, int tasks) {
+    int take(JobSpec spec, int tasks) {
         int taken = 0;
-        while (taken < tasks && fits(s)) {
-            cpus -= s.cpus();
-            gpus -= s.gpus();
-            memory -= s.memoryGb();
+        while (taken < tasks && fits(spec)) {
+            cpus -= spec.cpus();
+            gpus -= spec.gpus();
+            memory -= spec.memoryGb();
             taken++;
         }
         return taken;
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -71,113 +71,120 @@
         double spare = settled ? spareCpus() : 0;
         boolean mayReturnIdle = settled && links.permitsReturning();
         Set<Machine> lost = settled ? new HashSet<>(fleet.failures().lost(since)) : Set.of();
-        for (Machine m : cluster.machines().values()) {
-            if (m.instance().terminating()) {
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.instance().terminating()) {
                 continue;
             }
-            String why = whyLost(m, settled, lost);
-            if (why == null && mayReturnIdle && shallNotBeUsed(m)) {
+            String why = whyLost(machine, settled, lost);
+            if (why == null && mayReturnIdle && shallNotBeUsed(machine)) {
                 why = "it is empty and shall not be used";
             } else if (why == null
                     && mayReturnIdle
-                    && idle(m)
-                    && (m.spot() || spare >= m.type().cpus())) {
+                    && idle(machine)
+                    && (machine.spot() || spare >= machine.type().cpus())) {
                 why = "it is idle";
-                spare -= m.spot() ? 0 : m.type().cpus();
+                spare -= machine.spot() ? 0 : machine.type().cpus();
             }
-            if (keepsCancelledTask(m)) {
+            if (keepsCancelledTask(machine)) {
                 why = "a cancelled task on it can't be stopped";
             }
             if (why != null) {
                 LOG.info(
                         "returning machine {} with {} tasks: {}",
-                        m.name(),
-                        m.assignments().size(),
+                        machine.name(),
+                        machine.assignments().size(),
                         why);
-                m.instance().setTerminating(true);
-                cluster.freeCapacity().update(m);
+                machine.instance().setTerminating(true);
+                cluster.freeCapacity().update(machine);
             }
         }
         delete();
     }
 
     /** Why a machine is taken for lost; null: it is not. */
-    private String whyLost(Machine m, boolean settled, Set<Machine> lost) {
+    private String whyLost(Machine machine, boolean settled, Set<Machine> lost) {
         long now = environment.now();
-        long quiet =
-                now - Math.max(since, m.instance().requestedAt()); // a new leader has not been there to hear it before
-        boolean missing = m.instance().missingSince() != 0 && now - m.instance().missingSince() > listLagMs / 2;
-        if (missing && (fleet.failures().silent(m) || !m.agent().heardThisTerm())) {
+        long quiet = now
+                - Math.max(
+                        since, machine.instance().requestedAt()); // a new leader has not been there to hear it before
+        boolean missing = machine.instance().missingSince() != 0
+                && now - machine.instance().missingSince() > listLagMs / 2;
+        if (missing && (fleet.failures().silent(machine) || !machine.agent().heardThisTerm())) {
             // Listed before and not listed now: it is gone. Deleting it is free and makes that certain.
             return "it is not listed any more";
         }
-        if (settled && neverCameUp(m, now)) {
+        if (settled && neverCameUp(machine, now)) {
             return "it never came up";
         }
-        boolean unknown = !m.agent().heardThisTerm()
-                && !m.instance().listed()
-                && !m.assignments().isEmpty()
+        boolean unknown = !machine.agent().heardThisTerm()
+                && !machine.instance().listed()
+                && !machine.assignments().isEmpty()
                 && list.known();
         if (settled && unknown && quiet > 2 * listLagMs + leaseMs) {
             return "nobody knows it";
         }
-        if (lost.contains(m) && links.permitsGivingUp(m.name())) {
+        if (lost.contains(machine) && links.permitsGivingUp(machine.name())) {
             // the deletion proves sooner than the lease that its tasks are gone
-            return m.spot() ? "it was taken without a word" : "it is silent, though its zone is not";
+            return machine.spot() ? "it was taken without a word" : "it is silent, though its zone is not";
         }
-        boolean lapsed = m.agent().expiredIncarnation() >= m.agent().incarnation()
-                && m.assignments().isEmpty()
-                && !m.instance().booting();
+        return whySilent(machine, settled, now, quiet);
+    }
+
+    /** Why a machine is given up that no report comes from, or that nothing reaches; null: it is not. */
+    private String whySilent(Machine machine, boolean settled, long now, long quiet) {
+        boolean lapsed = machine.agent().expiredIncarnation() >= machine.agent().incarnation()
+                && machine.assignments().isEmpty()
+                && !machine.instance().booting();
         if (lapsed
-                && Math.min(quiet, now - m.agent().lastHeardAt()) > SILENT_LEASES * leaseMs
-                && links.permitsGivingUp(m.name())) {
+                && Math.min(quiet, now - machine.agent().lastHeardAt()) > SILENT_LEASES * leaseMs
+                && links.permitsGivingUp(machine.name())) {
             return "it is silent";
         }
         if (settled
-                && m.agent().unreachableSince() != 0
-                && now - m.agent().unreachableSince() > SILENT_LEASES * leaseMs
-                && links.permitsGivingUp(m.name())) {
+                && machine.agent().unreachableSince() != 0
+                && now - machine.agent().unreachableSince() > SILENT_LEASES * leaseMs
+                && links.permitsGivingUp(machine.name())) {
             return "it reports, but nothing that it is told reaches it";
         }
         return null;
     }
 
-    private static boolean neverCameUp(Machine m, long now) {
-        return !m.agent().heardThisTerm()
-                && m.instance().booting()
-                && m.type() != null
-                && m.assignments().isEmpty()
-                && m.instance().requestedAt() != 0
-                && now - m.instance().requestedAt()
-                        > BOOT_PATIENCE * 1000 * m.type().bootS();
+    private static boolean neverCameUp(Machine machine, long now) {
+        return !machine.agent().heardThisTerm()
+                && machine.instance().booting()
+                && machine.type() != null
+                && machine.assignments().isEmpty()
+                && machine.instance().requestedAt() != 0
+                && now - machine.instance().requestedAt()
+                        > BOOT_PATIENCE * 1000 * machine.type().bootS();
     }
 
-    private static boolean empty(Machine m) {
-        return m.agent().heardThisTerm() && m.assignments().isEmpty();
+    private static boolean empty(Machine machine) {
+        return machine.agent().heardThisTerm() && machine.assignments().isEmpty();
     }
 
-    private boolean shallNotBeUsed(Machine m) {
-        return empty(m)
-                && !fleet.failures().silent(m)
-                && (m.instance().reclaimNoticeS() >= 0
-                        || m.instance().quarantined()
-                        || m.instance().draining());
+    private boolean shallNotBeUsed(Machine machine) {
+        return empty(machine)
+                && !fleet.failures().silent(machine)
+                && (machine.instance().reclaimNoticeS() >= 0
+                        || machine.instance().quarantined()
+                        || machine.instance().draining());
     }
 
-    private boolean idle(Machine m) {
+    private boolean idle(Machine machine) {
         long now = environment.now();
-        return empty(m)
-                && m.type() != null
-                && !m.agent().hasOrphanTasks()
-                && now - m.instance().idleSince() > idleMs(m)
-                && now - m.instance().requestedAt() > PAID_MS;
+        return empty(machine)
+                && machine.type() != null
+                && !machine.agent().hasOrphanTasks()
+                && now - machine.instance().idleSince() > idleMs(machine)
+                && now - machine.instance().requestedAt() > PAID_MS;
     }
 
-    private boolean keepsCancelledTask(Machine m) {
-        for (TaskAssignment c : m.assignments().values()) {
-            if (c.job().cancelled()
-                    && c.stopRequestedAt() > 0
-                    && environment.now() - c.stopRequestedAt() > cancelPatienceMs) {
+    private boolean keepsCancelledTask(Machine machine) {
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (assignment.job().cancelled()
+                    && assignment.stopRequestedAt() > 0
+                    && environment.now() - assignment.stopRequestedAt() > cancelPatienceMs) {
                 return true;
             }
         }
@@ -185,17 +192,17 @@
     }
 
     /** A machine is kept for a while: renting another takes its boot time. */
-    private long idleMs(Machine m) {
+    private long idleMs(Machine machine) {
         return Math.round(1000
                 * cluster.operatorSettings().number(OperatorSettings.IDLE_BOOTS)
-                * m.type().bootS());
+                * machine.type().bootS());
     }
 
     private void delete() {
         List<String> names = new ArrayList<>();
-        for (Machine m : cluster.machines().values()) {
-            if (m.instance().terminating() && names.size() < MAX_DELETE) {
-                names.add(m.name());
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.instance().terminating() && names.size() < MAX_DELETE) {
+                names.add(machine.name());
             }
         }
         if (deleting || names.isEmpty() || !cloud.mayCall()) {
@@ -206,9 +213,9 @@
             deleting = false;
             if (status == 200) {
                 for (String name : names) {
-                    Machine m = cluster.machines().get(name);
-                    if (m != null) {
-                        fleet.deleted(m);
+                    Machine machine = cluster.machines().get(name);
+                    if (machine != null) {
+                        fleet.deleted(machine);
                     }
                 }
             }
@@ -220,14 +227,14 @@
         double free = 0;
         double critical = 0;
         double largest = 0;
-        for (Machine m : cluster.machines().values()) {
-            if (m.schedulable() && !m.spot()) {
-                free += m.type().cpus() - m.usedCpus();
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.schedulable() && !machine.spot()) {
+                free += machine.type().cpus() - machine.usedCpus();
             }
-            for (TaskAssignment c : m.assignments().values()) {
-                if (c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
-                    critical += c.job().spec().cpus();
-                    largest = Math.max(largest, c.job().spec().cpus());
+            for (TaskAssignment assignment : machine.assignments().values()) {
+                if (assignment.job().spec().priority() == JobSpec.Priority.CRITICAL) {
+                    critical += assignment.job().spec().cpus();
+                    largest = Math.max(largest, assignment.job().spec().cpus());
                 }
             }
         }
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -84,24 +84,24 @@
         Map<String, Integer> perZone = new HashMap<>();
         spotMachines = 0;
         allMachines = 0;
-        for (Machine m : cluster.machines().values()) {
-            if (m.instance().terminating() || m.type() == null) {
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.instance().terminating() || machine.type() == null) {
                 continue;
             }
             allMachines++;
-            spotMachines += m.spot() ? 1 : 0;
-            perZone.merge(m.zone(), 1, Integer::sum);
-            if (m.instance().booting()) { // what is said to run but does not report is no room to count on
-                coming.add(new PlannedMachine(m.type(), m.zone(), m.spot()));
+            spotMachines += machine.spot() ? 1 : 0;
+            perZone.merge(machine.zone(), 1, Integer::sum);
+            if (machine.instance().booting()) { // what is said to run but does not report is no room to count on
+                coming.add(new PlannedMachine(machine.type(), machine.zone(), machine.spot()));
             }
         }
-        for (ScaleOutRequest r : rentals) {
-            for (int i = 0; i < r.count; i++) {
-                coming.add(new PlannedMachine(r.type, r.zone, r.spot));
+        for (ScaleOutRequest request : rentals) {
+            for (int i = 0; i < request.count; i++) {
+                coming.add(new PlannedMachine(request.type, request.zone, request.spot));
             }
-            allMachines += r.count;
-            spotMachines += r.spot ? r.count : 0;
-            perZone.merge(r.zone, r.count, Integer::sum);
+            allMachines += request.count;
+            spotMachines += request.spot ? request.count : 0;
+            perZone.merge(request.zone, request.count, Integer::sum);
         }
         int known = coming.size();
         Map<String, Double> teamCpus = new HashMap<>();
@@ -133,9 +133,14 @@
             if (!cloud.mayCall()) {
                 return;
             }
-            PlannedMachine b = bins.get(0);
+            PlannedMachine planned = bins.get(0);
             ScaleOutRequest rental = new ScaleOutRequest(
-                    requestPrefix + ++requests, b.type(), b.zone(), b.spot(), bins.size(), environment.now());
+                    requestPrefix + ++requests,
+                    planned.type(),
+                    planned.zone(),
+                    planned.spot(),
+                    bins.size(),
+                    environment.now());
             rentals.add(rental);
             send(rental);
         }
@@ -179,12 +184,13 @@
             }
         }
         String best = null;
-        for (Map.Entry<String, Integer> e : room.entrySet()) {
-            if (!unreachable.contains(e.getKey())
+        for (Map.Entry<String, Integer> entry : room.entrySet()) {
+            if (!unreachable.contains(entry.getKey())
                     && (best == null
-                            || e.getValue() > room.get(best)
-                            || e.getValue().equals(room.get(best)) && e.getKey().compareTo(best) < 0)) {
-                best = e.getKey();
+                            || entry.getValue() > room.get(best)
+                            || entry.getValue().equals(room.get(best))
+                                    && entry.getKey().compareTo(best) < 0)) {
+                best = entry.getKey();
             }
         }
         if (best != null && (room.get(best) >= tasks || cheapest(spec, perZone, best) != null)) {
@@ -232,70 +238,71 @@
     }
 
     private void repeatRentals() {
-        for (ScaleOutRequest r : List.copyOf(rentals)) {
-            if (environment.now() - r.sentAt > REPEAT_MS && cloud.mayCall()) {
-                rentals.remove(r);
-                ScaleOutRequest again =
-                        new ScaleOutRequest(r.request, r.type, r.zone, r.spot, r.count, environment.now());
+        for (ScaleOutRequest request : List.copyOf(rentals)) {
+            if (environment.now() - request.sentAt > REPEAT_MS && cloud.mayCall()) {
+                rentals.remove(request);
+                ScaleOutRequest again = new ScaleOutRequest(
+                        request.request, request.type, request.zone, request.spot, request.count, environment.now());
                 rentals.add(again);
                 send(again);
             }
         }
     }
 
-    private void send(ScaleOutRequest r) {
+    private void send(ScaleOutRequest request) {
         cloud.call(
                 "POST",
                 "/hosts",
-                Messages.scaleOutRequest(r.request, r.type.name(), r.zone, r.spot, r.count),
-                (status, body) -> answered(r, status, body));
+                Messages.scaleOutRequest(
+                        request.request, request.type.name(), request.zone, request.spot, request.count),
+                (status, body) -> answered(request, status, body));
     }
 
-    private void answered(ScaleOutRequest r, int status, JsonNode body) {
-        String group = group(r.type, r.zone, r.spot);
+    private void answered(ScaleOutRequest request, int status, JsonNode body) {
+        String group = group(request.type, request.zone, request.spot);
         if (status == 200 && body != null) {
-            rentals.removeIf(x -> x.request.equals(r.request));
+            rentals.removeIf(x -> x.request.equals(request.request));
             List<String> names = Messages.createdMachines(body);
             LOG.info(
                     "rented {} of {} {} {} in {}",
                     names.size(),
-                    r.count,
-                    r.spot ? "spot" : "ordinary",
-                    r.type.name(),
-                    r.zone);
+                    request.count,
+                    request.spot ? "spot" : "ordinary",
+                    request.type.name(),
+                    request.zone);
             for (String name : names) {
-                Machine m = cluster.machine(name);
-                m.setType(r.type);
-                m.setTypeName(r.type.name());
-                m.setSpot(r.spot);
-                m.instance().setRequestedAt(r.sentAt);
-                m.instance().setBooting(!m.agent().heardThisTerm());
-                cluster.setZone(m, r.zone);
+                Machine machine = cluster.machine(name);
+                machine.setType(request.type);
+                machine.setTypeName(request.type.name());
+                machine.setSpot(request.spot);
+                machine.instance().setRequestedAt(request.sentAt);
+                machine.instance().setBooting(!machine.agent().heardThisTerm());
+                cluster.setZone(machine, request.zone);
             }
-            if (names.size() < r.count) {
-                refuse(group, r);
+            if (names.size() < request.count) {
+                refuse(group, request);
             } else {
                 refusals.remove(group);
             }
         } else if (status == 503 && body != null && body.path("error").asText().startsWith("no")) {
-            rentals.removeIf(x -> x.request.equals(r.request));
-            refuse(group, r);
+            rentals.removeIf(x -> x.request.equals(request.request));
+            refuse(group, request);
         } else if (status == 400) {
-            rentals.removeIf(x -> x.request.equals(r.request));
+            rentals.removeIf(x -> x.request.equals(request.request));
             LOG.error("the cloud calls a rental malformed: {}", body);
         }
         // anything else: the outcome is unknown or nothing was done, and the same request is sent again later
     }
 
-    private void refuse(String group, ScaleOutRequest r) {
+    private void refuse(String group, ScaleOutRequest request) {
         BackOff refusal = refusals.computeIfAbsent(group, g -> new BackOff());
-        long pause = Math.round(r.type.bootS() * 500) << Math.min(1, refusal.count++);
+        long pause = Math.round(request.type.bootS() * 500) << Math.min(1, refusal.count++);
         refusal.until = environment.now() + pause;
         LOG.info(
                 "no more {} {} in {}, asking again in {} s",
-                r.spot ? "spot" : "ordinary",
-                r.type.name(),
-                r.zone,
+                request.spot ? "spot" : "ordinary",
+                request.type.name(),
+                request.zone,
                 pause / 1000);
     }
 }
--- a/src/main/java/stileferry/cluster/FreeCapacityIndex.java
+++ b/src/main/java/stileferry/cluster/FreeCapacityIndex.java
@@ -19,29 +19,30 @@
     private long machinesVisited;
 
     /** Takes in that a machine's claims, type or standing have changed. */
-    public void update(Machine m) {
-        int slot =
-                m.agent().heardThisTerm() && m.type() != null && !m.instance().terminating()
-                        ? slot(m.type().cpus() - m.usedCpus())
-                        : -1;
-        if (slot == m.capacitySlot()) {
+    public void update(Machine machine) {
+        int slot = machine.agent().heardThisTerm()
+                        && machine.type() != null
+                        && !machine.instance().terminating()
+                ? slot(machine.type().cpus() - machine.usedCpus())
+                : -1;
+        if (slot == machine.capacitySlot()) {
             return;
         }
-        remove(m);
+        remove(machine);
         if (slot >= 0) {
             while (byFree.size() <= slot) {
                 byFree.add(new TreeSet<>());
             }
-            byFree.get(slot).add(m);
-            m.setCapacitySlot(slot);
+            byFree.get(slot).add(machine);
+            machine.setCapacitySlot(slot);
         }
     }
 
     /** Forgets a machine. */
-    void remove(Machine m) {
-        if (m.capacitySlot() >= 0) {
-            byFree.get(m.capacitySlot()).remove(m);
-            m.setCapacitySlot(-1);
+    void remove(Machine machine) {
+        if (machine.capacitySlot() >= 0) {
+            byFree.get(machine.capacitySlot()).remove(machine);
+            machine.setCapacitySlot(-1);
         }
     }
 
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -29,7 +29,7 @@
     private final BitSet completedOrAssigned = new BitSet();
 
     private final Map<Integer, TaskAssignment> assignments = new HashMap<>();
-    private final Map<Integer, Retry> retries = new HashMap<>();
+    private final Map<Integer, RestartBackOff> retries = new HashMap<>();
     private final Map<String, Integer> tasksInZone = new HashMap<>();
 
     /** Machines that failed a task of this job. */
@@ -76,25 +76,6 @@
     private int completedCount;
     private int[] completionRecords;
 
-    /** Pauses between the starts of a failing task. */
-    public static final class Retry {
-        private static final long MAX_PAUSE_MS = 60_000;
-
-        private int failures;
-        private long notBefore;
-
-        /**
-         * Notes a failure and postpones the next start.
-         *
-         * @param now the controller's steady clock in milliseconds
-         * @param firstPauseMs the pause after the first failure; it doubles with each further one
-         * @param mostDoublings how often it doubles at most
-         */
-        public void backOff(long now, long firstPauseMs, int mostDoublings) {
-            notBefore = now + Math.min(MAX_PAUSE_MS, firstPauseMs << Math.min(mostDoublings, failures++));
-        }
-    }
-
     public Job(JobSpec spec, long order, long acceptedAt, long revision) {
         this.spec = spec;
         this.acceptanceOrder = order;
@@ -169,8 +150,8 @@
         for (int i = completedOrAssigned.nextClearBit(0);
                 i < spec.taskCount();
                 i = completedOrAssigned.nextClearBit(i + 1)) {
-            Retry retry = retries.get(i);
-            if (retry == null || retry.notBefore <= now) {
+            RestartBackOff retry = retries.get(i);
+            if (retry == null || retry.notBefore() <= now) {
                 return i;
             }
         }
@@ -182,8 +163,8 @@
         if (!assignments.isEmpty()) {
             return false;
         }
-        for (Retry retry : retries.values()) {
-            if (retry.notBefore > now) {
+        for (RestartBackOff retry : retries.values()) {
+            if (retry.notBefore() > now) {
                 return false;
             }
         }
@@ -253,7 +234,7 @@
         return assignments;
     }
 
-    public Map<Integer, Retry> retries() {
+    public Map<Integer, RestartBackOff> retries() {
         return retries;
     }
 
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -77,14 +77,14 @@
     }
 
     /** Whether a report tells nothing but that the machine is still there as it was. */
-    public boolean unchangedSince(Heartbeat r) {
+    public boolean unchangedSince(Heartbeat heartbeat) {
         return agent.reconciled()
-                && r.tasks() == agent.lastHeartbeat().tasks()
-                && r.incarnation() == agent.incarnation()
-                && r.fencingToken() == agent.fencingToken()
-                && (r.reclaimNoticeS() < 0 || instance.reclaimNoticeS() >= 0)
-                && r.zone().equals(zone)
-                && r.address().equals(address);
+                && heartbeat.tasks() == agent.lastHeartbeat().tasks()
+                && heartbeat.incarnation() == agent.incarnation()
+                && heartbeat.fencingToken() == agent.fencingToken()
+                && (heartbeat.reclaimNoticeS() < 0 || instance.reclaimNoticeS() >= 0)
+                && heartbeat.zone().equals(zone)
+                && heartbeat.address().equals(address);
     }
 
     @Override
@@ -124,11 +124,11 @@
         double cpus = type.cpus() - cpusUsed;
         double gpus = type.gpus() - gpusUsed;
         double memory = type.memoryGb() - memoryUsed;
-        for (TaskAssignment c : assignments.values()) {
-            if (c.job().spec().priority().compareTo(job.spec().priority()) > 0) {
-                cpus += c.job().spec().cpus();
-                gpus += c.job().spec().gpus();
-                memory += c.job().spec().memoryGb();
+        for (TaskAssignment assignment : assignments.values()) {
+            if (assignment.job().spec().priority().compareTo(job.spec().priority()) > 0) {
+                cpus += assignment.job().spec().cpus();
+                gpus += assignment.job().spec().gpus();
+                memory += assignment.job().spec().memoryGb();
             }
         }
         return Math.min(
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -206,8 +206,8 @@
         // shorter than the users' own patience: 2 s for a question, 5 s for a change
         long patience = ask == PeerMessage.RequestKind.STATUS ? 1500 : 4000;
         PeerMessage.ForwardedRequest request = new PeerMessage.ForwardedRequest(ask, id, body);
-        Consumer<PeerMessage> answered =
-                answer -> reply.accept(answer instanceof PeerMessage.Response a ? a : Responses.unavailable());
+        Consumer<PeerMessage> answered = answer ->
+                reply.accept(answer instanceof PeerMessage.Response response ? response : Responses.unavailable());
         if (ask != PeerMessage.RequestKind.ADMIN && admission.batches(peer)) {
             admission.forward(peer, request, patience, answered);
         } else {
@@ -283,20 +283,20 @@
 
     /** Takes a record from another controller. */
     public void peer(PeerMessage record, Consumer<PeerMessage> reply) {
-        if (record instanceof PeerMessage.TermAnnouncement t) {
-            if (t.leading()) {
-                links.learn(t.leader(), t);
+        if (record instanceof PeerMessage.TermAnnouncement announcement) {
+            if (announcement.leading()) {
+                links.learn(announcement.leader(), announcement);
             }
-            reply.accept(leadership.hear(t));
-        } else if (record instanceof PeerMessage.ForwardedRequest f) {
-            leadOrRefuse(f, reply::accept);
-        } else if (record instanceof PeerMessage.RequestBatch b && leader != null) {
-            BatchResponder.to(b.requests(), environment, this::leadOrRefuse, reply);
-        } else if (record instanceof PeerMessage.AdmissionExchange a) {
-            PeerMessage answer = admission.exchange(a);
+            reply.accept(leadership.hear(announcement));
+        } else if (record instanceof PeerMessage.ForwardedRequest request) {
+            leadOrRefuse(request, reply::accept);
+        } else if (record instanceof PeerMessage.RequestBatch batch && leader != null) {
+            BatchResponder.to(batch.requests(), environment, this::leadOrRefuse, reply);
+        } else if (record instanceof PeerMessage.AdmissionExchange exchange) {
+            PeerMessage answer = admission.exchange(exchange);
             reply.accept(answer == null ? Responses.unavailable() : answer);
-        } else if (record instanceof PeerMessage.LinkView l) {
-            PeerMessage answer = links.exchange(l);
+        } else if (record instanceof PeerMessage.LinkView linkView) {
+            PeerMessage answer = links.exchange(linkView);
             reply.accept(answer == null ? Responses.unavailable() : answer);
         } else {
             LOG.debug("a record that nobody asked for: {}", record);
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -199,9 +199,9 @@
     /** The machine types are known from now on, or have changed. */
     void types(List<MachineType> types) {
         cluster.setMachineTypes(types);
-        for (Machine m : cluster.machines().values()) {
-            m.setType(cluster.machineType(m.typeName()));
-            cluster.freeCapacity().update(m);
+        for (Machine machine : cluster.machines().values()) {
+            machine.setType(cluster.machineType(machine.typeName()));
+            cluster.freeCapacity().update(machine);
         }
         changed();
     }
@@ -325,12 +325,12 @@
     // ---- workers and peers
 
     /** Answers a report; null: not with 200. */
-    void report(Heartbeat r, Consumer<byte[]> reply) {
+    void report(Heartbeat heartbeat, Consumer<byte[]> reply) {
         if (active) {
-            fleet.report(r, reply);
+            fleet.report(heartbeat, reply);
         } else {
             boolean known = cancellationsRead || leadership.cancellations().knowsWhatWasBefore();
-            reply.accept(known && leadership.mayRenew() ? fleet.hold(r) : null);
+            reply.accept(known && leadership.mayRenew() ? fleet.hold(heartbeat) : null);
         }
     }
 
@@ -341,8 +341,8 @@
 
     /** The last that was heard from a machine; null: nothing. */
     Heartbeat lastReport(String name) {
-        Machine m = cluster.machines().get(name);
-        return m == null ? null : m.agent().lastHeartbeat();
+        Machine machine = cluster.machines().get(name);
+        return machine == null ? null : machine.agent().lastHeartbeat();
     }
 
     /** Everything that piled up in a turn goes out together. */
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -77,85 +77,89 @@
     }
 
     /** All that the worker should do and has not been seen to have done; as far as this node is sure to lead. */
-    List<WorkerCommand> signals(Machine m, boolean inAnswer) {
+    List<WorkerCommand> signals(Machine machine, boolean inAnswer) {
         List<WorkerCommand> signals = new ArrayList<>();
         if (!leadership.sure()) {
-            stopCancelled(m, signals);
+            stopCancelled(machine, signals);
             return signals;
         }
         long now = environment.now();
-        for (Heartbeat.TaskStatus t : m.reportedTasks()) {
-            TaskAssignment c = m.assignments().get(t.taskId());
-            boolean claimed = c != null && c.attempt() == t.attempt();
+        for (Heartbeat.TaskStatus status : machine.reportedTasks()) {
+            TaskAssignment assignment = machine.assignments().get(status.taskId());
+            boolean claimed = assignment != null && assignment.attempt() == status.attempt();
             if (claimed) {
                 continue;
             }
-            if (t.phase() != Heartbeat.TaskPhase.EXITED) {
-                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, t.taskId(), t.attempt(), 0));
+            if (status.phase() != Heartbeat.TaskPhase.EXITED) {
+                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0));
             } else if (inAnswer
-                    && m.acknowledgedTerm(term)
-                    && !m.agent().outcomesNotDurable().contains(t.attemptId())
-                    && !m.agent().unansweredStarts().containsKey(t.attemptId())) {
+                    && machine.acknowledgedTerm(term)
+                    && !machine.agent().outcomesNotDurable().contains(status.attemptId())
+                    && !machine.agent().unansweredStarts().containsKey(status.attemptId())) {
                 // Only in answers to reports: a direct one could overtake an answer that repeats the start, and
                 // after a clear a repeated start runs the task once more.
-                signals.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, t.taskId(), t.attempt(), 0));
+                signals.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, status.taskId(), status.attempt(), 0));
             }
         }
-        for (TaskAssignment c : m.assignments().values()) {
-            if (!c.startable() || c.incarnation() != m.agent().incarnation()) {
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (!assignment.startable()
+                    || assignment.incarnation() != machine.agent().incarnation()) {
                 continue;
             }
-            boolean lateCancel = c.job().cancelled() && now - c.stopRequestedAt() > cancelMs / 2;
-            if (c.phase() == null
-                    && (!c.stopping()
-                            || m.agent().unansweredStarts().containsKey(c.attemptId()) && inAnswer && !lateCancel)) {
+            boolean lateCancel = assignment.job().cancelled() && now - assignment.stopRequestedAt() > cancelMs / 2;
+            if (assignment.phase() == null
+                    && (!assignment.stopping()
+                            || machine.agent().unansweredStarts().containsKey(assignment.attemptId())
+                                    && inAnswer
+                                    && !lateCancel)) {
                 // For a stopped task an unanswered start is made harmless by letting the worker know the attempt.
-                signals.add(new WorkerCommand(WorkerCommand.Kind.RUN, c.taskId(), c.attempt(), 0));
-                c.setStartsSent(c.startsSent() + 1);
+                signals.add(new WorkerCommand(WorkerCommand.Kind.RUN, assignment.taskId(), assignment.attempt(), 0));
+                assignment.setStartsSent(assignment.startsSent() + 1);
                 if (!inAnswer) {
-                    m.agent().unansweredStarts().merge(c.attemptId(), 1, Integer::sum);
+                    machine.agent().unansweredStarts().merge(assignment.attemptId(), 1, Integer::sum);
                 }
             }
-            if (c.stopping()
-                    && c.phase() != Heartbeat.TaskPhase.EXITED
-                    && !(c.phase() == Heartbeat.TaskPhase.SAVING_CHECKPOINT && c.stopGraceS() > 0)) {
-                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, c.taskId(), c.attempt(), c.stopGraceS()));
+            if (assignment.stopping()
+                    && assignment.phase() != Heartbeat.TaskPhase.EXITED
+                    && !(assignment.phase() == Heartbeat.TaskPhase.SAVING_CHECKPOINT && assignment.stopGraceS() > 0)) {
+                signals.add(new WorkerCommand(
+                        WorkerCommand.Kind.KILL, assignment.taskId(), assignment.attempt(), assignment.stopGraceS()));
             }
         }
         return signals;
     }
 
-    private static boolean hasCancelled(Machine m) {
-        return m.assignments().values().stream().anyMatch(c -> c.job().cancelDurable());
+    private static boolean hasCancelled(Machine machine) {
+        return machine.assignments().values().stream().anyMatch(c -> c.job().cancelDurable());
     }
 
     /** Whoever leads, a job whose cancellation is durable stays cancelled, and its tasks have to go. */
-    private static void stopCancelled(Machine m, List<WorkerCommand> signals) {
-        for (TaskAssignment c : m.assignments().values()) {
-            if (c.job().cancelDurable()
-                    && c.stopping()
-                    && c.incarnation() == m.agent().incarnation()
-                    && c.phase() != Heartbeat.TaskPhase.EXITED) {
-                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, c.taskId(), c.attempt(), 0));
+    private static void stopCancelled(Machine machine, List<WorkerCommand> signals) {
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (assignment.job().cancelDurable()
+                    && assignment.stopping()
+                    && assignment.incarnation() == machine.agent().incarnation()
+                    && assignment.phase() != Heartbeat.TaskPhase.EXITED) {
+                signals.add(new WorkerCommand(WorkerCommand.Kind.KILL, assignment.taskId(), assignment.attempt(), 0));
             }
         }
     }
 
     /** Wants this machine to be asked where it stands. */
-    void ask(Machine m) {
-        toAsk.add(m);
+    void ask(Machine machine) {
+        toAsk.add(machine);
     }
 
     /** Wants commands to go out to this machine without waiting for its next report. */
-    public void sendSoon(Machine m) {
-        wanted.add(m);
+    public void sendSoon(Machine machine) {
+        wanted.add(machine);
     }
 
     /** Tells every machine that was not heard yet this term, a few at a time: most will have reported before. */
     public void announceTerm() {
-        cluster.machines().values().forEach(m -> {
-            if (!m.agent().heardThisTerm()) {
-                toAnnounceTo.add(m);
+        cluster.machines().values().forEach(machine -> {
+            if (!machine.agent().heardThisTerm()) {
+                toAnnounceTo.add(machine);
             }
         });
         announceToSome();
@@ -167,10 +171,10 @@
             some = Math.max(1, some / FEWER_WHEN_BEHIND); // most will come by themselves
         }
         while (!closed && some > 0 && !toAnnounceTo.isEmpty() && mayAsk()) {
-            Machine m = toAnnounceTo.poll();
-            if (!m.agent().heardThisTerm() && !m.instance().terminating()) {
+            Machine machine = toAnnounceTo.poll();
+            if (!machine.agent().heardThisTerm() && !machine.instance().terminating()) {
                 some--;
-                announceTo(m);
+                announceTo(machine);
             }
         }
         if (!closed && !toAnnounceTo.isEmpty()) {
@@ -186,17 +190,17 @@
     /** Notes machines in doubt, to be asked whether they hear us, and silent ones, whether they are there. */
     public void probe() {
         long now = environment.now();
-        for (Machine m : cluster.machines().values()) {
-            boolean doubtful =
-                    m.agent().unreachableSince() != 0 && now - m.agent().unreachableSince() > reportMs / 2;
-            boolean silent = m.agent().heardThisTerm()
-                    && !m.assignments().isEmpty()
-                    && now - m.agent().lastHeardAt() > FailureDetector.SILENT_AFTER_REPORTS * reportMs;
+        for (Machine machine : cluster.machines().values()) {
+            boolean doubtful = machine.agent().unreachableSince() != 0
+                    && now - machine.agent().unreachableSince() > reportMs / 2;
+            boolean silent = machine.agent().heardThisTerm()
+                    && !machine.assignments().isEmpty()
+                    && now - machine.agent().lastHeardAt() > FailureDetector.SILENT_AFTER_REPORTS * reportMs;
             if ((doubtful || silent)
-                    && !m.instance().terminating()
-                    && !m.address().isEmpty()
-                    && !inFlight.contains(m)) {
-                toAsk.add(m);
+                    && !machine.instance().terminating()
+                    && !machine.address().isEmpty()
+                    && !inFlight.contains(machine)) {
+                toAsk.add(machine);
             }
         }
     }
@@ -213,27 +217,27 @@
         if (wanted.isEmpty()) {
             return;
         }
-        for (Machine m : List.copyOf(wanted)) {
-            if (inFlight.contains(m)) {
+        for (Machine machine : List.copyOf(wanted)) {
+            if (inFlight.contains(machine)) {
                 continue; // again when the answer is there
             }
             if (inFlight.size() >= maxInFlight) {
                 return; // sockets are few; the rest goes out as answers come
             }
-            if (!sure && !hasCancelled(m)) {
+            if (!sure && !hasCancelled(machine)) {
                 continue; // all else waits until this node is sure again
             }
-            wanted.remove(m);
-            if (!m.agent().heardThisTerm()
-                    || m.instance().terminating()
-                    || m.address().isEmpty()
-                    || environment.now() - m.agent().lastHeardAt() > 2 * reportMs
-                    || eventLoopLag.behind() && !hurry(m)) {
+            wanted.remove(machine);
+            if (!machine.agent().heardThisTerm()
+                    || machine.instance().terminating()
+                    || machine.address().isEmpty()
+                    || environment.now() - machine.agent().lastHeardAt() > 2 * reportMs
+                    || eventLoopLag.behind() && !hurry(machine)) {
                 continue;
             }
-            List<WorkerCommand> signals = signals(m, false);
+            List<WorkerCommand> signals = signals(machine, false);
             if (!signals.isEmpty()) {
-                command(m, m.agent().incarnation(), signals, 1, reportMs);
+                command(machine, machine.agent().incarnation(), signals, 1, reportMs);
             }
         }
     }
@@ -242,9 +246,10 @@
      * Whether a machine should hear at once what it shall do, although a command costs as much as several reports and
      * its next report will be answered with it: critical tasks wait to start there, or a task has to make room.
      */
-    private static boolean hurry(Machine m) {
-        for (TaskAssignment c : m.assignments().values()) {
-            if (c.stopping() || c.phase() == null && c.job().spec().priority() == JobSpec.Priority.CRITICAL) {
+    private static boolean hurry(Machine machine) {
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (assignment.stopping()
+                    || assignment.phase() == null && assignment.job().spec().priority() == JobSpec.Priority.CRITICAL) {
                 return true;
             }
         }
@@ -254,61 +259,61 @@
     /** Asks machines as answers come: after a change of leader, or a cut, all of them may be in doubt at once. */
     private void askSome() {
         while (!toAsk.isEmpty() && mayAsk()) {
-            Machine m = toAsk.iterator().next();
-            toAsk.remove(m);
-            if (!m.instance().terminating() && !inFlight.contains(m)) {
-                command(m, m.agent().incarnation(), List.of(), 1, askMs);
+            Machine machine = toAsk.iterator().next();
+            toAsk.remove(machine);
+            if (!machine.instance().terminating() && !inFlight.contains(machine)) {
+                command(machine, machine.agent().incarnation(), List.of(), 1, askMs);
             }
         }
     }
 
     /** Makes this term known to a worker at once, so that it tells where it stands and ignores older leaders. */
-    void announceTo(Machine m) {
-        if (!m.address().isEmpty()
-                && !m.agent().heardThisTerm()
-                && !m.instance().terminating()) {
-            long session = Math.max(1, m.agent().incarnation());
-            for (TaskAssignment c : m.assignments().values()) {
-                session = Math.max(session, c.incarnation());
+    void announceTo(Machine machine) {
+        if (!machine.address().isEmpty()
+                && !machine.agent().heardThisTerm()
+                && !machine.instance().terminating()) {
+            long session = Math.max(1, machine.agent().incarnation());
+            for (TaskAssignment assignment : machine.assignments().values()) {
+                session = Math.max(session, assignment.incarnation());
             }
-            command(m, session, List.of(), 2, askMs);
+            command(machine, session, List.of(), 2, askMs);
         }
     }
 
-    private void command(Machine m, long session, List<WorkerCommand> signals, int tries, long timeoutMs) {
-        inFlight.add(m);
+    private void command(Machine machine, long session, List<WorkerCommand> signals, int tries, long timeoutMs) {
+        inFlight.add(machine);
         environment.call(
-                m.address(),
+                machine.address(),
                 "POST",
                 "/commands",
                 Messages.directCommands(term, session, signals),
                 timeoutMs,
                 (status, body) -> {
-                    inFlight.remove(m);
+                    inFlight.remove(machine);
                     if (closed) {
                         return;
                     }
                     if (status == 200 || status == 409 || status == Environment.NOT_SENT) {
                         for (WorkerCommand s : signals) {
                             if (s.kind() == WorkerCommand.Kind.RUN) {
-                                m.agent()
+                                machine.agent()
                                         .unansweredStarts()
                                         .computeIfPresent(s.attemptId(), (a, n) -> n == 1 ? null : n - 1);
                             }
                         }
                     }
-                    Heartbeat r = status == 200 || status == 409 ? Heartbeat.read(body) : null;
-                    if (r == null || !r.machine().equals(m.name())) {
+                    Heartbeat heartbeat = status == 200 || status == 409 ? Heartbeat.read(body) : null;
+                    if (heartbeat == null || !heartbeat.machine().equals(machine.name())) {
                         return; // no answer, or another machine that has the address now
                     }
-                    if (r.fencingToken() > term) {
-                        leadership.learn(r.fencingToken(), "");
+                    if (heartbeat.fencingToken() > term) {
+                        leadership.learn(heartbeat.fencingToken(), "");
                         return;
                     }
-                    m.agent().setUnreachableSince(0); // it has heard this
-                    answers.answered(m, r);
-                    if (status == 409 && tries > 1 && r.incarnation() != session) {
-                        command(m, r.incarnation(), List.of(), tries - 1, timeoutMs);
+                    machine.agent().setUnreachableSince(0); // it has heard this
+                    answers.answered(machine, heartbeat);
+                    if (status == 409 && tries > 1 && heartbeat.incarnation() != session) {
+                        command(machine, heartbeat.incarnation(), List.of(), tries - 1, timeoutMs);
                     }
                 });
     }
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -75,17 +75,23 @@
      * When any controller can last have renewed the lease of a machine in a session; -1: unknown. A session that was
      * only seen in answers to commands has a lease of its own, which no answer to a report has begun.
      */
-    private long lastAnswered(Machine m, long session, long acked) {
-        if (m.agent().lastAnsweredAt() > 0 && m.acknowledgedTerm(term)) {
-            return Math.max(m.agent().lastAnsweredAt(), m.agent().incarnationSeenAt());
+    private long lastAnswered(Machine machine, long session, long acked) {
+        if (machine.agent().lastAnsweredAt() > 0 && machine.acknowledgedTerm(term)) {
+            return Math.max(machine.agent().lastAnsweredAt(), machine.agent().incarnationSeenAt());
         }
-        if (m.agent().answeredByPreviousLeaderAt() >= 0
-                && !m.agent().heardThisTerm()
-                && session <= m.agent().answeredByPreviousLeaderIncarnation()) {
-            return Math.max(m.agent().answeredByPreviousLeaderAt(), m.agent().lastAnsweredAt());
+        if (machine.agent().answeredByPreviousLeaderAt() >= 0
+                && !machine.agent().heardThisTerm()
+                && session <= machine.agent().answeredByPreviousLeaderIncarnation()) {
+            return Math.max(
+                    machine.agent().answeredByPreviousLeaderAt(),
+                    machine.agent().lastAnsweredAt());
         }
         return acked >= 0
-                ? Math.max(acked, Math.max(m.agent().lastAnsweredAt(), m.agent().incarnationSeenAt()))
+                ? Math.max(
+                        acked,
+                        Math.max(
+                                machine.agent().lastAnsweredAt(),
+                                machine.agent().incarnationSeenAt()))
                 : -1;
     }
 
@@ -93,28 +99,29 @@
     public void checkLeases() {
         long now = environment.now();
         long acked = leadership.allAckedAt();
-        for (Machine m : cluster.machines().values()) {
-            long over = m.agent().incarnation();
-            for (TaskAssignment c : m.assignments().values()) {
-                over = Math.max(over, c.incarnation());
+        for (Machine machine : cluster.machines().values()) {
+            long over = machine.agent().incarnation();
+            for (TaskAssignment assignment : machine.assignments().values()) {
+                over = Math.max(over, assignment.incarnation());
             }
-            long since = lastAnswered(m, over, acked);
-            if (since >= 0 && over > m.agent().expiredIncarnation()) {
-                silences.note(m, over, since);
+            long since = lastAnswered(machine, over, acked);
+            if (since >= 0 && over > machine.agent().expiredIncarnation()) {
+                silences.note(machine, over, since);
             }
             if (since < 0 || now < since + Math.round(leaseMs * (1 + DRIFT)) + LAPSE_SLACK_MS) {
                 continue;
             }
-            if (over > m.agent().expiredIncarnation()) {
-                m.agent().setExpiredIncarnation(over);
-                if (m.agent().heardThisTerm() || !m.assignments().isEmpty()) {
+            if (over > machine.agent().expiredIncarnation()) {
+                machine.agent().setExpiredIncarnation(over);
+                if (machine.agent().heardThisTerm() || !machine.assignments().isEmpty()) {
                     LOG.info(
                             "machine {} is silent, its lease has lapsed with {} tasks",
-                            m.name(),
-                            m.assignments().size());
+                            machine.name(),
+                            machine.assignments().size());
                 }
-                for (TaskAssignment c : List.copyOf(m.assignments().values())) {
-                    events.gone(c, "lease");
+                for (TaskAssignment assignment :
+                        List.copyOf(machine.assignments().values())) {
+                    events.gone(assignment, "lease");
                 }
                 events.changed();
             }
@@ -125,11 +132,13 @@
     public Set<String> unreachableZones(long activeSince) {
         long before = environment.now() - Math.round(SILENT_AFTER_REPORTS * reportMs);
         Map<String, int[]> zones = new HashMap<>();
-        for (Machine m : cluster.machines().values()) {
-            if (m.type() != null && !m.instance().terminating() && !m.instance().booting()) {
-                int[] counts = zones.computeIfAbsent(m.zone(), z -> new int[2]);
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.type() != null
+                    && !machine.instance().terminating()
+                    && !machine.instance().booting()) {
+                int[] counts = zones.computeIfAbsent(machine.zone(), z -> new int[2]);
                 counts[0]++;
-                counts[1] += lastSeen(m, activeSince) < before ? 1 : 0;
+                counts[1] += lastSeen(machine, activeSince) < before ? 1 : 0;
             }
         }
         Set<String> unreachable = new HashSet<>();
@@ -143,8 +152,8 @@
     }
 
     /** A new leader has heard nobody; who does not come in time was taken before or while it took over. */
-    private static long lastSeen(Machine m, long activeSince) {
-        return Math.max(m.agent().lastHeardAt(), activeSince);
+    private static long lastSeen(Machine machine, long activeSince) {
+        return Math.max(machine.agent().lastHeardAt(), activeSince);
     }
 
     /** Machines with work that are most likely gone or hang: they neither report nor answer, though their zone does. */
@@ -153,34 +162,35 @@
         long forOthers =
                 Math.min(forSpot, environment.now() - Math.round(LATE_REPORT * reportMs) - DETOURS * DETOUR_MS);
         List<Machine> silent = new ArrayList<>();
-        for (Machine m : cluster.machines().values()) {
-            if (m.type() != null
-                    && !m.instance().terminating()
-                    && !m.instance().booting()
-                    && !m.assignments().isEmpty()
-                    && lastSeen(m, activeSince) < (m.spot() ? forSpot : forOthers)) {
-                silent.add(m);
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.type() != null
+                    && !machine.instance().terminating()
+                    && !machine.instance().booting()
+                    && !machine.assignments().isEmpty()
+                    && lastSeen(machine, activeSince) < (machine.spot() ? forSpot : forOthers)) {
+                silent.add(machine);
             }
         }
         unreachableZones(activeSince);
         // for a lease's time machines may still be on their way back, some of them by way of the other controllers
-        silent.removeIf(m ->
-                lastUnreachable.containsKey(m.zone()) && environment.now() - lastUnreachable.get(m.zone()) < leaseMs);
+        silent.removeIf(machine -> lastUnreachable.containsKey(machine.zone())
+                && environment.now() - lastUnreachable.get(machine.zone()) < leaseMs);
         return silent;
     }
 
     /**
      * Whether a command that is sent now can be expected to arrive: the machine reports in time, and heard us before.
      */
-    public boolean hears(Machine m) {
-        return m.agent().heardThisTerm()
-                && !m.instance().terminating()
-                && m.agent().unreachableSince() == 0
-                && environment.now() - m.agent().lastHeardAt() <= SILENT_AFTER_REPORTS * reportMs;
+    public boolean hears(Machine machine) {
+        return machine.agent().heardThisTerm()
+                && !machine.instance().terminating()
+                && machine.agent().unreachableSince() == 0
+                && environment.now() - machine.agent().lastHeardAt() <= SILENT_AFTER_REPORTS * reportMs;
     }
 
     /** True when nothing was heard for longer than reports can take. */
-    public boolean silent(Machine m) {
-        return m.agent().heardThisTerm() && environment.now() - m.agent().lastHeardAt() > 2 * reportMs;
+    public boolean silent(Machine machine) {
+        return machine.agent().heardThisTerm()
+                && environment.now() - machine.agent().lastHeardAt() > 2 * reportMs;
     }
 }
--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -93,8 +93,8 @@
                 new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.REPORT, report.machine(), body),
                 Math.min(PASS_ON_MS, reportMs),
                 answer -> {
-                    if (answer instanceof PeerMessage.Response a) {
-                        reply.accept(a.status(), a.body());
+                    if (answer instanceof PeerMessage.Response response) {
+                        reply.accept(response.status(), response.body());
                     } else {
                         withoutLeader(report, reply);
                     }
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -79,51 +79,57 @@
     }
 
     /** Takes a report and replies with the answer's body; null when this report must not be answered with 200. */
-    public void report(Heartbeat r, Consumer<byte[]> reply) {
-        Machine m = mayAnswer(r) ? cluster.machine(r.machine()) : null;
-        if (m == null) {
+    public void report(Heartbeat heartbeat, Consumer<byte[]> reply) {
+        Machine machine = mayAnswer(heartbeat) ? cluster.machine(heartbeat.machine()) : null;
+        if (machine == null) {
             reply.accept(null);
-        } else if (m.agent().lastHeartbeatRecord() != null) {
-            m.agent().setLastHeardAt(environment.now()); // it is there, so it is not given up, however long this takes
-            silences.heard(m, () -> reply.accept(mayAnswer(r) ? answer(m, r) : null), () -> reply.accept(null));
+        } else if (machine.agent().lastHeartbeatRecord() != null) {
+            machine.agent()
+                    .setLastHeardAt(environment.now()); // it is there, so it is not given up, however long this takes
+            silences.heard(
+                    machine,
+                    () -> reply.accept(mayAnswer(heartbeat) ? answer(machine, heartbeat) : null),
+                    () -> reply.accept(null));
         } else {
-            reply.accept(answer(m, r));
+            reply.accept(answer(machine, heartbeat));
         }
     }
 
-    private boolean mayAnswer(Heartbeat r) {
+    private boolean mayAnswer(Heartbeat heartbeat) {
         if (!leadership.mayRenew()) {
             return false; // another leader may have confirmed cancellations that are unknown here
         }
-        if (cluster.deletedMachines().contains(r.machine())) {
+        if (cluster.deletedMachines().contains(heartbeat.machine())) {
             return false; // sent before the machine was deleted
         }
-        Machine m = cluster.machine(r.machine());
-        if (m.instance().terminating() || r.incarnation() <= m.agent().expiredIncarnation()) {
+        Machine machine = cluster.machine(heartbeat.machine());
+        if (machine.instance().terminating()
+                || heartbeat.incarnation() <= machine.agent().expiredIncarnation()) {
             return false; // its lease may not be renewed: what was on it is counted as gone, or about to be
         }
         // a late copy otherwise: a worker has one report in flight, so nobody waits for the answer
-        return r.incarnation() >= m.agent().incarnation()
-                && (r.incarnation() != m.agent().heartbeatIncarnation()
-                        || r.sequence() > m.agent().heartbeatSequence());
+        return heartbeat.incarnation() >= machine.agent().incarnation()
+                && (heartbeat.incarnation() != machine.agent().heartbeatIncarnation()
+                        || heartbeat.sequence() > machine.agent().heartbeatSequence());
     }
 
-    private byte[] answer(Machine m, Heartbeat r) {
-        m.agent().setHeartbeatIncarnation(r.incarnation());
-        m.agent().setHeartbeatSequence(r.sequence());
-        if (m.unchangedSince(r) && r.sequence() > m.agent().sequence()) {
-            m.agent().setSequence(r.sequence());
-            m.agent().setLastHeartbeat(r);
-            m.agent().setLastHeardAt(environment.now());
-            m.agent().setLastAnsweredAt(m.agent().lastHeardAt());
-            m.agent().setStartsInLastResponse(Set.of());
+    private byte[] answer(Machine machine, Heartbeat heartbeat) {
+        machine.agent().setHeartbeatIncarnation(heartbeat.incarnation());
+        machine.agent().setHeartbeatSequence(heartbeat.sequence());
+        if (machine.unchangedSince(heartbeat)
+                && heartbeat.sequence() > machine.agent().sequence()) {
+            machine.agent().setSequence(heartbeat.sequence());
+            machine.agent().setLastHeartbeat(heartbeat);
+            machine.agent().setLastHeardAt(environment.now());
+            machine.agent().setLastAnsweredAt(machine.agent().lastHeardAt());
+            machine.agent().setStartsInLastResponse(Set.of());
             return nothing;
         }
-        doubt(m, r);
-        boolean fresh = take(m, r, true);
-        m.agent().setLastAnsweredAt(environment.now());
-        List<WorkerCommand> signals = fresh ? commands.signals(m, true) : List.of();
-        m.agent().setStartsInLastResponse(keys(signals));
+        doubt(machine, heartbeat);
+        boolean fresh = take(machine, heartbeat, true);
+        machine.agent().setLastAnsweredAt(environment.now());
+        List<WorkerCommand> signals = fresh ? commands.signals(machine, true) : List.of();
+        machine.agent().setStartsInLastResponse(keys(signals));
         return signals.isEmpty() ? nothing : MessageCodec.encode(Messages.heartbeatResponse(term, signals));
     }
 
@@ -132,34 +138,34 @@
      * within its lease, or when starts in an answer were neither carried out nor refused. Such a machine gets no work
      * until it has answered something that we sent.
      */
-    private void doubt(Machine m, Heartbeat r) {
-        if (!m.acknowledgedTerm(term) || m.agent().unreachableSince() != 0) {
+    private void doubt(Machine machine, Heartbeat heartbeat) {
+        if (!machine.acknowledgedTerm(term) || machine.agent().unreachableSince() != 0) {
             return;
         }
-        boolean lapsedUnderAnswers = r.incarnation() > m.agent().incarnation()
-                && m.agent().incarnation() > 0
-                && m.agent().lastAnsweredAt() != 0
-                && environment.now() - m.agent().lastAnsweredAt() < leaseMs;
-        boolean unheeded = r.incarnation() == m.agent().incarnation()
-                && r.sequence() > m.agent().sequence()
-                && !m.agent().startsInLastResponse().isEmpty()
-                && unheeded(m, r);
+        boolean lapsedUnderAnswers = heartbeat.incarnation() > machine.agent().incarnation()
+                && machine.agent().incarnation() > 0
+                && machine.agent().lastAnsweredAt() != 0
+                && environment.now() - machine.agent().lastAnsweredAt() < leaseMs;
+        boolean unheeded = heartbeat.incarnation() == machine.agent().incarnation()
+                && heartbeat.sequence() > machine.agent().sequence()
+                && !machine.agent().startsInLastResponse().isEmpty()
+                && unheeded(machine, heartbeat);
         if (lapsedUnderAnswers || unheeded) {
             LOG.info(
                     "machine {} reports but seems not to hear: {}",
-                    m.name(),
+                    machine.name(),
                     lapsedUnderAnswers ? "its lease lapsed while it was answered" : "it left starts alone");
-            m.agent().setUnreachableSince(environment.now());
+            machine.agent().setUnreachableSince(environment.now());
         }
     }
 
-    private static boolean unheeded(Machine m, Heartbeat r) {
+    private static boolean unheeded(Machine machine, Heartbeat heartbeat) {
         Set<String> told = new HashSet<>();
-        r.tasks().forEach(t -> told.add(t.attemptId()));
-        for (TaskAssignment c : m.assignments().values()) {
-            if (c.phase() == null
-                    && m.agent().startsInLastResponse().contains(c.attemptId())
-                    && !told.contains(c.attemptId())) {
+        heartbeat.tasks().forEach(t -> told.add(t.attemptId()));
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (assignment.phase() == null
+                    && machine.agent().startsInLastResponse().contains(assignment.attemptId())
+                    && !told.contains(assignment.attemptId())) {
                 return true;
             }
         }
@@ -168,125 +174,128 @@
 
     private static Set<String> keys(List<WorkerCommand> signals) {
         Set<String> keys = Set.of();
-        for (WorkerCommand s : signals) {
-            if (s.kind() == WorkerCommand.Kind.RUN) {
+        for (WorkerCommand command : signals) {
+            if (command.kind() == WorkerCommand.Kind.RUN) {
                 keys = keys.isEmpty() ? new HashSet<>() : keys;
-                keys.add(s.attemptId());
+                keys.add(command.attemptId());
             }
         }
         return keys;
     }
 
     /** Answers a report before the claims have been read: the lease is renewed, and cancelled jobs are stopped. */
-    public byte[] hold(Heartbeat r) {
-        Machine m = cluster.machine(r.machine());
-        m.setAddress(r.address());
-        m.agent().setLastAnsweredAt(environment.now());
-        List<WorkerCommand> stops = leadership.cancellations().stops(r);
+    public byte[] hold(Heartbeat heartbeat) {
+        Machine machine = cluster.machine(heartbeat.machine());
+        machine.setAddress(heartbeat.address());
+        machine.agent().setLastAnsweredAt(environment.now());
+        List<WorkerCommand> stops = leadership.cancellations().stops(heartbeat);
         return stops.isEmpty() ? nothing : MessageCodec.encode(Messages.heartbeatResponse(term, stops));
     }
 
     /** Takes in what a worker says. False when something newer was heard before. */
-    private boolean take(Machine m, Heartbeat r, boolean inOrder) {
-        if (r.incarnation() < m.agent().incarnation()
-                || r.incarnation() == m.agent().incarnation()
-                        && r.sequence() <= m.agent().sequence()
-                || r.incarnation() <= m.agent().expiredIncarnation()) {
+    private boolean take(Machine machine, Heartbeat heartbeat, boolean inOrder) {
+        if (heartbeat.incarnation() < machine.agent().incarnation()
+                || heartbeat.incarnation() == machine.agent().incarnation()
+                        && heartbeat.sequence() <= machine.agent().sequence()
+                || heartbeat.incarnation() <= machine.agent().expiredIncarnation()) {
             return false;
         }
         long now = environment.now();
-        takeSession(m, r, now);
-        takeTerm(m, r, now);
-        takeProperties(m, r, now);
-        if (r.reclaimNoticeS() >= 0 && m.instance().reclaimNoticeS() < 0) {
-            LOG.info("machine {} will be taken in {} s", m.name(), r.reclaimNoticeS());
-            m.instance().setReclaimNoticeS(r.reclaimNoticeS());
-            leave(m, now);
+        takeSession(machine, heartbeat, now);
+        takeTerm(machine, heartbeat, now);
+        takeProperties(machine, heartbeat, now);
+        if (heartbeat.reclaimNoticeS() >= 0 && machine.instance().reclaimNoticeS() < 0) {
+            LOG.info("machine {} will be taken in {} s", machine.name(), heartbeat.reclaimNoticeS());
+            machine.instance().setReclaimNoticeS(heartbeat.reclaimNoticeS());
+            leave(machine, now);
         }
-        takeTasks(m, r, inOrder, now);
+        takeTasks(machine, heartbeat, inOrder, now);
         return true;
     }
 
-    private void takeSession(Machine m, Heartbeat r, long now) {
-        boolean newSession = r.incarnation() > m.agent().incarnation();
-        if (!m.agent().heardThisTerm() || newSession) {
-            m.instance().setIdleSince(now);
+    private void takeSession(Machine machine, Heartbeat heartbeat, long now) {
+        boolean newSession = heartbeat.incarnation() > machine.agent().incarnation();
+        if (!machine.agent().heardThisTerm() || newSession) {
+            machine.instance().setIdleSince(now);
             events.changed();
         }
-        if (!m.agent().heardThisTerm() && m.instance().booting()) {
+        if (!machine.agent().heardThisTerm() && machine.instance().booting()) {
             LOG.info(
                     "machine {} is up in {} after {} s",
-                    m.name(),
-                    r.zone(),
-                    (now - m.instance().requestedAt()) / 1000);
+                    machine.name(),
+                    heartbeat.zone(),
+                    (now - machine.instance().requestedAt()) / 1000);
         }
         if (newSession) {
-            m.agent().setIncarnationSeenAt(now);
-            m.agent().unansweredStarts().clear();
-            m.agent().outcomesNotDurable().clear();
+            machine.agent().setIncarnationSeenAt(now);
+            machine.agent().unansweredStarts().clear();
+            machine.agent().outcomesNotDurable().clear();
         }
     }
 
-    private void takeTerm(Machine m, Heartbeat r, long now) {
-        if (!m.agent().heardThisTerm() && r.fencingToken() < term) {
+    private void takeTerm(Machine machine, Heartbeat heartbeat, long now) {
+        if (!machine.agent().heardThisTerm() && heartbeat.fencingToken() < term) {
             // until it shows our term: this may be a late copy of what a dead machine said
-            m.agent().setUnreachableSince(now);
+            machine.agent().setUnreachableSince(now);
             if (!eventLoopLag.behind()) {
-                commands.ask(m); // its next report will show it too, but work may be waiting
+                commands.ask(machine); // its next report will show it too, but work may be waiting
             }
-        } else if (m.agent().fencingToken() < term && r.fencingToken() >= term) {
-            m.agent().setUnreachableSince(0);
+        } else if (machine.agent().fencingToken() < term && heartbeat.fencingToken() >= term) {
+            machine.agent().setUnreachableSince(0);
             events.changed();
         }
     }
 
-    private void takeProperties(Machine m, Heartbeat r, long now) {
-        m.agent().setHeardThisTerm(true);
-        m.instance().setBooting(false);
-        m.agent().setLastHeardAt(now);
-        m.agent().setIncarnation(r.incarnation());
-        m.agent().setSequence(r.sequence());
-        m.agent().setFencingToken(r.fencingToken());
-        m.setAddress(r.address());
-        m.setTypeName(r.machineType());
-        m.setType(cluster.machineType(r.machineType()));
-        m.setSpot(r.spot());
-        cluster.setZone(m, r.zone());
-        cluster.freeCapacity().update(m);
+    private void takeProperties(Machine machine, Heartbeat heartbeat, long now) {
+        machine.agent().setHeardThisTerm(true);
+        machine.instance().setBooting(false);
+        machine.agent().setLastHeardAt(now);
+        machine.agent().setIncarnation(heartbeat.incarnation());
+        machine.agent().setSequence(heartbeat.sequence());
+        machine.agent().setFencingToken(heartbeat.fencingToken());
+        machine.setAddress(heartbeat.address());
+        machine.setTypeName(heartbeat.machineType());
+        machine.setType(cluster.machineType(heartbeat.machineType()));
+        machine.setSpot(heartbeat.spot());
+        cluster.setZone(machine, heartbeat.zone());
+        cluster.freeCapacity().update(machine);
     }
 
-    private void takeTasks(Machine m, Heartbeat r, boolean inOrder, long now) {
-        m.agent().setLastHeartbeat(r);
-        Map<String, Heartbeat.TaskStatus> reported = claimedTasks(m, r);
-        m.agent()
-                .setReconciled(r.tasks().size() == m.assignments().size()
-                        && reported.size() == m.assignments().size());
-        for (TaskAssignment c : List.copyOf(m.assignments().values())) {
-            Heartbeat.TaskStatus t = reported.get(c.taskId());
-            if (c.incarnation() < r.incarnation()) {
-                events.gone(c, "session");
-            } else if (t != null) {
-                m.agent()
-                        .setReconciled(
-                                m.agent().reconciled() & (t.phase() != Heartbeat.TaskPhase.EXITED && !c.stopping()));
-                see(m, c, t, now);
-            } else if (inOrder && certainlyNotStarted(m, c)) {
-                events.gone(c, "never started");
+    private void takeTasks(Machine machine, Heartbeat heartbeat, boolean inOrder, long now) {
+        machine.agent().setLastHeartbeat(heartbeat);
+        Map<String, Heartbeat.TaskStatus> reported = claimedTasks(machine, heartbeat);
+        machine.agent()
+                .setReconciled(heartbeat.tasks().size() == machine.assignments().size()
+                        && reported.size() == machine.assignments().size());
+        for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
+            Heartbeat.TaskStatus status = reported.get(assignment.taskId());
+            if (assignment.incarnation() < heartbeat.incarnation()) {
+                events.gone(assignment, "session");
+            } else if (status != null) {
+                machine.agent()
+                        .setReconciled(machine.agent().reconciled()
+                                & (status.phase() != Heartbeat.TaskPhase.EXITED && !assignment.stopping()));
+                see(machine, assignment, status, now);
+            } else if (inOrder && certainlyNotStarted(machine, assignment)) {
+                events.gone(assignment, "never started");
             }
         }
     }
 
     /** The reported tasks that claims stand for, by name; all others that have not exited are strays, to be stopped. */
-    private Map<String, Heartbeat.TaskStatus> claimedTasks(Machine m, Heartbeat r) {
-        m.agent().setHasOrphanTasks(false);
+    private Map<String, Heartbeat.TaskStatus> claimedTasks(Machine machine, Heartbeat heartbeat) {
+        machine.agent().setHasOrphanTasks(false);
         Map<String, Heartbeat.TaskStatus> claimed = new HashMap<>();
-        for (Heartbeat.TaskStatus t : r.tasks()) {
-            TaskAssignment c = m.assignments().get(t.taskId());
-            if (c != null && c.durable() && c.attempt() == t.attempt() && c.incarnation() == r.incarnation()) {
-                claimed.put(t.taskId(), t);
-            } else if (t.phase() != Heartbeat.TaskPhase.EXITED) {
-                m.agent().setHasOrphanTasks(true);
-                commands.sendSoon(m);
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+            TaskAssignment assignment = machine.assignments().get(status.taskId());
+            if (assignment != null
+                    && assignment.durable()
+                    && assignment.attempt() == status.attempt()
+                    && assignment.incarnation() == heartbeat.incarnation()) {
+                claimed.put(status.taskId(), status);
+            } else if (status.phase() != Heartbeat.TaskPhase.EXITED) {
+                machine.agent().setHasOrphanTasks(true);
+                commands.sendSoon(machine);
             }
         }
         return claimed;
@@ -297,80 +306,85 @@
      * start in it was carried out or dropped before this report, no direct start is unanswered, and older leaders are
      * not obeyed any more.
      */
-    private boolean certainlyNotStarted(Machine m, TaskAssignment c) {
-        return c.stopping()
-                && c.durable()
-                && c.phase() == null
-                && m.acknowledgedTerm(term)
-                && !m.agent().unansweredStarts().containsKey(c.attemptId());
+    private boolean certainlyNotStarted(Machine machine, TaskAssignment assignment) {
+        return assignment.stopping()
+                && assignment.durable()
+                && assignment.phase() == null
+                && machine.acknowledgedTerm(term)
+                && !machine.agent().unansweredStarts().containsKey(assignment.attemptId());
     }
 
-    private void see(Machine m, TaskAssignment c, Heartbeat.TaskStatus t, long now) {
-        if (c.phase() != t.phase()) {
-            c.setPhase(t.phase());
-            switch (t.phase()) {
+    private void see(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
+        if (assignment.phase() != status.phase()) {
+            assignment.setPhase(status.phase());
+            switch (status.phase()) {
                 case WAITING_FOR_GANG ->
-                    m.cacheImage(c.job().spec().image(), c.job().spec().imageGb());
-                case RUNNING, SAVING_CHECKPOINT -> running(m, c, now);
+                    machine.cacheImage(
+                            assignment.job().spec().image(),
+                            assignment.job().spec().imageGb());
+                case RUNNING, SAVING_CHECKPOINT -> running(machine, assignment, now);
                 default -> {}
             }
-            events.progressed(c);
+            events.progressed(assignment);
         }
-        if (t.phase() == Heartbeat.TaskPhase.EXITED) {
-            events.exited(m, c, t);
+        if (status.phase() == Heartbeat.TaskPhase.EXITED) {
+            events.exited(machine, assignment, status);
         }
     }
 
-    private void running(Machine m, TaskAssignment c, long now) {
-        if (c.runningSince() != 0) {
+    private void running(Machine machine, TaskAssignment assignment, long now) {
+        if (assignment.runningSince() != 0) {
             return;
         }
-        c.setRunningSince(now);
+        assignment.setRunningSince(now);
         LOG.debug(
                 "{} of {} runs on {} in {}, ordered {} ms ago",
-                c.taskId(),
-                c.job().spec().jobClass(),
-                m.name(),
-                m.zone(),
-                c.assignedAt() == 0 ? -1 : now - c.assignedAt());
-        c.job().setStarted(true);
-        m.cacheImage(c.job().spec().image(), c.job().spec().imageGb());
-        if (c.job().spec().gang() && c.job().runningCount() == c.job().spec().taskCount()) {
-            events.gangRuns(c.job());
+                assignment.taskId(),
+                assignment.job().spec().jobClass(),
+                machine.name(),
+                machine.zone(),
+                assignment.assignedAt() == 0 ? -1 : now - assignment.assignedAt());
+        assignment.job().setStarted(true);
+        machine.cacheImage(
+                assignment.job().spec().image(), assignment.job().spec().imageGb());
+        if (assignment.job().spec().gang()
+                && assignment.job().runningCount() == assignment.job().spec().taskCount()) {
+            events.gangRuns(assignment.job());
         }
     }
 
     /** What a notice asks for: save what can be saved, and move what has to run elsewhere. */
-    private void leave(Machine m, long now) {
-        for (TaskAssignment c : List.copyOf(m.assignments().values())) {
-            if (c.job().spec().gang()) {
-                if (c.job().spec().estimateS() - c.runtimeMs(now) / 1000.0
-                        > m.instance().reclaimNoticeS()) {
+    private void leave(Machine machine, long now) {
+        for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
+            if (assignment.job().spec().gang()) {
+                if (assignment.job().spec().estimateS() - assignment.runtimeMs(now) / 1000.0
+                        > machine.instance().reclaimNoticeS()) {
                     events.stopWhole(
-                            c,
-                            c.job().spec().checkpointSaveS() <= m.instance().reclaimNoticeS()
-                                    ? c.job().spec().checkpointSaveS()
+                            assignment,
+                            assignment.job().spec().checkpointSaveS()
+                                            <= machine.instance().reclaimNoticeS()
+                                    ? assignment.job().spec().checkpointSaveS()
                                     : 0);
                 }
-            } else if (c.job().spec().service()) {
-                cluster.requestStop(c, 0, now);
-            } else if (c.job().spec().checkpointIntervalS() > 0) {
-                cluster.requestStop(c, c.job().spec().checkpointSaveS(), now);
-            } else if (c.job().spec().estimateS() - c.runtimeMs(now) / 1000.0
-                    > m.instance().reclaimNoticeS()) {
-                cluster.requestStop(c, 0, now); // it would be lost all the same, only later
+            } else if (assignment.job().spec().service()) {
+                cluster.requestStop(assignment, 0, now);
+            } else if (assignment.job().spec().checkpointIntervalS() > 0) {
+                cluster.requestStop(assignment, assignment.job().spec().checkpointSaveS(), now);
+            } else if (assignment.job().spec().estimateS() - assignment.runtimeMs(now) / 1000.0
+                    > machine.instance().reclaimNoticeS()) {
+                cluster.requestStop(assignment, 0, now); // it would be lost all the same, only later
             }
         }
-        commands.sendSoon(m);
+        commands.sendSoon(machine);
         events.changed();
     }
 
     /** The cloud has confirmed that a machine is gone with all that was on it. */
-    public void deleted(Machine m) {
-        for (TaskAssignment c : List.copyOf(m.assignments().values())) {
-            events.gone(c, "machine deleted");
+    public void deleted(Machine machine) {
+        for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
+            events.gone(assignment, "machine deleted");
         }
-        cluster.forget(m);
+        cluster.forget(machine);
         events.changed();
     }
 }
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -126,14 +126,14 @@
             return; // clocks of which nothing is said can't be compared
         }
         int taken = 0;
-        for (LastHeartbeatRecord s : notes) {
-            Machine m = cluster.machines().get(s.machine());
-            if (m == null || s.term() != term - 1) {
+        for (LastHeartbeatRecord record : notes) {
+            Machine machine = cluster.machines().get(record.machine());
+            if (machine == null || record.term() != term - 1) {
                 continue;
             }
-            long ago = environment.timeOfDay() - s.answeredAt() - (long) Math.ceil(2 * clockOffMs);
-            m.agent().setAnsweredByPreviousLeaderAt(Math.max(environment.now() - ago, leadership.consentedAt()));
-            m.agent().setAnsweredByPreviousLeaderIncarnation(s.incarnation());
+            long ago = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockOffMs);
+            machine.agent().setAnsweredByPreviousLeaderAt(Math.max(environment.now() - ago, leadership.consentedAt()));
+            machine.agent().setAnsweredByPreviousLeaderIncarnation(record.incarnation());
             taken++;
         }
         if (taken > 0) {
@@ -142,32 +142,32 @@
     }
 
     /** Notes a machine whose last report, of this session, was answered then, if it is silent for long enough. */
-    void note(Machine m, long session, long answeredAt) {
+    void note(Machine machine, long session, long answeredAt) {
         long ago = environment.now() - answeredAt;
-        if (m.agent().lastHeartbeatRecord() == null
-                && !m.assignments().isEmpty()
+        if (machine.agent().lastHeartbeatRecord() == null
+                && !machine.assignments().isEmpty()
                 && ago > NOTE_AFTER_REPORTS * reportMs
                 && leadership.sure()) {
-            m.agent()
+            machine.agent()
                     .setLastHeartbeatRecord(
-                            new LastHeartbeatRecord(m.name(), session, environment.timeOfDay() - ago, term));
-            ledger.log(new Silent(m.agent().lastHeartbeatRecord()), null);
+                            new LastHeartbeatRecord(machine.name(), session, environment.timeOfDay() - ago, term));
+            ledger.log(new Silent(machine.agent().lastHeartbeatRecord()), null);
         }
     }
 
     /** Answers a report of a machine that was noted as soon as it is durable that it is silent no more. */
-    void heard(Machine m, Runnable answer, Runnable refuse) {
-        List<Waiting> before = waiting.get(m);
+    void heard(Machine machine, Runnable answer, Runnable refuse) {
+        List<Waiting> before = waiting.get(machine);
         if (before != null) {
             before.add(new Waiting(environment.now(), answer, refuse));
             return;
         }
-        waiting.put(m, new ArrayList<>(List.of(new Waiting(environment.now(), answer, refuse))));
-        LastHeartbeatRecord silence = m.agent().lastHeartbeatRecord();
-        ledger.log(new Heard(m.name()), () -> {
+        waiting.put(machine, new ArrayList<>(List.of(new Waiting(environment.now(), answer, refuse))));
+        LastHeartbeatRecord silence = machine.agent().lastHeartbeatRecord();
+        ledger.log(new Heard(machine.name()), () -> {
             silence.setObsolete(true);
-            m.agent().setLastHeartbeatRecord(null);
-            waiting.remove(m).forEach(w -> w.answer.run());
+            machine.agent().setLastHeartbeatRecord(null);
+            waiting.remove(machine).forEach(w -> w.answer.run());
         });
     }
 
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -95,12 +95,12 @@
     /** Stops for the tasks of cancelled jobs that a report tells of. */
     public List<WorkerCommand> stops(Heartbeat report) {
         List<WorkerCommand> stops = new ArrayList<>();
-        for (Heartbeat.TaskStatus t : report.tasks()) {
-            int slash = t.taskId().indexOf('/');
-            if (t.phase() != Heartbeat.TaskPhase.EXITED
+        for (Heartbeat.TaskStatus status : report.tasks()) {
+            int slash = status.taskId().indexOf('/');
+            if (status.phase() != Heartbeat.TaskPhase.EXITED
                     && slash > 0
-                    && known.containsKey(t.taskId().substring(0, slash))) {
-                stops.add(new WorkerCommand(WorkerCommand.Kind.KILL, t.taskId(), t.attempt(), 0));
+                    && known.containsKey(status.taskId().substring(0, slash))) {
+                stops.add(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0));
             }
         }
         return stops;
@@ -175,8 +175,8 @@
 
     /** Whether anything waits for a controller to be told, in a new message. */
     boolean tells(int peer) {
-        for (Confirmation c : standing.values()) {
-            if (c.then != null && !c.toldTo.contains(peer)) {
+        for (Confirmation confirmation : standing.values()) {
+            if (confirmation.then != null && !confirmation.toldTo.contains(peer)) {
                 return true;
             }
         }
@@ -184,18 +184,18 @@
     }
 
     private void confirmed(String id) {
-        Confirmation c = standing.get(id);
-        if (c == null || c.then == null) {
+        Confirmation confirmation = standing.get(id);
+        if (confirmation == null || confirmation.then == null) {
             return;
         }
         int others = 0;
         for (int i = 0; i < peers.length; i++) {
             // a controller of an older version is never informed, so it can't be taken for one that knows
-            others += c.toldTo.contains(i) || peers[i].answered && !peers[i].tells ? 1 : 0;
+            others += confirmation.toldTo.contains(i) || peers[i].answered && !peers[i].tells ? 1 : 0;
         }
         if (others >= (peers.length + 1) / 2) {
-            Runnable then = c.then;
-            c.then = null;
+            Runnable then = confirmation.then;
+            confirmation.then = null;
             then.run();
         }
     }
@@ -209,8 +209,8 @@
             all &= p.answered && p.tells; // who does not tell may lead one day and confirm what nobody else knows
         }
         List<String> ids = new ArrayList<>();
-        standing.forEach((id, c) -> {
-            if (ids.size() < PeerMessage.MOST_CANCELLED && !c.toldTo.contains(peer)) {
+        standing.forEach((id, confirmation) -> {
+            if (ids.size() < PeerMessage.MOST_CANCELLED && !confirmation.toldTo.contains(peer)) {
                 ids.add(id);
             }
         });
@@ -245,13 +245,13 @@
 
     /** Takes in what another controller says by itself; {@code current}: it speaks for a term that is not outdated. */
     void heard(PeerMessage.TermAnnouncement term, boolean current) {
-        PeerMessage.CancellationKnowledge k = term.knowledge();
+        PeerMessage.CancellationKnowledge knowledge = term.knowledge();
         take(term);
-        if (k == null) {
+        if (knowledge == null) {
             return;
         }
         // what was said to a former life of this process says nothing of what was confirmed since
-        informed |= current && term.leading() && k.complete() && k.addressee() == process;
+        informed |= current && term.leading() && knowledge.complete() && knowledge.addressee() == process;
     }
 
     private void take(PeerMessage.TermAnnouncement term) {
@@ -270,11 +270,11 @@
             long term,
             PeerMessage.CancellationKnowledge said) {
         Peer peer = peers[from];
-        PeerMessage.CancellationKnowledge k = answer.knowledge();
+        PeerMessage.CancellationKnowledge knowledge = answer.knowledge();
         peer.answered = true;
-        peer.tells = k != null;
-        peer.process = k == null ? 0 : k.process();
-        peer.informed = k != null && k.informed();
+        peer.tells = knowledge != null;
+        peer.process = knowledge == null ? 0 : knowledge.process();
+        peer.informed = knowledge != null && knowledge.informed();
         take(answer);
         if (answer.term() != term) {
             return;
@@ -283,9 +283,9 @@
             peer.affirmedAt = Math.max(peer.affirmedAt, sentAt);
         }
         for (String id : said.cancelled()) {
-            Confirmation c = standing.get(id);
-            if (c != null && k != null) {
-                c.toldTo.add(from);
+            Confirmation confirmation = standing.get(id);
+            if (confirmation != null && knowledge != null) {
+                confirmation.toldTo.add(from);
             }
         }
         List.copyOf(standing.keySet()).forEach(this::confirmed);
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -17,7 +17,8 @@
  *
  * <p>A report may be answered with the worker's own token, and without commands but stops of cancelled jobs' tasks,
  * once every other controller has said, after the report arrived, that it does not lead, and enough of them are
- * informed to know every cancellation together ({@link CancellationQuorum}). A leader of that token is then gone for good,
+ * informed to know every cancellation together ({@link CancellationQuorum}). A leader of that token is then gone for
+ * good,
  * since nobody resumes a term and later terms are higher; so nobody counts on that lease lapsing. A later leader
  * counts a lapse only from when the worker accepted its term, or every controller acknowledged it.
  */
@@ -59,11 +60,14 @@
         leadership.consent();
         for (int i = 0; i < peers.size(); i++) {
             environment.peer(peers.get(i), leadership.words(i), ANSWER_MS, record -> {
-                if (record instanceof PeerMessage.TermAnnouncement t) {
-                    leadership.learn(t);
-                    leadership.cancellations().heard(t, false);
-                    alone[0] &= !t.leading();
-                    informed[0] += t.knowledge() != null && t.knowledge().informed() ? 1 : 0;
+                if (record instanceof PeerMessage.TermAnnouncement announcement) {
+                    leadership.learn(announcement);
+                    leadership.cancellations().heard(announcement, false);
+                    alone[0] &= !announcement.leading();
+                    informed[0] += announcement.knowledge() != null
+                                    && announcement.knowledge().informed()
+                            ? 1
+                            : 0;
                 } else {
                     alone[0] = false; // silence does not say that it doesn't lead
                 }
@@ -92,15 +96,15 @@
                             ? "no controller leads and all cancellations are known: keeping workers' leases alive"
                             : "no longer keeping workers' leases alive");
         }
-        for (Waiting w : batch) {
+        for (Waiting waiting : batch) {
             if (entitled) {
-                w.reply.accept(
+                waiting.reply.accept(
                         200,
                         MessageCodec.encode(Messages.heartbeatResponse(
-                                w.report.fencingToken(),
-                                leadership.cancellations().stops(w.report))));
+                                waiting.report.fencingToken(),
+                                leadership.cancellations().stops(waiting.report))));
             } else {
-                w.reply.accept(503, MessageCodec.encode(Messages.error("no leader known")));
+                waiting.reply.accept(503, MessageCodec.encode(Messages.error("no leader known")));
             }
         }
         ask();
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -153,12 +153,7 @@
             List<CommitQueue.Event> events = new ArrayList<>();
             for (JsonNode e : record.path("e")) {
                 int kind = e.path(0).asInt(-1);
-                if (kind == LastHeartbeatJournal.SILENT) {
-                    silences.put(e.path(1).asText(), LastHeartbeatRecord.read(e));
-                    continue;
-                }
-                if (kind == LastHeartbeatJournal.HEARD) {
-                    silences.remove(e.path(1).asText());
+                if (readHeartbeatEvent(kind, e)) {
                     continue;
                 }
                 Job job = jobs.get(e.path(1).asText());
@@ -194,6 +189,19 @@
             return events;
         }
 
+        /** Takes in an event about a machine's heartbeats; false if this is none. */
+        private boolean readHeartbeatEvent(int kind, JsonNode event) {
+            String machine = event.path(1).asText();
+            if (kind == LastHeartbeatJournal.SILENT) {
+                silences.put(machine, LastHeartbeatRecord.read(event));
+            } else if (kind == LastHeartbeatJournal.HEARD) {
+                silences.remove(machine);
+            } else {
+                return false;
+            }
+            return true;
+        }
+
         /** Reads the older form: one part of a job's tasks, a bitmap of those done and the claims. */
         public List<CommitQueue.Event> readChunk(Job job, int chunk, JsonNode v, long number) {
             List<CommitQueue.Event> events = new ArrayList<>();
@@ -252,9 +260,9 @@
         /** The claims that stand after all records. */
         public List<TaskAssignment> claims() {
             List<TaskAssignment> all = new ArrayList<>();
-            claims.values().forEach(of -> of.values().forEach(c -> {
-                if (!c.job().completedTasks().get(c.index())) {
-                    all.add(c);
+            claims.values().forEach(of -> of.values().forEach(assignment -> {
+                if (!assignment.job().completedTasks().get(assignment.index())) {
+                    all.add(assignment);
                 }
             }));
             return all;
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -9,6 +9,7 @@
 import stileferry.cluster.GangAttempt;
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
+import stileferry.cluster.RestartBackOff;
 import stileferry.cluster.TaskAssignment;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.heartbeat.TaskObserver;
@@ -175,36 +176,37 @@
     }
 
     @Override
-    public void exited(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t) {
+    public void exited(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus status) {
         Job job = claim.job();
         if (job.assignments().get(claim.index()) != claim) {
             return; // ended with its gang
         }
         long now = environment.now();
-        boolean done = t.exitReason() == ExitReason.COMPLETED && !job.spec().service();
+        boolean done =
+                status.exitReason() == ExitReason.COMPLETED && !job.spec().service();
         List<TaskAssignment> others = done && job.spec().gang() ? finishGang(job, claim) : List.of();
-        machine.agent().outcomesNotDurable().add(t.attemptId());
-        job.setStarted(job.started() | (done || t.exitReason() == ExitReason.FAILED));
-        logExit(machine, claim, t, now);
+        machine.agent().outcomesNotDurable().add(status.attemptId());
+        job.setStarted(job.started() | (done || status.exitReason() == ExitReason.FAILED));
+        logExit(machine, claim, status, now);
         if (done) {
             succeeded(machine, claim, now);
         } else {
-            failed(machine, claim, t, now);
+            failed(machine, claim, status, now);
         }
         settle(claim, done, () -> {
-            machine.agent().outcomesNotDurable().remove(t.attemptId());
+            machine.agent().outcomesNotDurable().remove(status.attemptId());
             others.forEach(this::mayClear);
         });
     }
 
-    private void logExit(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t, long now) {
+    private void logExit(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus status, long now) {
         if (claim.assignedAt() > 0 && claim.runningSince() > 0) {
             LOG.debug(
                     "{} of {} exited on {}: {}, ordered {} ms after its job, running {} ms later, for {} ms",
                     claim.taskId(),
                     claim.job().spec().jobClass(),
                     machine.name(),
-                    t.exitReason(),
+                    status.exitReason(),
                     claim.assignedAt()
                             - now
                             + environment.timeOfDay()
@@ -234,11 +236,11 @@
         }
     }
 
-    private void failed(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus t, long now) {
+    private void failed(Machine machine, TaskAssignment claim, Heartbeat.TaskStatus status, long now) {
         Job job = claim.job();
-        switch (t.exitReason()) {
+        switch (status.exitReason()) {
             case FAILED -> {
-                Job.Retry retry = job.retries().computeIfAbsent(claim.index(), i -> new Job.Retry());
+                RestartBackOff retry = job.retries().computeIfAbsent(claim.index(), i -> new RestartBackOff());
                 retry.backOff(now, 1000, 6);
                 job.failedMachines().add(machine.name());
                 machine.failuresByJob().merge(job.spec().id(), 1, Integer::sum);
@@ -247,15 +249,15 @@
             case INSUFFICIENT_RESOURCES, CONFLICTING_ATTEMPT ->
                 machine.instance().setCordonedUntil(now + roundMs);
             case UNKNOWN_JOB -> {
-                Job.Retry retry = job.retries().computeIfAbsent(claim.index(), i -> new Job.Retry());
+                RestartBackOff retry = job.retries().computeIfAbsent(claim.index(), i -> new RestartBackOff());
                 retry.backOff(now, 500, 7);
             }
             default -> {}
         }
         if (job.spec().gang()) {
-            gangCounters.exited(claim, t);
+            gangCounters.exited(claim, status);
         }
-        stopGang(claim, t.checkpointSaved());
+        stopGang(claim, status.checkpointSaved());
     }
 
     /**
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -162,9 +162,13 @@
 
     // ---- what is seen
 
-    private static WorkerReport seen(Heartbeat r, boolean showsTerm) {
+    private static WorkerReport seen(Heartbeat heartbeat, boolean showsTerm) {
         return new WorkerReport(
-                r.machine(), r.address(), Math.max(0, r.incarnation()), Math.max(0, r.sequence()), showsTerm);
+                heartbeat.machine(),
+                heartbeat.address(),
+                Math.max(0, heartbeat.incarnation()),
+                Math.max(0, heartbeat.sequence()),
+                showsTerm);
     }
 
     @Override
--- a/src/main/java/stileferry/protocol/Heartbeat.java
+++ b/src/main/java/stileferry/protocol/Heartbeat.java
@@ -60,8 +60,8 @@
      * @param last the last report of a machine, or null
      */
     public static Heartbeat read(byte[] body, Function<String, Heartbeat> last) {
-        try (JsonParser p = MessageCodec.parser(body)) {
-            return p.nextToken() == JsonToken.START_OBJECT ? read(p, body, last) : null;
+        try (JsonParser parser = MessageCodec.parser(body)) {
+            return parser.nextToken() == JsonToken.START_OBJECT ? read(parser, body, last) : null;
         } catch (IOException | RuntimeException e) {
             return null; // the decoder throws unchecked exceptions for some malformed input
         }
@@ -72,16 +72,16 @@
         if (node == null || !node.isObject()) {
             return null;
         }
-        try (JsonParser p = node.traverse()) {
-            p.nextToken();
-            return read(p, NO_BODY, machine -> null);
+        try (JsonParser parser = node.traverse()) {
+            parser.nextToken();
+            return read(parser, NO_BODY, machine -> null);
         } catch (IOException | RuntimeException e) {
             return null;
         }
     }
 
     /** Field by field, without building a tree: hundreds of reports arrive every second. */
-    private static Heartbeat read(JsonParser p, byte[] body, Function<String, Heartbeat> last) throws IOException {
+    private static Heartbeat read(JsonParser parser, byte[] body, Function<String, Heartbeat> last) throws IOException {
         String machine = null;
         String addr = "";
         String type = "";
@@ -94,8 +94,8 @@
         List<TaskStatus> tasks = List.of();
         byte[] encoded = null;
         boolean whole = false;
-        for (String name = p.nextFieldName(); name != null; name = p.nextFieldName()) {
-            int at = name.equals(TASKS) && body.length > 0 ? MessageCodec.position(p) : body.length;
+        for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
+            int at = name.equals(TASKS) && body.length > 0 ? MessageCodec.position(parser) : body.length;
             Heartbeat known = at < body.length && machine != null ? last.apply(machine) : null;
             if (known != null && known.endsAs(body, at)) {
                 tasks = known.tasks;
@@ -103,26 +103,26 @@
                 whole = true;
                 break;
             }
-            JsonToken value = p.nextToken();
+            JsonToken value = parser.nextToken();
             encoded = null;
             switch (name) {
-                case "vessel" -> machine = value == JsonToken.VALUE_STRING ? p.getText() : null;
-                case "addr" -> addr = p.getValueAsString("");
-                case "hull" -> type = p.getValueAsString("");
-                case "harbor" -> zone = p.getValueAsString("");
+                case "vessel" -> machine = value == JsonToken.VALUE_STRING ? parser.getText() : null;
+                case "addr" -> addr = parser.getValueAsString("");
+                case "hull" -> type = parser.getValueAsString("");
+                case "harbor" -> zone = parser.getValueAsString("");
                 case "tender" -> spot = value == JsonToken.VALUE_TRUE;
-                case "voyage" -> session = count(p, value);
-                case "log_seq" -> seq = count(p, value);
-                case "helm" -> token = count(p, value);
-                case "recall_s" -> noticeS = value.isNumeric() ? Math.max(0, p.getDoubleValue()) : -1;
+                case "voyage" -> session = count(parser, value);
+                case "log_seq" -> seq = count(parser, value);
+                case "helm" -> token = count(parser, value);
+                case "recall_s" -> noticeS = value.isNumeric() ? Math.max(0, parser.getDoubleValue()) : -1;
                 case TASKS -> {
-                    tasks = tasks(p, value);
+                    tasks = tasks(parser, value);
                     encoded = at < body.length ? Arrays.copyOfRange(body, at, body.length) : null;
                 }
-                default -> p.skipChildren();
+                default -> parser.skipChildren();
             }
         }
-        whole |= p.currentToken() == JsonToken.END_OBJECT;
+        whole |= parser.currentToken() == JsonToken.END_OBJECT;
         if (!whole || machine == null || session < 0 || seq < 0 || token < 0) {
             return null;
         }
@@ -133,38 +133,38 @@
         return encodedTasks != null && Arrays.equals(body, from, body.length, encodedTasks, 0, encodedTasks.length);
     }
 
-    private static long count(JsonParser p, JsonToken value) throws IOException {
-        return value == JsonToken.VALUE_NUMBER_INT ? p.getLongValue() : -1;
+    private static long count(JsonParser parser, JsonToken value) throws IOException {
+        return value == JsonToken.VALUE_NUMBER_INT ? parser.getLongValue() : -1;
     }
 
-    private static List<TaskStatus> tasks(JsonParser p, JsonToken list) throws IOException {
+    private static List<TaskStatus> tasks(JsonParser parser, JsonToken list) throws IOException {
         if (list != JsonToken.START_ARRAY) {
-            p.skipChildren();
+            parser.skipChildren();
             return List.of();
         }
         List<TaskStatus> tasks = new ArrayList<>();
-        while (p.nextToken() == JsonToken.START_OBJECT) {
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
             String task = "";
             long attempt = 0;
             TaskPhase stage = TaskPhase.PULLING_IMAGE; // also for words that are not known yet
             ExitReason reason = ExitReason.OTHER;
             boolean saved = false;
-            for (String name = p.nextFieldName(); name != null; name = p.nextFieldName()) {
-                JsonToken value = p.nextToken();
+            for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
+                JsonToken value = parser.nextToken();
                 switch (name) {
-                    case "passenger" -> task = p.getValueAsString("");
-                    case "launch" -> attempt = p.getValueAsLong();
+                    case "passenger" -> task = parser.getValueAsString("");
+                    case "launch" -> attempt = parser.getValueAsLong();
                     case "tide" ->
-                        stage = switch (p.getValueAsString("")) {
+                        stage = switch (parser.getValueAsString("")) {
                             case "waiting" -> TaskPhase.WAITING_FOR_GANG;
                             case "running" -> TaskPhase.RUNNING;
                             case "saving" -> TaskPhase.SAVING_CHECKPOINT;
                             case "exited" -> TaskPhase.EXITED;
                             default -> TaskPhase.PULLING_IMAGE;
                         };
-                    case "landing_cause" -> reason = ExitReason.of(p.getValueAsString(""));
+                    case "landing_cause" -> reason = ExitReason.of(parser.getValueAsString(""));
                     case "kept" -> saved = value == JsonToken.VALUE_TRUE;
-                    default -> p.skipChildren();
+                    default -> parser.skipChildren();
                 }
             }
             tasks.add(new TaskStatus(task, attempt, stage, reason, saved));
--- a/src/main/java/stileferry/protocol/MessageCodec.java
+++ b/src/main/java/stileferry/protocol/MessageCodec.java
@@ -54,43 +54,43 @@
 
     /** How many bytes the parser has read; the MessagePack one tells it by the older name only, as characters. */
     @SuppressWarnings("deprecation")
-    static int position(JsonParser p) {
-        return (int) p.getCurrentLocation().getCharOffset();
+    static int position(JsonParser parser) {
+        return (int) parser.getCurrentLocation().getCharOffset();
     }
 
     /** Reads the next value with all that it holds; null at the end of the input. */
-    static JsonNode tree(JsonParser p) throws IOException {
-        return p.nextToken() == null ? null : value(p, 0);
+    static JsonNode tree(JsonParser parser) throws IOException {
+        return parser.nextToken() == null ? null : value(parser, 0);
     }
 
-    private static JsonNode value(JsonParser p, int depth) throws IOException {
+    private static JsonNode value(JsonParser parser, int depth) throws IOException {
         if (depth > MAX_DEPTH) {
             throw new IOException("nested too deep");
         }
         JsonNodeFactory nodes = JsonNodeFactory.instance;
-        switch (p.currentToken()) {
+        switch (parser.currentToken()) {
             case START_OBJECT: {
                 ObjectNode map = nodes.objectNode();
-                for (String name = p.nextFieldName(); name != null; name = p.nextFieldName()) {
-                    next(p);
-                    if (map.replace(name, value(p, depth + 1)) != null) {
+                for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
+                    next(parser);
+                    if (map.replace(name, value(parser, depth + 1)) != null) {
                         throw new IOException("a field is given twice");
                     }
                 }
-                if (p.currentToken() != JsonToken.END_OBJECT) {
+                if (parser.currentToken() != JsonToken.END_OBJECT) {
                     throw new IOException("a map has what is no name in the place of one");
                 }
                 return map;
             }
             case START_ARRAY: {
                 ArrayNode list = nodes.arrayNode();
-                while (next(p) != JsonToken.END_ARRAY) {
-                    list.add(value(p, depth + 1));
+                while (next(parser) != JsonToken.END_ARRAY) {
+                    list.add(value(parser, depth + 1));
                 }
                 return list;
             }
             case VALUE_STRING:
-                return nodes.textNode(p.getText());
+                return nodes.textNode(parser.getText());
             case VALUE_TRUE:
                 return nodes.booleanNode(true);
             case VALUE_FALSE:
@@ -98,22 +98,22 @@
             case VALUE_NULL:
                 return nodes.nullNode();
             case VALUE_NUMBER_INT:
-                return switch (p.getNumberType()) {
-                    case INT -> nodes.numberNode(p.getIntValue());
-                    case LONG -> nodes.numberNode(p.getLongValue());
-                    default -> nodes.numberNode(p.getBigIntegerValue());
+                return switch (parser.getNumberType()) {
+                    case INT -> nodes.numberNode(parser.getIntValue());
+                    case LONG -> nodes.numberNode(parser.getLongValue());
+                    default -> nodes.numberNode(parser.getBigIntegerValue());
                 };
             case VALUE_NUMBER_FLOAT:
-                return nodes.numberNode(p.getDoubleValue());
+                return nodes.numberNode(parser.getDoubleValue());
             case VALUE_EMBEDDED_OBJECT:
-                return nodes.pojoNode(p.getEmbeddedObject());
+                return nodes.pojoNode(parser.getEmbeddedObject());
             default:
-                throw new IOException("unexpected " + p.currentToken());
+                throw new IOException("unexpected " + parser.currentToken());
         }
     }
 
-    private static JsonToken next(JsonParser p) throws IOException {
-        JsonToken token = p.nextToken();
+    private static JsonToken next(JsonParser parser) throws IOException {
+        JsonToken token = parser.nextToken();
         if (token == null) {
             throw new IOException("the body ends too soon");
         }
@@ -135,9 +135,9 @@
         switch (node.getNodeType()) {
             case OBJECT -> {
                 g.writeStartObject();
-                for (Map.Entry<String, JsonNode> e : node.properties()) {
-                    g.writeFieldName(e.getKey());
-                    write(g, e.getValue());
+                for (Map.Entry<String, JsonNode> entry : node.properties()) {
+                    g.writeFieldName(entry.getKey());
+                    write(g, entry.getValue());
                 }
                 g.writeEndObject();
             }
--- a/src/main/java/stileferry/protocol/Messages.java
+++ b/src/main/java/stileferry/protocol/Messages.java
@@ -53,12 +53,12 @@
     public static ObjectNode heartbeatResponse(long token, Collection<WorkerCommand> signals) {
         ObjectNode body = MessageCodec.map().put("helm", token);
         ArrayNode list = body.putArray("signals");
-        for (WorkerCommand s : signals) {
+        for (WorkerCommand command : signals) {
             ObjectNode n = list.addObject();
-            n.put("signal", s.kind().name().toLowerCase(java.util.Locale.ROOT));
-            n.put("passenger", s.taskId()).put("launch", s.attempt());
-            if (s.kind() == WorkerCommand.Kind.KILL) {
-                n.put("ashore_s", s.graceS());
+            n.put("signal", command.kind().name().toLowerCase(java.util.Locale.ROOT));
+            n.put("passenger", command.taskId()).put("launch", command.attempt());
+            if (command.kind() == WorkerCommand.Kind.KILL) {
+                n.put("ashore_s", command.graceS());
             }
         }
         return body;
--- a/src/main/java/stileferry/protocol/OperatorSettings.java
+++ b/src/main/java/stileferry/protocol/OperatorSettings.java
@@ -97,15 +97,15 @@
     /** Takes stored settings; what this version doesn't know or accept is left out. */
     public static OperatorSettings read(JsonNode stored) {
         Map<String, JsonNode> values = new TreeMap<>();
-        for (Definition d : ALL) {
-            JsonNode value = stored.path("values").path(d.name);
+        for (Definition definition : ALL) {
+            JsonNode value = stored.path("values").path(definition.name);
             try {
                 if (!value.isMissingNode()) {
-                    check(d, value);
-                    values.put(d.name, value);
+                    check(definition, value);
+                    values.put(definition.name, value);
                 }
             } catch (Invalid e) {
-                values.remove(d.name);
+                values.remove(definition.name);
             }
         }
         return new OperatorSettings(stored.path("revision").asLong(), values);
@@ -129,9 +129,9 @@
             throw new Invalid("change: a map of settings is missing");
         }
         Map<String, JsonNode> values = new TreeMap<>(changed);
-        for (Map.Entry<String, JsonNode> e : change.properties()) {
-            check(definition(e.getKey()), e.getValue());
-            values.put(e.getKey(), e.getValue());
+        for (Map.Entry<String, JsonNode> entry : change.properties()) {
+            check(definition(entry.getKey()), entry.getValue());
+            values.put(entry.getKey(), entry.getValue());
         }
         return new OperatorSettings(revision + 1, values);
     }
@@ -152,24 +152,25 @@
     }
 
     private static Definition definition(String name) throws Invalid {
-        for (Definition d : ALL) {
-            if (d.name.equals(name)) {
-                return d;
+        for (Definition definition : ALL) {
+            if (definition.name.equals(name)) {
+                return definition;
             }
         }
         throw new Invalid(name + ": unknown setting");
     }
 
-    private static void check(Definition d, JsonNode value) throws Invalid {
-        if (d.preset.isNumber()) {
+    private static void check(Definition definition, JsonNode value) throws Invalid {
+        if (definition.preset.isNumber()) {
             double v = value.isNumber() ? value.doubleValue() : Double.NaN;
-            if (!(v >= d.least && v <= d.most)) {
-                throw new Invalid(d.name + ": not a number from " + d.least + " to " + d.most);
+            if (!(v >= definition.least && v <= definition.most)) {
+                throw new Invalid(
+                        definition.name + ": not a number from " + definition.least + " to " + definition.most);
             }
-        } else if (d.preset.isBoolean() && !value.isBoolean()) {
-            throw new Invalid(d.name + ": not true or false");
-        } else if (d.preset.isTextual() && !d.choices.contains(value.asText())) {
-            throw new Invalid(d.name + ": not one of " + d.choices);
+        } else if (definition.preset.isBoolean() && !value.isBoolean()) {
+            throw new Invalid(definition.name + ": not true or false");
+        } else if (definition.preset.isTextual() && !definition.choices.contains(value.asText())) {
+            throw new Invalid(definition.name + ": not one of " + definition.choices);
         }
     }
 
@@ -177,9 +178,9 @@
         if (changed.containsKey(name)) {
             return changed.get(name);
         }
-        for (Definition d : ALL) {
-            if (d.name.equals(name)) {
-                return d.preset;
+        for (Definition definition : ALL) {
+            if (definition.name.equals(name)) {
+                return definition.preset;
             }
         }
         throw new IllegalArgumentException(name);
@@ -204,16 +205,16 @@
     public ObjectNode describe() {
         ObjectNode n = MessageCodec.map().put("revision", revision);
         ArrayNode list = n.putArray("settings");
-        for (Definition d : ALL) {
-            ObjectNode o = list.addObject().put("name", d.name);
-            o.set("value", value(d.name));
-            o.set("default", d.preset);
-            if (d.preset.isNumber()) {
-                o.put("least", d.least).put("most", d.most);
-            } else if (d.preset.isTextual()) {
-                d.choices.forEach(o.putArray("choices")::add);
+        for (Definition definition : ALL) {
+            ObjectNode o = list.addObject().put("name", definition.name);
+            o.set("value", value(definition.name));
+            o.set("default", definition.preset);
+            if (definition.preset.isNumber()) {
+                o.put("least", definition.least).put("most", definition.most);
+            } else if (definition.preset.isTextual()) {
+                definition.choices.forEach(o.putArray("choices")::add);
             }
-            o.put("meaning", d.meaning);
+            o.put("meaning", definition.meaning);
         }
         return n;
     }
--- a/src/main/java/stileferry/protocol/PeerMessage.java
+++ b/src/main/java/stileferry/protocol/PeerMessage.java
@@ -21,7 +21,9 @@
         ADMIN
     }
 
-    /** A request on its way to the leader; for {@link RequestKind#ADMIN} the id is the method and the rest of the path. */
+    /**
+     * A request forwarded to the leader; for {@link RequestKind#ADMIN} the id is the method and the rest of the path.
+     */
     record ForwardedRequest(RequestKind ask, String id, byte[] body) implements PeerMessage {}
 
     /** The leader's answer to a forwarded request. */
@@ -59,7 +61,9 @@
      */
     record AdmissionExchange(byte[] message) implements PeerMessage {}
 
-    /** Requests on their way to the leader together. Sent only to a leader that has answered {@link AdmissionExchange}. */
+    /**
+     * Requests forwarded to the leader together. Sent only to a leader that has answered {@link AdmissionExchange}.
+     */
     record RequestBatch(List<ForwardedRequest> requests) implements PeerMessage {
         /** Copies the list. */
         public RequestBatch {
@@ -101,22 +105,22 @@
             if (record instanceof ForwardedRequest f) {
                 out.writeByte(1);
                 writeForward(out, f);
-            } else if (record instanceof Response a) {
+            } else if (record instanceof Response response) {
                 out.writeByte(2);
-                writeAnswer(out, a);
-            } else if (record instanceof TermAnnouncement t) {
+                writeAnswer(out, response);
+            } else if (record instanceof TermAnnouncement announcement) {
                 out.writeByte(3);
-                writeTerm(out, t);
-            } else if (record instanceof LinkView l) {
+                writeTerm(out, announcement);
+            } else if (record instanceof LinkView linkView) {
                 out.writeByte(4);
-                writeBytes(out, l.view());
-            } else if (record instanceof AdmissionExchange a) {
+                writeBytes(out, linkView.view());
+            } else if (record instanceof AdmissionExchange exchange) {
                 out.writeByte(5);
-                writeBytes(out, a.message());
-            } else if (record instanceof RequestBatch b) {
+                writeBytes(out, exchange.message());
+            } else if (record instanceof RequestBatch batch) {
                 out.writeByte(6);
-                out.writeShort(b.requests().size());
-                for (ForwardedRequest request : b.requests()) {
+                out.writeShort(batch.requests().size());
+                for (ForwardedRequest request : batch.requests()) {
                     writeForward(out, request);
                 }
             } else if (record instanceof ResponseBatch b) {
@@ -215,13 +219,13 @@
         return new Response(in.readShort(), in.readInt(), readBytes(in));
     }
 
-    private static void write(DataOutputStream out, CancellationKnowledge k) throws IOException {
-        out.writeLong(k.process());
-        out.writeLong(k.addressee());
-        out.writeBoolean(k.informed());
-        out.writeBoolean(k.complete());
-        out.writeShort(k.cancelled().size());
-        for (String id : k.cancelled()) {
+    private static void write(DataOutputStream out, CancellationKnowledge knowledge) throws IOException {
+        out.writeLong(knowledge.process());
+        out.writeLong(knowledge.addressee());
+        out.writeBoolean(knowledge.informed());
+        out.writeBoolean(knowledge.complete());
+        out.writeShort(knowledge.cancelled().size());
+        for (String id : knowledge.cancelled()) {
             out.writeUTF(id);
         }
     }
--- a/src/main/java/stileferry/protocol/SettingsReader.java
+++ b/src/main/java/stileferry/protocol/SettingsReader.java
@@ -27,8 +27,8 @@
     /** Reads settings from JSON text. */
     public static Result read(String json) {
         JsonNode root;
-        try (JsonParser p = new JsonFactory().createParser(json)) {
-            root = MessageCodec.tree(p);
+        try (JsonParser parser = new JsonFactory().createParser(json)) {
+            root = MessageCodec.tree(parser);
         } catch (IOException e) {
             String reason = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
             return new Result(null, List.of("not valid JSON: " + reason));
--- a/src/main/java/stileferry/requests/AdministrationHandler.java
+++ b/src/main/java/stileferry/requests/AdministrationHandler.java
@@ -115,42 +115,55 @@
         ArrayNode list = answer.putArray("machines");
         int bytes = 0;
         boolean more = false;
-        for (Machine m : cluster.machines().values()) {
-            if (m.name().compareTo(from) <= 0) {
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.name().compareTo(from) <= 0) {
                 continue;
             }
             if (bytes > MAX_BYTES) {
                 more = true;
                 break;
             }
-            String state = m.instance().terminating()
-                    ? "returning"
-                    : !m.agent().heardThisTerm()
-                            ? "not heard"
-                            : m.instance().quarantined()
-                                    ? "faulty"
-                                    : m.instance().reclaimNoticeS() >= 0
-                                            ? "leaving"
-                                            : m.instance().draining()
-                                                    ? "emptying"
-                                                    : m.agent().hasOrphanTasks() ? "killing strays" : "in use";
-            ObjectNode o = list.addObject()
-                    .put("name", m.name())
-                    .put("type", m.typeName())
-                    .put("zone", m.zone())
-                    .put("spot", m.spot())
-                    .put("state", state)
-                    .put("session", m.agent().incarnation())
-                    .put("heard_s", m.agent().heardThisTerm() ? (now - m.agent().lastHeardAt()) / 1000.0 : -1)
-                    .put("slowdown", m.slowdown())
-                    .put("cpus_in_use", m.usedCpus());
-            ArrayNode tasks = o.putArray("tasks");
-            m.assignments().values().forEach(c -> tasks.add(c.taskId()));
+            ObjectNode o = list.addObject();
+            describe(machine, now, o);
             bytes += o.toString().length();
         }
         return answer.put("more", more);
     }
 
+    private static void describe(Machine machine, long now, ObjectNode into) {
+        boolean heard = machine.agent().heardThisTerm();
+        into.put("name", machine.name())
+                .put("type", machine.typeName())
+                .put("zone", machine.zone())
+                .put("spot", machine.spot())
+                .put("state", state(machine))
+                .put("session", machine.agent().incarnation())
+                .put("heard_s", heard ? (now - machine.agent().lastHeardAt()) / 1000.0 : -1)
+                .put("slowdown", machine.slowdown())
+                .put("cpus_in_use", machine.usedCpus());
+        ArrayNode tasks = into.putArray("tasks");
+        machine.assignments().values().forEach(assignment -> tasks.add(assignment.taskId()));
+    }
+
+    private static String state(Machine machine) {
+        if (machine.instance().terminating()) {
+            return "returning";
+        }
+        if (!machine.agent().heardThisTerm()) {
+            return "not heard";
+        }
+        if (machine.instance().quarantined()) {
+            return "faulty";
+        }
+        if (machine.instance().reclaimNoticeS() >= 0) {
+            return "leaving";
+        }
+        if (machine.instance().draining()) {
+            return "emptying";
+        }
+        return machine.agent().hasOrphanTasks() ? "killing strays" : "in use";
+    }
+
     private ObjectNode queue(String from, long now, long timeOfDay) {
         ObjectNode answer = MessageCodec.map();
         ArrayNode list = answer.putArray("queue");
--- a/src/main/java/stileferry/requests/RequestMetrics.java
+++ b/src/main/java/stileferry/requests/RequestMetrics.java
@@ -26,12 +26,12 @@
         ObjectNode counts = n.putObject("answers");
         answers.forEach(counts::put);
         ObjectNode list = n.putObject("times_ms");
-        times.forEach((ask, h) -> list.putObject(name(ask))
-                .put("count", h.getTotalCount())
-                .put("p50", h.getValueAtPercentile(50))
-                .put("p90", h.getValueAtPercentile(90))
-                .put("p99", h.getValueAtPercentile(99))
-                .put("max", h.getMaxValue()));
+        times.forEach((ask, histogram) -> list.putObject(name(ask))
+                .put("count", histogram.getTotalCount())
+                .put("p50", histogram.getValueAtPercentile(50))
+                .put("p90", histogram.getValueAtPercentile(90))
+                .put("p99", histogram.getValueAtPercentile(99))
+                .put("max", histogram.getMaxValue()));
         return n;
     }
 
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -59,14 +59,14 @@
         List<Machine> others = new ArrayList<>();
         double all = 0;
         double free = 0;
-        for (Machine m : cluster.machines().values()) {
-            if (m.instance().draining() && !m.instance().terminating()) {
-                emptying.add(m);
-            } else if (m.schedulable() && !m.assignments().isEmpty()) {
-                all += m.type().cpus();
-                if (!m.spot()) {
-                    others.add(m);
-                    free += free(m);
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.instance().draining() && !machine.instance().terminating()) {
+                emptying.add(machine);
+            } else if (machine.schedulable() && !machine.assignments().isEmpty()) {
+                all += machine.type().cpus();
+                if (!machine.spot()) {
+                    others.add(machine);
+                    free += free(machine);
                 }
             }
         }
@@ -81,20 +81,20 @@
         }
     }
 
-    private static double free(Machine m) {
-        return m.type().cpus() - m.usedCpus();
+    private static double free(Machine machine) {
+        return machine.type().cpus() - machine.usedCpus();
     }
 
     /** Lets machines be used again, those with most work first, until they have room for what waits. */
     private void giveBack(List<Machine> emptying, double wanted) {
         emptying.sort(Comparator.comparingDouble(m -> -m.usedCpus()));
         double room = 0;
-        for (Machine m : emptying) {
+        for (Machine machine : emptying) {
             if (room >= wanted) {
                 return;
             }
-            m.instance().setDraining(false);
-            room += free(m);
+            machine.instance().setDraining(false);
+            room += free(machine);
         }
     }
 
@@ -102,20 +102,20 @@
     private void choose(List<Machine> machines, int most, double freeNow, double all, long now) {
         machines.sort(Comparator.comparingDouble(Machine::usedCpus).thenComparing(m -> m));
         double free = freeNow;
-        for (Machine m : machines.subList(0, Math.max(0, Math.min(most, machines.size())))) {
-            double keep =
-                    Math.max(m.type().cpus(), all * cluster.operatorSettings().number(OperatorSettings.EMPTY_SHARE));
-            double elsewhere = free - free(m);
-            if (now - calmSince < CALM_BOOTS * 1000 * m.type().bootS() || elsewhere < m.usedCpus() + keep) {
+        for (Machine machine : machines.subList(0, Math.max(0, Math.min(most, machines.size())))) {
+            double keep = Math.max(
+                    machine.type().cpus(), all * cluster.operatorSettings().number(OperatorSettings.EMPTY_SHARE));
+            double elsewhere = free - free(machine);
+            if (now - calmSince < CALM_BOOTS * 1000 * machine.type().bootS() || elsewhere < machine.usedCpus() + keep) {
                 return;
             }
             LOG.info(
                     "emptying machine {} with {} tasks, {} CPUs are free elsewhere",
-                    m.name(),
-                    m.assignments().size(),
+                    machine.name(),
+                    machine.assignments().size(),
                     elsewhere);
-            m.instance().setDraining(true);
-            free = elsewhere - m.usedCpus();
+            machine.instance().setDraining(true);
+            free = elsewhere - machine.usedCpus();
         }
     }
 
@@ -133,14 +133,14 @@
 
     private static TaskAssignment next(Machine from, long now) {
         TaskAssignment next = null;
-        for (TaskAssignment c : from.assignments().values()) {
-            if (!c.job().spec().service()
-                    || c.stopping()
-                    || c.runningSince() == 0
-                    || now - c.runningSince() < MIN_RUN_MS) {
+        for (TaskAssignment assignment : from.assignments().values()) {
+            if (!assignment.job().spec().service()
+                    || assignment.stopping()
+                    || assignment.runningSince() == 0
+                    || now - assignment.runningSince() < MIN_RUN_MS) {
                 return null;
             }
-            next = c;
+            next = assignment;
         }
         return next;
     }
@@ -150,10 +150,10 @@
         cluster.freeCapacity()
                 .visitWithAtLeast(
                         claim.job().spec().cpus(),
-                        m -> found[0] |= m != from
-                                && m.hasImage(claim.job().spec().image())
-                                && m.fits(claim.job())
-                                && placement.allowed(claim.job(), m, now));
+                        machine -> found[0] |= machine != from
+                                && machine.hasImage(claim.job().spec().image())
+                                && machine.fits(claim.job())
+                                && placement.allowed(claim.job(), machine, now));
         return found[0];
     }
 }
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -61,15 +61,16 @@
         }
 
         boolean cover(Job job) {
-            JobSpec s = job.spec();
+            JobSpec spec = job.spec();
             for (JobSpec m : specs) {
-                if (m.cpus() <= s.cpus()
-                        && m.gpus() <= s.gpus()
-                        && m.memoryGb() <= s.memoryGb()
-                        && (m.allowsSpot() || !s.allowsSpot())
-                        && (m.zone() == null || m.zone().equals(s.zone()))
+                if (m.cpus() <= spec.cpus()
+                        && m.gpus() <= spec.gpus()
+                        && m.memoryGb() <= spec.memoryGb()
+                        && (m.allowsSpot() || !spec.allowsSpot())
+                        && (m.zone() == null || m.zone().equals(spec.zone()))
                         && (m.machineTypes() == null
-                                || s.machineTypes() != null && m.machineTypes().containsAll(s.machineTypes()))) {
+                                || spec.machineTypes() != null
+                                        && m.machineTypes().containsAll(spec.machineTypes()))) {
                     return true;
                 }
             }
@@ -221,12 +222,13 @@
     /** The machine that is nearest to having room for a task of this job. */
     private Machine roomiest(Job job, long now) {
         Machine best = null;
-        for (Machine m : cluster.machines().values()) {
-            if (m.agent().heardThisTerm()
-                    && allowed(job, m, now)
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.agent().heardThisTerm()
+                    && allowed(job, machine, now)
                     && (best == null
-                            || m.type().cpus() - m.usedCpus() > best.type().cpus() - best.usedCpus())) {
-                best = m;
+                            || machine.type().cpus() - machine.usedCpus()
+                                    > best.type().cpus() - best.usedCpus())) {
+                best = machine;
             }
         }
         return best;
@@ -265,10 +267,10 @@
     private boolean roomCanBeMadeAtImage(Job job, long now) {
         int wanted = job.spec().gang() ? job.spec().taskCount() : 1;
         Map<String, Integer> fitting = new HashMap<>();
-        for (Machine m : cluster.machines().values()) {
-            if (m.agent().heardThisTerm() && m.hasImage(job.spec().image()) && allowed(job, m, now)) {
-                String together = job.spec().oneZone() ? m.zone() : "";
-                if (fitting.merge(together, m.tasksFittingWithPreemption(job), Integer::sum) >= wanted) {
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.agent().heardThisTerm() && machine.hasImage(job.spec().image()) && allowed(job, machine, now)) {
+                String together = job.spec().oneZone() ? machine.zone() : "";
+                if (fitting.merge(together, machine.tasksFittingWithPreemption(job), Integer::sum) >= wanted) {
                     return true;
                 }
             }
@@ -307,8 +309,8 @@
     /** Tasks whose machine has yet to fetch the image. */
     private static int fetches(Job job, List<Machine> machines) {
         int fetches = 0;
-        for (Machine m : machines) {
-            fetches += m.hasImage(job.spec().image()) ? 0 : 1;
+        for (Machine machine : machines) {
+            fetches += machine.hasImage(job.spec().image()) ? 0 : 1;
         }
         return fetches;
     }
@@ -340,27 +342,29 @@
             return null;
         }
         Machine[] best = new Machine[1];
-        cluster.freeCapacity().visitWithAtLeast(job.spec().cpus(), m -> {
-            if (m.fits(job)
-                    && cluster.reservations().leaveCapacity(m, job)
-                    && allowed(job, m, now)
-                    && usable.test(m)
-                    && (best[0] == null || better(job, m, best[0]))) {
-                best[0] = m;
+        cluster.freeCapacity().visitWithAtLeast(job.spec().cpus(), machine -> {
+            if (machine.fits(job)
+                    && cluster.reservations().leaveCapacity(machine, job)
+                    && allowed(job, machine, now)
+                    && usable.test(machine)
+                    && (best[0] == null || better(job, machine, best[0]))) {
+                best[0] = machine;
             }
         });
         return best[0];
     }
 
     /** Whether a machine is the better one of two; a total order, so that the search's order does not matter. */
-    boolean better(Job job, Machine m, Machine than) {
-        int byImage = m.imageLocality(job.spec().image())
+    boolean better(Job job, Machine machine, Machine than) {
+        int byImage = machine.imageLocality(job.spec().image())
                 - than.imageLocality(job.spec().image());
-        int byFetches = m.imageLocality(job.spec().image()) == 0 ? m.imagesBeingPulled() - than.imagesBeingPulled() : 0;
-        if ((byImage != 0 || byFetches != 0) && needsImage(job, m.type())) {
+        int byFetches = machine.imageLocality(job.spec().image()) == 0
+                ? machine.imagesBeingPulled() - than.imagesBeingPulled()
+                : 0;
+        if ((byImage != 0 || byFetches != 0) && needsImage(job, machine.type())) {
             return byImage != 0 ? byImage > 0 : byFetches < 0;
         }
-        long bySlowdown = Math.round(m.slowdown() / SLOWDOWN_STEP) - Math.round(than.slowdown() / SLOWDOWN_STEP);
+        long bySlowdown = Math.round(machine.slowdown() / SLOWDOWN_STEP) - Math.round(than.slowdown() / SLOWDOWN_STEP);
         if (bySlowdown != 0) {
             return bySlowdown < 0;
         }
@@ -370,19 +374,20 @@
         if (byFetches != 0) {
             return byFetches < 0; // images that are fetched at the same time share a machine's rate
         }
-        if (job.spec().allowsSpot() && m.spot() != than.spot()) {
-            return m.spot(); // leaves room on ordinary machines for work that may not go elsewhere
+        if (job.spec().allowsSpot() && machine.spot() != than.spot()) {
+            return machine.spot(); // leaves room on ordinary machines for work that may not go elsewhere
         }
         if (job.spec().service()) {
             int byZone = Integer.compare(
-                    job.tasksInZone().getOrDefault(m.zone(), 0),
+                    job.tasksInZone().getOrDefault(machine.zone(), 0),
                     job.tasksInZone().getOrDefault(than.zone(), 0));
             if (byZone != 0) {
                 return byZone < 0;
             }
         }
-        int byRoom = Double.compare(m.type().cpus() - m.usedCpus(), than.type().cpus() - than.usedCpus());
-        return byRoom != 0 ? byRoom < 0 : m.compareTo(than) < 0;
+        int byRoom = Double.compare(
+                machine.type().cpus() - machine.usedCpus(), than.type().cpus() - than.usedCpus());
+        return byRoom != 0 ? byRoom < 0 : machine.compareTo(than) < 0;
     }
 
     /** True when the job is expected to start sooner than its image can be fetched. */
@@ -411,8 +416,8 @@
             return "its team is at its limit";
         }
         int allowed = 0;
-        for (Machine m : cluster.machines().values()) {
-            allowed += m.type() != null && allowed(job, m, now) ? 1 : 0;
+        for (Machine machine : cluster.machines().values()) {
+            allowed += machine.type() != null && allowed(job, machine, now) ? 1 : 0;
         }
         return allowed == 0
                 ? "no machine that it may use is up"
@@ -420,18 +425,18 @@
     }
 
     /** Everything but room: type, zone, kind of machine, the job's other tasks, and the machine's health. */
-    boolean allowed(Job job, Machine m, long now) {
+    boolean allowed(Job job, Machine machine, long now) {
         JobSpec spec = job.spec();
-        return m.schedulable()
-                && m.agent().lastHeartbeatRecord() == null
-                && now >= m.instance().cordonedUntil()
-                && now - m.agent().lastHeardAt()
+        return machine.schedulable()
+                && machine.agent().lastHeartbeatRecord() == null
+                && now >= machine.instance().cordonedUntil()
+                && now - machine.agent().lastHeardAt()
                         < 3000 * cluster.settings().workers().reportS()
-                && spec.fitsType(m.type())
-                && (spec.zone() == null || spec.zone().equals(m.zone()))
-                && (spec.allowsSpot() || !m.spot())
-                && zoneAllowed(job, m.zone())
-                && (!job.failedMachines().contains(m.name())
+                && spec.fitsType(machine.type())
+                && (spec.zone() == null || spec.zone().equals(machine.zone()))
+                && (spec.allowsSpot() || !machine.spot())
+                && zoneAllowed(job, machine.zone())
+                && (!job.failedMachines().contains(machine.name())
                         || job.failedMachines().size() >= 3);
     }
 
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -196,12 +196,12 @@
         PriorityQueue<Option> options = new PriorityQueue<>(Comparator.comparing(Option::fetch)
                 .thenComparingLong(Option::loss)
                 .thenComparing(Option::machine));
-        for (Machine m : cluster.machines().values()) {
-            if (m.agent().heardThisTerm()
-                    && (zone == null || zone.equals(m.zone()))
-                    && placement.allowed(job, m, now)) {
+        for (Machine machine : cluster.machines().values()) {
+            if (machine.agent().heardThisTerm()
+                    && (zone == null || zone.equals(machine.zone()))
+                    && placement.allowed(job, machine, now)) {
                 looksLeft--;
-                offer(options, option(job, m, now, plan));
+                offer(options, option(job, machine, now, plan));
             }
         }
         int made = 0;
@@ -218,9 +218,12 @@
             plan.promise(best.machine, job);
             plan.fetches += again.fetch ? 1 : 0;
             plan.loss += again.loss;
-            for (TaskAssignment v : again.victims) {
-                plan.stop(v);
-                plan.stops.add(new Stop(v, hurry(job, v) ? 0 : v.job().spec().checkpointSaveS(), job));
+            for (TaskAssignment assignment : again.victims) {
+                plan.stop(assignment);
+                plan.stops.add(new Stop(
+                        assignment,
+                        hurry(job, assignment) ? 0 : assignment.job().spec().checkpointSaveS(),
+                        job));
             }
             made++;
             offer(options, option(job, best.machine, now, plan));
@@ -234,18 +237,18 @@
         }
     }
 
-    private Option option(Job job, Machine m, long now, Plan plan) {
-        List<TaskAssignment> victims = victims(job, m, now, plan);
+    private Option option(Job job, Machine machine, long now, Plan plan) {
+        List<TaskAssignment> victims = victims(job, machine, now, plan);
         if (victims == null) {
             return null;
         }
         long loss = 0;
-        for (TaskAssignment v : victims) {
-            loss += v.preemptionCostMs(now);
+        for (TaskAssignment assignment : victims) {
+            loss += assignment.preemptionCostMs(now);
         }
-        boolean fetch =
-                placement.needsImage(job, m.type()) && !m.hasImage(job.spec().image());
-        return new Option(m, victims, fetch, loss);
+        boolean fetch = placement.needsImage(job, machine.type())
+                && !machine.hasImage(job.spec().image());
+        return new Option(machine, victims, fetch, loss);
     }
 
     /** Saving takes time; work that has to start within a few seconds can't wait for it. */
@@ -264,40 +267,41 @@
     }
 
     /** The tasks to stop on this machine so that one more task of the job fits; null when that can't be done. */
-    private List<TaskAssignment> victims(Job job, Machine m, long now, Plan plan) {
-        double[] kept = plan.promised.getOrDefault(m.name(), NOTHING);
-        double cpus = m.type().cpus() - kept[0] - job.spec().cpus();
-        double gpus = m.type().gpus() - kept[1] - job.spec().gpus();
-        double memory = m.type().memoryGb() - kept[2] - job.spec().memoryGb();
+    private List<TaskAssignment> victims(Job job, Machine machine, long now, Plan plan) {
+        double[] kept = plan.promised.getOrDefault(machine.name(), NOTHING);
+        double cpus = machine.type().cpus() - kept[0] - job.spec().cpus();
+        double gpus = machine.type().gpus() - kept[1] - job.spec().gpus();
+        double memory = machine.type().memoryGb() - kept[2] - job.spec().memoryGb();
         List<TaskAssignment> candidates = new ArrayList<>();
         double givenCpus = 0;
         double givenGpus = 0;
-        for (TaskAssignment c : m.assignments().values()) {
-            if (plan.going.contains(c)) {
+        for (TaskAssignment assignment : machine.assignments().values()) {
+            if (plan.going.contains(assignment)) {
                 continue;
             }
-            cpus -= c.job().spec().cpus();
-            gpus -= c.job().spec().gpus();
-            memory -= c.job().spec().memoryGb();
-            if (!(c.startedOverdue() && c.runtimeMs(now) < OVERDUE_RUN_MS) && mayStop(job, c, plan, 0, 0)) {
-                candidates.add(c);
+            cpus -= assignment.job().spec().cpus();
+            gpus -= assignment.job().spec().gpus();
+            memory -= assignment.job().spec().memoryGb();
+            if (!(assignment.startedOverdue() && assignment.runtimeMs(now) < OVERDUE_RUN_MS)
+                    && mayStop(job, assignment, plan, 0, 0)) {
+                candidates.add(assignment);
             }
         }
         candidates.sort(Comparator.<TaskAssignment>comparingInt(
                         c -> -c.job().spec().priority().ordinal())
                 .thenComparingLong(c -> c.preemptionCostMs(now)));
         List<TaskAssignment> victims = new ArrayList<>();
-        for (TaskAssignment c : candidates) {
+        for (TaskAssignment assignment : candidates) {
             if (fits(cpus, gpus, memory)) {
                 break;
             }
-            if (mayStop(job, c, plan, givenCpus, givenGpus)) {
-                victims.add(c);
-                cpus += c.job().spec().cpus();
-                gpus += c.job().spec().gpus();
-                memory += c.job().spec().memoryGb();
-                givenCpus += c.job().spec().cpus();
-                givenGpus += c.job().spec().gpus();
+            if (mayStop(job, assignment, plan, givenCpus, givenGpus)) {
+                victims.add(assignment);
+                cpus += assignment.job().spec().cpus();
+                gpus += assignment.job().spec().gpus();
+                memory += assignment.job().spec().memoryGb();
+                givenCpus += assignment.job().spec().cpus();
+                givenGpus += assignment.job().spec().gpus();
             }
         }
         return fits(cpus, gpus, memory) ? victims : null;
@@ -307,19 +311,19 @@
         return cpus > -1e-6 && gpus > -1e-6 && memory > -1e-6;
     }
 
-    private boolean mayStop(Job job, TaskAssignment c, Plan plan, double givenCpus, double givenGpus) {
-        if (job.spec().priority().compareTo(c.job().spec().priority()) < 0) {
+    private boolean mayStop(Job job, TaskAssignment assignment, Plan plan, double givenCpus, double givenGpus) {
+        if (job.spec().priority().compareTo(assignment.job().spec().priority()) < 0) {
             return true;
         }
         // A team's guarantee could also be met by stopping more urgent work of another. That work would come back at
         // once as the head of the queue and be stopped again: on one day a service was stopped five times so.
-        if (job.spec().priority().compareTo(c.job().spec().priority()) > 0) {
+        if (job.spec().priority().compareTo(assignment.job().spec().priority()) > 0) {
             return false;
         }
-        double[] back = plan.givenBack.getOrDefault(c.job().spec().team(), new double[2]);
+        double[] back = plan.givenBack.getOrDefault(assignment.job().spec().team(), new double[2]);
         return job.withinQuota()
-                && !c.job().withinQuota()
-                && !c.job().spec().team().equals(job.spec().team())
-                && cluster.exceedsQuota(c.job().spec().team(), back[0] + givenCpus, back[1] + givenGpus);
+                && !assignment.job().withinQuota()
+                && !assignment.job().spec().team().equals(job.spec().team())
+                && cluster.exceedsQuota(assignment.job().spec().team(), back[0] + givenCpus, back[1] + givenGpus);
     }
 }
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -230,12 +230,12 @@
                 return;
             }
             int most = Math.min(Math.max(LEAST_CHANGES, room), state.limits().txnOps());
-            CompareAndSwapTransaction t = pack(most - keptForCounter);
-            if (t == null) {
+            CompareAndSwapTransaction transaction = pack(most - keptForCounter);
+            if (transaction == null) {
                 return;
             }
             inFlight++;
-            send(t);
+            send(transaction);
         }
     }
 
@@ -244,21 +244,21 @@
     }
 
     private CompareAndSwapTransaction begin(EventLog.Batch batch) {
-        CompareAndSwapTransaction t = begin();
-        t.add(batch.put(), batch.bytes());
+        CompareAndSwapTransaction transaction = begin();
+        transaction.add(batch.put(), batch.bytes());
         for (Entry old : batch.deletions()) {
             old.deleted = true;
-            t.add(old, 0);
+            transaction.add(old, 0);
         }
-        t.actions.addAll(batch.actions());
-        return t;
+        transaction.actions.addAll(batch.actions());
+        return transaction;
     }
 
     private CompareAndSwapTransaction pack(int limit) {
-        CompareAndSwapTransaction t = null;
+        CompareAndSwapTransaction transaction = null;
         EventLog.Batch batch = events.waits() ? events.next(limit) : null;
         if (batch != null) {
-            t = begin(batch);
+            transaction = begin(batch);
         }
         List<Entry> passed = new ArrayList<>();
         for (int n = dirty.size(); n > 0 && !dirty.isEmpty(); n--) {
@@ -272,45 +272,45 @@
                 continue;
             }
             int need = partner == null ? 1 : 2;
-            if (t == null) {
-                t = begin();
-            } else if (t.entries.size() + need > limit || t.bytes > MAX_BYTES / 2) {
+            if (transaction == null) {
+                transaction = begin();
+            } else if (transaction.entries.size() + need > limit || transaction.bytes > MAX_BYTES / 2) {
                 passed.add(entry);
                 break;
             }
-            t.add(entry, -1);
+            transaction.add(entry, -1);
             if (partner != null) {
-                t.add(partner, -1);
+                transaction.add(partner, -1);
             }
         }
         for (int i = passed.size() - 1; i >= 0; i--) {
             dirty.addFirst(passed.get(i));
         }
-        addCount(t);
-        return t;
+        addCount(transaction);
+        return transaction;
     }
 
     /** What is counted is durable together with its count: neither can be lost or doubled without the other. */
-    private void addCount(CompareAndSwapTransaction t) {
-        Entry count = t == null ? null : counter.count(List.copyOf(t.entries));
+    private void addCount(CompareAndSwapTransaction transaction) {
+        Entry count = transaction == null ? null : counter.count(List.copyOf(transaction.entries));
         if (count != null) {
-            t.add(count, -1);
+            transaction.add(count, -1);
         }
     }
 
-    private void send(CompareAndSwapTransaction t) {
+    private void send(CompareAndSwapTransaction transaction) {
         if (closed) {
             return;
         }
-        state.commit(t.body, t.entries.size(), false, (status, body) -> {
+        state.commit(transaction.body, transaction.entries.size(), false, (status, body) -> {
             if (closed) {
                 return;
             }
             switch (status) {
-                case 200 -> applied(t, body.path("ledger_rev").asLong());
+                case 200 -> applied(transaction, body.path("ledger_rev").asLong());
                 case 409 -> {
-                    if (t.ambiguous) {
-                        verify(t);
+                    if (transaction.ambiguous) {
+                        verify(transaction);
                     } else {
                         lost();
                     }
@@ -321,15 +321,15 @@
                 }
                 default -> {
                     // 429 and 503 say that nothing was done; silence says nothing at all
-                    t.ambiguous |= status != 429 && status != 503 && status != Environment.NOT_SENT;
-                    again(t, () -> send(t));
+                    transaction.ambiguous |= status != 429 && status != 503 && status != Environment.NOT_SENT;
+                    again(transaction, () -> send(transaction));
                 }
             }
         });
     }
 
-    private void again(CompareAndSwapTransaction t, Runnable next) {
-        long pause = Math.min(1000, 50L << Math.min(5, t.tries++));
+    private void again(CompareAndSwapTransaction transaction, Runnable next) {
+        long pause = Math.min(1000, 50L << Math.min(5, transaction.tries++));
         environment.after(pause / 2 + environment.random().nextLong(pause), next);
     }
 
@@ -337,27 +337,27 @@
      * Learns whether an unanswered transaction was the one that made its own repetition fail. It is applied whole or
      * not at all, so one of its keys tells.
      */
-    private void verify(CompareAndSwapTransaction t) {
+    private void verify(CompareAndSwapTransaction transaction) {
         if (closed) {
             return;
         }
-        Entry entry = t.entries.stream()
-                .filter(e -> !t.deletions.contains(e))
+        Entry entry = transaction.entries.stream()
+                .filter(e -> !transaction.deletions.contains(e))
                 .findFirst()
-                .orElse(t.entries.get(0));
+                .orElse(transaction.entries.get(0));
         state.get(entry.key, (status, body) -> {
             if (closed) {
                 return;
             }
-            boolean deleted = t.deletions.contains(entry);
+            boolean deleted = transaction.deletions.contains(entry);
             if (status == 404 && deleted) {
-                applied(t, 0);
-            } else if (status == 200 && !deleted && stamp(body).equals(t.stamp)) {
-                applied(t, body.path("entry_rev").asLong());
+                applied(transaction, 0);
+            } else if (status == 200 && !deleted && stamp(body).equals(transaction.stamp)) {
+                applied(transaction, body.path("entry_rev").asLong());
             } else if (status == 200 || status == 404) {
                 lost();
             } else {
-                again(t, () -> verify(t));
+                again(transaction, () -> verify(transaction));
             }
         });
     }
@@ -366,14 +366,14 @@
         return body.path("v").path("x").asText();
     }
 
-    private void applied(CompareAndSwapTransaction t, long revision) {
+    private void applied(CompareAndSwapTransaction transaction, long revision) {
         inFlight--;
-        for (Entry entry : t.entries) {
+        for (Entry entry : transaction.entries) {
             entry.flying = false;
             // what was sent counts: the key may have been marked for deletion since
-            entry.revision = t.deletions.contains(entry) ? 0 : revision;
+            entry.revision = transaction.deletions.contains(entry) ? 0 : revision;
         }
-        t.actions.forEach(Runnable::run);
+        transaction.actions.forEach(Runnable::run);
     }
 
     private void lost() {
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -166,11 +166,11 @@
         }
         List<Runnable> actions = new ArrayList<>();
         while (!pending.isEmpty() && bytes + pending.peek().event.bytes() <= mostBytes) {
-            Pending p = pending.poll();
-            pendingBytes -= p.event.bytes();
-            bytes += take(p.event, number, events);
-            if (p.onDurable != null) {
-                actions.add(p.onDurable);
+            Pending next = pending.poll();
+            pendingBytes -= next.event.bytes();
+            bytes += take(next.event, number, events);
+            if (next.onDurable != null) {
+                actions.add(next.onDurable);
             }
         }
         slot.number = number;
@@ -182,8 +182,8 @@
 
     private static List<CommitQueue.Event> live(Slot slot) {
         List<CommitQueue.Event> live = new ArrayList<>();
-        for (CommitQueue.Event e : slot.events) {
-            CommitQueue.Event kept = e.kept(slot.number);
+        for (CommitQueue.Event event : slot.events) {
+            CommitQueue.Event kept = event.kept(slot.number);
             if (kept != null) {
                 live.add(kept);
             }
@@ -203,11 +203,11 @@
         aside.entry.guardedBy(large.entry);
         List<CommitQueue.Event> events = new ArrayList<>();
         int bytes = ROW_BYTES;
-        for (CommitQueue.Event e : live(large)) {
-            if (bytes + e.bytes() > mostBytes) {
+        for (CommitQueue.Event event : live(large)) {
+            if (bytes + event.bytes() > mostBytes) {
                 break;
             }
-            bytes += take(e, aside.number, events);
+            bytes += take(event, aside.number, events);
         }
         aside.events = events;
         aside.value = value(aside.number, events);
@@ -241,8 +241,8 @@
     private static int keep(
             long oldNumber, List<CommitQueue.Event> held, long number, List<CommitQueue.Event> events, int bytes) {
         int sum = bytes;
-        for (CommitQueue.Event e : held) {
-            CommitQueue.Event kept = e.kept(oldNumber);
+        for (CommitQueue.Event event : held) {
+            CommitQueue.Event kept = event.kept(oldNumber);
             if (kept != null) {
                 sum += take(kept, number, events);
             }
--- a/src/main/java/stileferry/transport/HttpCaller.java
+++ b/src/main/java/stileferry/transport/HttpCaller.java
@@ -68,10 +68,10 @@
     private ClientConnection takeIdle(String addr) {
         ArrayDeque<ClientConnection> kept = idle.get(addr);
         while (kept != null && !kept.isEmpty()) {
-            ClientConnection c = kept.pollLast();
-            byUse.remove(c);
-            if (c.isOpen()) {
-                return c;
+            ClientConnection connection = kept.pollLast();
+            byUse.remove(connection);
+            if (connection.isOpen()) {
+                return connection;
             }
         }
         return null;
@@ -133,11 +133,11 @@
             client.connect(
                     new ClientCallback<>() {
                         @Override
-                        public void completed(ClientConnection c) {
+                        public void completed(ClientConnection connection) {
                             if (over) {
-                                IoUtils.safeClose(c);
+                                IoUtils.safeClose(connection);
                             } else {
-                                send(c);
+                                send(connection);
                             }
                         }
 
@@ -170,8 +170,8 @@
         public void completed(ClientExchange exchange) {
             exchange.setResponseListener(new ClientCallback<>() {
                 @Override
-                public void completed(ClientExchange e) {
-                    receive(e);
+                public void completed(ClientExchange exchange) {
+                    receive(exchange);
                 }
 
                 @Override
