--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -9,6 +9,7 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.Messages;
+import stileferry.protocol.WireNames;
 import stileferry.transport.LogLevel;
 import stileferry.transport.StandInHost;
 import stileferry.transport.UserClient;
@@ -110,7 +111,8 @@
     private static void await(UserClient user, int number, String state) throws InterruptedException {
         for (int i = 0; i < POLLS; i++) {
             UserClient.Answer answer = user.once("GET", "/work/job-" + number, NOTHING);
-            if (answer.body() != null && answer.body().path("tide").asText().equals(state)) {
+            if (answer.body() != null
+                    && answer.body().path(WireNames.STATE).asText().equals(state)) {
                 return;
             }
             Thread.sleep(100);
--- a/src/main/java/stileferry/protocol/Heartbeat.java
+++ b/src/main/java/stileferry/protocol/Heartbeat.java
@@ -27,7 +27,6 @@
         List<TaskStatus> tasks,
         byte[] encodedTasks) {
 
-    private static final String TASKS = "passengers";
     private static final byte[] NO_BODY = new byte[0];
 
     /** Where a task stands on its worker; a gang's task that has its image waits for the others. */
@@ -95,7 +94,7 @@
         byte[] encoded = null;
         boolean whole = false;
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-            int at = name.equals(TASKS) && body.length > 0 ? MessageCodec.position(parser) : body.length;
+            int at = name.equals(WireNames.TASKS) && body.length > 0 ? MessageCodec.position(parser) : body.length;
             Heartbeat known = at < body.length && machine != null ? last.apply(machine) : null;
             if (known != null && known.endsAs(body, at)) {
                 tasks = known.tasks;
@@ -106,16 +105,17 @@
             JsonToken value = parser.nextToken();
             encoded = null;
             switch (name) {
-                case "vessel" -> machine = value == JsonToken.VALUE_STRING ? parser.getText() : null;
-                case "addr" -> addr = parser.getValueAsString("");
-                case "hull" -> type = parser.getValueAsString("");
-                case "harbor" -> zone = parser.getValueAsString("");
-                case "tender" -> spot = value == JsonToken.VALUE_TRUE;
-                case "voyage" -> session = count(parser, value);
-                case "log_seq" -> seq = count(parser, value);
-                case "helm" -> token = count(parser, value);
-                case "recall_s" -> noticeS = value.isNumeric() ? Math.max(0, parser.getDoubleValue()) : -1;
-                case TASKS -> {
+                case WireNames.MACHINE -> machine = value == JsonToken.VALUE_STRING ? parser.getText() : null;
+                case WireNames.ADDRESS -> addr = parser.getValueAsString("");
+                case WireNames.MACHINE_TYPE -> type = parser.getValueAsString("");
+                case WireNames.ZONE -> zone = parser.getValueAsString("");
+                case WireNames.SPOT -> spot = value == JsonToken.VALUE_TRUE;
+                case WireNames.INCARNATION -> session = count(parser, value);
+                case WireNames.SEQUENCE -> seq = count(parser, value);
+                case WireNames.FENCING_TOKEN -> token = count(parser, value);
+                case WireNames.RECLAIM_NOTICE_S ->
+                    noticeS = value.isNumeric() ? Math.max(0, parser.getDoubleValue()) : -1;
+                case WireNames.TASKS -> {
                     tasks = tasks(parser, value);
                     encoded = at < body.length ? Arrays.copyOfRange(body, at, body.length) : null;
                 }
@@ -152,9 +152,9 @@
             for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
                 JsonToken value = parser.nextToken();
                 switch (name) {
-                    case "passenger" -> task = parser.getValueAsString("");
-                    case "launch" -> attempt = parser.getValueAsLong();
-                    case "tide" ->
+                    case WireNames.TASK -> task = parser.getValueAsString("");
+                    case WireNames.ATTEMPT -> attempt = parser.getValueAsLong();
+                    case WireNames.STATE ->
                         stage = switch (parser.getValueAsString("")) {
                             case "waiting" -> TaskPhase.WAITING_FOR_GANG;
                             case "running" -> TaskPhase.RUNNING;
@@ -162,8 +162,8 @@
                             case "exited" -> TaskPhase.EXITED;
                             default -> TaskPhase.PULLING_IMAGE;
                         };
-                    case "landing_cause" -> reason = ExitReason.of(parser.getValueAsString(""));
-                    case "kept" -> saved = value == JsonToken.VALUE_TRUE;
+                    case WireNames.EXIT_REASON -> reason = ExitReason.of(parser.getValueAsString(""));
+                    case WireNames.CHECKPOINT_SAVED -> saved = value == JsonToken.VALUE_TRUE;
                     default -> parser.skipChildren();
                 }
             }
--- a/src/main/java/stileferry/protocol/JobSpec.java
+++ b/src/main/java/stileferry/protocol/JobSpec.java
@@ -72,64 +72,70 @@
         if (body == null || !body.isObject()) {
             throw new Malformed("the body is not a map");
         }
-        String id = text(body, "name_id");
+        String id = text(body, WireNames.NAME_ID);
         if (!validId(id)) {
-            throw new Malformed("name_id: bad form");
+            throw new Malformed(WireNames.NAME_ID + ": bad form");
         }
-        JsonNode tasks = body.path("passengers");
+        JsonNode tasks = body.path(WireNames.TASKS);
         if (!tasks.isIntegralNumber()
                 || !tasks.canConvertToInt()
                 || tasks.intValue() < 1
                 || tasks.intValue() > MAX_TASKS) {
-            throw new Malformed("passengers: out of range");
+            throw new Malformed(WireNames.TASKS + ": out of range");
         }
-        double cpus = amount(body, "cores");
-        double gpus = amount(body, "gpus");
-        double memory = amount(body, "ram_gb");
-        JsonNode deadline = body.path("moor_by_s");
+        double cpus = amount(body, WireNames.CPUS);
+        double gpus = amount(body, WireNames.GPUS);
+        double memory = amount(body, WireNames.MEMORY_GB);
+        JsonNode deadline = body.path(WireNames.DEADLINE_S);
         return new JobSpec(
                 id,
-                text(body, "berth"),
-                text(body, "crew"),
-                kind(text(body, "craft")),
-                priority(text(body, "precedence")),
+                text(body, WireNames.JOB_CLASS),
+                text(body, WireNames.TEAM),
+                kind(text(body, WireNames.KIND)),
+                priority(text(body, WireNames.PRIORITY)),
                 tasks.intValue(),
                 cpus,
                 gpus,
                 memory,
-                text(body, "cargo"),
-                amount(body, "pull_gb"),
-                machineTypes(body.path("hulls")),
-                nullableText(body, "harbor"),
-                flag(body, "same_place"),
-                flag(body, "apart"),
-                flag(body, "tender"),
-                amount(body, "crossing_s"),
-                amount(body, "waypoint_s"),
-                amount(body, "stow_s"),
-                absent(deadline) ? -1 : amount(body, "moor_by_s"));
+                text(body, WireNames.IMAGE),
+                amount(body, WireNames.IMAGE_GB),
+                machineTypes(body.path(WireNames.MACHINE_TYPES)),
+                nullableText(body, WireNames.ZONE),
+                flag(body, WireNames.ONE_ZONE),
+                flag(body, WireNames.SPREAD_ACROSS_ZONES),
+                flag(body, WireNames.SPOT),
+                amount(body, WireNames.ESTIMATE_S),
+                amount(body, WireNames.CHECKPOINT_INTERVAL_S),
+                amount(body, WireNames.CHECKPOINT_SAVE_S),
+                absent(deadline) ? -1 : amount(body, WireNames.DEADLINE_S));
     }
 
     /** The job in the same form as it was submitted. */
     public ObjectNode write() {
         ObjectNode n = MessageCodec.map();
-        n.put("name_id", id).put("berth", jobClass).put("crew", team).put("craft", kind.wireName);
-        n.put("precedence", priority.name().toLowerCase(java.util.Locale.ROOT)).put("passengers", taskCount);
-        n.put("cores", cpus)
-                .put("gpus", gpus)
-                .put("ram_gb", memoryGb)
-                .put("cargo", image)
-                .put("pull_gb", imageGb);
+        n.put(WireNames.NAME_ID, id)
+                .put(WireNames.JOB_CLASS, jobClass)
+                .put(WireNames.TEAM, team)
+                .put(WireNames.KIND, kind.wireName);
+        n.put(WireNames.PRIORITY, priority.name().toLowerCase(java.util.Locale.ROOT))
+                .put(WireNames.TASKS, taskCount);
+        n.put(WireNames.CPUS, cpus)
+                .put(WireNames.GPUS, gpus)
+                .put(WireNames.MEMORY_GB, memoryGb)
+                .put(WireNames.IMAGE, image)
+                .put(WireNames.IMAGE_GB, imageGb);
         if (machineTypes != null) {
-            machineTypes.forEach(n.putArray("hulls")::add);
+            machineTypes.forEach(n.putArray(WireNames.MACHINE_TYPES)::add);
         }
-        n.put("harbor", zone)
-                .put("same_place", oneZone)
-                .put("apart", spreadAcrossZones)
-                .put("tender", allowsSpot);
-        n.put("crossing_s", estimateS).put("waypoint_s", checkpointIntervalS).put("stow_s", checkpointSaveS);
+        n.put(WireNames.ZONE, zone)
+                .put(WireNames.ONE_ZONE, oneZone)
+                .put(WireNames.SPREAD_ACROSS_ZONES, spreadAcrossZones)
+                .put(WireNames.SPOT, allowsSpot);
+        n.put(WireNames.ESTIMATE_S, estimateS)
+                .put(WireNames.CHECKPOINT_INTERVAL_S, checkpointIntervalS)
+                .put(WireNames.CHECKPOINT_SAVE_S, checkpointSaveS);
         if (deadlineS >= 0) {
-            n.put("moor_by_s", deadlineS);
+            n.put(WireNames.DEADLINE_S, deadlineS);
         }
         return n;
     }
@@ -174,7 +180,7 @@
                 return kind;
             }
         }
-        throw new Malformed("craft: unknown");
+        throw new Malformed(WireNames.KIND + ": unknown");
     }
 
     static Priority priority(String text) throws Malformed {
@@ -183,7 +189,7 @@
             case "urgent" -> Priority.URGENT;
             case "normal" -> Priority.NORMAL;
             case "idle" -> Priority.IDLE;
-            default -> throw new Malformed("precedence: unknown");
+            default -> throw new Malformed(WireNames.PRIORITY + ": unknown");
         };
     }
 
@@ -196,12 +202,12 @@
             return null;
         }
         if (!node.isArray()) {
-            throw new Malformed("hulls: not a list");
+            throw new Malformed(WireNames.MACHINE_TYPES + ": not a list");
         }
         List<String> names = new ArrayList<>();
         for (JsonNode name : node) {
             if (!name.isTextual()) {
-                throw new Malformed("hulls: not a list of names");
+                throw new Malformed(WireNames.MACHINE_TYPES + ": not a list of names");
             }
             names.add(name.textValue());
         }
--- a/src/main/java/stileferry/protocol/MachineType.java
+++ b/src/main/java/stileferry/protocol/MachineType.java
@@ -20,19 +20,19 @@
     /** Reads the cloud's answer; an empty list when it is malformed. */
     public static List<MachineType> readAll(JsonNode body) {
         List<MachineType> types = new ArrayList<>();
-        for (JsonNode t : body.path("hulls")) {
+        for (JsonNode t : body.path(WireNames.MACHINE_TYPES)) {
             List<String> zones = new ArrayList<>();
-            t.path("harbors").forEach(z -> zones.add(z.asText()));
+            t.path(WireNames.ZONES).forEach(z -> zones.add(z.asText()));
             types.add(new MachineType(
-                    t.path("sku").asText(),
-                    t.path("cores").asDouble(),
-                    t.path("gpus").asDouble(),
-                    t.path("ram_gb").asDouble(),
-                    t.path("local_gb").asDouble(),
-                    Math.max(0.001, t.path("fetch_gb_per_s").asDouble()),
-                    t.path("rate").asDouble(),
-                    t.path("spot_price").asDouble(),
-                    Math.max(1, t.path("startup_s").asDouble()),
+                    t.path(WireNames.MACHINE_TYPE_NAME).asText(),
+                    t.path(WireNames.CPUS).asDouble(),
+                    t.path(WireNames.GPUS).asDouble(),
+                    t.path(WireNames.MEMORY_GB).asDouble(),
+                    t.path(WireNames.CACHE_GB).asDouble(),
+                    Math.max(0.001, t.path(WireNames.FETCH_GB_PER_S).asDouble()),
+                    t.path(WireNames.ON_DEMAND_PRICE).asDouble(),
+                    t.path(WireNames.SPOT_PRICE).asDouble(),
+                    Math.max(1, t.path(WireNames.BOOT_S).asDouble()),
                     List.copyOf(zones)));
         }
         return types;
--- a/src/main/java/stileferry/protocol/Messages.java
+++ b/src/main/java/stileferry/protocol/Messages.java
@@ -33,32 +33,32 @@
     /** The body of a user's answer about a job. */
     public static ObjectNode jobState(String id, String state, int done, int running) {
         return MessageCodec.map()
-                .put("name_id", id)
-                .put("tide", state)
-                .put("done", done)
-                .put("running", running);
+                .put(WireNames.NAME_ID, id)
+                .put(WireNames.STATE, state)
+                .put(WireNames.DONE, done)
+                .put(WireNames.RUNNING, running);
     }
 
     /** A refusal with its reason. */
     public static ObjectNode error(String reason) {
-        return MessageCodec.map().put("error", reason);
+        return MessageCodec.map().put(WireNames.ERROR, reason);
     }
 
     /** The answer that sends a worker to another node. */
     public static ObjectNode redirect(String node) {
-        return MessageCodec.map().put("harbormaster", node);
+        return MessageCodec.map().put(WireNames.LEADER, node);
     }
 
     /** The answer to a report. */
     public static ObjectNode heartbeatResponse(long token, Collection<WorkerCommand> signals) {
-        ObjectNode body = MessageCodec.map().put("helm", token);
-        ArrayNode list = body.putArray("signals");
+        ObjectNode body = MessageCodec.map().put(WireNames.FENCING_TOKEN, token);
+        ArrayNode list = body.putArray(WireNames.COMMANDS);
         for (WorkerCommand command : signals) {
             ObjectNode n = list.addObject();
-            n.put("signal", command.kind().name().toLowerCase(java.util.Locale.ROOT));
-            n.put("passenger", command.taskId()).put("launch", command.attempt());
+            n.put(WireNames.COMMAND, command.kind().name().toLowerCase(java.util.Locale.ROOT));
+            n.put(WireNames.TASK, command.taskId()).put(WireNames.ATTEMPT, command.attempt());
             if (command.kind() == WorkerCommand.Kind.KILL) {
-                n.put("ashore_s", command.graceS());
+                n.put(WireNames.GRACE_S, command.graceS());
             }
         }
         return body;
@@ -66,45 +66,45 @@
 
     /** A direct command to one session of a worker. */
     public static ObjectNode directCommands(long token, long session, Collection<WorkerCommand> signals) {
-        return heartbeatResponse(token, signals).put("voyage", session);
+        return heartbeatResponse(token, signals).put(WireNames.INCARNATION, session);
     }
 
     /** A rental request. */
     public static ObjectNode scaleOutRequest(String request, String type, String zone, boolean spot, int count) {
         return MessageCodec.map()
-                .put("charter", request)
-                .put("hull", type)
-                .put("harbor", zone)
-                .put("tender", spot)
-                .put("count", count);
+                .put(WireNames.SCALE_OUT_REQUEST, request)
+                .put(WireNames.MACHINE_TYPE, type)
+                .put(WireNames.ZONE, zone)
+                .put(WireNames.SPOT, spot)
+                .put(WireNames.COUNT, count);
     }
 
     /** A list of machine names, as deletion asks for it. */
     public static ObjectNode deletionRequest(Collection<String> names) {
         ObjectNode body = MessageCodec.map();
-        names.forEach(body.putArray("fleet")::add);
+        names.forEach(body.putArray(WireNames.MACHINES)::add);
         return body;
     }
 
     /** The names in a rental's answer. */
     public static List<String> createdMachines(JsonNode body) {
         List<String> names = new ArrayList<>();
-        body.path("fleet").forEach(n -> names.add(n.asText()));
+        body.path(WireNames.MACHINES).forEach(n -> names.add(n.asText()));
         return names;
     }
 
     /** The machines in one page of the cloud's list. */
     public static List<ListedMachine> listedMachines(JsonNode body) {
         List<ListedMachine> machines = new ArrayList<>();
-        for (JsonNode m : body.path("fleet")) {
+        for (JsonNode m : body.path(WireNames.MACHINES)) {
             machines.add(new ListedMachine(
-                    m.path("name_id").asText(),
-                    m.path("addr").asText(),
-                    m.path("hull").asText(),
-                    m.path("harbor").asText(),
-                    m.path("tender").asBoolean(),
-                    m.path("tide").asText(),
-                    m.path("age_s").asDouble()));
+                    m.path(WireNames.NAME_ID).asText(),
+                    m.path(WireNames.ADDRESS).asText(),
+                    m.path(WireNames.MACHINE_TYPE).asText(),
+                    m.path(WireNames.ZONE).asText(),
+                    m.path(WireNames.SPOT).asBoolean(),
+                    m.path(WireNames.STATE).asText(),
+                    m.path(WireNames.AGE_S).asDouble()));
         }
         return machines;
     }
--- a/src/main/java/stileferry/protocol/SubmissionHeader.java
+++ b/src/main/java/stileferry/protocol/SubmissionHeader.java
@@ -38,10 +38,10 @@
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
             boolean text = parser.nextToken() == JsonToken.VALUE_STRING;
             switch (name) {
-                case "name_id" -> id = text ? parser.getText() : null;
-                case "crew" -> team = text ? parser.getText() : null;
-                case "berth" -> jobClass = text ? parser.getText() : null;
-                case "precedence" -> priority = text ? priority(parser.getText()) : null;
+                case WireNames.NAME_ID -> id = text ? parser.getText() : null;
+                case WireNames.TEAM -> team = text ? parser.getText() : null;
+                case WireNames.JOB_CLASS -> jobClass = text ? parser.getText() : null;
+                case WireNames.PRIORITY -> priority = text ? priority(parser.getText()) : null;
                 default -> parser.skipChildren();
             }
         }
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -16,6 +16,7 @@
 import stileferry.protocol.Messages;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
+import stileferry.protocol.WireNames;
 import stileferry.storage.CommitQueue;
 import stileferry.storage.KeyValueStoreClient;
 
@@ -166,7 +167,7 @@
             return;
         }
         JsonNode body = MessageCodec.decode(bytes);
-        String id = body == null ? "" : body.path("name_id").asText("");
+        String id = body == null ? "" : body.path(WireNames.NAME_ID).asText("");
         if (!JobSpec.validId(id)) {
             reply.accept(Responses.refusal(400, "not a map with a valid job id"));
             return;
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -13,6 +13,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
+import stileferry.protocol.WireNames;
 import stileferry.standin.Cloud;
 import stileferry.standin.Gangs;
 import stileferry.standin.LinkFaults;
@@ -251,7 +252,7 @@
                     JsonNode body = bytes.length == 0 ? null : MessageCodec.decode(bytes);
                     int named = body == null
                             ? -1
-                            : names.indexOf(body.path("harbormaster").asText());
+                            : names.indexOf(body.path(WireNames.LEADER).asText());
                     if (answerLost) {
                         later(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(to));
                     } else if (status == 200) {
