--- a/src/main/java/stileferry/autoscaling/Autoscaler.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -19,7 +19,7 @@
             ClusterState cluster, Environment environment, HeartbeatHandler fleet, long term, LinkHealth links) {
         Settings settings = cluster.settings();
         this.cloud = new CloudClient(
-                environment, settings.cloudAddr(), settings.cloud().rps());
+                environment, settings.cloudAddress(), settings.cloud().requestsPerS());
         this.list = new CloudInventory(cluster, environment, cloud, fleet.commands()::announceTerm);
         this.returns = new ScaleIn(cluster, environment, fleet, cloud, list, links);
         this.rentals = new ScaleOut(cluster, environment, fleet, cloud, term);
--- a/src/main/java/stileferry/autoscaling/CloudClient.java
+++ b/src/main/java/stileferry/autoscaling/CloudClient.java
@@ -31,10 +31,10 @@
         return budget.take(1, 0);
     }
 
-    void call(String method, String path, ObjectNode body, Environment.Reply reply) {
-        environment.call(address, method, path, body, TIMEOUT_MS, (status, answer) -> {
+    void call(String method, String path, ObjectNode body, Environment.ResponseHandler reply) {
+        environment.request(address, method, path, body, TIMEOUT_MS, (status, answer) -> {
             if (!closed) {
-                reply.done(status, answer);
+                reply.onResponse(status, answer);
             }
         });
     }
--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 import stileferry.cluster.ClusterState;
 import stileferry.cluster.Machine;
+import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
-import stileferry.protocol.Messages;
 
 /** Reads the cloud's list of machines again and again. It lags, so what it lacks proves nothing. */
 final class CloudInventory {
@@ -48,7 +48,7 @@
     /** Reads the list again when it is time. */
     void list() {
         long now = environment.now();
-        long pagesMs = Math.round(pages * 1000 / (cluster.settings().cloud().rps() * MOST_OF_RATE));
+        long pagesMs = Math.round(pages * 1000 / (cluster.settings().cloud().requestsPerS() * MOST_OF_RATE));
         long every = Math.max(
                 LEAST_PAUSE_MS,
                 Math.max(pagesMs, Math.round(cluster.settings().cloud().listLagS() * 500)));
@@ -63,15 +63,15 @@
      * Reads the next page when the cloud's rate allows it. A list of thousands of machines has more pages than the
      * cloud takes calls at once: sent in a row, some were refused, and the list was never read to its end.
      */
-    private void nextPage(String from, List<Messages.ListedMachine> seen) {
+    private void nextPage(String from, List<CloudMessages.ListedMachine> seen) {
         if (cloud.mayCall()) {
             page(from, seen);
         } else {
-            environment.after(PAGE_PAUSE_MS, () -> nextPage(from, seen));
+            environment.schedule(PAGE_PAUSE_MS, () -> nextPage(from, seen));
         }
     }
 
-    private void page(String from, List<Messages.ListedMachine> seen) {
+    private void page(String from, List<CloudMessages.ListedMachine> seen) {
         pages++;
         cloud.call("GET", "/hosts?most=500" + (from.isEmpty() ? "" : "&from=" + from), null, (status, body) -> {
             if (status != 200 || body == null) {
@@ -79,7 +79,7 @@
                 listedAt = environment.now();
                 return;
             }
-            seen.addAll(Messages.listedMachines(body));
+            seen.addAll(CloudMessages.listedMachines(body));
             if (body.path("more").asBoolean() && !seen.isEmpty()) {
                 nextPage(seen.get(seen.size() - 1).name(), seen);
                 return;
@@ -90,10 +90,10 @@
         });
     }
 
-    private void compare(List<Messages.ListedMachine> list) {
+    private void compare(List<CloudMessages.ListedMachine> list) {
         long now = environment.now();
         Set<String> names = new HashSet<>();
-        for (Messages.ListedMachine listed : list) {
+        for (CloudMessages.ListedMachine listed : list) {
             if (cluster.deletedMachines().contains(listed.name())) {
                 continue; // the list lags behind the deletion
             }
@@ -113,7 +113,7 @@
         }
     }
 
-    private void update(Messages.ListedMachine listed, long now) {
+    private void update(CloudMessages.ListedMachine listed, long now) {
         Machine machine = cluster.machine(listed.name());
         machine.instance().setListed(true);
         machine.instance().setMissingSince(0);
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -11,9 +11,9 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.heartbeat.HeartbeatHandler;
 import stileferry.links.LinkHealth;
+import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.OperatorSettings;
 
 /** Returns machines to the cloud: lost ones, whose deletion proves that their tasks are gone, and idle ones. */
@@ -209,7 +209,7 @@
             return;
         }
         deleting = true;
-        cloud.call("POST", "/hosts/delete", Messages.deletionRequest(names), (status, body) -> {
+        cloud.call("POST", "/hosts/delete", CloudMessages.deletionRequest(names), (status, body) -> {
             deleting = false;
             if (status == 200) {
                 for (String name : names) {
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -14,10 +14,10 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.heartbeat.HeartbeatHandler;
+import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
-import stileferry.protocol.Messages;
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.Settings;
 
@@ -50,7 +50,7 @@
         this.cloud = cloud;
         this.since = environment.now();
         // No other leader has this term, so no name of a rental request is ever used twice.
-        this.requestPrefix = "r-" + cluster.settings().node() + "-" + term + "-";
+        this.requestPrefix = "r-" + cluster.settings().controllerName() + "-" + term + "-";
     }
 
     private static final class BackOff {
@@ -253,7 +253,7 @@
         cloud.call(
                 "POST",
                 "/hosts",
-                Messages.scaleOutRequest(
+                CloudMessages.scaleOutRequest(
                         request.request, request.type.name(), request.zone, request.spot, request.count),
                 (status, body) -> answered(request, status, body));
     }
@@ -262,7 +262,7 @@
         String group = group(request.type, request.zone, request.spot);
         if (status == 200 && body != null) {
             rentals.removeIf(x -> x.request.equals(request.request));
-            List<String> names = Messages.createdMachines(body);
+            List<String> names = CloudMessages.createdMachines(body);
             LOG.info(
                     "rented {} of {} {} {} in {}",
                     names.size(),
--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -8,7 +8,7 @@
 import stileferry.protocol.Features;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
+import stileferry.protocol.UserMessages;
 import stileferry.protocol.WireNames;
 import stileferry.transport.LogLevel;
 import stileferry.transport.StandInHost;
@@ -75,7 +75,7 @@
         await(user, number + 2, "running");
         user.ask("POST", "/work/job-" + (number + 2) + "/withdraw", NOTHING, 10_000);
         await(user, number + 2, "cancelled");
-        user.ask("POST", "/work", MessageCodec.encode(Messages.error("not a job")), 1000);
+        user.ask("POST", "/work", MessageCodec.encode(UserMessages.error("not a job")), 1000);
         user.ask("GET", "/work/job-99", NOTHING, 1000);
         user.ask("GET", "/ready", NOTHING, 1000);
         user.ask("GET", "/elsewhere", NOTHING, 1000);
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -11,6 +11,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import stileferry.protocol.Heartbeat;
+import stileferry.protocol.InvalidJobSpecException;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
@@ -91,7 +92,7 @@
         return "e/" + id;
     }
 
-    public static Job read(JsonNode v, long revision) throws JobSpec.Malformed {
+    public static Job read(JsonNode v, long revision) throws InvalidJobSpecException {
         Job job = new Job(
                 JobSpec.read(v.path("spec")),
                 v.path("order").asLong(),
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -19,10 +19,10 @@
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MachineType;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
+import stileferry.protocol.UserMessages;
 import stileferry.requests.BatchResponder;
 import stileferry.requests.RequestMetrics;
 import stileferry.requests.Responses;
@@ -74,11 +74,11 @@
         this.admission =
                 features.fairAdmission() ? new FairAdmission(settings, environment, state) : AdmissionControl.NONE;
         this.leadership = new LeaderElection(environment, state, settings, this, links, admission.counts());
-        this.eventLoopLag = new EventLoopLag(environment, settings.workers().reportS());
+        this.eventLoopLag = new EventLoopLag(environment, settings.workers().heartbeatIntervalS());
         this.followerReports = new FollowerHeartbeats(
                 settings, environment, leadership, links, (report, reply) -> answerReport(report, false, reply));
-        this.localAdministration =
-                new LocalAdministration(settings.node(), leadership, links, admission, counters, eventLoopLag);
+        this.localAdministration = new LocalAdministration(
+                settings.controllerName(), leadership, links, admission, counters, eventLoopLag);
     }
 
     /** Begins to follow or run for the leadership. */
@@ -91,7 +91,7 @@
     }
 
     private void askTypes() {
-        environment.call(settings.cloudAddr(), "GET", "/machine_types", null, 5000, (status, body) -> {
+        environment.request(settings.cloudAddress(), "GET", "/machine_types", null, 5000, (status, body) -> {
             List<MachineType> read = status == 200 && body != null ? MachineType.readAll(body) : List.of();
             if (!read.isEmpty()) {
                 types = read;
@@ -99,7 +99,8 @@
                     leader.types(read);
                 }
             }
-            environment.after(types.isEmpty() ? 1000 + environment.random().nextLong(1000) : TYPES_MS, this::askTypes);
+            environment.schedule(
+                    types.isEmpty() ? 1000 + environment.random().nextLong(1000) : TYPES_MS, this::askTypes);
         });
     }
 
@@ -123,7 +124,7 @@
 
     @Override
     public void options(JsonNode stored) {
-        environment.logLevel(OperatorSettings.read(stored).text(OperatorSettings.LOG_LEVEL));
+        environment.setLogLevel(OperatorSettings.read(stored).text(OperatorSettings.LOG_LEVEL));
     }
 
     /** Called after each batch of commands. */
@@ -157,7 +158,8 @@
     // ---- users
 
     /** Takes a user's request: here when this node leads, else by way of the leader. */
-    public void user(PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
+    public void handleUserRequest(
+            PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
         long since = environment.now();
         pass(ask, id, body, answer -> {
             long took = environment.now() - since;
@@ -174,9 +176,10 @@
     }
 
     /** Takes an operator's request; the path is what follows the prefix, with its query. */
-    public void admin(String method, String path, byte[] body, Consumer<PeerMessage.Response> reply) {
+    public void handleAdministrationRequest(
+            String method, String path, byte[] body, Consumer<PeerMessage.Response> reply) {
         if (!localAdministration.answers(method, path, reply)) {
-            user(PeerMessage.RequestKind.ADMIN, method + " " + path, body, reply);
+            handleUserRequest(PeerMessage.RequestKind.ADMINISTRATION, method + " " + path, body, reply);
         }
     }
 
@@ -186,7 +189,7 @@
             return;
         }
         Settings.Peer peer = leadership.leaderPeer();
-        if (peer == null || links.unreachable(peer.node())) {
+        if (peer == null || links.unreachable(peer.name())) {
             reply.accept(Responses.unavailable());
             return;
         }
@@ -208,10 +211,10 @@
         PeerMessage.ForwardedRequest request = new PeerMessage.ForwardedRequest(ask, id, body);
         Consumer<PeerMessage> answered = answer ->
                 reply.accept(answer instanceof PeerMessage.Response response ? response : Responses.unavailable());
-        if (ask != PeerMessage.RequestKind.ADMIN && admission.batches(peer)) {
+        if (ask != PeerMessage.RequestKind.ADMINISTRATION && admission.batches(peer)) {
             admission.forward(peer, request, patience, answered);
         } else {
-            environment.peer(peer, request, patience, answered);
+            environment.sendToPeer(peer, request, patience, answered);
         }
     }
 
@@ -225,13 +228,13 @@
             case SUBMIT ->
                 admission.submit(body, reply, answer -> leader.users().submit(body, answer));
             case STATUS -> leader.users().status(id, reply);
-            case WITHDRAW -> leader.users().withdraw(id, reply);
-            case ADMIN -> {
+            case CANCEL -> leader.users().withdraw(id, reply);
+            case ADMINISTRATION -> {
                 String[] parts = id.split("[ ?]", 3);
                 String from = parts.length > 2 && parts[2].startsWith("from=") ? parts[2].substring(5) : "";
                 leader.admin(parts[0], parts.length > 1 ? parts[1] : "", from, body, reply);
             }
-            case REPORT -> {
+            case HEARTBEAT -> {
                 Heartbeat report = Heartbeat.read(body, leader::lastReport);
                 if (report == null) {
                     reply.accept(Responses.refusal(400, "not a report"));
@@ -248,10 +251,10 @@
     // ---- workers
 
     /** Takes a worker's report. */
-    public void report(byte[] body, BiConsumer<Integer, byte[]> reply) {
+    public void handleHeartbeat(byte[] body, BiConsumer<Integer, byte[]> reply) {
         Heartbeat report = leader == null ? Heartbeat.read(body) : Heartbeat.read(body, leader::lastReport);
         if (report == null) {
-            reply.accept(400, MessageCodec.encode(Messages.error("not a report")));
+            reply.accept(400, MessageCodec.encode(UserMessages.error("not a report")));
         } else if (leader != null) {
             answerReport(report, false, reply);
         } else {
@@ -266,7 +269,7 @@
         }
         Consumer<byte[]> answered = answer -> {
             if (answer == null) {
-                reply.accept(503, MessageCodec.encode(Messages.error("not entitled to answer this report")));
+                reply.accept(503, MessageCodec.encode(UserMessages.error("not entitled to answer this report")));
             } else {
                 links.answered(report, relayed);
                 reply.accept(200, answer);
@@ -282,7 +285,7 @@
     // ---- other controllers
 
     /** Takes a record from another controller. */
-    public void peer(PeerMessage record, Consumer<PeerMessage> reply) {
+    public void handlePeerMessage(PeerMessage record, Consumer<PeerMessage> reply) {
         if (record instanceof PeerMessage.TermAnnouncement announcement) {
             if (announcement.leading()) {
                 links.learn(announcement.leader(), announcement);
@@ -308,7 +311,7 @@
         if (leader == null) {
             reply.accept(Responses.unavailable());
         } else {
-            lead(request.ask(), request.id(), request.body(), reply);
+            lead(request.kind(), request.id(), request.body(), reply);
         }
     }
 
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -116,7 +116,7 @@
         this.provisioning = new Autoscaler(cluster, environment, fleet, term, links);
         this.scheduling = new SchedulingPass(cluster, environment, links, placement, provisioning, tasks);
         this.eventLoopLag = eventLoopLag;
-        this.roundMs = settings.workers().reportRoundMs();
+        this.roundMs = settings.workers().heartbeatRoundMs();
         this.loader =
                 new StateRecovery(environment, state, cluster, ledger, forLoader(), leadership.countingSince() > 0);
         loader.load();
@@ -229,7 +229,7 @@
             admissions = new AdmissionCountShards(
                     loaded.admissionShards(),
                     leadership.countingSince(),
-                    settings.state().valueKb());
+                    settings.keyValueStore().maxValueKb());
             ledger.countedBy(admissions);
         }
         active = true;
@@ -247,14 +247,14 @@
 
     private void takeOptions(OperatorSettings options) {
         cluster.setOperatorSettings(options);
-        environment.logLevel(options.text(OperatorSettings.LOG_LEVEL));
+        environment.setLogLevel(options.text(OperatorSettings.LOG_LEVEL));
     }
 
     private void tick() {
         if (closed) {
             return;
         }
-        environment.after(
+        environment.schedule(
                 Math.round(1000 * cluster.operatorSettings().number(OperatorSettings.PASS_INTERVAL_S)), this::tick);
         fleet.failures().checkLeases();
         fleet.commands().probe();
@@ -272,13 +272,13 @@
     }
 
     private void checkSockets() {
-        if (!socketsAreFew && settings.sockets().full(cluster.machines().size())) {
+        if (!socketsAreFew && settings.socketBudget().full(cluster.machines().size())) {
             socketsAreFew = true;
             LOG.warn(
                     "{} machines: max_sockets ({}) leaves {} connections for them and all users, so they are not kept",
                     cluster.machines().size(),
                     settings.maxSockets(),
-                    settings.sockets().incoming());
+                    settings.socketBudget().incoming());
         }
     }
 
@@ -292,7 +292,7 @@
     private void changed() {
         if (!passAsked && active) {
             passAsked = true;
-            environment.after(Math.max(COALESCE_MS, PASS_REST * passTookMs), () -> {
+            environment.schedule(Math.max(COALESCE_MS, PASS_REST * passTookMs), () -> {
                 passAsked = false;
                 if (!closed && leadership.sure()) {
                     pass(false);
@@ -312,7 +312,7 @@
 
     private void pass(boolean regular) {
         long from = environment.now();
-        if (ledger.backlog() <= BACKLOG_TRANSACTIONS * settings.state().txnOps()) {
+        if (ledger.backlog() <= BACKLOG_TRANSACTIONS * settings.keyValueStore().maxTransactionOperations()) {
             scheduling.pass(regular, settled());
         }
         passedAt = environment.now();
@@ -389,7 +389,7 @@
 
     private ObjectNode describe() {
         return MessageCodec.map()
-                .put("leader", settings.node())
+                .put("leader", settings.controllerName())
                 .put("term", term)
                 .put("active_s", (environment.now() - activeAt) / 1000.0)
                 .put("live_jobs", cluster.jobs().size())
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -13,7 +13,7 @@
 import stileferry.lifecycle.TaskEvents;
 import stileferry.overload.AdmissionCountShards;
 import stileferry.protocol.Environment;
-import stileferry.protocol.JobSpec;
+import stileferry.protocol.InvalidJobSpecException;
 import stileferry.protocol.OperatorSettings;
 import stileferry.storage.CommitQueue;
 import stileferry.storage.KeyValueStoreClient;
@@ -95,7 +95,7 @@
                 return;
             }
             if (read.rows() == null) {
-                environment.after(RETRY_MS, this::load);
+                environment.schedule(RETRY_MS, this::load);
                 return;
             }
             if (left.get(0).equals(Job.PREFIX)) {
@@ -128,7 +128,7 @@
             if (status == 200) {
                 listener.options(OperatorSettings.read(body.path("v")));
             } else if (status != 404) {
-                environment.after(RETRY_MS, this::load);
+                environment.schedule(RETRY_MS, this::load);
                 return;
             }
             long revision = status == 200 ? body.path("entry_rev").asLong() : 0;
@@ -148,7 +148,7 @@
         for (KeyValueStoreClient.Row row : rows) {
             try {
                 jobs.add(Job.read(row.value(), row.revision()));
-            } catch (JobSpec.Malformed e) {
+            } catch (InvalidJobSpecException e) {
                 // its user was told that it is accepted, so nobody may hear that it is unknown
                 LOG.error("the record {} can't be read, its job can't run: {}", row.key(), e.getMessage());
                 cluster.unreadableJobs().add(id(row));
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -12,8 +12,8 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.JobSpec;
-import stileferry.protocol.Messages;
-import stileferry.protocol.Messages.WorkerCommand;
+import stileferry.protocol.WorkerCommand;
+import stileferry.protocol.WorkerMessages;
 
 /** Decides what workers shall do, and sends it to them without waiting for their reports where that is worth it. */
 public final class CommandDispatcher {
@@ -66,10 +66,10 @@
         this.term = term;
         this.eventLoopLag = eventLoopLag;
         this.answers = answers;
-        this.reportMs = Math.round(cluster.settings().workers().reportS() * 1000);
+        this.reportMs = Math.round(cluster.settings().workers().heartbeatIntervalS() * 1000);
         this.cancelMs = Math.round(cluster.settings().workers().cancelS() * 1000);
         this.askMs = Math.max(LEAST_ASK_MS, Math.round(reportMs * ASK_REPORTS));
-        this.maxInFlight = cluster.settings().sockets().commands();
+        this.maxInFlight = cluster.settings().socketBudget().commands();
     }
 
     void close() {
@@ -178,7 +178,7 @@
             }
         }
         if (!closed && !toAnnounceTo.isEmpty()) {
-            environment.after(ANNOUNCE_MS, this::announceToSome);
+            environment.schedule(ANNOUNCE_MS, this::announceToSome);
         }
     }
 
@@ -282,11 +282,11 @@
 
     private void command(Machine machine, long session, List<WorkerCommand> signals, int tries, long timeoutMs) {
         inFlight.add(machine);
-        environment.call(
+        environment.request(
                 machine.address(),
                 "POST",
                 "/commands",
-                Messages.directCommands(term, session, signals),
+                WorkerMessages.directCommands(term, session, signals),
                 timeoutMs,
                 (status, body) -> {
                     inFlight.remove(machine);
--- a/src/main/java/stileferry/heartbeat/EventLoopLag.java
+++ b/src/main/java/stileferry/heartbeat/EventLoopLag.java
@@ -37,7 +37,7 @@
     /** Begins to measure. */
     public void start() {
         long due = environment.now() + beatMs;
-        environment.after(beatMs, () -> {
+        environment.schedule(beatMs, () -> {
             long late = Math.max(0, environment.now() - due);
             lateMs = Math.max(late, REMEMBERED * lateMs);
             most = Math.max(most, late);
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -67,7 +67,7 @@
         this.term = term;
         this.events = events;
         this.silences = silences;
-        this.reportMs = Math.round(cluster.settings().workers().reportS() * 1000);
+        this.reportMs = Math.round(cluster.settings().workers().heartbeatIntervalS() * 1000);
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
     }
 
--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -7,9 +7,10 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
+import stileferry.protocol.UserMessages;
+import stileferry.protocol.WorkerMessages;
 
 /** What becomes of a worker's report at a controller that does not lead. */
 public final class FollowerHeartbeats {
@@ -44,7 +45,7 @@
         this.leads = leads;
         this.redirects = new WorkerRedirects(settings, environment, links);
         this.leaderlessRenewal = new LeaderlessLeaseRenewal(environment, leadership, settings.peers());
-        this.reportMs = Math.round(settings.workers().reportS() * 1000);
+        this.reportMs = Math.round(settings.workers().heartbeatIntervalS() * 1000);
         this.leaseMs = Math.round(settings.workers().leaseS() * 1000);
         this.startedAt = environment.now();
     }
@@ -62,8 +63,8 @@
         Settings.Peer peer = leadership.leaderPeer();
         if (leadership.leading()) {
             leads.accept(report, reply);
-        } else if (peer != null && links.leavesOffice(peer.node()) && environment.now() < until) {
-            environment.after(NEW_LEADER_LOOK_MS, () -> redirectOrWait(report, body, until, reply));
+        } else if (peer != null && links.leavesOffice(peer.name()) && environment.now() < until) {
+            environment.schedule(NEW_LEADER_LOOK_MS, () -> redirectOrWait(report, body, until, reply));
         } else {
             redirect(report, body, reply);
         }
@@ -76,21 +77,21 @@
             sendToHintedLeader(report, reply);
             return;
         }
-        if (redirects.sendsAway(report.machine(), peer.node())) {
-            reply.accept(421, MessageCodec.encode(Messages.redirect(peer.node())));
+        if (redirects.sendsAway(report.machine(), peer.name())) {
+            reply.accept(421, MessageCodec.encode(WorkerMessages.redirect(peer.name())));
         } else {
             passOn(report, body, peer, reply);
         }
     }
 
     private void passOn(Heartbeat report, byte[] body, Settings.Peer peer, BiConsumer<Integer, byte[]> reply) {
-        if (links.unreachable(peer.node())) {
+        if (links.unreachable(peer.name())) {
             withoutLeader(report, reply);
             return;
         }
-        environment.peer(
+        environment.sendToPeer(
                 peer,
-                new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.REPORT, report.machine(), body),
+                new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.HEARTBEAT, report.machine(), body),
                 Math.min(PASS_ON_MS, reportMs),
                 answer -> {
                     if (answer instanceof PeerMessage.Response response) {
@@ -107,7 +108,7 @@
         if (hinted.isEmpty()) {
             withoutLeader(report, reply);
         } else {
-            reply.accept(421, MessageCodec.encode(Messages.redirect(hinted)));
+            reply.accept(421, MessageCodec.encode(WorkerMessages.redirect(hinted)));
         }
     }
 
@@ -117,7 +118,7 @@
                 && environment.now() - Math.max(startedAt, leadership.leaderHeardAt()) > leaseMs / 8) {
             leaderlessRenewal.take(report, reply);
         } else {
-            reply.accept(503, MessageCodec.encode(Messages.error("no leader known")));
+            reply.accept(503, MessageCodec.encode(UserMessages.error("no leader known")));
         }
     }
 }
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -15,8 +15,8 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
-import stileferry.protocol.Messages.WorkerCommand;
+import stileferry.protocol.WorkerCommand;
+import stileferry.protocol.WorkerMessages;
 
 /**
  * The workers in one term: takes their reports, decides what is proven by them, and answers with what they shall do.
@@ -53,7 +53,7 @@
         this.term = term;
         this.events = events;
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
-        this.nothing = MessageCodec.encode(Messages.heartbeatResponse(term, List.of()));
+        this.nothing = MessageCodec.encode(WorkerMessages.heartbeatResponse(term, List.of()));
         this.failures = new FailureDetector(cluster, environment, leadership, term, events, silences);
         this.commands = new CommandDispatcher(
                 cluster,
@@ -130,7 +130,7 @@
         machine.agent().setLastAnsweredAt(environment.now());
         List<WorkerCommand> signals = fresh ? commands.signals(machine, true) : List.of();
         machine.agent().setStartsInLastResponse(keys(signals));
-        return signals.isEmpty() ? nothing : MessageCodec.encode(Messages.heartbeatResponse(term, signals));
+        return signals.isEmpty() ? nothing : MessageCodec.encode(WorkerMessages.heartbeatResponse(term, signals));
     }
 
     /**
@@ -189,7 +189,7 @@
         machine.setAddress(heartbeat.address());
         machine.agent().setLastAnsweredAt(environment.now());
         List<WorkerCommand> stops = leadership.cancellations().stops(heartbeat);
-        return stops.isEmpty() ? nothing : MessageCodec.encode(Messages.heartbeatResponse(term, stops));
+        return stops.isEmpty() ? nothing : MessageCodec.encode(WorkerMessages.heartbeatResponse(term, stops));
     }
 
     /** Takes in what a worker says. False when something newer was heard before. */
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -116,8 +116,8 @@
         this.ledger = ledger;
         this.leadership = leadership;
         this.term = term;
-        this.reportMs = Math.round(cluster.settings().workers().reportS() * 1000);
-        this.clockOffMs = cluster.settings().clockOffMs();
+        this.reportMs = Math.round(cluster.settings().workers().heartbeatIntervalS() * 1000);
+        this.clockOffMs = cluster.settings().clockErrorMs();
     }
 
     /** Takes in what the former leader noted, once the claims are known. */
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
-import stileferry.protocol.Messages.WorkerCommand;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
+import stileferry.protocol.WorkerCommand;
 
 /**
  * Cancelled jobs as this process knows them, and how far its knowledge goes. A controller that renews workers' leases
@@ -204,18 +204,18 @@
 
     /** What to tell another controller; {@code sure}: this node leads, and nobody else can. */
     PeerMessage.CancellationKnowledge words(int peer, boolean sure) {
-        boolean all = complete && sure && standing.size() <= PeerMessage.MOST_CANCELLED;
+        boolean all = complete && sure && standing.size() <= PeerMessage.MAX_CANCELLED_JOBS;
         for (Peer p : peers) {
             all &= p.answered && p.tells; // who does not tell may lead one day and confirm what nobody else knows
         }
         List<String> ids = new ArrayList<>();
         standing.forEach((id, confirmation) -> {
-            if (ids.size() < PeerMessage.MOST_CANCELLED && !confirmation.toldTo.contains(peer)) {
+            if (ids.size() < PeerMessage.MAX_CANCELLED_JOBS && !confirmation.toldTo.contains(peer)) {
                 ids.add(id);
             }
         });
         for (String id : standing.keySet()) {
-            if (ids.size() < PeerMessage.MOST_CANCELLED
+            if (ids.size() < PeerMessage.MAX_CANCELLED_JOBS
                     && standing.get(id).toldTo.contains(peer)) {
                 ids.add(id);
             }
@@ -232,9 +232,9 @@
         return new PeerMessage.CancellationKnowledge(
                 process,
                 heard.knowledge() == null ? 0 : heard.knowledge().process(),
-                informed && ids.size() <= PeerMessage.MOST_CANCELLED,
+                informed && ids.size() <= PeerMessage.MAX_CANCELLED_JOBS,
                 false,
-                ids.subList(0, Math.min(ids.size(), PeerMessage.MOST_CANCELLED)));
+                ids.subList(0, Math.min(ids.size(), PeerMessage.MAX_CANCELLED_JOBS)));
     }
 
     private List<String> lately() {
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -114,7 +114,7 @@
      * began in five minutes.
      */
     public static long lifeMs(Settings settings) {
-        double ample = Math.max(1000, Math.min(1500, settings.workers().reportS() * LIFE_IN_REPORTS * 1000));
+        double ample = Math.max(1000, Math.min(1500, settings.workers().heartbeatIntervalS() * LIFE_IN_REPORTS * 1000));
         double most = Math.max(ample, settings.workers().leaseS() * 1000 * LIFE_IN_LEASES);
         return Math.round(Math.min(most, ample * settings.slowness()));
     }
@@ -176,14 +176,14 @@
 
     /** The leader's name; empty when nobody is known to lead. */
     public String leader() {
-        return leading ? settings.node() : leader;
+        return leading ? settings.controllerName() : leader;
     }
 
     /** The leader as a peer; null when it is this node or unknown. */
     public Settings.Peer leaderPeer() {
         if (!leading) {
             for (Settings.Peer peer : settings.peers()) {
-                if (peer.node().equals(leader)) {
+                if (peer.name().equals(leader)) {
                     return peer;
                 }
             }
@@ -252,7 +252,7 @@
                 stepDown();
             }
         }
-        if (!heardLeader.isEmpty() && !heardLeader.equals(settings.node()) && !leading) {
+        if (!heardLeader.isEmpty() && !heardLeader.equals(settings.controllerName()) && !leading) {
             leader = heardLeader;
             leaderHeardAt = environment.now();
         }
@@ -278,7 +278,7 @@
     }
 
     private void later(long ms, int forRound, Runnable task) {
-        environment.after(ms / 2 + environment.random().nextLong(ms), () -> {
+        environment.schedule(ms / 2 + environment.random().nextLong(ms), () -> {
             if (round == forRound) {
                 task.run();
             }
@@ -309,7 +309,7 @@
             if (holder == null) {
                 learn(stored.term(), "");
                 runOrAbstain(forRound, stored);
-            } else if (holder.path("node").asText().equals(settings.node())) {
+            } else if (holder.path("node").asText().equals(settings.controllerName())) {
                 // left by this node's former life, or by an attempt that was given up: nobody uses it
                 state.end(holder.path("lease").asText(), (s, b) -> later(60, forRound, () -> look(forRound)));
             } else {
@@ -365,7 +365,7 @@
             put.set(
                     "v",
                     MessageCodec.map()
-                            .put("node", settings.node())
+                            .put("node", settings.controllerName())
                             .put("term", next.term())
                             .put("lease", mine));
             put.set("mooring", body.path("mooring"));
@@ -395,7 +395,7 @@
         term = won.term();
         countingSince = won.countingSince();
         leading = true;
-        leader = settings.node();
+        leader = settings.controllerName();
         leaderRevision = revision;
         lease = wonLease;
         ledSince = environment.now();
@@ -405,7 +405,7 @@
         trust(sentAt);
         LOG.info("leading in term {}", term);
         int now = ++round;
-        environment.after(lifeMs / 5, () -> renew(now));
+        environment.schedule(lifeMs / 5, () -> renew(now));
         announce();
         listener.elected(term, leaderRevision);
     }
@@ -437,7 +437,7 @@
                 LOG.info("not sure to lead any more: the lease of term {} could not be renewed ({})", term, status);
             }
         });
-        environment.after(lifeMs / 5, () -> renew(forRound));
+        environment.schedule(lifeMs / 5, () -> renew(forRound));
     }
 
     /** The leader tells everybody its term once a second; that also tells them that it is there. */
@@ -445,7 +445,7 @@
         if (leading) {
             announce();
         }
-        environment.after(1000, this::ping);
+        environment.schedule(1000, this::ping);
     }
 
     private void announce() {
@@ -468,10 +468,10 @@
         long sentAt = environment.now();
         PeerMessage.TermAnnouncement words = words(peer);
         telling[peer] = true;
-        environment.peer(settings.peers().get(peer), words, ANNOUNCE_MS, record -> {
+        environment.sendToPeer(settings.peers().get(peer), words, ANNOUNCE_MS, record -> {
             telling[peer] = false;
             if (record instanceof PeerMessage.TermAnnouncement answer) {
-                links.learn(settings.peers().get(peer).node(), answer);
+                links.learn(settings.peers().get(peer).name(), answer);
                 if (leading && term == told) {
                     if (answer.term() == told && ackedAt[peer] < 0) {
                         ackedAt[peer] = environment.now();
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -8,9 +8,10 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
+import stileferry.protocol.UserMessages;
+import stileferry.protocol.WorkerMessages;
 
 /**
  * Keeps workers' leases alive while nobody can lead, as when the state service is down and the leader has crashed.
@@ -59,7 +60,7 @@
         int[] informed = {0};
         leadership.consent();
         for (int i = 0; i < peers.size(); i++) {
-            environment.peer(peers.get(i), leadership.words(i), ANSWER_MS, record -> {
+            environment.sendToPeer(peers.get(i), leadership.words(i), ANSWER_MS, record -> {
                 if (record instanceof PeerMessage.TermAnnouncement announcement) {
                     leadership.learn(announcement);
                     leadership.cancellations().heard(announcement, false);
@@ -100,11 +101,11 @@
             if (entitled) {
                 waiting.reply.accept(
                         200,
-                        MessageCodec.encode(Messages.heartbeatResponse(
+                        MessageCodec.encode(WorkerMessages.heartbeatResponse(
                                 waiting.report.fencingToken(),
                                 leadership.cancellations().stops(waiting.report))));
             } else {
-                waiting.reply.accept(503, MessageCodec.encode(Messages.error("no leader known")));
+                waiting.reply.accept(503, MessageCodec.encode(UserMessages.error("no leader known")));
             }
         }
         ask();
--- a/src/main/java/stileferry/lifecycle/CompletedJobCache.java
+++ b/src/main/java/stileferry/lifecycle/CompletedJobCache.java
@@ -5,7 +5,7 @@
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
+import stileferry.protocol.UserMessages;
 
 /** Jobs that are over, as far as they were asked for lately. An ended job never changes, so nothing here is stale. */
 public final class CompletedJobCache {
@@ -32,7 +32,7 @@
         }
 
         public ObjectNode answer(String id) {
-            return Messages.jobState(id, how, tasksDone, 0);
+            return UserMessages.jobState(id, how, tasksDone, 0);
         }
     }
 
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -58,7 +58,7 @@
         this.fleet = createFleet.apply(this);
         this.jobEnds = createJobEnds.apply(this);
         this.changed = changed;
-        this.roundMs = cluster.settings().workers().reportRoundMs();
+        this.roundMs = cluster.settings().workers().heartbeatRoundMs();
     }
 
     public HeartbeatHandler fleet() {
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -57,11 +57,11 @@
     public LinkMonitor(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
-        Settings.Workers workers = settings.workers();
+        Settings.WorkerTimes workers = settings.workers();
         ConnectivityConfig config = new ConnectivityConfig(
-                settings.node(),
-                settings.peers().stream().map(Settings.Peer::node).toList(),
-                Math.round(workers.reportS() * 1000),
+                settings.controllerName(),
+                settings.peers().stream().map(Settings.Peer::name).toList(),
+                Math.round(workers.heartbeatIntervalS() * 1000),
                 Math.round(workers.leaseS() * 1000),
                 leaderLeaseMs);
         this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
@@ -91,7 +91,7 @@
     }
 
     private void tick() {
-        environment.after(tickMs, this::tick);
+        environment.schedule(tickMs, this::tick);
         long now = environment.now();
         connectivity.leaderKnown(host.term(), host.leader(), now);
         connectivity.lagging(host.lateMs(), host.behind(), now);
@@ -141,7 +141,7 @@
     private void continueHandover(String nominee) {
         HandoverAction action = connectivity.nextInHandover(changesInFlight.getAsInt(), environment.now());
         switch (action) {
-            case WAIT -> environment.after(HANDOVER_STEP_MS, () -> continueHandover(nominee));
+            case WAIT -> environment.schedule(HANDOVER_STEP_MS, () -> continueHandover(nominee));
             case RELEASE -> release(nominee);
             case GIVEN_UP -> {
                 LOG.info("the handover to {} was given up, still leading in term {}", nominee, term);
@@ -212,7 +212,7 @@
         long now = environment.now();
         boolean answered = status > 0;
         FailureKind kind = status == Environment.NO_ANSWER ? FailureKind.UNANSWERED : FailureKind.REFUSED;
-        if (addr.equals(settings.stateAddr())) {
+        if (addr.equals(settings.keyValueStoreAddress())) {
             if (answered && status != 503) {
                 storeSeenAt = now;
                 connectivity.storeAnswered(now);
--- a/src/main/java/stileferry/links/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -42,27 +42,27 @@
     }
 
     @Override
-    public void logLevel(String level) {
-        plain.logLevel(level);
+    public void setLogLevel(String level) {
+        plain.setLogLevel(level);
     }
 
     @Override
-    public void after(long delayMs, Runnable task) {
-        plain.after(delayMs, task);
+    public void schedule(long delayMs, Runnable task) {
+        plain.schedule(delayMs, task);
     }
 
     @Override
-    public void call(String addr, String method, String path, JsonNode body, long timeoutMs, Reply reply) {
-        plain.call(addr, method, path, body, timeoutMs, (status, answer) -> {
+    public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
+        plain.request(addr, method, path, body, timeoutMs, (status, answer) -> {
             observer.requested(addr, status);
-            reply.done(status, answer);
+            reply.onResponse(status, answer);
         });
     }
 
     @Override
-    public void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        plain.peer(peer, record, timeoutMs, answer -> {
-            observer.exchanged(peer.node(), answer != null);
+    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
+        plain.sendToPeer(peer, record, timeoutMs, answer -> {
+            observer.exchanged(peer.name(), answer != null);
             reply.accept(answer);
         });
     }
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -49,7 +49,7 @@
 
     /** The controllers that exchange views, this one first. */
     List<String> aware() {
-        List<String> names = new ArrayList<>(List.of(settings.node()));
+        List<String> names = new ArrayList<>(List.of(settings.controllerName()));
         names.addAll(aware);
         return names;
     }
@@ -57,14 +57,14 @@
     /** Takes in what a controller's term says of who exchanges views; followers hear of each other by the leader. */
     void learn(String controller, PeerMessage.TermAnnouncement said) {
         for (Settings.Peer peer : settings.peers()) {
-            boolean saidBySomebodyWhoKnows = peer.node().equals(controller) || said.leading();
+            boolean saidBySomebodyWhoKnows = peer.name().equals(controller) || said.leading();
             if (!saidBySomebodyWhoKnows) {
                 continue;
             }
-            if (said.linkAware().contains(peer.node())) {
-                aware.add(peer.node());
+            if (said.linkAware().contains(peer.name())) {
+                aware.add(peer.name());
             } else {
-                aware.remove(peer.node());
+                aware.remove(peer.name());
             }
         }
     }
@@ -92,7 +92,7 @@
     void ifDue() {
         long before = environment.now() - connectivity.exchangeMs();
         for (Settings.Peer peer : settings.peers()) {
-            if (sentAt.getOrDefault(peer.node(), Long.MIN_VALUE) <= before) {
+            if (sentAt.getOrDefault(peer.name(), Long.MIN_VALUE) <= before) {
                 with(peer);
             }
         }
@@ -104,13 +104,13 @@
     }
 
     private void with(Settings.Peer peer) {
-        if (!aware.contains(peer.node()) || !inFlight.add(peer.node())) {
+        if (!aware.contains(peer.name()) || !inFlight.add(peer.name())) {
             return;
         }
-        sentAt.put(peer.node(), environment.now());
-        ReachabilityView view = connectivity.viewFor(peer.node(), environment.now());
-        environment.peer(peer, new PeerMessage.LinkView(ViewCodec.write(view)), patienceMs, answer -> {
-            inFlight.remove(peer.node());
+        sentAt.put(peer.name(), environment.now());
+        ReachabilityView view = connectivity.viewFor(peer.name(), environment.now());
+        environment.sendToPeer(peer, new PeerMessage.LinkView(ViewCodec.write(view)), patienceMs, answer -> {
+            inFlight.remove(peer.name());
             if (answer instanceof PeerMessage.LinkView links) {
                 try {
                     take(ViewCodec.read(links.view()));
@@ -118,7 +118,7 @@
                     LOG.info("a view that can't be right: {}", e.getMessage());
                 }
             } else if (answer != null) {
-                aware.remove(peer.node()); // it does not watch its links any more
+                aware.remove(peer.name()); // it does not watch its links any more
             }
         });
     }
--- a/src/main/java/stileferry/links/WorkerProber.java
+++ b/src/main/java/stileferry/links/WorkerProber.java
@@ -23,7 +23,7 @@
         this.environment = environment;
         this.connectivity = connectivity;
         this.patienceMs = patienceMs;
-        this.mostInFlight = Math.max(1, settings.sockets().commands() / SOCKET_SHARE);
+        this.mostInFlight = Math.max(1, settings.socketBudget().commands() / SOCKET_SHARE);
     }
 
     /** Sends the questions that are due. */
@@ -36,7 +36,7 @@
     }
 
     private void ask(ProbeTarget target) {
-        environment.call(target.address(), "GET", "/inspect", null, patienceMs, (status, body) -> {
+        environment.request(target.address(), "GET", "/inspect", null, patienceMs, (status, body) -> {
             inFlight.remove(target.worker());
             Heartbeat report = status == 200 ? Heartbeat.read(body) : null;
             if (report != null && report.machine().equals(target.worker())) {
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -22,10 +22,10 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 import stileferry.protocol.SubmissionHeader;
+import stileferry.protocol.UserMessages;
 import stileferry.requests.AdministrationHandler;
 import stileferry.requests.JobRequestHandler;
 import stileferry.requests.Responses;
@@ -60,7 +60,7 @@
     private static final long SHED_MS = Math.round(1000 * AdmissionConfig.PATIENCE_S / 2);
 
     private static final byte[] NOT_YOUR_TURN =
-            MessageCodec.encode(Messages.error("too much is asked, come back then"));
+            MessageCodec.encode(UserMessages.error("too much is asked, come back then"));
 
     private final Environment environment;
     private final AdmissionConfig config;
@@ -97,15 +97,15 @@
                 .orElse(1);
         Map<String, Double> weights = new HashMap<>();
         settings.teams().forEach(team -> weights.put(team.name(), team.cpus() > 0 ? team.cpus() : average));
-        long intervalMs = Math.max(1, Math.round(1000 * settings.workers().reportS() / STEPS_EACH_REPORT));
-        double mostPerS = settings.state().writeRps() * WRITE_SHARE / CHANGES_EACH_ACCEPTANCE;
+        long intervalMs = Math.max(1, Math.round(1000 * settings.workers().heartbeatIntervalS() / STEPS_EACH_REPORT));
+        double mostPerS = settings.keyValueStore().writesPerS() * WRITE_SHARE / CHANGES_EACH_ACCEPTANCE;
         return new AdmissionConfig(weights, classes(settings), intervalMs, mostPerS);
     }
 
     /** The classes that the settings name. */
     private static Set<String> classes(Settings settings) {
         return settings.objectives().stream()
-                .map(Settings.Objective::jobClass)
+                .map(Settings.ServiceLevelObjective::jobClass)
                 .filter(name -> !name.isEmpty())
                 .collect(Collectors.toSet());
     }
@@ -131,7 +131,7 @@
     }
 
     private void tick() {
-        environment.after(config.intervalMs(), this::tick);
+        environment.schedule(config.intervalMs(), this::tick);
         door.learn(host.term());
         long now = environment.now();
         if (controller != null) {
@@ -173,7 +173,7 @@
         exchanging = true;
         long askedAt = environment.now();
         byte[] demand = AdmissionCodec.write(door.demand(askedAt));
-        environment.peer(leader, new PeerMessage.AdmissionExchange(demand), config.validMs(), record -> {
+        environment.sendToPeer(leader, new PeerMessage.AdmissionExchange(demand), config.validMs(), record -> {
             exchanging = false;
             tableOf = "";
             if (record instanceof PeerMessage.AdmissionExchange answer) {
@@ -186,9 +186,9 @@
         try {
             door.learn(host.term());
             door.take(AdmissionCodec.readTable(answer.message()), askedAt, environment.now());
-            tableOf = leader.node();
+            tableOf = leader.name();
         } catch (InvalidInputException e) {
-            LOG.info("a table that can't be right, from {}: {}", leader.node(), e.getMessage());
+            LOG.info("a table that can't be right, from {}: {}", leader.name(), e.getMessage());
         }
     }
 
@@ -300,13 +300,13 @@
 
     @Override
     public boolean batches(Settings.Peer leader) {
-        return leader.node().equals(tableOf);
+        return leader.name().equals(tableOf);
     }
 
     @Override
     public void forward(
             Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
-        RequestForwarder lane = request.ask() == PeerMessage.RequestKind.STATUS ? questions : changes;
+        RequestForwarder lane = request.kind() == PeerMessage.RequestKind.STATUS ? questions : changes;
         lane.send(leader, request, patienceMs, reply);
     }
 
--- a/src/main/java/stileferry/overload/RequestForwarder.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -16,7 +16,7 @@
  */
 final class RequestForwarder {
     /** Requests that may wait: a few full batches. */
-    private static final int MOST_WAITING = 4 * PeerMessage.MOST_IN_BATCH;
+    private static final int MOST_WAITING = 4 * PeerMessage.MAX_BATCH_REQUESTS;
 
     /** Bytes of the bodies in one batch, well below what a record may hold. */
     private static final int MOST_BYTES = MessageCodec.MAX_BODY;
@@ -67,7 +67,7 @@
         List<Waiting> batch = new ArrayList<>();
         int bytes = 0;
         while (!queue.isEmpty()
-                && batch.size() < PeerMessage.MOST_IN_BATCH
+                && batch.size() < PeerMessage.MAX_BATCH_REQUESTS
                 && queue.peek().leader.equals(leader)
                 && (batch.isEmpty() || bytes + queue.peek().request.body().length <= MOST_BYTES)) {
             bytes += queue.peek().request.body().length;
@@ -81,7 +81,7 @@
         long patienceMs = Math.max(1, batch.get(0).deadline - environment.now());
         List<PeerMessage.ForwardedRequest> requests =
                 batch.stream().map(Waiting::request).toList();
-        environment.peer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), patienceMs, record -> {
+        environment.sendToPeer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), patienceMs, record -> {
             inFlight--;
             List<PeerMessage.Response> answers =
                     record instanceof PeerMessage.ResponseBatch b ? b.answers() : List.of();
--- /dev/null
+++ b/src/main/java/stileferry/protocol/CloudMessages.java
@@ -0,0 +1,56 @@
+package stileferry.protocol;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+
+/** The bodies of requests to the cloud, and its answers about machines; its machine types are {@link MachineType}s. */
+public final class CloudMessages {
+    private CloudMessages() {}
+
+    /** A machine in the cloud's list; the age is in seconds. */
+    public record ListedMachine(
+            String name, String address, String type, String zone, boolean spot, String state, double ageS) {}
+
+    /** A request to scale out by some machines of one type. */
+    public static ObjectNode scaleOutRequest(String request, String type, String zone, boolean spot, int count) {
+        return MessageCodec.map()
+                .put(WireNames.SCALE_OUT_REQUEST, request)
+                .put(WireNames.MACHINE_TYPE, type)
+                .put(WireNames.ZONE, zone)
+                .put(WireNames.SPOT, spot)
+                .put(WireNames.COUNT, count);
+    }
+
+    /** A request to delete machines. */
+    public static ObjectNode deletionRequest(Collection<String> names) {
+        ObjectNode body = MessageCodec.map();
+        names.forEach(body.putArray(WireNames.MACHINES)::add);
+        return body;
+    }
+
+    /** The names in the answer to a request to scale out. */
+    public static List<String> createdMachines(JsonNode body) {
+        List<String> names = new ArrayList<>();
+        body.path(WireNames.MACHINES).forEach(name -> names.add(name.asText()));
+        return names;
+    }
+
+    /** The machines in one page of the cloud's list. */
+    public static List<ListedMachine> listedMachines(JsonNode body) {
+        List<ListedMachine> machines = new ArrayList<>();
+        for (JsonNode machine : body.path(WireNames.MACHINES)) {
+            machines.add(new ListedMachine(
+                    machine.path(WireNames.NAME_ID).asText(),
+                    machine.path(WireNames.ADDRESS).asText(),
+                    machine.path(WireNames.MACHINE_TYPE).asText(),
+                    machine.path(WireNames.ZONE).asText(),
+                    machine.path(WireNames.SPOT).asBoolean(),
+                    machine.path(WireNames.STATE).asText(),
+                    machine.path(WireNames.AGE_S).asDouble()));
+        }
+        return machines;
+    }
+}
--- a/src/main/java/stileferry/protocol/Environment.java
+++ b/src/main/java/stileferry/protocol/Environment.java
@@ -25,20 +25,20 @@
     RandomGenerator random();
 
     /** Sets how much is logged: error, info, debug, or default for what the process was started with. */
-    void logLevel(String level);
+    void setLogLevel(String level);
 
     /** Runs something later, on the owner's turn. */
-    void after(long delayMs, Runnable task);
+    void schedule(long delayMs, Runnable task);
 
     /** Sends a MessagePack request; the reply comes exactly once. */
-    void call(String addr, String method, String path, JsonNode body, long timeoutMs, Reply reply);
+    void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply);
 
     /** Sends a record to another controller; null stands for no answer. */
-    void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply);
+    void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply);
 
     /** Takes the answer to a request; the body may be null. */
-    interface Reply {
+    interface ResponseHandler {
         /** Called with an HTTP status, {@link #NO_ANSWER} or {@link #NOT_SENT}. */
-        void done(int status, JsonNode body);
+        void onResponse(int status, JsonNode body);
     }
 }
--- a/src/main/java/stileferry/protocol/JobSpec.java
+++ b/src/main/java/stileferry/protocol/JobSpec.java
@@ -55,33 +55,26 @@
         IDLE
     }
 
-    /** A body that is not a well-formed job. */
-    public static final class Malformed extends Exception {
-        Malformed(String message) {
-            super(message);
-        }
-    }
-
     /** True for ids of the form that users may choose. */
     public static boolean validId(String id) {
         return ID.matcher(id).matches();
     }
 
     /** Reads and checks a submission. */
-    public static JobSpec read(JsonNode body) throws Malformed {
+    public static JobSpec read(JsonNode body) throws InvalidJobSpecException {
         if (body == null || !body.isObject()) {
-            throw new Malformed("the body is not a map");
+            throw new InvalidJobSpecException("the body is not a map");
         }
         String id = text(body, WireNames.NAME_ID);
         if (!validId(id)) {
-            throw new Malformed(WireNames.NAME_ID + ": bad form");
+            throw new InvalidJobSpecException(WireNames.NAME_ID + ": bad form");
         }
         JsonNode tasks = body.path(WireNames.TASKS);
         if (!tasks.isIntegralNumber()
                 || !tasks.canConvertToInt()
                 || tasks.intValue() < 1
                 || tasks.intValue() > MAX_TASKS) {
-            throw new Malformed(WireNames.TASKS + ": out of range");
+            throw new InvalidJobSpecException(WireNames.TASKS + ": out of range");
         }
         double cpus = amount(body, WireNames.CPUS);
         double gpus = amount(body, WireNames.GPUS);
@@ -174,22 +167,22 @@
         return kind == Kind.GANG;
     }
 
-    private static Kind kind(String text) throws Malformed {
+    private static Kind kind(String text) throws InvalidJobSpecException {
         for (Kind kind : Kind.values()) {
             if (kind.wireName.equals(text)) {
                 return kind;
             }
         }
-        throw new Malformed(WireNames.KIND + ": unknown");
+        throw new InvalidJobSpecException(WireNames.KIND + ": unknown");
     }
 
-    static Priority priority(String text) throws Malformed {
+    static Priority priority(String text) throws InvalidJobSpecException {
         return switch (text) {
             case "critical" -> Priority.CRITICAL;
             case "urgent" -> Priority.URGENT;
             case "normal" -> Priority.NORMAL;
             case "idle" -> Priority.IDLE;
-            default -> throw new Malformed(WireNames.PRIORITY + ": unknown");
+            default -> throw new InvalidJobSpecException(WireNames.PRIORITY + ": unknown");
         };
     }
 
@@ -197,46 +190,46 @@
         return node.isMissingNode() || node.isNull();
     }
 
-    private static List<String> machineTypes(JsonNode node) throws Malformed {
+    private static List<String> machineTypes(JsonNode node) throws InvalidJobSpecException {
         if (absent(node)) {
             return null;
         }
         if (!node.isArray()) {
-            throw new Malformed(WireNames.MACHINE_TYPES + ": not a list");
+            throw new InvalidJobSpecException(WireNames.MACHINE_TYPES + ": not a list");
         }
         List<String> names = new ArrayList<>();
         for (JsonNode name : node) {
             if (!name.isTextual()) {
-                throw new Malformed(WireNames.MACHINE_TYPES + ": not a list of names");
+                throw new InvalidJobSpecException(WireNames.MACHINE_TYPES + ": not a list of names");
             }
             names.add(name.textValue());
         }
         return List.copyOf(names);
     }
 
-    private static String nullableText(JsonNode body, String name) throws Malformed {
+    private static String nullableText(JsonNode body, String name) throws InvalidJobSpecException {
         return absent(body.path(name)) ? null : text(body, name);
     }
 
-    private static String text(JsonNode body, String name) throws Malformed {
+    private static String text(JsonNode body, String name) throws InvalidJobSpecException {
         JsonNode node = body.path(name);
         if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > 200) {
-            throw new Malformed(name + ": missing or not a text");
+            throw new InvalidJobSpecException(name + ": missing or not a text");
         }
         return node.textValue();
     }
 
-    private static boolean flag(JsonNode body, String name) throws Malformed {
+    private static boolean flag(JsonNode body, String name) throws InvalidJobSpecException {
         if (!body.path(name).isBoolean()) {
-            throw new Malformed(name + ": missing or not true or false");
+            throw new InvalidJobSpecException(name + ": missing or not true or false");
         }
         return body.path(name).booleanValue();
     }
 
-    private static double amount(JsonNode body, String name) throws Malformed {
+    private static double amount(JsonNode body, String name) throws InvalidJobSpecException {
         JsonNode node = body.path(name);
         if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() < 0) {
-            throw new Malformed(name + ": missing, negative or not a number");
+            throw new InvalidJobSpecException(name + ": missing, negative or not a number");
         }
         return node.doubleValue();
     }
--- a/src/main/java/stileferry/protocol/OperatorSettings.java
+++ b/src/main/java/stileferry/protocol/OperatorSettings.java
@@ -71,14 +71,7 @@
 
     /** One setting; its kind is that of its default. */
     public record Definition(
-            String name, JsonNode preset, double least, double most, List<String> choices, String meaning) {}
-
-    /** A change that can't be made; the message names the setting. */
-    public static final class Invalid extends Exception {
-        Invalid(String message) {
-            super(message);
-        }
-    }
+            String name, JsonNode defaultValue, double min, double max, List<String> choices, String meaning) {}
 
     private OperatorSettings(long revision, Map<String, JsonNode> changed) {
         this.revision = revision;
@@ -104,7 +97,7 @@
                     check(definition, value);
                     values.put(definition.name, value);
                 }
-            } catch (Invalid e) {
+            } catch (InvalidOperatorSettingException e) {
                 values.remove(definition.name);
             }
         }
@@ -124,9 +117,9 @@
     }
 
     /** These settings with some changed: all of them or none. */
-    public OperatorSettings with(JsonNode change) throws Invalid {
+    public OperatorSettings with(JsonNode change) throws InvalidOperatorSettingException {
         if (!change.isObject() || change.isEmpty()) {
-            throw new Invalid("change: a map of settings is missing");
+            throw new InvalidOperatorSettingException("change: a map of settings is missing");
         }
         Map<String, JsonNode> values = new TreeMap<>(changed);
         for (Map.Entry<String, JsonNode> entry : change.properties()) {
@@ -137,10 +130,10 @@
     }
 
     /** These settings with some at their defaults again; all of them if none is named. */
-    public OperatorSettings reset(JsonNode names) throws Invalid {
+    public OperatorSettings reset(JsonNode names) throws InvalidOperatorSettingException {
         Map<String, JsonNode> values = new TreeMap<>();
         if (!names.isMissingNode() && !names.isArray()) {
-            throw new Invalid("names: not a list");
+            throw new InvalidOperatorSettingException("names: not a list");
         }
         if (!names.isEmpty()) {
             values.putAll(changed);
@@ -151,26 +144,26 @@
         return new OperatorSettings(revision + 1, values);
     }
 
-    private static Definition definition(String name) throws Invalid {
+    private static Definition definition(String name) throws InvalidOperatorSettingException {
         for (Definition definition : ALL) {
             if (definition.name.equals(name)) {
                 return definition;
             }
         }
-        throw new Invalid(name + ": unknown setting");
+        throw new InvalidOperatorSettingException(name + ": unknown setting");
     }
 
-    private static void check(Definition definition, JsonNode value) throws Invalid {
-        if (definition.preset.isNumber()) {
+    private static void check(Definition definition, JsonNode value) throws InvalidOperatorSettingException {
+        if (definition.defaultValue.isNumber()) {
             double v = value.isNumber() ? value.doubleValue() : Double.NaN;
-            if (!(v >= definition.least && v <= definition.most)) {
-                throw new Invalid(
-                        definition.name + ": not a number from " + definition.least + " to " + definition.most);
+            if (!(v >= definition.min && v <= definition.max)) {
+                throw new InvalidOperatorSettingException(
+                        definition.name + ": not a number from " + definition.min + " to " + definition.max);
             }
-        } else if (definition.preset.isBoolean() && !value.isBoolean()) {
-            throw new Invalid(definition.name + ": not true or false");
-        } else if (definition.preset.isTextual() && !definition.choices.contains(value.asText())) {
-            throw new Invalid(definition.name + ": not one of " + definition.choices);
+        } else if (definition.defaultValue.isBoolean() && !value.isBoolean()) {
+            throw new InvalidOperatorSettingException(definition.name + ": not true or false");
+        } else if (definition.defaultValue.isTextual() && !definition.choices.contains(value.asText())) {
+            throw new InvalidOperatorSettingException(definition.name + ": not one of " + definition.choices);
         }
     }
 
@@ -180,7 +173,7 @@
         }
         for (Definition definition : ALL) {
             if (definition.name.equals(name)) {
-                return definition.preset;
+                return definition.defaultValue;
             }
         }
         throw new IllegalArgumentException(name);
@@ -208,10 +201,10 @@
         for (Definition definition : ALL) {
             ObjectNode o = list.addObject().put("name", definition.name);
             o.set("value", value(definition.name));
-            o.set("default", definition.preset);
-            if (definition.preset.isNumber()) {
-                o.put("least", definition.least).put("most", definition.most);
-            } else if (definition.preset.isTextual()) {
+            o.set("default", definition.defaultValue);
+            if (definition.defaultValue.isNumber()) {
+                o.put("least", definition.min).put("most", definition.max);
+            } else if (definition.defaultValue.isTextual()) {
                 definition.choices.forEach(o.putArray("choices")::add);
             }
             o.put("meaning", definition.meaning);
--- a/src/main/java/stileferry/protocol/PeerMessage.java
+++ b/src/main/java/stileferry/protocol/PeerMessage.java
@@ -12,19 +12,31 @@
 /** What controllers send one another, as {@link DataOutputStream} records. */
 public sealed interface PeerMessage {
 
-    /** What a forwarded request asks. */
+    /** What a forwarded request asks. It travels by its ordinal, so new kinds go to the end. */
     enum RequestKind {
-        SUBMIT,
-        STATUS,
-        WITHDRAW,
-        REPORT,
-        ADMIN
+        SUBMIT("submit"),
+        STATUS("status"),
+        CANCEL("withdraw"),
+        HEARTBEAT("report"),
+        ADMINISTRATION("admin");
+
+        private final String wireName;
+
+        RequestKind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The word that stands for it in the administration API. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /**
-     * A request forwarded to the leader; for {@link RequestKind#ADMIN} the id is the method and the rest of the path.
+     * A request forwarded to the leader; for {@link RequestKind#ADMINISTRATION} the id is the method and the rest of
+     * the path.
      */
-    record ForwardedRequest(RequestKind ask, String id, byte[] body) implements PeerMessage {}
+    record ForwardedRequest(RequestKind kind, String id, byte[] body) implements PeerMessage {}
 
     /** The leader's answer to a forwarded request. */
     record Response(int status, int retryAfterS, byte[] body) implements PeerMessage {}
@@ -80,7 +92,7 @@
     }
 
     /** Requests that one batch may hold. */
-    int MOST_IN_BATCH = 256;
+    int MAX_BATCH_REQUESTS = 256;
 
     /**
      * What the sender of a term knows of cancelled jobs. Controllers of version 0.1 neither write this nor read it: it
@@ -96,7 +108,7 @@
             long process, long addressee, boolean informed, boolean complete, List<String> cancelled) {}
 
     /** Jobs that one record may name; a complete list is no longer. */
-    int MOST_CANCELLED = 2000;
+    int MAX_CANCELLED_JOBS = 2000;
 
     /** Writes a record. */
     static byte[] write(PeerMessage record) {
@@ -175,7 +187,7 @@
 
     private static <T> List<T> readList(DataInputStream in, PartReader<T> reader) throws IOException {
         int size = in.readUnsignedShort();
-        if (size > MOST_IN_BATCH) {
+        if (size > MAX_BATCH_REQUESTS) {
             throw new IOException("bad length");
         }
         List<T> list = new ArrayList<>(size);
@@ -186,7 +198,7 @@
     }
 
     private static void writeForward(DataOutputStream out, ForwardedRequest forward) throws IOException {
-        out.writeByte(forward.ask().ordinal());
+        out.writeByte(forward.kind().ordinal());
         out.writeUTF(forward.id());
         writeBytes(out, forward.body());
     }
@@ -236,7 +248,7 @@
         boolean informed = in.readBoolean();
         boolean complete = in.readBoolean();
         int count = in.readUnsignedShort();
-        if (count > MOST_CANCELLED) {
+        if (count > MAX_CANCELLED_JOBS) {
             throw new IOException("bad length");
         }
         List<String> cancelled = new ArrayList<>(count);
--- a/src/main/java/stileferry/protocol/Settings.java
+++ b/src/main/java/stileferry/protocol/Settings.java
@@ -7,25 +7,25 @@
  * What the platform hands over at the start; every figure has been checked by {@link SettingsReader}.
  *
  * @param cores the share of a core that this controller has; 1: nothing is said of it
- * @param clockOffMs how far the time of day may be from the true time; -1: nothing is said of it
+ * @param clockErrorMs how far the time of day may be from the true time; -1: nothing is said of it
  */
 public record Settings(
-        String node,
+        String controllerName,
         String zone,
         InetSocketAddress clientListen,
         InetSocketAddress peerListen,
         List<Peer> peers,
-        String cloudAddr,
-        String stateAddr,
+        String cloudAddress,
+        String keyValueStoreAddress,
         List<String> zones,
         List<Team> teams,
-        List<Objective> objectives,
-        Workers workers,
-        State state,
-        Cloud cloud,
+        List<ServiceLevelObjective> objectives,
+        WorkerTimes workers,
+        KeyValueStoreLimits keyValueStore,
+        CloudLimits cloud,
         double cores,
         int maxSockets,
-        double clockOffMs) {
+        double clockErrorMs) {
 
     private static final int MS_PER_S = 1000;
 
@@ -47,39 +47,41 @@
     }
 
     /** Another controller. */
-    public record Peer(String node, String zone, String addr) {}
+    public record Peer(String name, String zone, String address) {}
 
     /** A team's guaranteed and greatest use; 0 means none. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
     /** An aim on starting or finishing, in seconds, for one class of jobs (empty: any). */
-    public record Objective(String kind, String jobClass, double withinS, double share) {}
+    public record ServiceLevelObjective(String kind, String jobClass, double withinS, double share) {}
 
     /**
      * The workers' times in seconds; the last two are those of gangs: how long a task waits for the others, and within
      * what time all must hear a stop. 0: nothing is said of them.
      */
-    public record Workers(double reportS, double leaseS, double cancelS, double gangWaitS, double gangPeerS) {
+    public record WorkerTimes(
+            double heartbeatIntervalS, double leaseS, double cancelS, double gangWaitS, double gangPeerS) {
         /** Milliseconds after which every worker that can report has reported. */
-        public long reportRoundMs() {
-            return Math.round(reportS * MS_PER_S * LATEST_REPORT) + REPORT_SLACK_MS;
+        public long heartbeatRoundMs() {
+            return Math.round(heartbeatIntervalS * MS_PER_S * LATEST_REPORT) + REPORT_SLACK_MS;
         }
 
         /** The times of a deployment without gangs. */
-        public Workers(double reportS, double leaseS, double cancelS) {
-            this(reportS, leaseS, cancelS, 0, 0);
+        public WorkerTimes(double heartbeatIntervalS, double leaseS, double cancelS) {
+            this(heartbeatIntervalS, leaseS, cancelS, 0, 0);
         }
     }
 
     /** The state service's limits; where others are announced for some time to come, the lower of both. */
-    public record State(double rps, double writeRps, double valueKb, int txnOps) {}
+    public record KeyValueStoreLimits(
+            double requestsPerS, double writesPerS, double maxValueKb, int maxTransactionOperations) {}
 
     /** The cloud's limits. */
-    public record Cloud(double rps, double listLagS) {}
+    public record CloudLimits(double requestsPerS, double listLagS) {}
 
     /** How the sockets are divided. */
-    public Sockets sockets() {
-        return Sockets.of(maxSockets);
+    public SocketBudget socketBudget() {
+        return SocketBudget.of(maxSockets);
     }
 
     /** Finds a team by its name, or null. */
--- a/src/main/java/stileferry/protocol/SettingsReader.java
+++ b/src/main/java/stileferry/protocol/SettingsReader.java
@@ -60,18 +60,18 @@
                 zones(cluster),
                 teams(cluster),
                 objectives(cluster),
-                new Settings.Workers(
+                new Settings.WorkerTimes(
                         positive(workers, "cluster.workers.", "report_s"),
                         positive(workers, "cluster.workers.", "lease_s"),
                         positive(workers, "cluster.workers.", "cancel_s"),
                         optional(workers, "cluster.workers.", "gang_wait_s"),
                         optional(workers, "cluster.workers.", "gang_peer_s")),
-                new Settings.State(
+                new Settings.KeyValueStoreLimits(
                         lower(state, "rps", 0),
                         lower(state, "write_rps", 0),
                         lower(state, "value_kb", LEAST_VALUE_KB),
                         (int) lower(state, "txn_ops", 3)),
-                new Settings.Cloud(
+                new Settings.CloudLimits(
                         positive(cloud, "cluster.cloud.", "rps"), atLeast(cloud, "cluster.cloud.", "list_lag_s", 0)),
                 limits.path("cores").isMissingNode() ? 1 : positive(limits, "cluster.machine_limits.", "cores"),
                 (int) atLeast(limits, "cluster.machine_limits.", "max_sockets", 16),
@@ -131,10 +131,10 @@
         return List.copyOf(teams);
     }
 
-    private List<Settings.Objective> objectives(JsonNode cluster) {
-        List<Settings.Objective> objectives = new ArrayList<>();
+    private List<Settings.ServiceLevelObjective> objectives(JsonNode cluster) {
+        List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
         for (JsonNode o : cluster.path("objectives")) {
-            objectives.add(new Settings.Objective(
+            objectives.add(new Settings.ServiceLevelObjective(
                     o.path("kind").asText(""), o.path("class").asText(""),
                     o.path("within_s").asDouble(0), o.path("share").asDouble(0)));
         }
--- a/src/main/java/stileferry/protocol/Sockets.java
+++ b/src/main/java/stileferry/protocol/SocketBudget.java
@@ -10,7 +10,7 @@
  * @param commands commands to workers in progress
  * @param forwards requests passed on to one other controller in progress
  */
-public record Sockets(int incoming, int peers, int idle, int commands, int forwards) {
+public record SocketBudget(int incoming, int peers, int idle, int commands, int forwards) {
     /** Of the incoming connections: above this share users' connections end with their answers. */
     private static final double CROWDED = 0.75;
 
@@ -18,8 +18,8 @@
     private static final double FULL = 0.95;
 
     /** Divides so many. */
-    public static Sockets of(int max) {
-        return new Sockets(max * 25 / 32, share(max, 16), share(max, 16), share(max, 16), share(max, 32));
+    public static SocketBudget of(int max) {
+        return new SocketBudget(max * 25 / 32, share(max, 16), share(max, 16), share(max, 16), share(max, 32));
     }
 
     private static int share(int max, int part) {
--- a/src/main/java/stileferry/protocol/SubmissionHeader.java
+++ b/src/main/java/stileferry/protocol/SubmissionHeader.java
@@ -52,7 +52,7 @@
     private static JobSpec.Priority priority(String word) {
         try {
             return JobSpec.priority(word);
-        } catch (JobSpec.Malformed e) {
+        } catch (InvalidJobSpecException e) {
             return null;
         }
     }
--- a/src/main/java/stileferry/protocol/WireNames.java
+++ b/src/main/java/stileferry/protocol/WireNames.java
@@ -116,7 +116,7 @@
     /** The commands to a worker. */
     public static final String COMMANDS = "signals";
 
-    /** What a command asks for; see {@link Messages.WorkerCommand.Kind}. */
+    /** What a command asks for; see {@link WorkerCommand.Kind}. */
     public static final String COMMAND = "signal";
 
     /** The grace period of a stop, in seconds. */
--- a/src/main/java/stileferry/requests/AdministrationHandler.java
+++ b/src/main/java/stileferry/requests/AdministrationHandler.java
@@ -10,12 +10,13 @@
 import stileferry.cluster.Job;
 import stileferry.cluster.Machine;
 import stileferry.leadership.LeaderElection;
+import stileferry.protocol.InvalidOperatorSettingException;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
+import stileferry.protocol.UserMessages;
 import stileferry.scheduling.Placement;
 import stileferry.storage.CommitQueue;
 
@@ -99,7 +100,7 @@
         OperatorSettings next;
         try {
             next = reset ? pending.reset(body.path("names")) : pending.with(body.path("change"));
-        } catch (OperatorSettings.Invalid e) {
+        } catch (InvalidOperatorSettingException e) {
             reply.accept(Responses.refusal(400, e.getMessage()));
             return;
         }
@@ -222,6 +223,7 @@
 
     /** What a request that can't be answered now gets. */
     public static PeerMessage.Response unavailable() {
-        return new PeerMessage.Response(503, 1, MessageCodec.encode(Messages.error("no leader, or not sure of it")));
+        return new PeerMessage.Response(
+                503, 1, MessageCodec.encode(UserMessages.error("no leader, or not sure of it")));
     }
 }
--- a/src/main/java/stileferry/requests/BatchResponder.java
+++ b/src/main/java/stileferry/requests/BatchResponder.java
@@ -37,9 +37,9 @@
         this.answers = new PeerMessage.Response[requests.size()];
         this.missing = answers.length;
         this.reply = reply;
-        boolean questions = requests.stream().allMatch(r -> r.ask() == PeerMessage.RequestKind.STATUS);
+        boolean questions = requests.stream().allMatch(r -> r.kind() == PeerMessage.RequestKind.STATUS);
         if (questions) {
-            environment.after(LONGEST_QUESTION_MS, this::giveUp);
+            environment.schedule(LONGEST_QUESTION_MS, this::giveUp);
         }
     }
 
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -11,11 +11,12 @@
 import stileferry.lifecycle.CompletedJobCache;
 import stileferry.lifecycle.JobCompletion;
 import stileferry.protocol.Environment;
+import stileferry.protocol.InvalidJobSpecException;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
+import stileferry.protocol.UserMessages;
 import stileferry.protocol.WireNames;
 import stileferry.storage.CommitQueue;
 import stileferry.storage.KeyValueStoreClient;
@@ -133,12 +134,12 @@
         int running = job.cancelled() ? 0 : job.runningCount();
         String tide = job.cancelled() ? "cancelled" : running > 0 ? "running" : "pending";
         int done = job.completing() ? Math.max(0, job.completedCount() - 1) : job.completedCount();
-        return Responses.ok(status, Messages.jobState(job.spec().id(), tide, done, running));
+        return Responses.ok(status, UserMessages.jobState(job.spec().id(), tide, done, running));
     }
 
     /** A job that was accepted and whose record nobody can read: known, and not over. */
     private static PeerMessage.Response unreadable(String id) {
-        return Responses.ok(200, Messages.jobState(id, "pending", 0, 0));
+        return Responses.ok(200, UserMessages.jobState(id, "pending", 0, 0));
     }
 
     /** Looks an id up among the ended jobs; the status is 0 when that can't be told now. */
@@ -185,7 +186,7 @@
         boolean first = lead.goesFirst(bytes);
         if (behindS > 0 && !first) { // it would only wait, and everything behind it
             reply.accept(new PeerMessage.Response(
-                    503, (int) behindS, MessageCodec.encode(Messages.error("too much to do, try again"))));
+                    503, (int) behindS, MessageCodec.encode(UserMessages.error("too much to do, try again"))));
             return;
         }
         lookUp(
@@ -218,8 +219,8 @@
     /** Seconds of the state service's rates that wait. */
     public double backlogS() {
         return Math.max(
-                ledger.backlog() / cluster.settings().state().writeRps(),
-                state.waiting() / cluster.settings().state().rps());
+                ledger.backlog() / cluster.settings().keyValueStore().writesPerS(),
+                state.waiting() / cluster.settings().keyValueStore().requestsPerS());
     }
 
     private void join(Job job, Consumer<PeerMessage.Response> reply) {
@@ -234,7 +235,7 @@
         JobSpec spec;
         try {
             spec = JobSpec.read(body);
-        } catch (JobSpec.Malformed e) {
+        } catch (InvalidJobSpecException e) {
             reply.accept(Responses.refusal(400, e.getMessage()));
             return;
         }
@@ -262,7 +263,8 @@
             return;
         }
         Job job = new Job(spec, lead.number(), environment.timeOfDay(), 0);
-        if (job.entry().value().toString().length() > cluster.settings().state().valueKb() * 1024 * FILL) {
+        if (job.entry().value().toString().length()
+                > cluster.settings().keyValueStore().maxValueKb() * 1024 * FILL) {
             reply.accept(Responses.refusal(422, "its description is larger than can be kept"));
             return;
         }
@@ -271,7 +273,7 @@
         lead.accepting(job);
         Runnable onDurable = () -> {
             job.setAccepted(true);
-            answer(job, Responses.ok(201, Messages.jobState(spec.id(), "pending", 0, 0)));
+            answer(job, Responses.ok(201, UserMessages.jobState(spec.id(), "pending", 0, 0)));
             lead.changed();
         };
         if (first) {
--- a/src/main/java/stileferry/requests/RequestMetrics.java
+++ b/src/main/java/stileferry/requests/RequestMetrics.java
@@ -18,7 +18,7 @@
     public void count(PeerMessage.RequestKind ask, int status, long tookMs) {
         times.computeIfAbsent(ask, a -> new Histogram(LONGEST_MS, 2))
                 .recordValue(Math.min(LONGEST_MS, Math.max(0, tookMs)));
-        answers.merge(name(ask) + " " + status, 1L, Long::sum);
+        answers.merge(ask.wireName() + " " + status, 1L, Long::sum);
     }
 
     public ObjectNode describe() {
@@ -26,7 +26,7 @@
         ObjectNode counts = n.putObject("answers");
         answers.forEach(counts::put);
         ObjectNode list = n.putObject("times_ms");
-        times.forEach((ask, histogram) -> list.putObject(name(ask))
+        times.forEach((ask, histogram) -> list.putObject(ask.wireName())
                 .put("count", histogram.getTotalCount())
                 .put("p50", histogram.getValueAtPercentile(50))
                 .put("p90", histogram.getValueAtPercentile(90))
@@ -34,8 +34,4 @@
                 .put("max", histogram.getMaxValue()));
         return n;
     }
-
-    private static String name(PeerMessage.RequestKind ask) {
-        return ask.name().toLowerCase(java.util.Locale.ROOT);
-    }
 }
--- a/src/main/java/stileferry/requests/Responses.java
+++ b/src/main/java/stileferry/requests/Responses.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.PeerMessage;
+import stileferry.protocol.UserMessages;
 
 /** The answers to users and operators that several parts give. */
 public final class Responses {
@@ -14,10 +14,10 @@
     }
 
     public static PeerMessage.Response unavailable() {
-        return new PeerMessage.Response(503, 1, MessageCodec.encode(Messages.error("not available, try again")));
+        return new PeerMessage.Response(503, 1, MessageCodec.encode(UserMessages.error("not available, try again")));
     }
 
     public static PeerMessage.Response refusal(int status, String reason) {
-        return new PeerMessage.Response(status, 0, MessageCodec.encode(Messages.error(reason)));
+        return new PeerMessage.Response(status, 0, MessageCodec.encode(UserMessages.error(reason)));
     }
 }
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -402,7 +402,7 @@
 
     /** Seconds within which tasks of this job shall start; without end when nothing is said of that. */
     double startAim(Job job) {
-        for (Settings.Objective aim : cluster.settings().objectives()) {
+        for (Settings.ServiceLevelObjective aim : cluster.settings().objectives()) {
             if (aim.kind().equals("wait") && aim.jobClass().equals(job.spec().jobClass())) {
                 return aim.withinS();
             }
@@ -431,7 +431,7 @@
                 && machine.agent().lastHeartbeatRecord() == null
                 && now >= machine.instance().cordonedUntil()
                 && now - machine.agent().lastHeardAt()
-                        < 3000 * cluster.settings().workers().reportS()
+                        < 3000 * cluster.settings().workers().heartbeatIntervalS()
                 && spec.fitsType(machine.type())
                 && (spec.zone() == null || spec.zone().equals(machine.zone()))
                 && (spec.allowsSpot() || !machine.spot())
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -258,7 +258,7 @@
                 || job.spec().gang() && placement.startAim(job) < saves) {
             return true;
         }
-        for (Settings.Objective aim : cluster.settings().objectives()) {
+        for (Settings.ServiceLevelObjective aim : cluster.settings().objectives()) {
             if (job.withinQuota() && aim.kind().equals("guarantee") && aim.withinS() < saves) {
                 return true;
             }
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -141,7 +141,7 @@
         this.fenceRevision = fenceRevision;
         this.stampPrefix = Long.toString(term, 36) + "-";
         this.onLost = onLost;
-        this.events = new EventLog(state.limits().valueKb(), EventLog.SLOTS, stampPrefix);
+        this.events = new EventLog(state.limits().maxValueKb(), EventLog.SLOTS, stampPrefix);
     }
 
     /** Sets who counts; called before anything is written. */
@@ -219,7 +219,7 @@
             int wanted = dirty.size() + (events.waits() ? 1 : 0);
             int room = state.writable();
             int gathered = Math.max(state.gather(), keptForCounter * GATHERED_FOR_COUNT);
-            if (room < Math.min(Math.min(wanted, gathered), state.limits().txnOps())) {
+            if (room < Math.min(Math.min(wanted, gathered), state.limits().maxTransactionOperations())) {
                 if (!waiting) {
                     waiting = true;
                     state.later(() -> {
@@ -229,7 +229,7 @@
                 }
                 return;
             }
-            int most = Math.min(Math.max(LEAST_CHANGES, room), state.limits().txnOps());
+            int most = Math.min(Math.max(LEAST_CHANGES, room), state.limits().maxTransactionOperations());
             CompareAndSwapTransaction transaction = pack(most - keptForCounter);
             if (transaction == null) {
                 return;
@@ -330,7 +330,7 @@
 
     private void again(CompareAndSwapTransaction transaction, Runnable next) {
         long pause = Math.min(1000, 50L << Math.min(5, transaction.tries++));
-        environment.after(pause / 2 + environment.random().nextLong(pause), next);
+        environment.schedule(pause / 2 + environment.random().nextLong(pause), next);
     }
 
     /**
--- a/src/main/java/stileferry/storage/KeyValueStoreClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -27,7 +27,7 @@
 
     private final Environment environment;
     private final String addr;
-    private final Settings.State limits;
+    private final Settings.KeyValueStoreLimits limits;
     private final RateLimiter requests;
     private final RateLimiter writes;
     private final ArrayDeque<Waiting> changes = new ArrayDeque<>();
@@ -51,21 +51,21 @@
     /** A client of the service that the settings name. */
     public KeyValueStoreClient(Environment environment, Settings settings) {
         this.environment = environment;
-        this.addr = settings.stateAddr();
-        this.limits = settings.state();
+        this.addr = settings.keyValueStoreAddress();
+        this.limits = settings.keyValueStore();
         this.patienceMs = Math.round(AMPLE_PATIENCE_MS * settings.slowness());
-        this.requests = new RateLimiter(environment, limits.rps() * SHARE, 0.5);
-        this.writes = new RateLimiter(environment, limits.writeRps() * SHARE, 1.0);
+        this.requests = new RateLimiter(environment, limits.requestsPerS() * SHARE, 0.5);
+        this.writes = new RateLimiter(environment, limits.writesPerS() * SHARE, 1.0);
     }
 
     /** The service's limits. */
-    public Settings.State limits() {
+    public Settings.KeyValueStoreLimits limits() {
         return limits;
     }
 
     /** Changes worth waiting for when more waits than may be written. */
     public int gather() {
-        return (int) Math.max(1, Math.min(limits.writeRps() * SHARE, Math.ceil(limits.writeRps() * GATHER_S)));
+        return (int) Math.max(1, Math.min(limits.writesPerS() * SHARE, Math.ceil(limits.writesPerS() * GATHER_S)));
     }
 
     /** Changes that may be written now without waiting. */
@@ -75,7 +75,7 @@
 
     /** Runs something when there may be room again. */
     public void later(Runnable task) {
-        environment.after(PUMP_MS, task);
+        environment.schedule(PUMP_MS, task);
     }
 
     /** Reads and writes that wait for their turn. */
@@ -89,8 +89,8 @@
     }
 
     /** Reads one key. */
-    public void get(String key, Environment.Reply reply) {
-        send(0, false, () -> environment.call(addr, "GET", "/kv/" + key, null, patienceMs(), reply));
+    public void get(String key, Environment.ResponseHandler reply) {
+        send(0, false, () -> environment.request(addr, "GET", "/kv/" + key, null, patienceMs(), reply));
     }
 
     /** Reads all keys with a prefix, page by page. */
@@ -103,7 +103,7 @@
         send(
                 0,
                 urgent,
-                () -> environment.call(addr, "GET", path, null, 2 * patienceMs(), (status, body) -> {
+                () -> environment.request(addr, "GET", path, null, 2 * patienceMs(), (status, body) -> {
                     if (status != 200 || body == null) {
                         done.accept(new Rows(null, 0, 0));
                         return;
@@ -126,36 +126,36 @@
     }
 
     /** Sends a transaction. */
-    public void commit(ObjectNode transaction, int writeCount, boolean urgent, Environment.Reply reply) {
-        send(writeCount, urgent, () -> environment.call(addr, "POST", "/commit", transaction, patienceMs(), reply));
+    public void commit(ObjectNode transaction, int writeCount, boolean urgent, Environment.ResponseHandler reply) {
+        send(writeCount, urgent, () -> environment.request(addr, "POST", "/commit", transaction, patienceMs(), reply));
     }
 
     /** Asks for a lease. */
-    public void lease(long lifeMs, Environment.Reply reply) {
+    public void lease(long lifeMs, Environment.ResponseHandler reply) {
         send(
                 0,
                 true,
-                () -> environment.call(
+                () -> environment.request(
                         addr, "POST", "/leases", MessageCodec.map().put("life_ms", lifeMs), patienceMs(), reply));
     }
 
     /** Renews a lease; not queued, as its time counts from the sending. */
-    public void touch(String lease, long timeoutMs, Environment.Reply reply) {
+    public void touch(String lease, long timeoutMs, Environment.ResponseHandler reply) {
         requests.take(1, -1);
-        environment.call(addr, "POST", "/leases/" + lease + "/touch", MessageCodec.map(), timeoutMs, reply);
+        environment.request(addr, "POST", "/leases/" + lease + "/touch", MessageCodec.map(), timeoutMs, reply);
     }
 
     /** Ends a lease. */
-    public void end(String lease, Environment.Reply reply) {
-        send(0, true, () -> environment.call(addr, "DELETE", "/leases/" + lease, null, patienceMs(), reply));
+    public void end(String lease, Environment.ResponseHandler reply) {
+        send(0, true, () -> environment.request(addr, "DELETE", "/leases/" + lease, null, patienceMs(), reply));
     }
 
     /** Waits for changes below a prefix. */
-    public void watch(String prefix, long from, long blockMs, Environment.Reply reply) {
+    public void watch(String prefix, long from, long blockMs, Environment.ResponseHandler reply) {
         send(
                 0,
                 true,
-                () -> environment.call(
+                () -> environment.request(
                         addr,
                         "GET",
                         "/watch?starts=" + prefix + "&from=" + from + "&block_ms=" + blockMs,
@@ -190,7 +190,7 @@
         }
         if (!pumping && waiting() > 0) {
             pumping = true;
-            environment.after(PUMP_MS, () -> {
+            environment.schedule(PUMP_MS, () -> {
                 pumping = false;
                 pump();
             });
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -57,12 +57,12 @@
     }
 
     @Override
-    public void logLevel(String level) {
+    public void setLogLevel(String level) {
         LogLevel.set(level);
     }
 
     @Override
-    public void after(long delayMs, Runnable task) {
+    public void schedule(long delayMs, Runnable task) {
         if (!closed) {
             thread.executeAfter(
                     () -> {
@@ -76,36 +76,36 @@
     }
 
     @Override
-    public void call(String addr, String method, String path, JsonNode body, long timeoutMs, Reply reply) {
+    public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
         http.call(
                 addr,
                 method,
                 path,
                 body == null ? NOTHING : MessageCodec.encode(body),
                 timeoutMs,
-                (status, bytes) ->
-                        owner.submit(() -> reply.done(status, bytes.length == 0 ? null : MessageCodec.decode(bytes))));
+                (status, bytes) -> owner.submit(
+                        () -> reply.onResponse(status, bytes.length == 0 ? null : MessageCodec.decode(bytes))));
     }
 
     @Override
-    public void peer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
+    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
         boolean forward = record instanceof PeerMessage.ForwardedRequest;
-        if (forward && forwards.getOrDefault(peer.addr(), 0) >= mostForwards) {
+        if (forward && forwards.getOrDefault(peer.address(), 0) >= mostForwards) {
             owner.submit(() -> reply.accept(null)); // a controller that stands still must not take all sockets
             return;
         }
         if (forward) {
-            forwards.merge(peer.addr(), 1, Integer::sum);
+            forwards.merge(peer.address(), 1, Integer::sum);
         }
         http.call(
-                peer.addr(),
+                peer.address(),
                 "POST",
                 PEER_PATH,
                 PeerMessage.write(record),
                 timeoutMs,
                 (status, bytes) -> owner.submit(() -> {
                     if (forward) {
-                        forwards.merge(peer.addr(), -1, Integer::sum);
+                        forwards.merge(peer.address(), -1, Integer::sum);
                     }
                     reply.accept(status == 200 ? PeerMessage.read(bytes) : null);
                 }));
--- a/src/main/java/stileferry/transport/Node.java
+++ b/src/main/java/stileferry/transport/Node.java
@@ -13,7 +13,7 @@
 import stileferry.coordination.Coordinator;
 import stileferry.protocol.Features;
 import stileferry.protocol.Settings;
-import stileferry.protocol.Sockets;
+import stileferry.protocol.SocketBudget;
 
 /** One controller's sockets: both servers and the client share one worker with one IO thread. */
 public final class Node implements AutoCloseable {
@@ -37,7 +37,7 @@
      * classes from the jar while another read from its sockets ended the runtime within libc's read.
      */
     public static Node open(Settings settings, Features features, InetAddress source) throws IOException {
-        EventLoop loop = new EventLoop(settings.sockets().idle(), source);
+        EventLoop loop = new EventLoop(settings.socketBudget().idle(), source);
         FutureTask<Node> opening = new FutureTask<>(() -> new Node(settings, features, loop));
         loop.thread.execute(opening);
         try {
@@ -56,8 +56,8 @@
     private Node(Settings settings, Features features, EventLoop loop) {
         this.loop = loop;
         idleMs = (int)
-                Math.max(LEAST_IDLE_MS, IDLE_REPORTS * 1000 * settings.workers().reportS());
-        Sockets sockets = settings.sockets();
+                Math.max(LEAST_IDLE_MS, IDLE_REPORTS * 1000 * settings.workers().heartbeatIntervalS());
+        SocketBudget sockets = settings.socketBudget();
         owner = new CommandQueue(loop.thread);
         environment = new NetworkEnvironment(owner, loop, sockets.forwards());
         Coordinator coordinator = new Coordinator(settings, features, environment);
--- a/src/main/java/stileferry/transport/PeerServer.java
+++ b/src/main/java/stileferry/transport/PeerServer.java
@@ -30,7 +30,7 @@
                 return;
             }
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                if (!owner.offer(() -> coordinator.peer(
+                if (!owner.offer(() -> coordinator.handlePeerMessage(
                         record, answer -> UserServer.send(exchange, 200, 0, PeerMessage.write(answer))))) {
                     UserServer.refuse(exchange, 503, "too much to do, try again");
                 }
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.IoUtils;
 import stileferry.protocol.Environment;
+import stileferry.protocol.InvalidJobSpecException;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.WireNames;
@@ -143,7 +144,7 @@
         boolean toWorker = path.equals("/commands") || path.equals("/inspect");
         boolean toCloud = path.equals("/machine_types") || path.startsWith("/hosts");
         String to = toCloud ? LinkFaults.CLOUD : !toWorker ? LinkFaults.STATE : worker == null ? "" : worker.machine();
-        Environment.Reply reply = (status, answer) ->
+        Environment.ResponseHandler reply = (status, answer) ->
                 UserServer.send(exchange, status, 0, answer == null ? NOTHING : MessageCodec.encode(answer));
         Runnable request = () -> serve(exchange, bytes, toWorker, toCloud, worker, reply);
         switch (faults.of(source, to)) {
@@ -152,7 +153,7 @@
                 if (toWorker) {
                     IoUtils.safeClose(exchange.getConnection());
                 } else {
-                    reply.done(503, null);
+                    reply.onResponse(503, null);
                 }
             }
             case REQUEST_LOST -> {} // its sender gives up and closes the connection
@@ -167,18 +168,18 @@
             boolean toWorker,
             boolean toCloud,
             Worker worker,
-            Environment.Reply reply) {
+            Environment.ResponseHandler reply) {
         JsonNode body = bytes.length == 0 ? MessageCodec.map() : MessageCodec.decode(bytes);
         String path = exchange.getRequestPath();
         String full = exchange.getQueryString().isEmpty() ? path : path + "?" + exchange.getQueryString();
         String method = exchange.getRequestMethod().toString();
         if (toWorker && worker == null) {
-            reply.done(404, null);
+            reply.onResponse(404, null);
         } else if (path.equals("/inspect")) {
-            reply.done(200, worker.report());
+            reply.onResponse(200, worker.report());
         } else if (toWorker) {
             int status = worker.commands(body);
-            reply.done(status, status == 400 ? null : worker.report());
+            reply.onResponse(status, status == 400 ? null : worker.report());
         } else if (toCloud) {
             cloud.request(method, full, body, reply);
         } else {
@@ -216,7 +217,7 @@
         JsonNode record = state.value("j/" + id);
         try {
             return record == null ? null : JobSpec.read(record.path("spec"));
-        } catch (JobSpec.Malformed e) {
+        } catch (InvalidJobSpecException e) {
             return null;
         }
     }
--- a/src/main/java/stileferry/transport/UserServer.java
+++ b/src/main/java/stileferry/transport/UserServer.java
@@ -14,10 +14,10 @@
 import stileferry.coordination.Coordinator;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
-import stileferry.protocol.Messages;
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.PeerMessage.RequestKind;
-import stileferry.protocol.Sockets;
+import stileferry.protocol.SocketBudget;
+import stileferry.protocol.UserMessages;
 
 /** The address for users, workers and health checks: takes requests apart and hands them to the owner. */
 final class UserServer implements HttpHandler {
@@ -26,7 +26,7 @@
     private static final String WITHDRAW = "/withdraw";
     private static final String ADMIN = "/admin/";
 
-    private static final byte[] TOO_MUCH = MessageCodec.encode(Messages.error("too much to do, try again"));
+    private static final byte[] TOO_MUCH = MessageCodec.encode(UserMessages.error("too much to do, try again"));
 
     /** A request that is let past the limit says nothing to it. */
     private static final Limiter.Listener UNLIMITED = new Limiter.Listener() {
@@ -43,10 +43,15 @@
     private final CommandQueue owner;
     private final Limiter<Void> limiter;
     private final Coordinator coordinator;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final LongSupplier open;
 
-    UserServer(CommandQueue owner, Coordinator coordinator, Limiter<Void> limiter, Sockets sockets, LongSupplier open) {
+    UserServer(
+            CommandQueue owner,
+            Coordinator coordinator,
+            Limiter<Void> limiter,
+            SocketBudget sockets,
+            LongSupplier open) {
         this.sockets = sockets;
         this.open = open;
         this.limiter = limiter;
@@ -86,7 +91,7 @@
             String id = path.substring(WORK.length() + 1);
             if (id.endsWith(WITHDRAW)) {
                 String job = id.substring(0, id.length() - WITHDRAW.length());
-                post(exchange, body -> job(exchange, RequestKind.WITHDRAW, job));
+                post(exchange, body -> job(exchange, RequestKind.CANCEL, job));
             } else {
                 get(exchange, () -> job(exchange, RequestKind.STATUS, id));
             }
@@ -113,7 +118,7 @@
         Limiter.Listener slot = free.orElse(UNLIMITED);
         owned(
                 exchange,
-                () -> coordinator.user(ask, id, body, answer -> {
+                () -> coordinator.handleUserRequest(ask, id, body, answer -> {
                     if (answer.status() == 503) {
                         slot.onIgnore(); // says nothing about how long an answer takes
                     } else {
@@ -125,11 +130,13 @@
     }
 
     private void admin(HttpServerExchange exchange, String method, String path, byte[] body) {
-        owned(exchange, () -> coordinator.admin(method, path, body, answer -> send(exchange, answer)));
+        owned(
+                exchange,
+                () -> coordinator.handleAdministrationRequest(method, path, body, answer -> send(exchange, answer)));
     }
 
     private void report(HttpServerExchange exchange, byte[] body) {
-        owned(exchange, () -> coordinator.report(body, (status, answer) -> send(exchange, status, 0, answer)));
+        owned(exchange, () -> coordinator.handleHeartbeat(body, (status, answer) -> send(exchange, status, 0, answer)));
     }
 
     private void owned(HttpServerExchange exchange, Runnable command) {
@@ -163,7 +170,7 @@
     }
 
     static void refuse(HttpServerExchange exchange, int status, String reason) {
-        send(exchange, status, 0, MessageCodec.encode(Messages.error(reason)));
+        send(exchange, status, 0, MessageCodec.encode(UserMessages.error(reason)));
     }
 
     private static void send(HttpServerExchange exchange, PeerMessage.Response answer) {
