--- a/src/main/java/stileferry/Controller.java
+++ b/src/main/java/stileferry/Controller.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CountDownLatch;
 import stileferry.protocol.Features;
 import stileferry.protocol.Settings;
-import stileferry.transport.Node;
+import stileferry.transport.ControllerServer;
 
 /** One controller, for programs that embed it and for the daemon. */
 public final class Controller implements AutoCloseable {
@@ -13,7 +13,7 @@
     private final Features features;
     private final InetAddress sourceAddress;
     private final CountDownLatch closed = new CountDownLatch(1);
-    private Node node;
+    private ControllerServer node;
 
     private Controller(Builder builder) {
         this.settings = builder.settings;
@@ -66,7 +66,7 @@
         if (node != null) {
             throw new IllegalStateException("started already");
         }
-        node = Node.open(settings, features, sourceAddress);
+        node = ControllerServer.open(settings, features, sourceAddress);
     }
 
     /** Closes the addresses and stops all work; what is durable stays. */
--- a/src/main/java/stileferry/cli/AdminCommand.java
+++ b/src/main/java/stileferry/cli/AdminCommand.java
@@ -63,7 +63,7 @@
             footer = {"", "Example: stileferry admin get --node 127.0.0.1:7701"})
     static final class Get implements Callable<Integer> {
         @Mixin
-        private Connection connection;
+        private ControllerConnection connection;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
@@ -79,7 +79,7 @@
             footer = {"", "Example: stileferry admin set --node 127.0.0.1:7701 --revision 0 idle_boots=4"})
     static final class Set implements Callable<Integer> {
         @Mixin
-        private Connection connection;
+        private ControllerConnection connection;
 
         @Option(names = "--revision", required = true, description = "The revision that 'admin get' showed.")
         private long revision;
@@ -114,7 +114,7 @@
             footer = {"", "Example: stileferry admin reset --node 127.0.0.1:7701 --revision 1 idle_boots"})
     static final class Reset implements Callable<Integer> {
         @Mixin
-        private Connection connection;
+        private ControllerConnection connection;
 
         @Option(names = "--revision", required = true, description = "The revision that 'admin get' showed.")
         private long revision;
@@ -151,7 +151,7 @@
         }
 
         @Mixin
-        private Connection connection;
+        private ControllerConnection connection;
 
         @Option(names = "--from", defaultValue = "", description = "Continue a long list after this name or position.")
         private String from;
--- a/src/main/java/stileferry/cli/Cancel.java
+++ b/src/main/java/stileferry/cli/Cancel.java
@@ -14,7 +14,7 @@
         footer = {"", "Example: stileferry withdraw --node 127.0.0.1:7701 job-1"})
 final class Cancel implements Callable<Integer> {
     @Mixin
-    private Connection connection;
+    private ControllerConnection connection;
 
     @Parameters(paramLabel = "ID", description = "The job.")
     private String id;
--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -10,9 +10,9 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.UserMessages;
 import stileferry.protocol.WireNames;
+import stileferry.transport.ApiClient;
 import stileferry.transport.LogLevel;
 import stileferry.transport.StandInHost;
-import stileferry.transport.UserClient;
 
 /**
  * Used by the build: plays a controller's life on loopback (start, follow, take over, lead), so that the classes which
@@ -49,7 +49,7 @@
                         .settings(SettingsFile.read(dir.resolve("node-0.json")).settings())
                         .features(FeaturesFile.read(features).features())
                         .build();
-                UserClient user = new UserClient(List.of("127.0.0.1:" + (port + 1), "127.0.0.1:" + (port + 2)))) {
+                ApiClient user = new ApiClient(List.of("127.0.0.1:" + (port + 1), "127.0.0.1:" + (port + 2)))) {
             first.start();
             work(user, 1);
             Thread second = new Thread(
@@ -67,7 +67,7 @@
     }
 
     /** An array that ends, a gang, a service that is cancelled, and questions that are refused. */
-    private static void work(UserClient user, int number) throws InterruptedException {
+    private static void work(ApiClient user, int number) throws InterruptedException {
         submit(user, number, JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL);
         submit(user, number + 1, JobSpec.Kind.GANG, JobSpec.Priority.IDLE);
         submit(user, number + 2, JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL);
@@ -82,7 +82,7 @@
         user.ask("GET", "/admin/counters", NOTHING, 1000);
     }
 
-    private static void submit(UserClient user, int number, JobSpec.Kind kind, JobSpec.Priority priority)
+    private static void submit(ApiClient user, int number, JobSpec.Kind kind, JobSpec.Priority priority)
             throws InterruptedException {
         JobSpec job = new JobSpec(
                 "job-" + number,
@@ -108,9 +108,9 @@
         user.ask("POST", "/work", MessageCodec.encode(job.write()), 10_000);
     }
 
-    private static void await(UserClient user, int number, String state) throws InterruptedException {
+    private static void await(ApiClient user, int number, String state) throws InterruptedException {
         for (int i = 0; i < POLLS; i++) {
-            UserClient.Answer answer = user.once("GET", "/work/job-" + number, NOTHING);
+            ApiClient.Response answer = user.once("GET", "/work/job-" + number, NOTHING);
             if (answer.body() != null
                     && answer.body().path(WireNames.STATE).asText().equals(state)) {
                 return;
--- a/src/main/java/stileferry/cli/Connection.java
+++ b/src/main/java/stileferry/cli/ControllerConnection.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import picocli.CommandLine.Option;
+import stileferry.transport.ApiClient;
 import stileferry.transport.LogLevel;
-import stileferry.transport.UserClient;
 
 /** What all commands share that ask controllers: where they are, how long to try, and how to print the answer. */
-final class Connection {
+final class ControllerConnection {
     static final int FAILED = 1;
     static final int REFUSED = 3;
 
@@ -39,14 +39,14 @@
     int ask(String method, String path, byte[] body, Function<JsonNode, String> text)
             throws IOException, InterruptedException {
         LogLevel.start("error"); // a client's own messages are its errors, one line each
-        try (UserClient client = new UserClient(nodes)) {
-            UserClient.Answer answer =
+        try (ApiClient client = new ApiClient(nodes)) {
+            ApiClient.Response answer =
                     client.ask(method, path, body == null ? NOTHING : body, TimeUnit.SECONDS.toMillis(patienceS));
             return print(answer, text, System.out, System.err);
         }
     }
 
-    private int print(UserClient.Answer answer, Function<JsonNode, String> text, PrintStream out, PrintStream err) {
+    private int print(ApiClient.Response answer, Function<JsonNode, String> text, PrintStream out, PrintStream err) {
         int status = answer.status();
         if (status >= 200 && status < 300 && answer.body() != null) {
             out.println(json ? answer.body().toString() : text.apply(answer.body()));
--- a/src/main/java/stileferry/cli/Serve.java
+++ b/src/main/java/stileferry/cli/Serve.java
@@ -44,7 +44,7 @@
                     .features(features.features())
                     .build();
             controller.start();
-            controller.awaitClosed(); // this thread reads nothing any more, see Node
+            controller.awaitClosed(); // this thread reads nothing any more, see ControllerServer
             return 0;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/stileferry/cli/Status.java
+++ b/src/main/java/stileferry/cli/Status.java
@@ -14,7 +14,7 @@
         footer = {"", "Example: stileferry status --node 127.0.0.1:7701 job-1"})
 final class Status implements Callable<Integer> {
     @Mixin
-    private Connection connection;
+    private ControllerConnection connection;
 
     @Parameters(paramLabel = "ID", description = "The job.")
     private String id;
--- a/src/main/java/stileferry/cli/Submit.java
+++ b/src/main/java/stileferry/cli/Submit.java
@@ -22,7 +22,7 @@
         footer = {"", "Example: stileferry submit --node 127.0.0.1:7701 --id job-1 --team red --tasks 3 --cpus 1"})
 final class Submit implements Callable<Integer> {
     @Mixin
-    private Connection connection;
+    private ControllerConnection connection;
 
     @Option(names = "--file", paramLabel = "FILE", description = "The job as JSON; flags of the job are then ignored.")
     private Path file;
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -73,7 +73,7 @@
         this.state = new KeyValueStoreClient(environment, settings);
         this.admission =
                 features.fairAdmission() ? new FairAdmission(settings, environment, state) : AdmissionControl.NONE;
-        this.leadership = new LeaderElection(environment, state, settings, this, links, admission.counts());
+        this.leadership = new LeaderElection(environment, state, settings, this, links, admission.countsAdmissions());
         this.eventLoopLag = new EventLoopLag(environment, settings.workers().heartbeatIntervalS());
         this.followerReports = new FollowerHeartbeats(
                 settings, environment, leadership, links, (report, reply) -> answerReport(report, false, reply));
@@ -163,7 +163,7 @@
         long since = environment.now();
         pass(ask, id, body, answer -> {
             long took = environment.now() - since;
-            counters.count(ask, answer.status(), took);
+            counters.record(ask, answer.status(), took);
             if (ask == PeerMessage.RequestKind.SUBMIT) {
                 LOG.debug(
                         "a submission was answered {} after {} ms, led by {}",
@@ -194,7 +194,7 @@
             return;
         }
         if (ask == PeerMessage.RequestKind.SUBMIT) {
-            admission.submit(body, reply, answer -> forward(peer, ask, id, body, answer));
+            admission.admit(body, reply, answer -> forward(peer, ask, id, body, answer));
         } else {
             forward(peer, ask, id, body, reply);
         }
@@ -211,7 +211,7 @@
         PeerMessage.ForwardedRequest request = new PeerMessage.ForwardedRequest(ask, id, body);
         Consumer<PeerMessage> answered = answer ->
                 reply.accept(answer instanceof PeerMessage.Response response ? response : Responses.unavailable());
-        if (ask != PeerMessage.RequestKind.ADMINISTRATION && admission.batches(peer)) {
+        if (ask != PeerMessage.RequestKind.ADMINISTRATION && admission.acceptsBatches(peer)) {
             admission.forward(peer, request, patience, answered);
         } else {
             environment.sendToPeer(peer, request, patience, answered);
@@ -225,10 +225,9 @@
 
     private void lead(PeerMessage.RequestKind ask, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
         switch (ask) {
-            case SUBMIT ->
-                admission.submit(body, reply, answer -> leader.users().submit(body, answer));
+            case SUBMIT -> admission.admit(body, reply, answer -> leader.users().submit(body, answer));
             case STATUS -> leader.users().status(id, reply);
-            case CANCEL -> leader.users().withdraw(id, reply);
+            case CANCEL -> leader.users().cancel(id, reply);
             case ADMINISTRATION -> {
                 String[] parts = id.split("[ ?]", 3);
                 String from = parts.length > 2 && parts[2].startsWith("from=") ? parts[2].substring(5) : "";
@@ -318,7 +317,7 @@
     /** What the division of admissions calls. */
     private final class AdmissionHost implements AdmissionControl.Host {
         @Override
-        public boolean promising() {
+        public boolean mayAcceptChanges() {
             return leader != null && leader.promising();
         }
 
@@ -333,7 +332,7 @@
         }
 
         @Override
-        public boolean knows(String id) {
+        public boolean knowsJob(String id) {
             return leader != null && leader.knows(id);
         }
 
@@ -343,12 +342,12 @@
         }
 
         @Override
-        public boolean behind() {
+        public boolean overloaded() {
             return eventLoopLag.overloaded();
         }
 
         @Override
-        public boolean strained() {
+        public boolean nearlyOverloaded() {
             return eventLoopLag.saturated();
         }
     }
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -122,37 +122,37 @@
         loader.load();
     }
 
-    private JobRequestHandler.Leader forUsers(TermSequence numbers) {
-        return new JobRequestHandler.Leader() {
+    private JobRequestHandler.LeaderCallbacks forUsers(TermSequence numbers) {
+        return new JobRequestHandler.LeaderCallbacks() {
             @Override
-            public boolean serving() {
+            public boolean mayAnswer() {
                 return Leader.this.serving();
             }
 
             @Override
-            public boolean promising() {
+            public boolean mayAcceptChanges() {
                 return Leader.this.promising();
             }
 
             @Override
-            public boolean goesFirst(byte[] submission) {
+            public boolean bypassesBacklog(byte[] submission) {
                 return admissions != null && SubmissionHeader.isCritical(submission);
             }
 
             @Override
-            public void accepting(Job job) {
+            public void beforeFirstWrite(Job job) {
                 if (admissions != null) {
                     admissions.count(job.entry(), FairAdmission.cell(settings, job.spec()));
                 }
             }
 
             @Override
-            public long number() {
+            public long nextSequenceNumber() {
                 return numbers.next();
             }
 
             @Override
-            public void changed() {
+            public void jobAccepted() {
                 Leader.this.changed();
             }
 
@@ -258,7 +258,7 @@
                 Math.round(1000 * cluster.operatorSettings().number(OperatorSettings.PASS_INTERVAL_S)), this::tick);
         fleet.failureDetector().expireLeases();
         fleet.commandDispatcher().queueProbes();
-        users.giveUpWaiting();
+        users.answerOverdue();
         checkSockets();
         silences.refuseExpired();
         if (leadership.leaseHeld()) {
@@ -370,7 +370,7 @@
     /** Whether a job is known: accepted, about to be, or over and asked for lately. */
     boolean knows(String id) {
         return cluster.jobs().containsKey(id)
-                || users.knowsEnded(id)
+                || users.knowsCompleted(id)
                 || cluster.unreadableJobs().contains(id);
     }
 
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -15,7 +15,7 @@
     /** What it calls from the inside, once all of the controller has been made. */
     interface Host {
         /** Whether this node leads, for sure, and accepts jobs. */
-        boolean promising();
+        boolean mayAcceptChanges();
 
         /** The highest term that is known. */
         long term();
@@ -24,20 +24,20 @@
         Settings.Peer leaderPeer();
 
         /** Whether this node, as the leader, knows a job. */
-        boolean knows(String id);
+        boolean knowsJob(String id);
 
         /** Seconds of the state service's rates that wait at this node, as the leader. */
         double backlogS();
 
         /** Whether there is more to do than this process can do in time. */
-        boolean behind();
+        boolean overloaded();
 
         /** Whether there is about as much to do as can be done in time. */
-        boolean strained();
+        boolean nearlyOverloaded();
     }
 
     /** Whether what is accepted is counted. */
-    default boolean counts() {
+    default boolean countsAdmissions() {
         return false;
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** Takes a submission: it is refused here, or passed on to where it is accepted. */
-    default void submit(
+    default void admit(
             byte[] body, Consumer<PeerMessage.Response> reply, Consumer<Consumer<PeerMessage.Response>> passOn) {
         passOn.accept(reply);
     }
@@ -73,7 +73,7 @@
     }
 
     /** Whether requests to this leader may be sent together. */
-    default boolean batches(Settings.Peer leader) {
+    default boolean acceptsBatches(Settings.Peer leader) {
         return false;
     }
 
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -54,7 +54,7 @@
     private static final int CHANGE_BATCHES = 6;
 
     /** Seconds of the state service's rates that may wait before only the most urgent is accepted. */
-    private static final double FULL_S = JobRequestHandler.BEHIND_S * 0.75;
+    private static final double FULL_S = JobRequestHandler.MAX_BACKLOG_S * 0.75;
 
     /** A strained leader leaves users to the others for so long: half of the users' patience. */
     private static final long SHED_MS = Math.round(1000 * AdmissionConfig.PATIENCE_S / 2);
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public boolean counts() {
+    public boolean countsAdmissions() {
         return true;
     }
 
@@ -135,7 +135,7 @@
         door.learn(host.term());
         long now = environment.now();
         if (controller != null) {
-            strainedAt = host.strained() ? now : strainedAt;
+            strainedAt = host.nearlyOverloaded() ? now : strainedAt;
             controller.step(pressure(), now);
             door.take(controller.table(), now, now);
             logClosed();
@@ -148,7 +148,7 @@
         if (host.backlogS() >= FULL_S) {
             return Pressure.STATE_SERVICE;
         }
-        return host.behind() ? Pressure.LEADER : Pressure.NONE;
+        return host.overloaded() ? Pressure.LEADER : Pressure.NONE;
     }
 
     private void logClosed() {
@@ -222,7 +222,7 @@
     // ---- submissions
 
     @Override
-    public void submit(
+    public void admit(
             byte[] body, Consumer<PeerMessage.Response> reply, Consumer<Consumer<PeerMessage.Response>> passOn) {
         SubmissionHeader head = SubmissionHeader.read(body);
         Flow flow = flow(head);
@@ -250,7 +250,7 @@
             door.learn(host.term());
             return door.retryAfterS(flow, id, now);
         }
-        if (!host.promising() || host.knows(id)) {
+        if (!host.mayAcceptChanges() || host.knowsJob(id)) {
             return 0;
         }
         boolean full = flow.tier() > 0 && host.backlogS() >= FULL_S;
@@ -286,7 +286,7 @@
     @Override
     public int retryAfterS(PeerMessage.RequestKind ask, byte[] body) {
         if (ask != PeerMessage.RequestKind.SUBMIT) {
-            return host.leaderPeer() != null && batches(host.leaderPeer()) ? 0 : 1;
+            return host.leaderPeer() != null && acceptsBatches(host.leaderPeer()) ? 0 : 1;
         }
         SubmissionHeader head = SubmissionHeader.read(body);
         if (head == null) {
@@ -299,7 +299,7 @@
     // ---- what goes to the leader
 
     @Override
-    public boolean batches(Settings.Peer leader) {
+    public boolean acceptsBatches(Settings.Peer leader) {
         return leader.name().equals(tableOf);
     }
 
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -25,43 +25,43 @@
 /** Dealings with users in one term: they hear accepted, cancelled or done only when it is durable. */
 public final class JobRequestHandler implements JobCompletion.Listener {
     /** The share of the value limit that a job's record may take; the rest is for what is added later. */
-    private static final double FILL = 0.9;
+    private static final double MAX_RECORD_SHARE = 0.9;
 
     /** Seconds of the state service's rates that may wait before submissions are refused. */
-    public static final double BEHIND_S = 2;
+    public static final double MAX_BACKLOG_S = 2;
 
     /** Users wait this long for a change to be durable: less than their own patience of 5 s. */
-    private static final long DURABLE_MS = 3000;
+    private static final long DURABILITY_TIMEOUT_MS = 3000;
 
     private final ClusterState cluster;
     private final Environment environment;
     private final KeyValueStoreClient state;
     private final CommitQueue ledger;
     private final CompletedJobCache ended;
-    private final Leader lead;
+    private final LeaderCallbacks lead;
 
     /** Jobs whose users wait for something to be durable. */
     private final Set<Job> awaited = new LinkedHashSet<>();
 
     /** What the leader does for its users. */
-    public interface Leader {
+    public interface LeaderCallbacks {
         /** Whether anything may be told or promised now. */
-        boolean serving();
+        boolean mayAnswer();
 
         /** Whether anything new may be promised now. */
-        boolean promising();
+        boolean mayAcceptChanges();
 
         /** The next number of this term, higher than all before. */
-        long number();
+        long nextSequenceNumber();
 
         /** A job is about to be accepted: it will be written for the first time. */
-        void accepting(Job job);
+        void beforeFirstWrite(Job job);
 
         /** Whether a submission goes before all others, and is taken when they are not. */
-        boolean goesFirst(byte[] submission);
+        boolean bypassesBacklog(byte[] submission);
 
         /** A job was accepted. */
-        void changed();
+        void jobAccepted();
 
         /** Cancels a job; its users are answered when that is durable. */
         void cancel(Job job);
@@ -73,7 +73,7 @@
             KeyValueStoreClient state,
             CommitQueue ledger,
             CompletedJobCache ended,
-            Leader lead) {
+            LeaderCallbacks lead) {
         this.cluster = cluster;
         this.environment = environment;
         this.state = state;
@@ -117,11 +117,11 @@
     }
 
     /** Users whose change is not durable in time hear at once that it isn't known yet, and when to come back. */
-    public void giveUpWaiting() {
+    public void answerOverdue() {
         long now = environment.now();
-        boolean sure = lead.serving();
+        boolean sure = lead.mayAnswer();
         for (Job job : List.copyOf(awaited)) {
-            if (!sure || now - job.repliesPendingSince() > DURABLE_MS) {
+            if (!sure || now - job.repliesPendingSince() > DURABILITY_TIMEOUT_MS) {
                 answer(job, Responses.unavailable());
             }
         }
@@ -151,7 +151,7 @@
             return;
         }
         state.get(Job.completedKey(id), (status, body) -> {
-            if (!lead.serving() || status != 200 && status != 404) {
+            if (!lead.mayAnswer() || status != 200 && status != 404) {
                 failed.run();
             } else if (status == 200) {
                 CompletedJob read = CompletedJob.read(body.path("v"));
@@ -164,7 +164,7 @@
     }
 
     public void submit(byte[] bytes, Consumer<PeerMessage.Response> reply) {
-        if (!lead.promising()) {
+        if (!lead.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
             return;
         }
@@ -184,7 +184,7 @@
             return;
         }
         long behindS = behindS();
-        boolean first = lead.goesFirst(bytes);
+        boolean first = lead.bypassesBacklog(bytes);
         if (behindS > 0 && !first) { // it would only wait, and everything behind it
             reply.accept(new PeerMessage.Response(
                     503, (int) behindS, MessageCodec.encode(UserMessages.error("too much to do, try again"))));
@@ -207,14 +207,14 @@
     }
 
     /** Whether a job's end was looked up or came up lately. */
-    public boolean knowsEnded(String id) {
+    public boolean knowsCompleted(String id) {
         return ended.get(id) != null;
     }
 
     /** Seconds after which a submission is worth another try when the state service can't take it soon; 0: it can. */
     private long behindS() {
         double seconds = backlogS();
-        return seconds < BEHIND_S ? 0 : (long) Math.ceil(seconds);
+        return seconds < MAX_BACKLOG_S ? 0 : (long) Math.ceil(seconds);
     }
 
     /** Seconds of the state service's rates that wait. */
@@ -263,19 +263,19 @@
             reply.accept(Responses.refusal(422, "more than the team's limit"));
             return;
         }
-        Job job = new Job(spec, lead.number(), environment.timeOfDay(), 0);
+        Job job = new Job(spec, lead.nextSequenceNumber(), environment.timeOfDay(), 0);
         if (job.entry().value().toString().length()
-                > cluster.settings().keyValueStore().maxValueKb() * 1024 * FILL) {
+                > cluster.settings().keyValueStore().maxValueKb() * 1024 * MAX_RECORD_SHARE) {
             reply.accept(Responses.refusal(422, "its description is larger than can be kept"));
             return;
         }
         await(job, reply);
         cluster.jobs().put(spec.id(), job);
-        lead.accepting(job);
+        lead.beforeFirstWrite(job);
         Runnable onDurable = () -> {
             job.setAccepted(true);
             answer(job, Responses.ok(201, UserMessages.jobState(spec.id(), "pending", 0, 0)));
-            lead.changed();
+            lead.jobAccepted();
         };
         if (first) {
             ledger.putFirst(job.entry(), onDurable);
@@ -285,7 +285,7 @@
     }
 
     public void status(String id, Consumer<PeerMessage.Response> reply) {
-        if (!lead.serving()) {
+        if (!lead.mayAnswer()) {
             reply.accept(Responses.unavailable());
             return;
         }
@@ -314,8 +314,8 @@
         return now == null ? Responses.refusal(404, "no such job") : Responses.ok(200, now.jobState(id));
     }
 
-    public void withdraw(String id, Consumer<PeerMessage.Response> reply) {
-        if (!lead.promising()) {
+    public void cancel(String id, Consumer<PeerMessage.Response> reply) {
+        if (!lead.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
             return;
         }
--- a/src/main/java/stileferry/requests/RequestMetrics.java
+++ b/src/main/java/stileferry/requests/RequestMetrics.java
@@ -15,7 +15,7 @@
     private final Map<PeerMessage.RequestKind, Histogram> times = new EnumMap<>(PeerMessage.RequestKind.class);
     private final Map<String, Long> answers = new TreeMap<>();
 
-    public void count(PeerMessage.RequestKind ask, int status, long tookMs) {
+    public void record(PeerMessage.RequestKind ask, int status, long tookMs) {
         times.computeIfAbsent(ask, a -> new Histogram(LONGEST_MS, 2))
                 .recordValue(Math.min(LONGEST_MS, Math.max(0, tookMs)));
         answers.merge(ask.wireName() + " " + status, 1L, Long::sum);
--- a/src/main/java/stileferry/transport/UserClient.java
+++ b/src/main/java/stileferry/transport/ApiClient.java
@@ -11,7 +11,7 @@
 import stileferry.protocol.MessageCodec;
 
 /** A client for users and operators: waits for answers, and repeats requests as the protocol asks. */
-public final class UserClient implements AutoCloseable {
+public final class ApiClient implements AutoCloseable {
     private static final long ANSWER_MS = 5000;
     private static final long REPEAT_MS = 1000;
 
@@ -20,18 +20,18 @@
     private int next;
 
     /** An answer; the body is null when it is empty or not MessagePack. */
-    public record Answer(int status, JsonNode body) {}
+    public record Response(int status, JsonNode body) {}
 
     /** A client of the controllers at these addresses. */
-    public UserClient(List<String> addrs) throws IOException {
+    public ApiClient(List<String> addrs) throws IOException {
         this.addrs = List.copyOf(addrs);
         this.loop = new EventLoop(this.addrs.size());
     }
 
     /** Asks one controller once; each call takes the next address. */
-    public Answer once(String method, String path, byte[] body) throws InterruptedException {
+    public Response once(String method, String path, byte[] body) throws InterruptedException {
         String addr = addrs.get(Math.floorMod(next++, addrs.size()));
-        CompletableFuture<Answer> answer = new CompletableFuture<>();
+        CompletableFuture<Response> answer = new CompletableFuture<>();
         loop.thread.execute(() -> loop.http.call(
                 addr,
                 method,
@@ -39,19 +39,19 @@
                 body,
                 ANSWER_MS,
                 (status, bytes) ->
-                        answer.complete(new Answer(status, bytes.length == 0 ? null : MessageCodec.decode(bytes)))));
+                        answer.complete(new Response(status, bytes.length == 0 ? null : MessageCodec.decode(bytes)))));
         try {
             return answer.get(2 * ANSWER_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            return new Answer(Environment.NO_ANSWER, null);
+            return new Response(Environment.NO_ANSWER, null);
         }
     }
 
     /** Asks until there is an answer that is not "try again", for so long at most. */
-    public Answer ask(String method, String path, byte[] body, long patienceMs) throws InterruptedException {
+    public Response ask(String method, String path, byte[] body, long patienceMs) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
         while (true) {
-            Answer answer = once(method, path, body);
+            Response answer = once(method, path, body);
             boolean later = answer.status <= 0 || answer.status == 429 || answer.status >= 500;
             if (!later || System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REPEAT_MS) > until) {
                 return answer;
--- a/src/main/java/stileferry/transport/UserServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -20,7 +20,7 @@
 import stileferry.protocol.UserMessages;
 
 /** The address for users, workers and health checks: takes requests apart and hands them to the owner. */
-final class UserServer implements HttpHandler {
+final class ApiServer implements HttpHandler {
     private static final byte[] NOTHING = new byte[0];
     private static final String WORK = "/work";
     private static final String WITHDRAW = "/withdraw";
@@ -46,7 +46,7 @@
     private final SocketBudget sockets;
     private final LongSupplier open;
 
-    UserServer(
+    ApiServer(
             CommandQueue owner,
             Coordinator coordinator,
             Limiter<Void> limiter,
@@ -163,7 +163,7 @@
 
     private static void post(HttpServerExchange exchange, Consumer<byte[]> handler) {
         if (exchange.getRequestMethod().equals(Methods.POST)) {
-            RequestBodies.read(exchange, MessageCodec.MAX_BODY, handler);
+            RequestBodyReader.read(exchange, MessageCodec.MAX_BODY, handler);
         } else {
             refuse(exchange, 405, "only POST here");
         }
--- a/src/main/java/stileferry/transport/UserLimit.java
+++ b/src/main/java/stileferry/transport/ConcurrencyLimit.java
@@ -6,12 +6,12 @@
 import java.util.function.LongSupplier;
 
 /** The limit on user requests in progress: it follows the measured times of answers, within bounds. */
-final class UserLimit {
+final class ConcurrencyLimit {
     private static final int LEAST = 32;
     private static final int FIRST = 128;
     private static final int MOST = 1024;
 
-    private UserLimit() {}
+    private ConcurrencyLimit() {}
 
     static Limiter<Void> create() {
         return create(System::nanoTime);
--- a/src/main/java/stileferry/transport/Node.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -16,7 +16,7 @@
 import stileferry.protocol.SocketBudget;
 
 /** One controller's sockets: both servers and the client share one worker with one IO thread. */
-public final class Node implements AutoCloseable {
+public final class ControllerServer implements AutoCloseable {
     /** Report intervals without a word after which a connection is closed: its machine is gone or took another way. */
     private static final double IDLE_REPORTS = 4;
 
@@ -36,9 +36,9 @@
      * simulated machines, where the places of system calls are rewritten while the process runs, one thread that loaded
      * classes from the jar while another read from its sockets ended the runtime within libc's read.
      */
-    public static Node open(Settings settings, Features features, InetAddress source) throws IOException {
+    public static ControllerServer open(Settings settings, Features features, InetAddress source) throws IOException {
         EventLoop loop = new EventLoop(settings.socketBudget().idle(), source);
-        FutureTask<Node> opening = new FutureTask<>(() -> new Node(settings, features, loop));
+        FutureTask<ControllerServer> opening = new FutureTask<>(() -> new ControllerServer(settings, features, loop));
         loop.thread.execute(opening);
         try {
             return opening.get();
@@ -53,7 +53,7 @@
         }
     }
 
-    private Node(Settings settings, Features features, EventLoop loop) {
+    private ControllerServer(Settings settings, Features features, EventLoop loop) {
         this.loop = loop;
         idleMs = (int)
                 Math.max(LEAST_IDLE_MS, IDLE_REPORTS * 1000 * settings.workers().heartbeatIntervalS());
@@ -66,7 +66,7 @@
         users = server(
                 settings.clientListen(),
                 sockets.incoming(),
-                new UserServer(owner, coordinator, UserLimit.create(), sockets, this::openConnections));
+                new ApiServer(owner, coordinator, ConcurrencyLimit.create(), sockets, this::openConnections));
         try {
             peers.start();
             users.start();
--- a/src/main/java/stileferry/transport/EventLoop.java
+++ b/src/main/java/stileferry/transport/EventLoop.java
@@ -17,7 +17,7 @@
     final XnioWorker worker;
     final XnioIoThread thread;
     final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
-    final HttpCaller http;
+    final HttpClient http;
 
     EventLoop(int idleConnections) throws IOException {
         this(idleConnections, null);
@@ -33,7 +33,7 @@
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
         thread = worker.getIoThread();
-        http = new HttpCaller(thread, buffers, idleConnections, source);
+        http = new HttpClient(thread, buffers, idleConnections, source);
     }
 
     @Override
--- a/src/main/java/stileferry/transport/HttpCaller.java
+++ b/src/main/java/stileferry/transport/HttpClient.java
@@ -29,7 +29,7 @@
 import stileferry.protocol.Environment;
 
 /** HTTP requests over kept connections, each with a time limit. All of it runs on the one IO thread. */
-final class HttpCaller {
+final class HttpClient {
     private static final int MAX_IDLE_EACH = 8;
 
     /** No answer that this service asks for is larger, but for a watch's, which has no limit of its own. */
@@ -46,7 +46,7 @@
     private final int maxIdle;
 
     /** Takes an answer. */
-    interface Answer {
+    interface ResponseHandler {
         /** Called once, with an HTTP status, {@link Environment#NO_ANSWER} or {@link Environment#NOT_SENT}. */
         void done(int status, byte[] body);
     }
@@ -54,14 +54,14 @@
     /** Null stands for an address that the system chooses. */
     private final InetSocketAddress source;
 
-    HttpCaller(XnioIoThread thread, ByteBufferPool buffers, int maxIdle, InetAddress source) {
+    HttpClient(XnioIoThread thread, ByteBufferPool buffers, int maxIdle, InetAddress source) {
         this.source = source == null ? null : new InetSocketAddress(source, 0);
         this.maxIdle = maxIdle;
         this.thread = thread;
         this.buffers = buffers;
     }
 
-    void call(String addr, String method, String path, byte[] body, long timeoutMs, Answer answer) {
+    void call(String addr, String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
         new Call(addr, method, path, body, answer).start(timeoutMs);
     }
 
@@ -108,14 +108,14 @@
         private final String method;
         private final String path;
         private final byte[] body;
-        private final Answer answer;
+        private final ResponseHandler answer;
         private final ByteArrayOutputStream received = new ByteArrayOutputStream(256);
         private XnioExecutor.Key timer;
         private ClientConnection connection;
         private boolean sent;
         private boolean over;
 
-        Call(String addr, String method, String path, byte[] body, Answer answer) {
+        Call(String addr, String method, String path, byte[] body, ResponseHandler answer) {
             this.addr = addr;
             this.method = method;
             this.path = path;
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -21,7 +21,7 @@
 
     private final CommandQueue owner;
     private final XnioIoThread thread;
-    private final HttpCaller http;
+    private final HttpClient http;
     private final RandomGenerator random = new SplittableRandom();
     private final int mostForwards;
 
--- a/src/main/java/stileferry/transport/PeerServer.java
+++ b/src/main/java/stileferry/transport/PeerServer.java
@@ -20,19 +20,19 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         if (!exchange.getRequestPath().equals(NetworkEnvironment.PEER_PATH)) {
-            UserServer.refuse(exchange, 404, "no such path");
+            ApiServer.refuse(exchange, 404, "no such path");
             return;
         }
-        RequestBodies.read(exchange, 2 * MessageCodec.MAX_BODY, body -> {
+        RequestBodyReader.read(exchange, 2 * MessageCodec.MAX_BODY, body -> {
             PeerMessage record = PeerMessage.read(body);
             if (record == null) {
-                UserServer.refuse(exchange, 400, "not a record");
+                ApiServer.refuse(exchange, 400, "not a record");
                 return;
             }
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                 if (!owner.offer(() -> coordinator.handlePeerMessage(
-                        record, answer -> UserServer.send(exchange, 200, 0, PeerMessage.write(answer))))) {
-                    UserServer.refuse(exchange, 503, "too much to do, try again");
+                        record, answer -> ApiServer.send(exchange, 200, 0, PeerMessage.write(answer))))) {
+                    ApiServer.refuse(exchange, 503, "too much to do, try again");
                 }
             });
         });
--- a/src/main/java/stileferry/transport/RequestBodies.java
+++ b/src/main/java/stileferry/transport/RequestBodyReader.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /** Reads request bodies up to a limit, without waiting and without reading what is too long. */
-final class RequestBodies {
-    private RequestBodies() {}
+final class RequestBodyReader {
+    private RequestBodyReader() {}
 
     static void read(HttpServerExchange exchange, int limit, Consumer<byte[]> handler) {
         if (exchange.getRequestContentLength() > limit) {
@@ -18,6 +18,6 @@
 
     private static void tooLarge(HttpServerExchange exchange) {
         exchange.setPersistent(false);
-        UserServer.refuse(exchange, 413, "the body is too large");
+        ApiServer.refuse(exchange, 413, "the body is too large");
     }
 }
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -129,7 +129,7 @@
     }
 
     private void handle(HttpServerExchange exchange) {
-        RequestBodies.read(
+        RequestBodyReader.read(
                 exchange,
                 MessageCodec.MAX_BODY,
                 bytes -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> takeRequest(exchange, bytes)));
@@ -147,7 +147,7 @@
                 ? LinkFaults.CLOUD
                 : !toWorker ? LinkFaults.KEY_VALUE_STORE : worker == null ? "" : worker.machine();
         Environment.ResponseHandler reply = (status, answer) ->
-                UserServer.send(exchange, status, 0, answer == null ? NOTHING : MessageCodec.encode(answer));
+                ApiServer.send(exchange, status, 0, answer == null ? NOTHING : MessageCodec.encode(answer));
         Runnable request = () -> serve(exchange, bytes, toWorker, toCloud, worker, reply);
         switch (faults.of(source, to)) {
             case NONE -> request.run();
