--- /dev/null
+++ b/src/test/java/stileferry/coordination/AdmissionLoad.java
@@ -0,0 +1,61 @@
+package stileferry.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import stileferry.protocol.Features;
+import stileferry.protocol.JobSpec;
+import stileferry.protocol.JobSpecBuilder;
+
+/** More jobs than can be admitted: a small cluster, and users that flood it. */
+final class AdmissionLoad {
+    static final Features ON = new Features(false, true);
+
+    /** Changes a second that the key-value store takes: five admissions a second, if nothing else is to be stored. */
+    private static final double WRITES_PER_S = 12;
+
+    static final List<String> TEAMS = List.of("red", "blue", "free");
+
+    private AdmissionLoad() {}
+
+    static SimulatedCluster smallCluster(long seed, Features features) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 2, 2, 40, WRITES_PER_S);
+        cluster.features = features;
+        return cluster;
+    }
+
+    static JobSpec job(int number, String team, JobSpec.Priority priority, double runS) {
+        boolean service = priority == JobSpec.Priority.CRITICAL;
+        JobSpecBuilder job = service ? JobSpecBuilder.service(number) : JobSpecBuilder.array(number);
+        return job.team(team)
+                .priority(priority)
+                .imageGb(0.2)
+                .runS(service ? 0 : runS)
+                .build();
+    }
+
+    static SimulatedUser submit(SimulatedCluster cluster, int number, String team) {
+        return cluster.submit(job(number, team, JobSpec.Priority.NORMAL, 2));
+    }
+
+    /** Fifteen jobs a second of one team and one every two seconds of each other team. */
+    static int flood(SimulatedCluster cluster, int from, int seconds) {
+        int number = from;
+        for (int second = 0; second < seconds; second++) {
+            for (int i = 0; i < 15; i++) {
+                submit(cluster, number++, "red");
+            }
+            if (second % 2 == 0) {
+                submit(cluster, number++, "blue");
+                submit(cluster, number++, "free");
+            }
+            cluster.runFor(1);
+        }
+        return number;
+    }
+
+    static void check(SimulatedCluster cluster, AdmissionHistory history) {
+        assertEquals(List.of(), cluster.violations);
+        assertEquals(List.of(), history.problems);
+    }
+}
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -172,6 +172,15 @@
         return controllers.get("n" + random.nextInt(CONTROLLERS));
     }
 
+    List<ControllerNode> others(ControllerNode controller) {
+        return controllers.values().stream().filter(n -> n != controller).toList();
+    }
+
+    /** The highest term in the key-value store. */
+    long term() {
+        return state.value("a/term").path("term").asLong();
+    }
+
     /** The controller that leads and has read all state, or null. */
     public ControllerNode leader() {
         for (ControllerNode controller : controllers.values()) {
