--- a/src/test/java/stileferry/cli/AdmissionLoopbackTest.java
+++ b/src/test/java/stileferry/cli/AdmissionLoopbackTest.java
@@ -18,8 +18,8 @@
 import stileferry.transport.ApiClient;
 
 /**
- * Three real controllers and a burst from two houses in which the leader ends: scaled down to what one machine and a
- * run of a few seconds can do.
+ * Three real controllers and a burst from two teams during which the leader crashes: scaled down to what one machine
+ * and a run of a few seconds can do.
  */
 class AdmissionLoopbackTest {
     private static final int USERS_EACH_TEAM = 6;
