--- a/src/main/java/stileferry/cli/CheckConfig.java
+++ b/src/main/java/stileferry/cli/CheckConfig.java
@@ -27,16 +27,16 @@
         SettingsReader.Result read = SettingsFile.read(config);
         if (read.settings() == null) {
             read.problems().forEach(p -> System.err.println("stileferry: settings: " + p));
-            return 2;
+            return ExitCode.USAGE;
         }
         Features.Result features = FeaturesFile.read(featuresFile);
         if (features.features() == null) {
             System.err.println("stileferry: features: " + features.problem());
-            return 2;
+            return ExitCode.USAGE;
         }
         System.out.println("settings are usable");
         List<String> on = features.features().on();
         System.out.println("features on: " + (on.isEmpty() ? "none" : String.join(", ", on)));
-        return 0;
+        return ExitCode.OK;
     }
 }
--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -5,6 +5,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import stileferry.Controller;
+import stileferry.protocol.ApiPaths;
 import stileferry.protocol.Features;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
@@ -73,13 +74,13 @@
         submit(user, number + 2, JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL);
         await(user, number, "done");
         await(user, number + 2, "running");
-        user.ask("POST", "/work/job-" + (number + 2) + "/withdraw", NOTHING, 10_000);
+        user.ask("POST", ApiPaths.job("job-" + (number + 2)) + ApiPaths.CANCEL, NOTHING, 10_000);
         await(user, number + 2, "cancelled");
-        user.ask("POST", "/work", MessageCodec.encode(UserMessages.error("not a job")), 1000);
-        user.ask("GET", "/work/job-99", NOTHING, 1000);
-        user.ask("GET", "/ready", NOTHING, 1000);
+        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), 1000);
+        user.ask("GET", ApiPaths.job("job-99"), NOTHING, 1000);
+        user.ask("GET", ApiPaths.READY, NOTHING, 1000);
         user.ask("GET", "/elsewhere", NOTHING, 1000);
-        user.ask("GET", "/admin/counters", NOTHING, 1000);
+        user.ask("GET", ApiPaths.ADMINISTRATION + "counters", NOTHING, 1000);
     }
 
     private static void submit(ApiClient user, int number, JobSpec.Kind kind, JobSpec.Priority priority)
@@ -105,12 +106,12 @@
                 0,
                 0,
                 -1);
-        user.ask("POST", "/work", MessageCodec.encode(job.write()), 10_000);
+        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(job.write()), 10_000);
     }
 
     private static void await(ApiClient user, int number, String state) throws InterruptedException {
         for (int i = 0; i < POLLS; i++) {
-            ApiClient.Response answer = user.once("GET", "/work/job-" + number, NOTHING);
+            ApiClient.Response answer = user.once("GET", ApiPaths.job("job-" + number), NOTHING);
             if (answer.body() != null
                     && answer.body().path(WireNames.STATE).asText().equals(state)) {
                 return;
--- a/src/main/java/stileferry/cli/Daemon.java
+++ b/src/main/java/stileferry/cli/Daemon.java
@@ -43,7 +43,7 @@
             return Serve.run(Path.of(line.getOptionValue(CONFIG)), features == null ? null : Path.of(features));
         } catch (ParseException e) {
             System.err.println("stileferry: " + e.getMessage() + " (usage: --config FILE [--features FILE])");
-            return 2;
+            return ExitCode.USAGE;
         }
     }
 }
--- a/src/main/java/stileferry/cli/Main.java
+++ b/src/main/java/stileferry/cli/Main.java
@@ -37,11 +37,11 @@
                 .setCaseInsensitiveEnumValuesAllowed(true)
                 .setParameterExceptionHandler((e, args) -> {
                     System.err.println("stileferry: " + e.getMessage() + " (see --help)");
-                    return 2;
+                    return ExitCode.USAGE;
                 })
                 .setExecutionExceptionHandler((e, command, parsed) -> {
                     System.err.println("stileferry: " + e);
-                    return 1;
+                    return ExitCode.FAILED;
                 });
     }
 
--- a/src/main/java/stileferry/cli/Serve.java
+++ b/src/main/java/stileferry/cli/Serve.java
@@ -1,5 +1,6 @@
 package stileferry.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -31,12 +32,12 @@
         SettingsReader.Result read = SettingsFile.read(config);
         if (read.settings() == null) {
             System.err.println("stileferry: settings: " + read.problems().get(0));
-            return 2;
+            return ExitCode.USAGE;
         }
         Features.Result features = FeaturesFile.read(featuresFile);
         if (features.features() == null) {
             System.err.println("stileferry: features: " + features.problem());
-            return 2;
+            return ExitCode.USAGE;
         }
         try {
             Controller controller = Controller.builder()
@@ -45,13 +46,13 @@
                     .build();
             controller.start();
             controller.awaitClosed(); // this thread reads nothing any more, see ControllerServer
-            return 0;
+            return ExitCode.OK;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return 1;
-        } catch (java.io.IOException | RuntimeException e) {
+            return ExitCode.FAILED;
+        } catch (IOException | RuntimeException e) {
             System.err.println("stileferry: can't start: " + (e.getCause() == null ? e : e.getCause()));
-            return 1;
+            return ExitCode.FAILED;
         }
     }
 }
--- /dev/null
+++ b/src/main/java/stileferry/cli/StandInSettings.java
@@ -0,0 +1,77 @@
+package stileferry.cli;
+
+import java.util.ArrayList;
+import java.util.List;
+import stileferry.transport.StandInHost;
+
+/**
+ * Settings of controllers that work with stand-ins on loopback. Of a row of ports the first is the stand-ins', the next
+ * ones are the controllers' for users, and those behind for each other.
+ */
+final class StandInSettings {
+    static final int CONTROLLERS = 3;
+
+    private static final int MIN_SOCKETS = 1000;
+    private static final int SOCKETS_EACH_MACHINE = 3;
+    private static final double MS_PER_S = 1000.0;
+
+    private static final String PEER =
+            """
+            {"host_name": "node-%d", "zone": "a", "peer_addr": "127.0.0.1:%d"}""";
+
+    private static final String SETTINGS =
+            """
+            {
+              "host_name": "node-%d", "zone": "a",
+              "client_listen": "127.0.0.1:%d", "peer_bind": "127.0.0.1:%d",
+              "seeds": [%s],
+              "outside": {"cloud": "127.0.0.1:%d", "state": "127.0.0.1:%d"},
+              "cluster": {
+                "zones": ["a", "b"],
+                "teams": [{"name": "red", "cpus": 8, "cpus_max": 24}, {"name": "blue"}],
+                "objectives": [],
+                "workers": {"report_s": %s, "lease_s": %s, "cancel_s": %s, "gang_wait_s": %s, "gang_peer_s": %s},
+                "state": {"rps": 500, "write_rps": 200, "value_kb": 8, "txn_ops": 20},
+                "cloud": {"rps": 10, "list_lag_s": 0.5},
+                "machine_limits": {"max_sockets": %d}
+              }
+            }
+            """;
+
+    private StandInSettings() {}
+
+    /** The settings of one controller, by its number, as JSON. */
+    static String of(int controller, int port, StandInHost.Size size) {
+        return SETTINGS.formatted(
+                controller,
+                clientPort(port, controller),
+                peerPort(port, controller),
+                peers(port, controller),
+                port,
+                port,
+                size.reportMs() / MS_PER_S,
+                size.leaseMs() / MS_PER_S,
+                2 * size.leaseMs() / MS_PER_S,
+                StandInHost.GANG_WAIT_S,
+                StandInHost.GANG_PEER_S,
+                Math.max(MIN_SOCKETS, SOCKETS_EACH_MACHINE * size.machines()));
+    }
+
+    static int clientPort(int port, int controller) {
+        return port + 1 + controller;
+    }
+
+    private static int peerPort(int port, int controller) {
+        return port + 1 + CONTROLLERS + controller;
+    }
+
+    private static String peers(int port, int controller) {
+        List<String> peers = new ArrayList<>();
+        for (int other = 0; other < CONTROLLERS; other++) {
+            if (other != controller) {
+                peers.add(PEER.formatted(other, peerPort(port, other)));
+            }
+        }
+        return String.join(", ", peers);
+    }
+}
--- a/src/main/java/stileferry/cli/StandIns.java
+++ b/src/main/java/stileferry/cli/StandIns.java
@@ -20,8 +20,6 @@
         mixinStandardHelpOptions = true,
         footer = {"", "Example: stileferry stand-ins --dir trial"})
 final class StandIns implements Callable<Integer> {
-    private static final int NODES = 3;
-
     @Option(names = "--dir", required = true, paramLabel = "DIR", description = "Where node-0.json and so on go.")
     private Path dir;
 
@@ -78,56 +76,13 @@
             throws IOException {
         List<String> clients = new ArrayList<>();
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < NODES; i++) {
-            clients.add("127.0.0.1:" + (port + 1 + i));
+        for (int i = 0; i < StandInSettings.CONTROLLERS; i++) {
+            clients.add("127.0.0.1:" + StandInSettings.clientPort(port, i));
             names.add("node-" + i);
         }
-        for (int i = 0; i < NODES; i++) {
-            Files.writeString(dir.resolve("node-" + i + ".json"), settings(port, i, size));
+        for (int i = 0; i < StandInSettings.CONTROLLERS; i++) {
+            Files.writeString(dir.resolve("node-" + i + ".json"), StandInSettings.of(i, port, size));
         }
         return new StandInHost(port, clients, names, size, faults, watcher);
     }
-
-    private static String settings(int port, int node, StandInHost.Size size) {
-        StringBuilder seeds = new StringBuilder();
-        for (int i = 0; i < NODES; i++) {
-            if (i != node) {
-                seeds.append(seeds.isEmpty() ? "" : ", ")
-                        .append(
-                                """
-                        {"host_name": "node-%d", "zone": "a", "peer_addr": "127.0.0.1:%d"}"""
-                                        .formatted(i, port + 1 + NODES + i));
-            }
-        }
-        return """
-                {
-                  "host_name": "node-%d", "zone": "a",
-                  "client_listen": "127.0.0.1:%d", "peer_bind": "127.0.0.1:%d",
-                  "seeds": [%s],
-                  "outside": {"cloud": "127.0.0.1:%d", "state": "127.0.0.1:%d"},
-                  "cluster": {
-                    "zones": ["a", "b"],
-                    "teams": [{"name": "red", "cpus": 8, "cpus_max": 24}, {"name": "blue"}],
-                    "objectives": [],
-                    "workers": {"report_s": %s, "lease_s": %s, "cancel_s": %s, "gang_wait_s": %s, "gang_peer_s": %s},
-                    "state": {"rps": 500, "write_rps": 200, "value_kb": 8, "txn_ops": 20},
-                    "cloud": {"rps": 10, "list_lag_s": 0.5},
-                    "machine_limits": {"max_sockets": %d}
-                  }
-                }
-                """
-                .formatted(
-                        node,
-                        port + 1 + node,
-                        port + 1 + NODES + node,
-                        seeds,
-                        port,
-                        port,
-                        size.reportMs() / 1000.0,
-                        size.leaseMs() / 1000.0,
-                        2 * size.leaseMs() / 1000.0,
-                        StandInHost.GANG_WAIT_S,
-                        StandInHost.GANG_PEER_S,
-                        Math.max(1000, 3 * size.machines()));
-    }
 }
--- a/src/main/java/stileferry/cli/Submit.java
+++ b/src/main/java/stileferry/cli/Submit.java
@@ -10,6 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
+import stileferry.protocol.ApiPaths;
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 
@@ -90,7 +91,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         JsonNode body = file == null ? fromFlags() : new ObjectMapper().readTree(Files.readString(file));
-        return connection.ask("POST", "/work", MessageCodec.encode(body), JobText::of);
+        return connection.request("POST", ApiPaths.JOBS, MessageCodec.encode(body), JobText::of);
     }
 
     private JsonNode fromFlags() {
--- /dev/null
+++ b/src/test/java/stileferry/golden/GoldenCommandLineCancelTest.java
@@ -0,0 +1,52 @@
+package stileferry.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Both names of the command that cancels a job have the same flags, output and exit codes. */
+class GoldenCommandLineCancelTest {
+    private static final String JOB = "{\"name_id\":\"job-7\",\"tide\":\"cancelled\",\"done\":2,\"running\":0}";
+
+    @ParameterizedTest
+    @ValueSource(strings = {"cancel", "withdraw"})
+    void bothNamesCancel(String command) throws IOException {
+        try (GoldenCommandLineStub controller = new GoldenCommandLineStub()) {
+            controller.answers(200, JOB);
+            assertEquals(
+                    new GoldenCommandLineRunner.Outcome(0, "job-7 cancelled, 2 tasks done, 0 running", ""),
+                    GoldenCommandLineRunner.run(command, "--node", controller.address(), "job-7"));
+            assertEquals(
+                    new GoldenCommandLineRunner.Outcome(0, JOB, ""),
+                    GoldenCommandLineRunner.run(
+                            command, "--node", controller.address(), "--json", "--patience=0", "job-7"));
+            String request = "POST /work/job-7/withdraw";
+            assertEquals(List.of(request, request), controller.requests());
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource({"cancel, 404, 3", "withdraw, 404, 3", "cancel, 503, 1", "withdraw, 503, 1"})
+    void bothNamesHaveTheSameExitCodes(String command, int status, int exitCode) throws IOException {
+        try (GoldenCommandLineStub controller = new GoldenCommandLineStub()) {
+            controller.answers(status, "{\"error\":\"reason\"}");
+            assertEquals(
+                    new GoldenCommandLineRunner.Outcome(
+                            exitCode, "", "stileferry: refused with " + status + ": reason"),
+                    GoldenCommandLineRunner.run(command, "--node", controller.address(), "--patience=0", "job-7"));
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"cancel", "withdraw"})
+    void helpShowsBothNames(String command) {
+        String help = GoldenCommandLineRunner.run("--help").out();
+        assertTrue(help.contains("cancel, withdraw"), help);
+        assertEquals(0, GoldenCommandLineRunner.run(command, "--help").exitCode());
+    }
+}
