--- a/src/main/java/stileferry/admission/AdaptiveRateLimit.java
+++ b/src/main/java/stileferry/admission/AdaptiveRateLimit.java
@@ -15,12 +15,12 @@
     /** Longest wait for an admission window: a third of the clients' timeout, as some are refused once more. */
     private static final double MAX_ROUND_S = AdmissionConfig.CLIENT_RETRY_TIMEOUT_S / 3;
 
-    private final double maxPerS;
-    private double perS;
+    private final double maxRatePerS;
+    private double ratePerS;
 
     AdaptiveRateLimit(double maxPerS) {
-        this.maxPerS = maxPerS;
-        this.perS = maxPerS;
+        this.maxRatePerS = maxPerS;
+        this.ratePerS = maxPerS;
     }
 
     /**
@@ -31,13 +31,15 @@
      * @param admittedPerS rate of admissions over the clients' timeout, which the store has proved to take
      */
     double adjust(BackPressure backPressure, double waitingJobs, double admittedPerS) {
-        double adjusted = backPressure == BackPressure.NONE ? perS + maxPerS / INCREASE_STEPS : perS * DECREASE_FACTOR;
-        perS = Math.min(maxPerS, Math.max(minPerS(backPressure, waitingJobs, admittedPerS), adjusted));
-        return perS;
+        double adjusted = backPressure == BackPressure.NONE
+                ? ratePerS + maxRatePerS / INCREASE_STEPS
+                : ratePerS * DECREASE_FACTOR;
+        ratePerS = Math.min(maxRatePerS, Math.max(minRatePerS(backPressure, waitingJobs, admittedPerS), adjusted));
+        return ratePerS;
     }
 
-    private double minPerS(BackPressure backPressure, double waitingJobs, double admittedPerS) {
-        double minimum = Math.max(maxPerS / INCREASE_STEPS, admittedPerS * DECREASE_FACTOR);
+    private double minRatePerS(BackPressure backPressure, double waitingJobs, double admittedPerS) {
+        double minimum = Math.max(maxRatePerS / INCREASE_STEPS, admittedPerS * DECREASE_FACTOR);
         if (backPressure == BackPressure.KEY_VALUE_STORE) {
             return minimum;
         }
@@ -45,7 +47,7 @@
     }
 
     /** The current rate, in admissions a second. */
-    double perS() {
-        return perS;
+    double ratePerS() {
+        return ratePerS;
     }
 }
--- a/src/main/java/stileferry/admission/AdmissionController.java
+++ b/src/main/java/stileferry/admission/AdmissionController.java
@@ -65,7 +65,7 @@
         double waitS = waitS(limiter, id, now);
         boolean inWindow = waitS == 0;
         if (!limiter.tryTake(inWindow, now) && !(inWindow && tryTakeSpare(flow.priorityTier(), now))) {
-            return refuse(flow, id, waitS, now);
+            return reject(flow, id, waitS, now);
         }
         demand.recordAdmission(flow, id, now);
         limiter.countAdmitted();
@@ -75,16 +75,16 @@
 
     /** Refuses a new job at a moment when the leader can accept nothing, and says when to retry. */
     public AdmissionDecision defer(Flow flow, String id, long now) {
-        return refuse(flow, id, waitS(limiter(flow, now), id, now), now);
+        return reject(flow, id, waitS(limiter(flow, now), id, now), now);
     }
 
     private double waitS(FlowRateLimiter limiter, String id, long now) {
         return deferredJobs.getIfPresent(id) != null ? 0 : limiter.waitS(JobIdHash.ringPosition(id), now);
     }
 
-    private AdmissionDecision refuse(Flow flow, String id, double waitS, long now) {
+    private AdmissionDecision reject(Flow flow, String id, double waitS, long now) {
         demand.recordRequest(flow, id, now);
-        limiter(flow, now).countRefused();
+        limiter(flow, now).countRejected();
         if (waitS > 0) {
             return AdmissionDecision.retryAfter(waitS);
         }
@@ -197,7 +197,7 @@
 
     /** The total that the fair shares divide, in admissions a second. */
     public double capacityPerS() {
-        return rateLimit.perS();
+        return rateLimit.ratePerS();
     }
 
     /** Requests of a flow admitted in this term; starts anew when the flow had no demand for a while. */
@@ -206,7 +206,7 @@
     }
 
     /** Requests of a flow refused in this term; starts anew when the flow had no demand for a while. */
-    public long refusedCount(Flow flow) {
-        return limiters.containsKey(flow) ? limiters.get(flow).refusedCount() : 0;
+    public long rejectedCount(Flow flow) {
+        return limiters.containsKey(flow) ? limiters.get(flow).rejectedCount() : 0;
     }
 }
--- a/src/main/java/stileferry/admission/FlowDemandSketch.java
+++ b/src/main/java/stileferry/admission/FlowDemandSketch.java
@@ -19,7 +19,7 @@
 
     private static final int BOUND_STANDARD_DEVIATIONS = 2;
 
-    private final Slice[] ring = new Slice[AdmissionConfig.DEMAND_SLICES];
+    private final Slice[] slices = new Slice[AdmissionConfig.DEMAND_SLICES];
 
     /** One time slice. */
     private static final class Slice {
@@ -61,22 +61,22 @@
     }
 
     private int index(long number) {
-        return (int) Math.floorMod(number, (long) ring.length);
+        return (int) Math.floorMod(number, (long) slices.length);
     }
 
     /** The slice of that number, which takes the place of the one that has left the sliding window. */
     private Slice slice(long number) {
         int index = index(number);
-        if (ring[index] == null || ring[index].number < number) {
-            ring[index] = new Slice(number);
+        if (slices[index] == null || slices[index].number < number) {
+            slices[index] = new Slice(number);
         }
-        return ring[index];
+        return slices[index];
     }
 
     /** The slices of the sliding window that ends with the current slice. */
-    private List<Slice> recent(long current) {
-        return Arrays.stream(ring)
-                .filter(slice -> slice != null && slice.number > current - ring.length)
+    private List<Slice> slicesInWindow(long current) {
+        return Arrays.stream(slices)
+                .filter(slice -> slice != null && slice.number > current - slices.length)
                 .toList();
     }
 
@@ -98,7 +98,7 @@
 
     /** The jobs that were submitted to this controller in the current slice; null: none. */
     CompactSketch ownSketch(long current) {
-        Slice slice = ring[index(current)];
+        Slice slice = slices[index(current)];
         if (slice == null || slice.number != current || slice.requested.isEmpty()) {
             return null;
         }
@@ -107,7 +107,7 @@
 
     /** Jobs that were submitted and not admitted within the sliding window. */
     DemandEstimate waitingJobs(long current) {
-        List<Slice> recent = recent(current);
+        List<Slice> recent = slicesInWindow(current);
         if (recent.isEmpty()) {
             return DemandEstimate.NONE;
         }
@@ -123,11 +123,13 @@
 
     /** Admissions within the sliding window. */
     int admissions(long current) {
-        return recent(current).stream().mapToInt(slice -> slice.admissions).sum();
+        return slicesInWindow(current).stream()
+                .mapToInt(slice -> slice.admissions)
+                .sum();
     }
 
     /** Whether the sliding window is empty, so that the flow can be dropped. */
     boolean isIdle(long current) {
-        return recent(current).isEmpty();
+        return slicesInWindow(current).isEmpty();
     }
 }
--- a/src/main/java/stileferry/admission/FlowRateLimiter.java
+++ b/src/main/java/stileferry/admission/FlowRateLimiter.java
@@ -21,7 +21,7 @@
 
     private long updatedAt;
     private long admittedCount;
-    private long refusedCount;
+    private long rejectedCount;
 
     /**
      * A flow that is not limited yet.
@@ -78,15 +78,15 @@
         admittedCount++;
     }
 
-    void countRefused() {
-        refusedCount++;
+    void countRejected() {
+        rejectedCount++;
     }
 
     long admittedCount() {
         return admittedCount;
     }
 
-    long refusedCount() {
-        return refusedCount;
+    long rejectedCount() {
+        return rejectedCount;
     }
 }
--- a/src/main/java/stileferry/admission/LoadShedder.java
+++ b/src/main/java/stileferry/admission/LoadShedder.java
@@ -29,7 +29,7 @@
     private long highestTerm;
     private long tableReceivedAt;
     private long tableValidUntil;
-    private long refusedCount;
+    private long rejectedCount;
     private long failingSince = NOT_FAILING;
 
     /**
@@ -110,7 +110,7 @@
 
     /** Seconds after which to retry a request; 0 if it is let through. */
     public int retryAfterS(Flow flow, String id, long now) {
-        if (!mayRefuse(id, now)) {
+        if (!mayReject(id, now)) {
             return 0;
         }
         double waitS = table.waitS(flow, id, tableAgeS(now));
@@ -118,11 +118,11 @@
             return 0;
         }
         demand.recordRequest(flow, id, now);
-        refusedCount++;
+        rejectedCount++;
         return AdmissionDecision.retryAfter(waitS).retryAfterS();
     }
 
-    private boolean mayRefuse(String id, long now) {
+    private boolean mayReject(String id, long now) {
         return acceptedJobs.getIfPresent(id) == null && hasValidTable(now) && deferredJobs.getIfPresent(id) == null;
     }
 
@@ -132,7 +132,7 @@
     }
 
     /** Requests refused here since the start. */
-    public long refusedCount() {
-        return refusedCount;
+    public long rejectedCount() {
+        return rejectedCount;
     }
 }
--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -1,8 +1,8 @@
 package stileferry.connectivity;
 
 import static stileferry.validation.InvalidInputException.require;
-import static stileferry.validation.InvalidInputException.requireName;
-import static stileferry.validation.InvalidInputException.requireTime;
+import static stileferry.validation.InvalidInputException.requireNonEmptyName;
+import static stileferry.validation.InvalidInputException.requireNonNegativeTime;
 
 import java.util.List;
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
@@ -32,7 +32,7 @@
     public Connectivity(ConnectivityConfig config, long incarnation, long now) {
         require(config != null, "config", "missing");
         require(incarnation > 0, "incarnation", "must be above 0");
-        requireTime(now);
+        requireNonNegativeTime(now);
         this.config = config;
         links = new ObservedLinks(config, now);
         probePlanner = new ProbePlanner(config);
@@ -82,7 +82,7 @@
 
     /** A worker is expected to exist, though no heartbeat of it has arrived; only a leader knows. */
     public void workerExpected(String worker, String address, long time) {
-        requireName(worker, "worker");
+        requireNonEmptyName(worker, "worker");
         require(address != null, "address", "missing");
         links.advance(time);
         links.workers.expected(worker, address, links.now());
@@ -104,14 +104,14 @@
 
     /** The worker's last heartbeat that was not relayed was answered. */
     public void heartbeatAnswered(String worker, long time) {
-        requireName(worker, "worker");
+        requireNonEmptyName(worker, "worker");
         links.advance(time);
         links.workers.heartbeatAnswered(worker, links.now());
     }
 
     /** A worker answered a request; {@code probe}: one from {@link #takeDueProbes}. */
     public void workerRequestAnswered(String worker, boolean probe, long time) {
-        requireName(worker, "worker");
+        requireNonEmptyName(worker, "worker");
         links.advance(time);
         trackProbedWorker(worker, probe);
         links.workers.requestAnswered(worker, probe, links.now());
@@ -119,7 +119,7 @@
 
     /** A worker did not answer a request; {@code probe}: one from {@link #takeDueProbes}. */
     public void workerRequestFailed(String worker, boolean probe, long time) {
-        requireName(worker, "worker");
+        requireNonEmptyName(worker, "worker");
         links.advance(time);
         trackProbedWorker(worker, probe);
         links.workers.requestFailed(worker, probe, links.now());
@@ -134,7 +134,7 @@
 
     /** A worker no longer exists. */
     public void workerRemoved(String worker, long time) {
-        requireName(worker, "worker");
+        requireNonEmptyName(worker, "worker");
         links.advance(time);
         links.workers.removed(worker);
     }
@@ -202,7 +202,7 @@
     /** Whether a fresh view of another controller, which is neither lagging nor failing requests, lists a worker. */
     public boolean peerKnowsWorker(String peer, String worker, long time) {
         PeerLink link = links.peers.get(peer);
-        requireName(worker, "worker");
+        requireNonEmptyName(worker, "worker");
         links.advance(time);
         return links.peers.fresh(link, links.now())
                 && !link.reportsLag()
@@ -273,7 +273,7 @@
 
     /** Whether the links permit the removal of a silent worker before its lease has expired. */
     public Verdict permitsRemovingWorker(String worker, long time) {
-        requireName(worker, "worker");
+        requireNonEmptyName(worker, "worker");
         links.advance(time);
         links.detectSilentWorkers();
         return permissions.permitsRemoving(worker);
--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -1,7 +1,7 @@
 package stileferry.connectivity;
 
 import static stileferry.validation.InvalidInputException.require;
-import static stileferry.validation.InvalidInputException.requireName;
+import static stileferry.validation.InvalidInputException.requireNonEmptyName;
 
 import java.util.HashSet;
 import java.util.List;
@@ -25,7 +25,7 @@
 
     /** Throws for names that are missing or repeated, and for times that are not positive. */
     public ConnectivityConfig {
-        requireName(self, "self");
+        requireNonEmptyName(self, "self");
         require(peers != null, "peers", "missing");
         peers = List.copyOf(peers);
         require(!peers.contains(self), "peers", "names this controller, " + self);
--- a/src/main/java/stileferry/connectivity/LeaderCandidate.java
+++ b/src/main/java/stileferry/connectivity/LeaderCandidate.java
@@ -28,7 +28,7 @@
 
     /** Checks the share. */
     public LeaderCandidate {
-        InvalidInputException.requireName(controller, "controller");
+        InvalidInputException.requireNonEmptyName(controller, "controller");
         InvalidInputException.require(workerShare >= 0 && workerShare <= 1, "workerShare", "not from 0 to 1");
         InvalidInputException.require(reachablePeers >= 0, "reachablePeers", "negative");
     }
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -1,6 +1,6 @@
 package stileferry.connectivity;
 
-import static stileferry.validation.InvalidInputException.requireTime;
+import static stileferry.validation.InvalidInputException.requireNonNegativeTime;
 
 import stileferry.connectivity.ReachabilityView.ControllerHealth;
 
@@ -34,7 +34,7 @@
 
     /** Advances the time; one before the last counts as the last. */
     void advance(long time) {
-        requireTime(time);
+        requireNonNegativeTime(time);
         now = Math.max(now, time);
     }
 
--- a/src/main/java/stileferry/connectivity/WorkerHeartbeat.java
+++ b/src/main/java/stileferry/connectivity/WorkerHeartbeat.java
@@ -14,7 +14,7 @@
 public record WorkerHeartbeat(String worker, String address, long incarnation, long sequence, boolean acceptedTerm) {
     /** Throws for missing names and negative numbers. */
     public WorkerHeartbeat {
-        InvalidInputException.requireName(worker, "worker");
+        InvalidInputException.requireNonEmptyName(worker, "worker");
         InvalidInputException.require(address != null, "address", "missing");
         InvalidInputException.require(incarnation >= 0, "incarnation", "negative");
         InvalidInputException.require(sequence >= 0, "sequence", "negative");
--- a/src/main/java/stileferry/coordination/AdmissionCounting.java
+++ b/src/main/java/stileferry/coordination/AdmissionCounting.java
@@ -35,7 +35,7 @@
     /** Has a job counted in the transaction that makes it durable. */
     void count(Job job) {
         if (started()) {
-            shards.count(job.entry(), AdmissionSettings.cell(settings, job.spec()));
+            shards.registerJob(job.entry(), AdmissionSettings.teamClass(settings, job.spec()));
         }
     }
 
--- a/src/main/java/stileferry/coordination/HeartbeatRouter.java
+++ b/src/main/java/stileferry/coordination/HeartbeatRouter.java
@@ -48,7 +48,7 @@
     void handleForwarded(byte[] body, Consumer<PeerMessage.Response> reply) {
         Heartbeat heartbeat = Heartbeat.read(body, leader.get()::lastHeartbeat);
         if (heartbeat == null) {
-            reply.accept(Responses.refusal(400, MALFORMED));
+            reply.accept(Responses.error(400, MALFORMED));
         } else {
             answer(heartbeat, true, (status, answer) -> reply.accept(new PeerMessage.Response(status, 0, answer)));
         }
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -200,7 +200,7 @@
         environment.schedule(Math.round(MS_PER_S * intervalS), this::tick);
         heartbeats.failureDetector().expireLeases();
         heartbeats.commandDispatcher().queueProbes();
-        jobRequests.answerOverdue();
+        jobRequests.expireOverdueReplies();
         connectionBudgetWarning.check(cluster.machines().size());
         heartbeatJournal.refuseExpired();
         if (election.leaseHeld()) {
@@ -272,7 +272,7 @@
     /** Whether a job is known: accepted, about to be, or over and asked for lately. */
     boolean knowsJob(String id) {
         return cluster.jobs().containsKey(id)
-                || jobRequests.knowsCompleted(id)
+                || jobRequests.hasCachedCompletion(id)
                 || cluster.unreadableJobs().contains(id);
     }
 
--- a/src/main/java/stileferry/coordination/LocalAdministration.java
+++ b/src/main/java/stileferry/coordination/LocalAdministration.java
@@ -24,7 +24,7 @@
         } else if (path.equals("admission") && isGet) {
             admission(reply);
         } else if (path.equals("counters")) {
-            reply.accept(Responses.view(isGet, this::counters));
+            reply.accept(Responses.readOnlyView(isGet, this::counters));
         } else {
             return false;
         }
@@ -34,14 +34,14 @@
     private PeerMessage.Response links(boolean isGet) {
         ObjectNode view = controller.links().describe();
         if (view == null) {
-            return Responses.refusal(404, "links: partial_cuts is off");
+            return Responses.error(404, "links: partial_cuts is off");
         }
-        return Responses.view(isGet, () -> view);
+        return Responses.readOnlyView(isGet, () -> view);
     }
 
     private void admission(Consumer<PeerMessage.Response> reply) {
         if (!controller.admission().describe(reply)) {
-            reply.accept(Responses.refusal(404, "admission: fair_admission is off"));
+            reply.accept(Responses.error(404, "admission: fair_admission is off"));
         }
     }
 
--- a/src/main/java/stileferry/coordination/PeerMessageHandler.java
+++ b/src/main/java/stileferry/coordination/PeerMessageHandler.java
@@ -32,7 +32,7 @@
         } else if (message instanceof PeerMessage.ForwardedRequest request) {
             userRequests.handleForwarded(request, reply::accept);
         } else if (message instanceof PeerMessage.RequestBatch batch && leader.get() != null) {
-            BatchResponder.to(batch.requests(), controller.environment(), userRequests::handleForwarded, reply);
+            BatchResponder.respondTo(batch.requests(), controller.environment(), userRequests::handleForwarded, reply);
         } else if (message instanceof PeerMessage.AdmissionExchange exchange) {
             reply.accept(orUnavailable(controller.admission().exchange(exchange)));
         } else if (message instanceof PeerMessage.LinkView view) {
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -78,7 +78,7 @@
         this.listener = listener;
         this.prefixes = new ArrayList<>(List.of(Job.PREFIX, CommitQueue.EVENT_LOG_PREFIX, LEGACY_CHUNK_PREFIX));
         if (readsAdmissionShards) {
-            prefixes.add(AdmissionCountShards.PREFIX);
+            prefixes.add(AdmissionCountShards.KEY_PREFIX);
         }
     }
 
@@ -155,7 +155,7 @@
                 operatorSettingsRevision,
                 assignments.size(),
                 reader.lastHeartbeats(),
-                rowsByPrefix.getOrDefault(AdmissionCountShards.PREFIX, List.of())));
+                rowsByPrefix.getOrDefault(AdmissionCountShards.KEY_PREFIX, List.of())));
     }
 
     private void buildJobs(List<KeyValue> rows) {
--- a/src/main/java/stileferry/overload/AdmissionCountShards.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -21,9 +21,9 @@
  */
 public final class AdmissionCountShards implements TransactionCounter {
     /** The prefix of the shards' keys; no version before this one reads or writes it. */
-    public static final String PREFIX = "n/";
+    public static final String KEY_PREFIX = "n/";
 
-    private static final String RUN = "run";
+    private static final String COUNTING_SINCE_TERM = "run";
     private static final String COMPLETE_UNTIL = "complete_until";
     private static final String COUNTS = "counts";
 
@@ -31,30 +31,30 @@
     private static final double MAX_VALUE_SHARE = 0.9;
 
     /** At most so many characters for a number and the punctuation around a name. */
-    private static final int NUMBER_LENGTH = 28;
+    private static final int MAX_NUMBER_CHARS = 28;
 
-    private final long run;
+    private final long countingSinceTerm;
     private final long completeUntil;
-    private final int maxLength;
-    private final List<OpenShard> shards = new ArrayList<>();
-    private final Map<StoredEntry, AdmissionCounts.TeamClass> uncounted = new IdentityHashMap<>();
+    private final int maxValueChars;
+    private final List<WritableShard> shards = new ArrayList<>();
+    private final Map<StoredEntry, AdmissionCounts.TeamClass> uncountedJobs = new IdentityHashMap<>();
 
     /** A shard that this term may write. */
-    private final class OpenShard {
+    private final class WritableShard {
         final AdmissionCounts counts = new AdmissionCounts();
         final StoredEntry entry;
 
-        OpenShard(String key, long revision) {
+        WritableShard(String key, long revision) {
             entry = new StoredEntry(key, revision, () -> write(counts));
         }
 
-        boolean takes(List<AdmissionCounts.TeamClass> cells) {
+        boolean hasRoomFor(List<AdmissionCounts.TeamClass> cells) {
             int addedLength = cells.stream()
                     .filter(cell -> !counts.contains(cell))
                     .mapToInt(
-                            cell -> 2 * (cell.team().length() + cell.jobClass().length()) + 2 * NUMBER_LENGTH)
+                            cell -> 2 * (cell.team().length() + cell.jobClass().length()) + 2 * MAX_NUMBER_CHARS)
                     .sum();
-            return !entry.inFlight() && write(counts).toString().length() + addedLength <= maxLength;
+            return !entry.inFlight() && write(counts).toString().length() + addedLength <= maxValueChars;
         }
     }
 
@@ -65,26 +65,26 @@
      * @param run the first term of the unbroken run of counting leaders that this one is of
      */
     public AdmissionCountShards(List<KeyValue> rows, long run, double maxValueKb) {
-        this.run = run;
-        this.maxLength = (int) (maxValueKb * 1024 * MAX_VALUE_SHARE);
+        this.countingSinceTerm = run;
+        this.maxValueChars = (int) (maxValueKb * 1024 * MAX_VALUE_SHARE);
         this.completeUntil = AdmissionTotals.completeUntilRevision(read(rows), run);
         for (KeyValue row : rows) {
-            OpenShard shard = new OpenShard(row.key(), row.revision());
+            WritableShard shard = new WritableShard(row.key(), row.revision());
             shard.counts.addAll(readShard(row).counts());
             shards.add(shard);
         }
     }
 
     /** Has a job counted in the transaction that makes it durable. */
-    public void count(StoredEntry job, AdmissionCounts.TeamClass cell) {
-        uncounted.put(job, cell);
+    public void registerJob(StoredEntry job, AdmissionCounts.TeamClass cell) {
+        uncountedJobs.put(job, cell);
     }
 
     @Override
     public StoredEntry count(List<StoredEntry> entries) {
         List<AdmissionCounts.TeamClass> cells = new ArrayList<>();
         for (StoredEntry entry : entries) {
-            AdmissionCounts.TeamClass cell = uncounted.remove(entry);
+            AdmissionCounts.TeamClass cell = uncountedJobs.remove(entry);
             if (cell != null) {
                 cells.add(cell);
             }
@@ -92,24 +92,24 @@
         if (cells.isEmpty()) {
             return null;
         }
-        OpenShard shard = shardFor(cells);
+        WritableShard shard = shardFor(cells);
         cells.forEach(cell -> shard.counts.add(cell, 1));
         return shard.entry;
     }
 
-    private OpenShard shardFor(List<AdmissionCounts.TeamClass> cells) {
-        for (OpenShard shard : shards) {
-            if (shard.takes(cells)) {
+    private WritableShard shardFor(List<AdmissionCounts.TeamClass> cells) {
+        for (WritableShard shard : shards) {
+            if (shard.hasRoomFor(cells)) {
                 return shard;
             }
         }
-        OpenShard added = new OpenShard(PREFIX + shards.size(), 0);
+        WritableShard added = new WritableShard(KEY_PREFIX + shards.size(), 0);
         shards.add(added);
         return added;
     }
 
     private ObjectNode write(AdmissionCounts counts) {
-        ObjectNode value = MessageCodec.map().put(RUN, run);
+        ObjectNode value = MessageCodec.map().put(COUNTING_SINCE_TERM, countingSinceTerm);
         if (completeUntil != AdmissionTotals.COMPLETE) {
             value.put(COMPLETE_UNTIL, completeUntil);
         }
@@ -135,7 +135,7 @@
         }
         return new AdmissionTotals.Shard(
                 counts,
-                row.value().path(RUN).asLong(),
+                row.value().path(COUNTING_SINCE_TERM).asLong(),
                 row.value().path(COMPLETE_UNTIL).asLong(AdmissionTotals.COMPLETE),
                 row.revision());
     }
--- a/src/main/java/stileferry/overload/AdmissionSettings.java
+++ b/src/main/java/stileferry/overload/AdmissionSettings.java
@@ -12,13 +12,13 @@
 /** What the settings say of admissions: weights, classes, and how many there may be. */
 public final class AdmissionSettings {
     /** The share of the key-value store's changes that controllers allow themselves. */
-    private static final double WRITE_SHARE = 0.85;
+    private static final double MAX_WRITE_SHARE = 0.85;
 
     /** Changes that each acceptance costs under load: its job's record, and the part of a count that others share. */
-    private static final double CHANGES_EACH_ACCEPTANCE = 1.25;
+    private static final double WRITES_PER_ACCEPTANCE = 1.25;
 
     /** Steps of the leader, and exchanges with it, in a heartbeat interval. */
-    private static final int STEPS_EACH_HEARTBEAT = 2;
+    private static final int INTERVALS_PER_HEARTBEAT = 2;
 
     private static final double MS_PER_S = 1000;
 
@@ -26,17 +26,18 @@
 
     /** Weights are the teams' guarantees; who has none counts like the average of those who have one. */
     public static AdmissionConfig config(Settings settings) {
-        double intervalMs = MS_PER_S * settings.workers().heartbeatIntervalS() / STEPS_EACH_HEARTBEAT;
-        double maxPerS = settings.keyValueStore().writesPerS() * WRITE_SHARE / CHANGES_EACH_ACCEPTANCE;
-        return new AdmissionConfig(weights(settings), classes(settings), Math.max(1, Math.round(intervalMs)), maxPerS);
+        double intervalMs = MS_PER_S * settings.workers().heartbeatIntervalS() / INTERVALS_PER_HEARTBEAT;
+        double maxPerS = settings.keyValueStore().writesPerS() * MAX_WRITE_SHARE / WRITES_PER_ACCEPTANCE;
+        return new AdmissionConfig(
+                weights(settings), namedClasses(settings), Math.max(1, Math.round(intervalMs)), maxPerS);
     }
 
     /**
      * Where a job's admission is counted: classes that the settings don't name are one, or users could make up any
      * number.
      */
-    public static AdmissionCounts.TeamClass cell(Settings settings, JobSpec spec) {
-        boolean named = classes(settings).contains(spec.jobClass());
+    public static AdmissionCounts.TeamClass teamClass(Settings settings, JobSpec spec) {
+        boolean named = namedClasses(settings).contains(spec.jobClass());
         return new AdmissionCounts.TeamClass(spec.team(), named ? spec.jobClass() : AdmissionConfig.OTHER_CLASSES);
     }
 
@@ -52,7 +53,7 @@
     }
 
     /** The classes that the settings name. */
-    private static Set<String> classes(Settings settings) {
+    private static Set<String> namedClasses(Settings settings) {
         return settings.objectives().stream()
                 .map(Settings.ServiceLevelObjective::jobClass)
                 .filter(name -> !name.isEmpty())
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -17,13 +17,13 @@
  */
 final class AdmissionTotalsReader {
     /** Reads of shards that changed between two pages before it is given up. */
-    private static final int MAX_READS = 3;
+    private static final int MAX_SCANS = 3;
 
     /** Where a run of counting leaders begins when nobody ever led. */
     private static final long FIRST_TERM = 1;
 
     private final KeyValueStoreClient store;
-    private long lastToldRevision;
+    private long lastReportedRevision;
 
     AdmissionTotalsReader(KeyValueStoreClient store) {
         this.store = store;
@@ -31,11 +31,11 @@
 
     /** Reads the totals; null: they can't be known now, or only older ones than were told before. */
     void read(Consumer<AdmissionTotals> then) {
-        readShards(MAX_READS, then);
+        readShards(MAX_SCANS, then);
     }
 
     private void readShards(int readsLeft, Consumer<AdmissionTotals> then) {
-        store.scan(AdmissionCountShards.PREFIX, false, scan -> {
+        store.scan(AdmissionCountShards.KEY_PREFIX, false, scan -> {
             if (scan.rows() == null || readsLeft == 0) {
                 then.accept(null);
             } else if (scan.rows().stream().anyMatch(row -> row.revision() > scan.firstRevision())) {
@@ -48,13 +48,13 @@
 
     private void readTerm(ScanResult scan, Consumer<AdmissionTotals> then) {
         store.get(LeaderElection.TERM_KEY, result -> {
-            if (result.unknown() || scan.firstRevision() < lastToldRevision) {
+            if (result.unknown() || scan.firstRevision() < lastReportedRevision) {
                 then.accept(null);
                 return;
             }
             List<AdmissionTotals.Shard> shards = AdmissionCountShards.read(scan.rows());
             long run = result.found() ? TermRecord.read(result.row()).admissionsCountedSince() : FIRST_TERM;
-            lastToldRevision = scan.firstRevision();
+            lastReportedRevision = scan.firstRevision();
             then.accept(AdmissionTotals.of(shards, run, scan.firstRevision()));
         });
     }
--- a/src/main/java/stileferry/overload/AdmissionView.java
+++ b/src/main/java/stileferry/overload/AdmissionView.java
@@ -20,7 +20,7 @@
         ObjectNode view = MessageCodec.map()
                 .put("leads", controller != null)
                 .put("holds_table", loadShedder.hasValidTable(now))
-                .put("refused_at_door", loadShedder.refusedCount());
+                .put("refused_at_door", loadShedder.rejectedCount());
         if (loadShedder.lastTable() != null) {
             view.put("table_term", loadShedder.lastTable().term())
                     .put("table_sequence", loadShedder.lastTable().sequence())
@@ -48,7 +48,7 @@
                     .put("waiting_most", waiting.upperBound())
                     .put("share_per_s", shares.getOrDefault(flow, 0.0))
                     .put("admitted", controller.admittedCount(flow))
-                    .put("refused", controller.refusedCount(flow));
+                    .put("refused", controller.rejectedCount(flow));
         }
     }
 }
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -31,7 +31,7 @@
     private static final Logger LOG = LoggerFactory.getLogger("admission");
 
     /** Accepted jobs that are remembered for each socket: users ask again over some of them at a time. */
-    private static final int REMEMBERED_EACH_SOCKET = 2;
+    private static final int REMEMBERED_JOBS_PER_SOCKET = 2;
 
     /** Batches of status requests that are in flight. */
     private static final int MAX_STATUS_BATCHES = 2;
@@ -45,7 +45,7 @@
     /** A saturated leader leaves users to the others for so long: half of the users' patience. */
     private static final long SHED_USERS_MS = Math.round(1000 * AdmissionConfig.CLIENT_RETRY_TIMEOUT_S / 2);
 
-    private static final byte[] OUT_OF_TURN =
+    private static final byte[] NOT_YET_ADMISSIBLE_BODY =
             MessageCodec.encode(UserMessages.error("too much is asked, come back then"));
 
     private final Environment environment;
@@ -59,10 +59,10 @@
     /** Null while this controller does not lead. */
     private AdmissionController controller;
 
-    private boolean exchanging;
-    private long saturatedAt = Long.MIN_VALUE / 2;
-    private long exchangedAt = Long.MIN_VALUE / 2;
-    private int closedFlows;
+    private boolean exchangeInFlight;
+    private long lastSaturatedAt = Long.MIN_VALUE / 2;
+    private long lastExchangeAt = Long.MIN_VALUE / 2;
+    private int limitedFlows;
 
     /** The name of the leader whose table this controller has; others are not sent batches. */
     private String tableLeader = "";
@@ -71,7 +71,7 @@
     public FairAdmission(Settings settings, Environment environment, KeyValueStoreClient store) {
         this.environment = environment;
         this.config = AdmissionSettings.config(settings);
-        this.loadShedder = new LoadShedder(config, REMEMBERED_EACH_SOCKET * settings.maxSockets());
+        this.loadShedder = new LoadShedder(config, REMEMBERED_JOBS_PER_SOCKET * settings.maxSockets());
         this.totalsReader = new AdmissionTotalsReader(store);
         this.statusRequests = new RequestForwarder(environment, MAX_STATUS_BATCHES);
         this.changeRequests = new RequestForwarder(environment, MAX_CHANGE_BATCHES);
@@ -93,11 +93,11 @@
         loadShedder.observeTerm(host.term());
         long now = environment.now();
         if (controller != null) {
-            saturatedAt = host.saturated() ? now : saturatedAt;
+            lastSaturatedAt = host.saturated() ? now : lastSaturatedAt;
             controller.updateShares(pressure(), now);
             loadShedder.updateTable(controller.table(), now, now);
-            logClosed();
-        } else if (host.leaderPeer() != null && !exchanging) {
+            logLimitingChange();
+        } else if (host.leaderPeer() != null && !exchangeInFlight) {
             exchangeWith(host.leaderPeer());
         }
     }
@@ -109,38 +109,40 @@
         return host.overloaded() ? BackPressure.LEADER : BackPressure.NONE;
     }
 
-    private void logClosed() {
+    private void logLimitingChange() {
         int nowClosed = controller.table().windows().size();
-        if (nowClosed > 0 != closedFlows > 0) {
+        if (nowClosed > 0 != limitedFlows > 0) {
             LOG.info(
                     "admission turns changed: closed_flows={} admissions_per_s={}",
                     nowClosed,
                     controller.capacityPerS());
         }
-        closedFlows = nowClosed;
+        limitedFlows = nowClosed;
     }
 
     /** A leader has work that nobody else can do; the others can take its users, as long as they exchange with it. */
     @Override
     public boolean shedsUsers() {
         long now = environment.now();
-        return controller != null && now - saturatedAt < SHED_USERS_MS && now - exchangedAt < config.tableValidityMs();
+        return controller != null
+                && now - lastSaturatedAt < SHED_USERS_MS
+                && now - lastExchangeAt < config.tableValidityMs();
     }
 
     private void exchangeWith(Settings.Peer leader) {
-        exchanging = true;
+        exchangeInFlight = true;
         long askedAt = environment.now();
         byte[] demand = AdmissionCodec.encode(loadShedder.demandReport(askedAt));
         environment.sendToPeer(leader, new PeerMessage.AdmissionExchange(demand), config.tableValidityMs(), record -> {
-            exchanging = false;
+            exchangeInFlight = false;
             tableLeader = "";
             if (record instanceof PeerMessage.AdmissionExchange answer) {
-                takeTable(leader, answer, askedAt);
+                applyTable(leader, answer, askedAt);
             }
         });
     }
 
-    private void takeTable(Settings.Peer leader, PeerMessage.AdmissionExchange answer, long askedAt) {
+    private void applyTable(Settings.Peer leader, PeerMessage.AdmissionExchange answer, long askedAt) {
         try {
             loadShedder.observeTerm(host.term());
             loadShedder.updateTable(AdmissionCodec.decodeTable(answer.message()), askedAt, environment.now());
@@ -157,7 +159,7 @@
         }
         try {
             controller.mergeDemand(AdmissionCodec.decodeDemand(message.message()), environment.now());
-            exchangedAt = environment.now();
+            lastExchangeAt = environment.now();
         } catch (InvalidInputException e) {
             LOG.info("admission demand invalid: reason={}", e.getMessage());
             return null;
@@ -190,9 +192,9 @@
         }
         int retryAfterS = retryAfterS(flow, header.id());
         if (retryAfterS > 0) {
-            reply.accept(new PeerMessage.Response(503, retryAfterS, OUT_OF_TURN));
+            reply.accept(new PeerMessage.Response(503, retryAfterS, NOT_YET_ADMISSIBLE_BODY));
         } else {
-            passOn.accept(answer -> reply.accept(remember(header.id(), answer)));
+            passOn.accept(answer -> reply.accept(recordOutcome(header.id(), answer)));
         }
     }
 
@@ -221,7 +223,7 @@
      * Remembers who was accepted; who is refused for an outage comes back later the longer it lasts, and not with all
      * others.
      */
-    private PeerMessage.Response remember(String id, PeerMessage.Response answer) {
+    private PeerMessage.Response recordOutcome(String id, PeerMessage.Response answer) {
         if (answer.status() == 200 || answer.status() == 201) {
             loadShedder.recordAccepted(id);
         } else if (answer.status() == 503) {
--- a/src/main/java/stileferry/overload/RequestForwarder.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -15,18 +15,18 @@
  */
 final class RequestForwarder {
     /** Requests that may wait: a few full batches. */
-    private static final int MAX_WAITING = 4 * PeerMessage.MAX_BATCH_REQUESTS;
+    private static final int MAX_QUEUED_REQUESTS = 4 * PeerMessage.MAX_BATCH_REQUESTS;
 
     /** Bytes of the bodies in one batch, well below what a record may hold. */
     private static final int MAX_BATCH_BYTES = MessageCodec.MAX_BODY;
 
     private final Environment environment;
     private final int maxBatchesInFlight;
-    private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
+    private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
     private int batchesInFlight;
 
     /** One request with the time at which its user has to hear something. */
-    private record Waiting(
+    private record QueuedRequest(
             Settings.Peer leader, PeerMessage.ForwardedRequest request, long deadlineMs, Consumer<PeerMessage> reply) {}
 
     /** With so many batches in flight at most. */
@@ -39,11 +39,11 @@
     void send(
             Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
         dropExpired();
-        if (queue.size() >= MAX_WAITING) {
+        if (queue.size() >= MAX_QUEUED_REQUESTS) {
             reply.accept(null);
             return;
         }
-        queue.add(new Waiting(leader, request, environment.now() + patienceMs, reply));
+        queue.add(new QueuedRequest(leader, request, environment.now() + patienceMs, reply));
         flush();
     }
 
@@ -61,9 +61,9 @@
     }
 
     /** The oldest request and those behind it that go to the same controller, as many as fit. */
-    private List<Waiting> nextBatch() {
+    private List<QueuedRequest> nextBatch() {
         Settings.Peer leader = queue.peek().leader;
-        List<Waiting> batch = new ArrayList<>();
+        List<QueuedRequest> batch = new ArrayList<>();
         int bytes = 0;
         while (!queue.isEmpty()
                 && batch.size() < PeerMessage.MAX_BATCH_REQUESTS
@@ -75,11 +75,11 @@
         return batch;
     }
 
-    private void sendBatch(List<Waiting> batch) {
+    private void sendBatch(List<QueuedRequest> batch) {
         batchesInFlight++;
         long patienceMs = Math.max(1, batch.get(0).deadlineMs - environment.now());
         List<PeerMessage.ForwardedRequest> requests =
-                batch.stream().map(Waiting::request).toList();
+                batch.stream().map(QueuedRequest::request).toList();
         environment.sendToPeer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), patienceMs, message -> {
             batchesInFlight--;
             List<PeerMessage.Response> answers =
--- a/src/main/java/stileferry/requests/AdministrationHandler.java
+++ b/src/main/java/stileferry/requests/AdministrationHandler.java
@@ -31,16 +31,18 @@
             }
             case "settings/reset" -> {
                 if (request.isGet()) {
-                    reply.accept(Responses.refusal(405, "only POST here"));
+                    reply.accept(Responses.error(405, "only POST here"));
                 } else {
                     settings.reset(request.body(), reply);
                 }
             }
-            case "leader" -> reply.accept(Responses.view(request.isGet(), leaderView));
-            case "machines" -> reply.accept(Responses.view(request.isGet(), () -> views.machines(request.from())));
-            case "queue" -> reply.accept(Responses.view(request.isGet(), () -> views.queue(request.from())));
-            case "teams" -> reply.accept(Responses.view(request.isGet(), views::teams));
-            default -> reply.accept(Responses.refusal(404, "no such path"));
+            case "leader" -> reply.accept(Responses.readOnlyView(request.isGet(), leaderView));
+            case "machines" ->
+                reply.accept(Responses.readOnlyView(request.isGet(), () -> views.machines(request.startAfter())));
+            case "queue" ->
+                reply.accept(Responses.readOnlyView(request.isGet(), () -> views.queue(request.startAfter())));
+            case "teams" -> reply.accept(Responses.readOnlyView(request.isGet(), views::teams));
+            default -> reply.accept(Responses.error(404, "no such path"));
         }
     }
 }
--- a/src/main/java/stileferry/requests/AdministrationViews.java
+++ b/src/main/java/stileferry/requests/AdministrationViews.java
@@ -14,7 +14,7 @@
 /** The leader's views of machines, queue and teams in the administration API. */
 public final class AdministrationViews {
     /** Answers stay well below the limit of a body; measured in characters of JSON. */
-    private static final int MAX_LIST_LENGTH = MessageCodec.MAX_BODY / 2;
+    private static final int MAX_PAGE_CHARS = MessageCodec.MAX_BODY / 2;
 
     private static final double MS_PER_S = 1000.0;
 
@@ -38,11 +38,11 @@
                 continue;
             }
             if (page.isFull()) {
-                return page.answer(true);
+                return page.finish(true);
             }
             page.add(describe(machine, now));
         }
-        return page.answer(false);
+        return page.finish(false);
     }
 
     private static ObjectNode describe(Machine machine, long now) {
@@ -93,11 +93,11 @@
                 continue;
             }
             if (page.isFull()) {
-                return page.answer(true);
+                return page.finish(true);
             }
             page.add(describe(job, position, now));
         }
-        return page.answer(false);
+        return page.finish(false);
     }
 
     private ObjectNode describe(Job job, int position, long now) {
@@ -145,26 +145,26 @@
 
     /** A list that ends where the answer would become too long. */
     private static final class Page {
-        private final ObjectNode answer = MessageCodec.map();
+        private final ObjectNode view = MessageCodec.map();
         private final ArrayNode list;
-        private int length;
+        private int chars;
 
         Page(String name) {
-            list = answer.putArray(name);
+            list = view.putArray(name);
         }
 
         boolean isFull() {
-            return length > MAX_LIST_LENGTH;
+            return chars > MAX_PAGE_CHARS;
         }
 
         void add(ObjectNode element) {
             list.add(element);
-            length += element.toString().length();
+            chars += element.toString().length();
         }
 
         /** The page; {@code more}: whether the list goes on. */
-        ObjectNode answer(boolean more) {
-            return answer.put("more", more);
+        ObjectNode finish(boolean more) {
+            return view.put("more", more);
         }
     }
 }
--- a/src/main/java/stileferry/requests/BatchResponder.java
+++ b/src/main/java/stileferry/requests/BatchResponder.java
@@ -15,12 +15,12 @@
     /** Most are answered at once; one about a completed job may need a read. */
     private static final long STATUS_TIMEOUT_MS = 500;
 
-    private final PeerMessage.Response[] answers;
+    private final PeerMessage.Response[] responses;
     private final Consumer<PeerMessage> reply;
     private int unanswered;
 
     /** Has each request of a batch answered, and replies as soon as all of them are. */
-    public static void to(
+    public static void respondTo(
             List<PeerMessage.ForwardedRequest> requests,
             Environment environment,
             BiConsumer<PeerMessage.ForwardedRequest, Consumer<PeerMessage.Response>> handler,
@@ -28,35 +28,35 @@
         BatchResponder batch = new BatchResponder(environment, requests, reply);
         for (int i = 0; i < requests.size(); i++) {
             int index = i;
-            handler.accept(requests.get(i), answer -> batch.answer(index, answer));
+            handler.accept(requests.get(i), answer -> batch.record(index, answer));
         }
     }
 
     private BatchResponder(
             Environment environment, List<PeerMessage.ForwardedRequest> requests, Consumer<PeerMessage> reply) {
-        this.answers = new PeerMessage.Response[requests.size()];
-        this.unanswered = answers.length;
+        this.responses = new PeerMessage.Response[requests.size()];
+        this.unanswered = responses.length;
         this.reply = reply;
         boolean onlyStatus = requests.stream().allMatch(request -> request.kind() == PeerMessage.RequestKind.STATUS);
         if (onlyStatus) {
-            environment.schedule(STATUS_TIMEOUT_MS, this::refuseUnanswered);
+            environment.schedule(STATUS_TIMEOUT_MS, this::failUnanswered);
         }
     }
 
-    private void answer(int index, PeerMessage.Response answer) {
-        if (answers[index] != null) {
+    private void record(int index, PeerMessage.Response answer) {
+        if (responses[index] != null) {
             return;
         }
-        answers[index] = answer;
+        responses[index] = answer;
         unanswered--;
         if (unanswered == 0) {
-            reply.accept(new PeerMessage.ResponseBatch(Arrays.asList(answers)));
+            reply.accept(new PeerMessage.ResponseBatch(Arrays.asList(responses)));
         }
     }
 
-    private void refuseUnanswered() {
-        for (int i = 0; i < answers.length; i++) {
-            answer(i, Responses.unavailable());
+    private void failUnanswered() {
+        for (int i = 0; i < responses.length; i++) {
+            record(i, Responses.unavailable());
         }
     }
 }
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -81,8 +81,8 @@
     }
 
     /** Users whose change is not durable in time hear at once that it isn't known yet, and when to come back. */
-    public void answerOverdue() {
-        pendingReplies.refuseOverdue(leader.mayAnswer());
+    public void expireOverdueReplies() {
+        pendingReplies.expireOverdue(leader.mayAnswer());
     }
 
     @Override
@@ -96,7 +96,7 @@
     }
 
     /** Whether a job's end was looked up or came up lately. */
-    public boolean knowsCompleted(String id) {
+    public boolean hasCachedCompletion(String id) {
         return completedJobs.get(id) != null;
     }
 
@@ -116,13 +116,13 @@
         }
         Submission submission = Submission.read(bytes);
         if (submission == null) {
-            reply.accept(Responses.refusal(400, "not a map with a valid job id"));
+            reply.accept(Responses.error(400, "not a map with a valid job id"));
             return;
         }
         String id = submission.jobId();
         Job job = cluster.jobs().get(id);
         if (job != null) {
-            answerIdempotent(job, reply);
+            answerResubmission(job, reply);
             return;
         }
         if (cluster.unreadableJobs().contains(id)) {
@@ -136,7 +136,7 @@
                     503, retryAfterS, MessageCodec.encode(UserMessages.error("too much to do, try again"))));
             return;
         }
-        answerIfCompleted(id, reply, () -> submitUnknown(submission, urgent, reply));
+        answerIfCompleted(id, reply, () -> submitNew(submission, urgent, reply));
     }
 
     /** Seconds after which a submission is worth another try when the key-value store is behind; 0: it is not. */
@@ -146,20 +146,20 @@
     }
 
     /** Takes a job that had not ended when that was asked; the same job may have come, or ended, in between. */
-    private void submitUnknown(Submission submission, boolean urgent, Consumer<PeerMessage.Response> reply) {
+    private void submitNew(Submission submission, boolean urgent, Consumer<PeerMessage.Response> reply) {
         String id = submission.jobId();
         Job submittedMeanwhile = cluster.jobs().get(id);
         CompletedJob completedMeanwhile = completedJobs.get(id);
         if (submittedMeanwhile != null) {
-            answerIdempotent(submittedMeanwhile, reply);
+            answerResubmission(submittedMeanwhile, reply);
         } else if (completedMeanwhile != null) {
             reply.accept(JobResponses.completed(id, completedMeanwhile));
         } else {
-            check(submission, urgent, reply);
+            validateAndAccept(submission, urgent, reply);
         }
     }
 
-    private void answerIdempotent(Job job, Consumer<PeerMessage.Response> reply) {
+    private void answerResubmission(Job job, Consumer<PeerMessage.Response> reply) {
         if (job.accepted()) {
             reply.accept(JobResponses.state(job));
         } else {
@@ -167,21 +167,21 @@
         }
     }
 
-    private void check(Submission submission, boolean urgent, Consumer<PeerMessage.Response> reply) {
+    private void validateAndAccept(Submission submission, boolean urgent, Consumer<PeerMessage.Response> reply) {
         JobSpec spec;
         try {
             spec = submission.jobSpec();
         } catch (InvalidJobSpecException e) {
-            reply.accept(Responses.refusal(400, e.getMessage()));
+            reply.accept(Responses.error(400, e.getMessage()));
             return;
         }
-        PeerMessage.Response refusal = submissionCheck.refusal(spec);
+        PeerMessage.Response refusal = submissionCheck.rejection(spec);
         if (refusal != null) {
             reply.accept(refusal);
             return;
         }
         Job job = new Job(spec, leader.nextSequenceNumber(), environment.timeOfDay(), 0);
-        PeerMessage.Response recordRefusal = submissionCheck.recordRefusal(job);
+        PeerMessage.Response recordRefusal = submissionCheck.recordRejection(job);
         if (recordRefusal != null) {
             reply.accept(recordRefusal);
             return;
@@ -225,7 +225,7 @@
         }
         answerIfCompleted(id, reply, () -> {
             Job submittedMeanwhile = cluster.jobs().get(id);
-            reply.accept(submittedMeanwhile != null ? JobResponses.state(submittedMeanwhile) : completedMeanwhile(id));
+            reply.accept(submittedMeanwhile != null ? JobResponses.state(submittedMeanwhile) : completedOrNotFound(id));
         });
     }
 
@@ -243,7 +243,7 @@
                     id,
                     reply,
                     () -> reply.accept(
-                            cluster.jobs().containsKey(id) ? Responses.unavailable() : completedMeanwhile(id)));
+                            cluster.jobs().containsKey(id) ? Responses.unavailable() : completedOrNotFound(id)));
         } else if (!job.accepted()) {
             reply.accept(Responses.unavailable());
         } else if (job.cancellationConfirmed()) {
@@ -279,8 +279,8 @@
     }
 
     /** The answer about a job that is not alive and had not ended when that was asked: it may have lived in between. */
-    private PeerMessage.Response completedMeanwhile(String id) {
+    private PeerMessage.Response completedOrNotFound(String id) {
         CompletedJob completed = completedJobs.get(id);
-        return completed == null ? Responses.refusal(404, "no such job") : JobResponses.completed(id, completed);
+        return completed == null ? Responses.error(404, "no such job") : JobResponses.completed(id, completed);
     }
 }
--- a/src/main/java/stileferry/requests/OperatorSettingsHandler.java
+++ b/src/main/java/stileferry/requests/OperatorSettingsHandler.java
@@ -21,7 +21,7 @@
     private final Consumer<OperatorSettings> onDurable;
 
     /** The settings with all changes, also those that are not durable yet. */
-    private OperatorSettings pending;
+    private OperatorSettings pendingSettings;
 
     /**
      * A handler for one term.
@@ -33,9 +33,10 @@
             ClusterState cluster, CommitQueue commitQueue, long storedRevision, Consumer<OperatorSettings> onDurable) {
         this.cluster = cluster;
         this.commitQueue = commitQueue;
-        this.entry = new StoredEntry(LeaderElection.OPERATOR_SETTINGS_KEY, storedRevision, () -> pending.write());
+        this.entry =
+                new StoredEntry(LeaderElection.OPERATOR_SETTINGS_KEY, storedRevision, () -> pendingSettings.write());
         this.onDurable = onDurable;
-        this.pending = cluster.operatorSettings();
+        this.pendingSettings = cluster.operatorSettings();
     }
 
     PeerMessage.Response describe() {
@@ -44,12 +45,12 @@
 
     /** Changes the settings that are named in the body. */
     void change(byte[] body, Consumer<PeerMessage.Response> reply) {
-        apply(body, request -> pending.with(request.path("change")), reply);
+        apply(body, request -> pendingSettings.with(request.path("change")), reply);
     }
 
     /** Puts the settings that are named in the body, or all, back to their defaults. */
     void reset(byte[] body, Consumer<PeerMessage.Response> reply) {
-        apply(body, request -> pending.reset(request.path("names")), reply);
+        apply(body, request -> pendingSettings.reset(request.path("names")), reply);
     }
 
     /** Makes new settings from a request. */
@@ -60,21 +61,21 @@
     private void apply(byte[] body, Change change, Consumer<PeerMessage.Response> reply) {
         JsonNode request = MessageCodec.decode(body);
         if (request == null || !request.isObject() || !request.path(REVISION).isIntegralNumber()) {
-            reply.accept(Responses.refusal(400, "revision: missing or not a whole number"));
+            reply.accept(Responses.error(400, "revision: missing or not a whole number"));
             return;
         }
-        if (request.path(REVISION).asLong() != pending.revision()) {
-            reply.accept(Responses.refusal(409, "revision: now at " + pending.revision()));
+        if (request.path(REVISION).asLong() != pendingSettings.revision()) {
+            reply.accept(Responses.error(409, "revision: now at " + pendingSettings.revision()));
             return;
         }
         OperatorSettings changed;
         try {
             changed = change.apply(request);
         } catch (InvalidOperatorSettingException e) {
-            reply.accept(Responses.refusal(400, e.getMessage()));
+            reply.accept(Responses.error(400, e.getMessage()));
             return;
         }
-        pending = changed;
+        pendingSettings = changed;
         commitQueue.put(entry, () -> {
             onDurable.accept(changed);
             reply.accept(Responses.ok(200, changed.describe()));
--- a/src/main/java/stileferry/requests/PendingReplies.java
+++ b/src/main/java/stileferry/requests/PendingReplies.java
@@ -20,7 +20,7 @@
     private final Map<Job, Waiters> waitersByJob = new LinkedHashMap<>();
 
     /** The replies that wait for one job, and when the first of them came, in milliseconds on the steady clock. */
-    private record Waiters(long since, List<Consumer<PeerMessage.Response>> replies) {}
+    private record Waiters(long firstAddedAt, List<Consumer<PeerMessage.Response>> replies) {}
 
     PendingReplies(Environment environment) {
         this.environment = environment;
@@ -43,11 +43,11 @@
     }
 
     /** Refuses those who have waited too long, or all of them when nothing may be told any more. */
-    void refuseOverdue(boolean mayAnswer) {
+    void expireOverdue(boolean mayAnswer) {
         long now = environment.now();
         for (Job job : List.copyOf(waitersByJob.keySet())) {
             Waiters waiters = waitersByJob.get(job);
-            if (waiters != null && (!mayAnswer || now - waiters.since > DURABILITY_TIMEOUT_MS)) {
+            if (waiters != null && (!mayAnswer || now - waiters.firstAddedAt > DURABILITY_TIMEOUT_MS)) {
                 answer(job, Responses.unavailable());
             }
         }
--- a/src/main/java/stileferry/requests/Responses.java
+++ b/src/main/java/stileferry/requests/Responses.java
@@ -28,13 +28,13 @@
     }
 
     /** A refusal that is the same however often the request is repeated. */
-    public static PeerMessage.Response refusal(int status, String reason) {
+    public static PeerMessage.Response error(int status, String reason) {
         return new PeerMessage.Response(status, 0, MessageCodec.encode(UserMessages.error(reason)));
     }
 
     /** A view of the administration API, which can only be read. */
-    public static PeerMessage.Response view(boolean isGet, Supplier<ObjectNode> view) {
-        return isGet ? ok(200, view.get()) : refusal(405, "only GET here");
+    public static PeerMessage.Response readOnlyView(boolean isGet, Supplier<ObjectNode> view) {
+        return isGet ? ok(200, view.get()) : error(405, "only GET here");
     }
 
     private static PeerMessage.Response unavailable(String reason) {
--- a/src/main/java/stileferry/requests/SubmissionCheck.java
+++ b/src/main/java/stileferry/requests/SubmissionCheck.java
@@ -12,7 +12,7 @@
     private static final double MAX_RECORD_SHARE = 0.9;
 
     private static final int BYTES_PER_KB = 1024;
-    private static final int UNPROCESSABLE = 422;
+    private static final int HTTP_UNPROCESSABLE = 422;
 
     private final ClusterState cluster;
 
@@ -21,28 +21,28 @@
     }
 
     /** Why a job can't be accepted; null: it can. */
-    PeerMessage.Response refusal(JobSpec spec) {
+    PeerMessage.Response rejection(JobSpec spec) {
         Settings.Team team = cluster.settings().team(spec.team());
         if (team == null) {
-            return refuse("unknown team");
+            return reject("unknown team");
         }
         if (cluster.machineTypes().isEmpty()) {
             return Responses.unavailable();
         }
         if (cluster.machineTypes().stream().noneMatch(spec::fitsType)) {
-            return refuse("a task fits no allowed machine type");
+            return reject("a task fits no allowed machine type");
         }
         if (!spec.canRunTogether(cluster.machineTypes())) {
-            return refuse("its tasks can't all run at the same time");
+            return reject("its tasks can't all run at the same time");
         }
-        return exceedsLimit(spec, team) ? refuse("more than the team's limit") : null;
+        return exceedsLimit(spec, team) ? reject("more than the team's limit") : null;
     }
 
     /** Why the record of a job can't be stored; null: it can. */
-    PeerMessage.Response recordRefusal(Job job) {
+    PeerMessage.Response recordRejection(Job job) {
         double maxLength = cluster.settings().keyValueStore().maxValueKb() * BYTES_PER_KB * MAX_RECORD_SHARE;
         int length = job.entry().value().toString().length();
-        return length > maxLength ? refuse("its description is larger than can be kept") : null;
+        return length > maxLength ? reject("its description is larger than can be kept") : null;
     }
 
     /** Whether a job could never run under its team's limit; of an array one task has to fit, of others all. */
@@ -52,7 +52,7 @@
                 || team.gpusMax() > 0 && tasks * spec.gpus() > team.gpusMax();
     }
 
-    private static PeerMessage.Response refuse(String reason) {
-        return Responses.refusal(UNPROCESSABLE, reason);
+    private static PeerMessage.Response reject(String reason) {
+        return Responses.error(HTTP_UNPROCESSABLE, reason);
     }
 }
--- a/src/main/java/stileferry/validation/InvalidInputException.java
+++ b/src/main/java/stileferry/validation/InvalidInputException.java
@@ -25,12 +25,12 @@
     }
 
     /** Refuses a negative time. */
-    public static void requireTime(long now) {
+    public static void requireNonNegativeTime(long now) {
         require(now >= 0, "now", "negative time " + now);
     }
 
     /** Refuses a missing or empty name. */
-    public static void requireName(String name, String argument) {
+    public static void requireNonEmptyName(String name, String argument) {
         require(name != null && !name.isEmpty(), argument, "missing or empty");
     }
 }
--- a/src/test/java/stileferry/admission/AdmissionCodecTest.java
+++ b/src/test/java/stileferry/admission/AdmissionCodecTest.java
@@ -14,18 +14,18 @@
 /** Truncated messages; the bytes themselves are pinned by the golden tests. */
 class AdmissionCodecTest {
     @Test
-    void messagesTruncatedAnywhereAreRefused() {
+    void messagesTruncatedAtAnyByteAreRejected() {
         byte[] table = AdmissionCodec.encode(tableLimitingRed(1, 1));
         assertEquals(tableLimitingRed(1, 1), AdmissionCodec.decodeTable(table));
-        assertRefusedWhenTruncated("table", table, AdmissionCodec::decodeTable);
+        assertRejectedWhenTruncated("table", table, AdmissionCodec::decodeTable);
 
         DemandEstimator demand = new DemandEstimator(CONFIG);
         demand.recordRequest(RED, "job-1", 1);
         byte[] report = AdmissionCodec.encode(new DemandReport(demand.currentSketches(1)));
-        assertRefusedWhenTruncated("demand", report, AdmissionCodec::decodeDemand);
+        assertRejectedWhenTruncated("demand", report, AdmissionCodec::decodeDemand);
     }
 
-    private static void assertRefusedWhenTruncated(String argument, byte[] message, Function<byte[], Object> decoder) {
+    private static void assertRejectedWhenTruncated(String argument, byte[] message, Function<byte[], Object> decoder) {
         for (int length = 0; length < message.length; length++) {
             byte[] truncated = Arrays.copyOf(message, length);
             assertInvalid(argument, () -> assertFalse(decoder.apply(truncated) == null));
--- a/src/test/java/stileferry/admission/AdmissionControllerTest.java
+++ b/src/test/java/stileferry/admission/AdmissionControllerTest.java
@@ -33,7 +33,7 @@
 
     /** The next leader continues the admission windows, so that retry times told before still hold. */
     @Test
-    void admissionWindowsContinueAfterAFailover() {
+    void admissionWindowsKeepTheirPositionsAcrossAFailover() {
         AdmissionController first = new AdmissionController(CONFIG, 1, null, 0);
         submitEveryInterval(first, 30, 20_000);
         double before = first.table().windows().get(RED).position();
@@ -47,7 +47,7 @@
 
     /** A team that was idle has its fair share at once, however many others wait, but no credit for the idle time. */
     @Test
-    void anIdleTeamHasItsFairShareWithinOneInterval() {
+    void anIdleTeamGetsItsFairShareAtOnceWithoutCreditForIdleTime() {
         AdmissionController controller = new AdmissionController(CONFIG, 1, null, 0);
         submitEveryInterval(controller, 50, 60_000);
         int red = 0;
--- a/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
+++ b/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
@@ -60,7 +60,7 @@
     }
 
     @Property(tries = 300)
-    void noFlowStarvesAndTheMostUrgentTierComesFirst(
+    void noFlowStarvesAndTheMostUrgentTierIsServedFirst(
             @ForAll @Size(min = 1, max = 24) List<@DoubleRange(min = 0.1, max = 50) Double> demandByFlow,
             @ForAll @DoubleRange(min = 0.1, max = 100) double capacity) {
         SortedMap<Flow, Double> demands = demands(demandByFlow);
@@ -122,7 +122,7 @@
 
     /** Sketches against exact counts: exact below the nominal entries, within the error bound beyond. */
     @Property(tries = 60)
-    void demandEstimatesKeepTheirErrorBounds(
+    void demandEstimatesStayWithinTheirErrorBounds(
             @ForAll @IntRange(min = 0, max = 3000) int requested,
             @ForAll @IntRange(min = 0, max = 3000) int maxAdmitted) {
         DemandEstimator demand = new DemandEstimator(CONFIG);
@@ -145,7 +145,7 @@
 
     /** At any speed every job is in the window once a round, and is in it when it was told to retry. */
     @Property(tries = 500)
-    void everyJobIsInTheWindowOnceARoundAndWhenTold(
+    void everyJobIsInTheWindowOncePerRoundAndAtItsRetryTime(
             @ForAll @DoubleRange(min = 0, max = 0.99) double position,
             @ForAll @DoubleRange(min = 0.01, max = 0.16) double roundsPerS,
             @ForAll @IntRange(min = 0, max = 100_000) int job,
--- a/src/test/java/stileferry/admission/AdmissionTotalsTest.java
+++ b/src/test/java/stileferry/admission/AdmissionTotalsTest.java
@@ -10,7 +10,7 @@
 /** Runs of counting leaders: totals are complete, or incomplete from a stated revision on, never wrongly complete. */
 class AdmissionTotalsTest {
     @Test
-    void totalsSayFromWhichRevisionOnTheyAreIncomplete() {
+    void incompleteTotalsReportTheRevisionUpToWhichNothingIsMissing() {
         AdmissionCounts counts = new AdmissionCounts();
         counts.add(AdmissionCounts.TeamClass.of(RED), 3);
         AdmissionTotals.Shard shard = new AdmissionTotals.Shard(counts, 1, AdmissionTotals.COMPLETE, 40);
--- a/src/test/java/stileferry/admission/AdmissionValidationTest.java
+++ b/src/test/java/stileferry/admission/AdmissionValidationTest.java
@@ -15,7 +15,7 @@
 /** Invalid arguments of the package's types. */
 class AdmissionValidationTest {
     @Test
-    void invalidArgumentsAreNamedAndChangeNothing() {
+    void invalidArgumentsAreRejectedByNameAndChangeNothing() {
         assertInvalid("weights", () -> new AdmissionConfig(Map.of("red", 0.0), Set.of(), 1000, 5));
         assertInvalid("intervalMs", () -> new AdmissionConfig(Map.of(), Set.of(), 0, 5));
         assertInvalid("maxAdmissionsPerS", () -> new AdmissionConfig(Map.of(), Set.of(), 1000, Double.NaN));
--- a/src/test/java/stileferry/admission/ExampleHostTest.java
+++ b/src/test/java/stileferry/admission/ExampleHostTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aHostAdmitsFairlyDespiteMessageLossAndFailovers() {
+    void admissionIsFairDespiteMessageLossAndFailovers() {
         for (int i = 0; i < CONTROLLERS; i++) {
             loadShedders.add(new LoadShedder(CONFIG, 1000));
         }
--- a/src/test/java/stileferry/admission/LoadShedderTest.java
+++ b/src/test/java/stileferry/admission/LoadShedderTest.java
@@ -26,7 +26,7 @@
         int retryAfterS = loadShedder.retryAfterS(RED, jobOutsideWindow(), 0);
         assertTrue(retryAfterS > 20 && retryAfterS <= AdmissionConfig.MAX_RETRY_AFTER_S, "told " + retryAfterS);
         assertEquals(0, loadShedder.retryAfterS(BLUE, jobOutsideWindow(), 0));
-        assertEquals(1, loadShedder.refusedCount());
+        assertEquals(1, loadShedder.rejectedCount());
     }
 
     /** A table of a former term must not be used once a later term is known, and never after its validity. */
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void lateOrRepeatedTablesChangeNothing() {
+    void staleAndRepeatedTablesAreIgnored() {
         LoadShedder loadShedder = loadShedder();
         loadShedder.updateTable(tableLimitingRed(4, 7), 0, 0);
         loadShedder.updateTable(tableLimitingRed(4, 7), 3000, 3000);
@@ -64,7 +64,7 @@
 
     /** Clients that were refused at the same moment must not all return at the same moment. */
     @Test
-    void retriesAfterAFailureAreSpread() {
+    void retriesAfterAFailureAreSpreadOverTime() {
         LoadShedder loadShedder = loadShedder();
         long[] clientsBySecond = new long[AdmissionConfig.MAX_RETRY_AFTER_S + 1];
         loadShedder.retryAfterFailureS("job-0", 0);
--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionHistory.java
@@ -56,7 +56,7 @@
     /** The count as the store holds it. */
     long counted() {
         long sum = 0;
-        for (JsonNode row : rows(AdmissionCountShards.PREFIX, "").path("rows")) {
+        for (JsonNode row : rows(AdmissionCountShards.KEY_PREFIX, "").path("rows")) {
             for (JsonNode team : row.path("v").path("counts")) {
                 for (JsonNode cell : team) {
                     sum += cell.asLong();
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -139,7 +139,7 @@
     }
 
     long counted() {
-        return AdmissionTotals.of(AdmissionCountShards.read(rows(AdmissionCountShards.PREFIX)), 1, 0)
+        return AdmissionTotals.of(AdmissionCountShards.read(rows(AdmissionCountShards.KEY_PREFIX)), 1, 0)
                 .counts()
                 .total();
     }
--- a/src/test/java/stileferry/coordination/AdmissionModelLeader.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelLeader.java
@@ -32,7 +32,7 @@
         KeyValueStoreClient client = new KeyValueStoreClient(this, AdmissionModel.settings());
         commits = new CommitQueue(
                 this, client, LeaderElection.LEADER_KEY, fence, model.term, () -> lostLeadership = true);
-        countShards = new AdmissionCountShards(model.rows(AdmissionCountShards.PREFIX), 1, 8);
+        countShards = new AdmissionCountShards(model.rows(AdmissionCountShards.KEY_PREFIX), 1, 8);
         if (model.count == AdmissionModel.Count.WITH_THE_JOB) {
             commits.setTransactionCounter(countShards);
         }
@@ -41,11 +41,11 @@
     void accept(String id) {
         StoredEntry job = new StoredEntry(Job.key(id), 0, MessageCodec::map);
         if (model.count == AdmissionModel.Count.WITH_THE_JOB) {
-            countShards.count(job, CELL);
+            countShards.registerJob(job, CELL);
             commits.put(job, null);
         } else {
             commits.put(job, () -> {
-                countShards.count(job, CELL);
+                countShards.registerJob(job, CELL);
                 commits.put(countShards.count(List.of(job)), null);
                 commits.flush();
             });
