--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -5,84 +5,91 @@
 import stileferry.protocol.Settings;
 
 /**
- * What a controller does differently where admissions are divided under overload. Without that, as {@link #NONE} says,
- * everything is passed on and nothing is counted.
+ * Hooks through which a controller applies fair admission under overload. In {@link #NONE}, which stands for the feature
+ * being off, every submission is passed on and nothing is counted.
  */
 public interface AdmissionControl {
-    /** Nobody divides admissions. */
+    /** Fair admission is off. */
     AdmissionControl NONE = new AdmissionControl() {};
 
-    /** What it calls from the inside, once all of the controller has been made. */
+    /** The state of the controller that admission control reads, from {@link #start} on. */
     interface Host {
-        /** Whether this controller leads, for sure, and accepts jobs. */
+        /** Returns whether this controller is certain to lead and accepts jobs. */
         boolean mayAcceptChanges();
 
-        /** The highest term that is known. */
+        /** Returns the highest known term. */
         long term();
 
-        /** Who leads, if it is another controller and known; null otherwise. */
+        /** Returns the leader if it is known and another controller, else null. */
         Settings.Peer leaderPeer();
 
-        /** Whether this controller, as the leader, knows a job. */
+        /** Returns whether this controller, as the leader, knows a job. */
         boolean knowsJob(String id);
 
-        /** Seconds of the key-value store's rates that wait at this controller, as the leader. */
+        /** Returns the seconds that this leader's queued key-value store writes or requests take; 0 if not the leader. */
         double backlogS();
 
-        /** Whether there is more to do than this process can do in time. */
+        /** Returns whether the event loop lags: there is more work than this process can do in time. */
         boolean overloaded();
 
-        /** Whether there is about as much to do as can be done in time. */
+        /** Returns whether the event loop is close to being overloaded. */
         boolean saturated();
     }
 
-    /** Whether what is accepted is counted. */
+    /** Returns whether accepted jobs are counted. */
     default boolean countsAdmissions() {
         return false;
     }
 
-    /** Begins to work. */
+    /** Starts the periodic work; called once, after the whole controller has been created. */
     default void start(Host host) {}
 
-    /** This controller leads in this term from now on. */
+    /** Called when this controller has become the leader of a term. */
     default void elected(long term) {}
 
-    /** This controller no longer leads. */
+    /** Called when this controller has ceased to lead. */
     default void deposed() {}
 
-    /** Whether users had better be sent to the other controllers. */
+    /** Returns whether users should be directed to the other controllers, as this one is saturated. */
     default boolean shedsUsers() {
         return false;
     }
 
-    /** Takes a submission: it is refused here, or passed on to where it is accepted. */
+    /**
+     * Rejects a submission here or passes it on.
+     *
+     * @param next passes the submission on to where it may be accepted, with the consumer of its response
+     */
     default void admit(
-            byte[] body, Consumer<PeerMessage.Response> reply, Consumer<Consumer<PeerMessage.Response>> passOn) {
-        passOn.accept(reply);
+            byte[] body, Consumer<PeerMessage.Response> reply, Consumer<Consumer<PeerMessage.Response>> next) {
+        next.accept(reply);
     }
 
-    /** Seconds after which a request that met the limit on requests in progress is worth a try; 0: it may pass it. */
+    /** Returns the seconds after which to retry a request beyond the limit on concurrent requests; 0: it is exempt. */
     default int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
         return 1;
     }
 
-    /** Sends a user's request to the leader. */
+    /** Forwards a user's request to the leader in a batch; only where {@link #acceptsBatches}. */
     default void forward(
-            Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
-        throw new IllegalStateException("requests are not sent together");
+            Settings.Peer leader, PeerMessage.ForwardedRequest request, long timeoutMs, Consumer<PeerMessage> reply) {
+        throw new IllegalStateException("request batching requires fair admission");
     }
 
-    /** Whether requests to this leader may be sent together. */
+    /** Returns whether requests may be forwarded to this leader in batches. */
     default boolean acceptsBatches(Settings.Peer leader) {
         return false;
     }
 
-    /** Takes in another controller's demand and returns the leader's table; null: this controller has none. */
+    /**
+     * Merges another controller's demand report and returns the table of admission windows, or null if this controller
+     * does not lead or the report is malformed.
+     */
     default PeerMessage exchange(PeerMessage.AdmissionExchange message) {
         return null;
     }
 
-    /** Answers an operator's question about admissions; false: they are not divided here. */
+    /** Answers an operator's request for the view of admissions; returns false, without answering, if the feature is off. */
     default boolean describe(Consumer<PeerMessage.Response> reply) {
         return false;
     }
--- a/src/main/java/stileferry/overload/AdmissionCountShards.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -14,23 +14,23 @@
 import stileferry.storage.TransactionCounter;
 
 /**
- * The durable count of admissions, in one term of leading. Each transaction that makes accepted jobs durable also puts
- * one shard of the count, the first that no other transaction in flight holds. Fencing, repetition and recognition are
- * those of all transactions, so a count is carried out exactly when its jobs are. A shard costs one change for each
- * transaction with acceptances, however many it holds.
+ * The durable count of admissions, for one term of a leader. Each transaction that makes accepted jobs durable also
+ * writes one shard of the count: the first that no other transaction in flight writes. Shards are fenced, retried and
+ * recognised as applied together with the transaction that holds them, so a job is counted exactly when it becomes
+ * durable. Counting costs one write per transaction with accepted jobs, however many jobs it holds.
  */
 public final class AdmissionCountShards implements TransactionCounter {
-    /** The prefix of the shards' keys; no version before this one reads or writes it. */
+    /** The prefix of the shards' keys; older versions neither read nor write such keys. */
     public static final String KEY_PREFIX = "n/";
 
     private static final String COUNTING_SINCE_TERM = "run";
     private static final String COMPLETE_UNTIL = "complete_until";
     private static final String COUNTS = "counts";
 
-    /** The share of the value limit that a shard may take in JSON form. */
+    /** The share of the key-value store's value size limit that a shard may take in JSON form. */
     private static final double MAX_VALUE_SHARE = 0.9;
 
-    /** At most so many characters for a number and the punctuation around a name. */
+    /** Upper bound on the characters of a number and the punctuation around a name. */
     private static final int MAX_NUMBER_CHARS = 28;
 
     private final long countingSinceTerm;
@@ -39,7 +39,7 @@
     private final List<WritableShard> shards = new ArrayList<>();
     private final Map<StoredEntry, AdmissionCounts.TeamClass> uncountedJobs = new IdentityHashMap<>();
 
-    /** A shard that this term may write. */
+    /** A shard as this term writes it. */
     private final class WritableShard {
         final AdmissionCounts counts = new AdmissionCounts();
         final StoredEntry entry;
@@ -48,26 +48,29 @@
             entry = new StoredEntry(key, revision, () -> write(counts));
         }
 
-        boolean hasRoomFor(List<AdmissionCounts.TeamClass> cells) {
-            int addedLength = cells.stream()
-                    .filter(cell -> !counts.contains(cell))
-                    .mapToInt(
-                            cell -> 2 * (cell.team().length() + cell.jobClass().length()) + 2 * MAX_NUMBER_CHARS)
+        boolean hasRoomFor(List<AdmissionCounts.TeamClass> teamClasses) {
+            int addedLength = teamClasses.stream()
+                    .filter(teamClass -> !counts.contains(teamClass))
+                    .mapToInt(teamClass -> 2
+                                    * (teamClass.team().length()
+                                            + teamClass.jobClass().length())
+                            + 2 * MAX_NUMBER_CHARS)
                     .sum();
             return !entry.inFlight() && write(counts).toString().length() + addedLength <= maxValueChars;
         }
     }
 
     /**
-     * The count as a new leader finds it.
+     * Restores the count at the start of a term.
      *
-     * @param rows all shards
-     * @param run the first term of the unbroken run of counting leaders that this one is of
+     * @param rows all stored shards
+     * @param countingSinceTerm the first of the unbroken run of terms up to this one whose leaders all counted admissions
+     * @param maxValueKb the key-value store's limit for the size of a value
      */
-    public AdmissionCountShards(List<KeyValue> rows, long run, double maxValueKb) {
-        this.countingSinceTerm = run;
+    public AdmissionCountShards(List<KeyValue> rows, long countingSinceTerm, double maxValueKb) {
+        this.countingSinceTerm = countingSinceTerm;
         this.maxValueChars = (int) (maxValueKb * 1024 * MAX_VALUE_SHARE);
-        this.completeUntil = AdmissionTotals.completeUntilRevision(read(rows), run);
+        this.completeUntil = AdmissionTotals.completeUntilRevision(read(rows), countingSinceTerm);
         for (KeyValue row : rows) {
             WritableShard shard = new WritableShard(row.key(), row.revision());
             shard.counts.addAll(readShard(row).counts());
@@ -75,31 +78,31 @@
         }
     }
 
-    /** Has a job counted in the transaction that makes it durable. */
-    public void registerJob(StoredEntry job, AdmissionCounts.TeamClass cell) {
-        uncountedJobs.put(job, cell);
+    /** Registers a job to be counted in the transaction that makes it durable. */
+    public void registerJob(StoredEntry job, AdmissionCounts.TeamClass teamClass) {
+        uncountedJobs.put(job, teamClass);
     }
 
     @Override
     public StoredEntry count(List<StoredEntry> entries) {
-        List<AdmissionCounts.TeamClass> cells = new ArrayList<>();
+        List<AdmissionCounts.TeamClass> teamClasses = new ArrayList<>();
         for (StoredEntry entry : entries) {
-            AdmissionCounts.TeamClass cell = uncountedJobs.remove(entry);
-            if (cell != null) {
-                cells.add(cell);
+            AdmissionCounts.TeamClass teamClass = uncountedJobs.remove(entry);
+            if (teamClass != null) {
+                teamClasses.add(teamClass);
             }
         }
-        if (cells.isEmpty()) {
+        if (teamClasses.isEmpty()) {
             return null;
         }
-        WritableShard shard = shardFor(cells);
-        cells.forEach(cell -> shard.counts.add(cell, 1));
+        WritableShard shard = shardFor(teamClasses);
+        teamClasses.forEach(teamClass -> shard.counts.add(teamClass, 1));
         return shard.entry;
     }
 
-    private WritableShard shardFor(List<AdmissionCounts.TeamClass> cells) {
+    private WritableShard shardFor(List<AdmissionCounts.TeamClass> teamClasses) {
         for (WritableShard shard : shards) {
-            if (shard.hasRoomFor(cells)) {
+            if (shard.hasRoomFor(teamClasses)) {
                 return shard;
             }
         }
@@ -114,12 +117,12 @@
             value.put(COMPLETE_UNTIL, completeUntil);
         }
         ObjectNode teams = value.putObject(COUNTS);
-        counts.byTeamClass()
-                .forEach((cell, count) -> teams.withObjectProperty(cell.team()).put(cell.jobClass(), count));
+        counts.byTeamClass().forEach((teamClass, count) -> teams.withObjectProperty(teamClass.team())
+                .put(teamClass.jobClass(), count));
         return value;
     }
 
-    /** The shards as they are stored. */
+    /** Decodes stored shards. */
     public static List<AdmissionTotals.Shard> read(List<KeyValue> rows) {
         return rows.stream().map(AdmissionCountShards::readShard).toList();
     }
@@ -127,10 +130,10 @@
     private static AdmissionTotals.Shard readShard(KeyValue row) {
         AdmissionCounts counts = new AdmissionCounts();
         for (Map.Entry<String, JsonNode> team : row.value().path(COUNTS).properties()) {
-            for (Map.Entry<String, JsonNode> cell : team.getValue().properties()) {
+            for (Map.Entry<String, JsonNode> jobClass : team.getValue().properties()) {
                 counts.add(
-                        new AdmissionCounts.TeamClass(team.getKey(), cell.getKey()),
-                        cell.getValue().asLong());
+                        new AdmissionCounts.TeamClass(team.getKey(), jobClass.getKey()),
+                        jobClass.getValue().asLong());
             }
         }
         return new AdmissionTotals.Shard(
--- a/src/main/java/stileferry/overload/AdmissionSettings.java
+++ b/src/main/java/stileferry/overload/AdmissionSettings.java
@@ -9,22 +9,25 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Settings;
 
-/** What the settings say of admissions: weights, classes, and how many there may be. */
+/** Derives the configuration of admission control from the settings: team weights, job classes and maximum rate. */
 public final class AdmissionSettings {
-    /** The share of the key-value store's changes that controllers allow themselves. */
+    /** The share of the key-value store's write rate limit that controllers allow themselves. */
     private static final double MAX_WRITE_SHARE = 0.85;
 
-    /** Changes that each acceptance costs under load: its job's record, and the part of a count that others share. */
+    /** Writes per accepted job under load: its record, and its part of the write of a shard that several jobs share. */
     private static final double WRITES_PER_ACCEPTANCE = 1.25;
 
-    /** Steps of the leader, and exchanges with it, in a heartbeat interval. */
+    /** Recomputations at the leader, and exchanges with it, per heartbeat interval. */
     private static final int INTERVALS_PER_HEARTBEAT = 2;
 
     private static final double MS_PER_S = 1000;
 
     private AdmissionSettings() {}
 
-    /** Weights are the teams' guarantees; who has none counts like the average of those who have one. */
+    /**
+     * Returns the configuration of admission control. The weight of a team is the CPUs of its quota; a team without a quota
+     * has the average weight of those that have one.
+     */
     public static AdmissionConfig config(Settings settings) {
         double intervalMs = MS_PER_S * settings.workers().heartbeatIntervalS() / INTERVALS_PER_HEARTBEAT;
         double maxPerS = settings.keyValueStore().writesPerS() * MAX_WRITE_SHARE / WRITES_PER_ACCEPTANCE;
@@ -33,8 +36,8 @@
     }
 
     /**
-     * Where a job's admission is counted: classes that the settings don't name are one, or users could make up any
-     * number.
+     * Returns the counter of a job's admission. Classes that the settings don't name share one counter per team, as users
+     * could otherwise create any number of them.
      */
     public static AdmissionCounts.TeamClass teamClass(Settings settings, JobSpec spec) {
         boolean named = namedClasses(settings).contains(spec.jobClass());
@@ -52,7 +55,7 @@
         return weights;
     }
 
-    /** The classes that the settings name. */
+    /** Returns the job classes that the settings name. */
     private static Set<String> namedClasses(Settings settings) {
         return settings.objectives().stream()
                 .map(Settings.ServiceLevelObjective::jobClass)
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -12,14 +12,14 @@
 import stileferry.storage.ScanResult;
 
 /**
- * Reads the totals of admissions, at any controller that reaches the key-value store. The shards are read first and the
- * term after them: whoever began to lead in between makes the totals seem incomplete rather than complete.
+ * Reads the totals of admissions, at any controller that reaches the key-value store. The shards are read before the
+ * term record, so that a leader elected in between makes the totals appear incomplete rather than wrongly complete.
  */
 final class AdmissionTotalsReader {
-    /** Reads of shards that changed between two pages before it is given up. */
+    /** Scans of the shards before giving up, as shards that change between two pages make a scan inconsistent. */
     private static final int MAX_SCANS = 3;
 
-    /** Where a run of counting leaders begins when nobody ever led. */
+    /** The first term of counting leaders if there was no leader yet. */
     private static final long FIRST_TERM = 1;
 
     private final KeyValueStoreClient store;
@@ -29,37 +29,42 @@
         this.store = store;
     }
 
-    /** Reads the totals; null: they can't be known now, or only older ones than were told before. */
-    void read(Consumer<AdmissionTotals> then) {
-        readShards(MAX_SCANS, then);
+    /**
+     * Reads the totals.
+     *
+     * @param callback gets null if the totals can't be determined now or are older than those reported before
+     */
+    void read(Consumer<AdmissionTotals> callback) {
+        readShards(MAX_SCANS, callback);
     }
 
-    private void readShards(int readsLeft, Consumer<AdmissionTotals> then) {
+    private void readShards(int scansLeft, Consumer<AdmissionTotals> callback) {
         store.scan(AdmissionCountShards.KEY_PREFIX, false, scan -> {
-            if (scan.rows() == null || readsLeft == 0) {
-                then.accept(null);
+            if (scan.rows() == null || scansLeft == 0) {
+                callback.accept(null);
             } else if (scan.rows().stream().anyMatch(row -> row.revision() > scan.firstRevision())) {
-                readShards(readsLeft - 1, then);
+                readShards(scansLeft - 1, callback);
             } else {
-                readTerm(scan, then);
+                readTerm(scan, callback);
             }
         });
     }
 
-    private void readTerm(ScanResult scan, Consumer<AdmissionTotals> then) {
+    private void readTerm(ScanResult scan, Consumer<AdmissionTotals> callback) {
         store.get(LeaderElection.TERM_KEY, result -> {
             if (result.unknown() || scan.firstRevision() < lastReportedRevision) {
-                then.accept(null);
+                callback.accept(null);
                 return;
             }
             List<AdmissionTotals.Shard> shards = AdmissionCountShards.read(scan.rows());
-            long run = result.found() ? TermRecord.read(result.row()).admissionsCountedSince() : FIRST_TERM;
+            long countingSinceTerm =
+                    result.found() ? TermRecord.read(result.row()).admissionsCountedSince() : FIRST_TERM;
             lastReportedRevision = scan.firstRevision();
-            then.accept(AdmissionTotals.of(shards, run, scan.firstRevision()));
+            callback.accept(AdmissionTotals.of(shards, countingSinceTerm, scan.firstRevision()));
         });
     }
 
-    /** The totals as operators see them. */
+    /** Returns the totals as a view of the administration API. */
     static ObjectNode describe(AdmissionTotals totals) {
         ObjectNode view = MessageCodec.map()
                 .put("revision", totals.revision())
@@ -68,10 +73,11 @@
         if (!totals.isComplete()) {
             view.put("incomplete_from_revision", totals.completeUntilRevision());
         }
-        ArrayNode cells = view.putArray("admissions");
-        totals.counts().byTeamClass().forEach((cell, count) -> cells.addObject()
-                .put("team", cell.team())
-                .put("class", cell.jobClass())
+        ArrayNode admissions = view.putArray("admissions");
+        totals.counts().byTeamClass().forEach((teamClass, count) -> admissions
+                .addObject()
+                .put("team", teamClass.team())
+                .put("class", teamClass.jobClass())
                 .put("admitted", count));
         return view;
     }
--- a/src/main/java/stileferry/overload/AdmissionView.java
+++ b/src/main/java/stileferry/overload/AdmissionView.java
@@ -11,11 +11,11 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MessageCodec;
 
-/** What operators see of the admissions at one controller. */
+/** Builds the administration API's view of admission control at one controller. */
 final class AdmissionView {
     private AdmissionView() {}
 
-    /** {@code controller}: null while this one does not lead. */
+    /** Returns the view; {@code controller} is null while this controller does not lead. */
     static ObjectNode describe(LoadShedder loadShedder, AdmissionController controller, long now) {
         ObjectNode view = MessageCodec.map()
                 .put("leads", controller != null)
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -24,25 +24,25 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * Divides admissions while this controller leads, and refuses by the leader's word while it does not
- * (docs/admission.md).
+ * Fair admission at one controller: decides about submissions while this controller leads, and otherwise rejects them by
+ * the leader's last table of admission windows (docs/admission.md).
  */
 public final class FairAdmission implements AdmissionControl {
     private static final Logger LOG = LoggerFactory.getLogger("admission");
 
-    /** Accepted jobs that are remembered for each socket: users ask again over some of them at a time. */
+    /** Accepted jobs that are remembered per socket; users repeat requests over some of the sockets at a time. */
     private static final int REMEMBERED_JOBS_PER_SOCKET = 2;
 
-    /** Batches of status requests that are in flight. */
+    /** Maximum number of batches of status requests in flight. */
     private static final int MAX_STATUS_BATCHES = 2;
 
-    /** Batches of other requests that are in flight; they wait until a change is durable. */
+    /** Maximum number of batches of other requests in flight; these last until a change is durable. */
     private static final int MAX_CHANGE_BATCHES = 6;
 
-    /** Seconds of the key-value store's rates that may wait before only the most urgent is accepted. */
+    /** The backlog of the key-value store, in seconds, from which only jobs of the most urgent tier are accepted. */
     private static final double URGENT_ONLY_BACKLOG_S = JobRequestHandler.MAX_BACKLOG_S * 0.75;
 
-    /** A saturated leader leaves users to the others for so long: half of the users' patience. */
+    /** How long a leader sheds users after it was last saturated: half of the clients' retry timeout. */
     private static final long SHED_USERS_MS = Math.round(1000 * AdmissionConfig.CLIENT_RETRY_TIMEOUT_S / 2);
 
     private static final byte[] NOT_YET_ADMISSIBLE_BODY =
@@ -64,10 +64,10 @@
     private long lastExchangeAt = Long.MIN_VALUE / 2;
     private int limitedFlows;
 
-    /** The name of the leader whose table this controller has; others are not sent batches. */
+    /** The leader that answered the last exchange with a valid table, or empty; only this leader is sent batches. */
     private String tableLeader = "";
 
-    /** The division of admissions at one controller. */
+    /** Creates the fair admission of one controller; {@link #start} begins the periodic work. */
     public FairAdmission(Settings settings, Environment environment, KeyValueStoreClient store) {
         this.environment = environment;
         this.config = AdmissionSettings.config(settings);
@@ -110,17 +110,17 @@
     }
 
     private void logLimitingChange() {
-        int nowClosed = controller.table().windows().size();
-        if (nowClosed > 0 != limitedFlows > 0) {
+        int nowLimited = controller.table().windows().size();
+        if (nowLimited > 0 != limitedFlows > 0) {
             LOG.info(
-                    "admission turns changed: closed_flows={} admissions_per_s={}",
-                    nowClosed,
+                    "admission rate limiting changed: closed_flows={} admissions_per_s={}",
+                    nowLimited,
                     controller.capacityPerS());
         }
-        limitedFlows = nowClosed;
+        limitedFlows = nowLimited;
     }
 
-    /** A leader has work that nobody else can do; the others can take its users, as long as they exchange with it. */
+    /** A leader has work that no other controller can do; the others can serve its users while they exchange with it. */
     @Override
     public boolean shedsUsers() {
         long now = environment.now();
@@ -131,21 +131,21 @@
 
     private void exchangeWith(Settings.Peer leader) {
         exchangeInFlight = true;
-        long askedAt = environment.now();
-        byte[] demand = AdmissionCodec.encode(loadShedder.demandReport(askedAt));
+        long requestedAt = environment.now();
+        byte[] demand = AdmissionCodec.encode(loadShedder.demandReport(requestedAt));
         environment.sendToPeer(leader, new PeerMessage.AdmissionExchange(demand), config.tableValidityMs(), record -> {
             exchangeInFlight = false;
             tableLeader = "";
-            if (record instanceof PeerMessage.AdmissionExchange answer) {
-                applyTable(leader, answer, askedAt);
+            if (record instanceof PeerMessage.AdmissionExchange response) {
+                applyTable(leader, response, requestedAt);
             }
         });
     }
 
-    private void applyTable(Settings.Peer leader, PeerMessage.AdmissionExchange answer, long askedAt) {
+    private void applyTable(Settings.Peer leader, PeerMessage.AdmissionExchange response, long requestedAt) {
         try {
             loadShedder.observeTerm(host.term());
-            loadShedder.updateTable(AdmissionCodec.decodeTable(answer.message()), askedAt, environment.now());
+            loadShedder.updateTable(AdmissionCodec.decodeTable(response.message()), requestedAt, environment.now());
             tableLeader = leader.name();
         } catch (InvalidInputException e) {
             LOG.info("admission table invalid: leader={} reason={}", leader.name(), e.getMessage());
@@ -183,18 +183,18 @@
 
     @Override
     public void admit(
-            byte[] body, Consumer<PeerMessage.Response> reply, Consumer<Consumer<PeerMessage.Response>> passOn) {
+            byte[] body, Consumer<PeerMessage.Response> reply, Consumer<Consumer<PeerMessage.Response>> next) {
         SubmissionHeader header = SubmissionHeader.read(body);
         Flow flow = flow(header);
         if (flow == null) {
-            passOn.accept(reply); // it will be told what is wrong with it
+            next.accept(reply); // malformed, or of an unknown team: the request handler answers with the reason
             return;
         }
         int retryAfterS = retryAfterS(flow, header.id());
         if (retryAfterS > 0) {
             reply.accept(new PeerMessage.Response(503, retryAfterS, NOT_YET_ADMISSIBLE_BODY));
         } else {
-            passOn.accept(answer -> reply.accept(recordOutcome(header.id(), answer)));
+            next.accept(response -> reply.accept(recordOutcome(header.id(), response)));
         }
     }
 
@@ -214,30 +214,31 @@
         if (!host.mayAcceptChanges() || host.knowsJob(id)) {
             return 0;
         }
-        boolean full = flow.priorityTier() > 0 && host.backlogS() >= URGENT_ONLY_BACKLOG_S;
-        AdmissionDecision decision = full ? controller.defer(flow, id, now) : controller.decide(flow, id, now);
+        boolean backlogFull = flow.priorityTier() > 0 && host.backlogS() >= URGENT_ONLY_BACKLOG_S;
+        AdmissionDecision decision = backlogFull ? controller.defer(flow, id, now) : controller.decide(flow, id, now);
         return decision.retryAfterS();
     }
 
     /**
-     * Remembers who was accepted; who is refused for an outage comes back later the longer it lasts, and not with all
-     * others.
+     * Records whether a submission was accepted or deferred. One that failed because of an outage gets a retry time that
+     * grows with the outage and differs between jobs, so that clients do not retry all at once.
      */
-    private PeerMessage.Response recordOutcome(String id, PeerMessage.Response answer) {
-        if (answer.status() == 200 || answer.status() == 201) {
+    private PeerMessage.Response recordOutcome(String id, PeerMessage.Response response) {
+        if (response.status() == 200 || response.status() == 201) {
             loadShedder.recordAccepted(id);
-        } else if (answer.status() == 503) {
+        } else if (response.status() == 503) {
             loadShedder.recordDeferred(id);
         }
-        if (answer.status() == 503 && answer.retryAfterS() <= 1) {
-            return new PeerMessage.Response(503, loadShedder.retryAfterFailureS(id, environment.now()), answer.body());
+        if (response.status() == 503 && response.retryAfterS() <= 1) {
+            return new PeerMessage.Response(
+                    503, loadShedder.retryAfterFailureS(id, environment.now()), response.body());
         }
-        return answer;
+        return response;
     }
 
     /**
-     * Status requests and cancellations that travel to the leader in batches cost hardly more to answer than to refuse,
-     * and the number of batches bounds them.
+     * Status requests and cancellations that are forwarded in batches cost hardly more to answer than to reject, and the
+     * number of batches in flight bounds them.
      */
     @Override
     public int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
@@ -252,7 +253,7 @@
         return critical ? 0 : loadShedder.retryAfterFailureS(header.id(), environment.now());
     }
 
-    // ---- what goes to the leader
+    // ---- forwarding to the leader
 
     @Override
     public boolean acceptsBatches(Settings.Peer leader) {
@@ -261,21 +262,21 @@
 
     @Override
     public void forward(
-            Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
+            Settings.Peer leader, PeerMessage.ForwardedRequest request, long timeoutMs, Consumer<PeerMessage> reply) {
         RequestForwarder forwarder = request.kind() == PeerMessage.RequestKind.STATUS ? statusRequests : changeRequests;
-        forwarder.send(leader, request, patienceMs, reply);
+        forwarder.send(leader, request, timeoutMs, reply);
     }
 
-    // ---- operators
+    // ---- administration
 
     @Override
     public boolean describe(Consumer<PeerMessage.Response> reply) {
-        totalsReader.read(read -> {
-            if (read == null) {
+        totalsReader.read(totals -> {
+            if (totals == null) {
                 reply.accept(Responses.noLeader());
             } else {
                 ObjectNode view = MessageCodec.map();
-                view.set("totals", AdmissionTotalsReader.describe(read));
+                view.set("totals", AdmissionTotalsReader.describe(totals));
                 view.set("here", AdmissionView.describe(loadShedder, controller, environment.now()));
                 reply.accept(Responses.ok(200, view));
             }
--- a/src/main/java/stileferry/overload/RequestForwarder.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -10,14 +10,14 @@
 import stileferry.protocol.Settings;
 
 /**
- * Sends users' requests to the leader together. While batches are in flight what comes up waits for the next one, so a
- * batch is as large as the leader is slow, and at low load every request goes at once.
+ * Forwards users' requests to the leader in batches. While the maximum number of batches is in flight, further requests
+ * wait for the next one. So batches grow when the leader slows down, and at low load every request is sent at once.
  */
 final class RequestForwarder {
-    /** Requests that may wait: a few full batches. */
+    /** The maximum number of queued requests: a few full batches. */
     private static final int MAX_QUEUED_REQUESTS = 4 * PeerMessage.MAX_BATCH_REQUESTS;
 
-    /** Bytes of the bodies in one batch, well below what a record may hold. */
+    /** The maximum bytes of request bodies in one batch, well below what a message between controllers may hold. */
     private static final int MAX_BATCH_BYTES = MessageCodec.MAX_BODY;
 
     private final Environment environment;
@@ -25,25 +25,24 @@
     private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
     private int batchesInFlight;
 
-    /** One request with the time at which its user has to hear something. */
+    /** A queued request with the time by which its user must be answered. */
     private record QueuedRequest(
             Settings.Peer leader, PeerMessage.ForwardedRequest request, long deadlineMs, Consumer<PeerMessage> reply) {}
 
-    /** With so many batches in flight at most. */
+    /** Creates a forwarder with a limit on the batches in flight. */
     RequestForwarder(Environment environment, int maxBatchesInFlight) {
         this.environment = environment;
         this.maxBatchesInFlight = maxBatchesInFlight;
     }
 
-    /** Sends a request with the next batch; null is the reply when it was not answered in time, or not sent. */
-    void send(
-            Settings.Peer leader, PeerMessage.ForwardedRequest request, long patienceMs, Consumer<PeerMessage> reply) {
+    /** Queues a request for the next batch; the reply is null if it was not answered in time or not sent. */
+    void send(Settings.Peer leader, PeerMessage.ForwardedRequest request, long timeoutMs, Consumer<PeerMessage> reply) {
         dropExpired();
         if (queue.size() >= MAX_QUEUED_REQUESTS) {
             reply.accept(null);
             return;
         }
-        queue.add(new QueuedRequest(leader, request, environment.now() + patienceMs, reply));
+        queue.add(new QueuedRequest(leader, request, environment.now() + timeoutMs, reply));
         flush();
     }
 
@@ -60,7 +59,7 @@
         }
     }
 
-    /** The oldest request and those behind it that go to the same controller, as many as fit. */
+    /** Dequeues the oldest request and those directly behind it for the same controller, as many as fit into one batch. */
     private List<QueuedRequest> nextBatch() {
         Settings.Peer leader = queue.peek().leader;
         List<QueuedRequest> batch = new ArrayList<>();
@@ -77,16 +76,16 @@
 
     private void sendBatch(List<QueuedRequest> batch) {
         batchesInFlight++;
-        long patienceMs = Math.max(1, batch.get(0).deadlineMs - environment.now());
+        long timeoutMs = Math.max(1, batch.get(0).deadlineMs - environment.now());
         List<PeerMessage.ForwardedRequest> requests =
                 batch.stream().map(QueuedRequest::request).toList();
-        environment.sendToPeer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), patienceMs, message -> {
+        environment.sendToPeer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), timeoutMs, message -> {
             batchesInFlight--;
-            List<PeerMessage.Response> answers =
-                    message instanceof PeerMessage.ResponseBatch batchAnswer ? batchAnswer.answers() : List.of();
-            boolean complete = answers.size() == batch.size();
+            List<PeerMessage.Response> responses =
+                    message instanceof PeerMessage.ResponseBatch responseBatch ? responseBatch.answers() : List.of();
+            boolean complete = responses.size() == batch.size();
             for (int i = 0; i < batch.size(); i++) {
-                batch.get(i).reply.accept(complete ? answers.get(i) : null);
+                batch.get(i).reply.accept(complete ? responses.get(i) : null);
             }
             flush();
         });
--- a/src/main/java/stileferry/requests/AdministrationHandler.java
+++ b/src/main/java/stileferry/requests/AdministrationHandler.java
@@ -5,13 +5,17 @@
 import java.util.function.Supplier;
 import stileferry.protocol.PeerMessage;
 
-/** The administration API at the leader: the operators' settings, and views of what the leader knows. */
+/** Handles administration API requests at the leader: the operator settings and views of the leader's state. */
 public final class AdministrationHandler {
     private final OperatorSettingsHandler settings;
     private final AdministrationViews views;
     private final Supplier<ObjectNode> leaderView;
 
-    /** {@code leaderView}: what the leader tells of itself. */
+    /**
+     * Creates a handler for one term.
+     *
+     * @param leaderView supplies the view of the leader itself
+     */
     public AdministrationHandler(
             OperatorSettingsHandler settings, AdministrationViews views, Supplier<ObjectNode> leaderView) {
         this.settings = settings;
@@ -19,7 +23,7 @@
         this.leaderView = leaderView;
     }
 
-    /** Answers a request; the method is GET or POST. */
+    /** Handles a request, whose method is GET or POST, and passes the response to {@code reply}. */
     public void handle(AdministrationRequest request, Consumer<PeerMessage.Response> reply) {
         switch (request.path()) {
             case "settings" -> {
--- a/src/main/java/stileferry/requests/AdministrationViews.java
+++ b/src/main/java/stileferry/requests/AdministrationViews.java
@@ -11,9 +11,9 @@
 import stileferry.protocol.Settings;
 import stileferry.scheduling.Placement;
 
-/** The leader's views of machines, queue and teams in the administration API. */
+/** Builds the leader's views of machines, queue and teams for the administration API. */
 public final class AdministrationViews {
-    /** Answers stay well below the limit of a body; measured in characters of JSON. */
+    /** A page is full once its JSON exceeds this many characters; this keeps it well below the maximum body size. */
     private static final int MAX_PAGE_CHARS = MessageCodec.MAX_BODY / 2;
 
     private static final double MS_PER_S = 1000.0;
@@ -22,19 +22,19 @@
     private final Placement placement;
     private final Environment environment;
 
-    /** Views of one term's state. */
+    /** Creates the views of one term's state. */
     public AdministrationViews(ClusterState cluster, Placement placement, Environment environment) {
         this.cluster = cluster;
         this.placement = placement;
         this.environment = environment;
     }
 
-    /** The machines whose names come after the given one, as many as fit into an answer. */
-    ObjectNode machines(String from) {
+    /** Returns the machines whose names sort after {@code startAfter}, as many as fit into one response. */
+    ObjectNode machines(String startAfter) {
         long now = environment.now();
         Page page = new Page("machines");
         for (Machine machine : cluster.machines().values()) {
-            if (machine.name().compareTo(from) <= 0) {
+            if (machine.name().compareTo(startAfter) <= 0) {
                 continue;
             }
             if (page.isFull()) {
@@ -81,11 +81,15 @@
         return machine.agent().hasOrphanTasks() ? "killing strays" : "in use";
     }
 
-    /** The waiting jobs after the given position in the queue, as many as fit into an answer. */
-    ObjectNode queue(String from) {
+    /**
+     * Returns the queued jobs after a position in the queue, as many as fit into one response.
+     *
+     * @param startAfter the position, from 1; anything but up to nine digits means the start of the queue
+     */
+    ObjectNode queue(String startAfter) {
         long now = environment.now();
         Page page = new Page("queue");
-        int skip = from.matches("[0-9]{1,9}") ? Integer.parseInt(from) : 0;
+        int skip = startAfter.matches("[0-9]{1,9}") ? Integer.parseInt(startAfter) : 0;
         int position = 0;
         for (Job job : placement.queue(now, environment.timeOfDay())) {
             position++;
@@ -113,10 +117,10 @@
                 .put("why", placement.pendingReason(job, now));
     }
 
-    /** The teams with their limits, use and waiting tasks. */
+    /** Returns the teams with their quotas, limits, usage and pending tasks. */
     ObjectNode teams() {
-        ObjectNode answer = MessageCodec.map();
-        ArrayNode list = answer.putArray("teams");
+        ObjectNode response = MessageCodec.map();
+        ArrayNode list = response.putArray("teams");
         for (Settings.Team team : cluster.settings().teams()) {
             ObjectNode view = list.addObject()
                     .put("name", team.name())
@@ -126,12 +130,12 @@
                     .put("gpus", team.gpus())
                     .put("gpus_max", team.gpusMax())
                     .put("gpus_in_use", cluster.gpusInUse(team.name()));
-            describeWaitingTasks(team, view.putObject("waiting"));
+            describePendingTasks(team, view.putObject("waiting"));
         }
-        return answer;
+        return response;
     }
 
-    private void describeWaitingTasks(Settings.Team team, ObjectNode waiting) {
+    private void describePendingTasks(Settings.Team team, ObjectNode pending) {
         int[] pendingByPriority = new int[JobSpec.Priority.values().length];
         for (Job job : cluster.jobs().values()) {
             if (job.spec().team().equals(team.name())) {
@@ -139,11 +143,11 @@
             }
         }
         for (JobSpec.Priority priority : JobSpec.Priority.values()) {
-            waiting.put(priority.wireName(), pendingByPriority[priority.ordinal()]);
+            pending.put(priority.wireName(), pendingByPriority[priority.ordinal()]);
         }
     }
 
-    /** A list that ends where the answer would become too long. */
+    /** One page of a list, which ends before the response becomes too long. */
     private static final class Page {
         private final ObjectNode view = MessageCodec.map();
         private final ArrayNode list;
@@ -162,7 +166,7 @@
             chars += element.toString().length();
         }
 
-        /** The page; {@code more}: whether the list goes on. */
+        /** Returns the page; {@code more} says whether the list continues after it. */
         ObjectNode finish(boolean more) {
             return view.put("more", more);
         }
--- a/src/main/java/stileferry/requests/BatchResponder.java
+++ b/src/main/java/stileferry/requests/BatchResponder.java
@@ -8,18 +8,18 @@
 import stileferry.protocol.PeerMessage;
 
 /**
- * Gathers the leader's answers to a batch. In a batch of status requests those that take long are answered 503, so that
- * the others don't wait.
+ * Collects the leader's responses to a batch of requests. In a batch of status requests, those that take too long get a
+ * 503 response, so that they don't delay the others.
  */
 public final class BatchResponder {
-    /** Most are answered at once; one about a completed job may need a read. */
+    /** Most status requests are answered at once; one about a completed job may need a key-value store read. */
     private static final long STATUS_TIMEOUT_MS = 500;
 
     private final PeerMessage.Response[] responses;
     private final Consumer<PeerMessage> reply;
     private int unanswered;
 
-    /** Has each request of a batch answered, and replies as soon as all of them are. */
+    /** Passes each request of a batch to the handler, and replies as soon as all of them are answered. */
     public static void respondTo(
             List<PeerMessage.ForwardedRequest> requests,
             Environment environment,
@@ -28,7 +28,7 @@
         BatchResponder batch = new BatchResponder(environment, requests, reply);
         for (int i = 0; i < requests.size(); i++) {
             int index = i;
-            handler.accept(requests.get(i), answer -> batch.record(index, answer));
+            handler.accept(requests.get(i), response -> batch.record(index, response));
         }
     }
 
@@ -43,11 +43,11 @@
         }
     }
 
-    private void record(int index, PeerMessage.Response answer) {
+    private void record(int index, PeerMessage.Response response) {
         if (responses[index] != null) {
             return;
         }
-        responses[index] = answer;
+        responses[index] = response;
         unanswered--;
         if (unanswered == 0) {
             reply.accept(new PeerMessage.ResponseBatch(Arrays.asList(responses)));
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -17,9 +17,12 @@
 import stileferry.storage.CommitQueue;
 import stileferry.storage.KeyValueStoreClient;
 
-/** Users' requests about jobs in one term: users hear accepted, cancelled or done only when it is durable. */
+/**
+ * Handles users' requests about jobs in one term. Users are told that a job was accepted, cancelled or completed only once
+ * that is durable.
+ */
 public final class JobRequestHandler implements JobCompletion.Listener {
-    /** Seconds of the key-value store's rates that may wait before submissions are refused. */
+    /** The {@link #backlogS} from which submissions are rejected. */
     public static final double MAX_BACKLOG_S = 2;
 
     private final ClusterState cluster;
@@ -31,31 +34,31 @@
     private final PendingReplies pendingReplies;
     private final SubmissionCheck submissionCheck;
 
-    /** What the leader does for its users. */
+    /** Callbacks into the leader. */
     public interface LeaderCallbacks {
-        /** Whether anything may be told or promised now. */
+        /** Returns whether requests may be answered now, including those that only read. */
         boolean mayAnswer();
 
-        /** Whether anything new may be promised now. */
+        /** Returns whether submissions and cancellations may be accepted now. */
         boolean mayAcceptChanges();
 
-        /** The next number of this term, higher than all before. */
+        /** Returns the next sequence number of this term, higher than all previous ones. */
         long nextSequenceNumber();
 
-        /** A job is about to be accepted: it will be written for the first time. */
+        /** Called when a job is being accepted, before its record is written for the first time. */
         void beforeFirstWrite(Job job);
 
-        /** Whether a submission goes before all others, and is taken when they are not. */
+        /** Returns whether a submission goes ahead of all others and is accepted even while the backlog is too long. */
         boolean bypassesBacklog(byte[] submission);
 
-        /** A job was accepted. */
+        /** Called once the acceptance of a job is durable. */
         void jobAccepted();
 
-        /** Cancels a job; its users are answered when that is durable. */
+        /** Cancels a job; its users are answered once that is durable. */
         void cancel(Job job);
     }
 
-    /** A handler for one term; the completed jobs outlive it. */
+    /** Creates a handler for one term; {@code completedJobs} is kept across terms. */
     public JobRequestHandler(
             ClusterState cluster,
             Environment environment,
@@ -73,14 +76,17 @@
         this.submissionCheck = new SubmissionCheck(cluster);
     }
 
-    /** Tells all who wait that nothing more will be known here. */
+    /** Answers all waiting users with 503, as this handler will not learn the outcome of their requests. */
     public void close() {
         for (Job job : cluster.jobs().values()) {
             pendingReplies.answer(job, Responses.unavailable());
         }
     }
 
-    /** Users whose change is not durable in time hear at once that it isn't known yet, and when to come back. */
+    /**
+     * Answers users whose change is not durable in time with 503 and a retry time, as its outcome is not known yet. If
+     * the leader may no longer answer, all waiting users get this response.
+     */
     public void expireOverdueReplies() {
         pendingReplies.expireOverdue(leader.mayAnswer());
     }
@@ -95,20 +101,20 @@
         pendingReplies.answer(job, JobResponses.state(job));
     }
 
-    /** Whether a job's end was looked up or came up lately. */
+    /** Returns whether a job is cached as completed: its completion was looked up or happened recently. */
     public boolean hasCachedCompletion(String id) {
         return completedJobs.get(id) != null;
     }
 
-    /** Seconds of the key-value store's rates that wait. */
+    /** Returns the seconds that the queued writes, or the queued requests, take at the key-value store's rate limits. */
     public double backlogS() {
         Settings.KeyValueStoreLimits limits = cluster.settings().keyValueStore();
         return Math.max(commitQueue.backlog() / limits.writesPerS(), store.queuedRequests() / limits.requestsPerS());
     }
 
-    // ---- submit
+    // ---- submissions
 
-    /** Accepts a job, or answers with the state of the job of this id. */
+    /** Accepts a job, or answers with the state of the existing job of this id. */
     public void submit(byte[] bytes, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
@@ -131,7 +137,7 @@
         }
         boolean urgent = leader.bypassesBacklog(bytes);
         int retryAfterS = retryAfterBacklogS();
-        if (retryAfterS > 0 && !urgent) { // it would only wait, and everything behind it
+        if (retryAfterS > 0 && !urgent) { // the job would only wait in the queue and delay all behind it
             reply.accept(new PeerMessage.Response(
                     503, retryAfterS, MessageCodec.encode(UserMessages.error("too much to do, try again"))));
             return;
@@ -139,13 +145,16 @@
         answerIfCompleted(id, reply, () -> submitNew(submission, urgent, reply));
     }
 
-    /** Seconds after which a submission is worth another try when the key-value store is behind; 0: it is not. */
+    /** Returns the seconds after which to retry a submission rejected for the backlog; 0 if the backlog is acceptable. */
     private int retryAfterBacklogS() {
         double seconds = backlogS();
         return seconds < MAX_BACKLOG_S ? 0 : (int) Math.ceil(seconds);
     }
 
-    /** Takes a job that had not ended when that was asked; the same job may have come, or ended, in between. */
+    /**
+     * Accepts a job that had not completed when the key-value store was read; the same job may have been submitted, or
+     * have completed, in the meantime.
+     */
     private void submitNew(Submission submission, boolean urgent, Consumer<PeerMessage.Response> reply) {
         String id = submission.jobId();
         Job submittedMeanwhile = cluster.jobs().get(id);
@@ -175,15 +184,15 @@
             reply.accept(Responses.error(400, e.getMessage()));
             return;
         }
-        PeerMessage.Response refusal = submissionCheck.rejection(spec);
-        if (refusal != null) {
-            reply.accept(refusal);
+        PeerMessage.Response rejection = submissionCheck.rejection(spec);
+        if (rejection != null) {
+            reply.accept(rejection);
             return;
         }
         Job job = new Job(spec, leader.nextSequenceNumber(), environment.timeOfDay(), 0);
-        PeerMessage.Response recordRefusal = submissionCheck.recordRejection(job);
-        if (recordRefusal != null) {
-            reply.accept(recordRefusal);
+        PeerMessage.Response recordRejection = submissionCheck.recordRejection(job);
+        if (recordRejection != null) {
+            reply.accept(recordRejection);
             return;
         }
         accept(job, urgent, reply);
@@ -206,9 +215,9 @@
         }
     }
 
-    // ---- status and cancel
+    // ---- status and cancellation
 
-    /** Answers with the state of a job. */
+    /** Answers with the state of a live or completed job. */
     public void status(String id, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAnswer()) {
             reply.accept(Responses.unavailable());
@@ -229,7 +238,7 @@
         });
     }
 
-    /** Cancels a job; answered when its cancellation, or its end, is durable. */
+    /** Cancels a job; answers once its cancellation, or its completion, is durable. */
     public void cancel(String id, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
@@ -256,9 +265,9 @@
         }
     }
 
-    // ---- jobs that are over
+    // ---- completed jobs
 
-    /** Answers if a job of this id has ended, or if that can't be told now; else goes on. */
+    /** Answers if a job of this id has completed or if that can't be determined now, else runs {@code notCompleted}. */
     private void answerIfCompleted(String id, Consumer<PeerMessage.Response> reply, Runnable notCompleted) {
         CompletedJob cached = completedJobs.get(id);
         if (cached != null) {
@@ -278,7 +287,10 @@
         });
     }
 
-    /** The answer about a job that is not alive and had not ended when that was asked: it may have lived in between. */
+    /**
+     * Returns the response about a job that is not live and had not completed when the key-value store was read: 404
+     * unless it was submitted and completed in the meantime.
+     */
     private PeerMessage.Response completedOrNotFound(String id) {
         CompletedJob completed = completedJobs.get(id);
         return completed == null ? Responses.error(404, "no such job") : JobResponses.completed(id, completed);
--- a/src/main/java/stileferry/requests/JobResponses.java
+++ b/src/main/java/stileferry/requests/JobResponses.java
@@ -5,7 +5,7 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.UserMessages;
 
-/** What users are told about their jobs. */
+/** Builds the responses that tell users the state of their jobs. */
 final class JobResponses {
     private static final String PENDING = "pending";
     private static final String RUNNING = "running";
@@ -13,29 +13,29 @@
 
     private JobResponses() {}
 
-    /** The state of a live job. */
+    /** Returns the state of a live job, or 503 while the outcome of a change to it is not known. */
     static PeerMessage.Response state(Job job) {
         if (!job.accepted() || job.cancelled() && !job.cancellationConfirmed()) {
-            return Responses.unavailable(); // the outcome of what would change the answer is not known yet
+            return Responses.unavailable(); // the outcome of the acceptance or cancellation is not known yet
         }
         int running = job.cancelled() ? 0 : job.runningCount();
         String state = job.cancelled() ? CANCELLED : running > 0 ? RUNNING : PENDING;
-        // while the job's end is not durable nobody may take all of its tasks for completed
+        // until the job's completion is durable, users must not see all of its tasks as completed
         int completed = job.completing() ? Math.max(0, job.completedCount() - 1) : job.completedCount();
         return Responses.ok(200, UserMessages.jobState(job.spec().id(), state, completed, running));
     }
 
-    /** A job that was accepted just now. */
+    /** Returns the state of a job that was just accepted. */
     static PeerMessage.Response accepted(String id) {
         return Responses.ok(201, UserMessages.jobState(id, PENDING, 0, 0));
     }
 
-    /** A job that was accepted and whose record nobody can read: known, and not over. */
+    /** Returns the state of an accepted job whose record can't be read: it exists and has not completed. */
     static PeerMessage.Response unreadable(String id) {
         return Responses.ok(200, UserMessages.jobState(id, PENDING, 0, 0));
     }
 
-    /** A job that is over. */
+    /** Returns the state of a completed job. */
     static PeerMessage.Response completed(String id, CompletedJob completed) {
         return Responses.ok(200, completed.jobState(id));
     }
--- a/src/main/java/stileferry/requests/OperatorSettingsHandler.java
+++ b/src/main/java/stileferry/requests/OperatorSettingsHandler.java
@@ -11,7 +11,7 @@
 import stileferry.storage.CommitQueue;
 import stileferry.storage.StoredEntry;
 
-/** Shows and changes the operators' settings; a change is answered, and takes effect, once it is durable. */
+/** Shows and changes the operator settings. A change takes effect, and is answered, once it is durable. */
 public final class OperatorSettingsHandler {
     private static final String REVISION = "revision";
 
@@ -20,14 +20,14 @@
     private final StoredEntry entry;
     private final Consumer<OperatorSettings> onDurable;
 
-    /** The settings with all changes, also those that are not durable yet. */
+    /** The settings with all accepted changes, including those that are not durable yet. */
     private OperatorSettings pendingSettings;
 
     /**
-     * A handler for one term.
+     * Creates a handler for one term.
      *
-     * @param storedRevision the revision of the settings' record in the key-value store
-     * @param onDurable takes up changed settings
+     * @param storedRevision the revision of the settings record in the key-value store
+     * @param onDurable applies changed settings once they are durable
      */
     public OperatorSettingsHandler(
             ClusterState cluster, CommitQueue commitQueue, long storedRevision, Consumer<OperatorSettings> onDurable) {
@@ -43,17 +43,17 @@
         return Responses.ok(200, cluster.operatorSettings().describe());
     }
 
-    /** Changes the settings that are named in the body. */
+    /** Changes the settings that the body names: all of them, or none if one is invalid. */
     void change(byte[] body, Consumer<PeerMessage.Response> reply) {
         apply(body, request -> pendingSettings.with(request.path("change")), reply);
     }
 
-    /** Puts the settings that are named in the body, or all, back to their defaults. */
+    /** Resets the settings that the body names to their defaults, or all settings if it names none. */
     void reset(byte[] body, Consumer<PeerMessage.Response> reply) {
         apply(body, request -> pendingSettings.reset(request.path("names")), reply);
     }
 
-    /** Makes new settings from a request. */
+    /** Derives the new settings from a request. */
     private interface Change {
         OperatorSettings apply(JsonNode request) throws InvalidOperatorSettingException;
     }
--- a/src/main/java/stileferry/requests/PendingReplies.java
+++ b/src/main/java/stileferry/requests/PendingReplies.java
@@ -9,24 +9,28 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.PeerMessage;
 
-/** The users who wait until a change of a job is durable. */
+/** The replies to users that are held back until a change of a job is durable. */
 final class PendingReplies {
-    /** Users wait this long for a change to be durable: less than their own patience of 5 s. */
+    /** How long users wait for a change to become durable; shorter than their own request timeout of 5 s. */
     private static final long DURABILITY_TIMEOUT_MS = 3000;
 
     private final Environment environment;
 
-    /** Who waits, by job, in the order in which the first of each began to wait. */
+    /** The waiting replies by job, in the order in which the first reply for each job was added. */
     private final Map<Job, Waiters> waitersByJob = new LinkedHashMap<>();
 
-    /** The replies that wait for one job, and when the first of them came, in milliseconds on the steady clock. */
+    /**
+     * The replies that wait for one job.
+     *
+     * @param firstAddedAt when the first of them was added, in milliseconds on the monotonic clock
+     */
     private record Waiters(long firstAddedAt, List<Consumer<PeerMessage.Response>> replies) {}
 
     PendingReplies(Environment environment) {
         this.environment = environment;
     }
 
-    /** Keeps a reply until the job is answered. */
+    /** Holds a reply back until {@link #answer} is called for the job. */
     void add(Job job, Consumer<PeerMessage.Response> reply) {
         waitersByJob
                 .computeIfAbsent(job, key -> new Waiters(environment.now(), new ArrayList<>()))
@@ -34,7 +38,7 @@
                 .add(reply);
     }
 
-    /** Answers all who wait for this job. */
+    /** Sends a response to all users that wait for this job. */
     void answer(Job job, PeerMessage.Response response) {
         Waiters waiters = waitersByJob.remove(job);
         if (waiters != null) {
@@ -42,7 +46,7 @@
         }
     }
 
-    /** Refuses those who have waited too long, or all of them when nothing may be told any more. */
+    /** Answers 503 to users that have waited too long, or to all of them if the leader may no longer answer. */
     void expireOverdue(boolean mayAnswer) {
         long now = environment.now();
         for (Job job : List.copyOf(waitersByJob.keySet())) {
--- a/src/main/java/stileferry/requests/RequestMetrics.java
+++ b/src/main/java/stileferry/requests/RequestMetrics.java
@@ -8,28 +8,28 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
 
-/** What one controller has answered since its start, and how long that took. */
+/** Counts one controller's responses since its start and measures their latencies. */
 public final class RequestMetrics {
     private static final long MAX_LATENCY_MS = 60_000;
 
     private final Map<PeerMessage.RequestKind, Histogram> latencies = new EnumMap<>(PeerMessage.RequestKind.class);
     private final Map<String, Long> responseCounts = new TreeMap<>();
 
-    /** Counts one answer. */
-    public void record(PeerMessage.RequestKind kind, int status, long tookMs) {
+    /** Records one response; latencies are clamped to at most {@link #MAX_LATENCY_MS}. */
+    public void record(PeerMessage.RequestKind kind, int status, long latencyMs) {
         latencies
                 .computeIfAbsent(kind, absent -> new Histogram(MAX_LATENCY_MS, 2))
-                .recordValue(Math.min(MAX_LATENCY_MS, Math.max(0, tookMs)));
+                .recordValue(Math.min(MAX_LATENCY_MS, Math.max(0, latencyMs)));
         responseCounts.merge(kind.wireName() + " " + status, 1L, Long::sum);
     }
 
-    /** The view of the administration API. */
+    /** Returns the metrics as a view of the administration API. */
     public ObjectNode describe() {
         ObjectNode view = MessageCodec.map();
         ObjectNode counts = view.putObject("answers");
         responseCounts.forEach(counts::put);
-        ObjectNode timesView = view.putObject("times_ms");
-        latencies.forEach((kind, histogram) -> timesView
+        ObjectNode latenciesView = view.putObject("times_ms");
+        latencies.forEach((kind, histogram) -> latenciesView
                 .putObject(kind.wireName())
                 .put("count", histogram.getTotalCount())
                 .put("p50", histogram.getValueAtPercentile(50))
--- a/src/main/java/stileferry/requests/Responses.java
+++ b/src/main/java/stileferry/requests/Responses.java
@@ -6,33 +6,36 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.UserMessages;
 
-/** The answers to users and operators that several parts give. */
+/** Builds the responses to users and operators that several classes share. */
 public final class Responses {
     private static final int RETRY_AFTER_S = 1;
 
     private Responses() {}
 
-    /** A success with its body. */
+    /** Returns a successful response. */
     public static PeerMessage.Response ok(int status, ObjectNode body) {
         return new PeerMessage.Response(status, 0, MessageCodec.encode(body));
     }
 
-    /** What a user's request that can't be answered now gets. */
+    /** Returns the 503 response to a user's request that can't be answered now. */
     public static PeerMessage.Response unavailable() {
         return unavailable("not available, try again");
     }
 
-    /** What an operator's request that only a leader can answer gets when there is none, or it is not sure to lead. */
+    /**
+     * Returns the 503 response to an operator's request that only the leader can answer, when there is no leader or this
+     * controller is not certain to lead.
+     */
     public static PeerMessage.Response noLeader() {
         return unavailable("no leader, or not sure of it");
     }
 
-    /** A refusal that is the same however often the request is repeated. */
+    /** Returns an error response without a retry time, as retrying the request gives the same result. */
     public static PeerMessage.Response error(int status, String reason) {
         return new PeerMessage.Response(status, 0, MessageCodec.encode(UserMessages.error(reason)));
     }
 
-    /** A view of the administration API, which can only be read. */
+    /** Returns a view of the administration API, or a 405 response if the request is not a GET. */
     public static PeerMessage.Response readOnlyView(boolean isGet, Supplier<ObjectNode> view) {
         return isGet ? ok(200, view.get()) : error(405, "only GET here");
     }
--- a/src/main/java/stileferry/requests/SubmissionCheck.java
+++ b/src/main/java/stileferry/requests/SubmissionCheck.java
@@ -6,9 +6,9 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
-/** Checks a well-formed submission against the teams, the machine types and the limits of the key-value store. */
+/** Checks a well-formed submission against team limits, machine types and the limits of the key-value store. */
 final class SubmissionCheck {
-    /** The share of the value limit that a job's record may take; the rest is for what is added later. */
+    /** The share of the value size limit that the record of a new job may take; it grows later. */
     private static final double MAX_RECORD_SHARE = 0.9;
 
     private static final int BYTES_PER_KB = 1024;
@@ -20,7 +20,7 @@
         this.cluster = cluster;
     }
 
-    /** Why a job can't be accepted; null: it can. */
+    /** Returns the response that says why a job can't be accepted, or null if it can. */
     PeerMessage.Response rejection(JobSpec spec) {
         Settings.Team team = cluster.settings().team(spec.team());
         if (team == null) {
@@ -38,14 +38,17 @@
         return exceedsLimit(spec, team) ? reject("more than the team's limit") : null;
     }
 
-    /** Why the record of a job can't be stored; null: it can. */
+    /** Returns the response that says why the record of a job can't be stored, or null if it can. */
     PeerMessage.Response recordRejection(Job job) {
         double maxLength = cluster.settings().keyValueStore().maxValueKb() * BYTES_PER_KB * MAX_RECORD_SHARE;
         int length = job.entry().value().toString().length();
         return length > maxLength ? reject("its description is larger than can be kept") : null;
     }
 
-    /** Whether a job could never run under its team's limit; of an array one task has to fit, of others all. */
+    /**
+     * Returns whether a job could never run within its team's limit. One task of a job array has to fit; of other jobs all
+     * tasks together.
+     */
     private static boolean exceedsLimit(JobSpec spec, Settings.Team team) {
         double tasks = spec.kind() == JobSpec.Kind.ARRAY ? 1 : spec.taskCount();
         return team.cpusMax() > 0 && tasks * spec.cpus() > team.cpusMax()
