--- a/src/main/java/stileferry/admission/AdmissionCodec.java
+++ b/src/main/java/stileferry/admission/AdmissionCodec.java
@@ -15,19 +15,19 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * Encodes and decodes what controllers exchange about admission, as {@link DataOutputStream} records that begin with a
- * version. Decoding throws {@link InvalidInputException} for bytes that are malformed.
+ * Encodes and decodes the admission messages that controllers exchange, as {@link DataOutputStream} records that begin
+ * with a version byte. Decoding throws {@link InvalidInputException} for malformed bytes.
  */
 public final class AdmissionCodec {
     private static final int VERSION = 1;
 
-    /** Half of what a message between controllers may hold. */
+    /** Half of the maximum size of a message between controllers. */
     private static final int MAX_DEMAND_REPORT_BYTES = 64 * 1024;
 
-    /** A character takes up to three bytes in {@link DataOutputStream#writeUTF}. */
+    /** The most bytes that {@link DataOutputStream#writeUTF} writes for a character. */
     private static final int MAX_CHARACTER_BYTES = 3;
 
-    /** More than the lengths and the priority tier of an entry take. */
+    /** Upper bound on the bytes of an entry's length fields and priority tier. */
     private static final int ENTRY_OVERHEAD_BYTES = 8;
 
     private AdmissionCodec() {}
@@ -56,16 +56,16 @@
     private static <T> T decode(byte[] bytes, String argument, BodyReader<T> body) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readUnsignedByte();
-            InvalidInputException.require(version == VERSION, argument, "of version " + version);
-            T read = body.read(in);
-            InvalidInputException.require(in.available() == 0, argument, "goes on after its end");
-            return read;
+            InvalidInputException.require(version == VERSION, argument, "unsupported version " + version);
+            T value = body.read(in);
+            InvalidInputException.require(in.available() == 0, argument, "has trailing bytes");
+            return value;
         } catch (IOException | SketchesException | IndexOutOfBoundsException e) {
             throw new InvalidInputException(argument, "malformed: " + e.getMessage());
         }
     }
 
-    /** Encodes a demand report; flows that exceed the size of a message are left out, the least urgent first. */
+    /** Encodes a demand report; flows beyond the size limit are omitted, the least urgent first. */
     public static byte[] encode(DemandReport report) {
         return encode(out -> {
             SortedMap<Flow, byte[]> sketches = sketchesThatFit(report);
@@ -97,7 +97,7 @@
         return MAX_CHARACTER_BYTES * characters + ENTRY_OVERHEAD_BYTES;
     }
 
-    /** Decodes a demand report. */
+    /** Decodes a demand report; throws {@link InvalidInputException} if it is malformed. */
     public static DemandReport decodeDemand(byte[] bytes) {
         return decode(bytes, "demand", in -> {
             SortedMap<Flow, CompactSketch> sketches = new TreeMap<>();
@@ -111,7 +111,7 @@
         });
     }
 
-    /** Encodes a table of admission windows. */
+    /** Encodes a table of admission windows; unlike a demand report, it is never cut to a size limit. */
     public static byte[] encode(AdmissionWindowTable table) {
         return encode(out -> {
             out.writeLong(table.term());
@@ -125,7 +125,7 @@
         });
     }
 
-    /** Decodes a table of admission windows. */
+    /** Decodes a table of admission windows; throws {@link InvalidInputException} if it is malformed. */
     public static AdmissionWindowTable decodeTable(byte[] bytes) {
         return decode(bytes, "table", in -> {
             long term = in.readLong();
--- a/src/main/java/stileferry/admission/AdmissionConfig.java
+++ b/src/main/java/stileferry/admission/AdmissionConfig.java
@@ -5,35 +5,35 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * Settings of one deployment. All other figures of this package are ratios to these or to the clients' retry timeout,
- * which the protocol sets.
+ * The configuration of admission control in one deployment. All other constants of this package are ratios to these
+ * values or to the clients' retry timeout, which the protocol defines.
  *
  * @param weights the teams' fair-share weights by name; requests of other teams are not subject to admission control
- * @param classes the job classes that are told apart; all others of a team are counted as one
+ * @param classes the job classes that are distinguished; all other classes of a team count as one
  * @param intervalMs milliseconds between two recomputations at the leader, and between two exchanges with it
- * @param maxAdmissionsPerS admissions a second that the key-value store can take at most
+ * @param maxAdmissionsPerS the maximum rate of admissions that the key-value store can sustain, per second
  */
 public record AdmissionConfig(
         Map<String, Double> weights, Set<String> classes, long intervalMs, double maxAdmissionsPerS) {
-    /** The job class under which all classes that the settings don't name are counted. */
+    /** Stands for all job classes that the settings don't name. */
     public static final String OTHER_CLASSES = "*";
 
-    /** Clients give up this many seconds after their first attempt (PROTOCOL, "POST /work"). */
+    /** Clients stop retrying this many seconds after their first attempt (PROTOCOL, "POST /work"). */
     public static final double CLIENT_RETRY_TIMEOUT_S = 60;
 
-    /** Clients retry after this many seconds at most, whatever they are told (PROTOCOL, "POST /work"). */
+    /** Clients wait at most this many seconds before a retry, even if told to wait longer (PROTOCOL, "POST /work"). */
     public static final int MAX_RETRY_AFTER_S = 30;
 
-    /** Length of an admission window: long enough for retry times in whole seconds and for slow requests. */
+    /** Seconds that an admission window lasts: long enough for retry times in whole seconds and for slow requests. */
     public static final double WINDOW_S = CLIENT_RETRY_TIMEOUT_S / 10;
 
-    /** Time slices in which demand is measured over the clients' retry timeout. */
+    /** Number of time slices in which demand is measured over the clients' retry timeout. */
     static final int DEMAND_SLICES = 4;
 
     private static final int TABLE_VALIDITY_INTERVALS = 4;
     private static final double MS_PER_S = 1000;
 
-    /** Checks every figure. */
+    /** Copies the collections and validates all values. */
     public AdmissionConfig {
         InvalidInputException.require(weights != null, "weights", "missing");
         for (Map.Entry<String, Double> weight : weights.entrySet()) {
@@ -47,11 +47,11 @@
         InvalidInputException.require(isPositive(maxAdmissionsPerS), "maxAdmissionsPerS", "must be above 0");
     }
 
-    private static boolean isPositive(Double figure) {
-        return figure != null && figure > 0 && figure < Double.POSITIVE_INFINITY;
+    private static boolean isPositive(Double value) {
+        return value != null && value > 0 && value < Double.POSITIVE_INFINITY;
     }
 
-    /** The flow of a job; null if the team is unknown. */
+    /** Returns the flow of a job, or null if the team is unknown. */
     public Flow flow(String team, String jobClass, int priorityTier) {
         if (!weights.containsKey(team)) {
             return null;
@@ -59,12 +59,12 @@
         return new Flow(team, classes.contains(jobClass) ? jobClass : OTHER_CLASSES, priorityTier);
     }
 
-    /** Milliseconds for which a table of admission windows may be used, counted from when it was asked for. */
+    /** Returns how long a table of admission windows is valid after it was requested, in milliseconds. */
     public long tableValidityMs() {
         return TABLE_VALIDITY_INTERVALS * intervalMs;
     }
 
-    /** Length of a time slice in milliseconds. */
+    /** Returns the length of a time slice, in milliseconds. */
     long demandSliceMs() {
         return Math.round(MS_PER_S * CLIENT_RETRY_TIMEOUT_S / DEMAND_SLICES);
     }
--- a/src/main/java/stileferry/admission/AdmissionController.java
+++ b/src/main/java/stileferry/admission/AdmissionController.java
@@ -8,9 +8,9 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * The leader's admission control in one term: decides which jobs are admitted now and how long the others wait. Nothing
- * else admits jobs. The caller asks about new jobs only, not about those that were accepted before. Times are in
- * milliseconds.
+ * The leader's admission control in one term: decides which jobs are admitted now and how long the others have to wait.
+ * No other component admits jobs. It must be asked about new jobs only, not about jobs that were accepted before. Times
+ * are in milliseconds.
  */
 public final class AdmissionController {
     private static final int MOST_URGENT_TIER = 0;
@@ -21,24 +21,24 @@
     private final AdaptiveRateLimit rateLimit;
     private final Map<Flow, FlowRateLimiter> limiters = new HashMap<>();
 
-    /** By priority tier: the capacity that no flow of this tier or a more urgent one has been given. */
+    /** By priority tier: the capacity that is allocated to no flow of this tier or of a more urgent one. */
     private final Map<Integer, TokenBucket> spareCapacity = new HashMap<>();
 
-    /** Ring positions from which admission windows start, as the former leader left them. */
+    /** Ring positions at which admission windows start, continued from the previous leader's table. */
     private final Map<Flow, Double> initialPositions;
 
-    /** Jobs in the window that could not be admitted; they stay admissible until they are. */
+    /** Jobs that were not admitted although in the window; they stay admissible until they are admitted. */
     private final Cache<String, Boolean> deferredJobs;
 
     private SortedMap<Flow, Double> shares = new TreeMap<>();
     private AdmissionWindowTable table;
 
     /**
-     * Begins a term.
+     * Starts admission control for one term.
      *
-     * @param previousTable the last table of the former leader that this controller has, or null: admission windows
-     *     continue from there
-     * @param previousTableAgeS seconds since that table was made
+     * @param previousTable the last table of a former leader that this controller received, or null; admission
+     *     windows continue from it
+     * @param previousTableAgeS seconds since that table was computed
      */
     public AdmissionController(
             AdmissionConfig config, long term, AdmissionWindowTable previousTable, double previousTableAgeS) {
@@ -56,9 +56,9 @@
     }
 
     /**
-     * Decides about a new job.
+     * Decides whether a new job is admitted now.
      *
-     * @param flow the job's flow by {@link AdmissionConfig#flow}
+     * @param flow the job's flow as given by {@link AdmissionConfig#flow}
      */
     public AdmissionDecision decide(Flow flow, String id, long now) {
         FlowRateLimiter limiter = limiter(flow, now);
@@ -73,7 +73,7 @@
         return AdmissionDecision.ADMITTED;
     }
 
-    /** Refuses a new job at a moment when the leader can accept nothing, and says when to retry. */
+    /** Rejects a new job while the leader can't accept it, and says when to retry. */
     public AdmissionDecision defer(Flow flow, String id, long now) {
         return reject(flow, id, waitS(limiter(flow, now), id, now), now);
     }
@@ -89,7 +89,8 @@
             return AdmissionDecision.retryAfter(waitS);
         }
         deferredJobs.put(id, Boolean.TRUE);
-        double spreadS = JobIdHash.ringPosition(id) * AdmissionConfig.WINDOW_S / 2; // or all retry at once
+        double spreadS =
+                JobIdHash.ringPosition(id) * AdmissionConfig.WINDOW_S / 2; // so that they don't all retry at once
         return AdmissionDecision.retryAfter(1 + spreadS);
     }
 
@@ -108,7 +109,7 @@
                 priorityTier, absent -> new TokenBucket(maxPerS, maxPerS * AdmissionConfig.WINDOW_S, now));
     }
 
-    /** Merges the demand that another controller refused; flows that the settings do not know are ignored. */
+    /** Merges the demand that another controller rejected; flows that the configuration does not know are ignored. */
     public void mergeDemand(DemandReport report, long now) {
         report.sketches().forEach((flow, sketch) -> {
             if (flow.equals(config.flow(flow.team(), flow.jobClass(), flow.priorityTier()))) {
@@ -118,9 +119,9 @@
     }
 
     /**
-     * Recomputes capacity, fair shares and admission windows, once an interval.
+     * Recomputes capacity, fair shares and admission windows; called once per interval.
      *
-     * @param backPressure what kept the leader from admitting more since the last time
+     * @param backPressure what limited the leader's admissions since the last call
      */
     public void updateShares(BackPressure backPressure, long now) {
         SortedMap<Flow, DemandEstimate> waiting = demand.waitingJobs(now);
@@ -142,7 +143,7 @@
         return rateLimit.adjust(backPressure, waitingJobs, admittedPerS);
     }
 
-    /** What each flow asks for: to admit all that wait within one admission window, on top of its recent rate. */
+    /** Returns each flow's demand: its recent rate plus the rate that admits all its waiting jobs within one window. */
     private SortedMap<Flow, Double> demandsPerS(SortedMap<Flow, DemandEstimate> waiting, long now) {
         SortedMap<Flow, Double> demands = new TreeMap<>();
         waiting.forEach((flow, estimate) ->
@@ -180,32 +181,36 @@
         return byTier;
     }
 
-    /** The table as of the last {@link #updateShares}. */
+    /** Returns the table of admission windows as of the last {@link #updateShares}. */
     public AdmissionWindowTable table() {
         return table;
     }
 
-    /** The fair share of each flow, in admissions a second. */
+    /** Returns the fair share of each flow, in admissions per second. */
     public SortedMap<Flow, Double> shares() {
         return shares;
     }
 
-    /** Jobs that wait, by flow. */
+    /** Returns the estimated number of waiting jobs by flow. */
     public SortedMap<Flow, DemandEstimate> waitingJobs(long now) {
         return demand.waitingJobs(now);
     }
 
-    /** The total that the fair shares divide, in admissions a second. */
+    /** Returns the total rate that the fair shares divide, in admissions per second. */
     public double capacityPerS() {
         return rateLimit.ratePerS();
     }
 
-    /** Requests of a flow admitted in this term; starts anew when the flow had no demand for a while. */
+    /**
+     * Returns how many requests of a flow were admitted in this term; reset when the flow had no demand for a while.
+     */
     public long admittedCount(Flow flow) {
         return limiters.containsKey(flow) ? limiters.get(flow).admittedCount() : 0;
     }
 
-    /** Requests of a flow refused in this term; starts anew when the flow had no demand for a while. */
+    /**
+     * Returns how many requests of a flow were rejected in this term; reset when the flow had no demand for a while.
+     */
     public long rejectedCount(Flow flow) {
         return limiters.containsKey(flow) ? limiters.get(flow).rejectedCount() : 0;
     }
--- a/src/main/java/stileferry/admission/AdmissionCounts.java
+++ b/src/main/java/stileferry/admission/AdmissionCounts.java
@@ -12,13 +12,13 @@
         private static final Comparator<TeamClass> ORDER =
                 Comparator.comparing(TeamClass::team).thenComparing(TeamClass::jobClass);
 
-        /** Checks that nothing is missing. */
+        /** Rejects null values. */
         public TeamClass {
             InvalidInputException.require(team != null, "team", "missing");
             InvalidInputException.require(jobClass != null, "jobClass", "missing");
         }
 
-        /** The counter for a flow's admissions. */
+        /** Returns the key of the counter for a flow's admissions. */
         public static TeamClass of(Flow flow) {
             return new TeamClass(flow.team(), flow.jobClass());
         }
@@ -32,12 +32,12 @@
     private final SortedMap<TeamClass, Long> counts = new TreeMap<>();
 
     /**
-     * Adds admissions.
+     * Adds admissions to a counter.
      *
-     * @param number above 0
+     * @param number how many; above 0
      */
     public void add(TeamClass teamClass, long number) {
-        InvalidInputException.require(number > 0, "number", "not above 0: " + number);
+        InvalidInputException.require(number > 0, "number", "must be above 0: " + number);
         counts.merge(teamClass, number, Math::addExact);
     }
 
@@ -46,17 +46,17 @@
         other.counts.forEach(this::add);
     }
 
-    /** A copy of the counters. */
+    /** Returns a copy of the counters. */
     public SortedMap<TeamClass, Long> byTeamClass() {
         return new TreeMap<>(counts);
     }
 
-    /** Whether there is a counter for a team and class. */
+    /** Returns whether there is a counter for a team and class. */
     public boolean contains(TeamClass teamClass) {
         return counts.containsKey(teamClass);
     }
 
-    /** All admissions. */
+    /** Returns the sum of all counters. */
     public long total() {
         return counts.values().stream().mapToLong(Long::longValue).sum();
     }
--- a/src/main/java/stileferry/admission/AdmissionTotals.java
+++ b/src/main/java/stileferry/admission/AdmissionTotals.java
@@ -3,17 +3,17 @@
 import java.util.Collection;
 
 /**
- * All admissions that were counted up to a revision of the key-value store. The count is kept in shards, so that
- * transactions in flight don't conflict; each shard is written in the transaction that makes durable what it counts.
- * All shards as of one revision add up to the totals of that revision.
+ * The totals of the admissions that were counted up to a revision of the key-value store. The count is kept in shards,
+ * so that concurrent transactions don't conflict; each shard is written in the transaction that makes the counted jobs
+ * durable. All shards as of one revision add up to the totals at that revision.
  *
  * @param counts the admissions
- * @param revision the key-value store's revision at which they hold
- * @param completeUntilRevision the revision up to which nothing is missing; {@link #COMPLETE} if nothing is missing
- *     at all
+ * @param revision the key-value store's revision that the totals refer to
+ * @param completeUntilRevision the revision up to which nothing is missing; {@link #COMPLETE} if nothing is missing at
+ *     all
  */
 public record AdmissionTotals(AdmissionCounts counts, long revision, long completeUntilRevision) {
-    /** Stands for any revision: every leader has counted what it accepted. */
+    /** Means that nothing is missing at any revision: every leader has counted the jobs that it accepted. */
     public static final long COMPLETE = Long.MAX_VALUE;
 
     private static final long FIRST_TERM = 1;
@@ -22,18 +22,19 @@
      * One shard as it is stored.
      *
      * @param counts the admissions counted in it
-     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders in which it was written
-     * @param completeUntilRevision the revision up to which nothing was missing, as its writer knew it
-     * @param revision of its last write
+     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders in which it was last
+     *     written
+     * @param completeUntilRevision the revision up to which nothing is missing, as far as its writer knew
+     * @param revision the revision of its last write
      */
     public record Shard(AdmissionCounts counts, long countingSinceTerm, long completeUntilRevision, long revision) {}
 
     /**
-     * Adds shards up.
+     * Adds up shards.
      *
      * @param shards all shards as of the revision
-     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders that lasts until now; 0: a
-     *     leader that does not count has begun a term since
+     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders that lasts until now; 0 if
+     *     the leader of the last term does not count
      */
     public static AdmissionTotals of(Collection<Shard> shards, long countingSinceTerm, long revision) {
         AdmissionCounts counts = new AdmissionCounts();
@@ -42,9 +43,9 @@
     }
 
     /**
-     * The revision up to which nothing is missing. Leaders of older versions, and those with the feature off, accept
-     * jobs without counting them. A shard that was last written in a former run of terms says that such a leader may
-     * have accepted jobs at any time after that write.
+     * Returns the revision up to which nothing is missing, or {@link #COMPLETE}. Leaders of older versions, and those
+     * with the feature off, accept jobs without counting them. If the shards were last written in an earlier run of
+     * terms, such a leader may have accepted jobs at any time after that write.
      */
     public static long completeUntilRevision(Collection<Shard> shards, long countingSinceTerm) {
         long completeUntil = COMPLETE;
@@ -65,7 +66,7 @@
         return countingSinceTerm == FIRST_TERM || countingSinceTerm > 0 && countingSinceTerm == lastCountingSince;
     }
 
-    /** Whether nothing is missing. */
+    /** Returns whether nothing is missing. */
     public boolean isComplete() {
         return completeUntilRevision == COMPLETE;
     }
--- a/src/main/java/stileferry/admission/AdmissionWindowTable.java
+++ b/src/main/java/stileferry/admission/AdmissionWindowTable.java
@@ -7,37 +7,39 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * The admission windows of all rate-limited flows, as the leader of one term computed them. Flows that are not in the
+ * The admission windows of all rate-limited flows, as computed by the leader of one term. Flows that are not in the
  * table are not limited.
  *
  * @param term the leader's term
- * @param sequence the number of the table within the term, from 1
+ * @param sequence the sequence number of the table within the term, from 1
  * @param windows the admission windows by flow
  */
 public record AdmissionWindowTable(long term, long sequence, SortedMap<Flow, AdmissionWindow> windows) {
-    /** Copies the map and checks the numbers. */
+    /** Copies the map and validates the numbers. */
     public AdmissionWindowTable {
-        InvalidInputException.require(term > 0, "term", "not above 0: " + term);
-        InvalidInputException.require(sequence > 0, "sequence", "not above 0: " + sequence);
+        InvalidInputException.require(term > 0, "term", "must be above 0: " + term);
+        InvalidInputException.require(sequence > 0, "sequence", "must be above 0: " + sequence);
         windows = Collections.unmodifiableSortedMap(new TreeMap<>(windows));
     }
 
     /**
-     * Seconds until a job is in its flow's admission window; 0 if it is or if the flow is not limited.
+     * Returns the seconds until a job is in its flow's admission window; 0 if it is now or if the flow is not limited.
      *
-     * @param ageS seconds since the table was made
+     * @param ageS seconds since the table was computed
      */
     public double waitS(Flow flow, String id, double ageS) {
         AdmissionWindow window = windows.get(flow);
         return window == null ? 0 : window.waitS(JobIdHash.ringPosition(id), ageS);
     }
 
-    /** Whether this table is of a later term, or has a higher sequence number in the same term. */
+    /** Returns whether this table is of a later term, or has a higher sequence number in the same term. */
     boolean isAfter(AdmissionWindowTable other) {
         return term != other.term ? term > other.term : sequence > other.sequence;
     }
 
-    /** Ring positions of the windows' heads after some seconds, from which the next leader continues. */
+    /**
+     * Returns the ring positions of the windows' heads after this many seconds; the next leader continues from them.
+     */
     Map<Flow, Double> positionsAfter(double seconds) {
         Map<Flow, Double> positions = new TreeMap<>();
         windows.forEach((flow, window) -> positions.put(flow, window.positionAfter(seconds)));
--- a/src/main/java/stileferry/admission/BackPressure.java
+++ b/src/main/java/stileferry/admission/BackPressure.java
@@ -1,13 +1,13 @@
 package stileferry.admission;
 
-/** What kept the leader from admitting more jobs: the bottleneck that the admission rate adapts to. */
+/** The bottleneck that kept the leader from admitting more jobs, and that the admission rate adapts to. */
 public enum BackPressure {
-    /** Nothing. */
+    /** No bottleneck. */
     NONE,
 
     /** The leader's event loop lags behind its work. */
     LEADER,
 
-    /** The key-value store commits changes more slowly than they come up. */
+    /** The key-value store commits changes more slowly than they arrive. */
     KEY_VALUE_STORE
 }
--- a/src/main/java/stileferry/admission/DemandEstimate.java
+++ b/src/main/java/stileferry/admission/DemandEstimate.java
@@ -1,7 +1,7 @@
 package stileferry.admission;
 
 /**
- * The number of distinct jobs that were submitted lately and not admitted, estimated from sketches.
+ * The number of distinct jobs that were submitted recently and not admitted, estimated from sketches.
  *
  * @param waitingJobs the estimate; exact while a flow has fewer jobs than a sketch has nominal entries
  * @param lowerBound the lower bound at two standard deviations
--- a/src/main/java/stileferry/admission/DemandEstimator.java
+++ b/src/main/java/stileferry/admission/DemandEstimator.java
@@ -8,9 +8,9 @@
 import org.apache.datasketches.theta.Sketch;
 
 /**
- * Estimates the demand of each flow as the distinct job ids over the clients' retry timeout; requests cannot be
- * counted, as clients repeat them at any controller. The number of flows is bounded by the settings' teams and job
- * classes ({@link AdmissionConfig#flow}). Times are in milliseconds.
+ * Estimates the demand of each flow by counting distinct job ids over the clients' retry timeout. Requests can't be
+ * counted instead, as clients repeat them at any controller. The number of flows is bounded by the settings' teams and
+ * job classes ({@link AdmissionConfig#flow}). Times are in milliseconds.
  */
 final class DemandEstimator {
     private final AdmissionConfig config;
@@ -28,22 +28,24 @@
         return flows.computeIfAbsent(flow, absent -> new FlowDemandSketch());
     }
 
-    /** A job was submitted and not admitted. */
+    /** Records that a job was submitted and not admitted. */
     void recordRequest(Flow flow, String id, long now) {
         sketchOf(flow).recordRequest(id, slice(now));
     }
 
-    /** A job was submitted and admitted. */
+    /** Records that a job was submitted and admitted. */
     void recordAdmission(Flow flow, String id, long now) {
         sketchOf(flow).recordAdmission(id, slice(now));
     }
 
-    /** Merges another controller's sketch. */
+    /** Merges the sketch that another controller reported. */
     void merge(Flow flow, Sketch sketch, long now) {
         sketchOf(flow).merge(sketch, slice(now));
     }
 
-    /** This controller's own sketches of the current time slice, without those of other controllers. */
+    /**
+     * Returns this controller's own sketches of the current time slice, without those merged from other controllers.
+     */
     SortedMap<Flow, CompactSketch> currentSketches(long now) {
         SortedMap<Flow, CompactSketch> sketches = new TreeMap<>();
         flows.forEach((flow, demand) -> {
@@ -55,7 +57,7 @@
         return sketches;
     }
 
-    /** Jobs that wait, by flow; drops flows without any recent request. */
+    /** Returns the estimated number of waiting jobs by flow; drops flows without recent requests. */
     SortedMap<Flow, DemandEstimate> waitingJobs(long now) {
         flows.values().removeIf(demand -> demand.isIdle(slice(now)));
         SortedMap<Flow, DemandEstimate> waitingJobs = new TreeMap<>();
@@ -63,7 +65,7 @@
         return waitingJobs;
     }
 
-    /** A flow's admissions a second over the clients' retry timeout. */
+    /** Returns a flow's admissions per second over the clients' retry timeout. */
     double admittedPerS(Flow flow, long now) {
         FlowDemandSketch demand = flows.get(flow);
         return demand == null ? 0 : demand.admissions(slice(now)) / AdmissionConfig.CLIENT_RETRY_TIMEOUT_S;
--- a/src/main/java/stileferry/admission/DemandReport.java
+++ b/src/main/java/stileferry/admission/DemandReport.java
@@ -6,8 +6,8 @@
 import org.apache.datasketches.theta.CompactSketch;
 
 /**
- * The recent demand at one controller: a sketch of the distinct jobs that were submitted there, by flow. Merging is
- * idempotent and commutative, except that the time of the merge decides the time slice.
+ * The recent demand at one controller: by flow, a sketch of the distinct jobs that were submitted there. Merging
+ * reports is idempotent and commutative, except that the time of the merge determines the time slice.
  */
 public record DemandReport(SortedMap<Flow, CompactSketch> sketches) {
     /** Copies the map. */
--- a/src/main/java/stileferry/admission/FairShareAllocator.java
+++ b/src/main/java/stileferry/admission/FairShareAllocator.java
@@ -10,23 +10,23 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * Divides a capacity among flows: priority tiers in strict order, with a guaranteed minimum for each lower tier that
- * has demand; within a tier weighted max-min fairness among teams, and unweighted max-min fairness among a team's
- * flows. Work-conserving: nothing is left over while a demand is unmet, and no flow gets more than it asks for. The
- * result does not depend on the order of the flows.
+ * Divides a capacity among flows. Priority tiers are served in strict order, with a guaranteed minimum for each lower
+ * tier that has demand. Within a tier, teams share by weighted max-min fairness, and the flows of a team by unweighted
+ * max-min fairness. The division is work-conserving: no capacity is left over while a demand is unmet, and no flow gets
+ * more than its demand. The result does not depend on the order of the flows.
  */
 public final class FairShareAllocator {
-    /** The fraction of the capacity that each tier but the most urgent is guaranteed, as far as it has demand. */
+    /** The fraction of the capacity that each tier except the most urgent is guaranteed, as far as it has demand. */
     public static final double MIN_TIER_FRACTION = 0.1;
 
     private static final double DEFAULT_WEIGHT = 1;
 
-    /** Less capacity than this counts as none left, or rounding errors would be divided. */
+    /** Remaining capacity up to this counts as none, so that rounding errors are not divided. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private FairShareAllocator() {}
 
-    /** A team or a flow that competes for a part of a capacity. */
+    /** A team or a flow that competes for a share of a capacity. */
     private static final class Claimant {
         private final double demand;
         private final double weight;
@@ -39,17 +39,17 @@
     }
 
     /**
-     * The fair share of each flow.
+     * Returns the fair share of each flow, in admissions per second.
      *
-     * @param capacity what there is to divide, admissions a second
-     * @param demands what each flow asks for, in the same unit
-     * @param weights the teams' weights; 1 for a team that is not named
+     * @param capacity the capacity to divide, in admissions per second
+     * @param demands the demand of each flow, in the same unit
+     * @param weights the teams' weights by name; a team that is missing has weight 1
      */
     public static SortedMap<Flow, Double> allocate(
             double capacity, Map<Flow, Double> demands, Map<String, Double> weights) {
         InvalidInputException.require(capacity >= 0, "capacity", "negative or not a number: " + capacity);
-        demands.forEach(
-                (flow, demand) -> InvalidInputException.require(demand >= 0, "demands", flow + " asks for " + demand));
+        demands.forEach((flow, demand) ->
+                InvalidInputException.require(demand >= 0, "demands", flow + " has the invalid demand " + demand));
         List<SortedMap<Flow, Double>> tiers = groupBy(Flow::priorityTier, demands);
         double[] minimums = minimums(capacity, tiers);
         double reservedBelow = Arrays.stream(minimums).reduce(0, Double::sum);
@@ -63,7 +63,7 @@
         return shares;
     }
 
-    /** The demands in groups, in the order of the groups' keys. */
+    /** Groups the demands by a key; the groups are in the order of their keys. */
     private static <K extends Comparable<K>> List<SortedMap<Flow, Double>> groupBy(
             Function<Flow, K> key, Map<Flow, Double> demands) {
         SortedMap<K, SortedMap<Flow, Double>> groups = new TreeMap<>();
@@ -72,7 +72,7 @@
         return List.copyOf(groups.values());
     }
 
-    /** What is reserved for each tier; nothing for the most urgent, which is served before all others. */
+    /** Returns the capacity reserved for each tier; 0 for the most urgent, which is served before all others. */
     private static double[] minimums(double capacity, List<SortedMap<Flow, Double>> tiers) {
         double[] minimums = new double[tiers.size()];
         for (int tier = 1; tier < minimums.length; tier++) {
@@ -85,7 +85,7 @@
         return demands.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
-    /** Divides a tier's capacity and returns how much of it is used. */
+    /** Divides the capacity available to a tier among its teams and returns how much of it is used. */
     private static double divideAmongTeams(
             double available,
             SortedMap<Flow, Double> demands,
@@ -115,27 +115,27 @@
     }
 
     /**
-     * Weighted max-min fairness by progressive filling: raises all claimants by their weights until each has its
-     * demand or nothing is left. Returns how much is used.
+     * Weighted max-min fairness by progressive filling: raises all shares in proportion to the weights until each
+     * claimant has its demand or no capacity is left. Returns how much capacity is used.
      */
     private static double divideMaxMin(double available, List<Claimant> claimants) {
-        List<Claimant> unmet = new ArrayList<>(claimants);
-        unmet.removeIf(claimant -> claimant.demand <= 0);
+        List<Claimant> unsatisfied = new ArrayList<>(claimants);
+        unsatisfied.removeIf(claimant -> claimant.demand <= 0);
         double remaining = available;
-        while (!unmet.isEmpty() && remaining > ROUNDING_TOLERANCE) {
-            double perWeight = remaining / sumOfWeights(unmet);
-            List<Claimant> met = unmet.stream()
+        while (!unsatisfied.isEmpty() && remaining > ROUNDING_TOLERANCE) {
+            double perWeight = remaining / sumOfWeights(unsatisfied);
+            List<Claimant> satisfied = unsatisfied.stream()
                     .filter(claimant -> claimant.demand <= perWeight * claimant.weight)
                     .toList();
-            if (met.isEmpty()) {
-                unmet.forEach(claimant -> claimant.share = perWeight * claimant.weight);
+            if (satisfied.isEmpty()) {
+                unsatisfied.forEach(claimant -> claimant.share = perWeight * claimant.weight);
                 return available;
             }
-            for (Claimant claimant : met) {
+            for (Claimant claimant : satisfied) {
                 claimant.share = claimant.demand;
                 remaining -= claimant.demand;
             }
-            unmet.removeAll(met);
+            unsatisfied.removeAll(satisfied);
         }
         return available - remaining;
     }
--- a/src/main/java/stileferry/admission/Flow.java
+++ b/src/main/java/stileferry/admission/Flow.java
@@ -4,11 +4,11 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * The jobs that one team submits in one job class at one priority: the unit for which demand is estimated and fair
- * shares are computed. Ordered by priority tier, the most urgent first.
+ * All jobs that one team submits in one job class at one priority: the unit for which demand is estimated and fair
+ * shares are computed. Ordered by priority tier, the most urgent first, then by team and job class.
  *
  * @param team the team's name
- * @param jobClass the class of the jobs; {@link AdmissionConfig#OTHER_CLASSES} for those that are not told apart
+ * @param jobClass the class of the jobs; {@link AdmissionConfig#OTHER_CLASSES} for those that are not distinguished
  * @param priorityTier 0 for the most urgent
  */
 public record Flow(String team, String jobClass, int priorityTier) implements Comparable<Flow> {
@@ -16,11 +16,11 @@
             .thenComparing(Flow::team)
             .thenComparing(Flow::jobClass);
 
-    /** Checks that nothing is missing. */
+    /** Rejects missing names and a negative tier. */
     public Flow {
         InvalidInputException.require(team != null && !team.isEmpty(), "team", "missing or empty");
         InvalidInputException.require(jobClass != null, "jobClass", "missing");
-        InvalidInputException.require(priorityTier >= 0, "priorityTier", "negative: " + priorityTier);
+        InvalidInputException.require(priorityTier >= 0, "priorityTier", "must not be negative: " + priorityTier);
     }
 
     @Override
--- a/src/main/java/stileferry/admission/FlowDemandSketch.java
+++ b/src/main/java/stileferry/admission/FlowDemandSketch.java
@@ -10,24 +10,24 @@
 
 /**
  * The demand of one flow over a sliding window, as a ring buffer of time slices. Each slice holds a theta sketch of the
- * distinct job ids that were submitted and one of those that were admitted. Memory is fixed, however many jobs there
- * are. Sketches of other controllers are merged by a union, so order and repetition do not matter.
+ * distinct job ids that were submitted and one of those that were admitted. Memory use is bounded, however many jobs
+ * there are. Sketches of other controllers are merged as a union, so their order and repetition do not matter.
  */
 final class FlowDemandSketch {
-    /** Nominal entries of a sketch: exact up to this many ids, a relative standard error of 1/16 beyond. */
+    /** Nominal entries of a sketch: it is exact up to this many ids, with a relative standard error of 1/16 beyond. */
     static final int NOMINAL_ENTRIES = 256;
 
     private static final int BOUND_STANDARD_DEVIATIONS = 2;
 
     private final Slice[] slices = new Slice[AdmissionConfig.DEMAND_SLICES];
 
-    /** One time slice. */
+    /** One time slice; {@code number} counts slices on the clock. */
     private static final class Slice {
         private final long number;
         private final UpdateSketch requested = newSketch();
         private final UpdateSketch admitted = newSketch();
 
-        /** What other controllers reported; null: nothing yet. */
+        /** The union of what other controllers reported; null before the first report. */
         private Union merged;
 
         private int admissions;
@@ -64,7 +64,7 @@
         return (int) Math.floorMod(number, (long) slices.length);
     }
 
-    /** The slice of that number, which takes the place of the one that has left the sliding window. */
+    /** Returns the slice of this number; a new one replaces the slice that has left the sliding window. */
     private Slice slice(long number) {
         int index = index(number);
         if (slices[index] == null || slices[index].number < number) {
@@ -73,7 +73,7 @@
         return slices[index];
     }
 
-    /** The slices of the sliding window that ends with the current slice. */
+    /** Returns the slices of the sliding window that ends with the current slice. */
     private List<Slice> slicesInWindow(long current) {
         return Arrays.stream(slices)
                 .filter(slice -> slice != null && slice.number > current - slices.length)
@@ -91,12 +91,12 @@
         slice.admissions++;
     }
 
-    /** Merges another controller's sketch. */
+    /** Merges the sketch that another controller reported. */
     void merge(Sketch sketch, long current) {
         slice(current).merge(sketch);
     }
 
-    /** The jobs that were submitted to this controller in the current slice; null: none. */
+    /** Returns the sketch of the jobs submitted to this controller in the current slice, or null if there are none. */
     CompactSketch ownSketch(long current) {
         Slice slice = slices[index(current)];
         if (slice == null || slice.number != current || slice.requested.isEmpty()) {
@@ -105,7 +105,7 @@
         return slice.requested.rebuild().compact();
     }
 
-    /** Jobs that were submitted and not admitted within the sliding window. */
+    /** Estimates how many jobs were submitted and not admitted within the sliding window. */
     DemandEstimate waitingJobs(long current) {
         List<Slice> recent = slicesInWindow(current);
         if (recent.isEmpty()) {
@@ -121,14 +121,14 @@
                 waiting.getUpperBound(BOUND_STANDARD_DEVIATIONS));
     }
 
-    /** Admissions within the sliding window. */
+    /** Returns the number of admissions within the sliding window. */
     int admissions(long current) {
         return slicesInWindow(current).stream()
                 .mapToInt(slice -> slice.admissions)
                 .sum();
     }
 
-    /** Whether the sliding window is empty, so that the flow can be dropped. */
+    /** Returns whether the sliding window is empty, so that the flow can be dropped. */
     boolean isIdle(long current) {
         return slicesInWindow(current).isEmpty();
     }
--- a/src/main/java/stileferry/admission/FlowRateLimiter.java
+++ b/src/main/java/stileferry/admission/FlowRateLimiter.java
@@ -1,22 +1,22 @@
 package stileferry.admission;
 
 /**
- * The leader's rate limit of one flow: a token bucket that refills at the flow's fair share and, while more is asked
- * than that, an admission window. Times are in milliseconds.
+ * The leader's rate limiter for one flow: a token bucket that refills at the flow's fair share and, while the demand
+ * exceeds that share, an admission window. Times are in milliseconds.
  */
 final class FlowRateLimiter {
     private static final double MS_PER_S = 1000;
 
-    /** The slowest admission window: one round in an hour. */
+    /** The slowest speed of an admission window: one round per hour. */
     private static final double MIN_ROUNDS_PER_S = 1 / 3600.0;
 
-    /** Keeps rounding errors from making an almost unlimited flow's window invalid. */
+    /** Keeps rounding errors from making the window of an almost unlimited flow invalid. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final TokenBucket bucket;
     private double position;
 
-    /** Speed of the admission window; 0: the flow is not limited. */
+    /** The speed of the admission window; 0 while the flow is not limited. */
     private double roundsPerS;
 
     private long updatedAt;
@@ -24,9 +24,9 @@
     private long rejectedCount;
 
     /**
-     * A flow that is not limited yet.
+     * Creates a limiter for a flow that is not limited yet.
      *
-     * @param position ring position from which the admission window starts
+     * @param position the ring position at which the admission window starts
      */
     FlowRateLimiter(double position, long now) {
         this.bucket = new TokenBucket(0, 1, now);
@@ -34,12 +34,14 @@
         this.updatedAt = now;
     }
 
-    /** Whether jobs outside the admission window are refused. */
+    /** Returns whether jobs outside the admission window are rejected. */
     boolean isLimiting() {
         return roundsPerS > 0;
     }
 
-    /** Sets the flow's fair share in admissions a second; the window's speed follows from the jobs that wait. */
+    /**
+     * Sets the flow's fair share in admissions per second; with the number of waiting jobs it gives the window's speed.
+     */
     void updateShare(double sharePerS, double waitingJobs, long now) {
         position = isLimiting() ? window().positionAfter(ageS(now)) : position;
         updatedAt = now;
@@ -59,17 +61,17 @@
         return (now - updatedAt) / MS_PER_S;
     }
 
-    /** The admission window as of the last {@link #updateShare}; only while {@link #isLimiting}. */
+    /** Returns the admission window as of the last {@link #updateShare}; call only while {@link #isLimiting}. */
     AdmissionWindow window() {
         return new AdmissionWindow(position, roundsPerS);
     }
 
-    /** Seconds until a job is in the admission window; 0 if it is or if the flow is not limited. */
+    /** Returns the seconds until a job is in the admission window; 0 if it is now or if the flow is not limited. */
     double waitS(double jobPosition, long now) {
         return isLimiting() ? window().waitS(jobPosition, ageS(now)) : 0;
     }
 
-    /** Takes a token of the flow's share; jobs outside the window only get surplus ones. */
+    /** Takes a token from the flow's share; jobs outside the window get only surplus tokens. */
     boolean tryTake(boolean inWindow, long now) {
         return inWindow ? bucket.tryTake(now) : bucket.tryTakeSurplus(now);
     }
--- a/src/main/java/stileferry/admission/JobIdCache.java
+++ b/src/main/java/stileferry/admission/JobIdCache.java
@@ -3,7 +3,7 @@
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
 
-/** Creates bounded sets of job ids that forget the least recently used ones. */
+/** Creates bounded sets of job ids that evict the least recently used ids. */
 final class JobIdCache {
     private JobIdCache() {}
 
--- a/src/main/java/stileferry/admission/LoadShedder.java
+++ b/src/main/java/stileferry/admission/LoadShedder.java
@@ -4,14 +4,14 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * Load shedding at one controller: refuses jobs outside their flow's admission window by the leader's last table,
- * without asking the leader. Without a valid table it refuses nobody. It never admits a job: the leader decides about
- * what it lets through. Times are in milliseconds.
+ * Load shedding at one controller: rejects jobs outside their flow's admission window according to the leader's last
+ * table, without asking the leader. Without a valid table it rejects no job. It never admits a job: the leader decides
+ * about the jobs that it lets through. Times are in milliseconds.
  */
 public final class LoadShedder {
     private static final double MS_PER_S = 1000;
 
-    /** Longest wait after a failure: shorter than others, so that clients soon notice its end. */
+    /** Longest retry time after a failure: shorter than other retry times, so that clients soon notice the recovery. */
     private static final double MAX_FAILURE_RETRY_S = AdmissionConfig.MAX_RETRY_AFTER_S / 3.0;
 
     private static final long NOT_FAILING = -1;
@@ -19,10 +19,10 @@
     private final AdmissionConfig config;
     private final DemandEstimator demand;
 
-    /** Accepted jobs; whoever asks again about one is let through. */
+    /** Accepted jobs; repeated requests about them are let through. */
     private final Cache<String, Boolean> acceptedJobs;
 
-    /** Jobs that were deferred although in the window; they are let through until they are accepted. */
+    /** Jobs that the leader deferred although in the window; they are let through until they are accepted. */
     private final Cache<String, Boolean> deferredJobs;
 
     private AdmissionWindowTable table;
@@ -33,20 +33,21 @@
     private long failingSince = NOT_FAILING;
 
     /**
-     * A load shedder without a table.
+     * Creates a load shedder without a table.
      *
-     * @param maxRememberedJobs accepted jobs to remember, and as many deferred ones
+     * @param maxRememberedJobs how many accepted jobs to remember, and as many deferred ones
      */
     public LoadShedder(AdmissionConfig config, int maxRememberedJobs) {
         InvalidInputException.require(config != null, "config", "missing");
-        InvalidInputException.require(maxRememberedJobs > 0, "maxRememberedJobs", "not above 0: " + maxRememberedJobs);
+        InvalidInputException.require(
+                maxRememberedJobs > 0, "maxRememberedJobs", "must be above 0: " + maxRememberedJobs);
         this.config = config;
         this.demand = new DemandEstimator(config);
         this.acceptedJobs = JobIdCache.ofSize(maxRememberedJobs);
         this.deferredJobs = JobIdCache.ofSize(maxRememberedJobs);
     }
 
-    /** Takes note of a leader's term; tables of former terms are no longer valid. */
+    /** Records a known term; tables of earlier terms are no longer valid. */
     public void observeTerm(long term) {
         highestTerm = Math.max(highestTerm, term);
     }
@@ -54,10 +55,10 @@
     /**
      * Replaces the table if the new one is more recent.
      *
-     * @param requestedAt when the table was asked for, from which its validity is counted
+     * @param requestedAt when the table was requested; its validity is counted from then
      */
     public void updateTable(AdmissionWindowTable newTable, long requestedAt, long now) {
-        InvalidInputException.require(requestedAt <= now, "requestedAt", "after now");
+        InvalidInputException.require(requestedAt <= now, "requestedAt", "must not be after now");
         if (newTable.term() < highestTerm || table != null && !newTable.isAfter(table)) {
             return;
         }
@@ -67,27 +68,30 @@
         tableValidUntil = requestedAt + config.tableValidityMs();
     }
 
-    /** Whether there is a table that may be used now. */
+    /** Returns whether there is a table that may be used now. */
     public boolean hasValidTable(long now) {
         return table != null && table.term() == highestTerm && now < tableValidUntil;
     }
 
-    /** The last table, valid or not; null if there never was one. */
+    /** Returns the last table, valid or not; null if there never was one. */
     public AdmissionWindowTable lastTable() {
         return table;
     }
 
-    /** Seconds since the last table was received. */
+    /** Returns the seconds since the last table was received. */
     public double tableAgeS(long now) {
         return (now - tableReceivedAt) / MS_PER_S;
     }
 
-    /** A job that was let through was deferred by the leader: it is let through until it is accepted. */
+    /** Records that the leader deferred a job that was let through: it is let through until it is accepted. */
     public void recordDeferred(String id) {
         deferredJobs.put(id, Boolean.TRUE);
     }
 
-    /** A job was accepted and its client was told so here: requests about it are let through from now on. */
+    /**
+     * Records that this controller told a client that its job was accepted: requests about it are let through from now
+     * on.
+     */
     public void recordAccepted(String id) {
         acceptedJobs.put(id, Boolean.TRUE);
         deferredJobs.invalidate(id);
@@ -95,8 +99,9 @@
     }
 
     /**
-     * Seconds after which to retry a request that nobody could decide about, for want of a leader or of time. They
-     * grow with the time that this has lasted and differ from job to job, so that clients do not return all at once.
+     * Returns the seconds after which to retry a request that could not be decided, because there was no leader or it
+     * took too long. They grow with the duration of the failure and differ between jobs, so that clients do not retry
+     * all at once.
      */
     public int retryAfterFailureS(String id, long now) {
         if (failingSince < 0) {
@@ -108,7 +113,7 @@
                 .retryAfterS();
     }
 
-    /** Seconds after which to retry a request; 0 if it is let through. */
+    /** Returns the seconds after which to retry a request; 0 if it is let through. */
     public int retryAfterS(Flow flow, String id, long now) {
         if (!mayReject(id, now)) {
             return 0;
@@ -126,12 +131,12 @@
         return acceptedJobs.getIfPresent(id) == null && hasValidTable(now) && deferredJobs.getIfPresent(id) == null;
     }
 
-    /** The demand refused here lately, for the leader, which knows the demand that was let through. */
+    /** Returns the demand rejected here recently, for the leader, which knows the demand that was let through. */
     public DemandReport demandReport(long now) {
         return new DemandReport(demand.currentSketches(now));
     }
 
-    /** Requests refused here since the start. */
+    /** Returns how many requests were rejected here since the start. */
     public long rejectedCount() {
         return rejectedCount;
     }
--- a/src/main/java/stileferry/admission/TokenBucket.java
+++ b/src/main/java/stileferry/admission/TokenBucket.java
@@ -9,7 +9,7 @@
     private double tokens;
     private long refilledAt;
 
-    /** A full bucket. */
+    /** Creates a full bucket. */
     TokenBucket(double refillPerS, double capacity, long now) {
         this.refillPerS = refillPerS;
         this.capacity = capacity;
@@ -22,7 +22,7 @@
         refilledAt = Math.max(refilledAt, now);
     }
 
-    /** Changes rate and capacity from now on; tokens above the new capacity are dropped. */
+    /** Changes rate and capacity from now on; tokens beyond the new capacity are dropped. */
     void reconfigure(double newRefillPerS, double newCapacity, long now) {
         refill(now);
         refillPerS = newRefillPerS;
@@ -30,7 +30,7 @@
         tokens = Math.min(tokens, capacity);
     }
 
-    /** Takes a token if there is one. */
+    /** Takes a token; returns false if there is none. */
     boolean tryTake(long now) {
         refill(now);
         if (tokens < 1) {
@@ -40,7 +40,7 @@
         return true;
     }
 
-    /** Takes a token if the bucket is at least half full, which leaves the other half to jobs in the window. */
+    /** Takes a token if the bucket is at least half full, which reserves the other half for jobs in the window. */
     boolean tryTakeSurplus(long now) {
         refill(now);
         return tokens >= capacity / 2 && tryTake(now);
--- a/src/main/java/stileferry/admission/package-info.java
+++ b/src/main/java/stileferry/admission/package-info.java
@@ -1,10 +1,10 @@
 /**
  * Admission control under overload: demand estimation, weighted fair shares, rate limits and the count of admissions.
- * Pure: time and events go in, decisions come out; no I/O, no threads, no clock. Embeddable in other programs
- * (docs/admission.md).
+ * The package does no I/O and uses no threads or clock: callers pass in the time and events and get decisions. It can
+ * be embedded in other programs (docs/admission.md).
  *
- * <p>One controller, the leader, decides with an {@link stileferry.admission.AdmissionController}. All controllers hold
- * a {@link stileferry.admission.LoadShedder} with the leader's last
- * {@link stileferry.admission.AdmissionWindowTable}. A load shedder can refuse a request; it never admits one.
+ * <p>The leader decides with an {@link stileferry.admission.AdmissionController}. Every controller has a {@link
+ * stileferry.admission.LoadShedder} with the leader's last {@link stileferry.admission.AdmissionWindowTable}. A load
+ * shedder can reject a request; it never admits one.
  */
 package stileferry.admission;
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -5,8 +5,8 @@
 import stileferry.protocol.Settings;
 
 /**
- * Hooks through which a controller applies fair admission under overload. In {@link #NONE}, which stands for the feature
- * being off, every submission is passed on and nothing is counted.
+ * Hooks through which a controller applies fair admission under overload. In {@link #NONE}, which stands for the
+ * feature being off, every submission is passed on and nothing is counted.
  */
 public interface AdmissionControl {
     /** Fair admission is off. */
@@ -26,7 +26,9 @@
         /** Returns whether this controller, as the leader, knows a job. */
         boolean knowsJob(String id);
 
-        /** Returns the seconds that this leader's queued key-value store writes or requests take; 0 if not the leader. */
+        /**
+         * Returns the seconds that this leader's queued key-value store writes or requests take; 0 if not the leader.
+         */
         double backlogS();
 
         /** Returns whether the event loop lags: there is more work than this process can do in time. */
@@ -89,7 +91,10 @@
         return null;
     }
 
-    /** Answers an operator's request for the view of admissions; returns false, without answering, if the feature is off. */
+    /**
+     * Answers an operator's request for the view of admissions; returns false, without answering, if the feature is
+     * off.
+     */
     default boolean describe(Consumer<PeerMessage.Response> reply) {
         return false;
     }
--- a/src/main/java/stileferry/overload/AdmissionCountShards.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -64,7 +64,8 @@
      * Restores the count at the start of a term.
      *
      * @param rows all stored shards
-     * @param countingSinceTerm the first of the unbroken run of terms up to this one whose leaders all counted admissions
+     * @param countingSinceTerm the first of the unbroken run of terms up to this one whose leaders all counted
+     *     admissions
      * @param maxValueKb the key-value store's limit for the size of a value
      */
     public AdmissionCountShards(List<KeyValue> rows, long countingSinceTerm, double maxValueKb) {
--- a/src/main/java/stileferry/overload/AdmissionSettings.java
+++ b/src/main/java/stileferry/overload/AdmissionSettings.java
@@ -25,8 +25,8 @@
     private AdmissionSettings() {}
 
     /**
-     * Returns the configuration of admission control. The weight of a team is the CPUs of its quota; a team without a quota
-     * has the average weight of those that have one.
+     * Returns the configuration of admission control. The weight of a team is the CPUs of its quota; a team without a
+     * quota has the average weight of those that have one.
      */
     public static AdmissionConfig config(Settings settings) {
         double intervalMs = MS_PER_S * settings.workers().heartbeatIntervalS() / INTERVALS_PER_HEARTBEAT;
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Returns the counter of a job's admission. Classes that the settings don't name share one counter per team, as users
-     * could otherwise create any number of them.
+     * Returns the counter of a job's admission. Classes that the settings don't name share one counter per team, as
+     * users could otherwise create any number of them.
      */
     public static AdmissionCounts.TeamClass teamClass(Settings settings, JobSpec spec) {
         boolean named = namedClasses(settings).contains(spec.jobClass());
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -24,8 +24,8 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * Fair admission at one controller: decides about submissions while this controller leads, and otherwise rejects them by
- * the leader's last table of admission windows (docs/admission.md).
+ * Fair admission at one controller: decides about submissions while this controller leads, and otherwise rejects them
+ * by the leader's last table of admission windows (docs/admission.md).
  */
 public final class FairAdmission implements AdmissionControl {
     private static final Logger LOG = LoggerFactory.getLogger("admission");
@@ -120,7 +120,9 @@
         limitedFlows = nowLimited;
     }
 
-    /** A leader has work that no other controller can do; the others can serve its users while they exchange with it. */
+    /**
+     * A leader has work that no other controller can do; the others can serve its users while they exchange with it.
+     */
     @Override
     public boolean shedsUsers() {
         long now = environment.now();
@@ -133,10 +135,10 @@
         exchangeInFlight = true;
         long requestedAt = environment.now();
         byte[] demand = AdmissionCodec.encode(loadShedder.demandReport(requestedAt));
-        environment.sendToPeer(leader, new PeerMessage.AdmissionExchange(demand), config.tableValidityMs(), record -> {
+        environment.sendToPeer(leader, new PeerMessage.AdmissionExchange(demand), config.tableValidityMs(), message -> {
             exchangeInFlight = false;
             tableLeader = "";
-            if (record instanceof PeerMessage.AdmissionExchange response) {
+            if (message instanceof PeerMessage.AdmissionExchange response) {
                 applyTable(leader, response, requestedAt);
             }
         });
@@ -220,8 +222,8 @@
     }
 
     /**
-     * Records whether a submission was accepted or deferred. One that failed because of an outage gets a retry time that
-     * grows with the outage and differs between jobs, so that clients do not retry all at once.
+     * Records whether a submission was accepted or deferred. One that failed because of an outage gets a retry time
+     * that grows with the outage and differs between jobs, so that clients do not retry all at once.
      */
     private PeerMessage.Response recordOutcome(String id, PeerMessage.Response response) {
         if (response.status() == 200 || response.status() == 201) {
@@ -237,8 +239,8 @@
     }
 
     /**
-     * Status requests and cancellations that are forwarded in batches cost hardly more to answer than to reject, and the
-     * number of batches in flight bounds them.
+     * Status requests and cancellations that are forwarded in batches cost hardly more to answer than to reject, and
+     * the number of batches in flight bounds them.
      */
     @Override
     public int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
--- a/src/main/java/stileferry/overload/RequestForwarder.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -59,7 +59,9 @@
         }
     }
 
-    /** Dequeues the oldest request and those directly behind it for the same controller, as many as fit into one batch. */
+    /**
+     * Dequeues the oldest request and those directly behind it for the same controller, as many as fit into one batch.
+     */
     private List<QueuedRequest> nextBatch() {
         Settings.Peer leader = queue.peek().leader;
         List<QueuedRequest> batch = new ArrayList<>();
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -18,8 +18,8 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /**
- * Handles users' requests about jobs in one term. Users are told that a job was accepted, cancelled or completed only once
- * that is durable.
+ * Handles users' requests about jobs in one term. Users are told that a job was accepted, cancelled or completed only
+ * once that is durable.
  */
 public final class JobRequestHandler implements JobCompletion.Listener {
     /** The {@link #backlogS} from which submissions are rejected. */
@@ -106,7 +106,9 @@
         return completedJobs.get(id) != null;
     }
 
-    /** Returns the seconds that the queued writes, or the queued requests, take at the key-value store's rate limits. */
+    /**
+     * Returns the seconds that the queued writes, or the queued requests, take at the key-value store's rate limits.
+     */
     public double backlogS() {
         Settings.KeyValueStoreLimits limits = cluster.settings().keyValueStore();
         return Math.max(commitQueue.backlog() / limits.writesPerS(), store.queuedRequests() / limits.requestsPerS());
@@ -145,7 +147,9 @@
         answerIfCompleted(id, reply, () -> submitNew(submission, urgent, reply));
     }
 
-    /** Returns the seconds after which to retry a submission rejected for the backlog; 0 if the backlog is acceptable. */
+    /**
+     * Returns the seconds after which to retry a submission rejected for the backlog; 0 if the backlog is acceptable.
+     */
     private int retryAfterBacklogS() {
         double seconds = backlogS();
         return seconds < MAX_BACKLOG_S ? 0 : (int) Math.ceil(seconds);
--- a/src/main/java/stileferry/requests/Responses.java
+++ b/src/main/java/stileferry/requests/Responses.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Returns the 503 response to an operator's request that only the leader can answer, when there is no leader or this
-     * controller is not certain to lead.
+     * Returns the 503 response to an operator's request that only the leader can answer, when there is no leader or
+     * this controller is not certain to lead.
      */
     public static PeerMessage.Response noLeader() {
         return unavailable("no leader, or not sure of it");
--- a/src/main/java/stileferry/requests/SubmissionCheck.java
+++ b/src/main/java/stileferry/requests/SubmissionCheck.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Returns whether a job could never run within its team's limit. One task of a job array has to fit; of other jobs all
-     * tasks together.
+     * Returns whether a job could never run within its team's limit. One task of a job array has to fit; of other jobs
+     * all tasks together.
      */
     private static boolean exceedsLimit(JobSpec spec, Settings.Team team) {
         double tasks = spec.kind() == JobSpec.Kind.ARRAY ? 1 : spec.taskCount();
--- a/src/main/java/stileferry/validation/InvalidInputException.java
+++ b/src/main/java/stileferry/validation/InvalidInputException.java
@@ -1,35 +1,35 @@
 package stileferry.validation;
 
-/** Input that can't be right. The object that threw it has not changed. */
+/** Thrown for an invalid argument. The object that threw it has not changed. */
 public final class InvalidInputException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
     private final String argument;
 
-    /** Names the argument and says what is wrong with it. */
+    /** Creates an exception whose message consists of the argument's name and the problem with its value. */
     public InvalidInputException(String argument, String problem) {
         super(argument + ": " + problem);
         this.argument = argument;
     }
 
-    /** The name of the argument that was refused. */
+    /** Returns the name of the invalid argument. */
     public String argument() {
         return argument;
     }
 
-    /** Refuses an argument of which something does not hold. */
-    public static void require(boolean holds, String argument, String problem) {
-        if (!holds) {
+    /** Throws for an argument if a condition does not hold. */
+    public static void require(boolean condition, String argument, String problem) {
+        if (!condition) {
             throw new InvalidInputException(argument, problem);
         }
     }
 
-    /** Refuses a negative time. */
+    /** Throws if the time is negative. */
     public static void requireNonNegativeTime(long now) {
-        require(now >= 0, "now", "negative time " + now);
+        require(now >= 0, "now", "must not be negative: " + now);
     }
 
-    /** Refuses a missing or empty name. */
+    /** Throws if the name is null or empty. */
     public static void requireNonEmptyName(String name, String argument) {
         require(name != null && !name.isEmpty(), argument, "missing or empty");
     }
--- a/src/main/java/stileferry/validation/package-info.java
+++ b/src/main/java/stileferry/validation/package-info.java
@@ -1,2 +1,2 @@
-/** Checks of what host programs hand to the packages that are usable without the service. */
+/** Validation of the arguments that host programs pass to the packages that can be used without the service. */
 package stileferry.validation;
--- a/src/test/java/stileferry/admission/AdmissionCodecTest.java
+++ b/src/test/java/stileferry/admission/AdmissionCodecTest.java
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-/** Truncated messages; the bytes themselves are pinned by the golden tests. */
+/** Tests that truncated messages are rejected; the golden tests pin the bytes themselves. */
 class AdmissionCodecTest {
     @Test
     void messagesTruncatedAtAnyByteAreRejected() {
--- a/src/test/java/stileferry/admission/AdmissionControllerTest.java
+++ b/src/test/java/stileferry/admission/AdmissionControllerTest.java
@@ -8,14 +8,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The leader's decisions over time: across a failover, and for a team that was idle. */
+/** Tests the leader's decisions over time: across a failover, and for a team that was idle. */
 class AdmissionControllerTest {
     private static final long INTERVAL_MS = 1000;
 
     private long now;
     private int jobs;
 
-    /** Submits new jobs of a flow and returns how many are admitted. */
+    /** Submits this many new jobs of a flow and returns how many are admitted. */
     private int submit(AdmissionController controller, Flow flow, int number) {
         int admitted = 0;
         for (int job = 0; job < number; job++) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** The next leader continues the admission windows, so that retry times told before still hold. */
+    /** The next leader continues the admission windows, so that retry times given before the failover remain valid. */
     @Test
     void admissionWindowsKeepTheirPositionsAcrossAFailover() {
         AdmissionController first = new AdmissionController(CONFIG, 1, null, 0);
@@ -45,7 +45,9 @@
         assertEquals(before, second.table().windows().get(RED).position(), 1e-9);
     }
 
-    /** A team that was idle has its fair share at once, however many others wait, but no credit for the idle time. */
+    /**
+     * A team that was idle gets its fair share at once, however many jobs of others wait, but no credit for idle time.
+     */
     @Test
     void anIdleTeamGetsItsFairShareAtOnceWithoutCreditForIdleTime() {
         AdmissionController controller = new AdmissionController(CONFIG, 1, null, 0);
@@ -59,8 +61,10 @@
             }
             controller.updateShares(BackPressure.NONE, now);
             if (second == 1) {
-                assertTrue(blue > 0, "nothing within two intervals");
-                assertTrue(blue <= CONFIG.maxAdmissionsPerS() * AdmissionConfig.WINDOW_S, "saved up: " + blue);
+                assertTrue(blue > 0, "the idle team got no admission within two intervals");
+                assertTrue(
+                        blue <= CONFIG.maxAdmissionsPerS() * AdmissionConfig.WINDOW_S,
+                        "more than a window of admissions for the idle team: " + blue);
             }
         }
         assertTrue(blue > red * 0.8, "red " + red + ", blue " + blue);
--- a/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
+++ b/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
@@ -19,13 +19,13 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
-/** What must hold for any demand, in any order. */
+/** Properties that must hold for any demand, in any order. */
 class AdmissionPropertiesTest {
     private static final double TOLERANCE = 1e-6;
     private static final Map<String, Double> WEIGHTS = Map.of("a", 1.0, "b", 2.0, "c", 0.25);
     private static final AdmissionConfig CONFIG = new AdmissionConfig(WEIGHTS, Set.of("x", "y"), 1000, 10);
 
-    /** Three teams, two job classes and four priority tiers. */
+    /** Returns one of 24 flows, of three teams, two job classes and four priority tiers. */
     private static Flow flow(int number) {
         return new Flow(List.of("a", "b", "c").get(number % 3), number / 3 % 2 == 0 ? "x" : "y", number / 6 % 4);
     }
@@ -38,12 +38,12 @@
         return demands;
     }
 
-    private static double sum(Map<Flow, Double> figures) {
-        return figures.values().stream().mapToDouble(Double::doubleValue).sum();
+    private static double sum(Map<Flow, Double> valueByFlow) {
+        return valueByFlow.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
-    private static double sumOfTier(Map<Flow, Double> figures, int tier) {
-        return figures.entrySet().stream()
+    private static double sumOfTier(Map<Flow, Double> valueByFlow, int tier) {
+        return valueByFlow.entrySet().stream()
                 .filter(entry -> entry.getKey().priorityTier() == tier)
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
@@ -55,7 +55,8 @@
             @ForAll @DoubleRange(min = 0, max = 100) double capacity) {
         SortedMap<Flow, Double> demands = demands(demandByFlow);
         SortedMap<Flow, Double> shares = FairShareAllocator.allocate(capacity, demands, WEIGHTS);
-        shares.forEach((flow, share) -> assertTrue(share <= demands.get(flow) + TOLERANCE, flow + " has " + share));
+        shares.forEach((flow, share) ->
+                assertTrue(share <= demands.get(flow) + TOLERANCE, flow + " got more than its demand: " + share));
         assertEquals(Math.min(capacity, sum(demands)), sum(shares), TOLERANCE * 100);
     }
 
@@ -65,19 +66,19 @@
             @ForAll @DoubleRange(min = 0.1, max = 100) double capacity) {
         SortedMap<Flow, Double> demands = demands(demandByFlow);
         SortedMap<Flow, Double> shares = FairShareAllocator.allocate(capacity, demands, WEIGHTS);
-        shares.forEach((flow, share) -> assertTrue(share > 0, flow + " is starved"));
+        shares.forEach((flow, share) -> assertTrue(share > 0, flow + " got no share"));
         int firstTier = demands.firstKey().priorityTier();
         double demandOfFirst = sumOfTier(demands, firstTier);
         double shareOfFirst = sumOfTier(shares, firstTier);
         long lowerTiers =
                 demands.keySet().stream().map(Flow::priorityTier).distinct().count() - 1;
-        double notReserved = Math.max(0, 1 - FairShareAllocator.MIN_TIER_FRACTION * lowerTiers) * capacity;
+        double unreservedCapacity = Math.max(0, 1 - FairShareAllocator.MIN_TIER_FRACTION * lowerTiers) * capacity;
         assertTrue(
-                shareOfFirst >= Math.min(demandOfFirst, notReserved) - TOLERANCE,
-                "tier " + firstTier + " has " + shareOfFirst);
+                shareOfFirst >= Math.min(demandOfFirst, unreservedCapacity) - TOLERANCE,
+                "tier " + firstTier + " got only " + shareOfFirst);
     }
 
-    /** Two teams in one tier with more demand than capacity share it by weight: asking for more gains nothing. */
+    /** Two teams in one tier whose demands exceed the capacity share it by weight; a higher demand gains nothing. */
     @Property(tries = 300)
     void unsatisfiedTeamsShareByWeight(
             @ForAll @DoubleRange(min = 10, max = 1000) double demandOfA,
@@ -90,7 +91,7 @@
         assertEquals(2, shares.get(ofB), TOLERANCE);
     }
 
-    /** Reports of several controllers add up to the same in any order, some of them repeated. */
+    /** Reports of several controllers merge to the same estimate in any order, even if some are repeated. */
     @Property(tries = 100)
     void mergingDemandIsCommutativeAndIdempotent(
             @ForAll @Size(min = 1, max = 200) List<@IntRange(min = 0, max = 400) Integer> jobs,
@@ -120,7 +121,7 @@
         return merged;
     }
 
-    /** Sketches against exact counts: exact below the nominal entries, within the error bound beyond. */
+    /** Compares estimates with exact counts: equal up to the nominal entries, within the error bound beyond. */
     @Property(tries = 60)
     void demandEstimatesStayWithinTheirErrorBounds(
             @ForAll @IntRange(min = 0, max = 3000) int requested,
@@ -137,13 +138,13 @@
         int exact = requested - admitted;
         if (requested <= FlowDemandSketch.NOMINAL_ENTRIES) {
             assertEquals(exact, estimate.waitingJobs());
-        } else { // three standard deviations of the larger set
+        } else { // three standard errors of the larger set
             double tolerance = 3.0 / 16 * requested;
             assertEquals(exact, estimate.waitingJobs(), tolerance, requested + " requested, " + admitted + " admitted");
         }
     }
 
-    /** At any speed every job is in the window once a round, and is in it when it was told to retry. */
+    /** At any speed, every job is in the window once per round, and is in it at the time it was told to retry. */
     @Property(tries = 500)
     void everyJobIsInTheWindowOncePerRoundAndAtItsRetryTime(
             @ForAll @DoubleRange(min = 0, max = 0.99) double position,
@@ -153,24 +154,24 @@
         AdmissionWindow window = new AdmissionWindow(position, roundsPerS);
         double jobPosition = JobIdHash.ringPosition("job-" + job);
         double waitS = window.waitS(jobPosition, ageS);
-        assertTrue(waitS >= 0 && waitS <= 1 / roundsPerS, "waits " + waitS);
+        assertTrue(waitS >= 0 && waitS <= 1 / roundsPerS, "wait beyond one round: " + waitS);
         if (waitS > 0) {
-            assertEquals(0, window.waitS(jobPosition, ageS + waitS + 1), "not in the window when told to retry");
+            assertEquals(0, window.waitS(jobPosition, ageS + waitS + 1), "not in the window at the retry time");
         }
     }
 
-    /** A single leader with any flows and demand admits no more than the capacity, and starves no flow. */
+    /** With any flows and demand, a single leader admits no more than the capacity and starves no flow. */
     @Property(tries = 40)
     void admissionsStayWithinTheCapacity(
             @ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 30) Integer> jobsPerSByFlow) {
         int seconds = 60;
         Map<Flow, Integer> admitted = submit(jobsPerSByFlow, seconds);
         int total = admitted.values().stream().mapToInt(Integer::intValue).sum();
-        // the initial spare tokens of each tier, and what was divided since
+        // the initial spare tokens of each tier, and the capacity divided since then
         double maxTotal = CONFIG.maxAdmissionsPerS() * (seconds + (4 + 1) * AdmissionConfig.WINDOW_S);
-        assertTrue(total <= maxTotal, total + " admitted, at most " + maxTotal);
+        assertTrue(total <= maxTotal, total + " admitted, expected at most " + maxTotal);
         for (int i = 0; i < jobsPerSByFlow.size(); i++) {
-            assertTrue(admitted.getOrDefault(flow(i), 0) > 0, flow(i) + " is starved");
+            assertTrue(admitted.getOrDefault(flow(i), 0) > 0, flow(i) + " got no admission");
         }
     }
 
--- a/src/test/java/stileferry/admission/AdmissionTotalsTest.java
+++ b/src/test/java/stileferry/admission/AdmissionTotalsTest.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Runs of counting leaders: totals are complete, or incomplete from a stated revision on, never wrongly complete. */
+/** Tests that totals are never wrongly reported as complete after a leader that did not count admissions. */
 class AdmissionTotalsTest {
     @Test
     void incompleteTotalsReportTheRevisionUpToWhichNothingIsMissing() {
         AdmissionCounts counts = new AdmissionCounts();
         counts.add(AdmissionCounts.TeamClass.of(RED), 3);
         AdmissionTotals.Shard shard = new AdmissionTotals.Shard(counts, 1, AdmissionTotals.COMPLETE, 40);
-        assertTrue(AdmissionTotals.of(List.of(), 1, 10).isComplete(), "the first leader of all counts");
+        assertTrue(AdmissionTotals.of(List.of(), 1, 10).isComplete(), "all leaders since the first term have counted");
         assertTrue(AdmissionTotals.of(List.of(shard), 1, 50).isComplete());
-        assertEquals(40, completeUntil(0, shard), "an older version leads");
-        assertEquals(40, completeUntil(5, shard), "one has led in between");
-        assertEquals(0, completeUntil(5), "jobs from before are not counted");
+        assertEquals(40, completeUntil(0, shard), "the last leader, of an older version, does not count");
+        assertEquals(40, completeUntil(5, shard), "a leader that does not count has led in between");
+        assertEquals(0, completeUntil(5), "jobs accepted before term 5 are not counted");
         AdmissionTotals.Shard after = new AdmissionTotals.Shard(counts, 5, 40, 60);
         AdmissionTotals both = AdmissionTotals.of(List.of(shard, after), 5, 70);
-        assertEquals(40, both.completeUntilRevision(), "what is missing once is missing for good");
+        assertEquals(40, both.completeUntilRevision(), "totals that were incomplete stay incomplete");
         assertEquals(6, both.counts().total());
     }
 
--- a/src/test/java/stileferry/admission/AdmissionValidationTest.java
+++ b/src/test/java/stileferry/admission/AdmissionValidationTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Invalid arguments of the package's types. */
+/** Tests that the types of the package reject invalid arguments. */
 class AdmissionValidationTest {
     @Test
     void invalidArgumentsAreRejectedByNameAndChangeNothing() {
--- a/src/test/java/stileferry/admission/ExampleHostTest.java
+++ b/src/test/java/stileferry/admission/ExampleHostTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An example of a host program: three controllers in one process admit with this package alone, with their own clock,
- * leader election, and a transport that loses messages.
+ * An example of a host program that embeds this package: three controllers in one process, with their own clock, leader
+ * election, and a transport that loses messages.
  */
 class ExampleHostTest {
     private static final AdmissionConfig CONFIG =
@@ -38,7 +38,7 @@
         loadShedder.observeTerm(term);
     }
 
-    /** One controller asks the leader for its table; either message may be lost. */
+    /** A controller sends its demand to the leader and receives the leader's table; either message may be lost. */
     private void exchange(int node) {
         LoadShedder loadShedder = loadShedders.get(node);
         byte[] demand = AdmissionCodec.encode(loadShedder.demandReport(now));
@@ -52,7 +52,7 @@
         }
     }
 
-    /** One request; refused ones are repeated as told, until the client gives up. */
+    /** Sends a request to a random controller; if rejected, it is retried when told, until the client gives up. */
     private void submit(String team, String id, long firstAttemptAt) {
         Flow flow = CONFIG.flow(team, "games", 2);
         int retryAfterS = loadShedders.get(random.nextInt(CONTROLLERS)).retryAfterS(flow, id, now);
@@ -94,9 +94,11 @@
             }
         }
         int total = admitted.get("red") + admitted.get("blue");
-        // the initial tokens of each new leader, and what was divided
-        assertTrue(total <= CONFIG.maxAdmissionsPerS() * (300 + 6 * AdmissionConfig.WINDOW_S), "admitted " + total);
-        assertTrue(total >= 0.7 * CONFIG.maxAdmissionsPerS() * 300, "admitted " + total);
+        // the capacity divided over time, and the initial tokens of each of the six leaders
+        assertTrue(
+                total <= CONFIG.maxAdmissionsPerS() * (300 + 6 * AdmissionConfig.WINDOW_S),
+                "too many admitted: " + total);
+        assertTrue(total >= 0.7 * CONFIG.maxAdmissionsPerS() * 300, "too few admitted: " + total);
         assertTrue(admitted.get("blue") >= 0.6 * admitted.get("red"), admitted.toString());
     }
 
@@ -112,12 +114,12 @@
         LoadShedder second = new LoadShedder(CONFIG, 10);
         first.updateTable(leading.table(), 0, 0);
         second.updateTable(AdmissionCodec.decodeTable(AdmissionCodec.encode(leading.table())), 0, 0);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 500; i++) {
             int retryAfterS = first.retryAfterS(flow, "job-" + i, 2000);
             assertEquals(retryAfterS, second.retryAfterS(flow, "job-" + i, 2000));
-            refused += retryAfterS > 0 ? 1 : 0;
+            rejected += retryAfterS > 0 ? 1 : 0;
         }
-        assertTrue(refused > 300, "refused " + refused);
+        assertTrue(rejected > 300, "too few jobs rejected: " + rejected);
     }
 }
--- a/src/test/java/stileferry/admission/LoadShedderTest.java
+++ b/src/test/java/stileferry/admission/LoadShedderTest.java
@@ -12,7 +12,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which requests are shed, by which tables, and when clients are told to retry. */
+/** Tests which requests are shed, which tables are used, and when clients are told to retry. */
 class LoadShedderTest {
     @Test
     void nothingIsShedWithoutATable() {
@@ -24,18 +24,20 @@
         LoadShedder loadShedder = loadShedder();
         loadShedder.updateTable(tableLimitingRed(1, 1), 0, 0);
         int retryAfterS = loadShedder.retryAfterS(RED, jobOutsideWindow(), 0);
-        assertTrue(retryAfterS > 20 && retryAfterS <= AdmissionConfig.MAX_RETRY_AFTER_S, "told " + retryAfterS);
+        assertTrue(retryAfterS > 20 && retryAfterS <= AdmissionConfig.MAX_RETRY_AFTER_S, "retry time: " + retryAfterS);
         assertEquals(0, loadShedder.retryAfterS(BLUE, jobOutsideWindow(), 0));
         assertEquals(1, loadShedder.rejectedCount());
     }
 
-    /** A table of a former term must not be used once a later term is known, and never after its validity. */
+    /** A table must not be used after its validity, nor once a term later than its own is known. */
     @Test
     void aTableIsValidUntilItExpiresOrALaterTermIsKnown() {
         LoadShedder loadShedder = loadShedder();
         loadShedder.updateTable(tableLimitingRed(4, 1), 0, 500);
         assertTrue(loadShedder.hasValidTable(CONFIG.tableValidityMs() - 1));
-        assertFalse(loadShedder.hasValidTable(CONFIG.tableValidityMs()), "counted from when it was asked for");
+        assertFalse(
+                loadShedder.hasValidTable(CONFIG.tableValidityMs()),
+                "validity is counted from the request for the table");
         loadShedder.updateTable(tableLimitingRed(4, 2), 5000, 5000);
         assertTrue(loadShedder.hasValidTable(5001));
         loadShedder.observeTerm(5);
@@ -50,7 +52,8 @@
         loadShedder.updateTable(tableLimitingRed(4, 7), 3000, 3000);
         loadShedder.updateTable(tableLimitingRed(4, 6), 3000, 3000);
         loadShedder.updateTable(tableLimitingRed(3, 99), 3000, 3000);
-        assertFalse(loadShedder.hasValidTable(CONFIG.tableValidityMs()), "the old one was taken for a new one");
+        assertFalse(
+                loadShedder.hasValidTable(CONFIG.tableValidityMs()), "a stale or repeated table was accepted as new");
         assertEquals(7, loadShedder.lastTable().sequence());
     }
 
@@ -62,7 +65,7 @@
         assertEquals(0, loadShedder.retryAfterS(RED, jobOutsideWindow(), 0));
     }
 
-    /** Clients that were refused at the same moment must not all return at the same moment. */
+    /** Clients that were rejected at the same moment must not all retry at the same moment. */
     @Test
     void retriesAfterAFailureAreSpreadOverTime() {
         LoadShedder loadShedder = loadShedder();
@@ -73,9 +76,12 @@
         }
         for (int second = 1; second <= 10; second++) {
             long clients = clientsBySecond[second];
-            assertTrue(clients > 50 && clients < 150, "after " + second + " s: " + clients);
+            assertTrue(clients > 50 && clients < 150, "clients that retry after " + second + " s: " + clients);
         }
         loadShedder.recordAccepted("job-1");
-        assertEquals(1, loadShedder.retryAfterFailureS("job-2", 20_001), "the failure is over");
+        assertEquals(
+                1,
+                loadShedder.retryAfterFailureS("job-2", 20_001),
+                "retry times start small again after the failure is over");
     }
 }
