--- a/src/main/java/stileferry/admission/AdaptiveRateLimit.java
+++ b/src/main/java/stileferry/admission/AdaptiveRateLimit.java
@@ -18,9 +18,9 @@
     private final double maxRatePerS;
     private double ratePerS;
 
-    AdaptiveRateLimit(double maxPerS) {
-        this.maxRatePerS = maxPerS;
-        this.ratePerS = maxPerS;
+    AdaptiveRateLimit(double maxRatePerS) {
+        this.maxRatePerS = maxRatePerS;
+        this.ratePerS = maxRatePerS;
     }
 
     /**
--- a/src/main/java/stileferry/admission/LoadShedder.java
+++ b/src/main/java/stileferry/admission/LoadShedder.java
@@ -47,7 +47,7 @@
         this.deferredJobs = JobIdCache.ofSize(maxRememberedJobs);
     }
 
-    /** Records a known term; tables of earlier terms are no longer valid. */
+    /** Records the term of a leader; tables of earlier terms are no longer valid. */
     public void observeTerm(long term) {
         highestTerm = Math.max(highestTerm, term);
     }
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Records that this controller told a client that its job was accepted: requests about it are let through from now
-     * on.
+     * Records that this controller told a client of its job's acceptance. Requests about the job are let through from
+     * now on.
      */
     public void recordAccepted(String id) {
         acceptedJobs.put(id, Boolean.TRUE);
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -26,9 +26,7 @@
         /** Returns whether this controller, as the leader, knows a job. */
         boolean knowsJob(String id);
 
-        /**
-         * Returns the seconds that this leader's queued key-value store writes or requests take; 0 if not the leader.
-         */
+        /** Returns the seconds that queued work needs at the key-value store's rate limits; 0 unless leading. */
         double backlogS();
 
         /** Returns whether the event loop lags: there is more work than this process can do in time. */
--- a/src/main/java/stileferry/overload/AdmissionCountShards.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -49,14 +49,14 @@
         }
 
         boolean hasRoomFor(List<AdmissionCounts.TeamClass> teamClasses) {
-            int addedLength = teamClasses.stream()
+            int addedChars = teamClasses.stream()
                     .filter(teamClass -> !counts.contains(teamClass))
                     .mapToInt(teamClass -> 2
                                     * (teamClass.team().length()
                                             + teamClass.jobClass().length())
                             + 2 * MAX_NUMBER_CHARS)
                     .sum();
-            return !entry.inFlight() && write(counts).toString().length() + addedLength <= maxValueChars;
+            return !entry.inFlight() && write(counts).toString().length() + addedChars <= maxValueChars;
         }
     }
 
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -94,7 +94,7 @@
         long now = environment.now();
         if (controller != null) {
             lastSaturatedAt = host.saturated() ? now : lastSaturatedAt;
-            controller.updateShares(pressure(), now);
+            controller.updateShares(backPressure(), now);
             loadShedder.updateTable(controller.table(), now, now);
             logLimitingChange();
         } else if (host.leaderPeer() != null && !exchangeInFlight) {
@@ -102,7 +102,7 @@
         }
     }
 
-    private BackPressure pressure() {
+    private BackPressure backPressure() {
         if (host.backlogS() >= URGENT_ONLY_BACKLOG_S) {
             return BackPressure.KEY_VALUE_STORE;
         }
--- a/src/main/java/stileferry/requests/BatchResponder.java
+++ b/src/main/java/stileferry/requests/BatchResponder.java
@@ -28,7 +28,7 @@
         BatchResponder batch = new BatchResponder(environment, requests, reply);
         for (int i = 0; i < requests.size(); i++) {
             int index = i;
-            handler.accept(requests.get(i), response -> batch.record(index, response));
+            handler.accept(requests.get(i), response -> batch.recordResponse(index, response));
         }
     }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    private void record(int index, PeerMessage.Response response) {
+    private void recordResponse(int index, PeerMessage.Response response) {
         if (responses[index] != null) {
             return;
         }
@@ -56,7 +56,7 @@
 
     private void failUnanswered() {
         for (int i = 0; i < responses.length; i++) {
-            record(i, Responses.unavailable());
+            recordResponse(i, Responses.unavailable());
         }
     }
 }
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -22,7 +22,7 @@
  * once that is durable.
  */
 public final class JobRequestHandler implements JobCompletion.Listener {
-    /** The {@link #backlogS} from which submissions are rejected. */
+    /** Submissions are rejected while {@link #backlogS} is at least this many seconds. */
     public static final double MAX_BACKLOG_S = 2;
 
     private final ClusterState cluster;
@@ -107,7 +107,8 @@
     }
 
     /**
-     * Returns the seconds that the queued writes, or the queued requests, take at the key-value store's rate limits.
+     * Returns the seconds that the queued writes or the queued requests, whichever take longer, need at the key-value
+     * store's rate limits.
      */
     public double backlogS() {
         Settings.KeyValueStoreLimits limits = cluster.settings().keyValueStore();
