--- a/src/test/java/stileferry/admission/AdmissionValidationTest.java
+++ b/src/test/java/stileferry/admission/AdmissionValidationTest.java
@@ -12,10 +12,10 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Invalid arguments of the package's types. */
+/** Tests that the types of the package reject invalid arguments. */
 class AdmissionValidationTest {
     @Test
-    void invalidArgumentsAreNamedAndChangeNothing() {
+    void invalidArgumentsAreRejectedByNameAndChangeNothing() {
         assertInvalid("weights", () -> new AdmissionConfig(Map.of("red", 0.0), Set.of(), 1000, 5));
         assertInvalid("intervalMs", () -> new AdmissionConfig(Map.of(), Set.of(), 0, 5));
         assertInvalid("maxAdmissionsPerS", () -> new AdmissionConfig(Map.of(), Set.of(), 1000, Double.NaN));
