--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -134,7 +134,7 @@
     }
 
     private void update(CloudMessages.ListedMachine listed, long now) {
-        Machine machine = cluster.machine(listed.name());
+        Machine machine = cluster.getOrAddMachine(listed.name());
         InstanceState instance = machine.instance();
         instance.markListed();
         if (machine.type() == null || machine.address().isEmpty()) {
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -131,7 +131,7 @@
     }
 
     private void addMachine(String name, ScaleOutRequest request) {
-        Machine machine = cluster.machine(name);
+        Machine machine = cluster.getOrAddMachine(name);
         machine.setType(request.pool().type());
         machine.setTypeName(request.pool().type().name());
         machine.setSpot(request.pool().spot());
--- a/src/main/java/stileferry/cluster/AgentState.java
+++ b/src/main/java/stileferry/cluster/AgentState.java
@@ -33,10 +33,10 @@
     private long unreachableSince;
 
     private Set<String> startsInLastResponse = Set.of();
-    private final Set<String> outcomesNotDurable = new HashSet<>();
+    private final Set<String> nonDurableOutcomes = new HashSet<>();
 
     /** For each attempt the number of direct commands to start it that were not answered. */
-    private final Map<String, Integer> unansweredStarts = new HashMap<>();
+    private final Map<String, Integer> unansweredDirectStarts = new HashMap<>();
 
     // ---- status
 
@@ -67,8 +67,8 @@
     /** A new incarnation was seen: what was sent to an older one can't be carried out any more. */
     public void beginIncarnation(long now) {
         incarnationSeenAt = now;
-        unansweredStarts.clear();
-        outcomesNotDurable.clear();
+        unansweredDirectStarts.clear();
+        nonDurableOutcomes.clear();
     }
 
     /** The number of the newest status in its incarnation. */
@@ -91,7 +91,7 @@
     }
 
     /** Takes in a heartbeat that differs from the newest status by its number only, and is answered at once. */
-    public void recordUnchanged(Heartbeat heartbeat, long now) {
+    public void recordUnchangedHeartbeat(Heartbeat heartbeat, long now) {
         sequence = heartbeat.sequence();
         lastHeartbeat = heartbeat;
         lastHeardAt = now;
@@ -132,7 +132,7 @@
     // ---- heartbeats
 
     /** Notes the number of the newest heartbeat. */
-    public void recordHeartbeatNumber(Heartbeat heartbeat) {
+    public void recordHeartbeatSequence(Heartbeat heartbeat) {
         heartbeatIncarnation = heartbeat.incarnation();
         heartbeatSequence = heartbeat.sequence();
     }
@@ -179,7 +179,7 @@
         return lastHeartbeatRecord;
     }
 
-    public void keepLastHeartbeatRecord(LastHeartbeatRecord noted) {
+    public void setLastHeartbeatRecord(LastHeartbeatRecord noted) {
         lastHeartbeatRecord = noted;
     }
 
@@ -226,32 +226,32 @@
     }
 
     /** The outcome of an attempt is about to be stored; the attempt may not be cleared before that is durable. */
-    public void awaitDurableOutcome(String attemptId) {
-        outcomesNotDurable.add(attemptId);
+    public void addNonDurableOutcome(String attemptId) {
+        nonDurableOutcomes.add(attemptId);
     }
 
     /** The outcome of an attempt is durable. */
-    public void outcomeDurable(String attemptId) {
-        outcomesNotDurable.remove(attemptId);
+    public void markOutcomeDurable(String attemptId) {
+        nonDurableOutcomes.remove(attemptId);
     }
 
     /** Whether the outcome of an attempt is about to be stored, so that the attempt may not be cleared. */
-    public boolean awaitsDurableOutcome(String attemptId) {
-        return outcomesNotDurable.contains(attemptId);
+    public boolean hasNonDurableOutcome(String attemptId) {
+        return nonDurableOutcomes.contains(attemptId);
     }
 
     /** A start is commanded directly, not in the answer to a heartbeat. */
-    public void startSent(String attemptId) {
-        unansweredStarts.merge(attemptId, 1, Integer::sum);
+    public void recordDirectStartSent(String attemptId) {
+        unansweredDirectStarts.merge(attemptId, 1, Integer::sum);
     }
 
     /** A start that was commanded directly was answered. */
-    public void startAnswered(String attemptId) {
-        unansweredStarts.computeIfPresent(attemptId, (any, commands) -> commands == 1 ? null : commands - 1);
+    public void recordDirectStartAnswered(String attemptId) {
+        unansweredDirectStarts.computeIfPresent(attemptId, (any, commands) -> commands == 1 ? null : commands - 1);
     }
 
     /** Whether a start that was commanded directly was not answered: it may be carried out at any time. */
-    public boolean startUnanswered(String attemptId) {
-        return unansweredStarts.containsKey(attemptId);
+    public boolean hasUnansweredDirectStart(String attemptId) {
+        return unansweredDirectStarts.containsKey(attemptId);
     }
 }
--- a/src/main/java/stileferry/cluster/CapacityReservations.java
+++ b/src/main/java/stileferry/cluster/CapacityReservations.java
@@ -11,19 +11,19 @@
  */
 public final class CapacityReservations {
     /** For each machine what is reserved there for each job. */
-    private final Map<String, Map<Job, Resources>> byMachine = new HashMap<>();
+    private final Map<String, Map<Job, Resources>> reservedByMachine = new HashMap<>();
 
     private final Map<Job, Set<String>> machinesByJob = new HashMap<>();
 
     /** All reservations are decided on anew. */
     public void clear() {
-        byMachine.clear();
+        reservedByMachine.clear();
         machinesByJob.clear();
     }
 
     /** Reserves capacity for one more task of a job. */
     public void add(Job job, Machine machine) {
-        byMachine
+        reservedByMachine
                 .computeIfAbsent(machine.name(), name -> new HashMap<>())
                 .computeIfAbsent(job, any -> new Resources())
                 .add(job.spec());
@@ -34,13 +34,13 @@
     public void remove(Job job) {
         Set<String> machines = machinesByJob.remove(job);
         if (machines != null) {
-            machines.forEach(machine -> byMachine.get(machine).remove(job));
+            machines.forEach(machine -> reservedByMachine.get(machine).remove(job));
         }
     }
 
     /** Whether a task of this job fits on a machine beside what is reserved there for jobs of higher priority. */
-    public boolean leaveCapacity(Machine machine, Job job) {
-        Map<Job, Resources> reserved = byMachine.get(machine.name());
+    public boolean allow(Machine machine, Job job) {
+        Map<Job, Resources> reserved = reservedByMachine.get(machine.name());
         if (reserved == null) {
             return true;
         }
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -18,10 +18,10 @@
 /** What the leader knows in one term: the jobs that are not completed, the machines, and what teams use. */
 public final class ClusterState {
     /** Deleted machines that are remembered whatever the size: lists and heartbeats of them come late. */
-    private static final int MIN_DELETED_REMEMBERED = 4096;
+    private static final int MIN_DELETED_MACHINES_KEPT = 4096;
 
     /** Deleted machines that are remembered for each machine there is. */
-    private static final int DELETED_REMEMBERED_PER_MACHINE = 4;
+    private static final int DELETED_MACHINES_KEPT_PER_MACHINE = 4;
 
     private final Settings settings;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -44,12 +44,12 @@
     private final Set<String> deletedMachines = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > Math.max(MIN_DELETED_REMEMBERED, DELETED_REMEMBERED_PER_MACHINE * machines.size());
+            return size() > Math.max(MIN_DELETED_MACHINES_KEPT, DELETED_MACHINES_KEPT_PER_MACHINE * machines.size());
         }
     });
 
     private final Set<String> deletedMachinesView = Collections.unmodifiableSet(deletedMachines);
-    private final LinkHealth links;
+    private final LinkHealth linkHealth;
     private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private final int[] assignmentsByPriority = new int[JobSpec.Priority.values().length];
 
@@ -60,7 +60,7 @@
     /** An empty model; {@code links} learns which machines are gone. */
     public ClusterState(Settings settings, LinkHealth links) {
         this.settings = settings;
-        this.links = links;
+        this.linkHealth = links;
         for (Settings.Team team : settings.teams()) {
             usageByTeam.put(team.name(), new TeamUsage());
         }
@@ -92,7 +92,7 @@
     }
 
     /** The machine of this name, which is added if it is not known yet. */
-    public Machine machine(String name) {
+    public Machine getOrAddMachine(String name) {
         return machines.computeIfAbsent(name, Machine::new);
     }
 
@@ -100,11 +100,11 @@
     public void assign(TaskAssignment assignment) {
         Job job = assignment.job();
         job.addAssignment(assignment);
-        Machine machine = machine(assignment.machine());
+        Machine machine = getOrAddMachine(assignment.machine());
         machine.addAssignment(assignment);
         freeCapacity.update(machine);
-        job.countInZone(machine.zone(), 1);
-        countUsage(job.spec(), 1);
+        job.adjustTasksInZone(machine.zone(), 1);
+        adjustUsage(job.spec(), 1);
     }
 
     /** Settles an assignment after proof that its task is not on its machine. */
@@ -112,50 +112,50 @@
         Job job = assignment.job();
         stoppingTasks.remove(assignment);
         job.removeAssignment(assignment, taskCompleted);
-        Machine machine = machine(assignment.machine());
+        Machine machine = getOrAddMachine(assignment.machine());
         machine.removeAssignment(assignment);
         freeCapacity.update(machine);
-        job.countInZone(machine.zone(), -1);
-        countUsage(job.spec(), -1);
+        job.adjustTasksInZone(machine.zone(), -1);
+        adjustUsage(job.spec(), -1);
     }
 
     /** Requests that an assigned task stops; a shorter grace period replaces a longer one. */
     public void requestStop(TaskAssignment assignment, double graceS, long now) {
         assignment.requestStop(graceS, now);
-        machine(assignment.machine()).agent().setReconciled(false);
+        getOrAddMachine(assignment.machine()).agent().setReconciled(false);
         stoppingTasks.add(assignment);
     }
 
     /** Forgets a machine whose deletion was confirmed. */
-    public void forget(Machine machine) {
+    public void removeDeletedMachine(Machine machine) {
         freeCapacity.remove(machine);
         machine.agent().discardLastHeartbeatRecord();
         machines.remove(machine.name());
         deletedMachines.add(machine.name());
-        links.workerGone(machine.name());
+        linkHealth.workerGone(machine.name());
     }
 
     /** Takes in a machine's zone, which may become known after the assignments on it. */
     public void setZone(Machine machine, String zone) {
         if (!machine.zone().equals(zone)) {
             for (TaskAssignment assignment : machine.assignments().values()) {
-                assignment.job().countInZone(machine.zone(), -1);
-                assignment.job().countInZone(zone, 1);
+                assignment.job().adjustTasksInZone(machine.zone(), -1);
+                assignment.job().adjustTasksInZone(zone, 1);
             }
             machine.setZone(zone);
         }
     }
 
-    private void countUsage(JobSpec spec, int sign) {
+    private void adjustUsage(JobSpec spec, int sign) {
         assignmentsByPriority[spec.priority().ordinal()] += sign;
         TeamUsage usage = usageByTeam.get(spec.team());
         if (usage != null) { // a team that the settings no longer name has no limit to keep
-            usage.count(spec, sign);
+            usage.adjust(spec, sign);
         }
     }
 
     /** Whether any task of a lower priority may be on a machine. */
-    public boolean anyOfLowerPriority(JobSpec.Priority priority) {
+    public boolean hasTasksBelowPriority(JobSpec.Priority priority) {
         for (int i = priority.ordinal() + 1; i < assignmentsByPriority.length; i++) {
             if (assignmentsByPriority[i] > 0) {
                 return true;
@@ -181,17 +181,19 @@
         Settings.Team team = settings.team(job.spec().team());
         return team == null
                 || (team.cpusMax() == 0
-                                || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + Resources.ROUNDING)
+                                || cpusInUse(team.name()) + job.spec().cpus()
+                                        <= team.cpusMax() + Resources.ROUNDING_TOLERANCE)
                         && (team.gpusMax() == 0
-                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + Resources.ROUNDING);
+                                || gpusInUse(team.name()) + job.spec().gpus()
+                                        <= team.gpusMax() + Resources.ROUNDING_TOLERANCE);
     }
 
     /** Whether a team uses more than its quota, even after giving back so much. */
     public boolean exceedsQuota(String teamName, double givenBackCpus, double givenBackGpus) {
         Settings.Team team = settings.team(teamName);
         return team != null
-                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + Resources.ROUNDING
-                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + Resources.ROUNDING);
+                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + Resources.ROUNDING_TOLERANCE
+                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + Resources.ROUNDING_TOLERANCE);
     }
 
     public Settings settings() {
--- a/src/main/java/stileferry/cluster/CompletedTasks.java
+++ b/src/main/java/stileferry/cluster/CompletedTasks.java
@@ -10,7 +10,7 @@
     private int count;
 
     /** For each task the number of the stored record that says that it has completed; null before the first. */
-    private int[] records;
+    private int[] recordNumbers;
 
     CompletedTasks(int taskCount) {
         this.taskCount = taskCount;
@@ -32,26 +32,26 @@
     }
 
     /** The first of the completed tasks in a row that this completed task belongs to. */
-    public int firstOfRun(int index) {
+    public int rangeStart(int index) {
         return indexes.previousClearBit(index) + 1;
     }
 
     /** The last of the completed tasks in a row that this completed task belongs to. */
-    public int lastOfRun(int index) {
+    public int rangeEnd(int index) {
         return indexes.nextClearBit(index) - 1;
     }
 
     /** The number of the stored record that says that a task has completed; 0: none does. */
-    public int recordOf(int index) {
-        return records == null ? 0 : records[index];
+    public int recordNumberOf(int index) {
+        return recordNumbers == null ? 0 : recordNumbers[index];
     }
 
     /** Notes the number of the stored record that says that these tasks, both ends included, have completed. */
-    public void stored(int from, int to, int recordNumber) {
-        if (records == null) {
-            records = new int[taskCount];
+    public void setRecordNumber(int from, int to, int recordNumber) {
+        if (recordNumbers == null) {
+            recordNumbers = new int[taskCount];
         }
-        Arrays.fill(records, from, to + 1, recordNumber);
+        Arrays.fill(recordNumbers, from, to + 1, recordNumber);
     }
 
     /** The indexes of the completed tasks, as a copy. */
--- a/src/main/java/stileferry/cluster/FailureHistory.java
+++ b/src/main/java/stileferry/cluster/FailureHistory.java
@@ -7,12 +7,12 @@
 
 /** How the tasks of one job have fared in this leader's term: where they failed, and which of them have to pause. */
 public final class FailureHistory {
-    private static final int JOB_AT_FAULT_MACHINES = 3;
+    private static final int MIN_MACHINES_FOR_JOB_FAULT = 3;
 
     private final Map<Integer, RestartBackOff> backOffs = new HashMap<>();
-    private final Set<String> machines = new HashSet<>();
+    private final Set<String> machinesWithFailures = new HashSet<>();
     private int successes;
-    private long lastFailedAttempt;
+    private long lastFailedGangAttempt;
 
     /** Postpones the next start of a task after a failure; for the parameters see {@link RestartBackOff#backOff}. */
     public void backOff(int index, long now, long firstPauseMs, int mostDoublings) {
@@ -24,7 +24,7 @@
         return backOff == null || backOff.notBefore() <= now;
     }
 
-    boolean anyTaskPauses(long now) {
+    boolean anyTaskBackingOff(long now) {
         for (RestartBackOff backOff : backOffs.values()) {
             if (backOff.notBefore() > now) {
                 return true;
@@ -46,27 +46,27 @@
 
     /** A task of the job has failed on a machine. */
     public void recordFailureOn(String machine) {
-        machines.add(machine);
+        machinesWithFailures.add(machine);
     }
 
     public boolean failedOn(String machine) {
-        return machines.contains(machine);
+        return machinesWithFailures.contains(machine);
     }
 
     /** Whether a task of the job has failed on any machine. */
     public boolean failedAnywhere() {
-        return !machines.isEmpty();
+        return !machinesWithFailures.isEmpty();
     }
 
     /** Whether tasks of the job have failed on so many machines that the job itself is taken to be faulty. */
     public boolean jobAtFault() {
-        return machines.size() >= JOB_AT_FAULT_MACHINES;
+        return machinesWithFailures.size() >= MIN_MACHINES_FOR_JOB_FAULT;
     }
 
     /** Notes that a task of this attempt of a gang has ended without completing; true if it is the first of it. */
-    public boolean recordFailedAttempt(long attempt) {
-        boolean first = lastFailedAttempt != attempt;
-        lastFailedAttempt = attempt;
+    public boolean recordFailedGangAttempt(long attempt) {
+        boolean first = lastFailedGangAttempt != attempt;
+        lastFailedGangAttempt = attempt;
         return first;
     }
 }
--- a/src/main/java/stileferry/cluster/FreeCapacityIndex.java
+++ b/src/main/java/stileferry/cluster/FreeCapacityIndex.java
@@ -11,30 +11,30 @@
  * from, whose type is known and that is not terminating; whoever searches checks everything else.
  */
 public final class FreeCapacityIndex {
-    private static final int NOT_HELD = -1;
+    private static final int NOT_INDEXED = -1;
 
     /** In slot n the machines with n to less than n + 1 CPUs free. */
-    private final List<Set<Machine>> slots = new ArrayList<>();
+    private final List<Set<Machine>> buckets = new ArrayList<>();
 
     private long machinesVisited;
 
     /** Takes in that a machine's assignments, type or state have changed. */
     public void update(Machine machine) {
-        int slot = holds(machine) ? slot(machine.freeCpus()) : NOT_HELD;
-        if (slot == machine.capacitySlot()) {
+        int slot = isEligible(machine) ? bucketOf(machine.freeCpus()) : NOT_INDEXED;
+        if (slot == machine.capacityBucket()) {
             return;
         }
         remove(machine);
-        if (slot != NOT_HELD) {
-            while (slots.size() <= slot) {
-                slots.add(new TreeSet<>());
+        if (slot != NOT_INDEXED) {
+            while (buckets.size() <= slot) {
+                buckets.add(new TreeSet<>());
             }
-            slots.get(slot).add(machine);
-            machine.setCapacitySlot(slot);
+            buckets.get(slot).add(machine);
+            machine.setCapacityBucket(slot);
         }
     }
 
-    private static boolean holds(Machine machine) {
+    private static boolean isEligible(Machine machine) {
         return machine.agent().heardThisTerm()
                 && machine.type() != null
                 && !machine.instance().terminating();
@@ -42,20 +42,20 @@
 
     /** Forgets a machine. */
     void remove(Machine machine) {
-        if (machine.capacitySlot() != NOT_HELD) {
-            slots.get(machine.capacitySlot()).remove(machine);
-            machine.setCapacitySlot(NOT_HELD);
+        if (machine.capacityBucket() != NOT_INDEXED) {
+            buckets.get(machine.capacityBucket()).remove(machine);
+            machine.setCapacityBucket(NOT_INDEXED);
         }
     }
 
-    private static int slot(double freeCpus) {
-        return Math.max(0, (int) Math.floor(freeCpus + Resources.ROUNDING));
+    private static int bucketOf(double freeCpus) {
+        return Math.max(0, (int) Math.floor(freeCpus + Resources.ROUNDING_TOLERANCE));
     }
 
     /** Visits every machine that may have so many CPUs free, those with the fewest free CPUs first. */
-    public void visitWithAtLeast(double cpus, Consumer<Machine> visitor) {
-        for (int slot = slot(cpus); slot < slots.size(); slot++) {
-            Set<Machine> machines = slots.get(slot);
+    public void visitWithFreeCpus(double cpus, Consumer<Machine> visitor) {
+        for (int slot = bucketOf(cpus); slot < buckets.size(); slot++) {
+            Set<Machine> machines = buckets.get(slot);
             machinesVisited += machines.size();
             machines.forEach(visitor);
         }
--- a/src/main/java/stileferry/cluster/GangAttempt.java
+++ b/src/main/java/stileferry/cluster/GangAttempt.java
@@ -8,20 +8,20 @@
  * counted for the next attempt they would let it start too early.
  */
 public final class GangAttempt {
-    private int assignmentsNotDurable;
+    private int nonDurableAssignments;
 
     /** An attempt of which no task's assignment is durable yet. */
     public GangAttempt(int tasks) {
-        this.assignmentsNotDurable = tasks;
+        this.nonDurableAssignments = tasks;
     }
 
     /** Takes in that one more assignment is durable; true if it was the last one. */
-    public boolean assignmentDurable() {
-        return --assignmentsNotDurable == 0;
+    public boolean recordDurableAssignment() {
+        return --nonDurableAssignments == 0;
     }
 
     /** Whether the assignments of all tasks are durable, so that the tasks may be started. */
     boolean startable() {
-        return assignmentsNotDurable == 0;
+        return nonDurableAssignments == 0;
     }
 }
--- a/src/main/java/stileferry/cluster/InstanceState.java
+++ b/src/main/java/stileferry/cluster/InstanceState.java
@@ -71,7 +71,7 @@
     }
 
     /** The machine has reported a notice that the cloud reclaims it in so many seconds. */
-    public void receiveReclaimNotice(double seconds) {
+    public void recordReclaimNotice(double seconds) {
         reclaimNoticeS = seconds;
     }
 
@@ -89,7 +89,7 @@
         return draining;
     }
 
-    public void drain() {
+    public void startDrain() {
         draining = true;
     }
 
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -19,13 +19,13 @@
  * be times of day.
  */
 public final class Job {
-    public static final String PREFIX = "j/";
+    public static final String KEY_PREFIX = "j/";
 
-    private static final String COMPLETED_PREFIX = "e/";
+    private static final String COMPLETED_KEY_PREFIX = "e/";
 
     private final JobSpec spec;
-    private final long acceptanceOrder;
-    private final long acceptedAt;
+    private final long submissionOrder;
+    private final long submittedAt;
     private final StoredEntry entry;
 
     private JobPhase phase = JobPhase.SUBMITTED;
@@ -36,17 +36,17 @@
     private final BitSet completedOrAssigned = new BitSet();
 
     /** The number of tasks in one part of a record of the first stored form; 1 for jobs without such parts. */
-    private int legacyChunkTasks = 1;
+    private int legacyTasksPerChunk = 1;
 
     private final Map<Integer, TaskAssignment> assignments = new HashMap<>();
     private final Map<Integer, TaskAssignment> assignmentsView = Collections.unmodifiableMap(assignments);
     private final Map<String, Integer> tasksInZone = new HashMap<>();
-    private final Set<String> zonesView = Collections.unmodifiableSet(tasksInZone.keySet());
+    private final Set<String> zonesWithTasksView = Collections.unmodifiableSet(tasksInZone.keySet());
 
-    private final FailureHistory failures = new FailureHistory();
+    private final FailureHistory failureHistory = new FailureHistory();
 
     private boolean withinQuota;
-    private long heldBackSince;
+    private long localityDelaySince;
 
     /**
      * A submitted job.
@@ -57,8 +57,8 @@
      */
     public Job(JobSpec spec, long acceptanceOrder, long acceptedAt, long revision) {
         this.spec = spec;
-        this.acceptanceOrder = acceptanceOrder;
-        this.acceptedAt = acceptedAt;
+        this.submissionOrder = acceptanceOrder;
+        this.submittedAt = acceptedAt;
         this.completedTasks = new CompletedTasks(spec.taskCount());
         this.entry = new StoredEntry(key(spec.id()), revision, this::write).requireAbsent(completedKey(spec.id()));
     }
@@ -66,12 +66,12 @@
     // ---- the stored record
 
     public static String key(String id) {
-        return PREFIX + id;
+        return KEY_PREFIX + id;
     }
 
     /** The key under which the end of the job is stored. */
     public static String completedKey(String id) {
-        return COMPLETED_PREFIX + id;
+        return COMPLETED_KEY_PREFIX + id;
     }
 
     /**
@@ -85,7 +85,7 @@
                 value.path("order").asLong(),
                 value.path("at").asLong(),
                 revision);
-        job.legacyChunkTasks = Math.max(1, value.path("chunk").asInt(1));
+        job.legacyTasksPerChunk = Math.max(1, value.path("chunk").asInt(1));
         job.markAccepted();
         if (value.path("cancelled").asBoolean()) {
             job.markCancellationDurable();
@@ -95,11 +95,11 @@
 
     private ObjectNode write() {
         ObjectNode value = MessageCodec.map()
-                .put("order", acceptanceOrder)
-                .put("at", acceptedAt)
+                .put("order", submissionOrder)
+                .put("at", submittedAt)
                 .put("cancelled", cancelled());
-        if (legacyChunkTasks > 1) {
-            value.put("chunk", legacyChunkTasks);
+        if (legacyTasksPerChunk > 1) {
+            value.put("chunk", legacyTasksPerChunk);
         }
         value.set("spec", spec.write());
         return value;
@@ -114,18 +114,18 @@
         return spec;
     }
 
-    public long acceptanceOrder() {
-        return acceptanceOrder;
+    public long submissionOrder() {
+        return submissionOrder;
     }
 
     /** The time of day of its submission, in milliseconds. */
-    public long acceptedAt() {
-        return acceptedAt;
+    public long submittedAt() {
+        return submittedAt;
     }
 
     /** The number of tasks in one part of a record of the first stored form; 1 for jobs without such parts. */
-    public int legacyChunkTasks() {
-        return legacyChunkTasks;
+    public int legacyTasksPerChunk() {
+        return legacyTasksPerChunk;
     }
 
     // ---- phases
@@ -249,7 +249,7 @@
             return -1;
         }
         for (int index = nextUnassignedTask(0); index < spec.taskCount(); index = nextUnassignedTask(index + 1)) {
-            if (failures.mayStart(index, now)) {
+            if (failureHistory.mayStart(index, now)) {
                 return index;
             }
         }
@@ -267,7 +267,7 @@
 
     /** A gang starts whole: not while a task of it may be on a machine, or has to pause after a failure. */
     private boolean gangSchedulable(long now) {
-        return assignments.isEmpty() && !failures.anyTaskPauses(now);
+        return assignments.isEmpty() && !failureHistory.anyTaskBackingOff(now);
     }
 
     /** The number of pending tasks, including those that have to pause after a failure. */
@@ -283,7 +283,7 @@
     }
 
     /** Whether this assignment is not settled. */
-    public boolean holds(TaskAssignment assignment) {
+    public boolean hasUnsettled(TaskAssignment assignment) {
         return assignments.get(assignment.index()) == assignment;
     }
 
@@ -304,7 +304,7 @@
     }
 
     /** Whether all tasks are assigned under one attempt number. */
-    public boolean assignmentsFormOneAttempt() {
+    public boolean allTasksAssignedInOneAttempt() {
         return assignments.size() == spec.taskCount()
                 && assignments.values().stream()
                                 .mapToLong(assignment -> assignment.attempt())
@@ -325,7 +325,7 @@
     }
 
     /** Whether a task that was sent to a machine may start there without another command. */
-    public boolean mayStartUnprompted() {
+    public boolean mayStartWithoutFurtherCommand() {
         for (TaskAssignment assignment : assignments.values()) {
             if (assignment.phase() == null || assignment.phase() == Heartbeat.TaskPhase.PULLING_IMAGE) {
                 return true;
@@ -335,21 +335,21 @@
     }
 
     /** The zones with assigned tasks; "" stands for machines whose zone is not known yet. The view can't be changed. */
-    public Set<String> zones() {
-        return zonesView;
+    public Set<String> zonesWithTasks() {
+        return zonesWithTasksView;
     }
 
     public int tasksInZone(String zone) {
         return tasksInZone.getOrDefault(zone, 0);
     }
 
-    void countInZone(String zone, int change) {
+    void adjustTasksInZone(String zone, int change) {
         tasksInZone.merge(zone, change, (before, added) -> before + added == 0 ? null : before + added);
     }
 
     /** How its tasks have fared. */
-    public FailureHistory failures() {
-        return failures;
+    public FailureHistory failureHistory() {
+        return failureHistory;
     }
 
     // ---- marks of the scheduler
@@ -364,12 +364,12 @@
     }
 
     /** Since when its tasks wait for capacity on machines that hold its image; 0: they never did. */
-    public long heldBackSince() {
-        return heldBackSince;
+    public long localityDelaySince() {
+        return localityDelaySince;
     }
 
     /** Its tasks wait from now on for capacity on machines that hold its image. */
-    public void holdBack(long now) {
-        heldBackSince = now;
+    public void startLocalityDelay(long now) {
+        localityDelaySince = now;
     }
 }
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -27,16 +27,16 @@
     private final Map<String, TaskAssignment> assignmentsView = Collections.unmodifiableMap(assignments);
 
     /** Images that tasks here were seen with, the latest last, with their sizes in GB. */
-    private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
+    private final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
 
     /** Images of the assigned tasks, with how many need them. */
     private final Map<String, Integer> imagesOfAssignments = new HashMap<>();
 
     private final Map<String, Integer> failuresByJob = new HashMap<>();
     private final Map<String, Integer> failuresByJobView = Collections.unmodifiableMap(failuresByJob);
-    private int capacitySlot = -1;
+    private int capacityBucket = -1;
 
-    private final Resources used = new Resources();
+    private final Resources usedResources = new Resources();
     private double slowdownSum;
     private int slowdownCount;
 
@@ -55,7 +55,7 @@
     }
 
     /** Whether its agent has acknowledged a term, so that no older leader is obeyed or renews its lease. */
-    public boolean acknowledgedTerm(long term) {
+    public boolean hasAcknowledgedTerm(long term) {
         return agent.fencingToken() >= term;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** Whether a heartbeat tells nothing but that the machine is still there as it was. */
-    public boolean unchangedSince(Heartbeat heartbeat) {
+    public boolean isUnchangedBy(Heartbeat heartbeat) {
         return agent.reconciled()
                 && heartbeat.tasks() == agent.lastHeartbeat().tasks()
                 && heartbeat.incarnation() == agent.incarnation()
@@ -94,31 +94,31 @@
 
     /** The CPUs of all tasks that may be on it. */
     public double usedCpus() {
-        return used.cpus();
+        return usedResources.cpus();
     }
 
     /** The CPUs that the tasks that may be on it leave free; the type must be known. */
     public double freeCpus() {
-        return type.cpus() - used.cpus();
+        return type.cpus() - usedResources.cpus();
     }
 
     /** Counts a task that may be on it from now on. */
     void addAssignment(TaskAssignment assignment) {
         assignments.put(assignment.taskId(), assignment);
-        countUsage(assignment.job().spec(), 1);
+        adjustUsage(assignment.job().spec(), 1);
     }
 
     /** Counts out a task that is proven not to be on it any more. */
     void removeAssignment(TaskAssignment assignment) {
         assignments.remove(assignment.taskId(), assignment);
-        countUsage(assignment.job().spec(), -1);
+        adjustUsage(assignment.job().spec(), -1);
     }
 
-    private void countUsage(JobSpec spec, int sign) {
+    private void adjustUsage(JobSpec spec, int sign) {
         agent.setReconciled(false);
-        used.add(spec, sign);
+        usedResources.add(spec, sign);
         if (assignments.isEmpty()) {
-            used.clear(); // rounding errors end with the last task
+            usedResources.clear(); // rounding errors end with the last task
         }
         imagesOfAssignments.merge(
                 spec.image(), sign, (before, change) -> before + change <= 0 ? null : before + change);
@@ -135,15 +135,15 @@
     }
 
     private boolean fits(double cpus, double gpus, double memoryGb) {
-        return used.cpus() + cpus <= type.cpus() + Resources.ROUNDING
-                && used.gpus() + gpus <= type.gpus() + Resources.ROUNDING
-                && used.memoryGb() + memoryGb <= type.memoryGb() + Resources.ROUNDING;
+        return usedResources.cpus() + cpus <= type.cpus() + Resources.ROUNDING_TOLERANCE
+                && usedResources.gpus() + gpus <= type.gpus() + Resources.ROUNDING_TOLERANCE
+                && usedResources.memoryGb() + memoryGb <= type.memoryGb() + Resources.ROUNDING_TOLERANCE;
     }
 
     /** How many tasks of this job would fit if all tasks of lower priority were preempted. */
     public int tasksFittingWithPreemption(Job job) {
         Resources free = Resources.of(type);
-        free.subtract(used);
+        free.subtract(usedResources);
         for (TaskAssignment assignment : assignments.values()) {
             if (assignment.job().spec().priority().compareTo(job.spec().priority()) > 0) {
                 free.add(assignment.job().spec());
@@ -163,39 +163,39 @@
     }
 
     /** The average bounded slowdown of the tasks that completed on it; 1 without history. */
-    public double slowdown() {
+    public double averageSlowdown() {
         return slowdownCount == 0 ? 1 : slowdownSum / slowdownCount;
     }
 
     /** An image of so many GB was used on it: the least recently used ones give way if the cache is full. */
     public void cacheImage(String image, double sizeGb) {
-        images.put(image, sizeGb);
+        cachedImages.put(image, sizeGb);
         double cachedGb = 0;
-        for (double size : images.values()) {
+        for (double size : cachedImages.values()) {
             cachedGb += size;
         }
-        while (type != null && cachedGb > type.cacheGb() && images.size() > 1) {
-            String leastRecentlyUsed = images.keySet().iterator().next();
-            cachedGb -= images.remove(leastRecentlyUsed);
+        while (type != null && cachedGb > type.cacheGb() && cachedImages.size() > 1) {
+            String leastRecentlyUsed = cachedImages.keySet().iterator().next();
+            cachedGb -= cachedImages.remove(leastRecentlyUsed);
         }
     }
 
     public boolean hasImage(String image) {
-        return images.containsKey(image);
+        return cachedImages.containsKey(image);
     }
 
     /** The number of images that assigned tasks need and the machine does not hold yet. */
     public int imagesBeingPulled() {
         int missing = 0;
         for (String image : imagesOfAssignments.keySet()) {
-            missing += images.containsKey(image) ? 0 : 1;
+            missing += cachedImages.containsKey(image) ? 0 : 1;
         }
         return missing;
     }
 
     /** Whether an image is cached here, being pulled here, or neither. */
     public ImageLocality imageLocality(String image) {
-        if (images.containsKey(image)) {
+        if (cachedImages.containsKey(image)) {
             return ImageLocality.PRESENT;
         }
         return imagesOfAssignments.containsKey(image) ? ImageLocality.BEING_PULLED : ImageLocality.ABSENT;
@@ -264,16 +264,16 @@
     }
 
     /** A task has succeeded on it. */
-    public void forgetFailures() {
+    public void clearFailures() {
         failuresByJob.clear();
     }
 
     /** Where the index of free capacity holds it; -1: nowhere. Only the index may change it. */
-    int capacitySlot() {
-        return capacitySlot;
+    int capacityBucket() {
+        return capacityBucket;
     }
 
-    void setCapacitySlot(int capacitySlot) {
-        this.capacitySlot = capacitySlot;
+    void setCapacityBucket(int capacitySlot) {
+        this.capacityBucket = capacitySlot;
     }
 }
--- a/src/main/java/stileferry/cluster/Resources.java
+++ b/src/main/java/stileferry/cluster/Resources.java
@@ -6,7 +6,7 @@
 /** An amount of CPUs, GPUs and memory, to count with. */
 public final class Resources {
     /** Sums of CPUs, GPUs and GB may be off by this much. */
-    static final double ROUNDING = 1e-6;
+    static final double ROUNDING_TOLERANCE = 1e-6;
 
     private double cpus;
     private double gpus;
@@ -84,15 +84,16 @@
     /** How many tasks with this request fit into it. */
     int tasksFitting(JobSpec spec) {
         return Math.min(
-                fitting(cpus, spec.cpus()), Math.min(fitting(gpus, spec.gpus()), fitting(memoryGb, spec.memoryGb())));
+                countFitting(cpus, spec.cpus()),
+                Math.min(countFitting(gpus, spec.gpus()), countFitting(memoryGb, spec.memoryGb())));
     }
 
-    private static int fitting(double free, double wanted) {
-        return wanted == 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + ROUNDING) / wanted);
+    private static int countFitting(double free, double wanted) {
+        return wanted == 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + ROUNDING_TOLERANCE) / wanted);
     }
 
     /** Whether nothing is overdrawn. */
-    public boolean notNegative() {
-        return cpus > -ROUNDING && gpus > -ROUNDING && memoryGb > -ROUNDING;
+    public boolean isNonNegative() {
+        return cpus > -ROUNDING_TOLERANCE && gpus > -ROUNDING_TOLERANCE && memoryGb > -ROUNDING_TOLERANCE;
     }
 }
--- a/src/main/java/stileferry/cluster/RestartBackOff.java
+++ b/src/main/java/stileferry/cluster/RestartBackOff.java
@@ -2,7 +2,7 @@
 
 /** Pauses between the starts of a failing task. */
 public final class RestartBackOff {
-    private static final long MAX_PAUSE_MS = 60_000;
+    private static final long MAX_DELAY_MS = 60_000;
 
     private int failures;
     private long notBefore;
@@ -15,7 +15,7 @@
      * @param mostDoublings how often it doubles at most
      */
     public void backOff(long now, long firstPauseMs, int mostDoublings) {
-        notBefore = now + Math.min(MAX_PAUSE_MS, firstPauseMs << Math.min(mostDoublings, failures++));
+        notBefore = now + Math.min(MAX_DELAY_MS, firstPauseMs << Math.min(mostDoublings, failures++));
     }
 
     /** The time on the controller's steady clock, in milliseconds, before which the task may not start again. */
--- a/src/main/java/stileferry/cluster/TaskAssignment.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -138,12 +138,12 @@
     }
 
     /** Notes the number of the stored record that holds it now. */
-    public void stored(long number) {
+    public void setRecordNumber(long number) {
         recordNumber = number;
     }
 
     /** Whether the stored record of this number holds it. */
-    public boolean storedIn(long number) {
+    public boolean isStoredIn(long number) {
         return recordNumber == number;
     }
 
--- a/src/main/java/stileferry/cluster/TeamUsage.java
+++ b/src/main/java/stileferry/cluster/TeamUsage.java
@@ -8,7 +8,7 @@
     private int tasks;
 
     /** Counts one task, or counts it out again with a negative sign. */
-    void count(JobSpec spec, int sign) {
+    void adjust(JobSpec spec, int sign) {
         tasks += sign;
         used.add(spec, sign);
         if (tasks == 0) {
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -76,7 +76,7 @@
         this.cluster = cluster;
         this.commitQueue = commitQueue;
         this.listener = listener;
-        this.prefixes = new ArrayList<>(List.of(Job.PREFIX, CommitQueue.EVENT_LOG_PREFIX, LEGACY_CHUNK_PREFIX));
+        this.prefixes = new ArrayList<>(List.of(Job.KEY_PREFIX, CommitQueue.EVENT_LOG_PREFIX, LEGACY_CHUNK_PREFIX));
         if (readsAdmissionShards) {
             prefixes.add(AdmissionCountShards.PREFIX);
         }
@@ -106,7 +106,7 @@
                 environment.schedule(RETRY_MS, this::load);
                 return;
             }
-            if (prefix.equals(Job.PREFIX)) {
+            if (prefix.equals(Job.KEY_PREFIX)) {
                 listener.cancelledJobs(cancelledJobs(scan.rows()));
             }
             rowsByPrefix.put(prefix, scan.rows());
@@ -125,7 +125,7 @@
     }
 
     private static String jobId(KeyValue row) {
-        return row.key().substring(Job.PREFIX.length());
+        return row.key().substring(Job.KEY_PREFIX.length());
     }
 
     private void readOperatorSettings(Map<String, List<KeyValue>> rowsByPrefix) {
@@ -145,7 +145,7 @@
     }
 
     private void build(Map<String, List<KeyValue>> rowsByPrefix, long operatorSettingsRevision) {
-        buildJobs(rowsByPrefix.get(Job.PREFIX));
+        buildJobs(rowsByPrefix.get(Job.KEY_PREFIX));
         TaskEventReader reader = new TaskEventReader(cluster.jobs());
         restoreLegacyChunks(rowsByPrefix.get(LEGACY_CHUNK_PREFIX), reader);
         restoreEventLog(rowsByPrefix.get(CommitQueue.EVENT_LOG_PREFIX), reader);
@@ -169,7 +169,7 @@
                 cluster.addUnreadableJob(jobId(row));
             }
         }
-        jobs.sort(Comparator.comparingLong(job -> job.acceptanceOrder()));
+        jobs.sort(Comparator.comparingLong(job -> job.submissionOrder()));
         jobs.forEach(cluster::addJob);
     }
 
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -240,7 +240,7 @@
         AgentState agent = request.machine.agent();
         for (WorkerCommand command : request.commands) {
             if (command.kind() == WorkerCommand.Kind.RUN) {
-                agent.startAnswered(command.attemptId());
+                agent.recordDirectStartAnswered(command.attemptId());
             }
         }
     }
--- a/src/main/java/stileferry/heartbeat/CommandPlanner.java
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -100,9 +100,9 @@
      */
     private boolean clearable(Machine machine, Heartbeat.TaskStatus status) {
         AgentState agent = machine.agent();
-        return machine.acknowledgedTerm(term)
-                && !agent.awaitsDurableOutcome(status.attemptId())
-                && !agent.startUnanswered(status.attemptId());
+        return machine.hasAcknowledgedTerm(term)
+                && !agent.hasNonDurableOutcome(status.attemptId())
+                && !agent.hasUnansweredDirectStart(status.attemptId());
     }
 
     private void addForAssignment(
@@ -111,7 +111,7 @@
             commands.add(new WorkerCommand(WorkerCommand.Kind.RUN, assignment.taskId(), assignment.attempt(), 0));
             assignment.markStartSent();
             if (delivery == Delivery.DIRECT) {
-                machine.agent().startSent(assignment.attemptId());
+                machine.agent().recordDirectStartSent(assignment.attemptId());
             }
         }
         if (needsKill(assignment)) {
@@ -130,7 +130,7 @@
         // An unanswered direct start of a stopped task does no harm once the worker knows the attempt.
         boolean cancelledLongAgo = assignment.job().cancelled() && now - assignment.stopRequestedAt() > cancelMs / 2;
         return delivery == Delivery.HEARTBEAT_RESPONSE
-                && machine.agent().startUnanswered(assignment.attemptId())
+                && machine.agent().hasUnansweredDirectStart(assignment.attemptId())
                 && !cancelledLongAgo;
     }
 
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -84,7 +84,7 @@
             reply.accept(null);
             return;
         }
-        Machine machine = cluster.machine(heartbeat.machine());
+        Machine machine = cluster.getOrAddMachine(heartbeat.machine());
         if (machine.agent().lastHeartbeatRecord() == null) {
             reply.accept(answer(machine, heartbeat));
             return;
@@ -98,9 +98,9 @@
 
     private byte[] answer(Machine machine, Heartbeat heartbeat) {
         AgentState agent = machine.agent();
-        agent.recordHeartbeatNumber(heartbeat);
-        if (machine.unchangedSince(heartbeat) && heartbeat.sequence() > agent.sequence()) {
-            agent.recordUnchanged(heartbeat, environment.now());
+        agent.recordHeartbeatSequence(heartbeat);
+        if (machine.isUnchangedBy(heartbeat) && heartbeat.sequence() > agent.sequence()) {
+            agent.recordUnchangedHeartbeat(heartbeat, environment.now());
             return emptyResponse;
         }
         unreachableAgentDetector.check(machine, heartbeat);
@@ -134,7 +134,7 @@
      * cancelled jobs are stopped.
      */
     public byte[] renewBeforeRecovery(Heartbeat heartbeat) {
-        Machine machine = cluster.machine(heartbeat.machine());
+        Machine machine = cluster.getOrAddMachine(heartbeat.machine());
         machine.setAddress(heartbeat.address());
         machine.agent().markAnswered(environment.now());
         return response(leadership.cancellations().killCommandsFor(heartbeat));
@@ -149,7 +149,7 @@
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
             taskObserver.gone(assignment, SettlementProof.MACHINE_DELETED);
         }
-        cluster.forget(machine);
+        cluster.removeDeletedMachine(machine);
         taskObserver.changed();
     }
 }
--- a/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
@@ -114,7 +114,7 @@
     private void takeReclaimNotice(Machine machine, Heartbeat heartbeat, long now) {
         if (heartbeat.reclaimNoticeS() >= 0 && machine.instance().reclaimNoticeS() < 0) {
             LOG.info("reclaim notice: machine={} notice_s={}", machine.name(), heartbeat.reclaimNoticeS());
-            machine.instance().receiveReclaimNotice(heartbeat.reclaimNoticeS());
+            machine.instance().recordReclaimNotice(heartbeat.reclaimNoticeS());
             reclaimNoticeHandler.evictTasks(machine, now);
         }
     }
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -74,12 +74,12 @@
 
         @Override
         public void recordedIn(long record) {
-            lastHeartbeat.stored(record);
+            lastHeartbeat.setRecordNumber(record);
         }
 
         @Override
         public StoredEvent retainedFrom(long record) {
-            return lastHeartbeat.storedIn(record) && !lastHeartbeat.obsolete() ? this : null;
+            return lastHeartbeat.isStoredIn(record) && !lastHeartbeat.obsolete() ? this : null;
         }
 
         @Override
@@ -149,7 +149,7 @@
                 && leadership.leaseHeld()) {
             LastHeartbeatRecord record =
                     new LastHeartbeatRecord(machine.name(), incarnation, environment.timeOfDay() - agoMs, term);
-            machine.agent().keepLastHeartbeatRecord(record);
+            machine.agent().setLastHeartbeatRecord(record);
             commitQueue.appendEvent(new LastHeartbeatEvent(record), null);
         }
     }
--- a/src/main/java/stileferry/heartbeat/LeaseExpiry.java
+++ b/src/main/java/stileferry/heartbeat/LeaseExpiry.java
@@ -84,7 +84,7 @@
      */
     private long lastRenewalAt(Machine machine, long incarnation, long termAcknowledgedAt) {
         AgentState agent = machine.agent();
-        if (agent.lastAnsweredAt() > 0 && machine.acknowledgedTerm(term)) {
+        if (agent.lastAnsweredAt() > 0 && machine.hasAcknowledgedTerm(term)) {
             return Math.max(agent.lastAnsweredAt(), agent.incarnationSeenAt());
         }
         if (agent.answeredByPreviousLeaderAt() >= 0
--- a/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
+++ b/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
@@ -23,7 +23,7 @@
         if (cluster.deletedMachines().contains(heartbeat.machine())) {
             return false; // sent before the machine was deleted
         }
-        Machine machine = cluster.machine(heartbeat.machine());
+        Machine machine = cluster.getOrAddMachine(heartbeat.machine());
         if (machine.instance().terminating()
                 || heartbeat.incarnation() <= machine.agent().expiredIncarnation()) {
             return false; // its tasks count as gone, or are about to
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -74,8 +74,8 @@
         return assignment.stopping()
                 && assignment.durable()
                 && assignment.phase() == null
-                && machine.acknowledgedTerm(term)
-                && !machine.agent().startUnanswered(assignment.attemptId());
+                && machine.hasAcknowledgedTerm(term)
+                && !machine.agent().hasUnansweredDirectStart(assignment.attemptId());
     }
 
     private void updatePhase(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
--- a/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
+++ b/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
@@ -32,7 +32,7 @@
     /** Judges the agent by its next heartbeat, before that is reconciled. */
     void check(Machine machine, Heartbeat heartbeat) {
         AgentState agent = machine.agent();
-        if (!machine.acknowledgedTerm(term) || agent.unreachableSince() != 0) {
+        if (!machine.hasAcknowledgedTerm(term) || agent.unreachableSince() != 0) {
             return;
         }
         boolean leaseExpired = leaseExpiredAlthoughAnswered(agent, heartbeat);
--- a/src/main/java/stileferry/lifecycle/ExitRecorder.java
+++ b/src/main/java/stileferry/lifecycle/ExitRecorder.java
@@ -43,7 +43,7 @@
                     assignment.assignedAt()
                             - now
                             + environment.timeOfDay()
-                            - assignment.job().acceptedAt(),
+                            - assignment.job().submittedAt(),
                     assignment.runningSince() - assignment.assignedAt(),
                     now - assignment.runningSince());
         }
@@ -61,8 +61,8 @@
                     (assignment.runningSince() - assignment.assignedAt()) / 1000.0,
                     SLOWDOWN_THRESHOLD_S);
         }
-        assignment.job().failures().recordSuccess(assignment.index());
-        machine.forgetFailures();
+        assignment.job().failureHistory().recordSuccess(assignment.index());
+        machine.clearFailures();
     }
 
     /** Takes in an exit without completion; the quarantine may stop other tasks of the machine. */
@@ -71,13 +71,13 @@
         int index = assignment.index();
         switch (status.exitReason()) {
             case FAILED -> {
-                job.failures().backOff(index, now, FAILED_FIRST_PAUSE_MS, FAILED_MOST_DOUBLINGS);
+                job.failureHistory().backOff(index, now, FAILED_FIRST_PAUSE_MS, FAILED_MOST_DOUBLINGS);
                 quarantine.recordFailure(machine, job);
             }
             case INSUFFICIENT_RESOURCES, CONFLICTING_ATTEMPT ->
                 machine.instance().cordonUntil(now + heartbeatRoundMs);
             case UNKNOWN_JOB ->
-                job.failures().backOff(index, now, UNKNOWN_JOB_FIRST_PAUSE_MS, UNKNOWN_JOB_MOST_DOUBLINGS);
+                job.failureHistory().backOff(index, now, UNKNOWN_JOB_FIRST_PAUSE_MS, UNKNOWN_JOB_MOST_DOUBLINGS);
             default -> {}
         }
     }
--- a/src/main/java/stileferry/lifecycle/GangMetrics.java
+++ b/src/main/java/stileferry/lifecycle/GangMetrics.java
@@ -43,7 +43,7 @@
     }
 
     private static boolean isFirstOfItsAttempt(TaskAssignment assignment) {
-        return assignment.job().failures().recordFailedAttempt(assignment.attempt());
+        return assignment.job().failureHistory().recordFailedGangAttempt(assignment.attempt());
     }
 
     /** The counts in the form of the administration's views. */
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -126,7 +126,7 @@
         if (job.cancellationReplicated()
                 && !job.cancellationConfirmed()
                 && !job.completing()
-                && !job.mayStartUnprompted()) {
+                && !job.mayStartWithoutFurtherCommand()) {
             job.markCancellationConfirmed();
             listener.cancellationConfirmed(job);
         }
--- a/src/main/java/stileferry/lifecycle/MachineQuarantine.java
+++ b/src/main/java/stileferry/lifecycle/MachineQuarantine.java
@@ -31,7 +31,7 @@
 
     /** A task of this job has failed on the machine. */
     void recordFailure(Machine machine, Job job) {
-        job.failures().recordFailureOn(machine.name());
+        job.failureHistory().recordFailureOn(machine.name());
         machine.recordFailureOf(job.spec().id());
         int weight = 0;
         for (Map.Entry<String, Integer> failures : machine.failuresByJob().entrySet()) {
@@ -49,9 +49,9 @@
         if (job == null) {
             return 1;
         }
-        if (job.failures().jobAtFault()) {
+        if (job.failureHistory().jobAtFault()) {
             return 0;
         }
-        return job.failures().successes() > 0 ? Math.min(FAULTY_AT, failures) : 1;
+        return job.failureHistory().successes() > 0 ? Math.min(FAULTY_AT, failures) : 1;
     }
 }
--- a/src/main/java/stileferry/lifecycle/TaskEventReader.java
+++ b/src/main/java/stileferry/lifecycle/TaskEventReader.java
@@ -79,7 +79,7 @@
      */
     public List<StoredEvent> readLegacyChunk(Job job, int chunk, JsonNode record, long recordNumber) {
         List<StoredEvent> events = new ArrayList<>();
-        int first = chunk * job.legacyChunkTasks();
+        int first = chunk * job.legacyTasksPerChunk();
         String hexadecimal = record.path("done").asText();
         for (int bit = 0;
                 bit < 4 * hexadecimal.length() && first + bit < job.spec().taskCount();
@@ -111,7 +111,7 @@
         TaskAssignment assignment = new TaskAssignment(job, index, attempt, machine, incarnation, 0);
         assignment.markDurable();
         assignment.markStartSent(); // the former leader may have sent it
-        assignment.stored(recordNumber);
+        assignment.setRecordNumber(recordNumber);
         assignmentsOf(job).put(index, assignment);
         return new TaskEvents.Assigned(assignment);
     }
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -57,12 +57,12 @@
 
         @Override
         public void recordedIn(long record) {
-            assignment.stored(record);
+            assignment.setRecordNumber(record);
         }
 
         @Override
         public StoredEvent retainedFrom(long record) {
-            return assignment.storedIn(record) && assignment.job().holds(assignment) ? this : null;
+            return assignment.isStoredIn(record) && assignment.job().hasUnsettled(assignment) ? this : null;
         }
 
         @Override
@@ -98,7 +98,7 @@
 
         @Override
         public void recordedIn(long record) {
-            job.completedTasks().stored(from, to, (int) record);
+            job.completedTasks().setRecordNumber(from, to, (int) record);
         }
 
         @Override
@@ -113,11 +113,11 @@
                 return null;
             }
             for (int index = from; index <= to; index++) {
-                if (job.completedTasks().recordOf(index) == (int) record) {
+                if (job.completedTasks().recordNumberOf(index) == (int) record) {
                     return new Completed(
                             job,
-                            job.completedTasks().firstOfRun(from),
-                            job.completedTasks().lastOfRun(to));
+                            job.completedTasks().rangeStart(from),
+                            job.completedTasks().rangeEnd(to));
                 }
             }
             return null;
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -113,7 +113,7 @@
             if (mayStart(assignment)) {
                 heartbeatHandler.commandDispatcher().sendSoon(machine);
             }
-        } else if (gangAttempt.assignmentDurable()) {
+        } else if (gangAttempt.recordDurableAssignment()) {
             startGang(assignment.job(), gangAttempt);
         }
     }
@@ -121,13 +121,13 @@
     private void startGang(Job job, GangAttempt attempt) {
         for (TaskAssignment assignment : job.assignments().values()) {
             if (assignment.gangAttempt() == attempt && mayStart(assignment)) {
-                heartbeatHandler.commandDispatcher().sendSoon(cluster.machine(assignment.machine()));
+                heartbeatHandler.commandDispatcher().sendSoon(cluster.getOrAddMachine(assignment.machine()));
             }
         }
     }
 
     private static boolean mayStart(TaskAssignment assignment) {
-        return assignment.job().holds(assignment)
+        return assignment.job().hasUnsettled(assignment)
                 && !assignment.stopping()
                 && !assignment.job().cancelled();
     }
@@ -179,7 +179,7 @@
      */
     private boolean allReachable(Job gang) {
         for (TaskAssignment assignment : gang.assignments().values()) {
-            if (!heartbeatHandler.failureDetector().reachable(cluster.machine(assignment.machine()))) {
+            if (!heartbeatHandler.failureDetector().reachable(cluster.getOrAddMachine(assignment.machine()))) {
                 LOG.info(
                         "gang stopped without checkpoint: job={} unreachable_machine={}",
                         gang.spec().id(),
@@ -191,7 +191,7 @@
     }
 
     private void stopOne(TaskAssignment assignment, double graceS) {
-        if (!assignment.job().holds(assignment)) {
+        if (!assignment.job().hasUnsettled(assignment)) {
             return; // settled with its gang; counted out twice it would let its team beyond its limit
         }
         if (!assignment.startSent()) {
@@ -200,7 +200,7 @@
             return;
         }
         cluster.requestStop(assignment, graceS, environment.now());
-        heartbeatHandler.commandDispatcher().sendSoon(cluster.machine(assignment.machine()));
+        heartbeatHandler.commandDispatcher().sendSoon(cluster.getOrAddMachine(assignment.machine()));
     }
 
     private void stopOthers(TaskAssignment assignment, double graceS) {
@@ -227,7 +227,7 @@
      * other in vain. Neither can complete or save a checkpoint; the gang starts again whole.
      */
     public void stopIncompleteGangAttempt(Job job) {
-        if (job.spec().gang() && !job.assignments().isEmpty() && !job.assignmentsFormOneAttempt()) {
+        if (job.spec().gang() && !job.assignments().isEmpty() && !job.allTasksAssignedInOneAttempt()) {
             long now = environment.now();
             List.copyOf(job.assignments().values()).forEach(assignment -> cluster.requestStop(assignment, 0, now));
         }
@@ -238,14 +238,14 @@
     @Override
     public void exited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status) {
         Job job = assignment.job();
-        if (!job.holds(assignment)) {
+        if (!job.hasUnsettled(assignment)) {
             return; // settled with its gang
         }
         long now = environment.now();
         boolean completed =
                 status.exitReason() == ExitReason.COMPLETED && !job.spec().service();
         List<TaskAssignment> others = completed && job.spec().gang() ? completeGang(job, assignment) : List.of();
-        machine.agent().awaitDurableOutcome(status.attemptId());
+        machine.agent().addNonDurableOutcome(status.attemptId());
         if (completed || status.exitReason() == ExitReason.FAILED) {
             job.markStarted();
         }
@@ -256,7 +256,7 @@
             recordFailure(machine, assignment, status, now);
         }
         settle(assignment, completed, () -> {
-            machine.agent().outcomeDurable(status.attemptId());
+            machine.agent().markOutcomeDurable(status.attemptId());
             others.forEach(this::outcomeDurable);
         });
     }
@@ -281,8 +281,8 @@
         others.remove(first);
         for (TaskAssignment other : others) {
             cluster.unassign(other, true);
-            Machine machine = cluster.machine(other.machine());
-            machine.agent().awaitDurableOutcome(other.attemptId());
+            Machine machine = cluster.getOrAddMachine(other.machine());
+            machine.agent().addNonDurableOutcome(other.attemptId());
             markIdleIfEmpty(machine);
         }
         for (int index = 0; index < job.spec().taskCount(); index++) {
@@ -297,13 +297,13 @@
     private void outcomeDurable(TaskAssignment assignment) {
         Machine machine = cluster.machines().get(assignment.machine());
         if (machine != null) {
-            machine.agent().outcomeDurable(assignment.attemptId());
+            machine.agent().markOutcomeDurable(assignment.attemptId());
         }
     }
 
     @Override
     public void gone(TaskAssignment assignment, SettlementProof proof) {
-        if (assignment.job().holds(assignment)) {
+        if (assignment.job().hasUnsettled(assignment)) {
             logSettled(assignment, proof);
             settle(assignment, false, null);
             if (assignment.job().spec().gang()) {
@@ -324,7 +324,7 @@
     private void settle(TaskAssignment assignment, boolean completed, Runnable onDurable) {
         Job job = assignment.job();
         cluster.unassign(assignment, completed);
-        markIdleIfEmpty(cluster.machine(assignment.machine()));
+        markIdleIfEmpty(cluster.getOrAddMachine(assignment.machine()));
         if (job.unfinishedCount() == 0 && !job.cancelled()) {
             jobCompletion.complete(job, CompletedJob.DONE, onDurable);
         } else if (job.cancelled() && job.assignments().isEmpty()) {
--- a/src/main/java/stileferry/requests/AdministrationViews.java
+++ b/src/main/java/stileferry/requests/AdministrationViews.java
@@ -55,7 +55,7 @@
                 .put("state", state(machine))
                 .put("session", machine.agent().incarnation())
                 .put("heard_s", heard ? (now - machine.agent().lastHeardAt()) / MS_PER_S : -1)
-                .put("slowdown", machine.slowdown())
+                .put("slowdown", machine.averageSlowdown())
                 .put("cpus_in_use", machine.usedCpus());
         ArrayNode tasks = view.putArray("tasks");
         machine.assignments().values().forEach(assignment -> tasks.add(assignment.taskId()));
--- a/src/main/java/stileferry/scheduling/BackfillPass.java
+++ b/src/main/java/stileferry/scheduling/BackfillPass.java
@@ -122,7 +122,7 @@
         if (job == head) {
             return machine -> true;
         }
-        if (timeOfDay - head.acceptedAt() > protectHeadAfterMs) {
+        if (timeOfDay - head.submittedAt() > protectHeadAfterMs) {
             return machine -> !head.spec().fitsType(machine.type());
         }
         if (placement.overdue(head, timeOfDay)) {
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -136,7 +136,7 @@
                     machine.name(),
                     machine.assignments().size(),
                     freeElsewhere);
-            machine.instance().drain();
+            machine.instance().startDrain();
             freeCpus = freeElsewhere - machine.usedCpus();
         }
     }
@@ -172,7 +172,7 @@
         Job job = assignment.job();
         boolean[] found = new boolean[1];
         cluster.freeCapacity()
-                .visitWithAtLeast(
+                .visitWithFreeCpus(
                         job.spec().cpus(),
                         machine -> found[0] |= machine != from
                                 && machine.hasImage(job.spec().image())
--- a/src/main/java/stileferry/scheduling/ImageHoldBack.java
+++ b/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
@@ -13,7 +13,7 @@
  * free capacity on machines that hold it: a moment of less urgent work costs less than their users' wait. It does so
  * for half of the time within which the tasks shall start.
  */
-final class ImageHoldBack {
+final class ImageLocalityDelay {
     /** After so many times as long as a job was held back, it may be so again: for another task, or one lost again. */
     private static final int AGAIN_AFTER = 8;
 
@@ -27,7 +27,7 @@
     private final PlacementConstraints constraints;
     private final StartObjectives objectives;
 
-    ImageHoldBack(ClusterState cluster, PlacementConstraints constraints, StartObjectives objectives) {
+    ImageLocalityDelay(ClusterState cluster, PlacementConstraints constraints, StartObjectives objectives) {
         this.cluster = cluster;
         this.constraints = constraints;
         this.objectives = objectives;
@@ -42,10 +42,10 @@
             return false;
         }
         long patienceMs = Math.round(PATIENCE_MS_PER_S * objectives.startWithinS(job));
-        if (now - job.heldBackSince() > AGAIN_AFTER * patienceMs) {
-            job.holdBack(now);
+        if (now - job.localityDelaySince() > AGAIN_AFTER * patienceMs) {
+            job.startLocalityDelay(now);
         }
-        return now - job.heldBackSince() <= patienceMs && capacityCanBeFreedAtImage(job, now);
+        return now - job.localityDelaySince() <= patienceMs && capacityCanBeFreedAtImage(job, now);
     }
 
     private static boolean eligible(JobSpec spec) {
@@ -73,7 +73,7 @@
 
     /** Whether capacity is being freed for this job, so that no machine has to be requested for it. */
     boolean heldBack(Job job, long now) {
-        return job.heldBackSince() != 0
-                && now - job.heldBackSince() <= PATIENCE_MS_PER_S * objectives.startWithinS(job);
+        return job.localityDelaySince() != 0
+                && now - job.localityDelaySince() <= PATIENCE_MS_PER_S * objectives.startWithinS(job);
     }
 }
--- a/src/main/java/stileferry/scheduling/MachineSelector.java
+++ b/src/main/java/stileferry/scheduling/MachineSelector.java
@@ -34,7 +34,7 @@
             return null;
         }
         Search search = new Search(job, usable, now);
-        cluster.freeCapacity().visitWithAtLeast(job.spec().cpus(), search);
+        cluster.freeCapacity().visitWithFreeCpus(job.spec().cpus(), search);
         return search.best;
     }
 
@@ -54,7 +54,7 @@
         @Override
         public void accept(Machine machine) {
             if (machine.fits(job)
-                    && cluster.reservations().leaveCapacity(machine, job)
+                    && cluster.reservations().allow(machine, job)
                     && constraints.allow(job, machine, now)
                     && usable.test(machine)
                     && (best == null || better(job, machine, best))) {
@@ -104,7 +104,7 @@
     }
 
     private static long slowdownSteps(Machine machine) {
-        return Math.round(machine.slowdown() / SLOWDOWN_STEP);
+        return Math.round(machine.averageSlowdown() / SLOWDOWN_STEP);
     }
 
     /** The machine with most free CPUs that the job may use, whether a task of it fits or not; null: there is none. */
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -19,7 +19,7 @@
     private final PlacementConstraints constraints;
     private final MachineSelector selector;
     private final GangPlacement gangPlacement;
-    private final ImageHoldBack imageHoldBack;
+    private final ImageLocalityDelay imageHoldBack;
     private boolean stoppedEarly;
 
     /** Placement on the machines of one leader's model. */
@@ -30,7 +30,7 @@
         this.constraints = new PlacementConstraints(cluster);
         this.selector = new MachineSelector(cluster, constraints, startObjectives);
         this.gangPlacement = new GangPlacement(cluster, selector, startObjectives);
-        this.imageHoldBack = new ImageHoldBack(cluster, constraints, startObjectives);
+        this.imageHoldBack = new ImageLocalityDelay(cluster, constraints, startObjectives);
     }
 
     /**
@@ -97,7 +97,7 @@
         return selector;
     }
 
-    ImageHoldBack imageHoldBack() {
+    ImageLocalityDelay imageHoldBack() {
         return imageHoldBack;
     }
 }
--- a/src/main/java/stileferry/scheduling/PlacementConstraints.java
+++ b/src/main/java/stileferry/scheduling/PlacementConstraints.java
@@ -27,7 +27,8 @@
                 && (spec.zone() == null || spec.zone().equals(machine.zone()))
                 && (spec.allowsSpot() || !machine.spot())
                 && allowZone(job, machine.zone())
-                && (!job.failures().failedOn(machine.name()) || job.failures().jobAtFault());
+                && (!job.failureHistory().failedOn(machine.name())
+                        || job.failureHistory().jobAtFault());
     }
 
     private boolean healthy(Machine machine, long now) {
@@ -41,7 +42,7 @@
     /** Whether the job's zone rules allow one more task in a zone beside all that may be on machines. */
     private static boolean allowZone(Job job, String zone) {
         if (job.spec().oneZone()) {
-            for (String used : job.zones()) {
+            for (String used : job.zonesWithTasks()) {
                 if (!used.equals(zone)) {
                     return false;
                 }
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -87,7 +87,7 @@
         if (job.withinQuota() || job.spec().priority().compareTo(JobSpec.Priority.URGENT) <= 0) {
             return true;
         }
-        long waitedMs = timeOfDay - job.acceptedAt();
+        long waitedMs = timeOfDay - job.submittedAt();
         // a machine to be requested boots too late for a gang that is to start soon, so it doesn't wait for one
         double patienceMs =
                 job.spec().gang() ? Math.min(bootMs, GANG_PATIENCE * 1000 * objectives.startWithinS(job)) : bootMs;
--- a/src/main/java/stileferry/scheduling/QueueOrder.java
+++ b/src/main/java/stileferry/scheduling/QueueOrder.java
@@ -40,7 +40,7 @@
     boolean overdue(Job job, long timeOfDay) {
         return !job.started()
                 && job.assignments().isEmpty()
-                && timeOfDay - job.acceptedAt()
+                && timeOfDay - job.submittedAt()
                         > 1000 * cluster.operatorSettings().number(OperatorSettings.BEGIN_WITHIN_S);
     }
 
@@ -55,7 +55,7 @@
         queue.sort(Comparator.<Job, Boolean>comparing(job -> !overdue(job, timeOfDay))
                 .thenComparing(job -> job.spec().priority())
                 .thenComparing(job -> !job.withinQuota())
-                .thenComparingLong(job -> job.acceptanceOrder()));
+                .thenComparingLong(job -> job.submissionOrder()));
         return queue;
     }
 
--- a/src/main/java/stileferry/scheduling/UnplaceableRequests.java
+++ b/src/main/java/stileferry/scheduling/UnplaceableRequests.java
@@ -18,7 +18,7 @@
         if (spec.gang()
                 || spec.oneZone()
                 || spec.spreadAcrossZones()
-                || job.failures().failedAnywhere()) {
+                || job.failureHistory().failedAnywhere()) {
             return false; // it may have been kept away by what concerns no other job
         }
         specs.add(spec);
--- a/src/main/java/stileferry/scheduling/VictimSelector.java
+++ b/src/main/java/stileferry/scheduling/VictimSelector.java
@@ -24,7 +24,7 @@
 
     /** Whether any task might be preempted for this job; spares a look at every machine. */
     boolean anyFor(Job job) {
-        if (cluster.anyOfLowerPriority(job.spec().priority())) {
+        if (cluster.hasTasksBelowPriority(job.spec().priority())) {
             return true;
         }
         if (job.withinQuota()) {
@@ -62,7 +62,7 @@
         Resources released = new Resources();
         List<TaskAssignment> victims = new ArrayList<>();
         for (TaskAssignment candidate : candidates) {
-            if (free.notNegative()) {
+            if (free.isNonNegative()) {
                 break;
             }
             if (mayPreempt(job, candidate, plan, released)) {
@@ -71,7 +71,7 @@
                 released.add(candidate.job().spec());
             }
         }
-        return free.notNegative() ? victims : null;
+        return free.isNonNegative() ? victims : null;
     }
 
     private static boolean justStartedOverdue(TaskAssignment assignment, long now) {
--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -47,7 +47,7 @@
         Autoscaler autoscaler = autoscalerWithUnlistedMachine();
         simulation.runFor(4);
         autoscaler.scaleIn(true);
-        assertFalse(cluster.machine("host-000099").instance().terminating(), "it may report any moment");
+        assertFalse(cluster.getOrAddMachine("host-000099").instance().terminating(), "it may report any moment");
     }
 
     @Test
@@ -58,7 +58,7 @@
         simulation.runFor(20);
         autoscaler.scaleIn(true);
         assertTrue(
-                cluster.machine("host-000099").instance().terminating(),
+                cluster.getOrAddMachine("host-000099").instance().terminating(),
                 "what neither list nor heartbeat shows must end some day");
     }
 
@@ -132,7 +132,7 @@
     }
 
     private Machine machine(int number) {
-        return cluster.machine("host-" + number);
+        return cluster.getOrAddMachine("host-" + number);
     }
 
     /** The machines from this number on are heard now. */
@@ -141,7 +141,7 @@
             if (machine(i).agent().heardThisTerm()) {
                 machine(i).agent().markHeard(environment.now());
             } else {
-                TestMachine.heard(machine(i), environment.now());
+                TestMachine.recordEmptyStatus(machine(i), environment.now());
             }
         }
     }
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -23,11 +23,11 @@
         ClusterState cluster = RandomCluster.cluster(4200, new SplittableRandom(5));
         int machines = cluster.machines().size();
         for (int i = 0; i < 2 * machines; i++) {
-            cluster.forget(cluster.machine("gone-" + i));
+            cluster.removeDeletedMachine(cluster.getOrAddMachine("gone-" + i));
         }
         assertEquals(2 * machines, cluster.deletedMachines().size());
         for (int i = 0; i < 5 * machines; i++) {
-            cluster.forget(cluster.machine("later-" + i));
+            cluster.removeDeletedMachine(cluster.getOrAddMachine("later-" + i));
         }
         assertTrue(
                 cluster.deletedMachines().size() <= 4 * machines + 1,
--- a/src/test/java/stileferry/cluster/TestMachine.java
+++ b/src/test/java/stileferry/cluster/TestMachine.java
@@ -8,7 +8,7 @@
     private TestMachine() {}
 
     /** The machine's agent has sent an empty status in its first incarnation. */
-    public static void heard(Machine machine, long now) {
+    public static void recordEmptyStatus(Machine machine, long now) {
         machine.agent()
                 .recordStatus(
                         new Heartbeat(
--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionHistory.java
@@ -69,7 +69,7 @@
     /** The jobs that the store knows. */
     long known() {
         jobs.clear();
-        addJobs(Job.PREFIX);
+        addJobs(Job.KEY_PREFIX);
         addJobs(Job.completedKey(""));
         return jobs.size();
     }
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -147,7 +147,7 @@
     /** Identifies this state, apart from times and revisions. */
     String signature() {
         StringBuilder text = new StringBuilder().append(jobs).append('|').append(counted());
-        rows(Job.PREFIX).forEach(row -> text.append(row.key()));
+        rows(Job.KEY_PREFIX).forEach(row -> text.append(row.key()));
         text.append('|').append(leader.commits.inFlight()).append(leader.commits.backlog());
         requests.forEach(request -> text.append(request.method.charAt(0)).append(keys(request)));
         unanswered.forEach(request -> text.append('L').append(keys(request)));
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -50,7 +50,7 @@
                 }
                 List<Event> longer = new ArrayList<>(events);
                 longer.add(event);
-                if (model.counted() != model.rows(Job.PREFIX).size()) {
+                if (model.counted() != model.rows(Job.KEY_PREFIX).size()) {
                     return new Found(longer, seen.size());
                 }
                 if (seen.add(model.signature()) && longer.size() < DEPTH) {
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -295,7 +295,7 @@
     @Test
     void legacyRecordsAreReadAndReplaced() throws InvalidJobSpecException {
         Job job = jobWithLegacyChunks(200);
-        assertEquals(128, job.legacyChunkTasks());
+        assertEquals(128, job.legacyTasksPerChunk());
         ObjectNode part = MessageCodec.map().put("done", "0184"); // tasks 0, 10 and 15 of this part
         ArrayNode claims = part.putArray("claims");
         for (int i = 16; i < 60; i++) {
--- a/src/test/java/stileferry/scheduling/PlacementTest.java
+++ b/src/test/java/stileferry/scheduling/PlacementTest.java
@@ -97,8 +97,8 @@
         int started = 0;
         for (int round = 0; round < 4; round++) {
             for (int i = 0; i < 8; i++) {
-                RandomCluster.job(fast, 100 * round + i, randomForFast);
-                RandomCluster.job(plain, 100 * round + i, randomForPlain);
+                RandomCluster.addJob(fast, 100 * round + i, randomForFast);
+                RandomCluster.addJob(plain, 100 * round + i, randomForPlain);
             }
             List<String> starts = pass(fast);
             assertEquals(plainPass(plain, new Placement(plain)), starts);
@@ -131,7 +131,7 @@
         ClusterState cluster = RandomCluster.cluster(machineCount, random);
         Placement placement = new Placement(cluster);
         for (int i = 0; i < 6 * machineCount; i++) {
-            RandomCluster.job(cluster, i, random);
+            RandomCluster.addJob(cluster, i, random);
         }
         fill(cluster, placement);
         Machine freed = cluster.machines().values().stream()
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -45,10 +45,10 @@
     }
 
     private Machine machine(String name, String zone) {
-        Machine machine = cluster.machine(name);
+        Machine machine = cluster.getOrAddMachine(name);
         machine.setType(cluster.machineTypes().get(0));
         cluster.setZone(machine, zone);
-        TestMachine.heard(machine, NOW);
+        TestMachine.recordEmptyStatus(machine, NOW);
         cluster.freeCapacity().update(machine);
         return machine;
     }
@@ -238,7 +238,7 @@
         elsewhere.markRunning(80_000);
         cluster.assign(elsewhere);
         TaskAssignment array = run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 70_000);
-        other.instance().drain();
+        other.instance().startDrain();
         job("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         assertEquals(
                 List.of(array), decide().stream().map(Preemption.Stop::victim).toList());
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -36,11 +36,11 @@
                 new MachineType("small", 8, 0, 32, 9, 0.3, 1, 0.4, 10, List.of("za", "zb")),
                 new MachineType("large", 16, 0, 64, 9, 0.3, 2, 0.8, 10, List.of("za", "zb"))));
         for (int i = 0; i < machines; i++) {
-            Machine machine = cluster.machine(String.format("host-%06d", random.nextInt(1_000_000)));
+            Machine machine = cluster.getOrAddMachine(String.format("host-%06d", random.nextInt(1_000_000)));
             machine.setType(cluster.machineTypes().get(random.nextInt(2)));
             machine.setTypeName(machine.type().name());
             machine.setSpot(random.nextBoolean());
-            TestMachine.heard(machine, NOW);
+            TestMachine.recordEmptyStatus(machine, NOW);
             cluster.setZone(machine, random.nextBoolean() ? "za" : "zb");
             for (int n = random.nextInt(3); n > 0; n--) {
                 machine.cacheImage("img" + random.nextInt(5), 2);
@@ -63,7 +63,7 @@
     }
 
     /** Adds an accepted job. */
-    static Job job(ClusterState cluster, int number, SplittableRandom random) {
+    static Job addJob(ClusterState cluster, int number, SplittableRandom random) {
         boolean service = random.nextInt(4) == 0;
         JobSpec spec = JobSpecBuilder.of(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY, "job-" + number)
                 .team("red")
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -27,7 +27,7 @@
                 List.of(new Settings.Team("red", 0, 0, 0, 0)),
                 new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9)));
         for (int i = 0; i < 2000; i++) {
-            cluster.machine(String.format("host-%06d", i)).setAddress("10.0.0.1:" + (1000 + i));
+            cluster.getOrAddMachine(String.format("host-%06d", i)).setAddress("10.0.0.1:" + (1000 + i));
         }
         SimulatedCluster world = new SimulatedCluster(1);
         int[] open = new int[1];
