--- a/src/main/java/stileferry/cluster/FailureHistory.java
+++ b/src/main/java/stileferry/cluster/FailureHistory.java
@@ -11,7 +11,7 @@
 
     private final Map<Integer, RestartBackOff> backOffs = new HashMap<>();
     private final Set<String> machinesWithFailures = new HashSet<>();
-    private int successes;
+    private int successCount;
     private long lastFailedGangAttempt;
 
     /** Postpones the next start of a task after a failure; for the parameters see {@link RestartBackOff#backOff}. */
@@ -35,13 +35,13 @@
 
     /** A task has completed. */
     public void recordSuccess(int index) {
-        successes++;
+        successCount++;
         backOffs.remove(index);
     }
 
     /** The number of tasks that have completed. */
-    public int successes() {
-        return successes;
+    public int successCount() {
+        return successCount;
     }
 
     /** A task of the job has failed on a machine. */
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -30,7 +30,7 @@
     private final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
 
     /** Images of the assigned tasks, with how many need them. */
-    private final Map<String, Integer> imagesOfAssignments = new HashMap<>();
+    private final Map<String, Integer> assignedTasksByImage = new HashMap<>();
 
     private final Map<String, Integer> failuresByJob = new HashMap<>();
     private final Map<String, Integer> failuresByJobView = Collections.unmodifiableMap(failuresByJob);
@@ -120,7 +120,7 @@
         if (assignments.isEmpty()) {
             usedResources.clear(); // rounding errors end with the last task
         }
-        imagesOfAssignments.merge(
+        assignedTasksByImage.merge(
                 spec.image(), sign, (before, change) -> before + change <= 0 ? null : before + change);
     }
 
@@ -187,7 +187,7 @@
     /** The number of images that assigned tasks need and the machine does not hold yet. */
     public int imagesBeingPulled() {
         int missing = 0;
-        for (String image : imagesOfAssignments.keySet()) {
+        for (String image : assignedTasksByImage.keySet()) {
             missing += cachedImages.containsKey(image) ? 0 : 1;
         }
         return missing;
@@ -198,7 +198,7 @@
         if (cachedImages.containsKey(image)) {
             return ImageLocality.PRESENT;
         }
-        return imagesOfAssignments.containsKey(image) ? ImageLocality.BEING_PULLED : ImageLocality.ABSENT;
+        return assignedTasksByImage.containsKey(image) ? ImageLocality.BEING_PULLED : ImageLocality.ABSENT;
     }
 
     public String name() {
@@ -259,7 +259,7 @@
         return failuresByJobView;
     }
 
-    public void recordFailureOf(String jobId) {
+    public void recordJobFailure(String jobId) {
         failuresByJob.merge(jobId, 1, Integer::sum);
     }
 
--- a/src/main/java/stileferry/lifecycle/MachineQuarantine.java
+++ b/src/main/java/stileferry/lifecycle/MachineQuarantine.java
@@ -32,7 +32,7 @@
     /** A task of this job has failed on the machine. */
     void recordFailure(Machine machine, Job job) {
         job.failureHistory().recordFailureOn(machine.name());
-        machine.recordFailureOf(job.spec().id());
+        machine.recordJobFailure(job.spec().id());
         int weight = 0;
         for (Map.Entry<String, Integer> failures : machine.failuresByJob().entrySet()) {
             weight += weight(cluster.jobs().get(failures.getKey()), failures.getValue());
@@ -52,6 +52,6 @@
         if (job.failureHistory().jobAtFault()) {
             return 0;
         }
-        return job.failureHistory().successes() > 0 ? Math.min(FAULTY_AT, failures) : 1;
+        return job.failureHistory().successCount() > 0 ? Math.min(FAULTY_AT, failures) : 1;
     }
 }
--- a/src/main/java/stileferry/scheduling/BackfillPass.java
+++ b/src/main/java/stileferry/scheduling/BackfillPass.java
@@ -15,37 +15,37 @@
  */
 final class BackfillPass {
     /** Most starts of one pass; the rest follows in the next, so that heartbeats and lease renewals are not late. */
-    private static final int MAX_STARTS = 400;
+    private static final int MAX_STARTS_PER_PASS = 400;
 
     private final ClusterState cluster;
     private final Placement placement;
     private final long now;
     private final long timeOfDay;
-    private final boolean preempts;
+    private final boolean preemptionEnabled;
     private final BiConsumer<Job, List<Machine>> start;
-    private final double protectHeadAfterMs;
+    private final double headProtectionMs;
 
-    private final List<Entry> queue = new ArrayList<>();
-    private final UnplaceableRequests unplaceable = new UnplaceableRequests();
-    private int notStuck;
+    private final List<QueuedJob> queue = new ArrayList<>();
+    private final UnplaceableRequests unplaceableRequests = new UnplaceableRequests();
+    private int unblockedCount;
     private int starts;
     private boolean startedOverdue;
-    private Job machineKeptFor;
-    private Machine keptMachine;
+    private Job reservedMachineJob;
+    private Machine reservedMachine;
 
     /** A job in the queue with its rank. */
-    private static final class Entry {
+    private static final class QueuedJob {
         private final Job job;
         private final double rank;
-        private boolean stuck;
+        private boolean blocked;
 
-        Entry(Job job, double rank) {
+        QueuedJob(Job job, double rank) {
             this.job = job;
             this.rank = rank;
         }
     }
 
-    /** A pass at this time; for the parameters see {@link Placement#pass}. */
+    /** A pass at this time; for the parameters see {@link Placement#runPass}. */
     BackfillPass(
             ClusterState cluster,
             Placement placement,
@@ -57,19 +57,19 @@
         this.placement = placement;
         this.now = now;
         this.timeOfDay = timeOfDay;
-        this.preempts = preempts;
+        this.preemptionEnabled = preempts;
         this.start = start;
-        this.protectHeadAfterMs = 1000 * cluster.operatorSettings().number(OperatorSettings.HEAD_PROTECTION_S);
+        this.headProtectionMs = 1000 * cluster.operatorSettings().number(OperatorSettings.HEAD_PROTECTION_S);
     }
 
     /** Starts what fits and returns the jobs that still wait for capacity, in queue order. */
     List<Job> run() {
         placement.queueOrder().markWithinQuota();
         for (Job job : placement.queue(now, timeOfDay)) {
-            queue.add(new Entry(job, placement.rank(job)));
+            queue.add(new QueuedJob(job, placement.rank(job)));
         }
-        notStuck = queue.size();
-        while (notStuck > 0 && starts < MAX_STARTS) {
+        unblockedCount = queue.size();
+        while (unblockedCount > 0 && starts < MAX_STARTS_PER_PASS) {
             tryToStart(nextPosition());
         }
         List<Job> waiting = new ArrayList<>(queue.size());
@@ -79,20 +79,20 @@
 
     /** Whether the pass has stopped before everything that fits was started. */
     boolean stoppedEarly() {
-        return notStuck > 0 || startedOverdue;
+        return unblockedCount > 0 || startedOverdue;
     }
 
     /** The position of the head unless it is stuck, else that with the lowest rank times position, counted from 1. */
     private int nextPosition() {
-        if (!queue.get(0).stuck) {
+        if (!queue.get(0).blocked) {
             return 0;
         }
         int next = -1;
         double lowest = Double.MAX_VALUE;
         for (int position = 1; position < queue.size(); position++) {
-            Entry entry = queue.get(position);
+            QueuedJob entry = queue.get(position);
             double value = entry.rank * (position + 1);
-            if (!entry.stuck && value < lowest) {
+            if (!entry.blocked && value < lowest) {
                 lowest = value;
                 next = position;
             }
@@ -101,13 +101,13 @@
     }
 
     private void tryToStart(int position) {
-        Entry entry = queue.get(position);
+        QueuedJob entry = queue.get(position);
         List<Machine> machines = placement.select(entry.job, usableMachines(entry.job), now);
         if (machines.isEmpty()) {
-            markStuck(entry);
-            skipWhatFitsNowhereEither(entry.job);
-        } else if (preempts && placement.imageHoldBack().holdsBack(entry.job, machines, now)) {
-            markStuck(entry);
+            markBlocked(entry);
+            blockLargerRequests(entry.job);
+        } else if (preemptionEnabled && placement.imageLocalityDelay().shouldDelay(entry.job, machines, now)) {
+            markBlocked(entry);
         } else {
             start(position, entry.job, machines);
         }
@@ -122,22 +122,22 @@
         if (job == head) {
             return machine -> true;
         }
-        if (timeOfDay - head.submittedAt() > protectHeadAfterMs) {
+        if (timeOfDay - head.submittedAt() > headProtectionMs) {
             return machine -> !head.spec().fitsType(machine.type());
         }
         if (placement.overdue(head, timeOfDay)) {
-            Machine kept = machineKeptFor(head);
+            Machine kept = machineReservedFor(head);
             return machine -> machine != kept;
         }
         return machine -> true;
     }
 
-    private Machine machineKeptFor(Job head) {
-        if (machineKeptFor != head) {
-            machineKeptFor = head;
-            keptMachine = placement.selector().withMostFreeCpus(head, now);
+    private Machine machineReservedFor(Job head) {
+        if (reservedMachineJob != head) {
+            reservedMachineJob = head;
+            reservedMachine = placement.selector().withMostFreeCpus(head, now);
         }
-        return keptMachine;
+        return reservedMachine;
     }
 
     private void start(int position, Job job, List<Machine> machines) {
@@ -147,21 +147,21 @@
         startedOverdue |= overdue; // the rest of the job follows in its usual place, in another pass
         if (overdue || job.nextPendingTask(now) < 0) {
             queue.remove(position);
-            notStuck--;
+            unblockedCount--;
         }
     }
 
-    private void markStuck(Entry entry) {
-        entry.stuck = true;
-        notStuck--;
+    private void markBlocked(QueuedJob entry) {
+        entry.blocked = true;
+        unblockedCount--;
     }
 
     /** Nobody who requests as much as a job that fits nowhere fits before something ends. */
-    private void skipWhatFitsNowhereEither(Job job) {
-        if (unplaceable.add(job) && cluster.withinTeamLimit(job)) {
-            for (Entry entry : queue) {
-                if (!entry.stuck && unplaceable.cover(entry.job)) {
-                    markStuck(entry);
+    private void blockLargerRequests(Job job) {
+        if (unplaceableRequests.add(job) && cluster.withinTeamLimit(job)) {
+            for (QueuedJob entry : queue) {
+                if (!entry.blocked && unplaceableRequests.cover(entry.job)) {
+                    markBlocked(entry);
                 }
             }
         }
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -21,27 +21,27 @@
     private static final Logger LOG = LoggerFactory.getLogger("consolidation");
 
     /** Boot times for which next to nothing may have waited. */
-    private static final double CALM_BOOT_TIMES = 1.0;
+    private static final double LOW_DEMAND_BOOT_TIMES = 1.0;
 
     /** Share of all CPUs that may be waited for in calm times: with many jobs, one or the other always waits. */
-    private static final double CALM_SHARE = 0.01;
+    private static final double LOW_DEMAND_CPU_SHARE = 0.01;
 
     /** Share of the machines that are drained at the same time: each holds images that are missed. */
-    private static final double DRAINING_SHARE = 0.03;
+    private static final double MAX_DRAINING_MACHINE_SHARE = 0.03;
 
     /** Share of the machines from which one service task each may move in one step. */
-    private static final double MOVING_SHARE = 0.01;
+    private static final double MAX_MOVING_MACHINE_SHARE = 0.01;
 
     /** A replica runs this long before it is moved: a start that is undone sooner counts for nothing. */
-    private static final long MIN_RUN_MS = 35_000;
+    private static final long MIN_RUNTIME_BEFORE_MOVE_MS = 35_000;
 
     private final ClusterState cluster;
     private final PlacementConstraints constraints;
     private final Consumer<TaskAssignment> evict;
-    private long calmSince;
+    private long lowDemandSince;
 
     /** Which machines are drained, which may be, and what these and the others offer. */
-    private static final class Usage {
+    private static final class ClusterCapacity {
         final List<Machine> draining = new ArrayList<>();
 
         /** Ordinary machines with work, which may be drained. */
@@ -58,16 +58,16 @@
     Consolidation(ClusterState cluster, Placement placement, long now, Consumer<TaskAssignment> evict) {
         this.cluster = cluster;
         this.constraints = placement.constraints();
-        this.calmSince = now;
+        this.lowDemandSince = now;
         this.evict = evict;
     }
 
     /** One step, after a regular pass that left these jobs waiting. */
     void run(List<Job> waiting, long now) {
-        double wantedCpus = wantedCpus(waiting);
-        Usage usage = usage();
-        if (wantedCpus > CALM_SHARE * usage.totalCpus) {
-            calmSince = now;
+        double wantedCpus = pendingCpus(waiting);
+        ClusterCapacity usage = measureCapacity();
+        if (wantedCpus > LOW_DEMAND_CPU_SHARE * usage.totalCpus) {
+            lowDemandSince = now;
         }
         if (wantedCpus > 0) {
             endDrains(usage.draining, wantedCpus);
@@ -77,7 +77,7 @@
         }
     }
 
-    private double wantedCpus(List<Job> waiting) {
+    private double pendingCpus(List<Job> waiting) {
         double wantedCpus = 0;
         for (Job job : waiting) {
             if (cluster.withinTeamLimit(job)) {
@@ -87,8 +87,8 @@
         return wantedCpus;
     }
 
-    private Usage usage() {
-        Usage usage = new Usage();
+    private ClusterCapacity measureCapacity() {
+        ClusterCapacity usage = new ClusterCapacity();
         for (Machine machine : cluster.machines().values()) {
             if (machine.instance().draining() && !machine.instance().terminating()) {
                 usage.draining.add(machine);
@@ -117,8 +117,8 @@
     }
 
     /** Drains the machines with least work, as long as that work fits elsewhere and enough stays free. */
-    private void startDrains(Usage usage, long now) {
-        int mostMore = 1 + (int) (cluster.machines().size() * DRAINING_SHARE) - usage.draining.size();
+    private void startDrains(ClusterCapacity usage, long now) {
+        int mostMore = 1 + (int) (cluster.machines().size() * MAX_DRAINING_MACHINE_SHARE) - usage.draining.size();
         List<Machine> candidates = usage.candidates;
         candidates.sort(Comparator.comparingDouble(Machine::usedCpus).thenComparing(machine -> machine));
         double freeCpus = usage.freeCpus;
@@ -127,7 +127,8 @@
                     machine.type().cpus(),
                     usage.totalCpus * cluster.operatorSettings().number(OperatorSettings.EMPTY_SHARE));
             double freeElsewhere = freeCpus - machine.freeCpus();
-            if (now - calmSince < CALM_BOOT_TIMES * 1000 * machine.type().bootS()
+            if (now - lowDemandSince
+                            < LOW_DEMAND_BOOT_TIMES * 1000 * machine.type().bootS()
                     || freeElsewhere < machine.usedCpus() + keepFree) {
                 return;
             }
@@ -143,7 +144,7 @@
 
     /** Moves one service task of a drained machine at a time, once only services are left there. */
     private void moveServiceTasks(List<Machine> draining, long now) {
-        int movesLeft = 1 + (int) (cluster.machines().size() * MOVING_SHARE);
+        int movesLeft = 1 + (int) (cluster.machines().size() * MAX_MOVING_MACHINE_SHARE);
         for (Machine machine : draining) {
             TaskAssignment task = movesLeft == 0 ? null : movableTask(machine, now);
             if (task != null && fitsElsewhere(task, machine, now)) {
@@ -160,7 +161,7 @@
             if (!assignment.job().spec().service()
                     || assignment.stopping()
                     || assignment.runningSince() == 0
-                    || assignment.runtimeMs(now) < MIN_RUN_MS) {
+                    || assignment.runtimeMs(now) < MIN_RUNTIME_BEFORE_MOVE_MS) {
                 return null;
             }
             last = assignment;
--- a/src/main/java/stileferry/scheduling/GangPlacement.java
+++ b/src/main/java/stileferry/scheduling/GangPlacement.java
@@ -31,25 +31,25 @@
             return best;
         }
         for (String zone : cluster.settings().zones()) {
-            if (!best.isEmpty() && !worthFewerPulls(gang, best)) {
+            if (!best.isEmpty() && !shouldSeekFewerPulls(gang, best)) {
                 return best;
             }
             List<Machine> here =
                     trySelect(gang, usable.and(machine -> machine.zone().equals(zone)), now);
-            if (best.isEmpty() || !here.isEmpty() && pulls(gang, here) < pulls(gang, best)) {
+            if (best.isEmpty() || !here.isEmpty() && imagePullCount(gang, here) < imagePullCount(gang, best)) {
                 best = here;
             }
         }
         return best;
     }
 
-    private boolean worthFewerPulls(Job gang, List<Machine> machines) {
-        return pulls(gang, machines) != 0
-                && objectives.needsImage(gang, machines.get(0).type());
+    private boolean shouldSeekFewerPulls(Job gang, List<Machine> machines) {
+        return imagePullCount(gang, machines) != 0
+                && objectives.requiresCachedImage(gang, machines.get(0).type());
     }
 
     /** The number of tasks whose machine does not hold the job's image. */
-    static int pulls(Job job, List<Machine> machines) {
+    static int imagePullCount(Job job, List<Machine> machines) {
         int pulls = 0;
         for (Machine machine : machines) {
             pulls += machine.hasImage(job.spec().image()) ? 0 : 1;
--- a/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
+++ b/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
@@ -15,13 +15,13 @@
  */
 final class ImageLocalityDelay {
     /** After so many times as long as a job was held back, it may be so again: for another task, or one lost again. */
-    private static final int AGAIN_AFTER = 8;
+    private static final int REPEAT_AFTER_MAX_DELAYS = 8;
 
     /** A gang waits for the slowest of its image pulls, which takes up to a third longer than its nominal time. */
-    private static final double GANG_PULL_FACTOR = 4 / 3.0;
+    private static final double GANG_PULL_TIME_FACTOR = 4 / 3.0;
 
     /** Half a second in ms: the patience with a job for each second within which it shall start. */
-    private static final double PATIENCE_MS_PER_S = 500;
+    private static final double MAX_DELAY_MS_PER_OBJECTIVE_S = 500;
 
     private final ClusterState cluster;
     private final PlacementConstraints constraints;
@@ -34,27 +34,27 @@
     }
 
     /** Whether the job is held back, though it could start on the selected machines. */
-    boolean holdsBack(Job job, List<Machine> selected, long now) {
-        if (!eligible(job.spec())
-                || GangPlacement.pulls(job, selected) == 0
-                || !objectives.missedByPull(
-                        job, selected.get(0).type(), job.spec().gang() ? GANG_PULL_FACTOR : 1)) {
+    boolean shouldDelay(Job job, List<Machine> selected, long now) {
+        if (!isEligible(job.spec())
+                || GangPlacement.imagePullCount(job, selected) == 0
+                || !objectives.pullMissesObjective(
+                        job, selected.get(0).type(), job.spec().gang() ? GANG_PULL_TIME_FACTOR : 1)) {
             return false;
         }
-        long patienceMs = Math.round(PATIENCE_MS_PER_S * objectives.startWithinS(job));
-        if (now - job.localityDelaySince() > AGAIN_AFTER * patienceMs) {
+        long patienceMs = Math.round(MAX_DELAY_MS_PER_OBJECTIVE_S * objectives.startWithinS(job));
+        if (now - job.localityDelaySince() > REPEAT_AFTER_MAX_DELAYS * patienceMs) {
             job.startLocalityDelay(now);
         }
-        return now - job.localityDelaySince() <= patienceMs && capacityCanBeFreedAtImage(job, now);
+        return now - job.localityDelaySince() <= patienceMs && preemptionCanFreeCapacityWithImage(job, now);
     }
 
-    private static boolean eligible(JobSpec spec) {
+    private static boolean isEligible(JobSpec spec) {
         return spec.priority() == JobSpec.Priority.CRITICAL
                 || spec.gang() && spec.priority() == JobSpec.Priority.URGENT;
     }
 
     /** Whether one task, or a whole gang, would fit on machines with its image if they ran nothing less urgent. */
-    private boolean capacityCanBeFreedAtImage(Job job, long now) {
+    private boolean preemptionCanFreeCapacityWithImage(Job job, long now) {
         int wanted = job.spec().gang() ? job.spec().taskCount() : 1;
         Map<String, Integer> fittingByZone = new HashMap<>();
         for (Machine machine : cluster.machines().values()) {
@@ -72,8 +72,8 @@
     }
 
     /** Whether capacity is being freed for this job, so that no machine has to be requested for it. */
-    boolean heldBack(Job job, long now) {
+    boolean isDelayed(Job job, long now) {
         return job.localityDelaySince() != 0
-                && now - job.localityDelaySince() <= PATIENCE_MS_PER_S * objectives.startWithinS(job);
+                && now - job.localityDelaySince() <= MAX_DELAY_MS_PER_OBJECTIVE_S * objectives.startWithinS(job);
     }
 }
--- a/src/main/java/stileferry/scheduling/MachineSelector.java
+++ b/src/main/java/stileferry/scheduling/MachineSelector.java
@@ -33,19 +33,19 @@
         if (!cluster.withinTeamLimit(job)) {
             return null;
         }
-        Search search = new Search(job, usable, now);
+        BestMachineVisitor search = new BestMachineVisitor(job, usable, now);
         cluster.freeCapacity().visitWithFreeCpus(job.spec().cpus(), search);
         return search.best;
     }
 
     /** Keeps the best of the machines that it visits. */
-    private final class Search implements Consumer<Machine> {
+    private final class BestMachineVisitor implements Consumer<Machine> {
         private final Job job;
         private final Predicate<Machine> usable;
         private final long now;
         private Machine best;
 
-        Search(Job job, Predicate<Machine> usable, long now) {
+        BestMachineVisitor(Job job, Predicate<Machine> usable, long now) {
             this.job = job;
             this.usable = usable;
             this.now = now;
@@ -57,20 +57,20 @@
                     && cluster.reservations().allow(machine, job)
                     && constraints.allow(job, machine, now)
                     && usable.test(machine)
-                    && (best == null || better(job, machine, best))) {
+                    && (best == null || isBetter(job, machine, best))) {
                 best = machine;
             }
         }
     }
 
     /** Whether a machine is the better one of two; a total order, so that the order of visits does not matter. */
-    boolean better(Job job, Machine machine, Machine than) {
+    boolean isBetter(Job job, Machine machine, Machine than) {
         return compare(job, machine, than) < 0;
     }
 
     private int compare(Job job, Machine machine, Machine other) {
         int byImage = compareImages(job, machine, other);
-        if (byImage != 0 && objectives.needsImage(job, machine.type())) {
+        if (byImage != 0 && objectives.requiresCachedImage(job, machine.type())) {
             return byImage;
         }
         int bySlowdown = Long.compare(slowdownSteps(machine), slowdownSteps(other));
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -19,7 +19,7 @@
     private final PlacementConstraints constraints;
     private final MachineSelector selector;
     private final GangPlacement gangPlacement;
-    private final ImageLocalityDelay imageHoldBack;
+    private final ImageLocalityDelay imageLocalityDelay;
     private boolean stoppedEarly;
 
     /** Placement on the machines of one leader's model. */
@@ -30,7 +30,7 @@
         this.constraints = new PlacementConstraints(cluster);
         this.selector = new MachineSelector(cluster, constraints, startObjectives);
         this.gangPlacement = new GangPlacement(cluster, selector, startObjectives);
-        this.imageHoldBack = new ImageLocalityDelay(cluster, constraints, startObjectives);
+        this.imageLocalityDelay = new ImageLocalityDelay(cluster, constraints, startObjectives);
     }
 
     /**
@@ -40,7 +40,7 @@
      * @param start assigns the next pending task of a job, or all tasks of a gang, to the machines
      * @return the jobs that still wait for capacity, in queue order; the caller may change the list
      */
-    List<Job> pass(long now, long timeOfDay, boolean preempts, BiConsumer<Job, List<Machine>> start) {
+    List<Job> runPass(long now, long timeOfDay, boolean preempts, BiConsumer<Job, List<Machine>> start) {
         BackfillPass pass = new BackfillPass(cluster, this, now, timeOfDay, preempts, start);
         List<Job> waiting = pass.run();
         stoppedEarly = pass.stoppedEarly();
@@ -97,7 +97,7 @@
         return selector;
     }
 
-    ImageLocalityDelay imageHoldBack() {
-        return imageHoldBack;
+    ImageLocalityDelay imageLocalityDelay() {
+        return imageLocalityDelay;
     }
 }
--- a/src/main/java/stileferry/scheduling/PlacementConstraints.java
+++ b/src/main/java/stileferry/scheduling/PlacementConstraints.java
@@ -11,7 +11,7 @@
  */
 final class PlacementConstraints {
     /** A machine that has not been heard from for so many report intervals is taken to be unreachable. */
-    private static final int SILENT_REPORTS = 3;
+    private static final int UNREACHABLE_AFTER_HEARTBEAT_INTERVALS = 3;
 
     private final ClusterState cluster;
 
@@ -22,7 +22,7 @@
     /** Whether a task of the job may start on the machine if it fits there. */
     boolean allow(Job job, Machine machine, long now) {
         JobSpec spec = job.spec();
-        return healthy(machine, now)
+        return isHealthy(machine, now)
                 && spec.fitsType(machine.type())
                 && (spec.zone() == null || spec.zone().equals(machine.zone()))
                 && (spec.allowsSpot() || !machine.spot())
@@ -31,12 +31,14 @@
                         || job.failureHistory().jobAtFault());
     }
 
-    private boolean healthy(Machine machine, long now) {
+    private boolean isHealthy(Machine machine, long now) {
         return machine.schedulable()
                 && machine.agent().lastHeartbeatRecord() == null
                 && now >= machine.instance().cordonedUntil()
                 && now - machine.agent().lastHeardAt()
-                        < SILENT_REPORTS * 1000 * cluster.settings().workers().heartbeatIntervalS();
+                        < UNREACHABLE_AFTER_HEARTBEAT_INTERVALS
+                                * 1000
+                                * cluster.settings().workers().heartbeatIntervalS();
     }
 
     /** Whether the job's zone rules allow one more task in a zone beside all that may be on machines. */
--- a/src/main/java/stileferry/scheduling/PreemptionPlan.java
+++ b/src/main/java/stileferry/scheduling/PreemptionPlan.java
@@ -13,9 +13,9 @@
 
 /** What has been decided so far in one turn. It can be copied, to try one way to free capacity among several. */
 final class PreemptionPlan {
-    private static final Resources NOTHING = new Resources();
+    private static final Resources NO_RESOURCES = new Resources();
 
-    private final List<Preemption.Stop> stops = new ArrayList<>();
+    private final List<Preemption.PlannedPreemption> preemptions = new ArrayList<>();
     private final Set<TaskAssignment> stopping = new HashSet<>();
     private final Map<String, Resources> reservedByMachine = new HashMap<>();
     private final Map<String, Resources> releasedByTeam = new HashMap<>();
@@ -28,7 +28,7 @@
 
     PreemptionPlan copy() {
         PreemptionPlan copy = new PreemptionPlan();
-        copy.stops.addAll(stops);
+        copy.preemptions.addAll(preemptions);
         copy.stopping.addAll(stopping);
         reservedByMachine.forEach((machine, reserved) -> copy.reservedByMachine.put(machine, reserved.copy()));
         releasedByTeam.forEach((team, released) -> copy.releasedByTeam.put(team, released.copy()));
@@ -47,8 +47,8 @@
     }
 
     /** Preempts a task, and with it the rest of its gang. */
-    void preempt(Preemption.Stop stop) {
-        stops.add(stop);
+    void preempt(Preemption.PlannedPreemption stop) {
+        preemptions.add(stop);
         TaskAssignment victim = stop.victim();
         if (victim.job().spec().gang()) {
             victim.job().assignments().values().stream()
@@ -80,16 +80,16 @@
 
     /** What is reserved on a machine for pending tasks considered earlier. */
     Resources reservedOn(Machine machine) {
-        return reservedByMachine.getOrDefault(machine.name(), NOTHING);
+        return reservedByMachine.getOrDefault(machine.name(), NO_RESOURCES);
     }
 
     /** What a team's stopping tasks release. */
     Resources releasedBy(String team) {
-        return releasedByTeam.getOrDefault(team, NOTHING);
+        return releasedByTeam.getOrDefault(team, NO_RESOURCES);
     }
 
-    List<Preemption.Stop> stops() {
-        return stops;
+    List<Preemption.PlannedPreemption> preemptions() {
+        return preemptions;
     }
 
     List<Reservation> reservations() {
@@ -97,7 +97,7 @@
     }
 
     /** Whether it needs fewer image pulls, or loses less work with as many; anything is better than null. */
-    boolean betterThan(PreemptionPlan other) {
+    boolean isBetterThan(PreemptionPlan other) {
         return other == null
                 || imagePulls < other.imagePulls
                 || imagePulls == other.imagePulls && lostWorkMs < other.lostWorkMs;
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -23,7 +23,7 @@
     private final Preemption preemption;
     private final Autoscaler autoscaler;
     private final Consolidation consolidation;
-    private final TaskLifecycle tasks;
+    private final TaskLifecycle taskLifecycle;
 
     /** Passes over one leader's queue. */
     public SchedulingPass(
@@ -41,7 +41,7 @@
         this.autoscaler = autoscaler;
         this.consolidation =
                 new Consolidation(cluster, placement, environment.now(), assignment -> tasks.stop(assignment, 0));
-        this.tasks = tasks;
+        this.taskLifecycle = tasks;
     }
 
     /**
@@ -57,12 +57,12 @@
         long now = environment.now();
         boolean mayRearrange = settled && links.permitsPreemption();
         boolean preempts = mayRearrange && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
-        List<Job> waiting = placement.pass(now, environment.timeOfDay(), preempts, this::start);
+        List<Job> waiting = placement.runPass(now, environment.timeOfDay(), preempts, this::start);
         cluster.reservations().clear();
         if (preempts) {
             preempt(waiting, now);
         }
-        waiting.removeIf(job -> placement.imageHoldBack().heldBack(job, now)); // capacity is being freed for it
+        waiting.removeIf(job -> placement.imageLocalityDelay().isDelayed(job, now)); // capacity is being freed for it
         if (settled && regular && !waiting.isEmpty() && links.permitsScaleOut()) {
             autoscaler.scaleOut(waiting);
         }
@@ -74,17 +74,17 @@
     private void start(Job job, List<Machine> machines) {
         boolean overdue = placement.overdue(job, environment.timeOfDay());
         cluster.reservations().remove(job);
-        tasks.start(job, machines, overdue);
+        taskLifecycle.start(job, machines, overdue);
     }
 
     private void preempt(List<Job> waiting, long now) {
         long bootMs = Math.round(1000 * cluster.machineTypes().get(0).bootS());
-        for (Preemption.Stop stop : preemption.decide(waiting, now, bootMs, environment.timeOfDay())) {
+        for (Preemption.PlannedPreemption stop : preemption.plan(waiting, now, bootMs, environment.timeOfDay())) {
             LOG.debug(
                     "task preempted: task={} for_job={}",
                     stop.victim().taskId(),
-                    stop.forJob().spec().id());
-            tasks.stop(stop.victim(), stop.graceS());
+                    stop.preemptor().spec().id());
+            taskLifecycle.stop(stop.victim(), stop.graceS());
         }
     }
 }
--- a/src/main/java/stileferry/scheduling/UnplaceableRequests.java
+++ b/src/main/java/stileferry/scheduling/UnplaceableRequests.java
@@ -28,7 +28,7 @@
     /** Whether the job requests at least as much as one without capacity, on no more machines. */
     boolean cover(Job job) {
         for (JobSpec unplaceable : specs) {
-            if (requestsAtLeast(job.spec(), unplaceable) && narrowerThan(job.spec(), unplaceable)) {
+            if (requestsAtLeast(job.spec(), unplaceable) && allowedMachinesSubsetOf(job.spec(), unplaceable)) {
                 return true;
             }
         }
@@ -40,7 +40,7 @@
     }
 
     /** Whether every machine that a job may use may be used by the other too. */
-    private static boolean narrowerThan(JobSpec spec, JobSpec other) {
+    private static boolean allowedMachinesSubsetOf(JobSpec spec, JobSpec other) {
         return (other.allowsSpot() || !spec.allowsSpot())
                 && (other.zone() == null || other.zone().equals(spec.zone()))
                 && (other.machineTypes() == null
--- a/src/main/java/stileferry/scheduling/VictimSelector.java
+++ b/src/main/java/stileferry/scheduling/VictimSelector.java
@@ -14,7 +14,7 @@
 /** Selects the tasks on a machine to be preempted for a job: the lowest priority first, then the least lost work. */
 final class VictimSelector {
     /** The first task of an overdue job runs for so long before it may be preempted. */
-    private static final long OVERDUE_RUN_MS = 30_000;
+    private static final long OVERDUE_MIN_RUNTIME_MS = 30_000;
 
     private final ClusterState cluster;
 
@@ -23,7 +23,7 @@
     }
 
     /** Whether any task might be preempted for this job; spares a look at every machine. */
-    boolean anyFor(Job job) {
+    boolean hasCandidatesFor(Job job) {
         if (cluster.hasTasksBelowPriority(job.spec().priority())) {
             return true;
         }
@@ -75,7 +75,7 @@
     }
 
     private static boolean justStartedOverdue(TaskAssignment assignment, long now) {
-        return assignment.startedOverdue() && assignment.runtimeMs(now) < OVERDUE_RUN_MS;
+        return assignment.startedOverdue() && assignment.runtimeMs(now) < OVERDUE_MIN_RUNTIME_MS;
     }
 
     /** Whether a task may be preempted for a job, after so much was released on the same machine already. */
--- a/src/test/java/stileferry/cluster/JobTest.java
+++ b/src/test/java/stileferry/cluster/JobTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void onlyAnAcceptedJobHasPendingTasks() {
+    void onlyAcceptedJobHasPendingTasks() {
         Job job = submitted();
         assertEquals(-1, job.nextPendingTask(0));
         job.markAccepted();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aCancelledJobCompletesWhateverItsCancellationHasReached() {
+    void cancelledJobCompletesInAnyCancellationPhase() {
         Job job = submitted();
         job.markAccepted();
         job.requestCancellation();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void theCancellationOfAStoredJobIsDurable() throws InvalidJobSpecException {
+    void cancellationOfStoredJobIsDurable() throws InvalidJobSpecException {
         ObjectNode stored = submitted().entry().value();
         assertFalse(Job.read(stored, 1).cancelled());
         Job cancelled = Job.read(stored.put("cancelled", true), 1);
--- a/src/test/java/stileferry/scheduling/PlacementTest.java
+++ b/src/test/java/stileferry/scheduling/PlacementTest.java
@@ -23,7 +23,7 @@
     private static final long NOW = RandomCluster.NOW;
 
     /** The design's choice, by visiting every machine in the order of names. */
-    private static Machine plainChoice(ClusterState cluster, Placement placement, Job job) {
+    private static Machine selectExhaustively(ClusterState cluster, Placement placement, Job job) {
         Machine best = null;
         for (Machine machine : cluster.machines().values()) {
             double cpus = job.spec().cpus();
@@ -35,7 +35,7 @@
             if (cpus <= machine.type().cpus() + 1e-6
                     && memoryGb <= machine.type().memoryGb() + 1e-6
                     && placement.constraints().allow(job, machine, NOW)
-                    && (best == null || placement.selector().better(job, machine, best))) {
+                    && (best == null || placement.selector().isBetter(job, machine, best))) {
                 best = machine;
             }
         }
@@ -43,7 +43,7 @@
     }
 
     /** The order of the queue by the words of the design: the head if it fits, else the lowest rank times position. */
-    private static List<String> plainPass(ClusterState cluster, Placement placement) {
+    private static List<String> runExhaustivePass(ClusterState cluster, Placement placement) {
         List<String> starts = new ArrayList<>();
         placement.queueOrder().markWithinQuota();
         while (true) {
@@ -52,7 +52,7 @@
             double lowest = Double.MAX_VALUE;
             for (int i = 0; i < queue.size(); i++) {
                 double value = i == 0 ? -1 : placement.rank(queue.get(i)) * (i + 1);
-                if (value < lowest && plainChoice(cluster, placement, queue.get(i)) != null) {
+                if (value < lowest && selectExhaustively(cluster, placement, queue.get(i)) != null) {
                     lowest = value;
                     next = queue.get(i);
                 }
@@ -60,7 +60,7 @@
             if (next == null) {
                 return starts;
             }
-            starts.add(assign(cluster, next, plainChoice(cluster, placement, next)));
+            starts.add(assign(cluster, next, selectExhaustively(cluster, placement, next)));
         }
     }
 
@@ -70,10 +70,10 @@
         return assignment.taskId() + " on " + machine.name();
     }
 
-    private static List<String> pass(ClusterState cluster) {
+    private static List<String> runIndexedPass(ClusterState cluster) {
         List<String> starts = new ArrayList<>();
         new Placement(cluster)
-                .pass(NOW, NOW, false, (job, machines) -> starts.add(assign(cluster, job, machines.get(0))));
+                .runPass(NOW, NOW, false, (job, machines) -> starts.add(assign(cluster, job, machines.get(0))));
         return starts;
     }
 
@@ -89,7 +89,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void theFastPassDecidesAsThePlainOne(long seed) {
+    void indexedPassMatchesExhaustivePass(long seed) {
         SplittableRandom randomForFast = new SplittableRandom(seed);
         SplittableRandom randomForPlain = new SplittableRandom(seed);
         ClusterState fast = RandomCluster.cluster(12, randomForFast);
@@ -100,8 +100,8 @@
                 RandomCluster.addJob(fast, 100 * round + i, randomForFast);
                 RandomCluster.addJob(plain, 100 * round + i, randomForPlain);
             }
-            List<String> starts = pass(fast);
-            assertEquals(plainPass(plain, new Placement(plain)), starts);
+            List<String> starts = runIndexedPass(fast);
+            assertEquals(runExhaustivePass(plain, new Placement(plain)), starts);
             started += starts.size();
             completeEveryThirdTask(fast, new SplittableRandom(seed + round));
             completeEveryThirdTask(plain, new SplittableRandom(seed + round));
@@ -110,10 +110,10 @@
     }
 
     /** Fills the cluster in as many passes as that takes. */
-    private static void fill(ClusterState cluster, Placement placement) {
+    private static void fillCluster(ClusterState cluster, Placement placement) {
         int passes = 0;
         do {
-            placement.pass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
+            placement.runPass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
             passes++;
         } while (placement.stoppedEarly());
         int tasks = cluster.machines().values().stream()
@@ -126,14 +126,14 @@
     /** Thousands of full machines and tasks, and hundreds of jobs that wait: a pass visits next to nothing. */
     @ParameterizedTest
     @ValueSource(ints = {1450, 4200})
-    void aPassOverAFullClusterVisitsFewMachines(int machineCount) {
+    void passOverFullClusterVisitsFewMachines(int machineCount) {
         SplittableRandom random = new SplittableRandom(1);
         ClusterState cluster = RandomCluster.cluster(machineCount, random);
         Placement placement = new Placement(cluster);
         for (int i = 0; i < 6 * machineCount; i++) {
             RandomCluster.addJob(cluster, i, random);
         }
-        fill(cluster, placement);
+        fillCluster(cluster, placement);
         Machine freed = cluster.machines().values().stream()
                 .filter(machine -> machine.assignments().size() > 2 && machine.schedulable())
                 .findFirst()
@@ -142,7 +142,7 @@
         long waiting = placement.queue(NOW, NOW).size();
         long visitsBefore = cluster.freeCapacity().machinesVisited();
         List<Machine> started = new ArrayList<>();
-        placement.pass(NOW, NOW, false, (job, machines) -> {
+        placement.runPass(NOW, NOW, false, (job, machines) -> {
             started.add(machines.get(0));
             assign(cluster, job, machines.get(0));
         });
@@ -156,7 +156,7 @@
 
     /** After a zone was lost, services must not all go to the fullest machines and share their rates of pulling. */
     @Test
-    void anImageIsPulledWhereNoOtherIs() {
+    void imagePullsAreSpreadAcrossIdleMachines() {
         ClusterState cluster = RandomCluster.healthyCluster(60, new SplittableRandom(3));
         Placement placement = new Placement(cluster);
         for (int i = 0; i < 30; i++) {
@@ -169,7 +169,7 @@
                     .build();
             cluster.addJob(TestJob.accepted(spec, i, NOW));
         }
-        placement.pass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
+        placement.runPass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
         int most = 0;
         for (Machine machine : cluster.machines().values()) {
             most = Math.max(most, machine.imagesBeingPulled());
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -30,21 +30,21 @@
     private int jobs;
 
     @BeforeEach
-    void oneMachine() {
+    void createClusterWithOneMachine() {
         Settings settings = TestSettings.with(
                 List.of(new Settings.Team("red", 8, 16, 0, 0), new Settings.Team("blue", 2, 16, 0, 0)),
                 new Settings.ServiceLevelObjective("wait", "swift", 0.5, 0.9));
         cluster = new ClusterState(settings);
         cluster.setMachineTypes(List.of(new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za", "zb"))));
         placement = new Placement(cluster);
-        machine = machine("m");
+        machine = addMachine("m");
     }
 
-    private Machine machine(String name) {
-        return machine(name, "za");
+    private Machine addMachine(String name) {
+        return addMachine(name, "za");
     }
 
-    private Machine machine(String name, String zone) {
+    private Machine addMachine(String name, String zone) {
         Machine machine = cluster.getOrAddMachine(name);
         machine.setType(cluster.machineTypes().get(0));
         cluster.setZone(machine, zone);
@@ -53,13 +53,13 @@
         return machine;
     }
 
-    private Job add(JobSpecBuilder spec) {
+    private Job addJobFrom(JobSpecBuilder spec) {
         Job job = TestJob.accepted(spec.build(), jobs, 0);
         cluster.addJob(job);
         return job;
     }
 
-    private JobSpecBuilder next(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
+    private JobSpecBuilder nextSpec(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
         return JobSpecBuilder.of(kind, "job-" + ++jobs)
                 .team(team)
                 .priority(priority)
@@ -69,22 +69,23 @@
                 .runS(60);
     }
 
-    private Job job(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
-        return add(next(team, kind, priority, tasks, cpus));
+    private Job addJob(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
+        return addJobFrom(nextSpec(team, kind, priority, tasks, cpus));
     }
 
-    private Job swiftJob(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
-        return add(next(team, kind, priority, tasks, cpus).jobClass("swift"));
+    private Job addJobWithStartObjective(
+            String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
+        return addJobFrom(nextSpec(team, kind, priority, tasks, cpus).jobClass("swift"));
     }
 
-    private Job urgentGangInOneZone(int tasks) {
-        return add(next("red", JobSpec.Kind.GANG, JobSpec.Priority.URGENT, tasks, 2)
+    private Job addUrgentGangInOneZone(int tasks) {
+        return addJobFrom(nextSpec("red", JobSpec.Kind.GANG, JobSpec.Priority.URGENT, tasks, 2)
                 .jobClass("swift")
                 .oneZone(true)
                 .allowsSpot(false));
     }
 
-    private TaskAssignment run(Job job, long since) {
+    private TaskAssignment addRunningTask(Job job, long since) {
         TaskAssignment assignment = new TaskAssignment(job, job.nextUnassignedTask(0), jobs, "m", 1, since);
         assignment.markDurable();
         assignment.markStartSent();
@@ -93,18 +94,18 @@
         return assignment;
     }
 
-    private List<Preemption.Stop> decide() {
-        List<Job> waiting = placement.pass(NOW, 1000, false, (job, machines) -> {});
-        return new Preemption(cluster, placement).decide(waiting, NOW, 60_000, 1000);
+    private List<Preemption.PlannedPreemption> planPreemptions() {
+        List<Job> waiting = placement.runPass(NOW, 1000, false, (job, machines) -> {});
+        return new Preemption(cluster, placement).plan(waiting, NOW, 60_000, 1000);
     }
 
     @Test
-    void theLeastLostWorkIsPreemptedFirst() {
-        Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
-        run(idle, 10_000);
-        TaskAssignment young = run(idle, 90_000);
-        job("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
-        List<Preemption.Stop> stops = decide();
+    void taskWithLeastLostWorkIsPreemptedFirst() {
+        Job idle = addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
+        addRunningTask(idle, 10_000);
+        TaskAssignment young = addRunningTask(idle, 90_000);
+        addJob("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
+        List<Preemption.PlannedPreemption> stops = planPreemptions();
         assertEquals(1, stops.size(), "one is enough");
         assertEquals(young, stops.get(0).victim());
         assertEquals(0, stops.get(0).graceS(), "critical work does not wait for others to save");
@@ -112,17 +113,17 @@
 
     /** Services must not start late by pulling their image while idle work runs on machines that hold it. */
     @Test
-    void aCriticalTaskPreemptsWhereItsImageIs() {
+    void criticalTaskPreemptsOnMachineWithItsImage() {
         machine.cacheImage("img", 1);
-        run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8), 10_000);
-        Machine other = machine("other");
-        Job service = swiftJob("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
+        addRunningTask(addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8), 10_000);
+        Machine other = addMachine("other");
+        Job service = addJobWithStartObjective("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         List<Machine> started = new ArrayList<>();
-        List<Job> waiting = placement.pass(NOW, 1000, true, (job, machines) -> started.addAll(machines));
+        List<Job> waiting = placement.runPass(NOW, 1000, true, (job, machines) -> started.addAll(machines));
         assertEquals(List.of(), started);
-        List<Preemption.Stop> stops = new Preemption(cluster, placement).decide(waiting, NOW, 60_000, 1000);
+        List<Preemption.PlannedPreemption> stops = new Preemption(cluster, placement).plan(waiting, NOW, 60_000, 1000);
         assertEquals(List.of("m"), stops.stream().map(s -> s.victim().machine()).toList());
-        placement.pass(NOW + 300, 1000, true, (job, machines) -> {
+        placement.runPass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
             cluster.assign(new TaskAssignment(service, 0, 1, machines.get(0).name(), 1, NOW));
         });
@@ -131,17 +132,17 @@
 
     /** The best machine's zone may have too little capacity, so that a gang would wait for image pulls elsewhere. */
     @Test
-    void aGangGoesToTheZoneWithTheFewestImagePulls() {
-        Machine first = machine("zb-1", "zb");
-        Machine second = machine("zb-2", "zb");
+    void gangIsPlacedInZoneWithFewestImagePulls() {
+        Machine first = addMachine("zb-1", "zb");
+        Machine second = addMachine("zb-2", "zb");
         first.cacheImage("img", 1);
         second.cacheImage("img", 1);
         machine.cacheImage("img", 1); // the tightest fit, but it lacks room for all
-        run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 10_000);
-        machine("za-2");
-        urgentGangInOneZone(6);
+        addRunningTask(addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 10_000);
+        addMachine("za-2");
+        addUrgentGangInOneZone(6);
         List<Machine> started = new ArrayList<>();
-        placement.pass(NOW, 1000, false, (job, machines) -> {
+        placement.runPass(NOW, 1000, false, (job, machines) -> {
             started.addAll(machines);
             job.requestCancellation();
         });
@@ -150,22 +151,22 @@
     }
 
     @Test
-    void anUrgentGangPreemptsWhereItsImageIs() {
+    void urgentGangPreemptsOnMachineWithItsImage() {
         machine.cacheImage("img", 1);
-        Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
-        run(idle, 10_000);
-        run(idle, 10_000);
-        machine("other");
-        urgentGangInOneZone(3);
+        Job idle = addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
+        addRunningTask(idle, 10_000);
+        addRunningTask(idle, 10_000);
+        addMachine("other");
+        addUrgentGangInOneZone(3);
         List<Machine> started = new ArrayList<>();
-        List<Job> waiting = placement.pass(NOW, 1000, true, (job, machines) -> started.addAll(machines));
+        List<Job> waiting = placement.runPass(NOW, 1000, true, (job, machines) -> started.addAll(machines));
         assertEquals(List.of(), started);
-        List<Preemption.Stop> stops = new Preemption(cluster, placement).decide(waiting, NOW, 60_000, 1000);
+        List<Preemption.PlannedPreemption> stops = new Preemption(cluster, placement).plan(waiting, NOW, 60_000, 1000);
         assertEquals(2, stops.size(), "room for all three");
         assertEquals(
                 Set.of("m"),
                 Set.copyOf(stops.stream().map(s -> s.victim().machine()).toList()));
-        placement.pass(NOW + 300, 1000, true, (job, machines) -> {
+        placement.runPass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
             job.requestCancellation();
         });
@@ -174,26 +175,26 @@
 
     /** Else a less urgent job would take what is free already, and be preempted again at once. */
     @Test
-    void capacityThatIsBeingFreedIsReservedAgainstLessUrgentWork() {
-        Job idle = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
-        run(idle, 10_000);
-        TaskAssignment second = run(idle, 10_000);
-        Job gang = urgentGangInOneZone(4);
-        List<Preemption.Stop> stops = decide();
+    void capacityBeingFreedIsReservedAgainstLowerPriorityJobs() {
+        Job idle = addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
+        addRunningTask(idle, 10_000);
+        TaskAssignment second = addRunningTask(idle, 10_000);
+        Job gang = addUrgentGangInOneZone(4);
+        List<Preemption.PlannedPreemption> stops = planPreemptions();
         assertEquals(2, stops.size());
         stops.forEach(stop -> cluster.requestStop(stop.victim(), 5, NOW));
         cluster.unassign(second, false);
         idle.requestCancellation();
-        Job normal = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
-        Job critical = job("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
+        Job normal = addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
+        Job critical = addJob("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         List<Job> started = new ArrayList<>();
-        placement.pass(NOW, 1000, true, (job, machines) -> {
+        placement.runPass(NOW, 1000, true, (job, machines) -> {
             started.add(job);
             job.requestCancellation();
         });
         assertEquals(List.of(critical), started, "neither the gang, which lacks capacity, nor the less urgent job");
         cluster.reservations().remove(gang);
-        placement.pass(NOW, 1000, true, (job, machines) -> {
+        placement.runPass(NOW, 1000, true, (job, machines) -> {
             started.add(job);
             job.requestCancellation();
         });
@@ -202,71 +203,79 @@
 
     /** Else a gang would pull its image only after others have taken as long to save as it may take to start. */
     @Test
-    void aGangThatIsToStartSoonGivesNoTimeForCheckpoints() {
-        Job idle = add(
-                next("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8).checkpoints(20, 0.3));
-        run(idle, 10_000);
-        urgentGangInOneZone(2);
+    void gangWithShortStartObjectivePreemptsWithoutGracePeriod() {
+        Job idle = addJobFrom(nextSpec("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8)
+                .checkpoints(20, 0.3));
+        addRunningTask(idle, 10_000);
+        addUrgentGangInOneZone(2);
         assertEquals(
-                List.of(0.0), decide().stream().map(Preemption.Stop::graceS).toList(), "0.3 s to save");
+                List.of(0.0),
+                planPreemptions().stream()
+                        .map(Preemption.PlannedPreemption::graceS)
+                        .toList(),
+                "0.3 s to save");
     }
 
     /** A machine to be rented would boot too late for it anyway. */
     @Test
-    void aGangThatIsToStartSoonDoesNotWaitForAMachineToBoot() {
-        run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8), 10_000);
-        Job gang = swiftJob("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 2);
-        List<Job> waiting = placement.pass(NOW, 1000, true, (job, machines) -> {});
+    void gangWithShortStartObjectiveDoesNotWaitForMachineBoot() {
+        addRunningTask(addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8), 10_000);
+        Job gang = addJobWithStartObjective("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 2);
+        List<Job> waiting = placement.runPass(NOW, 1000, true, (job, machines) -> {});
         assertEquals(List.of(gang), waiting);
-        assertEquals(List.of(), new Preemption(cluster, placement).decide(waiting, NOW, 60_000, 100));
+        assertEquals(List.of(), new Preemption(cluster, placement).plan(waiting, NOW, 60_000, 100));
         assertEquals(
                 1,
                 new Preemption(cluster, placement)
-                        .decide(waiting, NOW, 60_000, 150)
+                        .plan(waiting, NOW, 60_000, 150)
                         .size());
-        Job array = swiftJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 2, 2);
-        assertEquals(List.of(), new Preemption(cluster, placement).decide(List.of(array), NOW, 60_000, 150));
+        Job array = addJobWithStartObjective("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 2, 2);
+        assertEquals(List.of(), new Preemption(cluster, placement).plan(List.of(array), NOW, 60_000, 150));
     }
 
     /** When one task of a gang is preempted, all are. */
     @Test
-    void theLostWorkOfAGangCountsForAllOfItsTasks() {
-        Job gang = job("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 4);
-        run(gang, 80_000);
-        Machine other = machine("other");
+    void preemptionCostOfGangCountsAllItsTasks() {
+        Job gang = addJob("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 4);
+        addRunningTask(gang, 80_000);
+        Machine other = addMachine("other");
         TaskAssignment elsewhere = new TaskAssignment(gang, 1, jobs, other.name(), 1, 80_000);
         elsewhere.markRunning(80_000);
         cluster.assign(elsewhere);
-        TaskAssignment array = run(job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 70_000);
+        TaskAssignment array =
+                addRunningTask(addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 70_000);
         other.instance().startDrain();
-        job("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
+        addJob("red", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
         assertEquals(
-                List.of(array), decide().stream().map(Preemption.Stop::victim).toList());
+                List.of(array),
+                planPreemptions().stream()
+                        .map(Preemption.PlannedPreemption::victim)
+                        .toList());
     }
 
     @Test
-    void aQuotaTakesBorrowedCapacityBackButNoMore() {
-        Job borrowed = job("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 4, 2);
+    void quotaReclaimsOnlyBorrowedCapacity() {
+        Job borrowed = addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 4, 2);
         for (int i = 0; i < 4; i++) {
-            run(borrowed, 10_000);
+            addRunningTask(borrowed, 10_000);
         }
-        job("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 4, 2);
-        assertEquals(3, decide().size(), "blue keeps the 2 CPUs of its own quota");
+        addJob("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 4, 2);
+        assertEquals(3, planPreemptions().size(), "blue keeps the 2 CPUs of its own quota");
     }
 
     /** It would come back at once, and be preempted again and again. */
     @Test
-    void moreUrgentWorkIsNotPreemptedForAQuota() {
-        Job service = job("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 8);
-        run(service, 10_000);
-        job("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
-        assertTrue(decide().isEmpty());
+    void higherPriorityTaskIsNotPreemptedForQuota() {
+        Job service = addJob("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 8);
+        addRunningTask(service, 10_000);
+        addJob("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
+        assertTrue(planPreemptions().isEmpty());
     }
 
     @Test
-    void equalWorkOfTheSameTeamIsNotPreempted() {
-        run(job("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 8), 10_000);
-        job("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
-        assertTrue(decide().isEmpty());
+    void equalPriorityTaskOfSameTeamIsNotPreempted() {
+        addRunningTask(addJob("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 8), 10_000);
+        addJob("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
+        assertTrue(planPreemptions().isEmpty());
     }
 }
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -22,7 +22,7 @@
 public class ScaleTest {
     /** Guards against a new leader in a cut that opens a connection to every machine that can't answer. */
     @Test
-    void questionsToMachinesThatHangLeaveSocketsForCommands() {
+    void requestsToHangingWorkersLeaveSocketsForCommands() {
         ClusterState cluster = new ClusterState(TestSettings.with(
                 List.of(new Settings.Team("red", 0, 0, 0, 0)),
                 new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9)));
@@ -50,7 +50,7 @@
     }
 
     /** Every fifth job is a service spread across zones, the others are arrays. */
-    private static JobSpec someJob(int number, SplittableRandom random) {
+    private static JobSpec randomJob(int number, SplittableRandom random) {
         boolean service = number % 5 == 0;
         return JobSpecBuilder.of(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY, "job-" + number)
                 .tasks(service ? 6 : 20 + random.nextInt(60))
@@ -79,14 +79,14 @@
      * once.
      */
     @Test
-    void aLargeZoneThatIsCutOffStaysWithinTheRates() {
+    void largeZonePartitionStaysWithinRateLimits() {
         SimulatedCluster world = new SimulatedCluster(7, 525, 6, 0);
         SplittableRandom random = world.random.split();
         world.runFor(3);
         int jobs = 0;
         for (int second = 0; second < 50; second++) {
             for (int i = 0; i < 5; i++) {
-                world.submit(someJob(jobs++, random));
+                world.submit(randomJob(jobs++, random));
             }
             world.runFor(1);
         }
@@ -114,7 +114,7 @@
 
     /** A day at the grown size: rules, and how much is asked of the state service for thousands of starts and ends. */
     @Test
-    void aGrownClusterStaysWithinTheRates() {
+    void grownClusterStaysWithinRateLimits() {
         SimulatedCluster world = new SimulatedCluster(5, 363, 6, 0);
         SplittableRandom random = world.random.split();
         world.runFor(3);
