--- a/src/main/java/stileferry/cluster/AgentState.java
+++ b/src/main/java/stileferry/cluster/AgentState.java
@@ -7,9 +7,9 @@
 import stileferry.protocol.Heartbeat;
 
 /**
- * What the leader knows, in one term, of the agent on a machine: its heartbeats, its lease and what it was sent. An
- * agent's status comes in heartbeats and in the answers to commands; both are numbered in one sequence per incarnation.
- * Times are milliseconds on the controller's steady clock.
+ * The leader's knowledge, in one term, of the agent on a machine: its heartbeats, its lease and the commands sent to
+ * it. An agent reports its status in heartbeats and in responses to commands; both share one sequence of numbers per
+ * incarnation. Times are milliseconds on the controller's steady clock.
  */
 public final class AgentState {
     private boolean heardThisTerm;
@@ -35,17 +35,17 @@
     private Set<String> startsInLastResponse = Set.of();
     private final Set<String> nonDurableOutcomes = new HashSet<>();
 
-    /** For each attempt the number of direct commands to start it that were not answered. */
+    /** The number of direct start commands without a response, by attempt id. */
     private final Map<String, Integer> unansweredDirectStarts = new HashMap<>();
 
     // ---- status
 
-    /** Whether it was heard from in this term. */
+    /** Returns whether the agent was heard from in this term. */
     public boolean heardThisTerm() {
         return heardThisTerm;
     }
 
-    /** When it was last heard from; 0: not in this term. */
+    /** Returns when the agent was last heard from, or 0 if it was not heard from in this term. */
     public long lastHeardAt() {
         return lastHeardAt;
     }
@@ -54,34 +54,34 @@
         lastHeardAt = now;
     }
 
-    /** The incarnation of the newest status; 0: none was heard. */
+    /** Returns the incarnation of the newest status, or 0 if no status was received. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** When this incarnation was first seen, so that its lease began by then. */
+    /** Returns when this incarnation was first seen; its lease began no later than that. */
     public long incarnationSeenAt() {
         return incarnationSeenAt;
     }
 
-    /** A new incarnation was seen: what was sent to an older one can't be carried out any more. */
+    /** Records that a new incarnation was seen. Commands sent to an older one can't be carried out any more. */
     public void beginIncarnation(long now) {
         incarnationSeenAt = now;
         unansweredDirectStarts.clear();
         nonDurableOutcomes.clear();
     }
 
-    /** The number of the newest status in its incarnation. */
+    /** Returns the sequence number of the newest status within its incarnation. */
     public long sequence() {
         return sequence;
     }
 
-    /** The fencing token of the newest status: the highest term that the agent has acknowledged. */
+    /** Returns the fencing token of the newest status: the highest term that the agent has acknowledged. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** Takes in the newest status, but for its tasks, which follow with {@link #setLastHeartbeat}. */
+    /** Records the newest status except its tasks, which {@link #setLastHeartbeat} adds later. */
     public void recordStatus(Heartbeat status, long now) {
         heardThisTerm = true;
         lastHeardAt = now;
@@ -90,7 +90,10 @@
         fencingToken = status.fencingToken();
     }
 
-    /** Takes in a heartbeat that differs from the newest status by its number only, and is answered at once. */
+    /**
+     * Records a heartbeat that differs from the newest status only in its sequence number. It is answered immediately,
+     * without commands.
+     */
     public void recordUnchangedHeartbeat(Heartbeat heartbeat, long now) {
         sequence = heartbeat.sequence();
         lastHeartbeat = heartbeat;
@@ -99,7 +102,7 @@
         startsInLastResponse = Set.of();
     }
 
-    /** The newest status, from a heartbeat or from the answer to a command; null: none was heard. */
+    /** Returns the newest status, from a heartbeat or a response to a command, or null if there is none. */
     public Heartbeat lastHeartbeat() {
         return lastHeartbeat;
     }
@@ -109,8 +112,8 @@
     }
 
     /**
-     * Whether the newest status named every assignment of the machine, each in the state that is wanted, and no other
-     * task. As long as heartbeats say the same there is nothing to take in and nothing to send.
+     * Returns whether the newest status contained exactly the machine's assignments, each in its desired state. As long
+     * as heartbeats do not change, there is nothing to reconcile and no command to send.
      */
     public boolean reconciled() {
         return reconciled;
@@ -120,7 +123,9 @@
         this.reconciled = reconciled;
     }
 
-    /** Whether it reports tasks without an assignment: they are killed, and nothing starts before they are gone. */
+    /**
+     * Returns whether the agent reports running tasks without an assignment; they are killed before new tasks start.
+     */
     public boolean hasOrphanTasks() {
         return hasOrphanTasks;
     }
@@ -131,25 +136,28 @@
 
     // ---- heartbeats
 
-    /** Notes the number of the newest heartbeat. */
+    /** Records the incarnation and sequence number of the newest heartbeat. */
     public void recordHeartbeatSequence(Heartbeat heartbeat) {
         heartbeatIncarnation = heartbeat.incarnation();
         heartbeatSequence = heartbeat.sequence();
     }
 
-    /** The incarnation of the newest heartbeat, not counting answers to commands: what is not newer is a late copy. */
+    /**
+     * Returns the incarnation of the newest heartbeat, not counting responses to commands. A heartbeat that is not
+     * newer than this one is a delayed duplicate.
+     */
     public long heartbeatIncarnation() {
         return heartbeatIncarnation;
     }
 
-    /** The sequence number of the newest heartbeat, not counting answers to commands. */
+    /** Returns the sequence number of the newest heartbeat, not counting responses to commands. */
     public long heartbeatSequence() {
         return heartbeatSequence;
     }
 
-    // ---- its lease
+    // ---- lease
 
-    /** When a heartbeat of it was last answered in this term; 0: never. */
+    /** Returns when a heartbeat of the agent was last answered in this term, or 0 if none was. */
     public long lastAnsweredAt() {
         return lastAnsweredAt;
     }
@@ -158,32 +166,32 @@
         lastAnsweredAt = now;
     }
 
-    /** When a heartbeat was last answered before this leader began, if the previous leader noted it; -1: unknown. */
+    /** Returns when the previous leader last answered a heartbeat, as it recorded that, or -1 if it is unknown. */
     public long answeredByPreviousLeaderAt() {
         return answeredByPreviousLeaderAt;
     }
 
-    /** The incarnation whose heartbeat the previous leader answered then. */
+    /** Returns the incarnation whose heartbeat the previous leader last answered. */
     public long answeredByPreviousLeaderIncarnation() {
         return answeredByPreviousLeaderIncarnation;
     }
 
-    /** The previous leader noted that it last answered this incarnation then. */
+    /** Sets which incarnation the previous leader last answered and when, as that leader recorded it. */
     public void recordAnsweredByPreviousLeader(long answeredIncarnation, long answeredAt) {
         answeredByPreviousLeaderIncarnation = answeredIncarnation;
         answeredByPreviousLeaderAt = answeredAt;
     }
 
-    /** The note in the store of when its last heartbeat was answered; null: there is none. */
+    /** Returns the stored record of when the agent's last heartbeat was answered, or null if there is none. */
     public LastHeartbeatRecord lastHeartbeatRecord() {
         return lastHeartbeatRecord;
     }
 
-    public void setLastHeartbeatRecord(LastHeartbeatRecord noted) {
-        lastHeartbeatRecord = noted;
+    public void setLastHeartbeatRecord(LastHeartbeatRecord record) {
+        lastHeartbeatRecord = record;
     }
 
-    /** The note in the store, if there is one, is not needed any more. */
+    /** Marks the last heartbeat record, if there is one, as no longer needed in the store. */
     public void discardLastHeartbeatRecord() {
         if (lastHeartbeatRecord != null) {
             lastHeartbeatRecord.markObsolete();
@@ -191,7 +199,10 @@
         }
     }
 
-    /** The highest incarnation whose lease is proven to have expired, or will have once the agent is heard again. */
+    /**
+     * Returns the highest incarnation whose lease is proven to have expired, or will have expired by the time the agent
+     * is heard from again; 0 if there is none.
+     */
     public long expiredIncarnation() {
         return expiredIncarnation;
     }
@@ -200,9 +211,9 @@
         expiredIncarnation = expired;
     }
 
-    // ---- what it was sent
+    // ---- commands
 
-    /** Since when nothing proves that the agent hears this leader; 0: it does, as far as is known. */
+    /** Returns since when there is no proof that this leader's messages reach the agent, or 0 if they seem to. */
     public long unreachableSince() {
         return unreachableSince;
     }
@@ -211,12 +222,12 @@
         unreachableSince = now;
     }
 
-    /** It has shown that it hears this leader. */
+    /** Records that the agent has proven that it receives this leader's messages. */
     public void markReachable() {
         unreachableSince = 0;
     }
 
-    /** The attempts whose start was commanded in the last answer to a heartbeat. */
+    /** Returns the ids of the attempts whose start was commanded in the last response to a heartbeat. */
     public Set<String> startsInLastResponse() {
         return startsInLastResponse;
     }
@@ -225,32 +236,32 @@
         startsInLastResponse = attemptIds;
     }
 
-    /** The outcome of an attempt is about to be stored; the attempt may not be cleared before that is durable. */
+    /** Records that an attempt's outcome is being stored; the attempt may not be cleared before it is durable. */
     public void addNonDurableOutcome(String attemptId) {
         nonDurableOutcomes.add(attemptId);
     }
 
-    /** The outcome of an attempt is durable. */
+    /** Records that the outcome of an attempt is durable. */
     public void markOutcomeDurable(String attemptId) {
         nonDurableOutcomes.remove(attemptId);
     }
 
-    /** Whether the outcome of an attempt is about to be stored, so that the attempt may not be cleared. */
+    /** Returns whether an attempt's outcome is still being stored, so that the attempt may not be cleared. */
     public boolean hasNonDurableOutcome(String attemptId) {
         return nonDurableOutcomes.contains(attemptId);
     }
 
-    /** A start is commanded directly, not in the answer to a heartbeat. */
+    /** Records that a start command was sent directly instead of in the response to a heartbeat. */
     public void recordDirectStartSent(String attemptId) {
         unansweredDirectStarts.merge(attemptId, 1, Integer::sum);
     }
 
-    /** A start that was commanded directly was answered. */
+    /** Records that the agent responded to a direct start command. */
     public void recordDirectStartAnswered(String attemptId) {
         unansweredDirectStarts.computeIfPresent(attemptId, (any, commands) -> commands == 1 ? null : commands - 1);
     }
 
-    /** Whether a start that was commanded directly was not answered: it may be carried out at any time. */
+    /** Returns whether a direct start command has no response yet, so that it may still be carried out at any time. */
     public boolean hasUnansweredDirectStart(String attemptId) {
         return unansweredDirectStarts.containsKey(attemptId);
     }
--- a/src/main/java/stileferry/cluster/CancellationPhase.java
+++ b/src/main/java/stileferry/cluster/CancellationPhase.java
@@ -1,22 +1,23 @@
 package stileferry.cluster;
 
 /**
- * How far a job's cancellation has come. It only ever moves forward, and independently of {@link JobPhase}: a cancelled
- * job is completing or completed as soon as no task of it is left, whatever phase its cancellation has reached by then.
+ * The phase of a job's cancellation. A cancellation never returns to an earlier phase, and it is independent of {@link
+ * JobPhase}: a cancelled job is completing or completed as soon as none of its tasks is left, whatever phase its
+ * cancellation has reached by then.
  */
 enum CancellationPhase {
-    /** Nobody has cancelled it. */
+    /** The job is not cancelled. */
     NONE,
 
-    /** A user has cancelled it; nothing new of it starts. */
+    /** A user has requested the cancellation; no further tasks of the job are started. */
     REQUESTED,
 
-    /** The cancellation is durable, so the next leader will know it. */
+    /** The cancellation is durable, so the next leader will know about it. */
     DURABLE,
 
-    /** Enough controllers know it, so that it is known wherever leases may be renewed without a leader. */
+    /** Enough controllers know about it that it is known wherever leases may be renewed without a leader. */
     REPLICATED,
 
-    /** Its users may hear of it: it is replicated, and no task can start any more. */
+    /** The cancellation may be reported to users: it is replicated, and none of the job's tasks can start any more. */
     CONFIRMED
 }
--- a/src/main/java/stileferry/cluster/CapacityReservations.java
+++ b/src/main/java/stileferry/cluster/CapacityReservations.java
@@ -6,22 +6,23 @@
 import java.util.Set;
 
 /**
- * Capacity on machines that is being freed for waiting jobs by preempting others. Until those jobs start, jobs of lower
- * priority may not take it: they would be preempted again at once, and each such start costs writes to the store.
+ * Reservations of the capacity that is being freed for waiting jobs by preempting others. Until the waiting jobs start,
+ * jobs of lower priority may not use this capacity: they would be preempted again immediately, and each such start
+ * costs writes to the store.
  */
 public final class CapacityReservations {
-    /** For each machine what is reserved there for each job. */
+    /** The resources reserved for each job, by machine name. */
     private final Map<String, Map<Job, Resources>> reservedByMachine = new HashMap<>();
 
     private final Map<Job, Set<String>> machinesByJob = new HashMap<>();
 
-    /** All reservations are decided on anew. */
+    /** Removes all reservations, before they are decided again. */
     public void clear() {
         reservedByMachine.clear();
         machinesByJob.clear();
     }
 
-    /** Reserves capacity for one more task of a job. */
+    /** Reserves capacity for one more task of a job on a machine. */
     public void add(Job job, Machine machine) {
         reservedByMachine
                 .computeIfAbsent(machine.name(), name -> new HashMap<>())
@@ -30,7 +31,7 @@
         machinesByJob.computeIfAbsent(job, any -> new HashSet<>()).add(machine.name());
     }
 
-    /** The job has started, or its reservations are decided on anew. */
+    /** Removes all reservations of a job; called when the job starts. */
     public void remove(Job job) {
         Set<String> machines = machinesByJob.remove(job);
         if (machines != null) {
@@ -38,19 +39,19 @@
         }
     }
 
-    /** Whether a task of this job fits on a machine beside what is reserved there for jobs of higher priority. */
+    /** Returns whether a task of this job fits on a machine beside the reservations of jobs of higher priority. */
     public boolean allow(Machine machine, Job job) {
         Map<Job, Resources> reserved = reservedByMachine.get(machine.name());
         if (reserved == null) {
             return true;
         }
-        Resources wanted = new Resources();
-        wanted.add(job.spec());
+        Resources needed = new Resources();
+        needed.add(job.spec());
         for (Map.Entry<Job, Resources> reservation : reserved.entrySet()) {
             if (reservation.getKey().spec().priority().compareTo(job.spec().priority()) < 0) {
-                wanted.add(reservation.getValue());
+                needed.add(reservation.getValue());
             }
         }
-        return machine.fits(wanted);
+        return machine.fits(needed);
     }
 }
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -15,12 +15,15 @@
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.Settings;
 
-/** What the leader knows in one term: the jobs that are not completed, the machines, and what teams use. */
+/** The leader's model of the cluster in one term: jobs that are not completed, machines, and resource usage by team. */
 public final class ClusterState {
-    /** Deleted machines that are remembered whatever the size: lists and heartbeats of them come late. */
+    /**
+     * The minimum number of deleted machines whose names are kept, because the cloud's lists and late heartbeats may
+     * still contain them.
+     */
     private static final int MIN_DELETED_MACHINES_KEPT = 4096;
 
-    /** Deleted machines that are remembered for each machine there is. */
+    /** The number of deleted machines whose names are kept, per existing machine. */
     private static final int DELETED_MACHINES_KEPT_PER_MACHINE = 4;
 
     private final Settings settings;
@@ -57,7 +60,7 @@
         this(settings, LinkHealth.NONE);
     }
 
-    /** An empty model; {@code links} learns which machines are gone. */
+    /** Creates an empty model; {@code links} is told which machines are gone. */
     public ClusterState(Settings settings, LinkHealth links) {
         this.settings = settings;
         this.linkHealth = links;
@@ -66,22 +69,22 @@
         }
     }
 
-    /** Adds a job that was submitted after all that are there. */
+    /** Adds a job; jobs have to be added in the order of their submission. */
     public void addJob(Job job) {
         jobs.put(job.spec().id(), job);
     }
 
-    /** Removes a job that is completed. */
+    /** Removes a completed job. */
     public void removeJob(Job job) {
         jobs.remove(job.spec().id());
     }
 
-    /** Notes an accepted job whose record can't be read. */
+    /** Adds the id of an accepted job whose stored record can't be read. */
     public void addUnreadableJob(String id) {
         unreadableJobs.add(id);
     }
 
-    /** The machine type of this name; null: the cloud does not offer it. */
+    /** Returns the machine type with this name, or null if the cloud does not offer it. */
     public MachineType machineType(String name) {
         for (MachineType type : machineTypes) {
             if (type.name().equals(name)) {
@@ -91,12 +94,14 @@
         return null;
     }
 
-    /** The machine of this name, which is added if it is not known yet. */
+    /** Returns the machine with this name, after adding it if it is not known yet. */
     public Machine getOrAddMachine(String name) {
         return machines.computeIfAbsent(name, Machine::new);
     }
 
-    /** Counts a task that may be on a machine from now on. */
+    /**
+     * Adds an assignment to its job, its machine and the usage of its team; the task may be on the machine from now on.
+     */
     public void assign(TaskAssignment assignment) {
         Job job = assignment.job();
         job.addAssignment(assignment);
@@ -107,7 +112,7 @@
         adjustUsage(job.spec(), 1);
     }
 
-    /** Settles an assignment after proof that its task is not on its machine. */
+    /** Settles an assignment after proof that its task is not on its machine any more. */
     public void unassign(TaskAssignment assignment, boolean taskCompleted) {
         Job job = assignment.job();
         stoppingTasks.remove(assignment);
@@ -119,14 +124,14 @@
         adjustUsage(job.spec(), -1);
     }
 
-    /** Requests that an assigned task stops; a shorter grace period replaces a longer one. */
+    /** Requests that an assigned task stops; a shorter grace period in seconds replaces a longer one. */
     public void requestStop(TaskAssignment assignment, double graceS, long now) {
         assignment.requestStop(graceS, now);
         getOrAddMachine(assignment.machine()).agent().setReconciled(false);
         stoppingTasks.add(assignment);
     }
 
-    /** Forgets a machine whose deletion was confirmed. */
+    /** Removes a machine whose deletion the cloud has confirmed. */
     public void removeDeletedMachine(Machine machine) {
         freeCapacity.remove(machine);
         machine.agent().discardLastHeartbeatRecord();
@@ -135,7 +140,7 @@
         linkHealth.workerGone(machine.name());
     }
 
-    /** Takes in a machine's zone, which may become known after the assignments on it. */
+    /** Sets a machine's zone, which may become known only after tasks have been assigned to the machine. */
     public void setZone(Machine machine, String zone) {
         if (!machine.zone().equals(zone)) {
             for (TaskAssignment assignment : machine.assignments().values()) {
@@ -149,12 +154,12 @@
     private void adjustUsage(JobSpec spec, int sign) {
         assignmentsByPriority[spec.priority().ordinal()] += sign;
         TeamUsage usage = usageByTeam.get(spec.team());
-        if (usage != null) { // a team that the settings no longer name has no limit to keep
+        if (usage != null) { // a team that is no longer in the settings has no limit
             usage.adjust(spec, sign);
         }
     }
 
-    /** Whether any task of a lower priority may be on a machine. */
+    /** Returns whether any task of a lower priority may be on a machine. */
     public boolean hasTasksBelowPriority(JobSpec.Priority priority) {
         for (int i = priority.ordinal() + 1; i < assignmentsByPriority.length; i++) {
             if (assignmentsByPriority[i] > 0) {
@@ -164,19 +169,19 @@
         return false;
     }
 
-    /** The CPUs of a team's tasks that may be on machines; 0 for a team that the settings don't name. */
+    /** Returns the CPUs of a team's tasks that may be on machines, or 0 for a team that is not in the settings. */
     public double cpusInUse(String team) {
         TeamUsage usage = usageByTeam.get(team);
         return usage == null ? 0 : usage.cpus();
     }
 
-    /** The GPUs of a team's tasks that may be on machines; 0 for a team that the settings don't name. */
+    /** Returns the GPUs of a team's tasks that may be on machines, or 0 for a team that is not in the settings. */
     public double gpusInUse(String team) {
         TeamUsage usage = usageByTeam.get(team);
         return usage == null ? 0 : usage.gpus();
     }
 
-    /** Whether one more task of the job keeps its team within its limit. */
+    /** Returns whether the job's team stays within its limit if one more task of the job starts. */
     public boolean withinTeamLimit(Job job) {
         Settings.Team team = settings.team(job.spec().team());
         return team == null
@@ -188,24 +193,24 @@
                                         <= team.gpusMax() + Resources.ROUNDING_TOLERANCE);
     }
 
-    /** Whether a team uses more than its quota, even after giving back so much. */
-    public boolean exceedsQuota(String teamName, double givenBackCpus, double givenBackGpus) {
+    /** Returns whether a team uses more than its quota, even after releasing these CPUs and GPUs. */
+    public boolean exceedsQuota(String teamName, double releasedCpus, double releasedGpus) {
         Settings.Team team = settings.team(teamName);
         return team != null
-                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + Resources.ROUNDING_TOLERANCE
-                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + Resources.ROUNDING_TOLERANCE);
+                && (cpusInUse(teamName) - releasedCpus > team.cpus() + Resources.ROUNDING_TOLERANCE
+                        || gpusInUse(teamName) - releasedGpus > team.gpus() + Resources.ROUNDING_TOLERANCE);
     }
 
     public Settings settings() {
         return settings;
     }
 
-    /** The jobs that are not completed, by id, in the order in which they were submitted. The view can't be changed. */
+    /** Returns an unmodifiable view of the jobs that are not completed, by id, in the order of submission. */
     public Map<String, Job> jobs() {
         return jobsView;
     }
 
-    /** The machines, by name, in the order of their names. The view can't be changed. */
+    /** Returns an unmodifiable view of the machines, by name and sorted by name. */
     public Map<String, Machine> machines() {
         return machinesView;
     }
@@ -218,17 +223,17 @@
         return reservations;
     }
 
-    /** The ids of accepted jobs whose records can't be read. */
+    /** Returns the ids of accepted jobs whose stored records can't be read. */
     public Set<String> unreadableJobs() {
         return unreadableJobsView;
     }
 
-    /** The assignments whose tasks are to stop, the first requested first. */
+    /** Returns the unsettled assignments whose tasks are to stop, in the order of the requests. */
     public Set<TaskAssignment> stoppingTasks() {
         return stoppingTasksView;
     }
 
-    /** The machine types that the cloud offers; empty while they are unknown. */
+    /** Returns the machine types that the cloud offers; empty while they are unknown. */
     public List<MachineType> machineTypes() {
         return machineTypes;
     }
@@ -237,7 +242,7 @@
         this.machineTypes = machineTypes;
     }
 
-    /** The operators' settings in force. */
+    /** Returns the operator settings in effect. */
     public OperatorSettings operatorSettings() {
         return operatorSettings;
     }
@@ -246,7 +251,9 @@
         this.operatorSettings = operatorSettings;
     }
 
-    /** Machines whose deletion was confirmed: late lists and late heartbeats still name them, but they are gone. */
+    /**
+     * Returns the names of deleted machines, which late heartbeats and outdated lists of the cloud may still contain.
+     */
     public Set<String> deletedMachines() {
         return deletedMachinesView;
     }
--- a/src/main/java/stileferry/cluster/CompletedTasks.java
+++ b/src/main/java/stileferry/cluster/CompletedTasks.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 import java.util.BitSet;
 
-/** The tasks of one job that have completed, and which stored records say so. */
+/** The completed tasks of one job, and the numbers of the event log records that contain their completion. */
 public final class CompletedTasks {
     private final BitSet indexes = new BitSet();
     private final int taskCount;
     private int count;
 
-    /** For each task the number of the stored record that says that it has completed; null before the first. */
+    /** The event log record number of each task's completion, 0 if there is none; null until the first one is set. */
     private int[] recordNumbers;
 
     CompletedTasks(int taskCount) {
@@ -31,22 +31,25 @@
         return count;
     }
 
-    /** The first of the completed tasks in a row that this completed task belongs to. */
+    /** Returns the index of the first task in the range of consecutive completed tasks that contains this one. */
     public int rangeStart(int index) {
         return indexes.previousClearBit(index) + 1;
     }
 
-    /** The last of the completed tasks in a row that this completed task belongs to. */
+    /** Returns the index of the last task in the range of consecutive completed tasks that contains this one. */
     public int rangeEnd(int index) {
         return indexes.nextClearBit(index) - 1;
     }
 
-    /** The number of the stored record that says that a task has completed; 0: none does. */
+    /** Returns the number of the event log record that contains a task's completion, or 0 if there is none. */
     public int recordNumberOf(int index) {
         return recordNumbers == null ? 0 : recordNumbers[index];
     }
 
-    /** Notes the number of the stored record that says that these tasks, both ends included, have completed. */
+    /**
+     * Sets the number of the event log record that contains the completion of the tasks from {@code from} to {@code
+     * to}.
+     */
     public void setRecordNumber(int from, int to, int recordNumber) {
         if (recordNumbers == null) {
             recordNumbers = new int[taskCount];
@@ -54,7 +57,7 @@
         Arrays.fill(recordNumbers, from, to + 1, recordNumber);
     }
 
-    /** The indexes of the completed tasks, as a copy. */
+    /** Returns a copy of the set of indexes of the completed tasks. */
     public BitSet indexes() {
         return (BitSet) indexes.clone();
     }
--- a/src/main/java/stileferry/cluster/FailureHistory.java
+++ b/src/main/java/stileferry/cluster/FailureHistory.java
@@ -5,8 +5,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How the tasks of one job have fared in this leader's term: where they failed, and which of them have to pause. */
+/**
+ * The outcomes of one job's tasks in this leader's term: how many succeeded, on which machines tasks failed, and which
+ * tasks are in restart back-off.
+ */
 public final class FailureHistory {
+    /** The number of machines with failures from which on the job itself is considered faulty. */
     private static final int MIN_MACHINES_FOR_JOB_FAULT = 3;
 
     private final Map<Integer, RestartBackOff> backOffs = new HashMap<>();
@@ -14,9 +18,9 @@
     private int successCount;
     private long lastFailedGangAttempt;
 
-    /** Postpones the next start of a task after a failure; for the parameters see {@link RestartBackOff#backOff}. */
-    public void backOff(int index, long now, long firstPauseMs, int mostDoublings) {
-        backOffs.computeIfAbsent(index, task -> new RestartBackOff()).backOff(now, firstPauseMs, mostDoublings);
+    /** Delays the next start of a task after a failure; for the parameters see {@link RestartBackOff#backOff}. */
+    public void backOff(int index, long now, long initialDelayMs, int maxDoublings) {
+        backOffs.computeIfAbsent(index, task -> new RestartBackOff()).backOff(now, initialDelayMs, maxDoublings);
     }
 
     boolean mayStart(int index, long now) {
@@ -33,18 +37,18 @@
         return false;
     }
 
-    /** A task has completed. */
+    /** Records that a task has completed, and ends its back-off. */
     public void recordSuccess(int index) {
         successCount++;
         backOffs.remove(index);
     }
 
-    /** The number of tasks that have completed. */
+    /** Returns the number of tasks that have completed in this term. */
     public int successCount() {
         return successCount;
     }
 
-    /** A task of the job has failed on a machine. */
+    /** Records that a task of the job has failed on this machine. */
     public void recordFailureOn(String machine) {
         machinesWithFailures.add(machine);
     }
@@ -53,17 +57,17 @@
         return machinesWithFailures.contains(machine);
     }
 
-    /** Whether a task of the job has failed on any machine. */
+    /** Returns whether a task of the job has failed on any machine. */
     public boolean failedAnywhere() {
         return !machinesWithFailures.isEmpty();
     }
 
-    /** Whether tasks of the job have failed on so many machines that the job itself is taken to be faulty. */
+    /** Returns whether tasks have failed on so many machines that the job itself is considered faulty. */
     public boolean jobAtFault() {
         return machinesWithFailures.size() >= MIN_MACHINES_FOR_JOB_FAULT;
     }
 
-    /** Notes that a task of this attempt of a gang has ended without completing; true if it is the first of it. */
+    /** Records that a task of this gang attempt ended without completing; returns whether it is the attempt's first. */
     public boolean recordFailedGangAttempt(long attempt) {
         boolean first = lastFailedGangAttempt != attempt;
         lastFailedGangAttempt = attempt;
--- a/src/main/java/stileferry/cluster/FreeCapacityIndex.java
+++ b/src/main/java/stileferry/cluster/FreeCapacityIndex.java
@@ -7,30 +7,31 @@
 import java.util.function.Consumer;
 
 /**
- * Machines by their free CPUs, so that a search visits only those with enough. It holds every machine that was heard
- * from, whose type is known and that is not terminating; whoever searches checks everything else.
+ * An index of machines by free CPUs, so that a search visits only machines with enough of them. It contains every
+ * machine that was heard from in this term, whose type is known and that is not terminating. Searches have to check all
+ * other conditions.
  */
 public final class FreeCapacityIndex {
     private static final int NOT_INDEXED = -1;
 
-    /** In slot n the machines with n to less than n + 1 CPUs free. */
+    /** Bucket n contains the machines with at least n and less than n + 1 free CPUs. */
     private final List<Set<Machine>> buckets = new ArrayList<>();
 
     private long machinesVisited;
 
-    /** Takes in that a machine's assignments, type or state have changed. */
+    /** Updates a machine's place in the index; has to be called when its assignments, type or state have changed. */
     public void update(Machine machine) {
-        int slot = isEligible(machine) ? bucketOf(machine.freeCpus()) : NOT_INDEXED;
-        if (slot == machine.capacityBucket()) {
+        int bucket = isEligible(machine) ? bucketOf(machine.freeCpus()) : NOT_INDEXED;
+        if (bucket == machine.capacityBucket()) {
             return;
         }
         remove(machine);
-        if (slot != NOT_INDEXED) {
-            while (buckets.size() <= slot) {
+        if (bucket != NOT_INDEXED) {
+            while (buckets.size() <= bucket) {
                 buckets.add(new TreeSet<>());
             }
-            buckets.get(slot).add(machine);
-            machine.setCapacityBucket(slot);
+            buckets.get(bucket).add(machine);
+            machine.setCapacityBucket(bucket);
         }
     }
 
@@ -40,7 +41,7 @@
                 && !machine.instance().terminating();
     }
 
-    /** Forgets a machine. */
+    /** Removes a machine from the index; does nothing if it is not in it. */
     void remove(Machine machine) {
         if (machine.capacityBucket() != NOT_INDEXED) {
             buckets.get(machine.capacityBucket()).remove(machine);
@@ -52,16 +53,19 @@
         return Math.max(0, (int) Math.floor(freeCpus + Resources.ROUNDING_TOLERANCE));
     }
 
-    /** Visits every machine that may have so many CPUs free, those with the fewest free CPUs first. */
+    /**
+     * Visits every machine that may have at least this many free CPUs, bucket by bucket, starting with the fewest free
+     * CPUs. The first bucket may also contain machines with fewer free CPUs than requested.
+     */
     public void visitWithFreeCpus(double cpus, Consumer<Machine> visitor) {
-        for (int slot = bucketOf(cpus); slot < buckets.size(); slot++) {
-            Set<Machine> machines = buckets.get(slot);
+        for (int bucket = bucketOf(cpus); bucket < buckets.size(); bucket++) {
+            Set<Machine> machines = buckets.get(bucket);
             machinesVisited += machines.size();
             machines.forEach(visitor);
         }
     }
 
-    /** The number of visits since the start, the measure of the searches' work. */
+    /** Returns the total number of machines visited by all searches so far, as a measure of their cost. */
     public long machinesVisited() {
         return machinesVisited;
     }
--- a/src/main/java/stileferry/cluster/ImageLocality.java
+++ b/src/main/java/stileferry/cluster/ImageLocality.java
@@ -1,13 +1,13 @@
 package stileferry.cluster;
 
-/** How near an image is to a machine, the farthest first. */
+/** Whether a container image is available on a machine, in order of increasing locality. */
 public enum ImageLocality {
-    /** The machine does not hold it. */
+    /** The machine does not have the image, and no task assigned to it needs the image. */
     ABSENT,
 
-    /** An assigned task needs it, so that the machine pulls it. */
+    /** The machine does not have the image yet, but pulls it for a task that is assigned to it. */
     BEING_PULLED,
 
-    /** The machine holds it. */
+    /** The machine has the image in its cache. */
     PRESENT
 }
--- a/src/main/java/stileferry/cluster/InstanceState.java
+++ b/src/main/java/stileferry/cluster/InstanceState.java
@@ -1,9 +1,9 @@
 package stileferry.cluster;
 
 /**
- * What the leader knows, in one term, of a machine as an instance that the cloud rents out. The conditions are
- * independent of each other: a machine that boots for too long is terminated while it boots, and a quarantined one may
- * be drained too. Times are milliseconds on the controller's steady clock.
+ * The leader's knowledge, in one term, of a machine as a cloud instance. The conditions are independent of each other:
+ * a machine that takes too long to boot is terminated while it is still booting, and a quarantined machine may be
+ * draining as well. Times are milliseconds on the controller's steady clock.
  */
 public final class InstanceState {
     private long requestedAt;
@@ -17,7 +17,7 @@
     private boolean quarantined;
     private boolean terminating;
 
-    /** When it was asked of the cloud; 0: unknown. */
+    /** Returns when the instance was requested from the cloud, or 0 if that is unknown. */
     public long requestedAt() {
         return requestedAt;
     }
@@ -26,7 +26,9 @@
         this.requestedAt = requestedAt;
     }
 
-    /** Whether it is known to come up, since this leader rented it or the cloud's list said so. */
+    /**
+     * Returns whether the instance is known to be booting, because this leader requested it or the cloud listed it so.
+     */
     public boolean booting() {
         return booting;
     }
@@ -35,28 +37,28 @@
         this.booting = booting;
     }
 
-    /** Whether the cloud's list has named it in this term. */
+    /** Returns whether the cloud's list has contained the instance in this term. */
     public boolean listed() {
         return listed;
     }
 
-    /** The cloud's list names it. */
+    /** Records that the cloud's current list contains the instance. */
     public void markListed() {
         listed = true;
         missingSince = 0;
     }
 
-    /** Since when the cloud's lists do not name it any more; 0: they do, or it was never listed. */
+    /** Returns since when the instance is missing from the cloud's list, or 0 if it is listed or never was. */
     public long missingSince() {
         return missingSince;
     }
 
-    /** The cloud's list does not name it any more. */
+    /** Records that the cloud's list no longer contains the instance. */
     public void markMissing(long now) {
         missingSince = now;
     }
 
-    /** Since when no task may be on it; meaningless while one may. */
+    /** Returns since when no task can be on the machine; meaningless while one may be. */
     public long idleSince() {
         return idleSince;
     }
@@ -65,17 +67,19 @@
         idleSince = since;
     }
 
-    /** The seconds of the cloud's notice before it reclaims the machine, as it was first reported; -1: no notice. */
+    /**
+     * Returns the seconds of notice that the machine first reported before the cloud reclaims it; -1 if it has none.
+     */
     public double reclaimNoticeS() {
         return reclaimNoticeS;
     }
 
-    /** The machine has reported a notice that the cloud reclaims it in so many seconds. */
-    public void recordReclaimNotice(double seconds) {
-        reclaimNoticeS = seconds;
+    /** Records that the machine has reported a notice that the cloud will reclaim it in this many seconds. */
+    public void recordReclaimNotice(double noticeS) {
+        reclaimNoticeS = noticeS;
     }
 
-    /** No new tasks start on it before this time. */
+    /** Returns the time before which no new tasks start on the machine. */
     public long cordonedUntil() {
         return cordonedUntil;
     }
@@ -84,7 +88,7 @@
         cordonedUntil = time;
     }
 
-    /** Whether it is drained so that it can be returned: nothing new starts on it. */
+    /** Returns whether the machine is being drained so that it can be returned; no new tasks start on it. */
     public boolean draining() {
         return draining;
     }
@@ -93,12 +97,12 @@
         draining = true;
     }
 
-    /** It takes new tasks again. */
+    /** Ends the drain, so that new tasks may start on the machine again. */
     public void endDrain() {
         draining = false;
     }
 
-    /** Whether it fails its tasks: nothing new starts on it, and it is returned once it is empty. */
+    /** Returns whether tasks fail because of the machine; no new tasks start on it, and it is returned once empty. */
     public boolean quarantined() {
         return quarantined;
     }
@@ -107,12 +111,12 @@
         quarantined = true;
     }
 
-    /** Whether it is to be deleted at the cloud: its heartbeats are not answered any more. */
+    /** Returns whether the instance is to be deleted at the cloud; its heartbeats are no longer answered. */
     public boolean terminating() {
         return terminating;
     }
 
-    /** It is to be deleted at the cloud; this can't be undone. */
+    /** Marks the instance as to be deleted at the cloud; this can't be undone. */
     public void terminate() {
         terminating = true;
     }
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -14,9 +14,9 @@
 import stileferry.storage.StoredEntry;
 
 /**
- * A job that is not completed, and what the leader knows of its tasks. Tasks are numbered from 0. A task is pending,
- * assigned to a machine, or completed. Times are milliseconds on the controller's steady clock, unless they are said to
- * be times of day.
+ * A job that is not completed, and the state of its tasks as far as the leader knows it. Tasks are numbered from 0. A
+ * task is pending, assigned to a machine, or completed. Times are milliseconds on the controller's steady clock, unless
+ * they are documented as wall-clock times.
  */
 public final class Job {
     public static final String KEY_PREFIX = "j/";
@@ -35,7 +35,7 @@
     private final CompletedTasks completedTasks;
     private final BitSet completedOrAssigned = new BitSet();
 
-    /** The number of tasks in one part of a record of the first stored form; 1 for jobs without such parts. */
+    /** The number of tasks per chunk in the legacy storage format; 1 for jobs that were not stored in chunks. */
     private int legacyTasksPerChunk = 1;
 
     private final Map<Integer, TaskAssignment> assignments = new HashMap<>();
@@ -49,35 +49,35 @@
     private long localityDelaySince;
 
     /**
-     * A submitted job.
+     * Creates a submitted job.
      *
-     * @param acceptanceOrder its place in the order of submissions
-     * @param acceptedAt the time of day of its submission
+     * @param submissionOrder its position in the order of submissions
+     * @param submittedAt the wall-clock time of its submission, in milliseconds since the epoch
      * @param revision the revision of its stored record; 0 if it is not stored
      */
-    public Job(JobSpec spec, long acceptanceOrder, long acceptedAt, long revision) {
+    public Job(JobSpec spec, long submissionOrder, long submittedAt, long revision) {
         this.spec = spec;
-        this.submissionOrder = acceptanceOrder;
-        this.submittedAt = acceptedAt;
+        this.submissionOrder = submissionOrder;
+        this.submittedAt = submittedAt;
         this.completedTasks = new CompletedTasks(spec.taskCount());
         this.entry = new StoredEntry(key(spec.id()), revision, this::write).requireAbsent(completedKey(spec.id()));
     }
 
-    // ---- the stored record
+    // ---- stored record
 
     public static String key(String id) {
         return KEY_PREFIX + id;
     }
 
-    /** The key under which the end of the job is stored. */
+    /** Returns the key under which the completion of the job is stored. */
     public static String completedKey(String id) {
         return COMPLETED_KEY_PREFIX + id;
     }
 
     /**
-     * Reads a stored job, which is accepted, and whose cancellation is durable if it is cancelled.
+     * Reads a job from its stored record. The job is accepted, and if it is cancelled, its cancellation is durable.
      *
-     * @throws InvalidJobSpecException if what its user submitted can't be read
+     * @throws InvalidJobSpecException if the stored job specification can't be read
      */
     public static Job read(JsonNode value, long revision) throws InvalidJobSpecException {
         Job job = new Job(
@@ -105,7 +105,7 @@
         return value;
     }
 
-    /** What is stored of it while it is not completed. */
+    /** Returns the store entry of the job, which exists while the job is not completed. */
     public StoredEntry entry() {
         return entry;
     }
@@ -118,29 +118,31 @@
         return submissionOrder;
     }
 
-    /** The time of day of its submission, in milliseconds. */
+    /** Returns the wall-clock time of the submission, in milliseconds since the epoch. */
     public long submittedAt() {
         return submittedAt;
     }
 
-    /** The number of tasks in one part of a record of the first stored form; 1 for jobs without such parts. */
+    /**
+     * Returns the number of tasks per chunk in the legacy storage format, or 1 for jobs that were not stored in chunks.
+     */
     public int legacyTasksPerChunk() {
         return legacyTasksPerChunk;
     }
 
     // ---- phases
 
-    /** Its record is durable. */
+    /** Records that the job's stored record is durable. */
     public void markAccepted() {
         advanceTo(JobPhase.ACCEPTED);
     }
 
-    /** All of its tasks are settled; its end is about to be stored. */
+    /** Records that all tasks are settled and the job's completion is about to be stored. */
     public void markCompleting() {
         advanceTo(JobPhase.COMPLETING);
     }
 
-    /** The record of its end is durable. */
+    /** Records that the job's completion is durable. */
     public void markCompleted() {
         advanceTo(JobPhase.COMPLETED);
     }
@@ -159,27 +161,27 @@
         return phase.compareTo(JobPhase.COMPLETING) >= 0;
     }
 
-    /** Whether the record of its end is durable. */
+    /** Returns whether the job's completion is durable. */
     public boolean completed() {
         return phase == JobPhase.COMPLETED;
     }
 
-    /** A user cancels it. */
+    /** Records that a user has requested the cancellation of the job. */
     public void requestCancellation() {
         advanceTo(CancellationPhase.REQUESTED);
     }
 
-    /** The cancellation is durable. */
+    /** Records that the cancellation is durable. */
     public void markCancellationDurable() {
         advanceTo(CancellationPhase.DURABLE);
     }
 
-    /** Enough controllers know of the cancellation. */
+    /** Records that enough controllers know about the cancellation. */
     public void markCancellationReplicated() {
         advanceTo(CancellationPhase.REPLICATED);
     }
 
-    /** Users may hear of the cancellation. */
+    /** Records that the cancellation may be reported to users. */
     public void markCancellationConfirmed() {
         advanceTo(CancellationPhase.CONFIRMED);
     }
@@ -190,7 +192,7 @@
         }
     }
 
-    /** Whether a user has cancelled it, durably or not. */
+    /** Returns whether a user has cancelled the job, even if the cancellation is not durable yet. */
     public boolean cancelled() {
         return cancellation != CancellationPhase.NONE;
     }
@@ -199,36 +201,36 @@
         return cancellation.compareTo(CancellationPhase.DURABLE) >= 0;
     }
 
-    /** Whether enough controllers know of the cancellation. */
+    /** Returns whether enough controllers know about the cancellation. */
     public boolean cancellationReplicated() {
         return cancellation.compareTo(CancellationPhase.REPLICATED) >= 0;
     }
 
-    /** Whether users may hear of the cancellation. */
+    /** Returns whether the cancellation may be reported to users. */
     public boolean cancellationConfirmed() {
         return cancellation == CancellationPhase.CONFIRMED;
     }
 
-    /** A task of it was seen running, or has failed. */
+    /** Records that a task of the job was reported running, or has ended as completed or failed. */
     public void markStarted() {
         started = true;
     }
 
-    /** Whether a task of it was seen running, has failed or has completed. */
+    /** Returns whether a task of the job was reported running, has failed or has completed. */
     public boolean started() {
         return started;
     }
 
     // ---- completed tasks
 
-    /** Takes in that a task has completed. */
+    /** Records that a task has completed. */
     public void markTaskCompleted(int index) {
         completedOrAssigned.set(index);
         started = true;
         completedTasks.add(index);
     }
 
-    /** The completed tasks; to add one use {@link #markTaskCompleted}. */
+    /** Returns the completed tasks; use {@link #markTaskCompleted} to add one. */
     public CompletedTasks completedTasks() {
         return completedTasks;
     }
@@ -243,7 +245,7 @@
 
     // ---- pending tasks
 
-    /** The next pending task that may start now; -1: none. */
+    /** Returns the index of the next pending task that may start now, or -1 if there is none. */
     public int nextPendingTask(long now) {
         if (!schedulable() || spec.gang() && !gangSchedulable(now)) {
             return -1;
@@ -256,7 +258,10 @@
         return -1;
     }
 
-    /** The first task from this one on that is neither completed nor assigned; the task count or more: none. */
+    /**
+     * Returns the index of the first task at or after {@code from} that is neither completed nor assigned; an index
+     * that is not below the task count if there is none.
+     */
     public int nextUnassignedTask(int from) {
         return completedOrAssigned.nextClearBit(from);
     }
@@ -265,35 +270,37 @@
         return phase == JobPhase.ACCEPTED && !cancelled();
     }
 
-    /** A gang starts whole: not while a task of it may be on a machine, or has to pause after a failure. */
+    /**
+     * Returns whether all tasks of a gang may start together: none may be on a machine or in back-off after a failure.
+     */
     private boolean gangSchedulable(long now) {
         return assignments.isEmpty() && !failureHistory.anyTaskBackingOff(now);
     }
 
-    /** The number of pending tasks, including those that have to pause after a failure. */
+    /** Returns the number of pending tasks, including those in back-off after a failure. */
     public int pendingCount() {
         return schedulable() ? spec.taskCount() - completedOrAssigned.cardinality() : 0;
     }
 
     // ---- assigned tasks
 
-    /** The assignments that are not settled, by task. The view can't be changed. */
+    /** Returns an unmodifiable view of the assignments that are not settled, by task index. */
     public Map<Integer, TaskAssignment> assignments() {
         return assignmentsView;
     }
 
-    /** Whether this assignment is not settled. */
+    /** Returns whether this assignment belongs to the job and is not settled. */
     public boolean hasUnsettled(TaskAssignment assignment) {
         return assignments.get(assignment.index()) == assignment;
     }
 
-    /** Notes an assignment. Use {@link ClusterState#assign}, which also counts it on its machine and for its team. */
+    /** Adds an assignment. Use {@link ClusterState#assign} instead, which also updates its machine and team. */
     public void addAssignment(TaskAssignment assignment) {
         assignments.put(assignment.index(), assignment);
         completedOrAssigned.set(assignment.index());
     }
 
-    /** Settles an assignment. Use {@link ClusterState#unassign}, which also counts it out everywhere else. */
+    /** Settles an assignment. Use {@link ClusterState#unassign} instead, which also updates its machine and team. */
     public void removeAssignment(TaskAssignment assignment, boolean taskCompleted) {
         assignments.remove(assignment.index(), assignment);
         if (taskCompleted) {
@@ -303,7 +310,7 @@
         }
     }
 
-    /** Whether all tasks are assigned under one attempt number. */
+    /** Returns whether all tasks are assigned, with the same attempt number. */
     public boolean allTasksAssignedInOneAttempt() {
         return assignments.size() == spec.taskCount()
                 && assignments.values().stream()
@@ -313,7 +320,7 @@
                         == 1;
     }
 
-    /** Tasks that were last reported running. */
+    /** Returns the number of assigned tasks that have been reported running. */
     public int runningCount() {
         int running = 0;
         for (TaskAssignment assignment : assignments.values()) {
@@ -324,7 +331,10 @@
         return running;
     }
 
-    /** Whether a task that was sent to a machine may start there without another command. */
+    /**
+     * Returns whether a task may still start without another command, because its machine has not reported it yet or is
+     * pulling its image.
+     */
     public boolean mayStartWithoutFurtherCommand() {
         for (TaskAssignment assignment : assignments.values()) {
             if (assignment.phase() == null || assignment.phase() == Heartbeat.TaskPhase.PULLING_IMAGE) {
@@ -334,7 +344,7 @@
         return false;
     }
 
-    /** The zones with assigned tasks; "" stands for machines whose zone is not known yet. The view can't be changed. */
+    /** Returns an unmodifiable view of the zones with assigned tasks; "" stands for machines whose zone is unknown. */
     public Set<String> zonesWithTasks() {
         return zonesWithTasksView;
     }
@@ -347,14 +357,14 @@
         tasksInZone.merge(zone, change, (before, added) -> before + added == 0 ? null : before + added);
     }
 
-    /** How its tasks have fared. */
+    /** Returns the history of successes and failures of the job's tasks. */
     public FailureHistory failureHistory() {
         return failureHistory;
     }
 
-    // ---- marks of the scheduler
+    // ---- scheduler state
 
-    /** Whether it fits into its team's quota together with the team's earlier jobs, as of the last pass. */
+    /** Returns whether the job and its team's earlier jobs together fit the team's quota, as of the last pass. */
     public boolean withinQuota() {
         return withinQuota;
     }
@@ -363,12 +373,12 @@
         this.withinQuota = withinQuota;
     }
 
-    /** Since when its tasks wait for capacity on machines that hold its image; 0: they never did. */
+    /** Returns when the job last began to wait for capacity on machines that have its image, or 0 if it never did. */
     public long localityDelaySince() {
         return localityDelaySince;
     }
 
-    /** Its tasks wait from now on for capacity on machines that hold its image. */
+    /** Records that the job's tasks wait from now on for capacity on machines that have its image. */
     public void startLocalityDelay(long now) {
         localityDelaySince = now;
     }
--- a/src/main/java/stileferry/cluster/JobPhase.java
+++ b/src/main/java/stileferry/cluster/JobPhase.java
@@ -1,16 +1,16 @@
 package stileferry.cluster;
 
-/** How far a job has come, from its submission until its end is durable. A job only ever moves forward. */
+/** The phase of a job, from its submission until its completion is durable. A job never returns to an earlier phase. */
 enum JobPhase {
-    /** Submitted; its record is not durable yet, so nothing of it may start. */
+    /** The job is submitted. Its record is not durable yet, so none of its tasks may start. */
     SUBMITTED,
 
-    /** Its record is durable. */
+    /** The job's record is durable, so its tasks may start. */
     ACCEPTED,
 
-    /** All tasks have completed, or it was cancelled and none is left; the record of that is not durable yet. */
+    /** All tasks have completed, or the job was cancelled and has no tasks left. The completion is not durable yet. */
     COMPLETING,
 
-    /** The record of its end is durable. */
+    /** The record of the job's completion is durable. */
     COMPLETED
 }
--- a/src/main/java/stileferry/cluster/LastHeartbeatRecord.java
+++ b/src/main/java/stileferry/cluster/LastHeartbeatRecord.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** A note of when a machine's last heartbeat was answered, and in which leader's term. */
+/** A durable record of when the leader last responded to a machine's heartbeat, and in which term. */
 public final class LastHeartbeatRecord {
     private final String machine;
     private final long incarnation;
@@ -12,7 +12,13 @@
     private long recordNumber;
     private boolean obsolete;
 
-    /** A note that is not stored yet; {@code answeredAt}: the time of day in milliseconds. */
+    /**
+     * Creates a record that is not stored yet.
+     *
+     * @param incarnation the incarnation of the machine's agent
+     * @param answeredAt the wall-clock time of the response, in milliseconds since the epoch
+     * @param term the term of the leader that responded
+     */
     public LastHeartbeatRecord(String machine, long incarnation, long answeredAt, long term) {
         this.machine = machine;
         this.incarnation = incarnation;
@@ -20,7 +26,7 @@
         this.term = term;
     }
 
-    /** Reads the stored event. */
+    /** Reads a record from its stored event. */
     public static LastHeartbeatRecord read(JsonNode event) {
         return new LastHeartbeatRecord(
                 event.path(1).asText(),
@@ -29,12 +35,12 @@
                 event.path(4).asLong());
     }
 
-    /** Notes the number of the stored record that holds it now. */
+    /** Sets the number of the event log record that now contains this one. */
     public void setRecordNumber(long number) {
         recordNumber = number;
     }
 
-    /** Whether the stored record of this number holds it. */
+    /** Returns whether the event log record with this number contains this one. */
     public boolean isStoredIn(long number) {
         return recordNumber == number;
     }
@@ -43,12 +49,12 @@
         return machine;
     }
 
-    /** The incarnation of the machine's agent that was answered. */
+    /** Returns the incarnation of the machine's agent that sent the heartbeat. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** When the heartbeat was answered, as a time of day in milliseconds. */
+    /** Returns the wall-clock time of the response to the heartbeat, in milliseconds since the epoch. */
     public long answeredAt() {
         return answeredAt;
     }
@@ -57,7 +63,7 @@
         return term;
     }
 
-    /** Whether it need not be stored any more. */
+    /** Returns whether this record no longer needs to be kept in the store. */
     public boolean obsolete() {
         return obsolete;
     }
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -10,8 +10,8 @@
 import stileferry.protocol.MachineType;
 
 /**
- * A machine: its type and place, the tasks that may be on it, the capacity that these leave free, and what is known of
- * its agent and of it as an instance.
+ * A machine: its type and zone, the tasks that may be on it, its free capacity and cached images, and the state of its
+ * agent and of its cloud instance.
  */
 public final class Machine implements Comparable<Machine> {
     private final String name;
@@ -26,10 +26,10 @@
     private final Map<String, TaskAssignment> assignments = new LinkedHashMap<>();
     private final Map<String, TaskAssignment> assignmentsView = Collections.unmodifiableMap(assignments);
 
-    /** Images that tasks here were seen with, the latest last, with their sizes in GB. */
+    /** Sizes in GB of the images that are taken to be cached on the machine, the most recently used last. */
     private final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
 
-    /** Images of the assigned tasks, with how many need them. */
+    /** The number of assigned tasks that need each image. */
     private final Map<String, Integer> assignedTasksByImage = new HashMap<>();
 
     private final Map<String, Integer> failuresByJob = new HashMap<>();
@@ -44,22 +44,22 @@
         this.name = name;
     }
 
-    /** What is known of the agent on this machine. */
+    /** Returns the state of the agent on this machine. */
     public AgentState agent() {
         return agent;
     }
 
-    /** What is known of this machine as a rented instance. */
+    /** Returns the state of this machine as a cloud instance. */
     public InstanceState instance() {
         return instance;
     }
 
-    /** Whether its agent has acknowledged a term, so that no older leader is obeyed or renews its lease. */
+    /** Returns whether the agent has acknowledged a term, so that it rejects commands and renewals of older leaders. */
     public boolean hasAcknowledgedTerm(long term) {
         return agent.fencingToken() >= term;
     }
 
-    /** Whether new tasks may start on it, as far as the machine itself is concerned. */
+    /** Returns whether the state of the machine permits new tasks to start on it, whatever capacity is free. */
     public boolean schedulable() {
         return agent.heardThisTerm()
                 && type != null
@@ -71,12 +71,12 @@
                 && agent.unreachableSince() == 0;
     }
 
-    /** The tasks in its newest status. */
+    /** Returns the tasks in the newest status of the agent; empty if there is none. */
     public List<Heartbeat.TaskStatus> reportedTasks() {
         return agent.lastHeartbeat() == null ? List.of() : agent.lastHeartbeat().tasks();
     }
 
-    /** Whether a heartbeat tells nothing but that the machine is still there as it was. */
+    /** Returns whether a heartbeat contains nothing new, so that it only shows that the machine is still up. */
     public boolean isUnchangedBy(Heartbeat heartbeat) {
         return agent.reconciled()
                 && heartbeat.tasks() == agent.lastHeartbeat().tasks()
@@ -92,23 +92,23 @@
         return name.compareTo(other.name);
     }
 
-    /** The CPUs of all tasks that may be on it. */
+    /** Returns the CPUs requested by all tasks that may be on the machine. */
     public double usedCpus() {
         return usedResources.cpus();
     }
 
-    /** The CPUs that the tasks that may be on it leave free; the type must be known. */
+    /** Returns the CPUs that are not used by tasks that may be on the machine; its type must be known. */
     public double freeCpus() {
         return type.cpus() - usedResources.cpus();
     }
 
-    /** Counts a task that may be on it from now on. */
+    /** Adds a task that may be on the machine from now on. */
     void addAssignment(TaskAssignment assignment) {
         assignments.put(assignment.taskId(), assignment);
         adjustUsage(assignment.job().spec(), 1);
     }
 
-    /** Counts out a task that is proven not to be on it any more. */
+    /** Removes a task that is proven not to be on the machine any more. */
     void removeAssignment(TaskAssignment assignment) {
         assignments.remove(assignment.taskId(), assignment);
         adjustUsage(assignment.job().spec(), -1);
@@ -118,20 +118,20 @@
         agent.setReconciled(false);
         usedResources.add(spec, sign);
         if (assignments.isEmpty()) {
-            usedResources.clear(); // rounding errors end with the last task
+            usedResources.clear(); // discards accumulated rounding errors
         }
         assignedTasksByImage.merge(
                 spec.image(), sign, (before, change) -> before + change <= 0 ? null : before + change);
     }
 
-    /** Whether a task of this job fits beside all that may be on it. */
+    /** Returns whether a task of this job fits beside all tasks that may be on the machine; its type must be known. */
     public boolean fits(Job job) {
         return fits(job.spec().cpus(), job.spec().gpus(), job.spec().memoryGb());
     }
 
-    /** Whether so much fits beside all that may be on it. */
-    boolean fits(Resources wanted) {
-        return fits(wanted.cpus(), wanted.gpus(), wanted.memoryGb());
+    /** Returns whether these resources are free beside all tasks that may be on the machine; its type must be known. */
+    boolean fits(Resources needed) {
+        return fits(needed.cpus(), needed.gpus(), needed.memoryGb());
     }
 
     private boolean fits(double cpus, double gpus, double memoryGb) {
@@ -140,7 +140,7 @@
                 && usedResources.memoryGb() + memoryGb <= type.memoryGb() + Resources.ROUNDING_TOLERANCE;
     }
 
-    /** How many tasks of this job would fit if all tasks of lower priority were preempted. */
+    /** Returns the number of tasks of this job that would fit if all tasks of lower priority were preempted. */
     public int tasksFittingWithPreemption(Job job) {
         Resources free = Resources.of(type);
         free.subtract(usedResources);
@@ -153,21 +153,24 @@
     }
 
     /**
-     * Takes in the bounded slowdown of a task that has completed on it.
+     * Records the bounded slowdown of a task that has completed on the machine.
      *
-     * @param thresholdS shorter runs count as being this long
+     * @param runS the run time of the task, in seconds
+     * @param waitS how long the task waited before it ran, in seconds
+     * @param thresholdS the minimum run time that the wait is related to, in seconds; it bounds the slowdown of short
+     *     tasks
      */
     public void recordSlowdown(double runS, double waitS, double thresholdS) {
         slowdownSum += Math.max(1, (runS + waitS) / Math.max(runS, thresholdS));
         slowdownCount++;
     }
 
-    /** The average bounded slowdown of the tasks that completed on it; 1 without history. */
+    /** Returns the average bounded slowdown of the tasks that completed on the machine, or 1 if none has. */
     public double averageSlowdown() {
         return slowdownCount == 0 ? 1 : slowdownSum / slowdownCount;
     }
 
-    /** An image of so many GB was used on it: the least recently used ones give way if the cache is full. */
+    /** Adds an image that was used on the machine, and evicts the least recently used ones if the cache is full. */
     public void cacheImage(String image, double sizeGb) {
         cachedImages.put(image, sizeGb);
         double cachedGb = 0;
@@ -184,7 +187,7 @@
         return cachedImages.containsKey(image);
     }
 
-    /** The number of images that assigned tasks need and the machine does not hold yet. */
+    /** Returns the number of images that assigned tasks need and that are not cached on the machine yet. */
     public int imagesBeingPulled() {
         int missing = 0;
         for (String image : assignedTasksByImage.keySet()) {
@@ -193,7 +196,7 @@
         return missing;
     }
 
-    /** Whether an image is cached here, being pulled here, or neither. */
+    /** Returns whether an image is cached on the machine, being pulled, or neither. */
     public ImageLocality imageLocality(String image) {
         if (cachedImages.containsKey(image)) {
             return ImageLocality.PRESENT;
@@ -205,7 +208,7 @@
         return name;
     }
 
-    /** Where its agent takes commands, as host:port; "" while it is unknown. */
+    /** Returns the address at which the agent accepts commands, as host:port, or "" while it is unknown. */
     public String address() {
         return address;
     }
@@ -222,7 +225,7 @@
         this.typeName = typeName;
     }
 
-    /** Its type; null while it is unknown, or if the cloud does not offer that type. */
+    /** Returns the machine type, or null while it is unknown or if the cloud does not offer it. */
     public MachineType type() {
         return type;
     }
@@ -231,12 +234,12 @@
         this.type = type;
     }
 
-    /** Its zone; "" while it is unknown. */
+    /** Returns the zone, or "" while it is unknown. */
     public String zone() {
         return zone;
     }
 
-    /** Use {@link ClusterState#setZone}, which also counts the tasks in their new zone. */
+    /** Sets the zone. Use {@link ClusterState#setZone} instead, which also updates the jobs' task counts by zone. */
     void setZone(String zone) {
         this.zone = zone;
     }
@@ -249,12 +252,12 @@
         this.spot = spot;
     }
 
-    /** The assignments that are not settled, by task id, the oldest first. The view can't be changed. */
+    /** Returns an unmodifiable view of the assignments that are not settled, by task id, the oldest first. */
     public Map<String, TaskAssignment> assignments() {
         return assignmentsView;
     }
 
-    /** How often tasks of each job failed on it since a task last succeeded there. The view can't be changed. */
+    /** Returns an unmodifiable view of the failures by job id, counted since a task last succeeded on the machine. */
     public Map<String, Integer> failuresByJob() {
         return failuresByJobView;
     }
@@ -263,12 +266,12 @@
         failuresByJob.merge(jobId, 1, Integer::sum);
     }
 
-    /** A task has succeeded on it. */
+    /** Clears the failure counts of all jobs, because a task has succeeded on the machine. */
     public void clearFailures() {
         failuresByJob.clear();
     }
 
-    /** Where the index of free capacity holds it; -1: nowhere. Only the index may change it. */
+    /** Returns the machine's bucket in {@link FreeCapacityIndex}, or -1 if it is in none. Only the index may set it. */
     int capacityBucket() {
         return capacityBucket;
     }
--- a/src/main/java/stileferry/cluster/Resources.java
+++ b/src/main/java/stileferry/cluster/Resources.java
@@ -3,19 +3,19 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.MachineType;
 
-/** An amount of CPUs, GPUs and memory, to count with. */
+/** A mutable amount of CPUs, GPUs and memory, with the arithmetic needed to track usage and free capacity. */
 public final class Resources {
-    /** Sums of CPUs, GPUs and GB may be off by this much. */
+    /** Tolerance for floating-point rounding errors in sums of CPUs, GPUs and GB. */
     static final double ROUNDING_TOLERANCE = 1e-6;
 
     private double cpus;
     private double gpus;
     private double memoryGb;
 
-    /** Nothing. */
+    /** Creates an amount of zero. */
     public Resources() {}
 
-    /** All that a machine of this type has. */
+    /** Returns the total capacity of a machine of this type. */
     public static Resources of(MachineType type) {
         Resources all = new Resources();
         all.cpus = type.cpus();
@@ -24,7 +24,7 @@
         return all;
     }
 
-    /** An independent copy. */
+    /** Returns an independent copy of this amount. */
     public Resources copy() {
         Resources copy = new Resources();
         copy.cpus = cpus;
@@ -33,19 +33,19 @@
         return copy;
     }
 
-    /** Adds one task's request. */
+    /** Adds the request of one task of the job. */
     public void add(JobSpec spec) {
         add(spec, 1);
     }
 
-    /** Adds the requests of so many tasks; with a negative number takes them away. */
+    /** Adds the requests of the given number of tasks of the job; a negative number subtracts them. */
     public void add(JobSpec spec, int tasks) {
         cpus += tasks * spec.cpus();
         gpus += tasks * spec.gpus();
         memoryGb += tasks * spec.memoryGb();
     }
 
-    /** Takes away what one task of the job requests. */
+    /** Subtracts the request of one task of the job. */
     public void subtract(JobSpec spec) {
         add(spec, -1);
     }
@@ -56,7 +56,7 @@
         memoryGb += other.memoryGb;
     }
 
-    /** Takes another amount away from this one. */
+    /** Subtracts another amount from this one; the result may be negative. */
     public void subtract(Resources other) {
         cpus -= other.cpus;
         gpus -= other.gpus;
@@ -81,18 +81,18 @@
         memoryGb = 0;
     }
 
-    /** How many tasks with this request fit into it. */
+    /** Returns the number of tasks with this request that fit into this amount. */
     int tasksFitting(JobSpec spec) {
         return Math.min(
                 countFitting(cpus, spec.cpus()),
                 Math.min(countFitting(gpus, spec.gpus()), countFitting(memoryGb, spec.memoryGb())));
     }
 
-    private static int countFitting(double free, double wanted) {
-        return wanted == 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + ROUNDING_TOLERANCE) / wanted);
+    private static int countFitting(double free, double requested) {
+        return requested == 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + ROUNDING_TOLERANCE) / requested);
     }
 
-    /** Whether nothing is overdrawn. */
+    /** Returns whether none of the three amounts is negative, apart from rounding errors. */
     public boolean isNonNegative() {
         return cpus > -ROUNDING_TOLERANCE && gpus > -ROUNDING_TOLERANCE && memoryGb > -ROUNDING_TOLERANCE;
     }
--- a/src/main/java/stileferry/cluster/RestartBackOff.java
+++ b/src/main/java/stileferry/cluster/RestartBackOff.java
@@ -1,6 +1,6 @@
 package stileferry.cluster;
 
-/** Pauses between the starts of a failing task. */
+/** Exponential back-off between the starts of a failing task. */
 public final class RestartBackOff {
     private static final long MAX_DELAY_MS = 60_000;
 
@@ -8,17 +8,17 @@
     private long notBefore;
 
     /**
-     * Notes a failure and postpones the next start.
+     * Records a failure and delays the next start. The delay doubles with each failure and is at most one minute.
      *
      * @param now the controller's steady clock in milliseconds
-     * @param firstPauseMs the pause after the first failure; it doubles with each further one
-     * @param mostDoublings how often it doubles at most
+     * @param initialDelayMs the delay after the first failure
+     * @param maxDoublings the maximum number of times the delay is doubled
      */
-    public void backOff(long now, long firstPauseMs, int mostDoublings) {
-        notBefore = now + Math.min(MAX_DELAY_MS, firstPauseMs << Math.min(mostDoublings, failures++));
+    public void backOff(long now, long initialDelayMs, int maxDoublings) {
+        notBefore = now + Math.min(MAX_DELAY_MS, initialDelayMs << Math.min(maxDoublings, failures++));
     }
 
-    /** The time on the controller's steady clock, in milliseconds, before which the task may not start again. */
+    /** Returns the earliest time of the next start, in milliseconds on the controller's steady clock. */
     long notBefore() {
         return notBefore;
     }
--- a/src/main/java/stileferry/cluster/TaskAssignment.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -3,8 +3,9 @@
 import stileferry.protocol.Heartbeat;
 
 /**
- * One attempt of a task, assigned to a machine. It is made durable before the machine hears of it, and is settled only
- * by proof that the task is not there. Times are milliseconds on the controller's steady clock.
+ * One attempt of a task, assigned to a machine. An assignment is made durable before any command for it is sent to the
+ * machine, and is settled only by proof that the task is not on the machine. Times are milliseconds on the controller's
+ * steady clock.
  */
 public final class TaskAssignment {
     private final Job job;
@@ -30,11 +31,11 @@
     private long stopRequestedAt;
 
     /**
-     * An assignment that is not durable yet.
+     * Creates an assignment that is not durable yet.
      *
-     * @param index the task's number in its job
+     * @param index the index of the task in its job
      * @param incarnation the incarnation of the machine's agent that is to run the task
-     * @param assignedAt when this leader decided; 0 for an assignment read from the store
+     * @param assignedAt when this leader made the decision; 0 for an assignment read from the store
      */
     public TaskAssignment(Job job, int index, long attempt, String machine, long incarnation, long assignedAt) {
         this.job = job;
@@ -47,17 +48,17 @@
         this.assignedAt = assignedAt;
     }
 
-    /** Whether the machine may hear of it: it is durable, and so are all assignments of its gang's attempt. */
+    /** Returns whether commands for it may be sent: it is durable, and so are all assignments of its gang attempt. */
     public boolean startable() {
         return durable && (gangAttempt == null || gangAttempt.startable());
     }
 
-    /** Whether the task is to stop. */
+    /** Returns whether a stop of the task has been requested. */
     public boolean stopping() {
         return stopGraceS >= 0;
     }
 
-    /** Requests a stop; a shorter grace period replaces a longer one. */
+    /** Requests that the task stops; a shorter grace period replaces a longer one. */
     void requestStop(double graceS, long now) {
         if (stopGraceS < 0 || graceS < stopGraceS) {
             stopGraceS = graceS;
@@ -65,19 +66,25 @@
         }
     }
 
-    /** The work that a stop would lose, in milliseconds: all of it, or what came after the last checkpoint. */
+    /**
+     * Returns the work that a stop would lose, in milliseconds: at most the checkpoint interval for tasks that save
+     * checkpoints, and the whole run time for others.
+     */
     long lostWorkMs(long now) {
-        long ran = runtimeMs(now);
-        long checkpoint = Math.round(job.spec().checkpointIntervalS() * 1000);
-        return checkpoint > 0 ? Math.min(ran, checkpoint) : ran;
+        long runtimeMs = runtimeMs(now);
+        long checkpointIntervalMs = Math.round(job.spec().checkpointIntervalS() * 1000);
+        return checkpointIntervalMs > 0 ? Math.min(runtimeMs, checkpointIntervalMs) : runtimeMs;
     }
 
-    /** The work that preempting it would lose, in milliseconds, and 1 for the stop: a gang stops whole. */
+    /**
+     * Returns the cost of preempting the task: the work that would be lost in milliseconds, plus 1 for the stop itself.
+     * For a gang this is multiplied by its assignments, because all of its tasks are stopped.
+     */
     public long preemptionCostMs(long now) {
         return (1 + lostWorkMs(now)) * (job.spec().gang() ? job.assignments().size() : 1);
     }
 
-    /** How long it has been seen running, in milliseconds. */
+    /** Returns for how long the task has been known to run, in milliseconds; 0 if it has not been reported running. */
     public long runtimeMs(long now) {
         return runningSince == 0 ? 0 : now - runningSince;
     }
@@ -86,7 +93,7 @@
         return job;
     }
 
-    /** The task's number in its job, from 0. */
+    /** Returns the index of the task in its job, from 0. */
     public int index() {
         return index;
     }
@@ -99,7 +106,7 @@
         return machine;
     }
 
-    /** The incarnation of the machine's agent that is to run the task. */
+    /** Returns the incarnation of the machine's agent that is to run the task. */
     public long incarnation() {
         return incarnation;
     }
@@ -108,17 +115,17 @@
         return taskId;
     }
 
-    /** The task's id and the attempt, which no other assignment has. */
+    /** Returns the task id combined with the attempt number, which is unique to this assignment. */
     public String attemptId() {
         return attemptId;
     }
 
-    /** When this leader decided; 0 for an assignment read from the store. */
+    /** Returns when this leader made the assignment, or 0 if it was read from the store. */
     public long assignedAt() {
         return assignedAt;
     }
 
-    /** Whether it is stored, so that the next leader will know it. */
+    /** Returns whether the assignment is durable, so that the next leader will know it. */
     public boolean durable() {
         return durable;
     }
@@ -127,37 +134,37 @@
         durable = true;
     }
 
-    /** Its gang's attempt; null for other jobs, and for assignments read from the store. */
+    /** Returns the gang attempt it belongs to, or null for other jobs and for assignments read from the store. */
     public GangAttempt gangAttempt() {
         return gangAttempt;
     }
 
-    /** It becomes a part of its gang's attempt. */
+    /** Makes the assignment a part of a gang attempt; null if the job is not a gang. */
     public void joinGangAttempt(GangAttempt attempt) {
         gangAttempt = attempt;
     }
 
-    /** Notes the number of the stored record that holds it now. */
+    /** Sets the number of the event log record that now contains this assignment. */
     public void setRecordNumber(long number) {
         recordNumber = number;
     }
 
-    /** Whether the stored record of this number holds it. */
+    /** Returns whether the event log record with this number contains this assignment. */
     public boolean isStoredIn(long number) {
         return recordNumber == number;
     }
 
-    /** Whether a command to start was sent in any way, so that the machine may know the attempt. */
+    /** Returns whether a start command may have been sent in any way, so that the machine may know the attempt. */
     public boolean startSent() {
         return startSent;
     }
 
-    /** A command to start is sent to the machine. */
+    /** Records that a start command is sent to the machine. */
     public void markStartSent() {
         startSent = true;
     }
 
-    /** The phase that the machine last reported; null: it has not reported the task yet. */
+    /** Returns the phase that the machine last reported, or null if it has not reported the task yet. */
     public Heartbeat.TaskPhase phase() {
         return phase;
     }
@@ -166,7 +173,7 @@
         phase = reported;
     }
 
-    /** When it was first reported running to this leader; 0: not yet. */
+    /** Returns when the task was first reported running to this leader, or 0 if it was not yet. */
     public long runningSince() {
         return runningSince;
     }
@@ -175,22 +182,22 @@
         runningSince = now;
     }
 
-    /** Whether it was started as the first task of an overdue job, and so is not to be preempted at once. */
+    /** Returns whether the task was started as the first one of an overdue job, so that it is not preempted at once. */
     public boolean startedOverdue() {
         return startedOverdue;
     }
 
-    /** It is the first task of an overdue job. */
+    /** Marks the task as the first one of an overdue job. */
     public void markStartedOverdue() {
         startedOverdue = true;
     }
 
-    /** The grace period in seconds within which a stopping task may save a checkpoint; -1: it is not to stop. */
+    /** Returns the grace period in seconds for saving a checkpoint before the stop, or -1 if no stop is requested. */
     public double stopGraceS() {
         return stopGraceS;
     }
 
-    /** When the stop was requested, or its grace period last shortened; 0: it was not. */
+    /** Returns when the stop was requested or its grace period last shortened, or 0 if no stop was requested. */
     public long stopRequestedAt() {
         return stopRequestedAt;
     }
--- a/src/main/java/stileferry/cluster/TeamUsage.java
+++ b/src/main/java/stileferry/cluster/TeamUsage.java
@@ -2,17 +2,17 @@
 
 import stileferry.protocol.JobSpec;
 
-/** What one team's tasks use that may be on machines. */
+/** The resources used by one team, counting every task that may be on a machine. */
 final class TeamUsage {
     private final Resources used = new Resources();
     private int tasks;
 
-    /** Counts one task, or counts it out again with a negative sign. */
+    /** Adds one task to the usage if {@code sign} is 1, or removes it if {@code sign} is -1. */
     void adjust(JobSpec spec, int sign) {
         tasks += sign;
         used.add(spec, sign);
         if (tasks == 0) {
-            used.clear(); // rounding errors end with the last task
+            used.clear(); // discards accumulated rounding errors
         }
     }
 
