--- a/src/main/java/stileferry/cluster/AgentState.java
+++ b/src/main/java/stileferry/cluster/AgentState.java
@@ -187,8 +187,8 @@
         return lastHeartbeatRecord;
     }
 
-    public void setLastHeartbeatRecord(LastHeartbeatRecord record) {
-        lastHeartbeatRecord = record;
+    public void setLastHeartbeatRecord(LastHeartbeatRecord heartbeatRecord) {
+        lastHeartbeatRecord = heartbeatRecord;
     }
 
     /** Marks the last heartbeat record, if there is one, as no longer needed in the store. */
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -18,8 +18,8 @@
 /** The leader's model of the cluster in one term: jobs that are not completed, machines, and resource usage by team. */
 public final class ClusterState {
     /**
-     * The minimum number of deleted machines whose names are kept, because the cloud's lists and late heartbeats may
-     * still contain them.
+     * The minimum number of deleted machines whose names are kept, whatever the size of the cluster, because outdated
+     * lists of the cloud and late heartbeats may still contain them.
      */
     private static final int MIN_DELETED_MACHINES_KEPT = 4096;
 
@@ -60,10 +60,10 @@
         this(settings, LinkHealth.NONE);
     }
 
-    /** Creates an empty model; {@code links} is told which machines are gone. */
-    public ClusterState(Settings settings, LinkHealth links) {
+    /** Creates an empty model; {@code linkHealth} is told which machines are gone. */
+    public ClusterState(Settings settings, LinkHealth linkHealth) {
         this.settings = settings;
-        this.linkHealth = links;
+        this.linkHealth = linkHealth;
         for (Settings.Team team : settings.teams()) {
             usageByTeam.put(team.name(), new TeamUsage());
         }
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -276,7 +276,7 @@
         return capacityBucket;
     }
 
-    void setCapacityBucket(int capacitySlot) {
-        this.capacityBucket = capacitySlot;
+    void setCapacityBucket(int capacityBucket) {
+        this.capacityBucket = capacityBucket;
     }
 }
--- a/src/main/java/stileferry/cluster/TaskAssignment.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -71,9 +71,9 @@
      * checkpoints, and the whole run time for others.
      */
     long lostWorkMs(long now) {
-        long runtimeMs = runtimeMs(now);
+        long elapsedMs = runtimeMs(now);
         long checkpointIntervalMs = Math.round(job.spec().checkpointIntervalS() * 1000);
-        return checkpointIntervalMs > 0 ? Math.min(runtimeMs, checkpointIntervalMs) : runtimeMs;
+        return checkpointIntervalMs > 0 ? Math.min(elapsedMs, checkpointIntervalMs) : elapsedMs;
     }
 
     /**
--- a/src/main/java/stileferry/scheduling/BackfillPass.java
+++ b/src/main/java/stileferry/scheduling/BackfillPass.java
@@ -10,11 +10,15 @@
 import stileferry.protocol.OperatorSettings;
 
 /**
- * One pass of JR-backfilling over the queue: the head goes first if it fits, else the fitting job with the lowest rank
- * times position, until nothing fits. A job whose tasks don't fit now is stuck for the rest of the pass.
+ * One pass of JR-backfilling over the queue. It starts tasks of the head of the queue if they fit, otherwise of the
+ * fitting job with the lowest product of rank and queue position, until nothing fits. A job whose tasks don't fit is
+ * blocked for the rest of the pass.
  */
 final class BackfillPass {
-    /** Most starts of one pass; the rest follows in the next, so that heartbeats and lease renewals are not late. */
+    /**
+     * The number of starts after which a pass ends; the rest follows in the next pass. Longer passes would delay
+     * heartbeats and lease renewals.
+     */
     private static final int MAX_STARTS_PER_PASS = 400;
 
     private final ClusterState cluster;
@@ -33,7 +37,7 @@
     private Job reservedMachineJob;
     private Machine reservedMachine;
 
-    /** A job in the queue with its rank. */
+    /** A job in the queue, with its rank and whether it is blocked for the rest of the pass. */
     private static final class QueuedJob {
         private final Job job;
         private final double rank;
@@ -45,24 +49,24 @@
         }
     }
 
-    /** A pass at this time; for the parameters see {@link Placement#runPass}. */
+    /** Creates a pass; for the parameters see {@link Placement#runPass}. */
     BackfillPass(
             ClusterState cluster,
             Placement placement,
             long now,
             long timeOfDay,
-            boolean preempts,
+            boolean preemptionEnabled,
             BiConsumer<Job, List<Machine>> start) {
         this.cluster = cluster;
         this.placement = placement;
         this.now = now;
         this.timeOfDay = timeOfDay;
-        this.preemptionEnabled = preempts;
+        this.preemptionEnabled = preemptionEnabled;
         this.start = start;
         this.headProtectionMs = 1000 * cluster.operatorSettings().number(OperatorSettings.HEAD_PROTECTION_S);
     }
 
-    /** Starts what fits and returns the jobs that still wait for capacity, in queue order. */
+    /** Runs the pass and returns the jobs that still wait for capacity, in queue order. */
     List<Job> run() {
         placement.queueOrder().markWithinQuota();
         for (Job job : placement.queue(now, timeOfDay)) {
@@ -77,12 +81,15 @@
         return waiting;
     }
 
-    /** Whether the pass has stopped before everything that fits was started. */
+    /** Returns whether the pass stopped before it had started everything that fits. */
     boolean stoppedEarly() {
         return unblockedCount > 0 || startedOverdue;
     }
 
-    /** The position of the head unless it is stuck, else that with the lowest rank times position, counted from 1. */
+    /**
+     * Returns the index of the head unless it is blocked, otherwise the index of the unblocked job with the lowest
+     * product of rank and position; positions count from 1 and indexes from 0.
+     */
     private int nextPosition() {
         if (!queue.get(0).blocked) {
             return 0;
@@ -114,8 +121,9 @@
     }
 
     /**
-     * The machines that a job may use beside the head of the queue: after the head has waited long enough none that it
-     * could use, and while it is overdue not the one that is kept for it.
+     * Returns which machines a job may use without delaying the head of the queue. Once the head has waited for longer
+     * than the head protection time, these are only machines of types that the head can't use; while the head is
+     * overdue, all except the one reserved for it.
      */
     private Predicate<Machine> usableMachines(Job job) {
         Job head = queue.get(0).job;
@@ -126,8 +134,8 @@
             return machine -> !head.spec().fitsType(machine.type());
         }
         if (placement.overdue(head, timeOfDay)) {
-            Machine kept = machineReservedFor(head);
-            return machine -> machine != kept;
+            Machine reserved = machineReservedFor(head);
+            return machine -> machine != reserved;
         }
         return machine -> true;
     }
@@ -144,7 +152,7 @@
         boolean overdue = placement.overdue(job, timeOfDay);
         start.accept(job, machines);
         starts += machines.size();
-        startedOverdue |= overdue; // the rest of the job follows in its usual place, in another pass
+        startedOverdue |= overdue; // the job's other tasks follow in another pass, in their regular queue position
         if (overdue || job.nextPendingTask(now) < 0) {
             queue.remove(position);
             unblockedCount--;
@@ -156,7 +164,7 @@
         unblockedCount--;
     }
 
-    /** Nobody who requests as much as a job that fits nowhere fits before something ends. */
+    /** Blocks all jobs that request at least as much as a job that fits on no machine: they don't fit either. */
     private void blockLargerRequests(Job job) {
         if (unplaceableRequests.add(job) && cluster.withinTeamLimit(job)) {
             for (QueuedJob entry : queue) {
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -13,26 +13,32 @@
 import stileferry.protocol.OperatorSettings;
 
 /**
- * Drains machines that the work no longer needs, so that they can be returned: nothing new starts there, arrays run
- * out, and services move to machines that hold their image, where they start at once. When jobs wait, as many drains
- * end as their tasks need.
+ * Drains machines that are no longer needed, so that they can be returned. No new tasks start on a draining machine,
+ * its array tasks run to their end, and its service tasks are moved to machines that have their image, where they start
+ * immediately. When jobs wait for capacity, as many drains are ended as their tasks need.
  */
 final class Consolidation {
     private static final Logger LOG = LoggerFactory.getLogger("consolidation");
 
-    /** Boot times for which next to nothing may have waited. */
+    /** For how long demand must have been low before a machine is drained, in boot times of its type. */
     private static final double LOW_DEMAND_BOOT_TIMES = 1.0;
 
-    /** Share of all CPUs that may be waited for in calm times: with many jobs, one or the other always waits. */
+    /**
+     * The share of all CPUs that waiting tasks may request while demand counts as low. It is above 0 because with many
+     * jobs some job is always waiting.
+     */
     private static final double LOW_DEMAND_CPU_SHARE = 0.01;
 
-    /** Share of the machines that are drained at the same time: each holds images that are missed. */
+    /**
+     * The share of the machines that are drained at the same time. It is limited because the images on drained machines
+     * are no longer available to new tasks.
+     */
     private static final double MAX_DRAINING_MACHINE_SHARE = 0.03;
 
-    /** Share of the machines from which one service task each may move in one step. */
+    /** The share of the machines from which one service task each may be moved per pass. */
     private static final double MAX_MOVING_MACHINE_SHARE = 0.01;
 
-    /** A replica runs this long before it is moved: a start that is undone sooner counts for nothing. */
+    /** How long a service task must have run before it is moved; a start that is undone sooner counts for nothing. */
     private static final long MIN_RUNTIME_BEFORE_MOVE_MS = 35_000;
 
     private final ClusterState cluster;
@@ -40,21 +46,26 @@
     private final Consumer<TaskAssignment> evict;
     private long lowDemandSince;
 
-    /** Which machines are drained, which may be, and what these and the others offer. */
+    /** The draining machines, the machines that may be drained, and their capacity. */
     private static final class ClusterCapacity {
         final List<Machine> draining = new ArrayList<>();
 
-        /** Ordinary machines with work, which may be drained. */
+        /** Schedulable on-demand machines with assigned tasks, which may be drained. */
         final List<Machine> candidates = new ArrayList<>();
 
-        /** CPUs of all schedulable machines with work. */
+        /** The CPUs of all schedulable machines with assigned tasks. */
         double totalCpus;
 
-        /** Free CPUs of the candidates. */
+        /** The free CPUs of the candidates. */
         double freeCpus;
     }
 
-    /** {@code now}: when the leader began; {@code evict} stops a task, which starts elsewhere. */
+    /**
+     * Creates the consolidation of one term.
+     *
+     * @param now when the leader's term began
+     * @param evict stops a task, which is then started on another machine
+     */
     Consolidation(ClusterState cluster, Placement placement, long now, Consumer<TaskAssignment> evict) {
         this.cluster = cluster;
         this.constraints = placement.constraints();
@@ -62,53 +73,53 @@
         this.evict = evict;
     }
 
-    /** One step, after a regular pass that left these jobs waiting. */
+    /** Starts or ends drains and moves service tasks, after a regular pass that left these jobs waiting. */
     void run(List<Job> waiting, long now) {
-        double wantedCpus = pendingCpus(waiting);
-        ClusterCapacity usage = measureCapacity();
-        if (wantedCpus > LOW_DEMAND_CPU_SHARE * usage.totalCpus) {
+        double pendingCpus = pendingCpus(waiting);
+        ClusterCapacity capacity = measureCapacity();
+        if (pendingCpus > LOW_DEMAND_CPU_SHARE * capacity.totalCpus) {
             lowDemandSince = now;
         }
-        if (wantedCpus > 0) {
-            endDrains(usage.draining, wantedCpus);
+        if (pendingCpus > 0) {
+            endDrains(capacity.draining, pendingCpus);
         } else {
-            moveServiceTasks(usage.draining, now);
-            startDrains(usage, now);
+            moveServiceTasks(capacity.draining, now);
+            startDrains(capacity, now);
         }
     }
 
     private double pendingCpus(List<Job> waiting) {
-        double wantedCpus = 0;
+        double pendingCpus = 0;
         for (Job job : waiting) {
             if (cluster.withinTeamLimit(job)) {
-                wantedCpus += job.pendingCount() * job.spec().cpus();
+                pendingCpus += job.pendingCount() * job.spec().cpus();
             }
         }
-        return wantedCpus;
+        return pendingCpus;
     }
 
     private ClusterCapacity measureCapacity() {
-        ClusterCapacity usage = new ClusterCapacity();
+        ClusterCapacity capacity = new ClusterCapacity();
         for (Machine machine : cluster.machines().values()) {
             if (machine.instance().draining() && !machine.instance().terminating()) {
-                usage.draining.add(machine);
+                capacity.draining.add(machine);
             } else if (machine.schedulable() && !machine.assignments().isEmpty()) {
-                usage.totalCpus += machine.type().cpus();
+                capacity.totalCpus += machine.type().cpus();
                 if (!machine.spot()) {
-                    usage.candidates.add(machine);
-                    usage.freeCpus += machine.freeCpus();
+                    capacity.candidates.add(machine);
+                    capacity.freeCpus += machine.freeCpus();
                 }
             }
         }
-        return usage;
+        return capacity;
     }
 
-    /** Lets machines take new tasks again, those with most work first, until they have capacity for what waits. */
-    private static void endDrains(List<Machine> draining, double wantedCpus) {
+    /** Ends drains, starting with the machines with the most CPUs in use, until there is capacity for waiting tasks. */
+    private static void endDrains(List<Machine> draining, double pendingCpus) {
         draining.sort(Comparator.comparingDouble(machine -> -machine.usedCpus()));
         double freeCpus = 0;
         for (Machine machine : draining) {
-            if (freeCpus >= wantedCpus) {
+            if (freeCpus >= pendingCpus) {
                 return;
             }
             machine.instance().endDrain();
@@ -116,33 +127,39 @@
         }
     }
 
-    /** Drains the machines with least work, as long as that work fits elsewhere and enough stays free. */
-    private void startDrains(ClusterCapacity usage, long now) {
-        int mostMore = 1 + (int) (cluster.machines().size() * MAX_DRAINING_MACHINE_SHARE) - usage.draining.size();
-        List<Machine> candidates = usage.candidates;
+    /**
+     * Drains the machines with the fewest CPUs in use, as long as the other candidates have that many CPUs free and
+     * enough of them stay free.
+     */
+    private void startDrains(ClusterCapacity capacity, long now) {
+        int maxNewDrains =
+                1 + (int) (cluster.machines().size() * MAX_DRAINING_MACHINE_SHARE) - capacity.draining.size();
+        List<Machine> candidates = capacity.candidates;
         candidates.sort(Comparator.comparingDouble(Machine::usedCpus).thenComparing(machine -> machine));
-        double freeCpus = usage.freeCpus;
-        for (Machine machine : candidates.subList(0, Math.max(0, Math.min(mostMore, candidates.size())))) {
-            double keepFree = Math.max(
+        double freeCpus = capacity.freeCpus;
+        for (Machine machine : candidates.subList(0, Math.max(0, Math.min(maxNewDrains, candidates.size())))) {
+            double requiredFreeCpus = Math.max(
                     machine.type().cpus(),
-                    usage.totalCpus * cluster.operatorSettings().number(OperatorSettings.EMPTY_SHARE));
-            double freeElsewhere = freeCpus - machine.freeCpus();
+                    capacity.totalCpus * cluster.operatorSettings().number(OperatorSettings.EMPTY_SHARE));
+            double freeCpusElsewhere = freeCpus - machine.freeCpus();
             if (now - lowDemandSince
                             < LOW_DEMAND_BOOT_TIMES * 1000 * machine.type().bootS()
-                    || freeElsewhere < machine.usedCpus() + keepFree) {
+                    || freeCpusElsewhere < machine.usedCpus() + requiredFreeCpus) {
                 return;
             }
             LOG.info(
                     "machine draining: machine={} tasks={} free_cpus_elsewhere={}",
                     machine.name(),
                     machine.assignments().size(),
-                    freeElsewhere);
+                    freeCpusElsewhere);
             machine.instance().startDrain();
-            freeCpus = freeElsewhere - machine.usedCpus();
+            freeCpus = freeCpusElsewhere - machine.usedCpus();
         }
     }
 
-    /** Moves one service task of a drained machine at a time, once only services are left there. */
+    /**
+     * Moves service tasks off draining machines, one per machine, once a machine has only movable service tasks left.
+     */
     private void moveServiceTasks(List<Machine> draining, long now) {
         int movesLeft = 1 + (int) (cluster.machines().size() * MAX_MOVING_MACHINE_SHARE);
         for (Machine machine : draining) {
@@ -154,9 +171,9 @@
         }
     }
 
-    /** The task to move from a machine next; null: none may, or not all that is left there may. */
+    /** Returns the next task to move off a machine, or null if any of the tasks left there may not be moved. */
     private static TaskAssignment movableTask(Machine machine, long now) {
-        TaskAssignment last = null;
+        TaskAssignment candidate = null;
         for (TaskAssignment assignment : machine.assignments().values()) {
             if (!assignment.job().spec().service()
                     || assignment.stopping()
@@ -164,9 +181,9 @@
                     || assignment.runtimeMs(now) < MIN_RUNTIME_BEFORE_MOVE_MS) {
                 return null;
             }
-            last = assignment;
+            candidate = assignment;
         }
-        return last;
+        return candidate;
     }
 
     private boolean fitsElsewhere(TaskAssignment assignment, Machine from, long now) {
--- a/src/main/java/stileferry/scheduling/GangPlacement.java
+++ b/src/main/java/stileferry/scheduling/GangPlacement.java
@@ -8,7 +8,7 @@
 import stileferry.cluster.Machine;
 import stileferry.cluster.TaskAssignment;
 
-/** Gang scheduling: machines for all tasks of a gang, or none. */
+/** Gang scheduling: selects machines for all tasks of a gang, or for none of them. */
 final class GangPlacement {
     private final ClusterState cluster;
     private final MachineSelector selector;
@@ -21,9 +21,10 @@
     }
 
     /**
-     * A machine for every task of a gang, in the order of the tasks; empty: there are not enough. Where all must be in
-     * one zone, that of the best machine comes first. It may lack capacity for the rest, so the other zones are tried
-     * too; and where the gang's start can't wait for an image pull, they are tried for one with fewer pulls.
+     * Returns a machine for every task of a gang, in the order of the tasks, or an empty list if not all tasks fit. If
+     * all tasks have to run in one zone, the zone of the best machine is tried first. The other zones are tried if that
+     * zone lacks capacity for the remaining tasks, or to reduce the number of image pulls if the gang can't wait for a
+     * pull without missing its start objective.
      */
     List<Machine> select(Job gang, Predicate<Machine> usable, long now) {
         List<Machine> best = trySelect(gang, usable, now);
@@ -34,10 +35,10 @@
             if (!best.isEmpty() && !shouldSeekFewerPulls(gang, best)) {
                 return best;
             }
-            List<Machine> here =
+            List<Machine> inZone =
                     trySelect(gang, usable.and(machine -> machine.zone().equals(zone)), now);
-            if (best.isEmpty() || !here.isEmpty() && imagePullCount(gang, here) < imagePullCount(gang, best)) {
-                best = here;
+            if (best.isEmpty() || !inZone.isEmpty() && imagePullCount(gang, inZone) < imagePullCount(gang, best)) {
+                best = inZone;
             }
         }
         return best;
@@ -48,19 +49,19 @@
                 && objectives.requiresCachedImage(gang, machines.get(0).type());
     }
 
-    /** The number of tasks whose machine does not hold the job's image. */
+    /** Returns the number of these machines, one for each task, that do not have the job's image. */
     static int imagePullCount(Job job, List<Machine> machines) {
-        int pulls = 0;
+        int count = 0;
         for (Machine machine : machines) {
-            pulls += machine.hasImage(job.spec().image()) ? 0 : 1;
+            count += machine.hasImage(job.spec().image()) ? 0 : 1;
         }
-        return pulls;
+        return count;
     }
 
-    /** Selects one machine after the other with trial assignments, which are taken back at once. */
+    /** Selects a machine for one task after another, using trial assignments that are removed before it returns. */
     private List<Machine> trySelect(Job gang, Predicate<Machine> usable, long now) {
         List<Machine> machines = new ArrayList<>();
-        List<TaskAssignment> trials = new ArrayList<>();
+        List<TaskAssignment> trialAssignments = new ArrayList<>();
         int index = gang.nextUnassignedTask(0);
         while (index < gang.spec().taskCount()) {
             Machine machine = selector.select(gang, usable, now);
@@ -72,10 +73,10 @@
             TaskAssignment trial = new TaskAssignment(
                     gang, index, 0, machine.name(), machine.agent().incarnation(), now);
             cluster.assign(trial);
-            trials.add(trial);
+            trialAssignments.add(trial);
             index = gang.nextUnassignedTask(index);
         }
-        trials.forEach(trial -> cluster.unassign(trial, false));
+        trialAssignments.forEach(trial -> cluster.unassign(trial, false));
         return machines;
     }
 }
--- a/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
+++ b/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
@@ -9,18 +9,22 @@
 import stileferry.protocol.JobSpec;
 
 /**
- * Holds critical tasks and urgent gangs back from machines that would have to pull their image, while preemption can
- * free capacity on machines that hold it: a moment of less urgent work costs less than their users' wait. It does so
- * for half of the time within which the tasks shall start.
+ * Delay scheduling for image locality: delays the start of critical tasks and urgent gangs on machines that would have
+ * to pull their image, while preemption can free capacity on machines that have it. Preempting a little work of lower
+ * priority costs less than the users' wait for the pull. The delay is at most half of the time within which the tasks
+ * should start by their start objective.
  */
 final class ImageLocalityDelay {
-    /** After so many times as long as a job was held back, it may be so again: for another task, or one lost again. */
+    /**
+     * A job may be delayed again once this many times the maximum delay have passed since its last delay began: for
+     * another task, or for one that was lost and has to start again.
+     */
     private static final int REPEAT_AFTER_MAX_DELAYS = 8;
 
-    /** A gang waits for the slowest of its image pulls, which takes up to a third longer than its nominal time. */
+    /** A gang waits for the slowest of its image pulls, which takes up to a third longer than the nominal time. */
     private static final double GANG_PULL_TIME_FACTOR = 4 / 3.0;
 
-    /** Half a second in ms: the patience with a job for each second within which it shall start. */
+    /** The maximum delay of a job, in ms per second of its start objective: half of the objective. */
     private static final double MAX_DELAY_MS_PER_OBJECTIVE_S = 500;
 
     private final ClusterState cluster;
@@ -33,7 +37,7 @@
         this.objectives = objectives;
     }
 
-    /** Whether the job is held back, though it could start on the selected machines. */
+    /** Returns whether the start of the job is to be delayed, although it could start on the selected machines. */
     boolean shouldDelay(Job job, List<Machine> selected, long now) {
         if (!isEligible(job.spec())
                 || GangPlacement.imagePullCount(job, selected) == 0
@@ -41,11 +45,11 @@
                         job, selected.get(0).type(), job.spec().gang() ? GANG_PULL_TIME_FACTOR : 1)) {
             return false;
         }
-        long patienceMs = Math.round(MAX_DELAY_MS_PER_OBJECTIVE_S * objectives.startWithinS(job));
-        if (now - job.localityDelaySince() > REPEAT_AFTER_MAX_DELAYS * patienceMs) {
+        long maxDelayMs = Math.round(MAX_DELAY_MS_PER_OBJECTIVE_S * objectives.startWithinS(job));
+        if (now - job.localityDelaySince() > REPEAT_AFTER_MAX_DELAYS * maxDelayMs) {
             job.startLocalityDelay(now);
         }
-        return now - job.localityDelaySince() <= patienceMs && preemptionCanFreeCapacityWithImage(job, now);
+        return now - job.localityDelaySince() <= maxDelayMs && preemptionCanFreeCapacityWithImage(job, now);
     }
 
     private static boolean isEligible(JobSpec spec) {
@@ -53,17 +57,21 @@
                 || spec.gang() && spec.priority() == JobSpec.Priority.URGENT;
     }
 
-    /** Whether one task, or a whole gang, would fit on machines with its image if they ran nothing less urgent. */
+    /**
+     * Returns whether one task, or all tasks of a gang, would fit on machines with the image if all tasks of lower
+     * priority were preempted there.
+     */
     private boolean preemptionCanFreeCapacityWithImage(Job job, long now) {
-        int wanted = job.spec().gang() ? job.spec().taskCount() : 1;
-        Map<String, Integer> fittingByZone = new HashMap<>();
+        int requiredTasks = job.spec().gang() ? job.spec().taskCount() : 1;
+        Map<String, Integer> fittingTasksByZone = new HashMap<>();
         for (Machine machine : cluster.machines().values()) {
             if (machine.agent().heardThisTerm()
                     && machine.hasImage(job.spec().image())
                     && constraints.allow(job, machine, now)) {
                 String zone = job.spec().oneZone() ? machine.zone() : "";
-                int fitting = fittingByZone.merge(zone, machine.tasksFittingWithPreemption(job), Integer::sum);
-                if (fitting >= wanted) {
+                int fittingTasks =
+                        fittingTasksByZone.merge(zone, machine.tasksFittingWithPreemption(job), Integer::sum);
+                if (fittingTasks >= requiredTasks) {
                     return true;
                 }
             }
@@ -71,7 +79,9 @@
         return false;
     }
 
-    /** Whether capacity is being freed for this job, so that no machine has to be requested for it. */
+    /**
+     * Returns whether the job is being delayed, so that capacity is freed for it and no machine has to be requested.
+     */
     boolean isDelayed(Job job, long now) {
         return job.localityDelaySince() != 0
                 && now - job.localityDelaySince() <= MAX_DELAY_MS_PER_OBJECTIVE_S * objectives.startWithinS(job);
--- a/src/main/java/stileferry/scheduling/MachineSelector.java
+++ b/src/main/java/stileferry/scheduling/MachineSelector.java
@@ -8,13 +8,14 @@
 import stileferry.cluster.Machine;
 
 /**
- * Selects the machine for one task: the SLOW policy of the paper, lowest average bounded slowdown first, with locality
- * of images and then bin packing, the tightest fit, where slowdowns are alike.
+ * Selects the machine for one task by the SLOW policy of the paper cited in {@link Placement}: the machine with the
+ * lowest average bounded slowdown. Among machines with similar slowdowns, image locality decides, and then bin packing
+ * by tightest fit.
  */
 final class MachineSelector {
     /**
-     * Average slowdowns are compared in steps of this size: finer differences only say which machine happened to pull
-     * an image for its last few tasks, and would lead tasks away from the machines that hold their images.
+     * Average slowdowns are rounded to this step before they are compared. Smaller differences only show which machine
+     * happened to pull an image for its last few tasks, and would move tasks away from machines that have their images.
      */
     private static final double SLOWDOWN_STEP = 0.25;
 
@@ -28,17 +29,17 @@
         this.objectives = objectives;
     }
 
-    /** The best of the usable machines on which one more task of the job fits; null: there is none. */
+    /** Returns the best of the usable machines on which one more task of the job fits, or null if there is none. */
     Machine select(Job job, Predicate<Machine> usable, long now) {
         if (!cluster.withinTeamLimit(job)) {
             return null;
         }
-        BestMachineVisitor search = new BestMachineVisitor(job, usable, now);
-        cluster.freeCapacity().visitWithFreeCpus(job.spec().cpus(), search);
-        return search.best;
+        BestMachineVisitor visitor = new BestMachineVisitor(job, usable, now);
+        cluster.freeCapacity().visitWithFreeCpus(job.spec().cpus(), visitor);
+        return visitor.best;
     }
 
-    /** Keeps the best of the machines that it visits. */
+    /** Keeps the best of the visited machines that the job may use. */
     private final class BestMachineVisitor implements Consumer<Machine> {
         private final Job job;
         private final Predicate<Machine> usable;
@@ -63,9 +64,12 @@
         }
     }
 
-    /** Whether a machine is the better one of two; a total order, so that the order of visits does not matter. */
-    boolean isBetter(Job job, Machine machine, Machine than) {
-        return compare(job, machine, than) < 0;
+    /**
+     * Returns whether a machine is better for the job than another one. This is a total order, so the result of a
+     * search does not depend on the order of visits.
+     */
+    boolean isBetter(Job job, Machine machine, Machine other) {
+        return compare(job, machine, other) < 0;
     }
 
     private int compare(Job job, Machine machine, Machine other) {
@@ -81,7 +85,7 @@
             return byImage;
         }
         if (job.spec().allowsSpot() && machine.spot() != other.spot()) {
-            return machine.spot() ? -1 : 1; // ordinary machines are left to work that may not use spot instances
+            return machine.spot() ? -1 : 1; // keeps on-demand machines free for jobs that may not use spot instances
         }
         if (job.spec().service()) {
             int byZone = Integer.compare(job.tasksInZone(machine.zone()), job.tasksInZone(other.zone()));
@@ -93,7 +97,10 @@
         return byFreeCpus != 0 ? byFreeCpus : machine.compareTo(other);
     }
 
-    /** The nearer image first; where neither machine has it, the one with fewer pulls, which share its rate. */
+    /**
+     * Orders by image locality, best first, and if the image is absent on both, by the fewest images being pulled,
+     * because concurrent pulls share the machine's rate.
+     */
     private static int compareImages(Job job, Machine machine, Machine other) {
         String image = job.spec().image();
         ImageLocality locality = machine.imageLocality(image);
@@ -107,7 +114,10 @@
         return Math.round(machine.averageSlowdown() / SLOWDOWN_STEP);
     }
 
-    /** The machine with most free CPUs that the job may use, whether a task of it fits or not; null: there is none. */
+    /**
+     * Returns the machine with the most free CPUs among those that the job may use, whether a task fits there or not,
+     * or null if there is none.
+     */
     Machine withMostFreeCpus(Job job, long now) {
         Machine best = null;
         for (Machine machine : cluster.machines().values()) {
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -8,9 +8,10 @@
 import stileferry.cluster.Machine;
 
 /**
- * Decides what runs where: JR-backfilling orders the jobs, the lowest average bounded slowdown selects the machine
- * (Rodero, Guim, Corbalan: "Performance-driven Coordinated Grid Scheduling", section III). Times are milliseconds on
- * the controller's steady clock, unless they are said to be times of day.
+ * Decides which tasks run on which machines. JR-backfilling selects the next job, and the lowest average bounded
+ * slowdown selects the machine (Rodero, Guim, Corbalan: "Performance-driven Coordinated Grid Scheduling", section III).
+ * Times are milliseconds on the controller's steady clock, except {@code timeOfDay}, which is the wall-clock time in
+ * milliseconds since the epoch.
  */
 public final class Placement {
     private final ClusterState cluster;
@@ -22,7 +23,7 @@
     private final ImageLocalityDelay imageLocalityDelay;
     private boolean stoppedEarly;
 
-    /** Placement on the machines of one leader's model. */
+    /** Creates the placement on the machines of a leader's cluster model. */
     public Placement(ClusterState cluster) {
         this.cluster = cluster;
         this.queueOrder = new QueueOrder(cluster);
@@ -34,45 +35,45 @@
     }
 
     /**
-     * One pass over the queue. A pass that has started enough for one turn stops early, see {@link #stoppedEarly}.
+     * Runs one pass over the queue. A pass that has reached its limit of starts stops early, see {@link #stoppedEarly}.
      *
-     * @param preempts whether work may be preempted, so that some tasks may be held back for it
+     * @param preemptionEnabled whether tasks may be preempted, so that starts may be delayed until capacity is freed
      * @param start assigns the next pending task of a job, or all tasks of a gang, to the machines
      * @return the jobs that still wait for capacity, in queue order; the caller may change the list
      */
-    List<Job> runPass(long now, long timeOfDay, boolean preempts, BiConsumer<Job, List<Machine>> start) {
-        BackfillPass pass = new BackfillPass(cluster, this, now, timeOfDay, preempts, start);
+    List<Job> runPass(long now, long timeOfDay, boolean preemptionEnabled, BiConsumer<Job, List<Machine>> start) {
+        BackfillPass pass = new BackfillPass(cluster, this, now, timeOfDay, preemptionEnabled, start);
         List<Job> waiting = pass.run();
         stoppedEarly = pass.stoppedEarly();
         return waiting;
     }
 
-    /** Whether the last pass stopped before everything that fits was started. */
+    /** Returns whether the last pass stopped before it had started everything that fits. */
     public boolean stoppedEarly() {
         return stoppedEarly;
     }
 
-    /** The jobs with a pending task that may start now, in queue order. */
+    /** Returns the jobs with a pending task that may start now, in queue order. */
     public List<Job> queue(long now, long timeOfDay) {
         return queueOrder.queue(now, timeOfDay);
     }
 
-    /** Requested CPUs, GPUs and memory over the largest machine type's, summed. */
+    /** Returns the sum of the CPUs, GPUs and memory of one task, each relative to the largest machine type. */
     public double rank(Job job) {
         return queueOrder.rank(job.spec());
     }
 
-    /** Why the next task of this job is pending, in words for operators. */
+    /** Returns why the next task of this job is pending, as a text for operators. */
     public String pendingReason(Job job, long now) {
         return constraints.pendingReason(job, now);
     }
 
-    /** Whether a job waits too long for its first task, so that it goes first; the time of day is in milliseconds. */
+    /** Returns whether a job has waited too long for its first task, so that it goes before all others. */
     boolean overdue(Job job, long timeOfDay) {
         return queueOrder.overdue(job, timeOfDay);
     }
 
-    /** A usable machine for the next task of a job, or one for each task of a gang; empty: there is none. */
+    /** Returns a machine for the next task of a job, or one for each task of a gang; empty if they don't fit. */
     List<Machine> select(Job job, Predicate<Machine> usable, long now) {
         if (job.spec().gang()) {
             return gangPlacement.select(job, usable, now);
--- a/src/main/java/stileferry/scheduling/PlacementConstraints.java
+++ b/src/main/java/stileferry/scheduling/PlacementConstraints.java
@@ -6,11 +6,11 @@
 import stileferry.protocol.JobSpec;
 
 /**
- * Where a job's tasks may run, whatever is free there: machine type, zone, spot or ordinary instance, the job's other
- * tasks, and the machine's health.
+ * Decides on which machines a job's tasks may run, whatever capacity is free there: by machine type, zone, spot or
+ * on-demand instance, the job's other tasks, and the machine's health.
  */
 final class PlacementConstraints {
-    /** A machine that has not been heard from for so many report intervals is taken to be unreachable. */
+    /** The number of heartbeat intervals without a heartbeat after which a machine is considered unreachable. */
     private static final int UNREACHABLE_AFTER_HEARTBEAT_INTERVALS = 3;
 
     private final ClusterState cluster;
@@ -19,7 +19,7 @@
         this.cluster = cluster;
     }
 
-    /** Whether a task of the job may start on the machine if it fits there. */
+    /** Returns whether a task of the job may start on the machine if it fits there. */
     boolean allow(Job job, Machine machine, long now) {
         JobSpec spec = job.spec();
         return isHealthy(machine, now)
@@ -41,7 +41,9 @@
                                 * cluster.settings().workers().heartbeatIntervalS();
     }
 
-    /** Whether the job's zone rules allow one more task in a zone beside all that may be on machines. */
+    /**
+     * Returns whether the job's zone constraints allow one more task in a zone beside those that may be on machines.
+     */
     private static boolean allowZone(Job job, String zone) {
         if (job.spec().oneZone()) {
             for (String used : job.zonesWithTasks()) {
@@ -50,12 +52,12 @@
                 }
             }
         }
-        // machines whose zone is not known yet (after a failover) may be in this one
-        int here = job.tasksInZone(zone) + job.tasksInZone("");
-        return !job.spec().spreadAcrossZones() || here < (job.spec().taskCount() + 1) / 2;
+        // after a failover, machines whose zone is not known yet may be in this zone
+        int tasksInZone = job.tasksInZone(zone) + job.tasksInZone("");
+        return !job.spec().spreadAcrossZones() || tasksInZone < (job.spec().taskCount() + 1) / 2;
     }
 
-    /** Why the next task of a job is pending, in words for operators. */
+    /** Returns why the next task of a job is pending, as a text for operators. */
     String pendingReason(Job job, long now) {
         if (!cluster.withinTeamLimit(job)) {
             return "its team is at its limit";
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -13,20 +13,24 @@
 import stileferry.protocol.JobSpec;
 
 /**
- * Frees capacity for jobs that may ask for it: by preempting work of lower priority, or work that another team runs
- * beyond its quota when the waiting job is within its own. Least lost work first, and only if it frees enough.
+ * Plans preemptions to free capacity for waiting jobs. A job may preempt tasks of lower priority and, if it is within
+ * its team's quota, tasks that another team runs beyond its own quota. Tasks with the least lost work are preempted
+ * first, and only if that frees enough capacity.
  */
 final class Preemption {
-    /** Machines visited in one turn, as a multiple of all. */
+    /** The budget of machine visits per planning run that is added for each machine. */
     private static final int VISIT_BUDGET_PER_MACHINE = 6;
 
-    /** Visits that cost little whatever the size, so that a small cluster decides for all jobs in each turn. */
+    /**
+     * The budget of machine visits per planning run on top of that, so that each run covers all jobs in a small
+     * cluster. That many visits are cheap at any cluster size.
+     */
     private static final int BASE_VISIT_BUDGET = 2000;
 
-    /** Victims may save a checkpoint if so many saves fit into the time within which the work shall start. */
+    /** Victims may save a checkpoint if at least this many saves fit into the start objective of the preempting job. */
     private static final double MIN_CHECKPOINT_SAVES_WITHIN_START = 2;
 
-    /** The share of its time to start that a gang waits for free capacity before others are preempted for it. */
+    /** The share of its start objective for which a gang waits for free capacity before it may preempt others. */
     private static final double GANG_WAIT_SHARE = 0.25;
 
     private final ClusterState cluster;
@@ -42,26 +46,29 @@
         this.victimSelector = new VictimSelector(cluster);
     }
 
-    /** A decided preemption: the task, its grace period in seconds, and the job that gets the capacity. */
+    /** A planned preemption: the task, its grace period in seconds, and the job that gets the capacity. */
     record PlannedPreemption(TaskAssignment victim, double graceS, Job preemptor) {}
 
-    /** One machine on which capacity can be freed, with what that costs. */
+    /** A machine on which capacity for one more task can be freed, with the cost of freeing it. */
     private record Candidate(Machine machine, List<TaskAssignment> victims, boolean pullsImage, long lostWorkMs) {}
 
     /**
-     * Decides for the waiting jobs, in queue order, and reserves the capacity for them. Capacity that is being freed
-     * already goes to the first that fits it.
+     * Plans preemptions for the waiting jobs, in queue order, and reserves the capacity for them. Capacity that is
+     * already being freed goes to the first job that fits it.
      *
-     * @param bootMs how long a requested machine boots, which jobs without urgency wait before they may preempt
+     * @param bootMs how long a requested machine takes to boot, in milliseconds; jobs of normal priority that are not
+     *     within their quota have to wait for as long before they may preempt
+     * @param timeOfDay the wall-clock time, in milliseconds since the epoch
+     * @return the tasks to stop
      */
     List<PlannedPreemption> plan(List<Job> waiting, long now, long bootMs, long timeOfDay) {
         PreemptionPlan plan = new PreemptionPlan();
         cluster.stoppingTasks().forEach(plan::markStopping);
-        Map<List<Object>, UnplaceableRequests> unplaceable = new HashMap<>();
+        Map<List<Object>, UnplaceableRequests> unplaceableByEntitlement = new HashMap<>();
         visitsLeft = VISIT_BUDGET_PER_MACHINE * cluster.machines().size() + BASE_VISIT_BUDGET;
         for (Job job : waiting) {
             if (visitsLeft <= 0) {
-                break; // the rest in a later turn
+                break; // the remaining jobs are left to a later planning run
             }
             if (!mayPreempt(job, timeOfDay, bootMs)
                     || !cluster.withinTeamLimit(job)
@@ -72,11 +79,11 @@
                 plan = freeCapacityForGang(job, now, plan);
                 continue;
             }
-            UnplaceableRequests alike = unplaceable.computeIfAbsent(
+            UnplaceableRequests unplaceable = unplaceableByEntitlement.computeIfAbsent(
                     List.of(job.spec().priority(), job.withinQuota(), job.spec().team()),
                     any -> new UnplaceableRequests());
-            if (!alike.cover(job) && freeCapacity(job, null, now, plan) == 0) {
-                alike.add(job);
+            if (!unplaceable.cover(job) && freeCapacity(job, null, now, plan) == 0) {
+                unplaceable.add(job);
             }
         }
         cluster.reservations().clear();
@@ -90,57 +97,62 @@
             return true;
         }
         long waitedMs = timeOfDay - job.submittedAt();
-        // a machine to be requested boots too late for a gang that is to start soon, so it doesn't wait for one
-        double patienceMs =
+        // a gang with a short start objective doesn't wait for a requested machine, which would boot too late for it
+        double maxWaitMs =
                 job.spec().gang() ? Math.min(bootMs, GANG_WAIT_SHARE * 1000 * objectives.startWithinS(job)) : bootMs;
-        return job.spec().priority() == JobSpec.Priority.NORMAL && waitedMs > patienceMs;
+        return job.spec().priority() == JobSpec.Priority.NORMAL && waitedMs > maxWaitMs;
     }
 
     /**
-     * Capacity for a part of a gang helps nobody: it is freed for all tasks or not at all, and where they must be in
-     * one zone, in the one with the fewest image pulls and the least lost work. Returns the plan to go on with.
+     * Frees capacity for all tasks of a gang or for none, as capacity for a part of it is of no use. If the tasks have
+     * to run in one zone, the zone with the fewest image pulls and then the least lost work is used.
+     *
+     * @return the plan with the preemptions for the gang, or the unchanged plan if the capacity can't be freed
      */
     private PreemptionPlan freeCapacityForGang(Job gang, long now, PreemptionPlan before) {
         int tasks = gang.pendingCount();
         PreemptionPlan best = null;
         for (String zone :
                 gang.spec().oneZone() ? cluster.settings().zones() : Collections.<String>singletonList(null)) {
-            PreemptionPlan here = before.copy();
-            if (freeCapacity(gang, zone, now, here) == tasks && here.isBetterThan(best)) {
-                best = here;
+            PreemptionPlan plan = before.copy();
+            if (freeCapacity(gang, zone, now, plan) == tasks && plan.isBetterThan(best)) {
+                best = plan;
             }
         }
         return best == null ? before : best;
     }
 
     /**
-     * Frees capacity for as many pending tasks of a job as it can, in one zone or (null) in any.
+     * Frees capacity for as many pending tasks of a job as possible.
      *
-     * @return for how many
+     * @param zone the only zone to use; null for any
+     * @return the number of tasks for which capacity is freed
      */
     private int freeCapacity(Job job, String zone, long now, PreemptionPlan plan) {
-        PriorityQueue<Candidate> options = findCandidates(job, zone, now, plan);
-        int freed = 0;
+        PriorityQueue<Candidate> candidates = findCandidates(job, zone, now, plan);
+        int freedTasks = 0;
         int tasks = job.pendingCount();
-        while (freed < tasks && visitsLeft > 0 && !options.isEmpty()) {
-            Candidate best = options.poll();
+        while (freedTasks < tasks && visitsLeft > 0 && !candidates.isEmpty()) {
+            Candidate best = candidates.poll();
             visitsLeft--;
-            // what was decided since may have made it dearer, or not allowed any more
+            // preemptions planned since may have made it more expensive or ruled it out
             Candidate current = findCandidate(job, best.machine, now, plan);
             if (current == null || current.lostWorkMs > best.lostWorkMs) {
-                addUnlessNull(options, current);
+                addUnlessNull(candidates, current);
                 continue;
             }
             addToPlan(job, current, plan);
-            freed++;
-            addUnlessNull(options, findCandidate(job, best.machine, now, plan));
+            freedTasks++;
+            addUnlessNull(candidates, findCandidate(job, best.machine, now, plan));
         }
-        return freed;
+        return freedTasks;
     }
 
-    /** The machines on which capacity can be freed, the best first. */
+    /**
+     * Returns the machines on which capacity can be freed: those without an image pull first, then by least lost work.
+     */
     private PriorityQueue<Candidate> findCandidates(Job job, String zone, long now, PreemptionPlan plan) {
-        PriorityQueue<Candidate> options = new PriorityQueue<>(Comparator.comparing(Candidate::pullsImage)
+        PriorityQueue<Candidate> candidates = new PriorityQueue<>(Comparator.comparing(Candidate::pullsImage)
                 .thenComparingLong(Candidate::lostWorkMs)
                 .thenComparing(Candidate::machine));
         for (Machine machine : cluster.machines().values()) {
@@ -148,21 +160,21 @@
                     && (zone == null || zone.equals(machine.zone()))
                     && constraints.allow(job, machine, now)) {
                 visitsLeft--;
-                addUnlessNull(options, findCandidate(job, machine, now, plan));
+                addUnlessNull(candidates, findCandidate(job, machine, now, plan));
             }
         }
-        return options;
+        return candidates;
     }
 
-    private static void addUnlessNull(PriorityQueue<Candidate> options, Candidate option) {
-        if (option != null) {
-            options.add(option);
+    private static void addUnlessNull(PriorityQueue<Candidate> candidates, Candidate candidate) {
+        if (candidate != null) {
+            candidates.add(candidate);
         }
     }
 
-    private void addToPlan(Job job, Candidate option, PreemptionPlan plan) {
-        plan.reserve(job, option.machine, option.pullsImage, option.lostWorkMs);
-        for (TaskAssignment victim : option.victims) {
+    private void addToPlan(Job job, Candidate candidate, PreemptionPlan plan) {
+        plan.reserve(job, candidate.machine, candidate.pullsImage, candidate.lostWorkMs);
+        for (TaskAssignment victim : candidate.victims) {
             double graceS = mustStartBeforeCheckpoint(job, victim)
                     ? 0
                     : victim.job().spec().checkpointSaveS();
@@ -170,7 +182,7 @@
         }
     }
 
-    /** How capacity for one more task can be freed on a machine; null: it can't. */
+    /** Returns how capacity for one more task can be freed on a machine, or null if that is not possible. */
     private Candidate findCandidate(Job job, Machine machine, long now, PreemptionPlan plan) {
         List<TaskAssignment> victims = victimSelector.select(job, machine, now, plan);
         if (victims == null) {
@@ -185,7 +197,7 @@
         return new Candidate(machine, victims, pullsImage, lostWorkMs);
     }
 
-    /** Whether a job has to start too soon for the victim to save a checkpoint. */
+    /** Returns whether the job has to start too soon to let the victim save a checkpoint first. */
     private boolean mustStartBeforeCheckpoint(Job job, TaskAssignment victim) {
         double savesS = MIN_CHECKPOINT_SAVES_WITHIN_START * victim.job().spec().checkpointSaveS();
         return job.spec().priority() == JobSpec.Priority.CRITICAL
--- a/src/main/java/stileferry/scheduling/PreemptionPlan.java
+++ b/src/main/java/stileferry/scheduling/PreemptionPlan.java
@@ -11,7 +11,7 @@
 import stileferry.cluster.Resources;
 import stileferry.cluster.TaskAssignment;
 
-/** What has been decided so far in one turn. It can be copied, to try one way to free capacity among several. */
+/** The preemptions and reservations planned so far in one planning run. Copies serve to compare alternatives. */
 final class PreemptionPlan {
     private static final Resources NO_RESOURCES = new Resources();
 
@@ -23,7 +23,7 @@
     private int imagePulls;
     private long lostWorkMs;
 
-    /** Capacity for one pending task of a job on a machine. */
+    /** A reservation of capacity on a machine for one pending task of a job. */
     record Reservation(Job job, Machine machine) {}
 
     PreemptionPlan copy() {
@@ -38,7 +38,7 @@
         return copy;
     }
 
-    /** Takes in that an assigned task stops, by this plan or because that was requested before. */
+    /** Records that an assigned task stops, by this plan or because a stop was requested before. */
     void markStopping(TaskAssignment assignment) {
         stopping.add(assignment);
         releasedByTeam
@@ -46,10 +46,10 @@
                 .add(assignment.job().spec());
     }
 
-    /** Preempts a task, and with it the rest of its gang. */
-    void preempt(Preemption.PlannedPreemption stop) {
-        preemptions.add(stop);
-        TaskAssignment victim = stop.victim();
+    /** Adds the preemption of a task; if the task belongs to a gang, the gang's other tasks stop with it. */
+    void preempt(Preemption.PlannedPreemption preemption) {
+        preemptions.add(preemption);
+        TaskAssignment victim = preemption.victim();
         if (victim.job().spec().gang()) {
             victim.job().assignments().values().stream()
                     .filter(assignment -> !stopping.contains(assignment))
@@ -62,28 +62,28 @@
     /**
      * Reserves capacity for one pending task.
      *
-     * @param pullsImage whether the machine does not hold the job's image, though the job can't wait for it
-     * @param lostMs the work that is lost for this task
+     * @param pullsImage whether the machine lacks the job's image, and pulling it would miss the job's start objective
+     * @param victimLostWorkMs the preemption cost of the victims, in milliseconds of lost work
      */
-    void reserve(Job job, Machine machine, boolean pullsImage, long lostMs) {
+    void reserve(Job job, Machine machine, boolean pullsImage, long victimLostWorkMs) {
         reservedByMachine
                 .computeIfAbsent(machine.name(), name -> new Resources())
                 .add(job.spec());
         reservations.add(new Reservation(job, machine));
         imagePulls += pullsImage ? 1 : 0;
-        lostWorkMs += lostMs;
+        lostWorkMs += victimLostWorkMs;
     }
 
     boolean isStopping(TaskAssignment assignment) {
         return stopping.contains(assignment);
     }
 
-    /** What is reserved on a machine for pending tasks considered earlier. */
+    /** Returns the resources reserved on a machine for pending tasks that were planned earlier; not to be modified. */
     Resources reservedOn(Machine machine) {
         return reservedByMachine.getOrDefault(machine.name(), NO_RESOURCES);
     }
 
-    /** What a team's stopping tasks release. */
+    /** Returns the resources that a team's stopping tasks release; not to be modified. */
     Resources releasedBy(String team) {
         return releasedByTeam.getOrDefault(team, NO_RESOURCES);
     }
@@ -96,7 +96,9 @@
         return reservations;
     }
 
-    /** Whether it needs fewer image pulls, or loses less work with as many; anything is better than null. */
+    /**
+     * Returns whether this plan needs fewer image pulls, or as many and loses less work; any plan is better than null.
+     */
     boolean isBetterThan(PreemptionPlan other) {
         return other == null
                 || imagePulls < other.imagePulls
--- a/src/main/java/stileferry/scheduling/QueueOrder.java
+++ b/src/main/java/stileferry/scheduling/QueueOrder.java
@@ -13,7 +13,7 @@
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.Settings;
 
-/** The order of the queue: overdue jobs, then priority, then jobs within their team's quota, then submission. */
+/** Orders the queue: overdue jobs first, then by priority, then jobs within their team's quota, then by submission. */
 final class QueueOrder {
     private final ClusterState cluster;
 
@@ -21,7 +21,7 @@
         this.cluster = cluster;
     }
 
-    /** Marks the jobs that fit into their team's quota together with the team's earlier jobs. */
+    /** Marks the jobs that, together with their team's earlier jobs, fit the team's quota. */
     void markWithinQuota() {
         Map<String, Resources> requestedByTeam = new HashMap<>();
         for (Job job : cluster.jobs().values()) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Whether a job waits too long for its first task: it goes before all others, with that task only. */
+    /** Returns whether a job has waited too long for its first task; that task alone then goes before all others. */
     boolean overdue(Job job, long timeOfDay) {
         return !job.started()
                 && job.assignments().isEmpty()
@@ -44,7 +44,7 @@
                         > 1000 * cluster.operatorSettings().number(OperatorSettings.BEGIN_WITHIN_S);
     }
 
-    /** The jobs with a pending task that may start now, in queue order. */
+    /** Returns the jobs with a pending task that may start now, in queue order. */
     List<Job> queue(long now, long timeOfDay) {
         List<Job> queue = new ArrayList<>();
         for (Job job : cluster.jobs().values()) {
@@ -59,16 +59,19 @@
         return queue;
     }
 
-    /** The rank of the paper: requested CPUs, GPUs and memory over the largest machine type's, summed. */
+    /**
+     * Returns the rank as defined by the paper cited in {@link Placement}: the sum of the requested CPUs, GPUs and
+     * memory, each relative to the largest machine type.
+     */
     double rank(JobSpec spec) {
-        double mostCpus = 1;
-        double mostGpus = 1;
-        double mostMemoryGb = 1;
+        double maxCpus = 1;
+        double maxGpus = 1;
+        double maxMemoryGb = 1;
         for (MachineType type : cluster.machineTypes()) {
-            mostCpus = Math.max(mostCpus, type.cpus());
-            mostGpus = Math.max(mostGpus, type.gpus());
-            mostMemoryGb = Math.max(mostMemoryGb, type.memoryGb());
+            maxCpus = Math.max(maxCpus, type.cpus());
+            maxGpus = Math.max(maxGpus, type.gpus());
+            maxMemoryGb = Math.max(maxMemoryGb, type.memoryGb());
         }
-        return spec.cpus() / mostCpus + spec.gpus() / mostGpus + spec.memoryGb() / mostMemoryGb;
+        return spec.cpus() / maxCpus + spec.gpus() / maxGpus + spec.memoryGb() / maxMemoryGb;
     }
 }
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -12,7 +12,9 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.OperatorSettings;
 
-/** A scheduling pass: starts what fits, preempts, and on regular passes scales out and drains machines. */
+/**
+ * Runs scheduling passes: starts tasks that fit, preempts tasks, and in regular passes scales out and drains machines.
+ */
 public final class SchedulingPass {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
@@ -25,7 +27,7 @@
     private final Consolidation consolidation;
     private final TaskLifecycle taskLifecycle;
 
-    /** Passes over one leader's queue. */
+    /** Creates the scheduling passes of one leader's term. */
     public SchedulingPass(
             ClusterState cluster,
             Environment environment,
@@ -47,26 +49,27 @@
     /**
      * Runs one pass.
      *
-     * @param regular whether the cluster may be scaled out and machines drained too, which is done once an interval
-     * @param settled whether all machines that can report have reported in this term
+     * @param regular whether this is the regular pass of an interval, which may also scale out and drain machines
+     * @param allWorkersHeard whether all machines that can report have reported in this term
      */
-    public void run(boolean regular, boolean settled) {
+    public void run(boolean regular, boolean allWorkersHeard) {
         if (cluster.machineTypes().isEmpty() || !links.permitsTaskStart()) {
             return;
         }
         long now = environment.now();
-        boolean mayRearrange = settled && links.permitsPreemption();
-        boolean preempts = mayRearrange && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
-        List<Job> waiting = placement.runPass(now, environment.timeOfDay(), preempts, this::start);
+        boolean evictionsPermitted = allWorkersHeard && links.permitsPreemption();
+        boolean preemptionEnabled =
+                evictionsPermitted && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
+        List<Job> waiting = placement.runPass(now, environment.timeOfDay(), preemptionEnabled, this::start);
         cluster.reservations().clear();
-        if (preempts) {
+        if (preemptionEnabled) {
             preempt(waiting, now);
         }
         waiting.removeIf(job -> placement.imageLocalityDelay().isDelayed(job, now)); // capacity is being freed for it
-        if (settled && regular && !waiting.isEmpty() && links.permitsScaleOut()) {
+        if (allWorkersHeard && regular && !waiting.isEmpty() && links.permitsScaleOut()) {
             autoscaler.scaleOut(waiting);
         }
-        if (regular && mayRearrange) {
+        if (regular && evictionsPermitted) {
             consolidation.run(waiting, now);
         }
     }
--- a/src/main/java/stileferry/scheduling/StartObjectives.java
+++ b/src/main/java/stileferry/scheduling/StartObjectives.java
@@ -4,15 +4,15 @@
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
-/** How soon the tasks of a job shall start by the service-level objectives, and whether an image pull misses that. */
+/** The service-level objectives for how soon tasks should start, and whether an image pull would miss them. */
 final class StartObjectives {
-    /** The kind of objective that says how soon tasks of a job class shall start. */
+    /** The kind of objective that defines within which time the tasks of a job class should start. */
     private static final String WAIT_OBJECTIVE_KIND = "wait";
 
-    /** The kind of objective that says how soon work within a quota shall start. */
+    /** The kind of objective that defines within which time tasks of jobs within their team's quota should start. */
     private static final String QUOTA_OBJECTIVE_KIND = "guarantee";
 
-    /** A gang waits for the slowest of its image pulls, and two pulls at a time take twice as long. */
+    /** A gang waits for the slowest of its image pulls, and two concurrent pulls on a machine take twice as long. */
     private static final double GANG_PULL_TIME_FACTOR = 2;
 
     private final Settings settings;
@@ -21,7 +21,7 @@
         this.settings = settings;
     }
 
-    /** Seconds within which tasks of this job shall start; infinite without an objective for its class. */
+    /** Returns the seconds within which tasks of this job should start; infinite without an objective for its class. */
     double startWithinS(Job job) {
         for (Settings.ServiceLevelObjective objective : settings.objectives()) {
             if (objective.kind().equals(WAIT_OBJECTIVE_KIND)
@@ -32,7 +32,7 @@
         return Double.POSITIVE_INFINITY;
     }
 
-    /** Whether work within its quota shall start sooner than in so many seconds. */
+    /** Returns whether an objective requires jobs within their quota to start within less than this many seconds. */
     boolean hasQuotaObjectiveBelow(double seconds) {
         for (Settings.ServiceLevelObjective objective : settings.objectives()) {
             if (objective.kind().equals(QUOTA_OBJECTIVE_KIND) && objective.withinS() < seconds) {
@@ -42,13 +42,17 @@
         return false;
     }
 
-    /** Whether the job shall start sooner than a machine of this type can pull its image. */
+    /** Returns whether the job would miss its start objective if a machine of this type had to pull its image first. */
     boolean requiresCachedImage(Job job, MachineType type) {
         return pullMissesObjective(job, type, job.spec().gang() ? GANG_PULL_TIME_FACTOR : 1);
     }
 
-    /** Whether the job shall start before a pull ends that takes so many times its nominal time. */
-    boolean pullMissesObjective(Job job, MachineType type, double nominalTimes) {
-        return startWithinS(job) < nominalTimes * job.spec().imageGb() / type.fetchGbPerS();
+    /**
+     * Returns whether an image pull would miss the job's start objective.
+     *
+     * @param pullTimeFactor the duration of the pull, as a multiple of its nominal duration on this machine type
+     */
+    boolean pullMissesObjective(Job job, MachineType type, double pullTimeFactor) {
+        return startWithinS(job) < pullTimeFactor * job.spec().imageGb() / type.fetchGbPerS();
     }
 }
--- a/src/main/java/stileferry/scheduling/UnplaceableRequests.java
+++ b/src/main/java/stileferry/scheduling/UnplaceableRequests.java
@@ -6,26 +6,28 @@
 import stileferry.protocol.JobSpec;
 
 /**
- * Requests for which no capacity was found. Capacity only shrinks in a pass, so whoever requests as much finds none
- * either.
+ * Requests for which no capacity was found in a pass. Free capacity only shrinks during a pass, so no capacity can be
+ * found for a job that requests at least as much either.
  */
 final class UnplaceableRequests {
     private final List<JobSpec> specs = new ArrayList<>();
 
-    /** Takes in a job without capacity; false if that says nothing about other jobs. */
+    /** Adds a job without capacity, unless the reason may not apply to other jobs; returns whether it was added. */
     boolean add(Job job) {
         JobSpec spec = job.spec();
         if (spec.gang()
                 || spec.oneZone()
                 || spec.spreadAcrossZones()
                 || job.failureHistory().failedAnywhere()) {
-            return false; // it may have been kept away by what concerns no other job
+            return false; // the reason may apply to this job only
         }
         specs.add(spec);
         return true;
     }
 
-    /** Whether the job requests at least as much as one without capacity, on no more machines. */
+    /**
+     * Returns whether the job requests at least as much as an added one and may use no machine that this one may not.
+     */
     boolean cover(Job job) {
         for (JobSpec unplaceable : specs) {
             if (requestsAtLeast(job.spec(), unplaceable) && allowedMachinesSubsetOf(job.spec(), unplaceable)) {
@@ -39,7 +41,7 @@
         return other.cpus() <= spec.cpus() && other.gpus() <= spec.gpus() && other.memoryGb() <= spec.memoryGb();
     }
 
-    /** Whether every machine that a job may use may be used by the other too. */
+    /** Returns whether the other job may use every machine that the job with this specification may use. */
     private static boolean allowedMachinesSubsetOf(JobSpec spec, JobSpec other) {
         return (other.allowsSpot() || !spec.allowsSpot())
                 && (other.zone() == null || other.zone().equals(spec.zone()))
--- a/src/main/java/stileferry/scheduling/VictimSelector.java
+++ b/src/main/java/stileferry/scheduling/VictimSelector.java
@@ -11,9 +11,9 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.Settings;
 
-/** Selects the tasks on a machine to be preempted for a job: the lowest priority first, then the least lost work. */
+/** Selects the tasks on a machine to preempt for a job: lowest priority first, then least lost work. */
 final class VictimSelector {
-    /** The first task of an overdue job runs for so long before it may be preempted. */
+    /** How long the first task of an overdue job must have run before it may be preempted. */
     private static final long OVERDUE_MIN_RUNTIME_MS = 30_000;
 
     private final ClusterState cluster;
@@ -22,7 +22,7 @@
         this.cluster = cluster;
     }
 
-    /** Whether any task might be preempted for this job; spares a look at every machine. */
+    /** Returns whether any task might be preempted for this job; a cheap check that avoids visiting every machine. */
     boolean hasCandidatesFor(Job job) {
         if (cluster.hasTasksBelowPriority(job.spec().priority())) {
             return true;
@@ -37,17 +37,17 @@
         return false;
     }
 
-    /** The tasks to preempt on this machine so that one more task of the job fits; null: that can't be done. */
+    /** Returns the tasks to preempt on this machine so that one more task of the job fits, or null if none will do. */
     List<TaskAssignment> select(Job job, Machine machine, long now, PreemptionPlan plan) {
         Resources free = Resources.of(machine.type());
         free.subtract(plan.reservedOn(machine));
         free.subtract(job.spec());
-        Resources nothing = new Resources();
+        Resources noResources = new Resources();
         List<TaskAssignment> candidates = new ArrayList<>();
         for (TaskAssignment assignment : machine.assignments().values()) {
             if (!plan.isStopping(assignment)) {
                 free.subtract(assignment.job().spec());
-                if (!justStartedOverdue(assignment, now) && mayPreempt(job, assignment, plan, nothing)) {
+                if (!justStartedOverdue(assignment, now) && mayPreempt(job, assignment, plan, noResources)) {
                     candidates.add(assignment);
                 }
             }
@@ -78,13 +78,17 @@
         return assignment.startedOverdue() && assignment.runtimeMs(now) < OVERDUE_MIN_RUNTIME_MS;
     }
 
-    /** Whether a task may be preempted for a job, after so much was released on the same machine already. */
+    /**
+     * Returns whether a task may be preempted for a job.
+     *
+     * @param released the resources of the victims that are already selected on the same machine
+     */
     private boolean mayPreempt(Job job, TaskAssignment assignment, PreemptionPlan plan, Resources released) {
         JobSpec victim = assignment.job().spec();
         int byPriority = job.spec().priority().compareTo(victim.priority());
         if (byPriority != 0) {
-            // A quota is not met by preempting more urgent work of another team: that would come back at once as the
-            // head of the queue and be preempted again and again.
+            // Tasks of higher priority are not preempted for a quota: they would return to the head of the queue
+            // immediately and be preempted again and again.
             return byPriority < 0;
         }
         Resources releasedByTeam = plan.releasedBy(victim.team());
--- a/src/main/java/stileferry/scheduling/package-info.java
+++ b/src/main/java/stileferry/scheduling/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What runs where. A {@link stileferry.scheduling.SchedulingPass} starts what fits ({@link
- * stileferry.scheduling.Placement}: the queue's order, constraints, selection of machines, gangs), preempts other work
- * for what does not, and drains machines that are not needed.
+ * The scheduler. A {@link stileferry.scheduling.SchedulingPass} starts the tasks that fit ({@link
+ * stileferry.scheduling.Placement}: queue order, placement constraints, machine selection, gangs), preempts other tasks
+ * for those that do not fit, and drains machines that are not needed.
  */
 package stileferry.scheduling;
