--- a/src/main/java/stileferry/scheduling/PlacementConstraints.java
+++ b/src/main/java/stileferry/scheduling/PlacementConstraints.java
@@ -53,8 +53,8 @@
             }
         }
         // after a failover, machines whose zone is not known yet may be in this zone
-        int tasksInZone = job.tasksInZone(zone) + job.tasksInZone("");
-        return !job.spec().spreadAcrossZones() || tasksInZone < (job.spec().taskCount() + 1) / 2;
+        int possibleTasks = job.tasksInZone(zone) + job.tasksInZone("");
+        return !job.spec().spreadAcrossZones() || possibleTasks < (job.spec().taskCount() + 1) / 2;
     }
 
     /** Returns why the next task of a job is pending, as a text for operators. */
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -14,8 +14,8 @@
 
 /**
  * Plans preemptions to free capacity for waiting jobs. A job may preempt tasks of lower priority and, if it is within
- * its team's quota, tasks that another team runs beyond its own quota. Tasks with the least lost work are preempted
- * first, and only if that frees enough capacity.
+ * its team's quota, tasks that another team runs beyond its own quota. Machines on which the least work is lost are
+ * used first, and tasks are preempted only if that frees enough capacity.
  */
 final class Preemption {
     /** The budget of machine visits per planning run that is added for each machine. */
@@ -114,9 +114,9 @@
         PreemptionPlan best = null;
         for (String zone :
                 gang.spec().oneZone() ? cluster.settings().zones() : Collections.<String>singletonList(null)) {
-            PreemptionPlan plan = before.copy();
-            if (freeCapacity(gang, zone, now, plan) == tasks && plan.isBetterThan(best)) {
-                best = plan;
+            PreemptionPlan zonePlan = before.copy();
+            if (freeCapacity(gang, zone, now, zonePlan) == tasks && zonePlan.isBetterThan(best)) {
+                best = zonePlan;
             }
         }
         return best == null ? before : best;
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -82,12 +82,12 @@
 
     private void preempt(List<Job> waiting, long now) {
         long bootMs = Math.round(1000 * cluster.machineTypes().get(0).bootS());
-        for (Preemption.PlannedPreemption stop : preemption.plan(waiting, now, bootMs, environment.timeOfDay())) {
+        for (Preemption.PlannedPreemption planned : preemption.plan(waiting, now, bootMs, environment.timeOfDay())) {
             LOG.debug(
                     "task preempted: task={} for_job={}",
-                    stop.victim().taskId(),
-                    stop.preemptor().spec().id());
-            taskLifecycle.stop(stop.victim(), stop.graceS());
+                    planned.victim().taskId(),
+                    planned.preemptor().spec().id());
+            taskLifecycle.stop(planned.victim(), planned.graceS());
         }
     }
 }
--- a/src/test/java/stileferry/cluster/JobTest.java
+++ b/src/test/java/stileferry/cluster/JobTest.java
@@ -10,15 +10,15 @@
 import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MessageCodec;
 
-/** The phases of a job and of its cancellation. */
+/** Checks the phases of a job and of its cancellation. */
 class JobTest {
-    private static Job submitted() {
+    private static Job submittedJob() {
         return new Job(JobSpecBuilder.array(1).tasks(2).build(), 1, 0, 0);
     }
 
     @Test
     void onlyAcceptedJobHasPendingTasks() {
-        Job job = submitted();
+        Job job = submittedJob();
         assertEquals(-1, job.nextPendingTask(0));
         job.markAccepted();
         assertEquals(0, job.nextPendingTask(0));
@@ -34,7 +34,7 @@
 
     @Test
     void phasesOnlyMoveForward() {
-        Job job = submitted();
+        Job job = submittedJob();
         job.markCompleting();
         job.markAccepted();
         assertTrue(job.completing());
@@ -45,7 +45,7 @@
 
     @Test
     void cancelledJobCompletesInAnyCancellationPhase() {
-        Job job = submitted();
+        Job job = submittedJob();
         job.markAccepted();
         job.requestCancellation();
         assertTrue(job.cancelled());
@@ -59,7 +59,7 @@
 
     @Test
     void cancellationOfStoredJobIsDurable() throws InvalidJobSpecException {
-        ObjectNode stored = submitted().entry().value();
+        ObjectNode stored = submittedJob().entry().value();
         assertFalse(Job.read(stored, 1).cancelled());
         Job cancelled = Job.read(stored.put("cancelled", true), 1);
         assertTrue(cancelled.accepted());
--- a/src/test/java/stileferry/cluster/TestJob.java
+++ b/src/test/java/stileferry/cluster/TestJob.java
@@ -2,18 +2,18 @@
 
 import stileferry.protocol.JobSpec;
 
-/** Jobs of tests that need no user. */
+/** Creates jobs for tests that do not simulate users. */
 public final class TestJob {
     private TestJob() {}
 
     /**
-     * An accepted job.
+     * Creates an accepted job.
      *
-     * @param acceptanceOrder its place in the order of submissions
-     * @param acceptedAt the time of day of its submission in milliseconds
+     * @param submissionOrder its position in the order of submissions
+     * @param submittedAt the wall-clock time of its submission, in milliseconds
      */
-    public static Job accepted(JobSpec spec, int acceptanceOrder, long acceptedAt) {
-        Job job = new Job(spec, acceptanceOrder, acceptedAt, 0);
+    public static Job accepted(JobSpec spec, int submissionOrder, long submittedAt) {
+        Job job = new Job(spec, submissionOrder, submittedAt, 0);
         job.markAccepted();
         return job;
     }
--- a/src/test/java/stileferry/cluster/TestMachine.java
+++ b/src/test/java/stileferry/cluster/TestMachine.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import stileferry.protocol.Heartbeat;
 
-/** Machines of tests that have no agents. */
+/** Sets the state of machines in tests that do not simulate agents. */
 public final class TestMachine {
     private TestMachine() {}
 
-    /** The machine's agent has sent an empty status in its first incarnation. */
+    /** Records an empty status from the machine's agent, with incarnation 0. */
     public static void recordEmptyStatus(Machine machine, long now) {
         machine.agent()
                 .recordStatus(
--- a/src/test/java/stileferry/cluster/TestSettings.java
+++ b/src/test/java/stileferry/cluster/TestSettings.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import stileferry.protocol.Settings;
 
-/** Settings for tests that need no controller: two zones, a heartbeat every 2 s and leases of 10 s. */
+/** Creates settings for tests without a controller: two zones, a heartbeat interval of 2 s and leases of 10 s. */
 public final class TestSettings {
     private TestSettings() {}
 
-    /** Settings with these teams and one objective. */
+    /** Creates settings with these teams and one service-level objective. */
     public static Settings with(List<Settings.Team> teams, Settings.ServiceLevelObjective objective) {
         return new Settings(
                 "n0",
--- a/src/test/java/stileferry/scheduling/PlacementTest.java
+++ b/src/test/java/stileferry/scheduling/PlacementTest.java
@@ -18,11 +18,14 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.JobSpecBuilder;
 
-/** What a scheduling pass starts where, compared with the design's own words, and how many machines it visits. */
+/**
+ * Compares the starts of scheduling passes with a direct implementation of the specified algorithm, and limits how many
+ * machines a pass visits.
+ */
 class PlacementTest {
     private static final long NOW = RandomCluster.NOW;
 
-    /** The design's choice, by visiting every machine in the order of names. */
+    /** Selects the machine as specified, by visiting every machine in the order of names. */
     private static Machine selectExhaustively(ClusterState cluster, Placement placement, Job job) {
         Machine best = null;
         for (Machine machine : cluster.machines().values()) {
@@ -42,7 +45,7 @@
         return best;
     }
 
-    /** The order of the queue by the words of the design: the head if it fits, else the lowest rank times position. */
+    /** Runs a pass as specified: starts the head if it fits, otherwise the job with the lowest rank times position. */
     private static List<String> runExhaustivePass(ClusterState cluster, Placement placement) {
         List<String> starts = new ArrayList<>();
         placement.queueOrder().markWithinQuota();
@@ -77,7 +80,7 @@
         return starts;
     }
 
-    private static void completeEveryThirdTask(ClusterState cluster, SplittableRandom random) {
+    private static void completeRandomThirdOfTasks(ClusterState cluster, SplittableRandom random) {
         for (Job job : cluster.jobs().values()) {
             for (TaskAssignment assignment : List.copyOf(job.assignments().values())) {
                 if (random.nextInt(3) == 0) {
@@ -90,26 +93,26 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void indexedPassMatchesExhaustivePass(long seed) {
-        SplittableRandom randomForFast = new SplittableRandom(seed);
-        SplittableRandom randomForPlain = new SplittableRandom(seed);
-        ClusterState fast = RandomCluster.cluster(12, randomForFast);
-        ClusterState plain = RandomCluster.cluster(12, randomForPlain);
+        SplittableRandom randomForIndexed = new SplittableRandom(seed);
+        SplittableRandom randomForExhaustive = new SplittableRandom(seed);
+        ClusterState indexed = RandomCluster.cluster(12, randomForIndexed);
+        ClusterState exhaustive = RandomCluster.cluster(12, randomForExhaustive);
         int started = 0;
         for (int round = 0; round < 4; round++) {
             for (int i = 0; i < 8; i++) {
-                RandomCluster.addJob(fast, 100 * round + i, randomForFast);
-                RandomCluster.addJob(plain, 100 * round + i, randomForPlain);
+                RandomCluster.addJob(indexed, 100 * round + i, randomForIndexed);
+                RandomCluster.addJob(exhaustive, 100 * round + i, randomForExhaustive);
             }
-            List<String> starts = runIndexedPass(fast);
-            assertEquals(runExhaustivePass(plain, new Placement(plain)), starts);
+            List<String> starts = runIndexedPass(indexed);
+            assertEquals(runExhaustivePass(exhaustive, new Placement(exhaustive)), starts);
             started += starts.size();
-            completeEveryThirdTask(fast, new SplittableRandom(seed + round));
-            completeEveryThirdTask(plain, new SplittableRandom(seed + round));
+            completeRandomThirdOfTasks(indexed, new SplittableRandom(seed + round));
+            completeRandomThirdOfTasks(exhaustive, new SplittableRandom(seed + round));
         }
-        assertTrue(started > 20, "too little happened: " + started);
+        assertTrue(started > 20, "too few tasks started: " + started);
     }
 
-    /** Fills the cluster in as many passes as that takes. */
+    /** Fills the cluster, in as many passes as it takes. */
     private static void fillCluster(ClusterState cluster, Placement placement) {
         int passes = 0;
         do {
@@ -119,11 +122,11 @@
         int tasks = cluster.machines().values().stream()
                 .mapToInt(machine -> machine.assignments().size())
                 .sum();
-        assertTrue(tasks > 5000, tasks + " tasks");
-        assertTrue(passes > 10, passes + " passes");
+        assertTrue(tasks > 5000, tasks + " tasks assigned");
+        assertTrue(passes > 10, passes + " passes needed");
     }
 
-    /** Thousands of full machines and tasks, and hundreds of jobs that wait: a pass visits next to nothing. */
+    /** With thousands of full machines and tasks and hundreds of waiting jobs, a pass must visit very few machines. */
     @ParameterizedTest
     @ValueSource(ints = {1450, 4200})
     void passOverFullClusterVisitsFewMachines(int machineCount) {
@@ -147,14 +150,17 @@
             assign(cluster, job, machines.get(0));
         });
         long visits = cluster.freeCapacity().machinesVisited() - visitsBefore;
-        assertTrue(!started.isEmpty(), "the capacity that came free is used");
+        assertTrue(!started.isEmpty(), "the freed capacity is used");
         assertSame(freed, started.get(0));
         assertTrue(
                 visits * 50 < waiting * machineCount,
-                visits + " visits for one task that ended, " + waiting + " jobs wait");
+                visits + " visits after one task ended, with " + waiting + " waiting jobs");
     }
 
-    /** After a zone was lost, services must not all go to the fullest machines and share their rates of pulling. */
+    /**
+     * Guards against slow starts after the loss of a zone: if all services went to the fullest machines, their image
+     * pulls would share the rate of these machines.
+     */
     @Test
     void imagePullsAreSpreadAcrossIdleMachines() {
         ClusterState cluster = RandomCluster.healthyCluster(60, new SplittableRandom(3));
@@ -170,10 +176,10 @@
             cluster.addJob(TestJob.accepted(spec, i, NOW));
         }
         placement.runPass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
-        int most = 0;
+        int maxPulls = 0;
         for (Machine machine : cluster.machines().values()) {
-            most = Math.max(most, machine.imagesBeingPulled());
+            maxPulls = Math.max(maxPulls, machine.imagesBeingPulled());
         }
-        assertEquals(1, most, "images pulled at once on one machine, though others are idle");
+        assertEquals(1, maxPulls, "maximum concurrent image pulls on one machine while others are idle");
     }
 }
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -20,14 +20,14 @@
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
-/** Whose tasks are preempted for whom, and where. */
+/** Which tasks are preempted for which jobs, and on which machines. */
 class PreemptionTest {
     private static final long NOW = 100_000;
 
     private ClusterState cluster;
     private Placement placement;
     private Machine machine;
-    private int jobs;
+    private int jobCount;
 
     @BeforeEach
     void createClusterWithOneMachine() {
@@ -54,13 +54,13 @@
     }
 
     private Job addJobFrom(JobSpecBuilder spec) {
-        Job job = TestJob.accepted(spec.build(), jobs, 0);
+        Job job = TestJob.accepted(spec.build(), jobCount, 0);
         cluster.addJob(job);
         return job;
     }
 
     private JobSpecBuilder nextSpec(String team, JobSpec.Kind kind, JobSpec.Priority priority, int tasks, double cpus) {
-        return JobSpecBuilder.of(kind, "job-" + ++jobs)
+        return JobSpecBuilder.of(kind, "job-" + ++jobCount)
                 .team(team)
                 .priority(priority)
                 .tasks(tasks)
@@ -86,7 +86,7 @@
     }
 
     private TaskAssignment addRunningTask(Job job, long since) {
-        TaskAssignment assignment = new TaskAssignment(job, job.nextUnassignedTask(0), jobs, "m", 1, since);
+        TaskAssignment assignment = new TaskAssignment(job, job.nextUnassignedTask(0), jobCount, "m", 1, since);
         assignment.markDurable();
         assignment.markStartSent();
         assignment.markRunning(since);
@@ -103,15 +103,17 @@
     void taskWithLeastLostWorkIsPreemptedFirst() {
         Job idle = addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
         addRunningTask(idle, 10_000);
-        TaskAssignment young = addRunningTask(idle, 90_000);
+        TaskAssignment recentlyStarted = addRunningTask(idle, 90_000);
         addJob("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 2);
-        List<Preemption.PlannedPreemption> stops = planPreemptions();
-        assertEquals(1, stops.size(), "one is enough");
-        assertEquals(young, stops.get(0).victim());
-        assertEquals(0, stops.get(0).graceS(), "critical work does not wait for others to save");
+        List<Preemption.PlannedPreemption> preemptions = planPreemptions();
+        assertEquals(1, preemptions.size(), "one preemption frees enough capacity");
+        assertEquals(recentlyStarted, preemptions.get(0).victim());
+        assertEquals(0, preemptions.get(0).graceS(), "critical tasks do not wait for victims to save a checkpoint");
     }
 
-    /** Services must not start late by pulling their image while idle work runs on machines that hold it. */
+    /**
+     * Guards against services that start late because they pull their image, while idle jobs run on machines with it.
+     */
     @Test
     void criticalTaskPreemptsOnMachineWithItsImage() {
         machine.cacheImage("img", 1);
@@ -121,23 +123,31 @@
         List<Machine> started = new ArrayList<>();
         List<Job> waiting = placement.runPass(NOW, 1000, true, (job, machines) -> started.addAll(machines));
         assertEquals(List.of(), started);
-        List<Preemption.PlannedPreemption> stops = new Preemption(cluster, placement).plan(waiting, NOW, 60_000, 1000);
-        assertEquals(List.of("m"), stops.stream().map(s -> s.victim().machine()).toList());
+        List<Preemption.PlannedPreemption> preemptions =
+                new Preemption(cluster, placement).plan(waiting, NOW, 60_000, 1000);
+        assertEquals(
+                List.of("m"),
+                preemptions.stream()
+                        .map(preemption -> preemption.victim().machine())
+                        .toList());
         placement.runPass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
             cluster.assign(new TaskAssignment(service, 0, 1, machines.get(0).name(), 1, NOW));
         });
-        assertEquals(List.of(other), started, "it does not wait for longer than half its time to start");
+        assertEquals(List.of(other), started, "the start is delayed for at most half of its start objective");
     }
 
-    /** The best machine's zone may have too little capacity, so that a gang would wait for image pulls elsewhere. */
+    /**
+     * Guards against avoidable image pulls: the zone of the best machine may have too little capacity on machines that
+     * have the image, while another zone has enough.
+     */
     @Test
     void gangIsPlacedInZoneWithFewestImagePulls() {
         Machine first = addMachine("zb-1", "zb");
         Machine second = addMachine("zb-2", "zb");
         first.cacheImage("img", 1);
         second.cacheImage("img", 1);
-        machine.cacheImage("img", 1); // the tightest fit, but it lacks room for all
+        machine.cacheImage("img", 1); // the tightest fit, but without capacity for all tasks
         addRunningTask(addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 4), 10_000);
         addMachine("za-2");
         addUrgentGangInOneZone(6);
@@ -161,28 +171,31 @@
         List<Machine> started = new ArrayList<>();
         List<Job> waiting = placement.runPass(NOW, 1000, true, (job, machines) -> started.addAll(machines));
         assertEquals(List.of(), started);
-        List<Preemption.PlannedPreemption> stops = new Preemption(cluster, placement).plan(waiting, NOW, 60_000, 1000);
-        assertEquals(2, stops.size(), "room for all three");
+        List<Preemption.PlannedPreemption> preemptions =
+                new Preemption(cluster, placement).plan(waiting, NOW, 60_000, 1000);
+        assertEquals(2, preemptions.size(), "capacity for all three tasks");
         assertEquals(
                 Set.of("m"),
-                Set.copyOf(stops.stream().map(s -> s.victim().machine()).toList()));
+                Set.copyOf(preemptions.stream()
+                        .map(preemption -> preemption.victim().machine())
+                        .toList()));
         placement.runPass(NOW + 300, 1000, true, (job, machines) -> {
             started.addAll(machines);
             job.requestCancellation();
         });
-        assertEquals(3, started.size(), "it does not wait for longer than half its time to start");
+        assertEquals(3, started.size(), "the start is delayed for at most half of its start objective");
     }
 
-    /** Else a less urgent job would take what is free already, and be preempted again at once. */
+    /** Otherwise a job of lower priority would use the freed capacity and be preempted again immediately. */
     @Test
     void capacityBeingFreedIsReservedAgainstLowerPriorityJobs() {
         Job idle = addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 2, 4);
         addRunningTask(idle, 10_000);
         TaskAssignment second = addRunningTask(idle, 10_000);
         Job gang = addUrgentGangInOneZone(4);
-        List<Preemption.PlannedPreemption> stops = planPreemptions();
-        assertEquals(2, stops.size());
-        stops.forEach(stop -> cluster.requestStop(stop.victim(), 5, NOW));
+        List<Preemption.PlannedPreemption> preemptions = planPreemptions();
+        assertEquals(2, preemptions.size());
+        preemptions.forEach(preemption -> cluster.requestStop(preemption.victim(), 5, NOW));
         cluster.unassign(second, false);
         idle.requestCancellation();
         Job normal = addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 1, 2);
@@ -192,7 +205,8 @@
             started.add(job);
             job.requestCancellation();
         });
-        assertEquals(List.of(critical), started, "neither the gang, which lacks capacity, nor the less urgent job");
+        assertEquals(
+                List.of(critical), started, "neither the gang, which lacks capacity, nor the job of lower priority");
         cluster.reservations().remove(gang);
         placement.runPass(NOW, 1000, true, (job, machines) -> {
             started.add(job);
@@ -201,7 +215,9 @@
         assertEquals(List.of(critical, normal), started);
     }
 
-    /** Else a gang would pull its image only after others have taken as long to save as it may take to start. */
+    /**
+     * Otherwise the victims' checkpoints could take as long as the gang's start objective, before it pulls its image.
+     */
     @Test
     void gangWithShortStartObjectivePreemptsWithoutGracePeriod() {
         Job idle = addJobFrom(nextSpec("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8)
@@ -213,10 +229,10 @@
                 planPreemptions().stream()
                         .map(Preemption.PlannedPreemption::graceS)
                         .toList(),
-                "0.3 s to save");
+                "saving takes 0.3 s");
     }
 
-    /** A machine to be rented would boot too late for it anyway. */
+    /** A requested machine would boot too late for the gang anyway. */
     @Test
     void gangWithShortStartObjectiveDoesNotWaitForMachineBoot() {
         addRunningTask(addJob("blue", JobSpec.Kind.ARRAY, JobSpec.Priority.IDLE, 1, 8), 10_000);
@@ -233,13 +249,13 @@
         assertEquals(List.of(), new Preemption(cluster, placement).plan(List.of(array), NOW, 60_000, 150));
     }
 
-    /** When one task of a gang is preempted, all are. */
+    /** If one task of a gang is preempted, all of its tasks are stopped. */
     @Test
     void preemptionCostOfGangCountsAllItsTasks() {
         Job gang = addJob("blue", JobSpec.Kind.GANG, JobSpec.Priority.NORMAL, 2, 4);
         addRunningTask(gang, 80_000);
         Machine other = addMachine("other");
-        TaskAssignment elsewhere = new TaskAssignment(gang, 1, jobs, other.name(), 1, 80_000);
+        TaskAssignment elsewhere = new TaskAssignment(gang, 1, jobCount, other.name(), 1, 80_000);
         elsewhere.markRunning(80_000);
         cluster.assign(elsewhere);
         TaskAssignment array =
@@ -260,10 +276,10 @@
             addRunningTask(borrowed, 10_000);
         }
         addJob("red", JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL, 4, 2);
-        assertEquals(3, planPreemptions().size(), "blue keeps the 2 CPUs of its own quota");
+        assertEquals(3, planPreemptions().size(), "blue keeps the 2 CPUs of its quota");
     }
 
-    /** It would come back at once, and be preempted again and again. */
+    /** The task would return to the head of the queue immediately, and be preempted again and again. */
     @Test
     void higherPriorityTaskIsNotPreemptedForQuota() {
         Job service = addJob("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 8);
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -13,19 +13,19 @@
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
-/** Clusters and jobs drawn by a seed. */
+/** Generates random clusters and jobs, reproducibly for a given random generator. */
 public final class RandomCluster {
-    /** The time that all of them are made at, in milliseconds. */
+    /** The time at which all clusters and jobs are created, in milliseconds. */
     static final long NOW = 100_000;
 
     private RandomCluster() {}
 
-    /** A cluster with so many machines, some of them quarantined. */
+    /** Creates a cluster with the given number of machines, some of which may be quarantined. */
     public static ClusterState cluster(int machines, SplittableRandom random) {
         return cluster(machines, random, true);
     }
 
-    /** A cluster with so many machines, none of them quarantined. */
+    /** Creates a cluster with the given number of machines, none of which is quarantined. */
     static ClusterState healthyCluster(int machines, SplittableRandom random) {
         return cluster(machines, random, false);
     }
@@ -62,7 +62,7 @@
                 new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9));
     }
 
-    /** Adds an accepted job. */
+    /** Adds a random accepted job. */
     static Job addJob(ClusterState cluster, int number, SplittableRandom random) {
         boolean service = random.nextInt(4) == 0;
         JobSpec spec = JobSpecBuilder.of(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY, "job-" + number)
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -18,9 +18,11 @@
 import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.Settings;
 
-/** Simulated clusters of the size of the largest deployments: what is counted is work, not time. */
+/** Simulates clusters as large as the largest deployments. The limits apply to counted operations, not to run time. */
 public class ScaleTest {
-    /** Guards against a new leader in a cut that opens a connection to every machine that can't answer. */
+    /**
+     * Guards against a new leader that, during a network partition, opens a connection to every unreachable machine.
+     */
     @Test
     void requestsToHangingWorkersLeaveSocketsForCommands() {
         ClusterState cluster = new ClusterState(TestSettings.with(
@@ -29,27 +31,29 @@
         for (int i = 0; i < 2000; i++) {
             cluster.getOrAddMachine(String.format("host-%06d", i)).setAddress("10.0.0.1:" + (1000 + i));
         }
-        SimulatedCluster world = new SimulatedCluster(1);
-        int[] open = new int[1];
-        int[] most = new int[1];
-        int[] asked = new int[1];
-        world.faults.workerCallsHang = timeoutMs -> {
-            asked[0]++;
-            most[0] = Math.max(most[0], ++open[0]);
-            world.after(timeoutMs, () -> open[0]--);
+        SimulatedCluster simulation = new SimulatedCluster(1);
+        int[] openRequests = new int[1];
+        int[] maxOpenRequests = new int[1];
+        int[] sentRequests = new int[1];
+        simulation.faults.workerCallsHang = timeoutMs -> {
+            sentRequests[0]++;
+            maxOpenRequests[0] = Math.max(maxOpenRequests[0], ++openRequests[0]);
+            simulation.after(timeoutMs, () -> openRequests[0]--);
         };
-        ControllerNode node = world.controllers.get("n0");
+        ControllerNode node = simulation.controllers.get("n0");
         node.start();
         HeartbeatHandler heartbeatHandler = new HeartbeatHandler(
                 cluster, node.environment, null, 1, null, null, new EventLoopLag(node.environment, 1));
         heartbeatHandler.commandDispatcher().announceTerm();
-        world.runFor(20);
+        simulation.runFor(20);
         int commands = cluster.settings().socketBudget().commands();
-        assertTrue(most[0] <= commands / 2, most[0] + " questions at once, " + commands + " sockets for commands");
-        assertTrue(asked[0] > 10 * most[0], "only " + asked[0] + " were asked");
+        assertTrue(
+                maxOpenRequests[0] <= commands / 2,
+                maxOpenRequests[0] + " concurrent requests, " + commands + " sockets for commands");
+        assertTrue(sentRequests[0] > 10 * maxOpenRequests[0], "only " + sentRequests[0] + " requests were sent");
     }
 
-    /** Every fifth job is a service spread across zones, the others are arrays. */
+    /** Creates a job: every fifth one is a service that is spread across zones, the others are arrays. */
     private static JobSpec randomJob(int number, SplittableRandom random) {
         boolean service = number % 5 == 0;
         return JobSpecBuilder.of(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY, "job-" + number)
@@ -63,65 +67,70 @@
                 .build();
     }
 
-    /** Checks of each accepted service how many of its tasks run, given as the first number, of how many. */
-    private static void assertServicesRun(SimulatedCluster world, BiPredicate<Long, Integer> enough, String when) {
-        for (SimulatedUser user : world.users.values()) {
+    /** Asserts for each accepted service that its numbers of running tasks and of all tasks satisfy the predicate. */
+    private static void assertServicesRun(
+            SimulatedCluster simulation, BiPredicate<Long, Integer> enoughRunning, String messageSuffix) {
+        for (SimulatedUser user : simulation.users.values()) {
             assertTrue(
                     !user.spec.service()
                             || !user.accepted
-                            || enough.test(world.tasks.running(user), user.spec.taskCount()),
-                    user.spec.id() + " has " + world.tasks.running(user) + when);
+                            || enoughRunning.test(simulation.tasks.running(user), user.spec.taskCount()),
+                    user.spec.id() + " has running tasks: " + simulation.tasks.running(user) + messageSuffix);
         }
     }
 
     /**
-     * A zone of a cluster of up to 2,100 machines is cut off, the leader crashes meanwhile, and the zone comes back at
-     * once.
+     * One zone of a cluster with up to 2,100 machines is partitioned, the leader crashes during the partition, and all
+     * machines of the zone become reachable again at the same time.
      */
     @Test
     void largeZonePartitionStaysWithinRateLimits() {
-        SimulatedCluster world = new SimulatedCluster(7, 525, 6, 0);
-        SplittableRandom random = world.random.split();
-        world.runFor(3);
+        SimulatedCluster simulation = new SimulatedCluster(7, 525, 6, 0);
+        SplittableRandom random = simulation.random.split();
+        simulation.runFor(3);
         int jobs = 0;
         for (int second = 0; second < 50; second++) {
             for (int i = 0; i < 5; i++) {
-                world.submit(randomJob(jobs++, random));
+                simulation.submit(randomJob(jobs++, random));
             }
-            world.runFor(1);
+            simulation.runFor(1);
         }
-        int machines = world.cloud.runningMachines().size();
-        long changesBefore = world.store.writtenKeys();
-        world.faults.partitionZone("za", 45_000);
-        world.runFor(12);
-        ControllerNode leader = world.leader();
+        int machines = simulation.cloud.runningMachines().size();
+        long keysWrittenBefore = simulation.store.writtenKeys();
+        simulation.faults.partitionZone("za", 45_000);
+        simulation.runFor(12);
+        ControllerNode leader = simulation.leader();
         leader.crash();
-        world.after(5000, leader::start);
-        world.runFor(31);
-        assertServicesRun(world, (running, tasks) -> running >= tasks / 2, ""); // the others were in the zone and wait
-        world.faults.endedAt = world.now;
-        world.runFor(20);
-        assertServicesRun(world, (running, tasks) -> running == tasks.longValue(), " after the cut");
-        world.runFor(150);
-        assertEquals(List.of(), world.violations);
+        simulation.after(5000, leader::start);
+        simulation.runFor(31);
+        assertServicesRun(
+                simulation,
+                (running, tasks) -> running >= tasks / 2,
+                ""); // the others were in the zone and are pending
+        simulation.faults.endedAt = simulation.now;
+        simulation.runFor(20);
+        assertServicesRun(simulation, (running, tasks) -> running == tasks.longValue(), " after the partition");
+        simulation.runFor(150);
+        assertEquals(List.of(), simulation.violations);
         assertTrue(machines > 1000, machines + " machines are up");
         assertTrue(
-                world.users.values().stream().allMatch(user -> user.spec.service() || "done".equals(user.endState)),
-                "work is left");
-        long changes = world.store.writtenKeys() - changesBefore;
-        assertTrue(changes < 213 * 50 / 2, changes + " changes in 213 s, at 50 a second");
+                simulation.users.values().stream()
+                        .allMatch(user -> user.spec.service() || "done".equals(user.endState)),
+                "some jobs are not done");
+        long keysWritten = simulation.store.writtenKeys() - keysWrittenBefore;
+        assertTrue(keysWritten < 213 * 50 / 2, keysWritten + " keys written in 213 s, at a limit of 50 per second");
     }
 
-    /** A day at the grown size: rules, and how much is asked of the state service for thousands of starts and ends. */
+    /** Checks the invariants and the number of writes to the key-value store for thousands of task starts and ends. */
     @Test
     void grownClusterStaysWithinRateLimits() {
-        SimulatedCluster world = new SimulatedCluster(5, 363, 6, 0);
-        SplittableRandom random = world.random.split();
-        world.runFor(3);
+        SimulatedCluster simulation = new SimulatedCluster(5, 363, 6, 0);
+        SplittableRandom random = simulation.random.split();
+        simulation.runFor(3);
         int jobs = 0;
         for (int second = 0; second < 60; second++) {
             for (int i = 0; i < 2; i++) {
-                world.submit(JobSpecBuilder.array(jobs++)
+                simulation.submit(JobSpecBuilder.array(jobs++)
                         .tasks(20 + random.nextInt(60))
                         .cpus(2)
                         .memoryGb(4)
@@ -130,18 +139,21 @@
                         .runS(10 + random.nextInt(30))
                         .build());
             }
-            world.runFor(1);
+            simulation.runFor(1);
         }
-        ControllerNode leader = world.leader();
+        ControllerNode leader = simulation.leader();
         leader.crash();
-        world.after(5000, leader::start);
-        world.faults.endedAt = world.now;
-        world.runFor(120);
-        assertEquals(List.of(), world.violations);
-        assertTrue(world.users.values().stream().allMatch(user -> "done".equals(user.endState)), "work is left");
-        assertTrue(world.tasks.starts > 5000, world.tasks.starts + " starts");
+        simulation.after(5000, leader::start);
+        simulation.faults.endedAt = simulation.now;
+        simulation.runFor(120);
+        assertEquals(List.of(), simulation.violations);
+        assertTrue(
+                simulation.users.values().stream().allMatch(user -> "done".equals(user.endState)),
+                "some jobs are not done");
+        assertTrue(simulation.tasks.starts > 5000, simulation.tasks.starts + " starts");
         assertTrue(
-                world.store.writtenKeys() < world.tasks.starts,
-                world.store.writtenKeys() + " changes for " + world.tasks.starts + " starts and as many ends");
+                simulation.store.writtenKeys() < simulation.tasks.starts,
+                simulation.store.writtenKeys() + " keys written for " + simulation.tasks.starts
+                        + " task starts and as many ends");
     }
 }
