--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Returns the next task to move off a machine, or null if any of the tasks left there may not be moved. */
+    /** Returns the next task to move off a machine, or null if none is left there or any of them may not be moved. */
     private static TaskAssignment movableTask(Machine machine, long now) {
         TaskAssignment candidate = null;
         for (TaskAssignment assignment : machine.assignments().values()) {
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -34,16 +34,16 @@
             LinkHealth links,
             Placement placement,
             Autoscaler autoscaler,
-            TaskLifecycle tasks) {
+            TaskLifecycle taskLifecycle) {
         this.cluster = cluster;
         this.environment = environment;
         this.links = links;
         this.placement = placement;
         this.preemption = new Preemption(cluster, placement);
         this.autoscaler = autoscaler;
-        this.consolidation =
-                new Consolidation(cluster, placement, environment.now(), assignment -> tasks.stop(assignment, 0));
-        this.taskLifecycle = tasks;
+        this.consolidation = new Consolidation(
+                cluster, placement, environment.now(), assignment -> taskLifecycle.stop(assignment, 0));
+        this.taskLifecycle = taskLifecycle;
     }
 
     /**
--- a/src/main/java/stileferry/scheduling/UnplaceableRequests.java
+++ b/src/main/java/stileferry/scheduling/UnplaceableRequests.java
@@ -26,7 +26,8 @@
     }
 
     /**
-     * Returns whether the job requests at least as much as an added one and may use no machine that this one may not.
+     * Returns whether the job requests at least as much as an added job and may use no machine that the added job may
+     * not use.
      */
     boolean cover(Job job) {
         for (JobSpec unplaceable : specs) {
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -21,7 +21,8 @@
 /** Simulates clusters as large as the largest deployments. The limits apply to counted operations, not to run time. */
 public class ScaleTest {
     /**
-     * Guards against a new leader that, during a network partition, opens a connection to every unreachable machine.
+     * Guards against a new leader that, during a network partition, opens a connection to every machine that can't
+     * respond.
      */
     @Test
     void requestsToHangingWorkersLeaveSocketsForCommands() {
