--- a/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
+++ b/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
@@ -80,7 +80,8 @@
     }
 
     /**
-     * Returns whether the job is being delayed, so that capacity is freed for it and no machine has to be requested.
+     * Returns whether the time for which the job may be delayed has begun and not ended yet. Until then capacity is
+     * being freed for the job, so no machine has to be requested for it.
      */
     boolean isDelayed(Job job, long now) {
         return job.localityDelaySince() != 0
--- a/src/main/java/stileferry/scheduling/MachineSelector.java
+++ b/src/main/java/stileferry/scheduling/MachineSelector.java
@@ -65,8 +65,9 @@
     }
 
     /**
-     * Returns whether a machine is better for the job than another one. This is a total order, so the result of a
-     * search does not depend on the order of visits.
+     * Returns whether a machine is better for the job than another one. This is a total order, so that the result of a
+     * search does not depend on the order of visits, among machines whose types agree on {@link
+     * StartObjectives#requiresCachedImage}.
      */
     boolean isBetter(Job job, Machine machine, Machine other) {
         return compare(job, machine, other) < 0;
