--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -15,13 +15,16 @@
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.Settings;
 
-/** What the leader knows in one term: the jobs that are not completed, the machines, and what teams use. */
+/** The leader's model of the cluster in one term: jobs that are not completed, machines, and resource usage by team. */
 public final class ClusterState {
-    /** Deleted machines that are remembered whatever the size: lists and heartbeats of them come late. */
-    private static final int MIN_DELETED_REMEMBERED = 4096;
+    /**
+     * The minimum number of deleted machines whose names are kept, whatever the size of the cluster, because outdated
+     * lists of the cloud and late heartbeats may still contain them.
+     */
+    private static final int MIN_DELETED_MACHINES_KEPT = 4096;
 
-    /** Deleted machines that are remembered for each machine there is. */
-    private static final int DELETED_REMEMBERED_PER_MACHINE = 4;
+    /** The number of deleted machines whose names are kept, per existing machine. */
+    private static final int DELETED_MACHINES_KEPT_PER_MACHINE = 4;
 
     private final Settings settings;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -44,12 +47,12 @@
     private final Set<String> deletedMachines = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > Math.max(MIN_DELETED_REMEMBERED, DELETED_REMEMBERED_PER_MACHINE * machines.size());
+            return size() > Math.max(MIN_DELETED_MACHINES_KEPT, DELETED_MACHINES_KEPT_PER_MACHINE * machines.size());
         }
     });
 
     private final Set<String> deletedMachinesView = Collections.unmodifiableSet(deletedMachines);
-    private final LinkHealth links;
+    private final LinkHealth linkHealth;
     private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private final int[] assignmentsByPriority = new int[JobSpec.Priority.values().length];
 
@@ -57,31 +60,31 @@
         this(settings, LinkHealth.NONE);
     }
 
-    /** An empty model; {@code links} learns which machines are gone. */
-    public ClusterState(Settings settings, LinkHealth links) {
+    /** Creates an empty model; {@code linkHealth} is told which machines are gone. */
+    public ClusterState(Settings settings, LinkHealth linkHealth) {
         this.settings = settings;
-        this.links = links;
+        this.linkHealth = linkHealth;
         for (Settings.Team team : settings.teams()) {
             usageByTeam.put(team.name(), new TeamUsage());
         }
     }
 
-    /** Adds a job that was submitted after all that are there. */
+    /** Adds a job; jobs have to be added in the order of their submission. */
     public void addJob(Job job) {
         jobs.put(job.spec().id(), job);
     }
 
-    /** Removes a job that is completed. */
+    /** Removes a completed job. */
     public void removeJob(Job job) {
         jobs.remove(job.spec().id());
     }
 
-    /** Notes an accepted job whose record can't be read. */
+    /** Adds the id of an accepted job whose stored record can't be read. */
     public void addUnreadableJob(String id) {
         unreadableJobs.add(id);
     }
 
-    /** The machine type of this name; null: the cloud does not offer it. */
+    /** Returns the machine type with this name, or null if the cloud does not offer it. */
     public MachineType machineType(String name) {
         for (MachineType type : machineTypes) {
             if (type.name().equals(name)) {
@@ -91,71 +94,73 @@
         return null;
     }
 
-    /** The machine of this name, which is added if it is not known yet. */
-    public Machine machine(String name) {
+    /** Returns the machine with this name, after adding it if it is not known yet. */
+    public Machine getOrAddMachine(String name) {
         return machines.computeIfAbsent(name, Machine::new);
     }
 
-    /** Counts a task that may be on a machine from now on. */
+    /**
+     * Adds an assignment to its job, its machine and the usage of its team; the task may be on the machine from now on.
+     */
     public void assign(TaskAssignment assignment) {
         Job job = assignment.job();
         job.addAssignment(assignment);
-        Machine machine = machine(assignment.machine());
+        Machine machine = getOrAddMachine(assignment.machine());
         machine.addAssignment(assignment);
         freeCapacity.update(machine);
-        job.countInZone(machine.zone(), 1);
-        countUsage(job.spec(), 1);
+        job.adjustTasksInZone(machine.zone(), 1);
+        adjustUsage(job.spec(), 1);
     }
 
-    /** Settles an assignment after proof that its task is not on its machine. */
+    /** Settles an assignment after proof that its task is not on its machine any more. */
     public void unassign(TaskAssignment assignment, boolean taskCompleted) {
         Job job = assignment.job();
         stoppingTasks.remove(assignment);
         job.removeAssignment(assignment, taskCompleted);
-        Machine machine = machine(assignment.machine());
+        Machine machine = getOrAddMachine(assignment.machine());
         machine.removeAssignment(assignment);
         freeCapacity.update(machine);
-        job.countInZone(machine.zone(), -1);
-        countUsage(job.spec(), -1);
+        job.adjustTasksInZone(machine.zone(), -1);
+        adjustUsage(job.spec(), -1);
     }
 
-    /** Requests that an assigned task stops; a shorter grace period replaces a longer one. */
+    /** Requests that an assigned task stops; a shorter grace period in seconds replaces a longer one. */
     public void requestStop(TaskAssignment assignment, double graceS, long now) {
         assignment.requestStop(graceS, now);
-        machine(assignment.machine()).agent().setReconciled(false);
+        getOrAddMachine(assignment.machine()).agent().setReconciled(false);
         stoppingTasks.add(assignment);
     }
 
-    /** Forgets a machine whose deletion was confirmed. */
-    public void forget(Machine machine) {
+    /** Removes a machine whose deletion the cloud has confirmed. */
+    public void removeDeletedMachine(Machine machine) {
         freeCapacity.remove(machine);
         machine.agent().discardLastHeartbeatRecord();
         machines.remove(machine.name());
         deletedMachines.add(machine.name());
-        links.workerGone(machine.name());
+        linkHealth.workerGone(machine.name());
     }
 
-    /** Takes in a machine's zone, which may become known after the assignments on it. */
+    /** Sets a machine's zone, which may become known only after tasks have been assigned to the machine. */
     public void setZone(Machine machine, String zone) {
         if (!machine.zone().equals(zone)) {
             for (TaskAssignment assignment : machine.assignments().values()) {
-                assignment.job().countInZone(machine.zone(), -1);
-                assignment.job().countInZone(zone, 1);
+                assignment.job().adjustTasksInZone(machine.zone(), -1);
+                assignment.job().adjustTasksInZone(zone, 1);
             }
             machine.setZone(zone);
         }
     }
 
-    private void countUsage(JobSpec spec, int sign) {
+    private void adjustUsage(JobSpec spec, int sign) {
         assignmentsByPriority[spec.priority().ordinal()] += sign;
         TeamUsage usage = usageByTeam.get(spec.team());
-        if (usage != null) { // a team that the settings no longer name has no limit to keep
-            usage.count(spec, sign);
+        if (usage != null) { // a team that is no longer in the settings has no limit
+            usage.adjust(spec, sign);
         }
     }
 
-    /** Whether any task of a lower priority may be on a machine. */
-    public boolean anyOfLowerPriority(JobSpec.Priority priority) {
+    /** Returns whether any task of a lower priority may be on a machine. */
+    public boolean hasTasksBelowPriority(JobSpec.Priority priority) {
         for (int i = priority.ordinal() + 1; i < assignmentsByPriority.length; i++) {
             if (assignmentsByPriority[i] > 0) {
                 return true;
@@ -164,46 +169,48 @@
         return false;
     }
 
-    /** The CPUs of a team's tasks that may be on machines; 0 for a team that the settings don't name. */
+    /** Returns the CPUs of a team's tasks that may be on machines, or 0 for a team that is not in the settings. */
     public double cpusInUse(String team) {
         TeamUsage usage = usageByTeam.get(team);
         return usage == null ? 0 : usage.cpus();
     }
 
-    /** The GPUs of a team's tasks that may be on machines; 0 for a team that the settings don't name. */
+    /** Returns the GPUs of a team's tasks that may be on machines, or 0 for a team that is not in the settings. */
     public double gpusInUse(String team) {
         TeamUsage usage = usageByTeam.get(team);
         return usage == null ? 0 : usage.gpus();
     }
 
-    /** Whether one more task of the job keeps its team within its limit. */
+    /** Returns whether the job's team stays within its limit if one more task of the job starts. */
     public boolean withinTeamLimit(Job job) {
         Settings.Team team = settings.team(job.spec().team());
         return team == null
                 || (team.cpusMax() == 0
-                                || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + Resources.ROUNDING)
+                                || cpusInUse(team.name()) + job.spec().cpus()
+                                        <= team.cpusMax() + Resources.ROUNDING_TOLERANCE)
                         && (team.gpusMax() == 0
-                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + Resources.ROUNDING);
+                                || gpusInUse(team.name()) + job.spec().gpus()
+                                        <= team.gpusMax() + Resources.ROUNDING_TOLERANCE);
     }
 
-    /** Whether a team uses more than its quota, even after giving back so much. */
-    public boolean exceedsQuota(String teamName, double givenBackCpus, double givenBackGpus) {
+    /** Returns whether a team uses more than its quota, even after releasing these CPUs and GPUs. */
+    public boolean exceedsQuota(String teamName, double releasedCpus, double releasedGpus) {
         Settings.Team team = settings.team(teamName);
         return team != null
-                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + Resources.ROUNDING
-                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + Resources.ROUNDING);
+                && (cpusInUse(teamName) - releasedCpus > team.cpus() + Resources.ROUNDING_TOLERANCE
+                        || gpusInUse(teamName) - releasedGpus > team.gpus() + Resources.ROUNDING_TOLERANCE);
     }
 
     public Settings settings() {
         return settings;
     }
 
-    /** The jobs that are not completed, by id, in the order in which they were submitted. The view can't be changed. */
+    /** Returns an unmodifiable view of the jobs that are not completed, by id, in the order of submission. */
     public Map<String, Job> jobs() {
         return jobsView;
     }
 
-    /** The machines, by name, in the order of their names. The view can't be changed. */
+    /** Returns an unmodifiable view of the machines, by name and sorted by name. */
     public Map<String, Machine> machines() {
         return machinesView;
     }
@@ -216,17 +223,17 @@
         return reservations;
     }
 
-    /** The ids of accepted jobs whose records can't be read. */
+    /** Returns the ids of accepted jobs whose stored records can't be read. */
     public Set<String> unreadableJobs() {
         return unreadableJobsView;
     }
 
-    /** The assignments whose tasks are to stop, the first requested first. */
+    /** Returns the unsettled assignments whose tasks are to stop, in the order of the requests. */
     public Set<TaskAssignment> stoppingTasks() {
         return stoppingTasksView;
     }
 
-    /** The machine types that the cloud offers; empty while they are unknown. */
+    /** Returns the machine types that the cloud offers; empty while they are unknown. */
     public List<MachineType> machineTypes() {
         return machineTypes;
     }
@@ -235,7 +242,7 @@
         this.machineTypes = machineTypes;
     }
 
-    /** The operators' settings in force. */
+    /** Returns the operator settings in effect. */
     public OperatorSettings operatorSettings() {
         return operatorSettings;
     }
@@ -244,7 +251,9 @@
         this.operatorSettings = operatorSettings;
     }
 
-    /** Machines whose deletion was confirmed: late lists and late heartbeats still name them, but they are gone. */
+    /**
+     * Returns the names of deleted machines, which late heartbeats and outdated lists of the cloud may still contain.
+     */
     public Set<String> deletedMachines() {
         return deletedMachinesView;
     }
--- a/src/main/java/stileferry/cluster/FailureHistory.java
+++ b/src/main/java/stileferry/cluster/FailureHistory.java
@@ -5,18 +5,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How the tasks of one job have fared in this leader's term: where they failed, and which of them have to pause. */
+/**
+ * The outcomes of one job's tasks in this leader's term: how many succeeded, on which machines tasks failed, and which
+ * tasks are in restart back-off.
+ */
 public final class FailureHistory {
-    private static final int JOB_AT_FAULT_MACHINES = 3;
+    /** The number of machines with failures from which on the job itself is considered faulty. */
+    private static final int MIN_MACHINES_FOR_JOB_FAULT = 3;
 
     private final Map<Integer, RestartBackOff> backOffs = new HashMap<>();
-    private final Set<String> machines = new HashSet<>();
-    private int successes;
-    private long lastFailedAttempt;
+    private final Set<String> machinesWithFailures = new HashSet<>();
+    private int successCount;
+    private long lastFailedGangAttempt;
 
-    /** Postpones the next start of a task after a failure; for the parameters see {@link RestartBackOff#backOff}. */
-    public void backOff(int index, long now, long firstPauseMs, int mostDoublings) {
-        backOffs.computeIfAbsent(index, task -> new RestartBackOff()).backOff(now, firstPauseMs, mostDoublings);
+    /** Delays the next start of a task after a failure; for the parameters see {@link RestartBackOff#backOff}. */
+    public void backOff(int index, long now, long initialDelayMs, int maxDoublings) {
+        backOffs.computeIfAbsent(index, task -> new RestartBackOff()).backOff(now, initialDelayMs, maxDoublings);
     }
 
     boolean mayStart(int index, long now) {
@@ -24,7 +28,7 @@
         return backOff == null || backOff.notBefore() <= now;
     }
 
-    boolean anyTaskPauses(long now) {
+    boolean anyTaskBackingOff(long now) {
         for (RestartBackOff backOff : backOffs.values()) {
             if (backOff.notBefore() > now) {
                 return true;
@@ -33,40 +37,40 @@
         return false;
     }
 
-    /** A task has completed. */
+    /** Records that a task has completed, and ends its back-off. */
     public void recordSuccess(int index) {
-        successes++;
+        successCount++;
         backOffs.remove(index);
     }
 
-    /** The number of tasks that have completed. */
-    public int successes() {
-        return successes;
+    /** Returns the number of tasks that have completed in this term. */
+    public int successCount() {
+        return successCount;
     }
 
-    /** A task of the job has failed on a machine. */
+    /** Records that a task of the job has failed on this machine. */
     public void recordFailureOn(String machine) {
-        machines.add(machine);
+        machinesWithFailures.add(machine);
     }
 
     public boolean failedOn(String machine) {
-        return machines.contains(machine);
+        return machinesWithFailures.contains(machine);
     }
 
-    /** Whether a task of the job has failed on any machine. */
+    /** Returns whether a task of the job has failed on any machine. */
     public boolean failedAnywhere() {
-        return !machines.isEmpty();
+        return !machinesWithFailures.isEmpty();
     }
 
-    /** Whether tasks of the job have failed on so many machines that the job itself is taken to be faulty. */
+    /** Returns whether tasks have failed on so many machines that the job itself is considered faulty. */
     public boolean jobAtFault() {
-        return machines.size() >= JOB_AT_FAULT_MACHINES;
+        return machinesWithFailures.size() >= MIN_MACHINES_FOR_JOB_FAULT;
     }
 
-    /** Notes that a task of this attempt of a gang has ended without completing; true if it is the first of it. */
-    public boolean recordFailedAttempt(long attempt) {
-        boolean first = lastFailedAttempt != attempt;
-        lastFailedAttempt = attempt;
+    /** Records that a task of this gang attempt ended without completing; returns whether it is the attempt's first. */
+    public boolean recordFailedGangAttempt(long attempt) {
+        boolean first = lastFailedGangAttempt != attempt;
+        lastFailedGangAttempt = attempt;
         return first;
     }
 }
--- a/src/main/java/stileferry/scheduling/PlacementConstraints.java
+++ b/src/main/java/stileferry/scheduling/PlacementConstraints.java
@@ -6,12 +6,12 @@
 import stileferry.protocol.JobSpec;
 
 /**
- * Where a job's tasks may run, whatever is free there: machine type, zone, spot or ordinary instance, the job's other
- * tasks, and the machine's health.
+ * Decides on which machines a job's tasks may run, whatever capacity is free there: by machine type, zone, spot or
+ * on-demand instance, the job's other tasks, and the machine's health.
  */
 final class PlacementConstraints {
-    /** A machine that has not been heard from for so many report intervals is taken to be unreachable. */
-    private static final int SILENT_REPORTS = 3;
+    /** The number of heartbeat intervals without a heartbeat after which a machine is considered unreachable. */
+    private static final int UNREACHABLE_AFTER_HEARTBEAT_INTERVALS = 3;
 
     private final ClusterState cluster;
 
@@ -19,40 +19,45 @@
         this.cluster = cluster;
     }
 
-    /** Whether a task of the job may start on the machine if it fits there. */
+    /** Returns whether a task of the job may start on the machine if it fits there. */
     boolean allow(Job job, Machine machine, long now) {
         JobSpec spec = job.spec();
-        return healthy(machine, now)
+        return isHealthy(machine, now)
                 && spec.fitsType(machine.type())
                 && (spec.zone() == null || spec.zone().equals(machine.zone()))
                 && (spec.allowsSpot() || !machine.spot())
                 && allowZone(job, machine.zone())
-                && (!job.failures().failedOn(machine.name()) || job.failures().jobAtFault());
+                && (!job.failureHistory().failedOn(machine.name())
+                        || job.failureHistory().jobAtFault());
     }
 
-    private boolean healthy(Machine machine, long now) {
+    private boolean isHealthy(Machine machine, long now) {
         return machine.schedulable()
                 && machine.agent().lastHeartbeatRecord() == null
                 && now >= machine.instance().cordonedUntil()
                 && now - machine.agent().lastHeardAt()
-                        < SILENT_REPORTS * 1000 * cluster.settings().workers().heartbeatIntervalS();
+                        < UNREACHABLE_AFTER_HEARTBEAT_INTERVALS
+                                * 1000
+                                * cluster.settings().workers().heartbeatIntervalS();
     }
 
-    /** Whether the job's zone rules allow one more task in a zone beside all that may be on machines. */
+    /**
+     * Returns whether the job's zone constraints allow one more task in a zone beside those that may be on machines.
+     */
     private static boolean allowZone(Job job, String zone) {
         if (job.spec().oneZone()) {
-            for (String used : job.zones()) {
+            for (String used : job.zonesWithTasks()) {
                 if (!used.equals(zone)) {
                     return false;
                 }
             }
         }
-        // machines whose zone is not known yet (after a failover) may be in this one
-        int here = job.tasksInZone(zone) + job.tasksInZone("");
-        return !job.spec().spreadAcrossZones() || here < (job.spec().taskCount() + 1) / 2;
+        // after a failover, machines whose zone is not known yet may be in this zone
+        int possibleTasks = job.tasksInZone(zone) + job.tasksInZone("");
+        return !job.spec().spreadAcrossZones() || possibleTasks < (job.spec().taskCount() + 1) / 2;
     }
 
-    /** Why the next task of a job is pending, in words for operators. */
+    /** Returns why the next task of a job is pending, as a text for operators. */
     String pendingReason(Job job, long now) {
         if (!cluster.withinTeamLimit(job)) {
             return "its team is at its limit";
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -13,21 +13,25 @@
 import stileferry.protocol.JobSpec;
 
 /**
- * Frees capacity for jobs that may ask for it: by preempting work of lower priority, or work that another team runs
- * beyond its quota when the waiting job is within its own. Least lost work first, and only if it frees enough.
+ * Plans preemptions to free capacity for waiting jobs. A job may preempt tasks of lower priority and, if it is within
+ * its team's quota, tasks that another team runs beyond its own quota. Machines on which the least work is lost are
+ * used first, and tasks are preempted only if that frees enough capacity.
  */
 final class Preemption {
-    /** Machines visited in one turn, as a multiple of all. */
-    private static final int VISITS_PER_MACHINE = 6;
+    /** The budget of machine visits per planning run that is added for each machine. */
+    private static final int VISIT_BUDGET_PER_MACHINE = 6;
 
-    /** Visits that cost little whatever the size, so that a small cluster decides for all jobs in each turn. */
-    private static final int MIN_VISITS = 2000;
+    /**
+     * The budget of machine visits per planning run on top of that, so that each run covers all jobs in a small
+     * cluster. That many visits are cheap at any cluster size.
+     */
+    private static final int BASE_VISIT_BUDGET = 2000;
 
-    /** Victims may save a checkpoint if so many saves fit into the time within which the work shall start. */
-    private static final double SAVES_WITHIN_START = 2;
+    /** Victims may save a checkpoint if at least this many saves fit into the start objective of the preempting job. */
+    private static final double MIN_CHECKPOINT_SAVES_WITHIN_START = 2;
 
-    /** The share of its time to start that a gang waits for free capacity before others are preempted for it. */
-    private static final double GANG_PATIENCE = 0.25;
+    /** The share of its start objective for which a gang waits for free capacity before it may preempt others. */
+    private static final double GANG_WAIT_SHARE = 0.25;
 
     private final ClusterState cluster;
     private final PlacementConstraints constraints;
@@ -42,132 +46,144 @@
         this.victimSelector = new VictimSelector(cluster);
     }
 
-    /** A decided preemption: the task, its grace period in seconds, and the job that gets the capacity. */
-    record Stop(TaskAssignment victim, double graceS, Job forJob) {}
+    /** A planned preemption: the task, its grace period in seconds, and the job that gets the capacity. */
+    record PlannedPreemption(TaskAssignment victim, double graceS, Job preemptor) {}
 
-    /** One machine on which capacity can be freed, with what that costs. */
-    private record Option(Machine machine, List<TaskAssignment> victims, boolean pullsImage, long lostWorkMs) {}
+    /** A machine on which capacity for one more task can be freed, with the cost of freeing it. */
+    private record Candidate(Machine machine, List<TaskAssignment> victims, boolean pullsImage, long lostWorkMs) {}
 
     /**
-     * Decides for the waiting jobs, in queue order, and reserves the capacity for them. Capacity that is being freed
-     * already goes to the first that fits it.
+     * Plans preemptions for the waiting jobs, in queue order, and reserves the capacity for them. Capacity that is
+     * already being freed goes to the first job that fits it.
      *
-     * @param bootMs how long a requested machine boots, which jobs without urgency wait before they may preempt
+     * @param bootMs how long a requested machine takes to boot, in milliseconds; jobs of normal priority that are not
+     *     within their quota have to wait for as long before they may preempt
+     * @param timeOfDay the wall-clock time, in milliseconds since the epoch
+     * @return the tasks to stop
      */
-    List<Stop> decide(List<Job> waiting, long now, long bootMs, long timeOfDay) {
+    List<PlannedPreemption> plan(List<Job> waiting, long now, long bootMs, long timeOfDay) {
         PreemptionPlan plan = new PreemptionPlan();
         cluster.stoppingTasks().forEach(plan::markStopping);
-        Map<List<Object>, UnplaceableRequests> unplaceable = new HashMap<>();
-        visitsLeft = VISITS_PER_MACHINE * cluster.machines().size() + MIN_VISITS;
+        Map<List<Object>, UnplaceableRequests> unplaceableByEntitlement = new HashMap<>();
+        visitsLeft = VISIT_BUDGET_PER_MACHINE * cluster.machines().size() + BASE_VISIT_BUDGET;
         for (Job job : waiting) {
             if (visitsLeft <= 0) {
-                break; // the rest in a later turn
+                break; // the remaining jobs are left to a later planning run
             }
-            if (!mayPreempt(job, timeOfDay, bootMs) || !cluster.withinTeamLimit(job) || !victimSelector.anyFor(job)) {
+            if (!mayPreempt(job, timeOfDay, bootMs)
+                    || !cluster.withinTeamLimit(job)
+                    || !victimSelector.hasCandidatesFor(job)) {
                 continue;
             }
             if (job.spec().gang()) {
-                plan = freeForGang(job, now, plan);
+                plan = freeCapacityForGang(job, now, plan);
                 continue;
             }
-            UnplaceableRequests alike = unplaceable.computeIfAbsent(
+            UnplaceableRequests unplaceable = unplaceableByEntitlement.computeIfAbsent(
                     List.of(job.spec().priority(), job.withinQuota(), job.spec().team()),
                     any -> new UnplaceableRequests());
-            if (!alike.cover(job) && free(job, null, now, plan) == 0) {
-                alike.add(job);
+            if (!unplaceable.cover(job) && freeCapacity(job, null, now, plan) == 0) {
+                unplaceable.add(job);
             }
         }
         cluster.reservations().clear();
         plan.reservations()
                 .forEach(reservation -> cluster.reservations().add(reservation.job(), reservation.machine()));
-        return plan.stops();
+        return plan.preemptions();
     }
 
     private boolean mayPreempt(Job job, long timeOfDay, long bootMs) {
         if (job.withinQuota() || job.spec().priority().compareTo(JobSpec.Priority.URGENT) <= 0) {
             return true;
         }
-        long waitedMs = timeOfDay - job.acceptedAt();
-        // a machine to be requested boots too late for a gang that is to start soon, so it doesn't wait for one
-        double patienceMs =
-                job.spec().gang() ? Math.min(bootMs, GANG_PATIENCE * 1000 * objectives.startWithinS(job)) : bootMs;
-        return job.spec().priority() == JobSpec.Priority.NORMAL && waitedMs > patienceMs;
+        long waitedMs = timeOfDay - job.submittedAt();
+        // a gang with a short start objective doesn't wait for a requested machine, which would boot too late for it
+        double maxWaitMs =
+                job.spec().gang() ? Math.min(bootMs, GANG_WAIT_SHARE * 1000 * objectives.startWithinS(job)) : bootMs;
+        return job.spec().priority() == JobSpec.Priority.NORMAL && waitedMs > maxWaitMs;
     }
 
     /**
-     * Capacity for a part of a gang helps nobody: it is freed for all tasks or not at all, and where they must be in
-     * one zone, in the one with the fewest image pulls and the least lost work. Returns the plan to go on with.
+     * Frees capacity for all tasks of a gang or for none, as capacity for a part of it is of no use. If the tasks have
+     * to run in one zone, the zone with the fewest image pulls and then the least lost work is used.
+     *
+     * @return the plan with the preemptions for the gang, or the unchanged plan if the capacity can't be freed
      */
-    private PreemptionPlan freeForGang(Job gang, long now, PreemptionPlan before) {
+    private PreemptionPlan freeCapacityForGang(Job gang, long now, PreemptionPlan before) {
         int tasks = gang.pendingCount();
         PreemptionPlan best = null;
         for (String zone :
                 gang.spec().oneZone() ? cluster.settings().zones() : Collections.<String>singletonList(null)) {
-            PreemptionPlan here = before.copy();
-            if (free(gang, zone, now, here) == tasks && here.betterThan(best)) {
-                best = here;
+            PreemptionPlan zonePlan = before.copy();
+            if (freeCapacity(gang, zone, now, zonePlan) == tasks && zonePlan.isBetterThan(best)) {
+                best = zonePlan;
             }
         }
         return best == null ? before : best;
     }
 
     /**
-     * Frees capacity for as many pending tasks of a job as it can, in one zone or (null) in any.
+     * Frees capacity for as many pending tasks of a job as possible.
      *
-     * @return for how many
+     * @param zone the only zone to use; null for any
+     * @return the number of tasks for which capacity is freed
      */
-    private int free(Job job, String zone, long now, PreemptionPlan plan) {
-        PriorityQueue<Option> options = options(job, zone, now, plan);
-        int freed = 0;
+    private int freeCapacity(Job job, String zone, long now, PreemptionPlan plan) {
+        PriorityQueue<Candidate> candidates = findCandidates(job, zone, now, plan);
+        int freedTasks = 0;
         int tasks = job.pendingCount();
-        while (freed < tasks && visitsLeft > 0 && !options.isEmpty()) {
-            Option best = options.poll();
+        while (freedTasks < tasks && visitsLeft > 0 && !candidates.isEmpty()) {
+            Candidate best = candidates.poll();
             visitsLeft--;
-            // what was decided since may have made it dearer, or not allowed any more
-            Option current = option(job, best.machine, now, plan);
+            // preemptions planned since may have made it more expensive or ruled it out
+            Candidate current = findCandidate(job, best.machine, now, plan);
             if (current == null || current.lostWorkMs > best.lostWorkMs) {
-                addUnlessNull(options, current);
+                addUnlessNull(candidates, current);
                 continue;
             }
-            take(job, current, plan);
-            freed++;
-            addUnlessNull(options, option(job, best.machine, now, plan));
+            addToPlan(job, current, plan);
+            freedTasks++;
+            addUnlessNull(candidates, findCandidate(job, best.machine, now, plan));
         }
-        return freed;
+        return freedTasks;
     }
 
-    /** The machines on which capacity can be freed, the best first. */
-    private PriorityQueue<Option> options(Job job, String zone, long now, PreemptionPlan plan) {
-        PriorityQueue<Option> options = new PriorityQueue<>(Comparator.comparing(Option::pullsImage)
-                .thenComparingLong(Option::lostWorkMs)
-                .thenComparing(Option::machine));
+    /**
+     * Returns the machines on which capacity can be freed: those without an image pull first, then by least lost work.
+     */
+    private PriorityQueue<Candidate> findCandidates(Job job, String zone, long now, PreemptionPlan plan) {
+        PriorityQueue<Candidate> candidates = new PriorityQueue<>(Comparator.comparing(Candidate::pullsImage)
+                .thenComparingLong(Candidate::lostWorkMs)
+                .thenComparing(Candidate::machine));
         for (Machine machine : cluster.machines().values()) {
             if (machine.agent().heardThisTerm()
                     && (zone == null || zone.equals(machine.zone()))
                     && constraints.allow(job, machine, now)) {
                 visitsLeft--;
-                addUnlessNull(options, option(job, machine, now, plan));
+                addUnlessNull(candidates, findCandidate(job, machine, now, plan));
             }
         }
-        return options;
+        return candidates;
     }
 
-    private static void addUnlessNull(PriorityQueue<Option> options, Option option) {
-        if (option != null) {
-            options.add(option);
+    private static void addUnlessNull(PriorityQueue<Candidate> candidates, Candidate candidate) {
+        if (candidate != null) {
+            candidates.add(candidate);
         }
     }
 
-    private void take(Job job, Option option, PreemptionPlan plan) {
-        plan.reserve(job, option.machine, option.pullsImage, option.lostWorkMs);
-        for (TaskAssignment victim : option.victims) {
-            double graceS = inHurry(job, victim) ? 0 : victim.job().spec().checkpointSaveS();
-            plan.preempt(new Stop(victim, graceS, job));
+    private void addToPlan(Job job, Candidate candidate, PreemptionPlan plan) {
+        plan.reserve(job, candidate.machine, candidate.pullsImage, candidate.lostWorkMs);
+        for (TaskAssignment victim : candidate.victims) {
+            double graceS = mustStartBeforeCheckpoint(job, victim)
+                    ? 0
+                    : victim.job().spec().checkpointSaveS();
+            plan.preempt(new PlannedPreemption(victim, graceS, job));
         }
     }
 
-    /** How capacity for one more task can be freed on a machine; null: it can't. */
-    private Option option(Job job, Machine machine, long now, PreemptionPlan plan) {
+    /** Returns how capacity for one more task can be freed on a machine, or null if that is not possible. */
+    private Candidate findCandidate(Job job, Machine machine, long now, PreemptionPlan plan) {
         List<TaskAssignment> victims = victimSelector.select(job, machine, now, plan);
         if (victims == null) {
             return null;
@@ -176,16 +192,16 @@
         for (TaskAssignment victim : victims) {
             lostWorkMs += victim.preemptionCostMs(now);
         }
-        boolean pullsImage = objectives.needsImage(job, machine.type())
+        boolean pullsImage = objectives.requiresCachedImage(job, machine.type())
                 && !machine.hasImage(job.spec().image());
-        return new Option(machine, victims, pullsImage, lostWorkMs);
+        return new Candidate(machine, victims, pullsImage, lostWorkMs);
     }
 
-    /** Whether a job has to start too soon for the victim to save a checkpoint. */
-    private boolean inHurry(Job job, TaskAssignment victim) {
-        double savesS = SAVES_WITHIN_START * victim.job().spec().checkpointSaveS();
+    /** Returns whether the job has to start too soon to let the victim save a checkpoint first. */
+    private boolean mustStartBeforeCheckpoint(Job job, TaskAssignment victim) {
+        double savesS = MIN_CHECKPOINT_SAVES_WITHIN_START * victim.job().spec().checkpointSaveS();
         return job.spec().priority() == JobSpec.Priority.CRITICAL
                 || job.spec().gang() && objectives.startWithinS(job) < savesS
-                || job.withinQuota() && objectives.quotaStartsWithin(savesS);
+                || job.withinQuota() && objectives.hasQuotaObjectiveBelow(savesS);
     }
 }
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -12,7 +12,9 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.OperatorSettings;
 
-/** A scheduling pass: starts what fits, preempts, and on regular passes scales out and drains machines. */
+/**
+ * Runs scheduling passes: starts tasks that fit, preempts tasks, and in regular passes scales out and drains machines.
+ */
 public final class SchedulingPass {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
@@ -23,50 +25,51 @@
     private final Preemption preemption;
     private final Autoscaler autoscaler;
     private final Consolidation consolidation;
-    private final TaskLifecycle tasks;
+    private final TaskLifecycle taskLifecycle;
 
-    /** Passes over one leader's queue. */
+    /** Creates the scheduling passes of one leader's term. */
     public SchedulingPass(
             ClusterState cluster,
             Environment environment,
             LinkHealth links,
             Placement placement,
             Autoscaler autoscaler,
-            TaskLifecycle tasks) {
+            TaskLifecycle taskLifecycle) {
         this.cluster = cluster;
         this.environment = environment;
         this.links = links;
         this.placement = placement;
         this.preemption = new Preemption(cluster, placement);
         this.autoscaler = autoscaler;
-        this.consolidation =
-                new Consolidation(cluster, placement, environment.now(), assignment -> tasks.stop(assignment, 0));
-        this.tasks = tasks;
+        this.consolidation = new Consolidation(
+                cluster, placement, environment.now(), assignment -> taskLifecycle.stop(assignment, 0));
+        this.taskLifecycle = taskLifecycle;
     }
 
     /**
      * Runs one pass.
      *
-     * @param regular whether the cluster may be scaled out and machines drained too, which is done once an interval
-     * @param settled whether all machines that can report have reported in this term
+     * @param regular whether this is the regular pass of an interval, which may also scale out and drain machines
+     * @param allWorkersHeard whether all machines that can report have reported in this term
      */
-    public void run(boolean regular, boolean settled) {
+    public void run(boolean regular, boolean allWorkersHeard) {
         if (cluster.machineTypes().isEmpty() || !links.permitsTaskStart()) {
             return;
         }
         long now = environment.now();
-        boolean mayRearrange = settled && links.permitsPreemption();
-        boolean preempts = mayRearrange && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
-        List<Job> waiting = placement.pass(now, environment.timeOfDay(), preempts, this::start);
+        boolean evictionsPermitted = allWorkersHeard && links.permitsPreemption();
+        boolean preemptionEnabled =
+                evictionsPermitted && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
+        List<Job> waiting = placement.runPass(now, environment.timeOfDay(), preemptionEnabled, this::start);
         cluster.reservations().clear();
-        if (preempts) {
+        if (preemptionEnabled) {
             preempt(waiting, now);
         }
-        waiting.removeIf(job -> placement.imageHoldBack().heldBack(job, now)); // capacity is being freed for it
-        if (settled && regular && !waiting.isEmpty() && links.permitsScaleOut()) {
+        waiting.removeIf(job -> placement.imageLocalityDelay().isDelayed(job, now)); // capacity is being freed for it
+        if (allWorkersHeard && regular && !waiting.isEmpty() && links.permitsScaleOut()) {
             autoscaler.scaleOut(waiting);
         }
-        if (regular && mayRearrange) {
+        if (regular && evictionsPermitted) {
             consolidation.run(waiting, now);
         }
     }
@@ -74,17 +77,17 @@
     private void start(Job job, List<Machine> machines) {
         boolean overdue = placement.overdue(job, environment.timeOfDay());
         cluster.reservations().remove(job);
-        tasks.start(job, machines, overdue);
+        taskLifecycle.start(job, machines, overdue);
     }
 
     private void preempt(List<Job> waiting, long now) {
         long bootMs = Math.round(1000 * cluster.machineTypes().get(0).bootS());
-        for (Preemption.Stop stop : preemption.decide(waiting, now, bootMs, environment.timeOfDay())) {
+        for (Preemption.PlannedPreemption planned : preemption.plan(waiting, now, bootMs, environment.timeOfDay())) {
             LOG.debug(
                     "task preempted: task={} for_job={}",
-                    stop.victim().taskId(),
-                    stop.forJob().spec().id());
-            tasks.stop(stop.victim(), stop.graceS());
+                    planned.victim().taskId(),
+                    planned.preemptor().spec().id());
+            taskLifecycle.stop(planned.victim(), planned.graceS());
         }
     }
 }
--- a/src/test/java/stileferry/scheduling/PlacementTest.java
+++ b/src/test/java/stileferry/scheduling/PlacementTest.java
@@ -18,12 +18,15 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.JobSpecBuilder;
 
-/** What a scheduling pass starts where, compared with the design's own words, and how many machines it visits. */
+/**
+ * Compares the starts of scheduling passes with a direct implementation of the specified algorithm, and limits how many
+ * machines a pass visits.
+ */
 class PlacementTest {
     private static final long NOW = RandomCluster.NOW;
 
-    /** The design's choice, by visiting every machine in the order of names. */
-    private static Machine plainChoice(ClusterState cluster, Placement placement, Job job) {
+    /** Selects the machine as specified, by visiting every machine in the order of names. */
+    private static Machine selectExhaustively(ClusterState cluster, Placement placement, Job job) {
         Machine best = null;
         for (Machine machine : cluster.machines().values()) {
             double cpus = job.spec().cpus();
@@ -35,15 +38,15 @@
             if (cpus <= machine.type().cpus() + 1e-6
                     && memoryGb <= machine.type().memoryGb() + 1e-6
                     && placement.constraints().allow(job, machine, NOW)
-                    && (best == null || placement.selector().better(job, machine, best))) {
+                    && (best == null || placement.selector().isBetter(job, machine, best))) {
                 best = machine;
             }
         }
         return best;
     }
 
-    /** The order of the queue by the words of the design: the head if it fits, else the lowest rank times position. */
-    private static List<String> plainPass(ClusterState cluster, Placement placement) {
+    /** Runs a pass as specified: starts the head if it fits, otherwise the job with the lowest rank times position. */
+    private static List<String> runExhaustivePass(ClusterState cluster, Placement placement) {
         List<String> starts = new ArrayList<>();
         placement.queueOrder().markWithinQuota();
         while (true) {
@@ -52,7 +55,7 @@
             double lowest = Double.MAX_VALUE;
             for (int i = 0; i < queue.size(); i++) {
                 double value = i == 0 ? -1 : placement.rank(queue.get(i)) * (i + 1);
-                if (value < lowest && plainChoice(cluster, placement, queue.get(i)) != null) {
+                if (value < lowest && selectExhaustively(cluster, placement, queue.get(i)) != null) {
                     lowest = value;
                     next = queue.get(i);
                 }
@@ -60,7 +63,7 @@
             if (next == null) {
                 return starts;
             }
-            starts.add(assign(cluster, next, plainChoice(cluster, placement, next)));
+            starts.add(assign(cluster, next, selectExhaustively(cluster, placement, next)));
         }
     }
 
@@ -70,14 +73,14 @@
         return assignment.taskId() + " on " + machine.name();
     }
 
-    private static List<String> pass(ClusterState cluster) {
+    private static List<String> runIndexedPass(ClusterState cluster) {
         List<String> starts = new ArrayList<>();
         new Placement(cluster)
-                .pass(NOW, NOW, false, (job, machines) -> starts.add(assign(cluster, job, machines.get(0))));
+                .runPass(NOW, NOW, false, (job, machines) -> starts.add(assign(cluster, job, machines.get(0))));
         return starts;
     }
 
-    private static void completeEveryThirdTask(ClusterState cluster, SplittableRandom random) {
+    private static void completeRandomThirdOfTasks(ClusterState cluster, SplittableRandom random) {
         for (Job job : cluster.jobs().values()) {
             for (TaskAssignment assignment : List.copyOf(job.assignments().values())) {
                 if (random.nextInt(3) == 0) {
@@ -89,51 +92,51 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void theFastPassDecidesAsThePlainOne(long seed) {
-        SplittableRandom randomForFast = new SplittableRandom(seed);
-        SplittableRandom randomForPlain = new SplittableRandom(seed);
-        ClusterState fast = RandomCluster.cluster(12, randomForFast);
-        ClusterState plain = RandomCluster.cluster(12, randomForPlain);
+    void indexedPassMatchesExhaustivePass(long seed) {
+        SplittableRandom randomForIndexed = new SplittableRandom(seed);
+        SplittableRandom randomForExhaustive = new SplittableRandom(seed);
+        ClusterState indexed = RandomCluster.cluster(12, randomForIndexed);
+        ClusterState exhaustive = RandomCluster.cluster(12, randomForExhaustive);
         int started = 0;
         for (int round = 0; round < 4; round++) {
             for (int i = 0; i < 8; i++) {
-                RandomCluster.job(fast, 100 * round + i, randomForFast);
-                RandomCluster.job(plain, 100 * round + i, randomForPlain);
+                RandomCluster.addJob(indexed, 100 * round + i, randomForIndexed);
+                RandomCluster.addJob(exhaustive, 100 * round + i, randomForExhaustive);
             }
-            List<String> starts = pass(fast);
-            assertEquals(plainPass(plain, new Placement(plain)), starts);
+            List<String> starts = runIndexedPass(indexed);
+            assertEquals(runExhaustivePass(exhaustive, new Placement(exhaustive)), starts);
             started += starts.size();
-            completeEveryThirdTask(fast, new SplittableRandom(seed + round));
-            completeEveryThirdTask(plain, new SplittableRandom(seed + round));
+            completeRandomThirdOfTasks(indexed, new SplittableRandom(seed + round));
+            completeRandomThirdOfTasks(exhaustive, new SplittableRandom(seed + round));
         }
-        assertTrue(started > 20, "too little happened: " + started);
+        assertTrue(started > 20, "too few tasks started: " + started);
     }
 
-    /** Fills the cluster in as many passes as that takes. */
-    private static void fill(ClusterState cluster, Placement placement) {
+    /** Fills the cluster, in as many passes as it takes. */
+    private static void fillCluster(ClusterState cluster, Placement placement) {
         int passes = 0;
         do {
-            placement.pass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
+            placement.runPass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
             passes++;
         } while (placement.stoppedEarly());
         int tasks = cluster.machines().values().stream()
                 .mapToInt(machine -> machine.assignments().size())
                 .sum();
-        assertTrue(tasks > 5000, tasks + " tasks");
-        assertTrue(passes > 10, passes + " passes");
+        assertTrue(tasks > 5000, tasks + " tasks assigned");
+        assertTrue(passes > 10, passes + " passes needed");
     }
 
-    /** Thousands of full machines and tasks, and hundreds of jobs that wait: a pass visits next to nothing. */
+    /** With thousands of full machines and tasks and hundreds of waiting jobs, a pass must visit very few machines. */
     @ParameterizedTest
     @ValueSource(ints = {1450, 4200})
-    void aPassOverAFullClusterVisitsFewMachines(int machineCount) {
+    void passOverFullClusterVisitsFewMachines(int machineCount) {
         SplittableRandom random = new SplittableRandom(1);
         ClusterState cluster = RandomCluster.cluster(machineCount, random);
         Placement placement = new Placement(cluster);
         for (int i = 0; i < 6 * machineCount; i++) {
-            RandomCluster.job(cluster, i, random);
+            RandomCluster.addJob(cluster, i, random);
         }
-        fill(cluster, placement);
+        fillCluster(cluster, placement);
         Machine freed = cluster.machines().values().stream()
                 .filter(machine -> machine.assignments().size() > 2 && machine.schedulable())
                 .findFirst()
@@ -142,21 +145,24 @@
         long waiting = placement.queue(NOW, NOW).size();
         long visitsBefore = cluster.freeCapacity().machinesVisited();
         List<Machine> started = new ArrayList<>();
-        placement.pass(NOW, NOW, false, (job, machines) -> {
+        placement.runPass(NOW, NOW, false, (job, machines) -> {
             started.add(machines.get(0));
             assign(cluster, job, machines.get(0));
         });
         long visits = cluster.freeCapacity().machinesVisited() - visitsBefore;
-        assertTrue(!started.isEmpty(), "the capacity that came free is used");
+        assertTrue(!started.isEmpty(), "the freed capacity is used");
         assertSame(freed, started.get(0));
         assertTrue(
                 visits * 50 < waiting * machineCount,
-                visits + " visits for one task that ended, " + waiting + " jobs wait");
+                visits + " visits after one task ended, with " + waiting + " waiting jobs");
     }
 
-    /** After a zone was lost, services must not all go to the fullest machines and share their rates of pulling. */
+    /**
+     * Guards against slow starts after the loss of a zone: if all services went to the fullest machines, their image
+     * pulls would share the rate of these machines.
+     */
     @Test
-    void anImageIsPulledWhereNoOtherIs() {
+    void imagePullsAreSpreadAcrossIdleMachines() {
         ClusterState cluster = RandomCluster.healthyCluster(60, new SplittableRandom(3));
         Placement placement = new Placement(cluster);
         for (int i = 0; i < 30; i++) {
@@ -169,11 +175,11 @@
                     .build();
             cluster.addJob(TestJob.accepted(spec, i, NOW));
         }
-        placement.pass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
-        int most = 0;
+        placement.runPass(NOW, NOW, false, (job, machines) -> assign(cluster, job, machines.get(0)));
+        int maxPulls = 0;
         for (Machine machine : cluster.machines().values()) {
-            most = Math.max(most, machine.imagesBeingPulled());
+            maxPulls = Math.max(maxPulls, machine.imagesBeingPulled());
         }
-        assertEquals(1, most, "images pulled at once on one machine, though others are idle");
+        assertEquals(1, maxPulls, "maximum concurrent image pulls on one machine while others are idle");
     }
 }
--- a/src/test/java/stileferry/scheduling/RandomCluster.java
+++ b/src/test/java/stileferry/scheduling/RandomCluster.java
@@ -13,19 +13,19 @@
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
-/** Clusters and jobs drawn by a seed. */
+/** Generates random clusters and jobs, reproducibly for a given random generator. */
 public final class RandomCluster {
-    /** The time that all of them are made at, in milliseconds. */
+    /** The time at which all clusters and jobs are created, in milliseconds. */
     static final long NOW = 100_000;
 
     private RandomCluster() {}
 
-    /** A cluster with so many machines, some of them quarantined. */
+    /** Creates a cluster with the given number of machines, some of which may be quarantined. */
     public static ClusterState cluster(int machines, SplittableRandom random) {
         return cluster(machines, random, true);
     }
 
-    /** A cluster with so many machines, none of them quarantined. */
+    /** Creates a cluster with the given number of machines, none of which is quarantined. */
     static ClusterState healthyCluster(int machines, SplittableRandom random) {
         return cluster(machines, random, false);
     }
@@ -36,11 +36,11 @@
                 new MachineType("small", 8, 0, 32, 9, 0.3, 1, 0.4, 10, List.of("za", "zb")),
                 new MachineType("large", 16, 0, 64, 9, 0.3, 2, 0.8, 10, List.of("za", "zb"))));
         for (int i = 0; i < machines; i++) {
-            Machine machine = cluster.machine(String.format("host-%06d", random.nextInt(1_000_000)));
+            Machine machine = cluster.getOrAddMachine(String.format("host-%06d", random.nextInt(1_000_000)));
             machine.setType(cluster.machineTypes().get(random.nextInt(2)));
             machine.setTypeName(machine.type().name());
             machine.setSpot(random.nextBoolean());
-            TestMachine.heard(machine, NOW);
+            TestMachine.recordEmptyStatus(machine, NOW);
             cluster.setZone(machine, random.nextBoolean() ? "za" : "zb");
             for (int n = random.nextInt(3); n > 0; n--) {
                 machine.cacheImage("img" + random.nextInt(5), 2);
@@ -62,8 +62,8 @@
                 new Settings.ServiceLevelObjective("wait", "quick", 2, 0.9));
     }
 
-    /** Adds an accepted job. */
-    static Job job(ClusterState cluster, int number, SplittableRandom random) {
+    /** Adds a random accepted job. */
+    static Job addJob(ClusterState cluster, int number, SplittableRandom random) {
         boolean service = random.nextInt(4) == 0;
         JobSpec spec = JobSpecBuilder.of(service ? JobSpec.Kind.SERVICE : JobSpec.Kind.ARRAY, "job-" + number)
                 .team("red")
