--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -244,7 +244,7 @@
         boolean cancellationsKnown =
                 phase == Phase.READING_TASKS || election.cancellations().knowsEarlierCancellations();
         boolean renews = cancellationsKnown && election.mayRenewWorkerLeases();
-        reply.accept(renews ? heartbeats.renewBeforeRecovery(heartbeat) : null);
+        reply.accept(renews ? heartbeats.renewLeaseBeforeRecovery(heartbeat) : null);
     }
 
     /** The last that was heard from a machine; null: nothing. */
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -149,7 +149,7 @@
         TaskEventReader reader = new TaskEventReader(cluster.jobs());
         restoreLegacyChunks(rowsByPrefix.get(LEGACY_CHUNK_PREFIX), reader);
         restoreEventLog(rowsByPrefix.get(CommitQueue.EVENT_LOG_PREFIX), reader);
-        List<TaskAssignment> assignments = reader.assignments();
+        List<TaskAssignment> assignments = reader.unsettledAssignments();
         assignments.forEach(cluster::assign);
         listener.recovered(new Recovered(
                 operatorSettingsRevision,
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -133,7 +133,7 @@
      * Answers a heartbeat before the assignments have been read from the store: the lease is renewed, and tasks of
      * cancelled jobs are stopped.
      */
-    public byte[] renewBeforeRecovery(Heartbeat heartbeat) {
+    public byte[] renewLeaseBeforeRecovery(Heartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         machine.setAddress(heartbeat.address());
         machine.agent().markAnswered(environment.now());
--- a/src/main/java/stileferry/lifecycle/TaskEventReader.java
+++ b/src/main/java/stileferry/lifecycle/TaskEventReader.java
@@ -144,7 +144,7 @@
     }
 
     /** The assignments that are not settled after all records. */
-    public List<TaskAssignment> assignments() {
+    public List<TaskAssignment> unsettledAssignments() {
         List<TaskAssignment> unsettled = new ArrayList<>();
         for (Map<Integer, TaskAssignment> ofOneJob : assignments.values()) {
             for (TaskAssignment assignment : ofOneJob.values()) {
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -142,7 +142,7 @@
 
         /** A new leader goes on with what it has read. */
         void failOver(Map<String, Job> readJobs, TaskEventReader reader, EventLog next) {
-            reader.assignments().forEach(assignment -> assignment.job().addAssignment(assignment));
+            reader.unsettledAssignments().forEach(assignment -> assignment.job().addAssignment(assignment));
             jobs = readJobs;
             log = next;
         }
@@ -176,7 +176,7 @@
             loseLastButOneRecord(history.log);
         }
         TaskEventReader reader = read(readJobs, next);
-        assertEquals(attempts(history.jobs), attempts(reader.assignments()), "at step " + step);
+        assertEquals(attempts(history.jobs), attempts(reader.unsettledAssignments()), "at step " + step);
         for (Job job : history.jobs.values()) {
             assertEquals(
                     job.completedTasks().indexes(),
@@ -249,7 +249,7 @@
             assertTrue(batch.deletions().size() < 4);
             recordsAside += batch.put().key().startsWith("l/x") ? 1 : 0;
             write(batch, limitKb(small));
-            Map<String, Long> stored = attempts(read(jobs(JOBS, TASKS), null).assignments());
+            Map<String, Long> stored = attempts(read(jobs(JOBS, TASKS), null).unsettledAssignments());
             if (!history.log.hasPending()) {
                 assertEquals(attempts(history.jobs), stored, "at step " + step);
             }
@@ -278,7 +278,7 @@
         }
         Map<String, Job> readJobs = jobs(1, 100_000);
         TaskEventReader reader = read(readJobs, null);
-        assertEquals(50_000, reader.assignments().size());
+        assertEquals(50_000, reader.unsettledAssignments().size());
         assertEquals(
                 job.completedTasks().indexes(),
                 readJobs.get("job-0").completedTasks().indexes());
@@ -306,8 +306,8 @@
         store.put("c/job-0/1", part);
         log.restore("c/job-0/1", 5, -1, reader.readLegacyChunk(job, 1, part, -1));
         assertEquals("{128, 138, 143}", job.completedTasks().indexes().toString());
-        assertEquals(44, reader.assignments().size());
-        reader.assignments().forEach(job::addAssignment);
+        assertEquals(44, reader.unsettledAssignments().size());
+        reader.unsettledAssignments().forEach(job::addAssignment);
         while (log.hasPending()) {
             write(log);
         }
@@ -315,7 +315,7 @@
         Map<String, Job> readJobs = jobs(1, 200);
         assertEquals(
                 attempts(job.assignments().values()),
-                attempts(read(readJobs, null).assignments()));
+                attempts(read(readJobs, null).unsettledAssignments()));
         assertEquals(
                 job.completedTasks().indexes(),
                 readJobs.get("job-0").completedTasks().indexes());
