--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -52,10 +52,10 @@
     /**
      * A direct request to a worker.
      *
-     * @param attempts how often it may be sent, this time included, if the worker names another incarnation
+     * @param remainingSends how often it may be sent, this time included, if the worker names another incarnation
      */
     private record DirectRequest(
-            Machine machine, long incarnation, List<WorkerCommand> commands, int attempts, long timeoutMs) {}
+            Machine machine, long incarnation, List<WorkerCommand> commands, int remainingSends, long timeoutMs) {}
 
     CommandDispatcher(
             ClusterState cluster,
@@ -94,7 +94,7 @@
     }
 
     /** Queues the commands of this machine, to be sent without waiting for its next heartbeat. */
-    public void sendSoon(Machine machine) {
+    public void queueCommands(Machine machine) {
         queuedForCommands.add(machine);
     }
 
@@ -217,7 +217,7 @@
     private void receiveAnswer(DirectRequest request, int status, JsonNode body) {
         boolean answered = status == OK || status == CONFLICT;
         if (answered || status == Environment.NOT_SENT) {
-            startsAnswered(request);
+            markStartsAnswered(request);
         }
         Heartbeat heartbeat = answered ? Heartbeat.read(body) : null;
         if (heartbeat == null || !heartbeat.machine().equals(request.machine.name())) {
@@ -229,14 +229,14 @@
         }
         request.machine.agent().markReachable();
         statusListener.statusReceived(request.machine, heartbeat);
-        if (status == CONFLICT && request.attempts > 1 && heartbeat.incarnation() != request.incarnation) {
+        if (status == CONFLICT && request.remainingSends > 1 && heartbeat.incarnation() != request.incarnation) {
             send(new DirectRequest(
-                    request.machine, heartbeat.incarnation(), List.of(), request.attempts - 1, request.timeoutMs));
+                    request.machine, heartbeat.incarnation(), List.of(), request.remainingSends - 1, request.timeoutMs));
         }
     }
 
     /** The starts of this request were carried out, refused or never sent, so none of them can arrive later. */
-    private static void startsAnswered(DirectRequest request) {
+    private static void markStartsAnswered(DirectRequest request) {
         AgentState agent = request.machine.agent();
         for (WorkerCommand command : request.commands) {
             if (command.kind() == WorkerCommand.Kind.RUN) {
--- a/src/main/java/stileferry/heartbeat/CommandPlanner.java
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -17,7 +17,7 @@
     private final Environment environment;
     private final LeaderElection leadership;
     private final long term;
-    private final long cancelMs;
+    private final long cancelDeadlineMs;
 
     /** How commands reach a worker. */
     enum Delivery {
@@ -32,7 +32,7 @@
         this.environment = environment;
         this.leadership = leadership;
         this.term = term;
-        this.cancelMs = Math.round(cluster.settings().workers().cancelS() * 1000);
+        this.cancelDeadlineMs = Math.round(cluster.settings().workers().cancelS() * 1000);
     }
 
     /**
@@ -47,14 +47,14 @@
         }
         for (Heartbeat.TaskStatus status : machine.reportedTasks()) {
             if (!assigned(machine, status)) {
-                addForUnassignedTask(machine, status, delivery, commands);
+                addCommandForUnassignedTask(machine, status, delivery, commands);
             }
         }
         long now = environment.now();
         for (TaskAssignment assignment : machine.assignments().values()) {
             if (assignment.startable()
                     && assignment.incarnation() == machine.agent().incarnation()) {
-                addForAssignment(machine, assignment, delivery, now, commands);
+                addCommandsForAssignment(machine, assignment, delivery, now, commands);
             }
         }
         return commands;
@@ -85,7 +85,7 @@
         return assignment != null && assignment.attempt() == status.attempt();
     }
 
-    private void addForUnassignedTask(
+    private void addCommandForUnassignedTask(
             Machine machine, Heartbeat.TaskStatus status, Delivery delivery, List<WorkerCommand> commands) {
         if (status.phase() != Heartbeat.TaskPhase.EXITED) {
             commands.add(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0));
@@ -105,7 +105,7 @@
                 && !agent.startUnanswered(status.attemptId());
     }
 
-    private void addForAssignment(
+    private void addCommandsForAssignment(
             Machine machine, TaskAssignment assignment, Delivery delivery, long now, List<WorkerCommand> commands) {
         if (needsStart(machine, assignment, delivery, now)) {
             commands.add(new WorkerCommand(WorkerCommand.Kind.RUN, assignment.taskId(), assignment.attempt(), 0));
@@ -128,7 +128,7 @@
             return true;
         }
         // An unanswered direct start of a stopped task does no harm once the worker knows the attempt.
-        boolean cancelledLongAgo = assignment.job().cancelled() && now - assignment.stopRequestedAt() > cancelMs / 2;
+        boolean cancelledLongAgo = assignment.job().cancelled() && now - assignment.stopRequestedAt() > cancelDeadlineMs / 2;
         return delivery == Delivery.HEARTBEAT_RESPONSE
                 && machine.agent().startUnanswered(assignment.attemptId())
                 && !cancelledLongAgo;
--- a/src/main/java/stileferry/heartbeat/EventLoopLag.java
+++ b/src/main/java/stileferry/heartbeat/EventLoopLag.java
@@ -10,17 +10,17 @@
     private static final int SAMPLES_PER_HEARTBEAT = 10;
 
     /** Lag as a part of the heartbeat interval above which the process is overloaded. */
-    private static final double OVERLOADED_PART = 0.2;
+    private static final double OVERLOAD_LAG_SHARE = 0.2;
 
     /** Part of the overload limit above which the process is saturated: the first sign of overload. */
-    private static final double SATURATED_PART = 0.25;
+    private static final double SATURATION_LAG_SHARE = 0.25;
 
     /** Part of a sample that still counts at the next one, so that one good moment ends nothing. */
     private static final double DECAY_PER_SAMPLE = 0.8;
 
     private final Environment environment;
     private final long sampleIntervalMs;
-    private final double overloadedMs;
+    private final double overloadThresholdMs;
     private double lagMs;
     private long maxLagMs;
 
@@ -28,7 +28,7 @@
     public EventLoopLag(Environment environment, double heartbeatIntervalS) {
         this.environment = environment;
         this.sampleIntervalMs = Math.max(1, Math.round(1000 * heartbeatIntervalS / SAMPLES_PER_HEARTBEAT));
-        this.overloadedMs = 1000 * heartbeatIntervalS * OVERLOADED_PART;
+        this.overloadThresholdMs = 1000 * heartbeatIntervalS * OVERLOAD_LAG_SHARE;
     }
 
     /** Begins to measure. */
@@ -44,12 +44,12 @@
 
     /** Whether there is more to do than this process can do in time. */
     public boolean overloaded() {
-        return lagMs > overloadedMs;
+        return lagMs > overloadThresholdMs;
     }
 
     /** Whether there is about as much to do as this process can do in time. */
     public boolean saturated() {
-        return lagMs > overloadedMs * SATURATED_PART;
+        return lagMs > overloadThresholdMs * SATURATION_LAG_SHARE;
     }
 
     /** By how much the last timers were late, in milliseconds. */
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -20,22 +20,22 @@
     static final double MISSED_AFTER_HEARTBEATS = 1.4;
 
     /** Part of a lease after which a spot machine is presumed lost: others return by way of followers well before. */
-    private static final double LOST_AFTER_LEASES = 0.55;
+    private static final double SPOT_LOST_AFTER_LEASES = 0.55;
 
     /** What a failed heartbeat costs a worker: its timeout, and the pause before it tries the next controller. */
-    private static final long FAILED_HEARTBEAT_MS = 5000;
+    private static final long FAILED_HEARTBEAT_DURATION_MS = 5000;
 
     /** Heartbeats that may fail before an on-demand machine is presumed lost: services run there. */
-    private static final int FAILED_HEARTBEATS = 2;
+    private static final int TOLERATED_FAILED_HEARTBEATS = 2;
 
     /** Heartbeat intervals between two heartbeats, at most. */
     private static final double MAX_HEARTBEAT_INTERVALS = 1.25;
 
     /** Heartbeat intervals without a heartbeat after which a machine counts as not heard. */
-    private static final int NOT_HEARD_AFTER_HEARTBEATS = 2;
+    private static final int SILENT_AFTER_HEARTBEATS = 2;
 
     /** Part of a zone's machines that missed heartbeats above which the network must be at fault. */
-    private static final double UNREACHABLE_ZONE_PART = 0.5;
+    private static final double UNREACHABLE_ZONE_SHARE = 0.5;
 
     private final ClusterState cluster;
     private final Environment environment;
@@ -50,7 +50,7 @@
         private int missedHeartbeats;
 
         boolean unreachable() {
-            return missedHeartbeats > Math.max(1, UNREACHABLE_ZONE_PART * machines);
+            return missedHeartbeats > Math.max(1, UNREACHABLE_ZONE_SHARE * machines);
         }
     }
 
@@ -79,13 +79,13 @@
      * @param leadingSince when this leader began: it can have heard nobody before
      */
     public Set<String> unreachableZones(long leadingSince) {
-        long heardBefore = environment.now() - Math.round(MISSED_AFTER_HEARTBEATS * heartbeatIntervalMs);
+        long heartbeatCutoff = environment.now() - Math.round(MISSED_AFTER_HEARTBEATS * heartbeatIntervalMs);
         Map<String, ZoneCount> zones = new HashMap<>();
         for (Machine machine : cluster.machines().values()) {
             if (expectedToReport(machine)) {
                 ZoneCount count = zones.computeIfAbsent(machine.zone(), zone -> new ZoneCount());
                 count.machines++;
-                count.missedHeartbeats += lastHeardAt(machine, leadingSince) < heardBefore ? 1 : 0;
+                count.missedHeartbeats += lastHeardAt(machine, leadingSince) < heartbeatCutoff ? 1 : 0;
             }
         }
         Set<String> unreachable = new HashSet<>();
@@ -105,22 +105,22 @@
      */
     public List<Machine> presumedLost(long leadingSince) {
         long now = environment.now();
-        long spotHeardBefore = now - Math.round(LOST_AFTER_LEASES * leaseMs);
-        long onDemandHeardBefore = Math.min(
-                spotHeardBefore,
+        long spotCutoff = now - Math.round(SPOT_LOST_AFTER_LEASES * leaseMs);
+        long onDemandCutoff = Math.min(
+                spotCutoff,
                 now
                         - Math.round(MAX_HEARTBEAT_INTERVALS * heartbeatIntervalMs)
-                        - FAILED_HEARTBEATS * FAILED_HEARTBEAT_MS);
+                        - TOLERATED_FAILED_HEARTBEATS * FAILED_HEARTBEAT_DURATION_MS);
         List<Machine> lost = new ArrayList<>();
         for (Machine machine : cluster.machines().values()) {
             if (expectedToReport(machine)
                     && !machine.assignments().isEmpty()
-                    && lastHeardAt(machine, leadingSince) < (machine.spot() ? spotHeardBefore : onDemandHeardBefore)) {
+                    && lastHeardAt(machine, leadingSince) < (machine.spot() ? spotCutoff : onDemandCutoff)) {
                 lost.add(machine);
             }
         }
         unreachableZones(leadingSince);
-        lost.removeIf(machine -> unreachableWithinLease(machine.zone()));
+        lost.removeIf(machine -> recentlyUnreachable(machine.zone()));
         return lost;
     }
 
@@ -135,7 +135,7 @@
     }
 
     /** For a lease's time after a partition machines may still be on their way back, some by way of followers. */
-    private boolean unreachableWithinLease(String zone) {
+    private boolean recentlyUnreachable(String zone) {
         Long unreachableAt = zoneLastUnreachableAt.get(zone);
         return unreachableAt != null && environment.now() - unreachableAt < leaseMs;
     }
@@ -151,6 +151,6 @@
     /** Whether a machine that was heard in this term has not been heard for longer than heartbeats can take. */
     public boolean missedHeartbeats(Machine machine) {
         return machine.agent().heardThisTerm()
-                && environment.now() - machine.agent().lastHeardAt() > NOT_HEARD_AFTER_HEARTBEATS * heartbeatIntervalMs;
+                && environment.now() - machine.agent().lastHeardAt() > SILENT_AFTER_HEARTBEATS * heartbeatIntervalMs;
     }
 }
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -90,7 +90,7 @@
             return;
         }
         machine.agent().markHeard(environment.now()); // so it is not given up, however long the store takes
-        journal.heardAgain(
+        journal.invalidateThenAnswer(
                 machine,
                 () -> reply.accept(leaseRenewalPolicy.mayAnswer(heartbeat) ? answer(machine, heartbeat) : null),
                 () -> reply.accept(null));
@@ -147,9 +147,9 @@
     /** The cloud has confirmed that a machine is deleted, with all tasks on it. */
     public void machineDeleted(Machine machine) {
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
-            taskObserver.gone(assignment, SettlementProof.MACHINE_DELETED);
+            taskObserver.taskProvenGone(assignment, SettlementProof.MACHINE_DELETED);
         }
         cluster.forget(machine);
-        taskObserver.changed();
+        taskObserver.schedulingInputChanged();
     }
 }
--- a/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
@@ -57,7 +57,7 @@
         updateTerm(machine, heartbeat, now);
         machine.agent().recordStatus(heartbeat, now);
         updateInstance(machine, heartbeat);
-        takeReclaimNotice(machine, heartbeat, now);
+        handleReclaimNotice(machine, heartbeat, now);
         taskReconciliation.reconcile(machine, heartbeat, origin, now);
         return true;
     }
@@ -73,7 +73,7 @@
         boolean newIncarnation = heartbeat.incarnation() > agent.incarnation();
         if (!agent.heardThisTerm() || newIncarnation) {
             machine.instance().markIdleSince(now);
-            taskObserver.changed();
+            taskObserver.schedulingInputChanged();
         }
         if (!agent.heardThisTerm() && machine.instance().booting()) {
             LOG.info(
@@ -97,7 +97,7 @@
             }
         } else if (agent.fencingToken() < term && heartbeat.fencingToken() >= term) {
             agent.markReachable();
-            taskObserver.changed();
+            taskObserver.schedulingInputChanged();
         }
     }
 
@@ -111,7 +111,7 @@
         cluster.freeCapacity().update(machine);
     }
 
-    private void takeReclaimNotice(Machine machine, Heartbeat heartbeat, long now) {
+    private void handleReclaimNotice(Machine machine, Heartbeat heartbeat, long now) {
         if (heartbeat.reclaimNoticeS() >= 0 && machine.instance().reclaimNoticeS() < 0) {
             LOG.info("reclaim notice: machine={} notice_s={}", machine.name(), heartbeat.reclaimNoticeS());
             machine.instance().receiveReclaimNotice(heartbeat.reclaimNoticeS());
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -32,7 +32,7 @@
     public static final int LAST_HEARTBEAT_EVENT = 3;
 
     /** Kind of event: a machine was heard again. */
-    public static final int HEARD_AGAIN_EVENT = 4;
+    public static final int HEARTBEATS_RESUMED_EVENT = 4;
 
     /** Heartbeat intervals after which the last heartbeat is recorded: heartbeats come a quarter late at most. */
     private static final double RECORD_AFTER_HEARTBEATS = 1.5;
@@ -41,7 +41,7 @@
     private static final long MAX_WAIT_MS = 3000;
 
     /** Bytes of an event in JSON form beside the machine's name, at most. */
-    private static final int MAX_BYTES_BESIDE_NAME = 64;
+    private static final int MAX_BYTES_WITHOUT_NAME = 64;
 
     private final ClusterState cluster;
     private final Environment environment;
@@ -52,7 +52,7 @@
     private final double clockErrorMs;
 
     /** In the order in which machines were heard again, so that runs with the same seed are the same. */
-    private final Map<Machine, List<PendingHeartbeat>> pending = new LinkedHashMap<>();
+    private final Map<Machine, List<PendingHeartbeat>> pendingByMachine = new LinkedHashMap<>();
 
     /** A heartbeat that waits until it is durable that its machine was heard again. */
     private record PendingHeartbeat(long receivedAt, Runnable answer, Runnable refuse) {}
@@ -69,7 +69,7 @@
 
         @Override
         public int maxBytes() {
-            return MAX_BYTES_BESIDE_NAME + lastHeartbeat.machine().length();
+            return MAX_BYTES_WITHOUT_NAME + lastHeartbeat.machine().length();
         }
 
         @Override
@@ -88,15 +88,15 @@
         }
     }
 
-    private record HeardAgainEvent(String machine) implements EndEvent {
+    private record HeartbeatsResumedEvent(String machine) implements EndEvent {
         @Override
         public void write(ArrayNode into) {
-            into.add(HEARD_AGAIN_EVENT).add(machine);
+            into.add(HEARTBEATS_RESUMED_EVENT).add(machine);
         }
 
         @Override
         public int maxBytes() {
-            return MAX_BYTES_BESIDE_NAME + machine.length();
+            return MAX_BYTES_WITHOUT_NAME + machine.length();
         }
     }
 
@@ -159,24 +159,24 @@
      *
      * @param refuse runs instead of {@code answer} when that takes too long
      */
-    void heardAgain(Machine machine, Runnable answer, Runnable refuse) {
+    void invalidateThenAnswer(Machine machine, Runnable answer, Runnable refuse) {
         PendingHeartbeat heartbeat = new PendingHeartbeat(environment.now(), answer, refuse);
-        List<PendingHeartbeat> sameMachine = pending.get(machine);
+        List<PendingHeartbeat> sameMachine = pendingByMachine.get(machine);
         if (sameMachine != null) {
             sameMachine.add(heartbeat);
             return;
         }
-        pending.put(machine, new ArrayList<>(List.of(heartbeat)));
-        commitQueue.appendEvent(new HeardAgainEvent(machine.name()), () -> {
+        pendingByMachine.put(machine, new ArrayList<>(List.of(heartbeat)));
+        commitQueue.appendEvent(new HeartbeatsResumedEvent(machine.name()), () -> {
             machine.agent().discardLastHeartbeatRecord();
-            pending.remove(machine).forEach(waiting -> waiting.answer.run());
+            pendingByMachine.remove(machine).forEach(waiting -> waiting.answer.run());
         });
     }
 
     /** Refuses heartbeats that have waited too long; their workers send them again. */
     public void refuseExpired() {
         long receivedBefore = environment.now() - MAX_WAIT_MS;
-        for (List<PendingHeartbeat> heartbeats : pending.values()) {
+        for (List<PendingHeartbeat> heartbeats : pendingByMachine.values()) {
             heartbeats.removeIf(heartbeat -> {
                 boolean expired = heartbeat.receivedAt < receivedBefore;
                 if (expired) {
@@ -189,7 +189,7 @@
 
     /** Refuses all heartbeats that wait. */
     public void close() {
-        pending.values().forEach(heartbeats -> heartbeats.forEach(heartbeat -> heartbeat.refuse.run()));
-        pending.clear();
+        pendingByMachine.values().forEach(heartbeats -> heartbeats.forEach(heartbeat -> heartbeat.refuse.run()));
+        pendingByMachine.clear();
     }
 }
--- a/src/main/java/stileferry/heartbeat/LeaseExpiry.java
+++ b/src/main/java/stileferry/heartbeat/LeaseExpiry.java
@@ -56,7 +56,7 @@
         long termAcknowledgedAt = leadership.acknowledgedByAllPeersAt();
         for (Machine machine : cluster.machines().values()) {
             long incarnation = highestIncarnation(machine);
-            long renewedAt = lastRenewalAt(machine, incarnation, termAcknowledgedAt);
+            long renewedAt = latestPossibleRenewalAt(machine, incarnation, termAcknowledgedAt);
             if (renewedAt == UNKNOWN || incarnation <= machine.agent().expiredIncarnation()) {
                 continue;
             }
@@ -82,7 +82,7 @@
      *
      * @param termAcknowledgedAt when all controllers had acknowledged this term; negative: not yet
      */
-    private long lastRenewalAt(Machine machine, long incarnation, long termAcknowledgedAt) {
+    private long latestPossibleRenewalAt(Machine machine, long incarnation, long termAcknowledgedAt) {
         AgentState agent = machine.agent();
         if (agent.lastAnsweredAt() > 0 && machine.acknowledgedTerm(term)) {
             return Math.max(agent.lastAnsweredAt(), agent.incarnationSeenAt());
@@ -107,8 +107,8 @@
                     machine.assignments().size());
         }
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
-            taskObserver.gone(assignment, SettlementProof.LEASE_EXPIRED);
+            taskObserver.taskProvenGone(assignment, SettlementProof.LEASE_EXPIRED);
         }
-        taskObserver.changed();
+        taskObserver.schedulingInputChanged();
     }
 }
--- a/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
+++ b/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
@@ -28,11 +28,11 @@
                 || heartbeat.incarnation() <= machine.agent().expiredIncarnation()) {
             return false; // its tasks count as gone, or are about to
         }
-        return !lateCopy(machine.agent(), heartbeat);
+        return !outdated(machine.agent(), heartbeat);
     }
 
     /** A worker has one heartbeat in flight, so nobody waits for the answer to an older one. */
-    private static boolean lateCopy(AgentState agent, Heartbeat heartbeat) {
+    private static boolean outdated(AgentState agent, Heartbeat heartbeat) {
         return heartbeat.incarnation() < agent.incarnation()
                 || heartbeat.incarnation() == agent.heartbeatIncarnation()
                         && heartbeat.sequence() <= agent.heartbeatSequence();
--- a/src/main/java/stileferry/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/stileferry/heartbeat/ReclaimNoticeHandler.java
@@ -23,8 +23,8 @@
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
             evict(assignment, noticeS, now);
         }
-        commandDispatcher.sendSoon(machine);
-        taskObserver.changed();
+        commandDispatcher.queueCommands(machine);
+        taskObserver.schedulingInputChanged();
     }
 
     private void evict(TaskAssignment assignment, double noticeS, long now) {
--- a/src/main/java/stileferry/heartbeat/TaskObserver.java
+++ b/src/main/java/stileferry/heartbeat/TaskObserver.java
@@ -8,13 +8,13 @@
 /** Hears what heartbeats, expired leases and deleted machines tell about assigned tasks. */
 public interface TaskObserver {
     /** The task has exited; its assignment is to be settled. */
-    void exited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status);
+    void taskExited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status);
 
     /** It is proven that the task is not on its machine and can't start there any more. */
-    void gone(TaskAssignment assignment, SettlementProof proof);
+    void taskProvenGone(TaskAssignment assignment, SettlementProof proof);
 
     /** The task has entered another phase. */
-    void phaseChanged(TaskAssignment assignment);
+    void taskPhaseChanged(TaskAssignment assignment);
 
     /** All tasks of a gang run. */
     void gangRunning(Job job);
@@ -23,5 +23,5 @@
     void stopTaskOrGang(TaskAssignment assignment, double graceS);
 
     /** Something changed that a scheduling pass may use. */
-    void changed();
+    void schedulingInputChanged();
 }
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -34,14 +34,14 @@
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
             Heartbeat.TaskStatus status = assignedTasks.get(assignment.taskId());
             if (assignment.incarnation() < heartbeat.incarnation()) {
-                taskObserver.gone(assignment, SettlementProof.HIGHER_INCARNATION);
+                taskObserver.taskProvenGone(assignment, SettlementProof.HIGHER_INCARNATION);
             } else if (status != null) {
                 if (status.phase() == Heartbeat.TaskPhase.EXITED || assignment.stopping()) {
                     agent.setReconciled(false);
                 }
                 updatePhase(machine, assignment, status, now);
             } else if (origin == HeartbeatReconciliation.Origin.HEARTBEAT && neverStarted(machine, assignment)) {
-                taskObserver.gone(assignment, SettlementProof.NEVER_STARTED);
+                taskObserver.taskProvenGone(assignment, SettlementProof.NEVER_STARTED);
             }
         }
     }
@@ -59,7 +59,7 @@
                 assignedTasks.put(status.taskId(), status);
             } else if (status.phase() != Heartbeat.TaskPhase.EXITED) {
                 machine.agent().setHasOrphanTasks(true);
-                commandDispatcher.sendSoon(machine);
+                commandDispatcher.queueCommands(machine);
             }
         }
         return assignedTasks;
@@ -86,10 +86,10 @@
                 case RUNNING, SAVING_CHECKPOINT -> markRunning(machine, assignment, now);
                 default -> {}
             }
-            taskObserver.phaseChanged(assignment);
+            taskObserver.taskPhaseChanged(assignment);
         }
         if (status.phase() == Heartbeat.TaskPhase.EXITED) {
-            taskObserver.exited(machine, assignment, status);
+            taskObserver.taskExited(machine, assignment, status);
         }
     }
 
--- a/src/main/java/stileferry/heartbeat/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -16,29 +16,29 @@
     private static final int FORWARD_LEASES = 2;
 
     /** Remembered workers for each socket: far more than a controller talks to at the same time. */
-    private static final int VISITS_PER_SOCKET = 8;
+    private static final int TRACKED_WORKERS_PER_SOCKET = 8;
 
     private final Environment environment;
     private final LinkHealth links;
     private final long leaseMs;
-    private final Cache<String, Visit> visits;
+    private final Cache<String, RedirectState> redirectStates;
 
     /**
      * A worker that sends heartbeats here though another controller leads.
      *
      * @param leader who led when it came
      * @param since when it came, or was last redirected
-     * @param lastSeenAt when it last sent a heartbeat here
+     * @param lastHeartbeatAt when it last sent a heartbeat here
      * @param redirected whether it was redirected to the leader
      */
-    private record Visit(String leader, long since, long lastSeenAt, boolean redirected) {}
+    private record RedirectState(String leader, long since, long lastHeartbeatAt, boolean redirected) {}
 
     WorkerRedirects(Settings settings, Environment environment, LinkHealth links) {
         this.environment = environment;
         this.links = links;
         this.leaseMs = Math.round(settings.workers().leaseS() * 1000);
-        this.visits = CacheBuilder.newBuilder()
-                .maximumSize((long) VISITS_PER_SOCKET * settings.maxSockets())
+        this.redirectStates = CacheBuilder.newBuilder()
+                .maximumSize((long) TRACKED_WORKERS_PER_SOCKET * settings.maxSockets())
                 .concurrencyLevel(1)
                 .build();
     }
@@ -46,27 +46,27 @@
     /** Whether to redirect a worker to the leader; else its heartbeat is to be forwarded. */
     boolean shouldRedirect(String machine, String leader) {
         long now = environment.now();
-        Visit visit = visits.getIfPresent(machine);
-        Visit next;
-        if (visit == null || !visit.leader.equals(leader) || wasElsewhere(visit, now)) {
-            next = new Visit(leader, now, now, !links.leaderHearsWorker(leader, machine));
-        } else if (shouldRetry(visit, machine, now)) {
-            next = new Visit(leader, now, now, true);
+        RedirectState current = redirectStates.getIfPresent(machine);
+        RedirectState updated;
+        if (current == null || !current.leader.equals(leader) || absentForALease(current, now)) {
+            updated = new RedirectState(leader, now, now, !links.leaderHearsWorker(leader, machine));
+        } else if (shouldRedirectAgain(current, machine, now)) {
+            updated = new RedirectState(leader, now, now, true);
         } else {
-            visits.put(machine, new Visit(leader, visit.since, now, visit.redirected));
+            redirectStates.put(machine, new RedirectState(leader, current.since, now, current.redirected));
             return false;
         }
-        visits.put(machine, next);
-        return next.redirected;
+        redirectStates.put(machine, updated);
+        return updated.redirected;
     }
 
     /** Where links are watched it is known whom the leader has heard meanwhile; else whoever came may have left. */
-    private boolean wasElsewhere(Visit visit, long now) {
-        return links.enabled() && now - visit.lastSeenAt > leaseMs;
+    private boolean absentForALease(RedirectState state, long now) {
+        return links.enabled() && now - state.lastHeartbeatAt > leaseMs;
     }
 
-    private boolean shouldRetry(Visit visit, String machine, long now) {
-        boolean neverTried = !visit.redirected && !links.leaderCannotReachWorker(visit.leader, machine);
-        return neverTried || now - visit.since > FORWARD_LEASES * leaseMs;
+    private boolean shouldRedirectAgain(RedirectState state, String machine, long now) {
+        boolean neverTried = !state.redirected && !links.leaderCannotReachWorker(state.leader, machine);
+        return neverTried || now - state.since > FORWARD_LEASES * leaseMs;
     }
 }
--- a/src/main/java/stileferry/lifecycle/TaskEventReader.java
+++ b/src/main/java/stileferry/lifecycle/TaskEventReader.java
@@ -43,7 +43,7 @@
         String machine = event.path(1).asText();
         if (kind == LastHeartbeatJournal.LAST_HEARTBEAT_EVENT) {
             lastHeartbeats.put(machine, LastHeartbeatRecord.read(event));
-        } else if (kind == LastHeartbeatJournal.HEARD_AGAIN_EVENT) {
+        } else if (kind == LastHeartbeatJournal.HEARTBEATS_RESUMED_EVENT) {
             lastHeartbeats.remove(machine);
         } else {
             return false;
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -33,7 +33,7 @@
     private final HeartbeatHandler heartbeatHandler;
     private final JobCompletion jobCompletion;
     private final ExitRecorder exitRecorder;
-    private final Runnable changed;
+    private final Runnable onSchedulingInputChange;
     private final GangMetrics gangMetrics = new GangMetrics();
 
     /**
@@ -41,7 +41,7 @@
      *
      * @param createHeartbeatHandler makes the handler of heartbeats, which notifies this lifecycle of its tasks
      * @param createJobCompletion makes the completion of jobs, which stops their tasks here
-     * @param changed run when something has changed that a scheduling pass may use
+     * @param onSchedulingInputChange run when something has changed that a scheduling pass may use
      */
     public TaskLifecycle(
             ClusterState cluster,
@@ -50,7 +50,7 @@
             TermSequence termSequence,
             Function<TaskObserver, HeartbeatHandler> createHeartbeatHandler,
             Function<TaskLifecycle, JobCompletion> createJobCompletion,
-            Runnable changed) {
+            Runnable onSchedulingInputChange) {
         this.cluster = cluster;
         this.environment = environment;
         this.commitQueue = commitQueue;
@@ -61,7 +61,7 @@
                 cluster, assignment -> stop(assignment, assignment.job().spec().checkpointSaveS()));
         this.exitRecorder = new ExitRecorder(
                 environment, quarantine, cluster.settings().workers().heartbeatRoundMs());
-        this.changed = changed;
+        this.onSchedulingInputChange = onSchedulingInputChange;
     }
 
     public HeartbeatHandler heartbeatHandler() {
@@ -77,8 +77,8 @@
     }
 
     @Override
-    public void changed() {
-        changed.run();
+    public void schedulingInputChanged() {
+        onSchedulingInputChange.run();
     }
 
     // ---- start
@@ -111,7 +111,7 @@
         GangAttempt gangAttempt = assignment.gangAttempt();
         if (gangAttempt == null) {
             if (mayStart(assignment)) {
-                heartbeatHandler.commandDispatcher().sendSoon(machine);
+                heartbeatHandler.commandDispatcher().queueCommands(machine);
             }
         } else if (gangAttempt.assignmentDurable()) {
             startGang(assignment.job(), gangAttempt);
@@ -121,7 +121,7 @@
     private void startGang(Job job, GangAttempt attempt) {
         for (TaskAssignment assignment : job.assignments().values()) {
             if (assignment.gangAttempt() == attempt && mayStart(assignment)) {
-                heartbeatHandler.commandDispatcher().sendSoon(cluster.machine(assignment.machine()));
+                heartbeatHandler.commandDispatcher().queueCommands(cluster.machine(assignment.machine()));
             }
         }
     }
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void phaseChanged(TaskAssignment assignment) {
+    public void taskPhaseChanged(TaskAssignment assignment) {
         jobCompletion.confirmCancellation(assignment.job());
     }
 
@@ -200,7 +200,7 @@
             return;
         }
         cluster.requestStop(assignment, graceS, environment.now());
-        heartbeatHandler.commandDispatcher().sendSoon(cluster.machine(assignment.machine()));
+        heartbeatHandler.commandDispatcher().queueCommands(cluster.machine(assignment.machine()));
     }
 
     private void stopOthers(TaskAssignment assignment, double graceS) {
@@ -236,7 +236,7 @@
     // ---- exit
 
     @Override
-    public void exited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status) {
+    public void taskExited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status) {
         Job job = assignment.job();
         if (!job.holds(assignment)) {
             return; // settled with its gang
@@ -302,7 +302,7 @@
     }
 
     @Override
-    public void gone(TaskAssignment assignment, SettlementProof proof) {
+    public void taskProvenGone(TaskAssignment assignment, SettlementProof proof) {
         if (assignment.job().holds(assignment)) {
             logSettled(assignment, proof);
             settle(assignment, false, null);
@@ -335,7 +335,7 @@
                     onDurable);
             jobCompletion.confirmCancellation(job);
         }
-        changed.run();
+        onSchedulingInputChange.run();
     }
 
     private void markIdleIfEmpty(Machine machine) {
