--- a/src/main/java/stileferry/autoscaling/Autoscaler.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -44,10 +44,10 @@
     /**
      * Deletes machines that are lost, idle or not to be used.
      *
-     * @param settled whether this leader has had time to hear from all machines; before, only what is certain counts
+     * @param allWorkersHeard whether this leader has had time to hear from all machines; before, only what is certain counts
      */
-    public void scaleIn(boolean settled) {
-        scaleIn.scaleIn(settled);
+    public void scaleIn(boolean allWorkersHeard) {
+        scaleIn.scaleIn(allWorkersHeard);
     }
 
     /** Requests machines for the tasks of these jobs that wait, the first jobs first. */
--- a/src/main/java/stileferry/autoscaling/CloudClient.java
+++ b/src/main/java/stileferry/autoscaling/CloudClient.java
@@ -7,7 +7,7 @@
 /** Calls the cloud within its rate limit, for one term. */
 final class CloudClient {
     /** Part of the cloud's rate limit that this client uses. */
-    private static final double RATE_PART = 0.8;
+    private static final double RATE_SHARE = 0.8;
 
     private static final double BURST_S = 1.5;
     private static final long TIMEOUT_MS = 5000;
@@ -20,7 +20,7 @@
     CloudClient(Environment environment, String address, double callsPerSecond) {
         this.environment = environment;
         this.address = address;
-        this.rateLimiter = new RateLimiter(environment, callsPerSecond * RATE_PART, BURST_S);
+        this.rateLimiter = new RateLimiter(environment, callsPerSecond * RATE_SHARE, BURST_S);
     }
 
     /** From now on no answer is passed on. */
--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -25,7 +25,7 @@
     private static final long RETRY_PAGE_MS = 100;
 
     /** Part of the cloud's rate limit that reading the list may take. */
-    private static final double MAX_RATE_PART = 0.5;
+    private static final double MAX_RATE_SHARE = 0.5;
 
     private static final long NEVER = -1;
 
@@ -38,7 +38,7 @@
     private boolean complete;
 
     /** Pages of the last list. */
-    private int pages;
+    private int pageCount;
 
     /** The action runs when the list has been read for the first time. */
     CloudInventory(ClusterState cluster, Environment environment, CloudClient cloud, Runnable onFirstRefresh) {
@@ -57,7 +57,7 @@
     void refresh() {
         if (!refreshing && refreshDue() && cloud.tryAcquire()) {
             refreshing = true;
-            pages = 0;
+            pageCount = 0;
             readPage("", new ArrayList<>());
         }
     }
@@ -68,9 +68,9 @@
 
     /** Half the list's lag, but not so often that reading takes more than its part of the rate limit. */
     private long refreshIntervalMs() {
-        long ratedMs = Math.round(pages * 1000 / (cluster.settings().cloud().requestsPerS() * MAX_RATE_PART));
+        long minIntervalForRateMs = Math.round(pageCount * 1000 / (cluster.settings().cloud().requestsPerS() * MAX_RATE_SHARE));
         long halfLagMs = Math.round(cluster.settings().cloud().listLagS() * 500);
-        return Math.max(MIN_REFRESH_INTERVAL_MS, Math.max(ratedMs, halfLagMs));
+        return Math.max(MIN_REFRESH_INTERVAL_MS, Math.max(minIntervalForRateMs, halfLagMs));
     }
 
     /** Reads the page after this machine as soon as the cloud's rate limit allows it. */
@@ -83,14 +83,14 @@
     }
 
     private void readPage(String lastMachine, List<CloudMessages.ListedMachine> listed) {
-        pages++;
+        pageCount++;
         String path = CloudMessages.listPath(PAGE_SIZE, lastMachine);
-        cloud.call("GET", path, null, (status, body) -> takePage(status, body, listed));
+        cloud.call("GET", path, null, (status, body) -> receivePage(status, body, listed));
     }
 
-    private void takePage(int status, JsonNode body, List<CloudMessages.ListedMachine> listed) {
+    private void receivePage(int status, JsonNode body, List<CloudMessages.ListedMachine> listed) {
         if (status != OK || body == null) {
-            refreshEnded();
+            endRefresh();
             return;
         }
         listed.addAll(CloudMessages.listedMachines(body));
@@ -98,11 +98,11 @@
             readNextPage(listed.get(listed.size() - 1).name(), listed);
             return;
         }
-        refreshEnded();
+        endRefresh();
         reconcile(listed);
     }
 
-    private void refreshEnded() {
+    private void endRefresh() {
         refreshing = false;
         refreshedAt = environment.now();
     }
--- a/src/main/java/stileferry/autoscaling/PlannedMachine.java
+++ b/src/main/java/stileferry/autoscaling/PlannedMachine.java
@@ -5,7 +5,7 @@
 /** The free capacity of a machine that boots, was requested or is to be requested. */
 final class PlannedMachine {
     /** Sums of amounts may be off by this much. */
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final InstancePool pool;
     private double freeCpus;
@@ -24,9 +24,9 @@
         return (spec.allowsSpot() || !pool.spot())
                 && (spec.zone() == null || spec.zone().equals(pool.zone()))
                 && spec.fitsType(pool.type())
-                && spec.cpus() <= freeCpus + ROUNDING
-                && spec.gpus() <= freeGpus + ROUNDING
-                && spec.memoryGb() <= freeMemoryGb + ROUNDING;
+                && spec.cpus() <= freeCpus + ROUNDING_TOLERANCE
+                && spec.gpus() <= freeGpus + ROUNDING_TOLERANCE
+                && spec.memoryGb() <= freeMemoryGb + ROUNDING_TOLERANCE;
     }
 
     /** Places as many of the tasks as fit, and returns how many. */
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -25,7 +25,7 @@
     private final CloudInventory inventory;
     private final LinkHealth links;
     private final long leadingSince;
-    private boolean deleting;
+    private boolean deletionInFlight;
 
     ScaleIn(
             ClusterState cluster,
@@ -44,14 +44,14 @@
     }
 
     /** Marks the machines that are to be deleted, and deletes those that are marked. */
-    void scaleIn(boolean settled) {
+    void scaleIn(boolean allWorkersHeard) {
         ScaleInPass pass = new ScaleInPass(
                 cluster,
                 heartbeatHandler.failureDetector(),
                 inventory,
                 links,
                 leadingSince,
-                settled,
+                allWorkersHeard,
                 environment.now());
         for (Machine machine : cluster.machines().values()) {
             if (!machine.instance().terminating()) {
@@ -81,19 +81,19 @@
                 names.add(machine.name());
             }
         }
-        if (deleting || names.isEmpty() || !cloud.tryAcquire()) {
+        if (deletionInFlight || names.isEmpty() || !cloud.tryAcquire()) {
             return;
         }
-        deleting = true;
+        deletionInFlight = true;
         cloud.call("POST", CloudMessages.DELETION_PATH, CloudMessages.deletionRequest(names), (status, body) -> {
-            deleting = false;
+            deletionInFlight = false;
             if (status == OK) {
-                names.forEach(this::deleted);
+                names.forEach(this::onDeleted);
             }
         });
     }
 
-    private void deleted(String name) {
+    private void onDeleted(String name) {
         Machine machine = cluster.machines().get(name);
         if (machine != null) {
             heartbeatHandler.machineDeleted(machine);
--- a/src/main/java/stileferry/autoscaling/ScaleInPass.java
+++ b/src/main/java/stileferry/autoscaling/ScaleInPass.java
@@ -15,27 +15,27 @@
 /** Decides in one pass which machines are deleted. Each idle machine that is lowers the spare capacity for the next. */
 final class ScaleInPass {
     /** Multiple of the nominal boot time after which a machine is taken for one that never comes up. */
-    private static final double MAX_BOOT_TIMES = 5;
+    private static final double MAX_BOOT_TIME_MULTIPLE = 5;
 
     /** A deleted machine is paid for a minute at least, so it may as well wait for work that long. */
     private static final long MIN_AGE_MS = 55_000;
 
     /** Leases after which an empty machine that is not heard, or does not hear us, is given up. */
-    private static final int GIVE_UP_LEASES = 3;
+    private static final int GIVE_UP_AFTER_LEASES = 3;
 
     /** Part of a cancellation's time after which the machine of a task that does not stop is deleted. */
-    private static final double CANCEL_PART = 0.8;
+    private static final double CANCEL_SHARE = 0.8;
 
     private final ClusterState cluster;
     private final FailureDetector failureDetector;
     private final CloudInventory inventory;
     private final LinkHealth links;
     private final long leadingSince;
-    private final boolean settled;
+    private final boolean allWorkersHeard;
     private final long now;
     private final long listLagMs;
     private final long leaseMs;
-    private final long cancelMs;
+    private final long maxCancelMs;
     private final boolean mayDeleteIdle;
     private final Set<Machine> presumedLost;
     private double spareCpus;
@@ -44,7 +44,7 @@
      * Begins a pass.
      *
      * @param leadingSince when this leader began: it can have heard nobody before
-     * @param settled whether this leader has had time to hear from all machines; before, only what is certain counts
+     * @param allWorkersHeard whether this leader has had time to hear from all machines; before, only what is certain counts
      */
     ScaleInPass(
             ClusterState cluster,
@@ -52,22 +52,22 @@
             CloudInventory inventory,
             LinkHealth links,
             long leadingSince,
-            boolean settled,
+            boolean allWorkersHeard,
             long now) {
         this.cluster = cluster;
         this.failureDetector = failureDetector;
         this.inventory = inventory;
         this.links = links;
         this.leadingSince = leadingSince;
-        this.settled = settled;
+        this.allWorkersHeard = allWorkersHeard;
         this.now = now;
         this.listLagMs = Math.round(cluster.settings().cloud().listLagS() * 1000);
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
-        this.cancelMs =
-                Math.round(1000 * CANCEL_PART * cluster.settings().workers().cancelS());
-        this.spareCpus = settled ? spareCpus() : 0;
-        this.mayDeleteIdle = settled && links.permitsScaleIn();
-        this.presumedLost = settled ? new HashSet<>(failureDetector.presumedLost(leadingSince)) : Set.of();
+        this.maxCancelMs =
+                Math.round(1000 * CANCEL_SHARE * cluster.settings().workers().cancelS());
+        this.spareCpus = allWorkersHeard ? spareCpus() : 0;
+        this.mayDeleteIdle = allWorkersHeard && links.permitsScaleIn();
+        this.presumedLost = allWorkersHeard ? new HashSet<>(failureDetector.presumedLost(leadingSince)) : Set.of();
     }
 
     /** Why the machine is to be deleted; null: it is kept. */
@@ -76,7 +76,7 @@
         if (reason == null && mayDeleteIdle) {
             reason = reasonIfUnused(machine);
         }
-        return keepsCancelledTask(machine) ? ScaleInReason.CANCELLED_TASK : reason;
+        return hasUnstoppableCancelledTask(machine) ? ScaleInReason.CANCELLED_TASK : reason;
     }
 
     private ScaleInReason reasonIfLost(Machine machine) {
@@ -85,10 +85,10 @@
                         || !machine.agent().heardThisTerm())) {
             return ScaleInReason.NOT_LISTED;
         }
-        if (settled && neverBooted(machine)) {
+        if (allWorkersHeard && neverBooted(machine)) {
             return ScaleInReason.NEVER_BOOTED;
         }
-        if (settled && unknown(machine) && listenedForMs(machine) > 2 * listLagMs + leaseMs) {
+        if (allWorkersHeard && neitherListedNorHeard(machine) && heartbeatWindowMs(machine) > 2 * listLagMs + leaseMs) {
             return ScaleInReason.UNKNOWN;
         }
         if (presumedLost.contains(machine) && links.permitsRemovingMachine(machine.name())) {
@@ -97,14 +97,14 @@
         if (expiredAndEmpty(machine) && links.permitsRemovingMachine(machine.name())) {
             return ScaleInReason.MISSED_HEARTBEATS;
         }
-        if (settled && unreachable(machine.agent()) && links.permitsRemovingMachine(machine.name())) {
+        if (allWorkersHeard && unreachable(machine.agent()) && links.permitsRemovingMachine(machine.name())) {
             return ScaleInReason.UNREACHABLE;
         }
         return null;
     }
 
     /** How long this leader could have heard the machine. */
-    private long listenedForMs(Machine machine) {
+    private long heartbeatWindowMs(Machine machine) {
         return now - Math.max(leadingSince, machine.instance().requestedAt());
     }
 
@@ -121,10 +121,10 @@
                 && machine.assignments().isEmpty()
                 && instance.requestedAt() != 0
                 && now - instance.requestedAt()
-                        > MAX_BOOT_TIMES * 1000 * machine.type().bootS();
+                        > MAX_BOOT_TIME_MULTIPLE * 1000 * machine.type().bootS();
     }
 
-    private boolean unknown(Machine machine) {
+    private boolean neitherListedNorHeard(Machine machine) {
         return !machine.agent().heardThisTerm()
                 && !machine.instance().listed()
                 && !machine.assignments().isEmpty()
@@ -136,11 +136,11 @@
         return agent.expiredIncarnation() >= agent.incarnation()
                 && machine.assignments().isEmpty()
                 && !machine.instance().booting()
-                && Math.min(listenedForMs(machine), now - agent.lastHeardAt()) > GIVE_UP_LEASES * leaseMs;
+                && Math.min(heartbeatWindowMs(machine), now - agent.lastHeardAt()) > GIVE_UP_AFTER_LEASES * leaseMs;
     }
 
     private boolean unreachable(AgentState agent) {
-        return agent.unreachableSince() != 0 && now - agent.unreachableSince() > GIVE_UP_LEASES * leaseMs;
+        return agent.unreachableSince() != 0 && now - agent.unreachableSince() > GIVE_UP_AFTER_LEASES * leaseMs;
     }
 
     private ScaleInReason reasonIfUnused(Machine machine) {
@@ -179,11 +179,11 @@
         return Math.round(1000 * idleBoots * machine.type().bootS());
     }
 
-    private boolean keepsCancelledTask(Machine machine) {
+    private boolean hasUnstoppableCancelledTask(Machine machine) {
         for (TaskAssignment assignment : machine.assignments().values()) {
             if (assignment.job().cancelled()
                     && assignment.stopRequestedAt() > 0
-                    && now - assignment.stopRequestedAt() > cancelMs) {
+                    && now - assignment.stopRequestedAt() > maxCancelMs) {
                 return true;
             }
         }
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -24,7 +24,7 @@
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
     /** A request without an answer is sent again after this. */
-    private static final long RESEND_MS = 6000;
+    private static final long RESEND_AFTER_MS = 6000;
 
     private final ClusterState cluster;
     private final Environment environment;
@@ -74,11 +74,11 @@
 
     private void resendUnanswered() {
         for (ScaleOutRequest request : List.copyOf(pendingRequests)) {
-            if (environment.now() - request.sentAt() > RESEND_MS && cloud.tryAcquire()) {
+            if (environment.now() - request.sentAt() > RESEND_AFTER_MS && cloud.tryAcquire()) {
                 pendingRequests.remove(request);
-                ScaleOutRequest again = request.sentAgainAt(environment.now());
-                pendingRequests.add(again);
-                send(again);
+                ScaleOutRequest resent = request.resentAt(environment.now());
+                pendingRequests.add(resent);
+                send(resent);
             }
         }
     }
@@ -96,18 +96,18 @@
     /** After any other answer nothing was done or the outcome is unknown: the same request is sent again later. */
     private void receiveAnswer(ScaleOutRequest request, int status, JsonNode body) {
         if (status == OK && body != null) {
-            settle(request);
+            removePending(request);
             machinesCreated(request, CloudMessages.createdMachines(body));
         } else if (status == UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
-            settle(request);
+            removePending(request);
             backOff.refused(request.pool());
         } else if (status == MALFORMED) {
-            settle(request);
+            removePending(request);
             LOG.error("scale out request malformed: answer={}", body);
         }
     }
 
-    private void settle(ScaleOutRequest request) {
+    private void removePending(ScaleOutRequest request) {
         pendingRequests.removeIf(pending -> pending.id().equals(request.id()));
     }
 
--- a/src/main/java/stileferry/autoscaling/ScaleOutBackOff.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutBackOff.java
@@ -11,7 +11,7 @@
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
     /** The first pause in milliseconds for each second that a machine boots: half a boot time. */
-    private static final double PAUSE_MS_PER_BOOT_S = 500;
+    private static final double FIRST_PAUSE_MS_PER_BOOT_S = 500;
 
     /** Doublings of the pause, at most. */
     private static final int MAX_DOUBLINGS = 1;
@@ -33,7 +33,7 @@
     void refused(InstancePool pool) {
         Refusal previous = refusalsByPool.get(pool.key());
         int refusalsBefore = previous == null ? 0 : previous.count;
-        long pauseMs = Math.round(pool.type().bootS() * PAUSE_MS_PER_BOOT_S) << Math.min(MAX_DOUBLINGS, refusalsBefore);
+        long pauseMs = Math.round(pool.type().bootS() * FIRST_PAUSE_MS_PER_BOOT_S) << Math.min(MAX_DOUBLINGS, refusalsBefore);
         refusalsByPool.put(pool.key(), new Refusal(refusalsBefore + 1, environment.now() + pauseMs));
         LOG.info(
                 "no capacity: spot={} type={} zone={} retry_s={}",
--- a/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
@@ -21,13 +21,13 @@
  */
 final class ScaleOutPlan {
     /** Sums of amounts may be off by this much. */
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final ClusterState cluster;
     private final ScaleOutBackOff backOff;
     private final Set<String> unreachableZones;
-    private final List<PlannedMachine> upSoon = new ArrayList<>();
-    private final List<PlannedMachine> added = new ArrayList<>();
+    private final List<PlannedMachine> bootingOrRequested = new ArrayList<>();
+    private final List<PlannedMachine> toRequest = new ArrayList<>();
     private final Map<String, Integer> machinesByZone = new HashMap<>();
     private final Map<String, Double> cpusByTeam = new HashMap<>();
     private int spotMachines;
@@ -53,20 +53,20 @@
     /** A machine that is said to run but sends no heartbeats is not counted on. */
     private void addExisting(Machine machine) {
         InstancePool pool = new InstancePool(machine.type(), machine.zone(), machine.spot());
-        count(pool, 1);
+        countMachines(pool, 1);
         if (machine.instance().booting()) {
-            upSoon.add(new PlannedMachine(pool));
+            bootingOrRequested.add(new PlannedMachine(pool));
         }
     }
 
     private void addRequested(ScaleOutRequest request) {
-        count(request.pool(), request.count());
+        countMachines(request.pool(), request.count());
         for (int i = 0; i < request.count(); i++) {
-            upSoon.add(new PlannedMachine(request.pool()));
+            bootingOrRequested.add(new PlannedMachine(request.pool()));
         }
     }
 
-    private void count(InstancePool pool, int machines) {
+    private void countMachines(InstancePool pool, int machines) {
         allMachines += machines;
         spotMachines += pool.spot() ? machines : 0;
         machinesByZone.merge(pool.zone(), machines, Integer::sum);
@@ -75,7 +75,7 @@
     /** Plans machines for all tasks of a job that wait and that its team may run. */
     void add(Job job) {
         JobSpec spec = job.spec();
-        int tasks = tasksWithinTeamLimit(job);
+        int tasks = waitingTasksWithinTeamLimit(job);
         String onlyZone = spec.gang() && spec.oneZone() ? gangZone(spec, tasks) : null;
         tasks -= placeOnPlanned(spec, tasks, onlyZone);
         while (tasks > 0) {
@@ -83,8 +83,8 @@
             if (machine == null) {
                 return;
             }
-            count(machine.pool(), 1);
-            added.add(machine);
+            countMachines(machine.pool(), 1);
+            toRequest.add(machine);
             tasks -= machine.place(spec, tasks);
         }
     }
@@ -92,7 +92,7 @@
     /** The added machines, by pool, in batches of this size at most; the largest batches first, as calls are few. */
     List<List<PlannedMachine>> batches(int maxSize) {
         Map<String, List<PlannedMachine>> byPool = new HashMap<>();
-        for (PlannedMachine machine : added) {
+        for (PlannedMachine machine : toRequest) {
             byPool.computeIfAbsent(machine.pool().key(), key -> new ArrayList<>())
                     .add(machine);
         }
@@ -103,7 +103,7 @@
     }
 
     /** How many of a job's waiting tasks its team may still run, after what was planned for earlier jobs. */
-    private int tasksWithinTeamLimit(Job job) {
+    private int waitingTasksWithinTeamLimit(Job job) {
         Settings.Team team = cluster.settings().team(job.spec().team());
         int waiting = job.pendingCount();
         double cpusPerTask = job.spec().cpus();
@@ -111,7 +111,7 @@
             return waiting;
         }
         double cpus = cpusByTeam.getOrDefault(team.name(), cluster.cpusInUse(team.name()));
-        int tasks = (int) Math.max(0, Math.min(waiting, (team.cpusMax() - cpus + ROUNDING) / cpusPerTask));
+        int tasks = (int) Math.max(0, Math.min(waiting, (team.cpusMax() - cpus + ROUNDING_TOLERANCE) / cpusPerTask));
         cpusByTeam.put(team.name(), cpus + tasks * cpusPerTask);
         return tasks;
     }
@@ -119,7 +119,7 @@
     /** Places tasks on machines that are planned already, in one zone or (null) in any; returns how many fit. */
     private int placeOnPlanned(JobSpec spec, int tasks, String onlyZone) {
         int placed = 0;
-        for (List<PlannedMachine> machines : List.of(upSoon, added)) {
+        for (List<PlannedMachine> machines : List.of(bootingOrRequested, toRequest)) {
             for (PlannedMachine machine : machines) {
                 if (placed == tasks) {
                     return placed;
@@ -151,7 +151,7 @@
 
     private Map<String, Integer> fittingTasksByZone(JobSpec spec) {
         Map<String, Integer> fittingByZone = new HashMap<>();
-        for (List<PlannedMachine> machines : List.of(upSoon, added)) {
+        for (List<PlannedMachine> machines : List.of(bootingOrRequested, toRequest)) {
             for (PlannedMachine machine : machines) {
                 if (machine.fits(spec)) {
                     int tasks = spec.cpus() > 0 ? (int) Math.max(1, machine.freeCpus() / spec.cpus()) : 1;
@@ -171,13 +171,13 @@
     /** The cheapest machine, in one zone or (null) in any, that a task may run on and that may be requested now. */
     private PlannedMachine cheapest(JobSpec spec, String onlyZone) {
         double spotShare = cluster.operatorSettings().number(OperatorSettings.SPOT_SHARE);
-        boolean moreSpot = spotMachines + 1 <= spotShare * (allMachines + 1);
+        boolean spotAllowed = spotMachines + 1 <= spotShare * (allMachines + 1);
         PlannedMachine best = null;
         for (MachineType type : cluster.machineTypes()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     PlannedMachine machine = new PlannedMachine(new InstancePool(type, zone, spot));
-                    if ((!spot || moreSpot)
+                    if ((!spot || spotAllowed)
                             && (onlyZone == null || onlyZone.equals(zone))
                             && mayRequest(machine.pool())
                             && machine.fits(spec)
--- a/src/main/java/stileferry/autoscaling/ScaleOutRequest.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutRequest.java
@@ -6,7 +6,7 @@
  * @param id under which the cloud carries it out once, however often it is sent
  */
 record ScaleOutRequest(String id, InstancePool pool, int count, long sentAt) {
-    ScaleOutRequest sentAgainAt(long now) {
+    ScaleOutRequest resentAt(long now) {
         return new ScaleOutRequest(id, pool, count, now);
     }
 }
--- a/src/main/java/stileferry/lifecycle/ExitRecorder.java
+++ b/src/main/java/stileferry/lifecycle/ExitRecorder.java
@@ -15,10 +15,10 @@
     /** Bounded slowdown counts shorter runs as being this long, as in the paper that {@code Placement} names. */
     private static final double SLOWDOWN_THRESHOLD_S = 60;
 
-    private static final long FAILED_FIRST_PAUSE_MS = 1000;
-    private static final int FAILED_MOST_DOUBLINGS = 6;
-    private static final long UNKNOWN_JOB_FIRST_PAUSE_MS = 500;
-    private static final int UNKNOWN_JOB_MOST_DOUBLINGS = 7;
+    private static final long FAILED_FIRST_BACK_OFF_MS = 1000;
+    private static final int FAILED_MAX_DOUBLINGS = 6;
+    private static final long UNKNOWN_JOB_FIRST_BACK_OFF_MS = 500;
+    private static final int UNKNOWN_JOB_MAX_DOUBLINGS = 7;
 
     private final Environment environment;
     private final MachineQuarantine quarantine;
@@ -32,7 +32,7 @@
     }
 
     void log(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
-        if (startKnown(assignment)) {
+        if (startObserved(assignment)) {
             LOG.debug(
                     "task exited: task={} class={} machine={} reason={} assigned_after_ms={} started_after_ms={}"
                             + " ran_ms={}",
@@ -50,12 +50,12 @@
     }
 
     /** Whether this leader has decided on the assignment and seen it running. */
-    private static boolean startKnown(TaskAssignment assignment) {
+    private static boolean startObserved(TaskAssignment assignment) {
         return assignment.assignedAt() > 0 && assignment.runningSince() > 0;
     }
 
     void recordSuccess(Machine machine, TaskAssignment assignment, long now) {
-        if (startKnown(assignment)) {
+        if (startObserved(assignment)) {
             machine.recordSlowdown(
                     (now - assignment.runningSince()) / 1000.0,
                     (assignment.runningSince() - assignment.assignedAt()) / 1000.0,
@@ -71,13 +71,13 @@
         int index = assignment.index();
         switch (status.exitReason()) {
             case FAILED -> {
-                job.failures().backOff(index, now, FAILED_FIRST_PAUSE_MS, FAILED_MOST_DOUBLINGS);
+                job.failures().backOff(index, now, FAILED_FIRST_BACK_OFF_MS, FAILED_MAX_DOUBLINGS);
                 quarantine.recordFailure(machine, job);
             }
             case INSUFFICIENT_RESOURCES, CONFLICTING_ATTEMPT ->
                 machine.instance().cordonUntil(now + heartbeatRoundMs);
             case UNKNOWN_JOB ->
-                job.failures().backOff(index, now, UNKNOWN_JOB_FIRST_PAUSE_MS, UNKNOWN_JOB_MOST_DOUBLINGS);
+                job.failures().backOff(index, now, UNKNOWN_JOB_FIRST_BACK_OFF_MS, UNKNOWN_JOB_MAX_DOUBLINGS);
             default -> {}
         }
     }
--- a/src/main/java/stileferry/lifecycle/GangMetrics.java
+++ b/src/main/java/stileferry/lifecycle/GangMetrics.java
@@ -11,7 +11,7 @@
     private long started;
     private long stoppedAndSaved;
     private long incomplete;
-    private long lostATask;
+    private long lostTask;
     private long failed;
 
     /** A gang was assigned to machines. */
@@ -26,23 +26,23 @@
 
     /** A task of a gang has exited without completing. */
     void countExit(TaskAssignment assignment, Heartbeat.TaskStatus status) {
-        if (!isFirstOfItsAttempt(assignment)) {
+        if (!recordEndOfAttempt(assignment)) {
             return;
         }
         switch (status.exitReason()) {
             case STOPPED -> stoppedAndSaved += status.checkpointSaved() ? 1 : 0;
             case GANG_INCOMPLETE -> incomplete++;
-            case GANG_MEMBER_LOST -> lostATask++;
+            case GANG_MEMBER_LOST -> lostTask++;
             default -> failed++;
         }
     }
 
     /** A task of a gang was lost with its machine or by lease expiry. */
     void countLost(TaskAssignment assignment) {
-        lostATask += isFirstOfItsAttempt(assignment) ? 1 : 0;
+        lostTask += recordEndOfAttempt(assignment) ? 1 : 0;
     }
 
-    private static boolean isFirstOfItsAttempt(TaskAssignment assignment) {
+    private static boolean recordEndOfAttempt(TaskAssignment assignment) {
         return assignment.job().failures().recordFailedAttempt(assignment.attempt());
     }
 
@@ -53,7 +53,7 @@
                 .put("started", started)
                 .put("stopped_and_saved", stoppedAndSaved)
                 .put("incomplete", incomplete)
-                .put("lost_a_task", lostATask)
+                .put("lost_a_task", lostTask)
                 .put("failed", failed);
     }
 }
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -19,7 +19,7 @@
     private final CompletedJobCache completedJobs;
     private final LeaderElection leaderElection;
     private final Listener listener;
-    private final Consumer<TaskAssignment> stop;
+    private final Consumer<TaskAssignment> stopTask;
 
     /** Notified of what users may hear. */
     public interface Listener {
@@ -37,20 +37,20 @@
             CompletedJobCache completedJobs,
             LeaderElection leaderElection,
             Listener listener,
-            Consumer<TaskAssignment> stop) {
+            Consumer<TaskAssignment> stopTask) {
         this.cluster = cluster;
         this.commitQueue = commitQueue;
         this.completedJobs = completedJobs;
         this.leaderElection = leaderElection;
         this.listener = listener;
-        this.stop = stop;
+        this.stopTask = stopTask;
     }
 
     /** After a failover, completes the jobs that the former leader left to complete, and resumes cancellations. */
     public void resumeAfterFailover() {
         for (Job job : List.copyOf(cluster.jobs().values())) {
             if (job.cancelled()) {
-                cancellationDurable(job);
+                onCancellationDurable(job);
             } else if (job.unfinishedCount() == 0) {
                 complete(job, CompletedJob.DONE, null);
             }
@@ -86,15 +86,15 @@
     /** Cancels a job that is neither cancelled nor completing. */
     public void cancel(Job job) {
         job.requestCancellation();
-        settleWhatWasNeverSent(job);
+        settleUnsentAssignments(job);
         if (job.assignments().isEmpty()) {
             complete(job, CompletedJob.CANCELLED, null);
         } else {
-            commitQueue.put(job.entry(), () -> cancellationDurable(job));
+            commitQueue.put(job.entry(), () -> onCancellationDurable(job));
         }
     }
 
-    private void settleWhatWasNeverSent(Job job) {
+    private void settleUnsentAssignments(Job job) {
         for (TaskAssignment assignment : List.copyOf(job.assignments().values())) {
             if (!assignment.startSent()) {
                 cluster.unassign(assignment, false);
@@ -104,9 +104,9 @@
     }
 
     /** A cancellation is durable: the tasks are stopped, and the other controllers hear of it. */
-    private void cancellationDurable(Job job) {
+    private void onCancellationDurable(Job job) {
         job.markCancellationDurable();
-        List.copyOf(job.assignments().values()).forEach(stop);
+        List.copyOf(job.assignments().values()).forEach(stopTask);
         if (job.assignments().isEmpty()) {
             complete(job, CompletedJob.CANCELLED, null);
             return;
--- a/src/main/java/stileferry/lifecycle/MachineQuarantine.java
+++ b/src/main/java/stileferry/lifecycle/MachineQuarantine.java
@@ -17,16 +17,16 @@
 final class MachineQuarantine {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
-    /** Failures, counted as {@link #weight} says, at which a machine is taken to be faulty. */
-    private static final int FAULTY_AT = 2;
+    /** Failures, counted as {@link #failureWeight} says, at which a machine is taken to be faulty. */
+    private static final int QUARANTINE_WEIGHT = 2;
 
     private final ClusterState cluster;
-    private final Consumer<TaskAssignment> stop;
+    private final Consumer<TaskAssignment> stopTask;
 
     /** {@code stop} stops an assigned task, which may save a checkpoint. */
-    MachineQuarantine(ClusterState cluster, Consumer<TaskAssignment> stop) {
+    MachineQuarantine(ClusterState cluster, Consumer<TaskAssignment> stopTask) {
         this.cluster = cluster;
-        this.stop = stop;
+        this.stopTask = stopTask;
     }
 
     /** A task of this job has failed on the machine. */
@@ -35,23 +35,23 @@
         machine.recordFailureOf(job.spec().id());
         int weight = 0;
         for (Map.Entry<String, Integer> failures : machine.failuresByJob().entrySet()) {
-            weight += weight(cluster.jobs().get(failures.getKey()), failures.getValue());
+            weight += failureWeight(cluster.jobs().get(failures.getKey()), failures.getValue());
         }
-        if (weight >= FAULTY_AT && !machine.instance().quarantined()) {
+        if (weight >= QUARANTINE_WEIGHT && !machine.instance().quarantined()) {
             LOG.info("machine quarantined: machine={}", machine.name());
             machine.instance().quarantine();
-            List.copyOf(machine.assignments().values()).forEach(stop);
+            List.copyOf(machine.assignments().values()).forEach(stopTask);
         }
     }
 
     /** What a job's failures on one machine count against it; the job is null when it has completed since. */
-    private static int weight(Job job, int failures) {
+    private static int failureWeight(Job job, int failures) {
         if (job == null) {
             return 1;
         }
         if (job.failures().jobAtFault()) {
             return 0;
         }
-        return job.failures().successes() > 0 ? Math.min(FAULTY_AT, failures) : 1;
+        return job.failures().successes() > 0 ? Math.min(QUARANTINE_WEIGHT, failures) : 1;
     }
 }
--- a/src/main/java/stileferry/lifecycle/TaskEventReader.java
+++ b/src/main/java/stileferry/lifecycle/TaskEventReader.java
@@ -62,12 +62,12 @@
                 long attempt = event.path(3).asLong();
                 String machine = event.path(4).asText();
                 long incarnation = event.path(5).asLong();
-                into.add(assign(job, index, attempt, machine, incarnation, recordNumber));
+                into.add(restoreAssignment(job, index, attempt, machine, incarnation, recordNumber));
             }
-            case TaskEvents.SETTLED -> into.add(settle(job, index, event.path(3).asLong()));
+            case TaskEvents.SETTLED -> into.add(restoreSettlement(job, index, event.path(3).asLong()));
             case TaskEvents.COMPLETED -> {
-                int last = Math.min(event.path(3).asInt(), job.spec().taskCount() - 1);
-                into.add(complete(job, index, last, recordNumber));
+                int lastIndex = Math.min(event.path(3).asInt(), job.spec().taskCount() - 1);
+                into.add(restoreCompletion(job, index, lastIndex, recordNumber));
             }
             default -> {}
         }
@@ -79,13 +79,13 @@
      */
     public List<StoredEvent> readLegacyChunk(Job job, int chunk, JsonNode record, long recordNumber) {
         List<StoredEvent> events = new ArrayList<>();
-        int first = chunk * job.legacyChunkTasks();
+        int firstIndex = chunk * job.legacyChunkTasks();
         String hexadecimal = record.path("done").asText();
         for (int bit = 0;
-                bit < 4 * hexadecimal.length() && first + bit < job.spec().taskCount();
+                bit < 4 * hexadecimal.length() && firstIndex + bit < job.spec().taskCount();
                 bit++) {
             if (bitSet(hexadecimal, bit)) {
-                events.add(complete(job, first + bit, first + bit, recordNumber));
+                events.add(restoreCompletion(job, firstIndex + bit, firstIndex + bit, recordNumber));
             }
         }
         for (JsonNode claim : record.path("claims")) {
@@ -94,7 +94,7 @@
                 long attempt = claim.path(1).asLong();
                 String machine = claim.path(2).asText();
                 long incarnation = claim.path(3).asLong();
-                events.add(assign(job, index, attempt, machine, incarnation, recordNumber));
+                events.add(restoreAssignment(job, index, attempt, machine, incarnation, recordNumber));
             }
         }
         return events;
@@ -107,7 +107,7 @@
         return (digit >> bit % 4 & 1) != 0;
     }
 
-    private StoredEvent assign(Job job, int index, long attempt, String machine, long incarnation, long recordNumber) {
+    private StoredEvent restoreAssignment(Job job, int index, long attempt, String machine, long incarnation, long recordNumber) {
         TaskAssignment assignment = new TaskAssignment(job, index, attempt, machine, incarnation, 0);
         assignment.markDurable();
         assignment.markStartSent(); // the former leader may have sent it
@@ -116,7 +116,7 @@
         return new TaskEvents.Assigned(assignment);
     }
 
-    private StoredEvent settle(Job job, int index, long attempt) {
+    private StoredEvent restoreSettlement(Job job, int index, long attempt) {
         TaskAssignment assignment = assignmentsOf(job).get(index);
         if (assignment != null && assignment.attempt() == attempt) {
             assignmentsOf(job).remove(index);
@@ -124,12 +124,12 @@
         return new TaskEvents.Settled(job, index, attempt);
     }
 
-    private StoredEvent complete(Job job, int from, int to, long recordNumber) {
-        for (int index = from; index <= to; index++) {
+    private StoredEvent restoreCompletion(Job job, int firstIndex, int lastIndex, long recordNumber) {
+        for (int index = firstIndex; index <= lastIndex; index++) {
             job.markTaskCompleted(index);
             assignmentsOf(job).remove(index);
         }
-        TaskEvents.Completed completed = new TaskEvents.Completed(job, from, to);
+        TaskEvents.Completed completed = new TaskEvents.Completed(job, firstIndex, lastIndex);
         completed.recordedIn(recordNumber);
         return completed;
     }
@@ -146,8 +146,8 @@
     /** The assignments that are not settled after all records. */
     public List<TaskAssignment> unsettledAssignments() {
         List<TaskAssignment> unsettled = new ArrayList<>();
-        for (Map<Integer, TaskAssignment> ofOneJob : assignments.values()) {
-            for (TaskAssignment assignment : ofOneJob.values()) {
+        for (Map<Integer, TaskAssignment> jobAssignments : assignments.values()) {
+            for (TaskAssignment assignment : jobAssignments.values()) {
                 if (!assignment.job().completedTasks().contains(assignment.index())) {
                     unsettled.add(assignment);
                 }
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -15,7 +15,7 @@
     static final int COMPLETED = 2;
 
     /** Bytes of an event in JSON form beside its texts: brackets, quotes and numbers. */
-    private static final int BYTES = 48;
+    private static final int MAX_BYTES_WITHOUT_TEXTS = 48;
 
     private TaskEvents() {}
 
@@ -34,8 +34,8 @@
         return new Completed(job, index, index);
     }
 
-    private static int bytes(Job job) {
-        return BYTES + job.spec().id().length();
+    private static int maxEventBytes(Job job) {
+        return MAX_BYTES_WITHOUT_TEXTS + job.spec().id().length();
     }
 
     /** Event 0: an assignment, kept until it is settled. */
@@ -52,7 +52,7 @@
 
         @Override
         public int maxBytes() {
-            return TaskEvents.bytes(assignment.job()) + assignment.machine().length();
+            return TaskEvents.maxEventBytes(assignment.job()) + assignment.machine().length();
         }
 
         @Override
@@ -80,25 +80,25 @@
 
         @Override
         public int maxBytes() {
-            return TaskEvents.bytes(job);
+            return TaskEvents.maxEventBytes(job);
         }
     }
 
     /** Event 2: these tasks, both ends included, have completed. Kept until their job is completed. */
-    record Completed(Job job, int from, int to) implements StoredEvent {
+    record Completed(Job job, int firstIndex, int lastIndex) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
-            into.add(COMPLETED).add(job.spec().id()).add(from).add(to);
+            into.add(COMPLETED).add(job.spec().id()).add(firstIndex).add(lastIndex);
         }
 
         @Override
         public int maxBytes() {
-            return TaskEvents.bytes(job);
+            return TaskEvents.maxEventBytes(job);
         }
 
         @Override
         public void recordedIn(long record) {
-            job.completedTasks().stored(from, to, (int) record);
+            job.completedTasks().stored(firstIndex, lastIndex, (int) record);
         }
 
         @Override
@@ -112,12 +112,12 @@
             if (job.completed()) {
                 return null;
             }
-            for (int index = from; index <= to; index++) {
+            for (int index = firstIndex; index <= lastIndex; index++) {
                 if (job.completedTasks().recordOf(index) == (int) record) {
                     return new Completed(
                             job,
-                            job.completedTasks().firstOfRun(from),
-                            job.completedTasks().lastOfRun(to));
+                            job.completedTasks().firstOfRun(firstIndex),
+                            job.completedTasks().lastOfRun(lastIndex));
                 }
             }
             return null;
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -39,8 +39,8 @@
     /**
      * The lifecycle of one term.
      *
-     * @param createHeartbeatHandler makes the handler of heartbeats, which notifies this lifecycle of its tasks
-     * @param createJobCompletion makes the completion of jobs, which stops their tasks here
+     * @param heartbeatHandlerFactory makes the handler of heartbeats, which notifies this lifecycle of its tasks
+     * @param jobCompletionFactory makes the completion of jobs, which stops their tasks here
      * @param onSchedulingInputChange run when something has changed that a scheduling pass may use
      */
     public TaskLifecycle(
@@ -48,15 +48,15 @@
             Environment environment,
             CommitQueue commitQueue,
             TermSequence termSequence,
-            Function<TaskObserver, HeartbeatHandler> createHeartbeatHandler,
-            Function<TaskLifecycle, JobCompletion> createJobCompletion,
+            Function<TaskObserver, HeartbeatHandler> heartbeatHandlerFactory,
+            Function<TaskLifecycle, JobCompletion> jobCompletionFactory,
             Runnable onSchedulingInputChange) {
         this.cluster = cluster;
         this.environment = environment;
         this.commitQueue = commitQueue;
         this.termSequence = termSequence;
-        this.heartbeatHandler = createHeartbeatHandler.apply(this);
-        this.jobCompletion = createJobCompletion.apply(this);
+        this.heartbeatHandler = heartbeatHandlerFactory.apply(this);
+        this.jobCompletion = jobCompletionFactory.apply(this);
         MachineQuarantine quarantine = new MachineQuarantine(
                 cluster, assignment -> stop(assignment, assignment.job().spec().checkpointSaveS()));
         this.exitRecorder = new ExitRecorder(
@@ -101,12 +101,12 @@
             }
             assignment.joinGangAttempt(gangAttempt);
             cluster.assign(assignment);
-            commitQueue.appendEvent(TaskEvents.assigned(assignment), () -> assignmentDurable(assignment, machine));
+            commitQueue.appendEvent(TaskEvents.assigned(assignment), () -> onAssignmentDurable(assignment, machine));
             index = job.nextUnassignedTask(index);
         }
     }
 
-    private void assignmentDurable(TaskAssignment assignment, Machine machine) {
+    private void onAssignmentDurable(TaskAssignment assignment, Machine machine) {
         assignment.markDurable();
         GangAttempt gangAttempt = assignment.gangAttempt();
         if (gangAttempt == null) {
@@ -151,7 +151,7 @@
 
     /** Stops a task whose job was cancelled. */
     public void stopCancelled(TaskAssignment assignment) {
-        stopOne(assignment, 0);
+        stopTask(assignment, 0);
     }
 
     @Override
@@ -166,10 +166,10 @@
     public void stop(TaskAssignment assignment, double graceS) {
         if (assignment.job().spec().gang()) {
             double gangGraceS = graceS > 0 && !allReachable(assignment.job()) ? 0 : graceS;
-            stopOne(assignment, gangGraceS);
-            stopOthers(assignment, gangGraceS);
+            stopTask(assignment, gangGraceS);
+            stopOtherTasks(assignment, gangGraceS);
         } else {
-            stopOne(assignment, graceS);
+            stopTask(assignment, graceS);
         }
     }
 
@@ -190,7 +190,7 @@
         return true;
     }
 
-    private void stopOne(TaskAssignment assignment, double graceS) {
+    private void stopTask(TaskAssignment assignment, double graceS) {
         if (!assignment.job().holds(assignment)) {
             return; // settled with its gang; counted out twice it would let its team beyond its limit
         }
@@ -203,10 +203,10 @@
         heartbeatHandler.commandDispatcher().queueCommands(cluster.machine(assignment.machine()));
     }
 
-    private void stopOthers(TaskAssignment assignment, double graceS) {
+    private void stopOtherTasks(TaskAssignment assignment, double graceS) {
         for (TaskAssignment other : List.copyOf(assignment.job().assignments().values())) {
             if (other != assignment && (!other.stopping() || graceS < other.stopGraceS())) {
-                stopOne(other, graceS);
+                stopTask(other, graceS);
             }
         }
     }
@@ -217,7 +217,7 @@
      */
     private void stopRestOfGang(TaskAssignment ended, boolean checkpointSaved) {
         if (ended.job().spec().gang()) {
-            stopOthers(ended, checkpointSaved ? ended.job().spec().checkpointSaveS() : 0);
+            stopOtherTasks(ended, checkpointSaved ? ended.job().spec().checkpointSaveS() : 0);
         }
     }
 
@@ -257,7 +257,7 @@
         }
         settle(assignment, completed, () -> {
             machine.agent().outcomeDurable(status.attemptId());
-            others.forEach(this::outcomeDurable);
+            others.forEach(this::onOutcomeDurable);
         });
     }
 
@@ -294,7 +294,7 @@
     }
 
     /** The outcome of a task that completed with its gang is durable, so its machine may clear it. */
-    private void outcomeDurable(TaskAssignment assignment) {
+    private void onOutcomeDurable(TaskAssignment assignment) {
         Machine machine = cluster.machines().get(assignment.machine());
         if (machine != null) {
             machine.agent().outcomeDurable(assignment.attemptId());
