--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void noMachineOfAZoneThatIsCutOffIsPresumedLost() {
+    void noMachineOfAnUnreachableZoneIsPresumedLost() {
         long leadingSince = addSpotMachines();
         simulation.runFor(7);
         reportFrom(1);
@@ -102,7 +102,7 @@
 
     /** After a partition most machines come back by way of followers, one after the other. */
     @Test
-    void machinesOfAZoneThatWasCutOffArePresumedLostOnlyALeaseAfterThePartition() {
+    void machinesOfAPartitionedZoneArePresumedLostOnlyALeaseAfterThePartition() {
         long leadingSince = addSpotMachines();
         simulation.runFor(7);
         reportFrom(1);
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -15,7 +15,7 @@
 
 /** Limits that only a fleet of thousands of machines meets. */
 class LargeFleetTest {
-    private static final int PAGES = 9;
+    private static final int PAGE_COUNT = 9;
 
     /** Late lists and late heartbeats name machines that are gone: the larger the fleet, the more of them. */
     @Test
@@ -36,7 +36,7 @@
 
     /** The list of a large fleet has more pages than the cloud takes calls at once. */
     @Test
-    void listOfManyPagesIsReadToItsEndWithinTheCloudsRateLimit() {
+    void listOfManyPagesIsReadCompletelyWithinTheCloudsRateLimit() {
         SimulatedCluster simulation = new SimulatedCluster(9);
         ControllerNode node = simulation.controllers.get("n0");
         node.start();
@@ -53,7 +53,7 @@
         }
         assertTrue(inventory.complete(), "the list was read to its end");
         assertEquals(1, firstRefreshes.get(), "the action of the first refresh runs once");
-        assertEquals(PAGES, cluster.machines().size());
+        assertEquals(PAGE_COUNT, cluster.machines().size());
         assertTrue(simulation.now - startedAt > 3000, "within the rate limit");
     }
 
@@ -70,6 +70,6 @@
                 .put("tender", false)
                 .put("tide", "booting")
                 .put("age_s", 1.0);
-        return page.put("more", number + 1 < PAGES);
+        return page.put("more", number + 1 < PAGE_COUNT);
     }
 }
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -141,17 +141,17 @@
         }
 
         /** A new leader goes on with what it has read. */
-        void failOver(Map<String, Job> readJobs, TaskEventReader reader, EventLog next) {
+        void failOver(Map<String, Job> restoredJobs, TaskEventReader reader, EventLog nextLog) {
             reader.unsettledAssignments().forEach(assignment -> assignment.job().addAssignment(assignment));
-            jobs = readJobs;
-            log = next;
+            jobs = restoredJobs;
+            log = nextLog;
         }
     }
 
     /** A small ring that goes round many times, read again and taken over at random moments. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void theRingAlwaysTellsTheWholeState(long seed) {
+    void ringHoldsTheWholeStateAfterEveryWrite(long seed) {
         RandomHistory history = new RandomHistory(seed, new EventLog(VALUE_KB, SLOTS, "t"));
         for (int step = 0; step < 3000; step++) {
             Job job = history.anyJob();
@@ -163,33 +163,33 @@
             }
             if (history.random.nextInt(3) == 0) {
                 history.writeAll();
-                readAgain(history, step);
+                assertRestoredState(history, step);
             }
         }
         assertEquals(SLOTS, store.size());
     }
 
-    private void readAgain(RandomHistory history, int step) {
-        Map<String, Job> readJobs = jobs(JOBS, TASKS);
-        EventLog next = history.random.nextInt(50) == 0 ? new EventLog(VALUE_KB, SLOTS, "t") : null;
-        if (next != null && history.random.nextBoolean()) {
-            loseLastButOneRecord(history.log);
+    private void assertRestoredState(RandomHistory history, int step) {
+        Map<String, Job> restoredJobs = jobs(JOBS, TASKS);
+        EventLog nextLog = history.random.nextInt(50) == 0 ? new EventLog(VALUE_KB, SLOTS, "t") : null;
+        if (nextLog != null && history.random.nextBoolean()) {
+            loseSecondToLastRecord(history.log);
         }
-        TaskEventReader reader = read(readJobs, next);
+        TaskEventReader reader = read(restoredJobs, nextLog);
         assertEquals(attempts(history.jobs), attempts(reader.unsettledAssignments()), "at step " + step);
         for (Job job : history.jobs.values()) {
             assertEquals(
                     job.completedTasks().indexes(),
-                    readJobs.get(job.spec().id()).completedTasks().indexes(),
+                    restoredJobs.get(job.spec().id()).completedTasks().indexes(),
                     "at step " + step);
         }
-        if (next != null) {
-            history.failOver(readJobs, reader, next);
+        if (nextLog != null) {
+            history.failOver(restoredJobs, reader, nextLog);
         }
     }
 
     /** The last but one record of the old leader is lost, and its slot keeps what it held before. */
-    private void loseLastButOneRecord(EventLog log) {
+    private void loseSecondToLastRecord(EventLog log) {
         EventLog.Batch lost = log.nextBatch(12);
         assertTrue(lost.deletions().isEmpty());
         EventLog.Batch last = log.nextBatch(12);
@@ -205,61 +205,61 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void recordsOfALargerLimitAreReplacedBySmallOnes(long seed) {
+    void recordsAreRewrittenWithinALoweredLimit(long seed) {
         RandomHistory history = new RandomHistory(seed, limitedLog(false, ""));
-        boolean small = false;
-        int recordsAside = 0;
+        boolean lowLimit = false;
+        int overflowRecords = 0;
         for (int step = 0; step < 4000; step++) {
             int phase = step % 1000;
-            boolean crowd = phase < 500; // many tasks at once, most of which stay while the ring goes round
+            boolean manyTasks = phase < 500; // many tasks at once, most of which stay while the ring goes round
             Job job = history.anyJob();
-            if (job.assignments().size() < (crowd ? 55 : 40)) {
+            if (job.assignments().size() < (manyTasks ? 55 : 40)) {
                 history.assignOne(job);
             } else {
                 history.settle(history.anyAssignment(job), false);
             }
             boolean limitChanges = phase == 499 || phase == 950;
-            if (!limitChanges && history.random.nextInt(crowd ? 300 : 3) != 0) {
+            if (!limitChanges && history.random.nextInt(manyTasks ? 300 : 3) != 0) {
                 continue;
             }
-            recordsAside += writeAllWithin(small, history, step);
+            overflowRecords += writeAllWithinLimit(lowLimit, history, step);
             if (limitChanges || history.random.nextInt(60) == 0) {
-                small = limitChanges ? phase == 499 : small;
-                Map<String, Job> readJobs = jobs(JOBS, TASKS);
-                EventLog next = limitedLog(small, step + "-");
-                history.failOver(readJobs, read(readJobs, next), next);
+                lowLimit = limitChanges ? phase == 499 : lowLimit;
+                Map<String, Job> restoredJobs = jobs(JOBS, TASKS);
+                EventLog nextLog = limitedLog(lowLimit, step + "-");
+                history.failOver(restoredJobs, read(restoredJobs, nextLog), nextLog);
             }
         }
-        assertTrue(recordsAside > 0, "nothing was too large");
+        assertTrue(overflowRecords > 0, "nothing was too large");
     }
 
-    private static double limitKb(boolean small) {
-        return small ? 2 : 16;
+    private static double limitKb(boolean lowLimit) {
+        return lowLimit ? 2 : 16;
     }
 
-    private static EventLog limitedLog(boolean small, String term) {
-        return new EventLog(limitKb(small), 64, "t" + term);
+    private static EventLog limitedLog(boolean lowLimit, String term) {
+        return new EventLog(limitKb(lowLimit), 64, "t" + term);
     }
 
     /** Writes all that waits, checks what is stored, and returns how many records went beside the ring. */
-    private int writeAllWithin(boolean small, RandomHistory history, int step) {
-        int recordsAside = 0;
+    private int writeAllWithinLimit(boolean lowLimit, RandomHistory history, int step) {
+        int overflowRecords = 0;
         while (history.log.hasPending()) {
             EventLog.Batch batch = history.log.nextBatch(4);
             assertTrue(batch.deletions().size() < 4);
-            recordsAside += batch.put().key().startsWith("l/x") ? 1 : 0;
-            write(batch, limitKb(small));
+            overflowRecords += batch.put().key().startsWith("l/x") ? 1 : 0;
+            write(batch, limitKb(lowLimit));
             Map<String, Long> stored = attempts(read(jobs(JOBS, TASKS), null).unsettledAssignments());
             if (!history.log.hasPending()) {
                 assertEquals(attempts(history.jobs), stored, "at step " + step);
             }
         }
-        return recordsAside;
+        return overflowRecords;
     }
 
     /** The largest job there may be, with every task assigned at once and half of them completed, fits the ring. */
     @Test
-    void aHundredThousandTasksFit() {
+    void ringHoldsAJobOfAHundredThousandTasks() {
         Job job = jobs(1, 100_000).get("job-0");
         EventLog log = new EventLog(VALUE_KB, 1024, "t");
         for (int i = 0; i < 100_000; i++) {
@@ -276,12 +276,12 @@
             write(log);
             assertTrue(++writes < 4000, "the log writes the same again and again");
         }
-        Map<String, Job> readJobs = jobs(1, 100_000);
-        TaskEventReader reader = read(readJobs, null);
+        Map<String, Job> restoredJobs = jobs(1, 100_000);
+        TaskEventReader reader = read(restoredJobs, null);
         assertEquals(50_000, reader.unsettledAssignments().size());
         assertEquals(
                 job.completedTasks().indexes(),
-                readJobs.get("job-0").completedTasks().indexes());
+                restoredJobs.get("job-0").completedTasks().indexes());
     }
 
     /** A job as it is stored with parts of 128 tasks each. */
@@ -312,17 +312,17 @@
             write(log);
         }
         assertEquals(1, store.size(), "the older record is gone: " + store.keySet());
-        Map<String, Job> readJobs = jobs(1, 200);
+        Map<String, Job> restoredJobs = jobs(1, 200);
         assertEquals(
                 attempts(job.assignments().values()),
-                attempts(read(readJobs, null).unsettledAssignments()));
+                attempts(read(restoredJobs, null).unsettledAssignments()));
         assertEquals(
                 job.completedTasks().indexes(),
-                readJobs.get("job-0").completedTasks().indexes());
+                restoredJobs.get("job-0").completedTasks().indexes());
     }
 
     @Test
-    void aGangIsPendingOnlyWhenNoneOfItIsAssigned() {
+    void gangIsPendingOnlyWhileNoneOfItsTasksIsAssigned() {
         Job job = TestJob.accepted(JobSpecBuilder.gang(1).tasks(3).build(), 1, 2);
         assertEquals(0, job.nextPendingTask(0));
         job.addAssignment(new TaskAssignment(job, 1, 1, "m", 1, 0));
