--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -14,17 +14,20 @@
 import stileferry.protocol.WorkerCommand;
 import stileferry.protocol.WorkerMessages;
 
-/** Sends direct requests to workers: commands that should not wait for the next heartbeat, and probes without any. */
+/**
+ * Sends direct requests to workers: commands that should not wait for the next heartbeat, and probes, which carry no
+ * commands.
+ */
 public final class CommandDispatcher {
-    /** Timeout of a probe, in heartbeat intervals: short, as many machines may be probed that can't answer. */
+    /** Timeout of a probe in heartbeat intervals. It is short, as many machines may be probed that can't answer. */
     private static final double PROBE_TIMEOUT_HEARTBEATS = 0.25;
 
-    /** At least this long, as packets get lost. */
+    /** Minimum timeout of a probe, as packets may get lost. */
     private static final long MIN_PROBE_TIMEOUT_MS = 1000;
 
     private static final int OK = 200;
 
-    /** The worker has another incarnation or has acknowledged a higher term; its answer says which. */
+    /** The worker runs another incarnation or has acknowledged a higher term; its response says which. */
     private static final int CONFLICT = 409;
 
     private final ClusterState cluster;
@@ -43,16 +46,17 @@
     private final Set<Machine> inFlight = new LinkedHashSet<>();
     private boolean closed;
 
-    /** Takes the status with which workers answer direct requests. */
+    /** Receives the status that workers return in response to direct requests. */
     interface StatusListener {
-        /** A worker has answered a direct request with its status. */
+        /** Called when a worker has answered a direct request with its status. */
         void statusReceived(Machine machine, Heartbeat status);
     }
 
     /**
      * A direct request to a worker.
      *
-     * @param remainingSends how often it may be sent, this time included, if the worker names another incarnation
+     * @param remainingSends how often the request may still be sent, this send included, if the worker reports another
+     *     incarnation
      */
     private record DirectRequest(
             Machine machine, long incarnation, List<WorkerCommand> commands, int remainingSends, long timeoutMs) {}
@@ -79,7 +83,7 @@
         this.maxInFlight = cluster.settings().socketBudget().commands();
     }
 
-    /** Sends nothing more and drops the answers to what was sent. */
+    /** Stops sending, and ignores the responses to requests in flight. */
     void close() {
         closed = true;
     }
@@ -88,22 +92,25 @@
         return closed;
     }
 
-    /** Queues a probe of this machine, to learn its status. */
+    /** Queues a probe that asks the machine's agent for its status. */
     void queueProbe(Machine machine) {
         queuedForProbe.add(machine);
     }
 
-    /** Queues the commands of this machine, to be sent without waiting for its next heartbeat. */
+    /** Queues the machine's pending commands for a direct request that does not wait for its next heartbeat. */
     public void queueCommands(Machine machine) {
         queuedForCommands.add(machine);
     }
 
-    /** Announces this term to every machine that has not been heard in it. */
+    /** Announces this term to every machine that has not been heard from in it. */
     public void announceTerm() {
         termAnnouncer.start();
     }
 
-    /** Queues probes of machines that may not receive our answers, and of machines that missed heartbeats. */
+    /**
+     * Queues probes of machines that may not receive the responses to their heartbeats, and of machines that missed
+     * heartbeats.
+     */
     public void queueProbes() {
         long now = environment.now();
         for (Machine machine : cluster.machines().values()) {
@@ -127,24 +134,27 @@
                 && now - machine.agent().lastHeardAt() > FailureDetector.MISSED_AFTER_HEARTBEATS * heartbeatIntervalMs;
     }
 
-    /** Sends what is queued; machines not heard lately get their commands in answer to their heartbeats. */
+    /**
+     * Sends the queued probes and commands. A machine without a recent heartbeat gets its commands in the response to
+     * its next heartbeat instead.
+     */
     public void sendQueued() {
         if (closed) {
             return;
         }
-        boolean sure = leadership.leaseHeld();
-        if (sure) {
+        boolean holdsLease = leadership.leaseHeld();
+        if (holdsLease) {
             sendProbes();
         }
         for (Machine machine : List.copyOf(queuedForCommands)) {
             if (inFlight.contains(machine)) {
-                continue; // again when the answer is there
+                continue; // retried once the request in flight has ended
             }
             if (inFlight.size() >= maxInFlight) {
-                return; // the rest goes out as answers come
+                return; // the rest is sent when requests in flight have ended
             }
-            if (!sure && !planner.hasCancelledTasks(machine)) {
-                continue; // all else waits until this controller is sure to lead again
+            if (!holdsLease && !planner.hasCancelledTasks(machine)) {
+                continue; // other commands wait until the leader's lease is held again
             }
             queuedForCommands.remove(machine);
             if (acceptsDirectCommands(machine)) {
@@ -153,7 +163,7 @@
         }
     }
 
-    /** Whether commands are sent directly now, rather than in the response to the machine's next heartbeat. */
+    /** Returns whether commands are sent directly now, rather than in the response to the machine's next heartbeat. */
     private boolean acceptsDirectCommands(Machine machine) {
         return machine.agent().heardThisTerm()
                 && !machine.instance().terminating()
@@ -169,7 +179,10 @@
         }
     }
 
-    /** Sends probes as answers come: after a failover or a partition all machines may be queued at once. */
+    /**
+     * Sends queued probes as long as connections allow; after a failover or a partition all machines may be queued at
+     * once.
+     */
     private void sendProbes() {
         while (!queuedForProbe.isEmpty() && mayProbe()) {
             Machine machine = queuedForProbe.iterator().next();
@@ -180,12 +193,18 @@
         }
     }
 
-    /** Probes of machines that may not answer leave connections for commands to machines that do. */
+    /**
+     * Returns whether another probe may be sent. Probes leave half of the connections to commands, as the probed
+     * machines may not answer.
+     */
     boolean mayProbe() {
         return inFlight.size() < Math.max(1, maxInFlight / 2);
     }
 
-    /** Announces this term to a worker, so that it sends its status and no longer obeys former leaders. */
+    /**
+     * Announces this term to a worker, so that it reports its status and no longer obeys former leaders. Does nothing
+     * if the machine was heard from in this term, has no known address or is terminating.
+     */
     void announceTermTo(Machine machine) {
         if (!machine.address().isEmpty()
                 && !machine.agent().heardThisTerm()
@@ -221,7 +240,7 @@
         }
         Heartbeat heartbeat = answered ? Heartbeat.read(body) : null;
         if (heartbeat == null || !heartbeat.machine().equals(request.machine.name())) {
-            return; // no answer, or another machine that has the address now
+            return; // no answer, or the address now belongs to another machine
         }
         if (heartbeat.fencingToken() > term) {
             leadership.observeTerm(heartbeat.fencingToken(), "");
@@ -231,11 +250,18 @@
         statusListener.statusReceived(request.machine, heartbeat);
         if (status == CONFLICT && request.remainingSends > 1 && heartbeat.incarnation() != request.incarnation) {
             send(new DirectRequest(
-                    request.machine, heartbeat.incarnation(), List.of(), request.remainingSends - 1, request.timeoutMs));
+                    request.machine,
+                    heartbeat.incarnation(),
+                    List.of(),
+                    request.remainingSends - 1,
+                    request.timeoutMs));
         }
     }
 
-    /** The starts of this request were carried out, refused or never sent, so none of them can arrive later. */
+    /**
+     * Marks the starts of a request as answered: they were carried out, refused or never sent, so none can arrive
+     * later.
+     */
     private static void markStartsAnswered(DirectRequest request) {
         AgentState agent = request.machine.agent();
         for (WorkerCommand command : request.commands) {
--- a/src/main/java/stileferry/heartbeat/CommandPlanner.java
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -12,7 +12,7 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.WorkerCommand;
 
-/** Decides which commands a worker needs: what it should do and has not been seen to have done. */
+/** Decides which commands a worker needs: the wanted changes that its reports don't show to be carried out. */
 final class CommandPlanner {
     private final Environment environment;
     private final LeaderElection leadership;
@@ -24,7 +24,7 @@
         /** In the response to a heartbeat. */
         HEARTBEAT_RESPONSE,
 
-        /** In a request of their own, which may overtake a heartbeat's response. */
+        /** In a separate request, which may overtake the response to a heartbeat. */
         DIRECT
     }
 
@@ -36,8 +36,8 @@
     }
 
     /**
-     * All commands that the worker needs. A controller that is not sure to lead only stops tasks of cancelled jobs.
-     * Starts are counted as sent, so the result has to be sent.
+     * Returns all commands that the worker needs. A controller that does not hold the leader's lease only stops tasks
+     * of cancelled jobs. Starts are recorded as sent, so the caller has to send the result.
      */
     List<WorkerCommand> commandsFor(Machine machine, Delivery delivery) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -60,15 +60,15 @@
         return commands;
     }
 
-    /** Whether tasks of durably cancelled jobs may be on the machine. */
+    /** Returns whether tasks of durably cancelled jobs may be on the machine. */
     boolean hasCancelledTasks(Machine machine) {
         return machine.assignments().values().stream()
                 .anyMatch(assignment -> assignment.job().cancellationDurable());
     }
 
     /**
-     * Whether the machine's commands should not wait for its next heartbeat, although a direct request costs as much
-     * as several heartbeats: a critical task waits to start there, or a task has to stop.
+     * Returns whether the machine's commands should be sent directly, although a direct request costs as much as
+     * several heartbeats: a critical task waits to start on the machine, or a task has to stop.
      */
     boolean urgent(Machine machine) {
         for (TaskAssignment assignment : machine.assignments().values()) {
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Whether an exited task may be cleared in a heartbeat's response. A direct clear could overtake a response that
-     * repeats the start, and after a clear a repeated start runs the task once more.
+     * Returns whether an exited task may be cleared in the response to a heartbeat. A direct clear could overtake a
+     * response that repeats the start, and a start that is repeated after the clear runs the task once more.
      */
     private boolean clearable(Machine machine, Heartbeat.TaskStatus status) {
         AgentState agent = machine.agent();
@@ -127,8 +127,10 @@
         if (!assignment.stopping()) {
             return true;
         }
-        // An unanswered direct start of a stopped task does no harm once the worker knows the attempt.
-        boolean cancelledLongAgo = assignment.job().cancelled() && now - assignment.stopRequestedAt() > cancelDeadlineMs / 2;
+        // The start is repeated: an unanswered direct start of a stopped task does no harm once the worker knows
+        // the attempt.
+        boolean cancelledLongAgo =
+                assignment.job().cancelled() && now - assignment.stopRequestedAt() > cancelDeadlineMs / 2;
         return delivery == Delivery.HEARTBEAT_RESPONSE
                 && machine.agent().startUnanswered(assignment.attemptId())
                 && !cancelledLongAgo;
@@ -140,7 +142,10 @@
         return assignment.stopping() && assignment.phase() != Heartbeat.TaskPhase.EXITED && !savingInGracePeriod;
     }
 
-    /** Whoever leads, a job whose cancellation is durable stays cancelled, so its tasks may be stopped by anyone. */
+    /**
+     * Adds kills for the tasks of durably cancelled jobs. Such a job stays cancelled whoever leads, so any controller
+     * may stop its tasks.
+     */
     private static void addKillsOfCancelledTasks(Machine machine, List<WorkerCommand> commands) {
         for (TaskAssignment assignment : machine.assignments().values()) {
             if (assignment.job().cancellationDurable()
--- a/src/main/java/stileferry/heartbeat/EventLoopLag.java
+++ b/src/main/java/stileferry/heartbeat/EventLoopLag.java
@@ -3,19 +3,19 @@
 import stileferry.protocol.Environment;
 
 /**
- * Measures by how much the timers of this process are late. A process that is given less processor time than it needs
- * runs them late; an overloaded controller then does what it can in cheaper, if somewhat later, ways.
+ * Measures how late the timers of this process fire. A process that is given less processor time than it needs runs its
+ * timers late; an overloaded controller then works in cheaper, somewhat slower ways.
  */
 public final class EventLoopLag {
     private static final int SAMPLES_PER_HEARTBEAT = 10;
 
-    /** Lag as a part of the heartbeat interval above which the process is overloaded. */
+    /** Share of the heartbeat interval; with a lag above it the process is overloaded. */
     private static final double OVERLOAD_LAG_SHARE = 0.2;
 
-    /** Part of the overload limit above which the process is saturated: the first sign of overload. */
+    /** Share of the overload threshold; with a lag above it the process is saturated, the first sign of overload. */
     private static final double SATURATION_LAG_SHARE = 0.25;
 
-    /** Part of a sample that still counts at the next one, so that one good moment ends nothing. */
+    /** Share of the lag that still counts at the next sample, so that a single timely one does not end an overload. */
     private static final double DECAY_PER_SAMPLE = 0.8;
 
     private final Environment environment;
@@ -24,14 +24,19 @@
     private double lagMs;
     private long maxLagMs;
 
-    /** Measures against the workers' heartbeat interval, in seconds. */
+    /**
+     * Creates a meter that has not started.
+     *
+     * @param heartbeatIntervalS the workers' heartbeat interval, which determines the sampling interval and the
+     *     thresholds
+     */
     public EventLoopLag(Environment environment, double heartbeatIntervalS) {
         this.environment = environment;
         this.sampleIntervalMs = Math.max(1, Math.round(1000 * heartbeatIntervalS / SAMPLES_PER_HEARTBEAT));
         this.overloadThresholdMs = 1000 * heartbeatIntervalS * OVERLOAD_LAG_SHARE;
     }
 
-    /** Begins to measure. */
+    /** Starts sampling the lag. */
     public void start() {
         long due = environment.now() + sampleIntervalMs;
         environment.schedule(sampleIntervalMs, () -> {
@@ -42,22 +47,22 @@
         });
     }
 
-    /** Whether there is more to do than this process can do in time. */
+    /** Returns whether the process has more work than it can do in time. */
     public boolean overloaded() {
         return lagMs > overloadThresholdMs;
     }
 
-    /** Whether there is about as much to do as this process can do in time. */
+    /** Returns whether the process has about as much work as it can do in time. */
     public boolean saturated() {
         return lagMs > overloadThresholdMs * SATURATION_LAG_SHARE;
     }
 
-    /** By how much the last timers were late, in milliseconds. */
+    /** Returns the recent timer lag in milliseconds: the maximum of the samples, each decaying over time. */
     public long lagMs() {
         return Math.round(lagMs);
     }
 
-    /** By how much any timer was late since the start, in milliseconds. */
+    /** Returns the largest timer lag since the start in milliseconds. */
     public long maxLagMs() {
         return maxLagMs;
     }
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -12,29 +12,38 @@
 import stileferry.protocol.Environment;
 
 /**
- * Judges machines that missed heartbeats: which are presumed lost, and which zones the network cuts off. Missed
+ * Decides which machines that missed heartbeats are presumed lost, and which zones the network has cut off. Missed
  * heartbeats prove nothing by themselves; only an expired lease does, see {@link LeaseExpiry}.
  */
 public final class FailureDetector {
-    /** Heartbeat intervals without a heartbeat after which one was missed: they come a quarter late at most. */
+    /**
+     * Heartbeat intervals without a heartbeat after which one counts as missed: heartbeats come at most a quarter of an
+     * interval late.
+     */
     static final double MISSED_AFTER_HEARTBEATS = 1.4;
 
-    /** Part of a lease after which a spot machine is presumed lost: others return by way of followers well before. */
+    /**
+     * Share of a lease without heartbeats after which a spot machine is presumed lost. Machines that only lost the link
+     * to the leader are heard by way of followers well before that.
+     */
     private static final double SPOT_LOST_AFTER_LEASES = 0.55;
 
-    /** What a failed heartbeat costs a worker: its timeout, and the pause before it tries the next controller. */
+    /**
+     * Time that a failed heartbeat costs a worker: its timeout, and the pause before the worker tries the next
+     * controller.
+     */
     private static final long FAILED_HEARTBEAT_DURATION_MS = 5000;
 
-    /** Heartbeats that may fail before an on-demand machine is presumed lost: services run there. */
+    /** Heartbeats that may fail before an on-demand machine is presumed lost, as services run there. */
     private static final int TOLERATED_FAILED_HEARTBEATS = 2;
 
-    /** Heartbeat intervals between two heartbeats, at most. */
+    /** Maximum time between two heartbeats, in heartbeat intervals. */
     private static final double MAX_HEARTBEAT_INTERVALS = 1.25;
 
-    /** Heartbeat intervals without a heartbeat after which a machine counts as not heard. */
+    /** Heartbeat intervals without a heartbeat after which a machine counts as silent. */
     private static final int SILENT_AFTER_HEARTBEATS = 2;
 
-    /** Part of a zone's machines that missed heartbeats above which the network must be at fault. */
+    /** Share of a zone's machines with missed heartbeats above which the network must be at fault. */
     private static final double UNREACHABLE_ZONE_SHARE = 0.5;
 
     private final ClusterState cluster;
@@ -44,7 +53,7 @@
     private final long leaseMs;
     private final Map<String, Long> zoneLastUnreachableAt = new HashMap<>();
 
-    /** Machines of a zone that should send heartbeats. */
+    /** Counts the machines of a zone that should send heartbeats, and those that missed one. */
     private static final class ZoneCount {
         private int machines;
         private int missedHeartbeats;
@@ -68,15 +77,15 @@
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
     }
 
-    /** Settles the assignments of machines whose lease has expired for certain. */
+    /** Settles the assignments of machines whose lease has certainly expired. */
     public void expireLeases() {
         leaseExpiry.expireLeases();
     }
 
     /**
-     * Zones of which so many machines missed heartbeats that the network must be at fault.
+     * Returns the zones in which so many machines missed heartbeats that the network must be at fault.
      *
-     * @param leadingSince when this leader began: it can have heard nobody before
+     * @param leadingSince when this leader started; it can have received no heartbeats before
      */
     public Set<String> unreachableZones(long leadingSince) {
         long heartbeatCutoff = environment.now() - Math.round(MISSED_AFTER_HEARTBEATS * heartbeatIntervalMs);
@@ -99,9 +108,10 @@
     }
 
     /**
-     * Machines with tasks that are most likely gone or hang: they send no heartbeats, though their zone does.
+     * Returns the machines with tasks that are most likely gone or hang: they send no heartbeats, though their zone
+     * does.
      *
-     * @param leadingSince when this leader began: it can have heard nobody before
+     * @param leadingSince when this leader started; it can have received no heartbeats before
      */
     public List<Machine> presumedLost(long leadingSince) {
         long now = environment.now();
@@ -134,13 +144,19 @@
         return Math.max(machine.agent().lastHeardAt(), leadingSince);
     }
 
-    /** For a lease's time after a partition machines may still be on their way back, some by way of followers. */
+    /**
+     * Returns whether a zone was unreachable within the last lease duration. For that long after a partition its
+     * machines may still be reconnecting, some of them by way of followers.
+     */
     private boolean recentlyUnreachable(String zone) {
         Long unreachableAt = zoneLastUnreachableAt.get(zone);
         return unreachableAt != null && environment.now() - unreachableAt < leaseMs;
     }
 
-    /** Whether a command that is sent now can be expected to arrive: the machine sends heartbeats, and heard us. */
+    /**
+     * Returns whether a command sent now can be expected to arrive: the machine sends heartbeats, and is not suspected
+     * of missing the responses.
+     */
     public boolean reachable(Machine machine) {
         return machine.agent().heardThisTerm()
                 && !machine.instance().terminating()
@@ -148,7 +164,9 @@
                 && environment.now() - machine.agent().lastHeardAt() <= MISSED_AFTER_HEARTBEATS * heartbeatIntervalMs;
     }
 
-    /** Whether a machine that was heard in this term has not been heard for longer than heartbeats can take. */
+    /**
+     * Returns whether a machine that was heard from in this term has been silent for longer than a heartbeat can take.
+     */
     public boolean missedHeartbeats(Machine machine) {
         return machine.agent().heardThisTerm()
                 && environment.now() - machine.agent().lastHeardAt() > SILENT_AFTER_HEARTBEATS * heartbeatIntervalMs;
--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -12,17 +12,23 @@
 import stileferry.protocol.UserMessages;
 import stileferry.protocol.WorkerMessages;
 
-/** Takes workers' heartbeats at a controller that does not lead: redirects, forwards or keeps them. */
+/**
+ * Handles workers' heartbeats at a controller that does not lead: redirects the worker to the leader, forwards the
+ * heartbeat or, without a leader, has the lease renewed with the consent of the other controllers.
+ */
 public final class FollowerHeartbeats {
-    /** A heartbeat waits this long at most for the new leader of a handover: half of its worker's timeout. */
+    /** Maximum time for which a heartbeat waits for the new leader of a handover: half of its worker's timeout. */
     private static final long NEW_LEADER_WAIT_MS = 2000;
 
     private static final long NEW_LEADER_CHECK_MS = 50;
 
-    /** Timeout for the leader's answer to a forwarded heartbeat: the worker's own is 4 s. */
+    /** Timeout for the leader's answer to a forwarded heartbeat; the worker's own timeout is 4 s. */
     private static final long FORWARD_TIMEOUT_MS = 3000;
 
-    /** Part of a lease for which workers are turned away without a leader before their leases are kept alive. */
+    /**
+     * A lease divided by this is the time without a leader for which heartbeats are refused; after that, leases are
+     * renewed without a leader.
+     */
     private static final int LEADERLESS_LEASE_DIVISOR = 8;
 
     private final Environment environment;
@@ -36,9 +42,9 @@
     private final long startedAt;
 
     /**
-     * Heartbeats at this controller.
+     * Creates the handler of this controller.
      *
-     * @param leaderHandler answers a heartbeat when this controller has come to lead meanwhile
+     * @param leaderHandler answers a heartbeat if this controller has become the leader in the meantime
      */
     public FollowerHeartbeats(
             Settings settings,
@@ -57,12 +63,19 @@
         this.startedAt = environment.now();
     }
 
-    /** Takes a heartbeat in; {@code body} is what the worker sent, to be forwarded as it is. */
+    /**
+     * Handles a heartbeat.
+     *
+     * @param body the heartbeat as the worker sent it, to be forwarded unchanged
+     * @param reply receives the HTTP status and the body of the response
+     */
     public void receive(Heartbeat heartbeat, byte[] body, BiConsumer<Integer, byte[]> reply) {
         redirectOrWait(heartbeat, body, environment.now() + NEW_LEADER_WAIT_MS, reply);
     }
 
-    /** During a handover a heartbeat waits for the new leader: its worker may not reach the former one. */
+    /**
+     * Lets a heartbeat wait for the new leader during a handover, as its worker may be unable to reach the former one.
+     */
     private void redirectOrWait(Heartbeat heartbeat, byte[] body, long waitUntil, BiConsumer<Integer, byte[]> reply) {
         Settings.Peer leader = leadership.leaderPeer();
         if (leadership.leading()) {
@@ -74,7 +87,7 @@
         }
     }
 
-    /** Redirects to the leader; the heartbeat of a worker that can't reach it is forwarded. */
+    /** Redirects the worker to the leader, or forwards the heartbeat if the worker can't reach the leader. */
     private void redirect(Heartbeat heartbeat, byte[] body, BiConsumer<Integer, byte[]> reply) {
         Settings.Peer leader = leadership.leaderPeer();
         if (leader == null) {
@@ -106,7 +119,10 @@
                 });
     }
 
-    /** This controller reaches neither the store nor the leader; another may have said who leads. */
+    /**
+     * Redirects to the leader that another controller has named, if any, when this one reaches neither the store nor
+     * the leader.
+     */
     private void redirectToHintedLeader(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {
         String hinted = links.leaderHint(leadership.term());
         if (hinted.isEmpty()) {
@@ -116,7 +132,10 @@
         }
     }
 
-    /** No leader is known: after a short time the worker's lease has to be kept alive. */
+    /**
+     * Answers when no leader is known or reachable; after a short time the worker's lease has to be renewed without
+     * one.
+     */
     private void answerWithoutLeader(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {
         long leaderLastKnownAt = Math.max(startedAt, leadership.leaderLastHeardAt());
         if (!leadership.leading() && environment.now() - leaderLastKnownAt > leaseMs / LEADERLESS_LEASE_DIVISOR) {
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -16,8 +16,8 @@
 import stileferry.protocol.WorkerMessages;
 
 /**
- * Answers the workers' heartbeats in one term. Every answer renews the worker's lease and carries the commands that the
- * worker needs.
+ * Answers the workers' heartbeats during one term. Each response renews the worker's lease and carries the commands
+ * that the worker needs.
  */
 public final class HeartbeatHandler {
     private final ClusterState cluster;
@@ -34,7 +34,7 @@
     private final UnreachableAgentDetector unreachableAgentDetector;
     private final HeartbeatReconciliation reconciliation;
 
-    /** A handler for one term; the observer hears what heartbeats prove. */
+    /** Creates the handler of one term; {@code taskObserver} is notified of what heartbeats prove. */
     public HeartbeatHandler(
             ClusterState cluster,
             Environment environment,
@@ -60,24 +60,24 @@
                 new HeartbeatReconciliation(cluster, environment, term, taskObserver, commandDispatcher, eventLoopLag);
     }
 
-    /** Sends no commands from now on. */
+    /** Stops sending commands. */
     public void close() {
         commandDispatcher.close();
     }
 
-    /** What machines are judged by that missed heartbeats. */
+    /** Returns the detector that judges machines with missed heartbeats. */
     public FailureDetector failureDetector() {
         return failureDetector;
     }
 
-    /** What sends commands without waiting for heartbeats. */
+    /** Returns the dispatcher that sends commands without waiting for heartbeats. */
     public CommandDispatcher commandDispatcher() {
         return commandDispatcher;
     }
 
     /**
-     * Takes a heartbeat in and replies with the body of its answer; with null when it must not be answered with 200.
-     * The reply may come later, when it is durable that the machine was heard again.
+     * Handles a heartbeat and replies with the body of the response, or with null if the response must not have status
+     * 200. The reply may come later, once it is durable that the machine has resumed its heartbeats.
      */
     public void receive(Heartbeat heartbeat, Consumer<byte[]> reply) {
         if (!leaseRenewalPolicy.mayAnswer(heartbeat)) {
@@ -89,7 +89,7 @@
             reply.accept(answer(machine, heartbeat));
             return;
         }
-        machine.agent().markHeard(environment.now()); // so it is not given up, however long the store takes
+        machine.agent().markHeard(environment.now()); // not presumed lost, however long the store takes
         journal.invalidateThenAnswer(
                 machine,
                 () -> reply.accept(leaseRenewalPolicy.mayAnswer(heartbeat) ? answer(machine, heartbeat) : null),
@@ -130,8 +130,10 @@
     }
 
     /**
-     * Answers a heartbeat before the assignments have been read from the store: the lease is renewed, and tasks of
-     * cancelled jobs are stopped.
+     * Answers a heartbeat before the assignments have been read from the store: renews the lease, and stops tasks of
+     * cancelled jobs.
+     *
+     * @return the body of the response
      */
     public byte[] renewLeaseBeforeRecovery(Heartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
@@ -144,7 +146,7 @@
         reconciliation.reconcile(machine, status, HeartbeatReconciliation.Origin.DIRECT_REQUEST);
     }
 
-    /** The cloud has confirmed that a machine is deleted, with all tasks on it. */
+    /** Settles the assignments of a machine and forgets the machine, after the cloud has confirmed its deletion. */
     public void machineDeleted(Machine machine) {
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
             taskObserver.taskProvenGone(assignment, SettlementProof.MACHINE_DELETED);
--- a/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatReconciliation.java
@@ -8,7 +8,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 
-/** Reconciles what the leader knows of a machine with what its agent reports. */
+/** Reconciles the leader's record of a machine with what its agent reports. */
 final class HeartbeatReconciliation {
     private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
 
@@ -21,12 +21,12 @@
     private final TaskReconciliation taskReconciliation;
     private final ReclaimNoticeHandler reclaimNoticeHandler;
 
-    /** How a status came from an agent. */
+    /** The message in which an agent reported its status. */
     enum Origin {
-        /** In a heartbeat: an agent has one in flight, so they come in order. */
+        /** A heartbeat; an agent has one in flight, so heartbeats arrive in order. */
         HEARTBEAT,
 
-        /** In the answer to a direct request. */
+        /** The response to a direct request. */
         DIRECT_REQUEST
     }
 
@@ -47,7 +47,11 @@
         this.reclaimNoticeHandler = new ReclaimNoticeHandler(cluster, taskObserver, commandDispatcher);
     }
 
-    /** Takes a status in; false when it is outdated, as something newer was heard before. */
+    /**
+     * Applies a reported status.
+     *
+     * @return false if the status is outdated: a newer one was received before, or its incarnation has expired
+     */
     boolean reconcile(Machine machine, Heartbeat heartbeat, Origin origin) {
         if (outdated(machine.agent(), heartbeat)) {
             return false;
@@ -90,10 +94,10 @@
     private void updateTerm(Machine machine, Heartbeat heartbeat, long now) {
         AgentState agent = machine.agent();
         if (!agent.heardThisTerm() && heartbeat.fencingToken() < term) {
-            // Until it shows our term this may be a late copy, sent by a machine that is gone.
+            // Until it shows this term, the heartbeat may be a late copy from a machine that is gone.
             agent.markUnreachable(now);
             if (!eventLoopLag.overloaded()) {
-                commandDispatcher.queueProbe(machine); // its next heartbeat shows it too, but work may be waiting
+                commandDispatcher.queueProbe(machine); // does not wait for the next heartbeat, as work may be waiting
             }
         } else if (agent.fencingToken() < term && heartbeat.fencingToken() >= term) {
             agent.markReachable();
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -17,30 +17,33 @@
 import stileferry.storage.StoredEvent;
 
 /**
- * Journals in the store when machines that missed heartbeats were last answered, so that the next leader need not wait
- * for their leases anew. Before the machine's next heartbeat is answered, it is durable that its record no longer
- * holds; so whoever reads a record that holds knows that its writer renewed nothing since.
+ * Records in the store when machines that missed heartbeats were last answered, so that the next leader need not wait
+ * for their whole leases again. Before the next heartbeat of such a machine is answered, the invalidation of its record
+ * is durable; so whoever reads a valid record knows that its writer has renewed nothing since.
  *
- * <p>Only the very next leader may go by a record: every leader journals for itself what it knows. Leaderless renewal
- * answers without a look at records, but only with the consent of every controller's process, so a process remembers
- * when it last consented, or that it did not live yet.
+ * <p>Only the immediately following leader may rely on a record: every leader records for itself what it knows.
+ * Leaderless renewal answers heartbeats without reading the records, but only with the consent of every controller's
+ * process; so a process remembers when it last consented, or that it had not started yet.
  */
 public final class LastHeartbeatJournal {
     private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
 
-    /** Kind of event: when a machine that missed heartbeats was last answered. */
+    /** Event kind: when a machine that missed heartbeats was last answered. */
     public static final int LAST_HEARTBEAT_EVENT = 3;
 
-    /** Kind of event: a machine was heard again. */
+    /** Event kind: a machine has resumed its heartbeats. */
     public static final int HEARTBEATS_RESUMED_EVENT = 4;
 
-    /** Heartbeat intervals after which the last heartbeat is recorded: heartbeats come a quarter late at most. */
+    /**
+     * Heartbeat intervals after which the last heartbeat is recorded: heartbeats come at most a quarter of an interval
+     * late.
+     */
     private static final double RECORD_AFTER_HEARTBEATS = 1.5;
 
-    /** A heartbeat waits this long at most until it may be answered: less than the 4 s that its worker waits. */
+    /** Maximum time for which a heartbeat waits to be answered: less than the 4 s that its worker waits. */
     private static final long MAX_WAIT_MS = 3000;
 
-    /** Bytes of an event in JSON form beside the machine's name, at most. */
+    /** Maximum size in bytes of an event in JSON form, without the machine's name. */
     private static final int MAX_BYTES_WITHOUT_NAME = 64;
 
     private final ClusterState cluster;
@@ -51,10 +54,10 @@
     private final long heartbeatIntervalMs;
     private final double clockErrorMs;
 
-    /** In the order in which machines were heard again, so that runs with the same seed are the same. */
+    /** In the order in which machines resumed their heartbeats, so that runs with the same seed are identical. */
     private final Map<Machine, List<PendingHeartbeat>> pendingByMachine = new LinkedHashMap<>();
 
-    /** A heartbeat that waits until it is durable that its machine was heard again. */
+    /** A heartbeat that waits until the resumption of its machine's heartbeats is durable. */
     private record PendingHeartbeat(long receivedAt, Runnable answer, Runnable refuse) {}
 
     private record LastHeartbeatEvent(LastHeartbeatRecord lastHeartbeat) implements StoredEvent {
@@ -100,7 +103,7 @@
         }
     }
 
-    /** A journal for one term. */
+    /** Creates the journal of one term. */
     public LastHeartbeatJournal(
             ClusterState cluster,
             Environment environment,
@@ -117,8 +120,8 @@
     }
 
     /**
-     * Takes in what the former leader recorded, once the assignments are known. Does nothing if the settings don't
-     * bound the difference of the controllers' clocks.
+     * Applies the records of the previous leader, once the assignments are known. Does nothing if the settings do not
+     * bound the clock difference between controllers.
      */
     public void restore(Iterable<LastHeartbeatRecord> records) {
         if (clockErrorMs < 0) {
@@ -130,8 +133,8 @@
             if (machine == null || record.term() != term - 1) {
                 continue;
             }
-            long agoMs = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockErrorMs);
-            long answeredAt = Math.max(environment.now() - agoMs, leadership.consentedToLeaderlessRenewalAt());
+            long elapsedMs = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockErrorMs);
+            long answeredAt = Math.max(environment.now() - elapsedMs, leadership.consentedToLeaderlessRenewalAt());
             machine.agent().recordAnsweredByPreviousLeader(record.incarnation(), answeredAt);
             restored++;
         }
@@ -140,24 +143,27 @@
         }
     }
 
-    /** Records when a machine's incarnation was last answered, if it has missed heartbeats since. */
+    /**
+     * Records when an incarnation of a machine was last answered. Does nothing unless the machine has assignments, has
+     * missed heartbeats since and has no record yet, and this controller holds the leader's lease.
+     */
     void recordLastHeartbeat(Machine machine, long incarnation, long answeredAt) {
-        long agoMs = environment.now() - answeredAt;
+        long elapsedMs = environment.now() - answeredAt;
         if (machine.agent().lastHeartbeatRecord() == null
                 && !machine.assignments().isEmpty()
-                && agoMs > RECORD_AFTER_HEARTBEATS * heartbeatIntervalMs
+                && elapsedMs > RECORD_AFTER_HEARTBEATS * heartbeatIntervalMs
                 && leadership.leaseHeld()) {
             LastHeartbeatRecord record =
-                    new LastHeartbeatRecord(machine.name(), incarnation, environment.timeOfDay() - agoMs, term);
+                    new LastHeartbeatRecord(machine.name(), incarnation, environment.timeOfDay() - elapsedMs, term);
             machine.agent().keepLastHeartbeatRecord(record);
             commitQueue.appendEvent(new LastHeartbeatEvent(record), null);
         }
     }
 
     /**
-     * Makes it durable that a machine's record no longer holds, and answers its heartbeat then.
+     * Durably invalidates the record of a machine, and then answers its heartbeat.
      *
-     * @param refuse runs instead of {@code answer} when that takes too long
+     * @param refuse runs instead of {@code answer} if that takes too long
      */
     void invalidateThenAnswer(Machine machine, Runnable answer, Runnable refuse) {
         PendingHeartbeat heartbeat = new PendingHeartbeat(environment.now(), answer, refuse);
@@ -187,7 +193,7 @@
         }
     }
 
-    /** Refuses all heartbeats that wait. */
+    /** Refuses all waiting heartbeats. */
     public void close() {
         pendingByMachine.values().forEach(heartbeats -> heartbeats.forEach(heartbeat -> heartbeat.refuse.run()));
         pendingByMachine.clear();
--- a/src/main/java/stileferry/heartbeat/LeaseExpiry.java
+++ b/src/main/java/stileferry/heartbeat/LeaseExpiry.java
@@ -11,16 +11,16 @@
 import stileferry.protocol.Environment;
 
 /**
- * Finds machines whose lease has expired for certain, which proves that their tasks are gone: an agent ends its tasks
+ * Finds machines whose lease has certainly expired, which proves that their tasks are gone: an agent ends its tasks
  * when its lease runs out.
  */
 final class LeaseExpiry {
     private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
 
-    /** Twice what two clocks that drift by 0.05% at most can differ. */
+    /** Twice the maximum difference between two clocks with a drift of at most 0.05%. */
     private static final double MAX_CLOCK_DRIFT = 0.001;
 
-    /** For late timers and packets. */
+    /** Margin for late timers and packets. */
     private static final long EXPIRY_MARGIN_MS = 500;
 
     private static final long UNKNOWN = -1;
@@ -50,7 +50,10 @@
         this.expiryMs = Math.round(leaseMs * (1 + MAX_CLOCK_DRIFT)) + EXPIRY_MARGIN_MS;
     }
 
-    /** Settles the assignments of machines whose lease has expired, and journals the last heartbeat of others. */
+    /**
+     * Settles the assignments of machines whose lease has expired, and records the last heartbeats of others that
+     * missed some.
+     */
     void expireLeases() {
         long now = environment.now();
         long termAcknowledgedAt = leadership.acknowledgedByAllPeersAt();
@@ -76,11 +79,11 @@
     }
 
     /**
-     * The latest time at which any controller can have renewed the lease of an incarnation, or {@link #UNKNOWN}. An
-     * incarnation that was seen only in answers to direct requests has a lease of its own, which no answered heartbeat
-     * has begun.
+     * Returns the latest time at which any controller can have renewed the lease of an incarnation, or {@link
+     * #UNKNOWN}. An incarnation that was seen only in responses to direct requests has a lease of its own, which no
+     * answered heartbeat has started.
      *
-     * @param termAcknowledgedAt when all controllers had acknowledged this term; negative: not yet
+     * @param termAcknowledgedAt when the last controller acknowledged this term; negative: not all of them have
      */
     private long latestPossibleRenewalAt(Machine machine, long incarnation, long termAcknowledgedAt) {
         AgentState agent = machine.agent();
--- a/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
+++ b/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
@@ -6,7 +6,7 @@
 import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Heartbeat;
 
-/** Decides whether a heartbeat may be answered, which renews its worker's lease. */
+/** Decides whether a heartbeat may be answered; the response renews the worker's lease. */
 final class LeaseRenewalPolicy {
     private final ClusterState cluster;
     private final LeaderElection leadership;
@@ -18,7 +18,7 @@
 
     boolean mayAnswer(Heartbeat heartbeat) {
         if (!leadership.mayRenewWorkerLeases()) {
-            return false; // another leader may have confirmed cancellations that are unknown here
+            return false; // another leader may have confirmed cancellations that this controller does not know
         }
         if (cluster.deletedMachines().contains(heartbeat.machine())) {
             return false; // sent before the machine was deleted
@@ -26,12 +26,15 @@
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine.instance().terminating()
                 || heartbeat.incarnation() <= machine.agent().expiredIncarnation()) {
-            return false; // its tasks count as gone, or are about to
+            return false; // its tasks count as gone, or soon will
         }
         return !outdated(machine.agent(), heartbeat);
     }
 
-    /** A worker has one heartbeat in flight, so nobody waits for the answer to an older one. */
+    /**
+     * Returns whether a newer heartbeat was received. A worker has one heartbeat in flight, so it does not wait for the
+     * response to an older one.
+     */
     private static boolean outdated(AgentState agent, Heartbeat heartbeat) {
         return heartbeat.incarnation() < agent.incarnation()
                 || heartbeat.incarnation() == agent.heartbeatIncarnation()
--- a/src/main/java/stileferry/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/stileferry/heartbeat/ReclaimNoticeHandler.java
@@ -6,7 +6,10 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.JobSpec;
 
-/** Evicts tasks from a machine that the cloud reclaims: saves checkpoints, and moves what has to run elsewhere. */
+/**
+ * Evicts tasks from a machine that the cloud is reclaiming: has them save checkpoints, and stops those that must move
+ * elsewhere.
+ */
 final class ReclaimNoticeHandler {
     private final ClusterState cluster;
     private final TaskObserver taskObserver;
@@ -40,7 +43,7 @@
         } else if (spec.checkpointIntervalS() > 0) {
             cluster.requestStop(assignment, spec.checkpointSaveS(), now);
         } else if (endsTooLate) {
-            cluster.requestStop(assignment, 0, now); // its work is lost in any case: it may begin again at once
+            cluster.requestStop(assignment, 0, now); // its work is lost in any case, so it may restart at once
         }
     }
 }
--- a/src/main/java/stileferry/heartbeat/TaskObserver.java
+++ b/src/main/java/stileferry/heartbeat/TaskObserver.java
@@ -5,23 +5,23 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.Heartbeat;
 
-/** Hears what heartbeats, expired leases and deleted machines tell about assigned tasks. */
+/** Is notified of what heartbeats, expired leases and deleted machines reveal about assigned tasks. */
 public interface TaskObserver {
-    /** The task has exited; its assignment is to be settled. */
+    /** Called when a task has exited; its assignment is to be settled. */
     void taskExited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status);
 
-    /** It is proven that the task is not on its machine and can't start there any more. */
+    /** Called when it is proven that a task is not on its machine and can't start there any more. */
     void taskProvenGone(TaskAssignment assignment, SettlementProof proof);
 
-    /** The task has entered another phase. */
+    /** Called when a task has entered another phase. */
     void taskPhaseChanged(TaskAssignment assignment);
 
-    /** All tasks of a gang run. */
+    /** Called when all tasks of a gang are running. */
     void gangRunning(Job job);
 
-    /** The task has to leave its machine within a grace period; the other tasks of a gang stop with it. */
+    /** Stops a task within a grace period in seconds; the other tasks of a gang stop with it. */
     void stopTaskOrGang(TaskAssignment assignment, double graceS);
 
-    /** Something changed that a scheduling pass may use. */
+    /** Called when something has changed that a scheduling pass may use. */
     void schedulingInputChanged();
 }
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -46,7 +46,10 @@
         }
     }
 
-    /** The reported tasks that are assigned, by task; all others that have not exited are orphans, to be killed. */
+    /**
+     * Returns the reported tasks that are assigned, by task id. All others that have not exited are orphans, which are
+     * to be killed.
+     */
     private Map<String, Heartbeat.TaskStatus> assignedTasks(Machine machine, Heartbeat heartbeat) {
         machine.agent().setHasOrphanTasks(false);
         Map<String, Heartbeat.TaskStatus> assignedTasks = new HashMap<>();
@@ -66,9 +69,9 @@
     }
 
     /**
-     * Whether a stopped task that a heartbeat does not name can't start any more. A worker has one heartbeat in flight:
-     * every response with a start in it was carried out or dropped before this heartbeat, no direct start is
-     * unanswered, and former leaders are not obeyed any more.
+     * Returns whether a stopped task that a heartbeat does not list can no longer start. A worker has one heartbeat in
+     * flight: every response that carried a start was carried out or dropped before this heartbeat, no direct start is
+     * unanswered, and former leaders are no longer obeyed.
      */
     private boolean neverStarted(Machine machine, TaskAssignment assignment) {
         return assignment.stopping()
--- a/src/main/java/stileferry/heartbeat/TermAnnouncer.java
+++ b/src/main/java/stileferry/heartbeat/TermAnnouncer.java
@@ -9,10 +9,10 @@
 final class TermAnnouncer {
     private static final long ANNOUNCE_INTERVAL_MS = 100;
 
-    /** Announcements in each interval whatever the size of the fleet. */
+    /** Announcements in each interval regardless of the size of the fleet. */
     private static final int MIN_ANNOUNCEMENTS = 10;
 
-    /** An overloaded leader announces so many times less often: most machines report by themselves. */
+    /** Factor by which an overloaded leader sends fewer announcements, as most machines report by themselves. */
     private static final int OVERLOADED_DIVISOR = 5;
 
     private final ClusterState cluster;
@@ -31,7 +31,7 @@
         this.heartbeatIntervalMs = Math.round(cluster.settings().workers().heartbeatIntervalS() * 1000);
     }
 
-    /** Begins to announce the term; machines that report meanwhile are left out. */
+    /** Starts announcing the term; machines that report in the meantime are skipped. */
     void start() {
         cluster.machines().values().forEach(machine -> {
             if (!machine.agent().heardThisTerm()) {
@@ -55,7 +55,10 @@
         }
     }
 
-    /** So many that the whole fleet has heard the term after two heartbeat intervals. */
+    /**
+     * Returns the number of announcements in one interval, by which the whole fleet learns of the term within two
+     * heartbeat intervals; an overloaded leader sends fewer.
+     */
     private int announcementsPerInterval() {
         int count = MIN_ANNOUNCEMENTS
                 + (int) (cluster.machines().size() * ANNOUNCE_INTERVAL_MS / (2 * heartbeatIntervalMs));
--- a/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
+++ b/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
@@ -12,9 +12,9 @@
 import stileferry.protocol.Heartbeat;
 
 /**
- * Suspects agents whose heartbeats arrive but which do not receive the answers. It shows when a lease expires although
- * the agent was answered in time, or when starts in an answer were neither carried out nor refused. A suspected machine
- * gets no work until it has answered a direct request.
+ * Suspects agents whose heartbeats arrive but which do not receive the responses. The signs are a lease that expires
+ * although the agent was answered in time, and starts in a response that were neither carried out nor refused. A
+ * suspected machine gets no work until it has answered a direct request.
  */
 final class UnreachableAgentDetector {
     private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
@@ -29,7 +29,7 @@
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
     }
 
-    /** Judges the agent by its next heartbeat, before that is reconciled. */
+    /** Judges the agent by a new heartbeat, before the heartbeat is reconciled. */
     void check(Machine machine, Heartbeat heartbeat) {
         AgentState agent = machine.agent();
         if (!machine.acknowledgedTerm(term) || agent.unreachableSince() != 0) {
--- a/src/main/java/stileferry/heartbeat/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -7,15 +7,15 @@
 import stileferry.protocol.Settings;
 
 /**
- * Decides whether a worker that sends its heartbeat to a follower is redirected to the leader, or its heartbeat
- * forwarded. A worker that comes back after it was redirected can't reach the leader; neither can one that the leader
- * has heard before. It is redirected again now and then, as the trouble may have passed.
+ * Decides whether a worker that sends its heartbeat to a follower is redirected to the leader, or has its heartbeat
+ * forwarded. A worker that comes back after a redirect can't reach the leader; neither can one that the leader has
+ * heard from before. Such a worker is redirected again from time to time, as the fault may have passed.
  */
 final class WorkerRedirects {
-    /** Leases for which heartbeats are forwarded before their worker is redirected again. */
+    /** Lease durations for which heartbeats are forwarded before the worker is redirected again. */
     private static final int FORWARD_LEASES = 2;
 
-    /** Remembered workers for each socket: far more than a controller talks to at the same time. */
+    /** Workers to remember per socket: far more than a controller talks to at the same time. */
     private static final int TRACKED_WORKERS_PER_SOCKET = 8;
 
     private final Environment environment;
@@ -24,10 +24,10 @@
     private final Cache<String, RedirectState> redirectStates;
 
     /**
-     * A worker that sends heartbeats here though another controller leads.
+     * The state of a worker that sends heartbeats here though another controller leads.
      *
-     * @param leader who led when it came
-     * @param since when it came, or was last redirected
+     * @param leader the leader when this state began
+     * @param since when the worker first sent a heartbeat here, or was last redirected
      * @param lastHeartbeatAt when it last sent a heartbeat here
      * @param redirected whether it was redirected to the leader
      */
@@ -43,24 +43,28 @@
                 .build();
     }
 
-    /** Whether to redirect a worker to the leader; else its heartbeat is to be forwarded. */
+    /** Returns whether to redirect a worker to the leader; if not, its heartbeat is to be forwarded. */
     boolean shouldRedirect(String machine, String leader) {
         long now = environment.now();
-        RedirectState current = redirectStates.getIfPresent(machine);
+        RedirectState state = redirectStates.getIfPresent(machine);
         RedirectState updated;
-        if (current == null || !current.leader.equals(leader) || absentForALease(current, now)) {
+        if (state == null || !state.leader.equals(leader) || absentForALease(state, now)) {
             updated = new RedirectState(leader, now, now, !links.leaderHearsWorker(leader, machine));
-        } else if (shouldRedirectAgain(current, machine, now)) {
+        } else if (shouldRedirectAgain(state, machine, now)) {
             updated = new RedirectState(leader, now, now, true);
         } else {
-            redirectStates.put(machine, new RedirectState(leader, current.since, now, current.redirected));
+            redirectStates.put(machine, new RedirectState(leader, state.since, now, state.redirected));
             return false;
         }
         redirectStates.put(machine, updated);
         return updated.redirected;
     }
 
-    /** Where links are watched it is known whom the leader has heard meanwhile; else whoever came may have left. */
+    /**
+     * Returns whether the worker has sent nothing here for a lease, so that its state starts anew. That holds only
+     * where links are monitored, as it is then known whom the leader has heard from meanwhile; elsewhere a worker that
+     * came here may just have left.
+     */
     private boolean absentForALease(RedirectState state, long now) {
         return links.enabled() && now - state.lastHeartbeatAt > leaseMs;
     }
