--- a/src/main/java/stileferry/autoscaling/Autoscaler.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -8,14 +8,21 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Settings;
 
-/** Scales the cluster in one term: requests machines for waiting jobs, deletes idle ones, reads the cloud's list. */
+/**
+ * Scales the cluster during one term: requests machines for waiting jobs, deletes lost and idle ones, and reads the
+ * cloud's list of machines.
+ */
 public final class Autoscaler {
     private final CloudClient cloud;
     private final CloudInventory inventory;
     private final ScaleIn scaleIn;
     private final ScaleOut scaleOut;
 
-    /** An autoscaler for one term; {@code term} makes the ids of its requests to the cloud unique. */
+    /**
+     * Creates the autoscaler of one term.
+     *
+     * @param term makes the ids of the requests to the cloud unique
+     */
     public Autoscaler(
             ClusterState cluster,
             Environment environment,
@@ -31,12 +38,12 @@
         this.scaleOut = new ScaleOut(cluster, environment, heartbeatHandler.failureDetector(), cloud, term);
     }
 
-    /** Drops the answers of all calls that are under way. */
+    /** Ignores the answers to all calls in flight. */
     public void close() {
         cloud.close();
     }
 
-    /** Reads the cloud's list of machines again when it is time. */
+    /** Reads the cloud's list of machines again if it is due. */
     public void refreshInventory() {
         inventory.refresh();
     }
@@ -44,13 +51,14 @@
     /**
      * Deletes machines that are lost, idle or not to be used.
      *
-     * @param allWorkersHeard whether this leader has had time to hear from all machines; before, only what is certain counts
+     * @param allWorkersHeard whether this leader has had time to hear from all machines; before that, only what is
+     *     certain counts
      */
     public void scaleIn(boolean allWorkersHeard) {
         scaleIn.scaleIn(allWorkersHeard);
     }
 
-    /** Requests machines for the tasks of these jobs that wait, the first jobs first. */
+    /** Requests machines for the waiting tasks of these jobs, in the order of the list. */
     public void scaleOut(List<Job> waiting) {
         scaleOut.scaleOut(waiting);
     }
--- a/src/main/java/stileferry/autoscaling/CloudClient.java
+++ b/src/main/java/stileferry/autoscaling/CloudClient.java
@@ -4,9 +4,9 @@
 import stileferry.protocol.Environment;
 import stileferry.storage.RateLimiter;
 
-/** Calls the cloud within its rate limit, for one term. */
+/** Calls the cloud within its rate limit, during one term. */
 final class CloudClient {
-    /** Part of the cloud's rate limit that this client uses. */
+    /** Share of the cloud's rate limit that this client uses. */
     private static final double RATE_SHARE = 0.8;
 
     private static final double BURST_S = 1.5;
@@ -23,17 +23,17 @@
         this.rateLimiter = new RateLimiter(environment, callsPerSecond * RATE_SHARE, BURST_S);
     }
 
-    /** From now on no answer is passed on. */
+    /** Stops passing answers on. */
     void close() {
         closed = true;
     }
 
-    /** Takes a permit for one call; false when the rate limit allows none now. */
+    /** Takes a permit for one call; returns false if the rate limit allows none now. */
     boolean tryAcquire() {
         return rateLimiter.tryAcquire(1, 0);
     }
 
-    /** Calls the cloud, for which a permit was acquired before. */
+    /** Calls the cloud; the caller has to have acquired a permit. */
     void call(String method, String path, ObjectNode body, Environment.ResponseHandler reply) {
         environment.request(address, method, path, body, TIMEOUT_MS, (status, answer) -> {
             if (!closed) {
--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -13,7 +13,10 @@
 import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 
-/** Reads the cloud's list of machines regularly. The list lags, so a machine that it lacks need not be gone. */
+/**
+ * Reads the cloud's list of machines at regular intervals. The list lags, so a machine missing from it need not be
+ * gone.
+ */
 final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
@@ -21,10 +24,10 @@
     private static final int PAGE_SIZE = 500;
     private static final long MIN_REFRESH_INTERVAL_MS = 2000;
 
-    /** Pause until the next page is tried: a long list has more pages than the cloud takes calls at once. */
+    /** Pause before the next page is tried again: a long list has more pages than the cloud accepts calls at once. */
     private static final long RETRY_PAGE_MS = 100;
 
-    /** Part of the cloud's rate limit that reading the list may take. */
+    /** Share of the cloud's rate limit that reading the list may use. */
     private static final double MAX_RATE_SHARE = 0.5;
 
     private static final long NEVER = -1;
@@ -37,10 +40,14 @@
     private long refreshedAt = NEVER;
     private boolean complete;
 
-    /** Pages of the last list. */
+    /** Pages read in the current or the last refresh. */
     private int pageCount;
 
-    /** The action runs when the list has been read for the first time. */
+    /**
+     * Creates an inventory that has read nothing yet.
+     *
+     * @param onFirstRefresh runs when the list has been read completely for the first time
+     */
     CloudInventory(ClusterState cluster, Environment environment, CloudClient cloud, Runnable onFirstRefresh) {
         this.cluster = cluster;
         this.environment = environment;
@@ -48,12 +55,12 @@
         this.onFirstRefresh = onFirstRefresh;
     }
 
-    /** Whether the whole list has been read in this term. */
+    /** Returns whether the whole list has been read in this term. */
     boolean complete() {
         return complete;
     }
 
-    /** Reads the list again when it is time. */
+    /** Starts reading the list again if it is due. */
     void refresh() {
         if (!refreshing && refreshDue() && cloud.tryAcquire()) {
             refreshing = true;
@@ -66,9 +73,13 @@
         return refreshedAt == NEVER || environment.now() - refreshedAt > refreshIntervalMs();
     }
 
-    /** Half the list's lag, but not so often that reading takes more than its part of the rate limit. */
+    /**
+     * Returns the interval between two refreshes: half the list's lag, or longer if reading would otherwise exceed its
+     * share of the rate limit.
+     */
     private long refreshIntervalMs() {
-        long minIntervalForRateMs = Math.round(pageCount * 1000 / (cluster.settings().cloud().requestsPerS() * MAX_RATE_SHARE));
+        long minIntervalForRateMs =
+                Math.round(pageCount * 1000 / (cluster.settings().cloud().requestsPerS() * MAX_RATE_SHARE));
         long halfLagMs = Math.round(cluster.settings().cloud().listLagS() * 500);
         return Math.max(MIN_REFRESH_INTERVAL_MS, Math.max(minIntervalForRateMs, halfLagMs));
     }
--- a/src/main/java/stileferry/autoscaling/PlannedMachine.java
+++ b/src/main/java/stileferry/autoscaling/PlannedMachine.java
@@ -2,9 +2,9 @@
 
 import stileferry.protocol.JobSpec;
 
-/** The free capacity of a machine that boots, was requested or is to be requested. */
+/** The free capacity of a machine that is booting, was requested or is to be requested. */
 final class PlannedMachine {
-    /** Sums of amounts may be off by this much. */
+    /** Tolerance for rounding errors in sums of resource amounts. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final InstancePool pool;
@@ -19,7 +19,7 @@
         this.freeMemoryGb = pool.type().memoryGb();
     }
 
-    /** Whether a task may run on this machine, and fits beside those that were placed here. */
+    /** Returns whether a task may run on this machine, and fits beside those already placed on it. */
     boolean fits(JobSpec spec) {
         return (spec.allowsSpot() || !pool.spot())
                 && (spec.zone() == null || spec.zone().equals(pool.zone()))
@@ -29,7 +29,7 @@
                 && spec.memoryGb() <= freeMemoryGb + ROUNDING_TOLERANCE;
     }
 
-    /** Places as many of the tasks as fit, and returns how many. */
+    /** Places as many of the tasks as fit, and returns their number. */
     int place(JobSpec spec, int tasks) {
         int placed = 0;
         while (placed < tasks && fits(spec)) {
--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -11,7 +11,7 @@
 import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 
-/** Deletes machines at the cloud: lost ones, whose deletion proves that their tasks are gone, and idle ones. */
+/** Deletes machines through the cloud: lost ones, whose deletion proves that their tasks are gone, and idle ones. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
@@ -43,7 +43,7 @@
         this.leadingSince = environment.now();
     }
 
-    /** Marks the machines that are to be deleted, and deletes those that are marked. */
+    /** Marks the machines that are to be deleted, and has the cloud delete marked ones. */
     void scaleIn(boolean allWorkersHeard) {
         ScaleInPass pass = new ScaleInPass(
                 cluster,
--- a/src/main/java/stileferry/autoscaling/ScaleInPass.java
+++ b/src/main/java/stileferry/autoscaling/ScaleInPass.java
@@ -12,18 +12,24 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.OperatorSettings;
 
-/** Decides in one pass which machines are deleted. Each idle machine that is lowers the spare capacity for the next. */
+/**
+ * Decides in one pass which machines are deleted. Each idle on-demand machine that is deleted leaves less spare
+ * capacity for the next.
+ */
 final class ScaleInPass {
-    /** Multiple of the nominal boot time after which a machine is taken for one that never comes up. */
+    /** Multiple of the nominal boot time after which a machine is considered one that never boots. */
     private static final double MAX_BOOT_TIME_MULTIPLE = 5;
 
-    /** A deleted machine is paid for a minute at least, so it may as well wait for work that long. */
+    /**
+     * Minimum age of an idle machine before it is deleted: it is paid for a minute at least, so it may as well wait for
+     * work that long.
+     */
     private static final long MIN_AGE_MS = 55_000;
 
-    /** Leases after which an empty machine that is not heard, or does not hear us, is given up. */
+    /** Lease durations after which a machine is given up that is empty and silent, or does not receive responses. */
     private static final int GIVE_UP_AFTER_LEASES = 3;
 
-    /** Part of a cancellation's time after which the machine of a task that does not stop is deleted. */
+    /** Share of the time limit of a cancellation after which the machine of a task that does not stop is deleted. */
     private static final double CANCEL_SHARE = 0.8;
 
     private final ClusterState cluster;
@@ -41,10 +47,11 @@
     private double spareCpus;
 
     /**
-     * Begins a pass.
+     * Starts a pass.
      *
-     * @param leadingSince when this leader began: it can have heard nobody before
-     * @param allWorkersHeard whether this leader has had time to hear from all machines; before, only what is certain counts
+     * @param leadingSince when this leader started; it can have received no heartbeats before
+     * @param allWorkersHeard whether this leader has had time to hear from all machines; before that, only what is
+     *     certain counts
      */
     ScaleInPass(
             ClusterState cluster,
@@ -70,7 +77,7 @@
         this.presumedLost = allWorkersHeard ? new HashSet<>(failureDetector.presumedLost(leadingSince)) : Set.of();
     }
 
-    /** Why the machine is to be deleted; null: it is kept. */
+    /** Returns why the machine is to be deleted, or null if it is kept. */
     ScaleInReason reasonFor(Machine machine) {
         ScaleInReason reason = reasonIfLost(machine);
         if (reason == null && mayDeleteIdle) {
@@ -103,7 +110,7 @@
         return null;
     }
 
-    /** How long this leader could have heard the machine. */
+    /** Returns for how long this leader could have received heartbeats from the machine, in milliseconds. */
     private long heartbeatWindowMs(Machine machine) {
         return now - Math.max(leadingSince, machine.instance().requestedAt());
     }
@@ -173,7 +180,10 @@
                 && now - machine.instance().requestedAt() > MIN_AGE_MS;
     }
 
-    /** An idle machine is kept for a while: another one takes its boot time. */
+    /**
+     * Returns how long a machine may be idle, in boot times of its type as set by the operators: another machine would
+     * take its boot time.
+     */
     private long maxIdleMs(Machine machine) {
         double idleBoots = cluster.operatorSettings().number(OperatorSettings.IDLE_BOOTS);
         return Math.round(1000 * idleBoots * machine.type().bootS());
@@ -190,7 +200,7 @@
         return false;
     }
 
-    /** CPUs free on on-demand machines beyond what is kept for critical work. */
+    /** Returns the free CPUs on on-demand machines beyond those reserved for critical work. */
     private double spareCpus() {
         double free = 0;
         double critical = 0;
--- a/src/main/java/stileferry/autoscaling/ScaleInReason.java
+++ b/src/main/java/stileferry/autoscaling/ScaleInReason.java
@@ -1,8 +1,11 @@
 package stileferry.autoscaling;
 
-/** Why a machine is deleted, in the operators' words. */
+/** Why a machine is deleted, worded for operators. */
 enum ScaleInReason {
-    /** It was listed before, and is not any more: deleting it costs nothing and makes certain that it is gone. */
+    /**
+     * The cloud's list named the machine before, but no longer does: deleting it costs nothing and makes certain that
+     * it is gone.
+     */
     NOT_LISTED("it is not listed any more"),
     NEVER_BOOTED("it never came up"),
     UNKNOWN("it is neither listed nor heard"),
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -13,7 +13,7 @@
 import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 
-/** Requests machines from the cloud for the jobs that wait, each time under an id that is never used again. */
+/** Requests machines from the cloud for waiting jobs, each time under an id that is never reused. */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
@@ -23,7 +23,7 @@
 
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-    /** A request without an answer is sent again after this. */
+    /** Time after which a request without an answer is sent again. */
     private static final long RESEND_AFTER_MS = 6000;
 
     private final ClusterState cluster;
@@ -52,7 +52,7 @@
         this.idPrefix = "r-" + cluster.settings().controllerName() + "-" + term + "-";
     }
 
-    /** Requests machines for the jobs that wait, beside those that boot and those that were requested. */
+    /** Requests machines for the waiting jobs, in addition to those that are booting or already requested. */
     void scaleOut(List<Job> waiting) {
         resendUnanswered();
         Set<String> unreachableZones = failureDetector.unreachableZones(leadingSince);
@@ -93,7 +93,10 @@
                 (status, body) -> receiveAnswer(request, status, body));
     }
 
-    /** After any other answer nothing was done or the outcome is unknown: the same request is sent again later. */
+    /**
+     * Handles the answer to a request. After any answer not handled here, nothing was done or the outcome is unknown,
+     * so the same request is sent again later.
+     */
     private void receiveAnswer(ScaleOutRequest request, int status, JsonNode body) {
         if (status == OK && body != null) {
             removePending(request);
--- a/src/main/java/stileferry/autoscaling/ScaleOutBackOff.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutBackOff.java
@@ -6,14 +6,14 @@
 import org.slf4j.LoggerFactory;
 import stileferry.protocol.Environment;
 
-/** Pools of which the cloud refused machines, and until when no more are requested there. */
+/** Tracks the pools in which the cloud refused machines, and until when no more are requested from them. */
 final class ScaleOutBackOff {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
-    /** The first pause in milliseconds for each second that a machine boots: half a boot time. */
+    /** First pause in milliseconds per second of boot time: half a boot time. */
     private static final double FIRST_PAUSE_MS_PER_BOOT_S = 500;
 
-    /** Doublings of the pause, at most. */
+    /** Maximum number of doublings of the pause. */
     private static final int MAX_DOUBLINGS = 1;
 
     private final Environment environment;
@@ -33,7 +33,8 @@
     void refused(InstancePool pool) {
         Refusal previous = refusalsByPool.get(pool.key());
         int refusalsBefore = previous == null ? 0 : previous.count;
-        long pauseMs = Math.round(pool.type().bootS() * FIRST_PAUSE_MS_PER_BOOT_S) << Math.min(MAX_DOUBLINGS, refusalsBefore);
+        long pauseMs =
+                Math.round(pool.type().bootS() * FIRST_PAUSE_MS_PER_BOOT_S) << Math.min(MAX_DOUBLINGS, refusalsBefore);
         refusalsByPool.put(pool.key(), new Refusal(refusalsBefore + 1, environment.now() + pauseMs));
         LOG.info(
                 "no capacity: spot={} type={} zone={} retry_s={}",
--- a/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
@@ -16,11 +16,11 @@
 import stileferry.protocol.Settings;
 
 /**
- * Plans one pass of scaling out: places waiting tasks on the machines that will be up soon, and adds the cheapest
- * machines for those that do not fit.
+ * Plans one scale-out pass: places waiting tasks on the machines that will be up soon, and adds the cheapest machines
+ * for the tasks that do not fit.
  */
 final class ScaleOutPlan {
-    /** Sums of amounts may be off by this much. */
+    /** Tolerance for rounding errors in sums of resource amounts. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final ClusterState cluster;
@@ -33,7 +33,9 @@
     private int spotMachines;
     private int allMachines;
 
-    /** Starts from the machines that there are, those that boot included, and from the requests that are under way. */
+    /**
+     * Creates a plan that starts from the existing machines, including booting ones, and from the requests in flight.
+     */
     ScaleOutPlan(
             ClusterState cluster,
             ScaleOutBackOff backOff,
@@ -50,7 +52,7 @@
         pendingRequests.forEach(this::addRequested);
     }
 
-    /** A machine that is said to run but sends no heartbeats is not counted on. */
+    /** Adds an existing machine. One that is listed as running but sends no heartbeats offers no capacity. */
     private void addExisting(Machine machine) {
         InstancePool pool = new InstancePool(machine.type(), machine.zone(), machine.spot());
         countMachines(pool, 1);
@@ -72,7 +74,7 @@
         machinesByZone.merge(pool.zone(), machines, Integer::sum);
     }
 
-    /** Plans machines for all tasks of a job that wait and that its team may run. */
+    /** Plans machines for all waiting tasks of a job that its team may run. */
     void add(Job job) {
         JobSpec spec = job.spec();
         int tasks = waitingTasksWithinTeamLimit(job);
@@ -89,7 +91,10 @@
         }
     }
 
-    /** The added machines, by pool, in batches of this size at most; the largest batches first, as calls are few. */
+    /**
+     * Returns the machines to request, by pool, in batches of at most this size; the largest batches come first, as
+     * calls to the cloud are scarce.
+     */
     List<List<PlannedMachine>> batches(int maxSize) {
         Map<String, List<PlannedMachine>> byPool = new HashMap<>();
         for (PlannedMachine machine : toRequest) {
@@ -102,7 +107,7 @@
         return batches;
     }
 
-    /** How many of a job's waiting tasks its team may still run, after what was planned for earlier jobs. */
+    /** Returns how many of a job's waiting tasks its team may still run after what was planned for earlier jobs. */
     private int waitingTasksWithinTeamLimit(Job job) {
         Settings.Team team = cluster.settings().team(job.spec().team());
         int waiting = job.pendingCount();
@@ -116,7 +121,12 @@
         return tasks;
     }
 
-    /** Places tasks on machines that are planned already, in one zone or (null) in any; returns how many fit. */
+    /**
+     * Places tasks on machines that are already planned.
+     *
+     * @param onlyZone the only zone to use; null: any
+     * @return the number of tasks placed
+     */
     private int placeOnPlanned(JobSpec spec, int tasks, String onlyZone) {
         int placed = 0;
         for (List<PlannedMachine> machines : List.of(bootingOrRequested, toRequest)) {
@@ -132,7 +142,10 @@
         return placed;
     }
 
-    /** The one zone for a gang: where most of its tasks fit soon, else where the cheapest machine is available. */
+    /**
+     * Returns the zone for a gang that must run in one zone: the one where most of its tasks fit soon, otherwise the
+     * one where the cheapest machine is available; null if there is none.
+     */
     private String gangZone(JobSpec spec, int tasks) {
         Map<String, Integer> fittingByZone = fittingTasksByZone(spec);
         String best = null;
@@ -168,7 +181,11 @@
         return fitting > other || fitting == other && zone.compareTo(than) < 0;
     }
 
-    /** The cheapest machine, in one zone or (null) in any, that a task may run on and that may be requested now. */
+    /**
+     * Returns the cheapest machine that a task may run on and that may be requested now; null if there is none.
+     *
+     * @param onlyZone the only zone to use; null: any
+     */
     private PlannedMachine cheapest(JobSpec spec, String onlyZone) {
         double spotShare = cluster.operatorSettings().number(OperatorSettings.SPOT_SHARE);
         boolean spotAllowed = spotMachines + 1 <= spotShare * (allMachines + 1);
@@ -190,7 +207,10 @@
         return best;
     }
 
-    /** Machines that boot in an unreachable zone can't send heartbeats. */
+    /**
+     * Returns whether machines of a pool may be requested now; machines that boot in an unreachable zone can't send
+     * heartbeats.
+     */
     private boolean mayRequest(InstancePool pool) {
         return backOff.permits(pool) && !unreachableZones.contains(pool.zone());
     }
--- a/src/main/java/stileferry/autoscaling/ScaleOutRequest.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutRequest.java
@@ -1,9 +1,9 @@
 package stileferry.autoscaling;
 
 /**
- * A request for machines of one pool that has no known outcome yet.
+ * A request for machines of one pool whose outcome is not known yet.
  *
- * @param id under which the cloud carries it out once, however often it is sent
+ * @param id the idempotency key: the cloud carries the request out once, however often it is sent
  */
 record ScaleOutRequest(String id, InstancePool pool, int count, long sentAt) {
     ScaleOutRequest resentAt(long now) {
--- a/src/main/java/stileferry/lifecycle/CompletedJob.java
+++ b/src/main/java/stileferry/lifecycle/CompletedJob.java
@@ -6,7 +6,7 @@
 import stileferry.protocol.UserMessages;
 
 /**
- * What is stored of a completed job, for good.
+ * The permanently stored record of a completed job.
  *
  * @param outcome {@link #DONE} or {@link #CANCELLED}
  * @param completedTasks the number of its tasks that completed
@@ -23,7 +23,7 @@
         return MessageCodec.map().put("how", outcome).put("done", completedTasks);
     }
 
-    /** What users hear of the job. */
+    /** Returns the state of the job as users are told it. */
     public ObjectNode jobState(String id) {
         return UserMessages.jobState(id, outcome, completedTasks, 0);
     }
--- a/src/main/java/stileferry/lifecycle/CompletedJobCache.java
+++ b/src/main/java/stileferry/lifecycle/CompletedJobCache.java
@@ -3,14 +3,18 @@
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
 
-/** The completed jobs that were asked for lately. A completed job never changes, so nothing here is stale. */
+/** Caches the completed jobs that were requested recently. A completed job never changes, so no entry is stale. */
 public final class CompletedJobCache {
-    /** Users ask again and again for a few jobs over each connection. */
+    /** Cached jobs per socket: users ask again and again for a few jobs over each connection. */
     private static final int JOBS_PER_SOCKET = 2;
 
     private final Cache<String, CompletedJob> cache;
 
-    /** An empty cache; {@code maxSockets}: the settings' limit on connections, by which its size is chosen. */
+    /**
+     * Creates an empty cache.
+     *
+     * @param maxSockets the settings' limit on connections, which determines the size of the cache
+     */
     public CompletedJobCache(int maxSockets) {
         cache = CacheBuilder.newBuilder()
                 .maximumSize((long) JOBS_PER_SOCKET * maxSockets)
@@ -18,7 +22,7 @@
                 .build();
     }
 
-    /** A completed job by its id; null: it is not in the cache. */
+    /** Returns a completed job by its id, or null if it is not cached. */
     public CompletedJob get(String id) {
         return cache.getIfPresent(id);
     }
--- a/src/main/java/stileferry/lifecycle/ExitRecorder.java
+++ b/src/main/java/stileferry/lifecycle/ExitRecorder.java
@@ -8,11 +8,11 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 
-/** Records what the exit of a task says of its machine and of when the task may start again. */
+/** Records what the exit of a task reveals about its machine, and when the task may restart. */
 final class ExitRecorder {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
-    /** Bounded slowdown counts shorter runs as being this long, as in the paper that {@code Placement} names. */
+    /** Bounded slowdown treats shorter runs as this long, as in the paper that {@code Placement} cites. */
     private static final double SLOWDOWN_THRESHOLD_S = 60;
 
     private static final long FAILED_FIRST_BACK_OFF_MS = 1000;
@@ -24,7 +24,11 @@
     private final MachineQuarantine quarantine;
     private final long heartbeatRoundMs;
 
-    /** {@code heartbeatRoundMs}: the time in which every machine reports, for which a machine is cordoned. */
+    /**
+     * Creates the recorder.
+     *
+     * @param heartbeatRoundMs the time in which every machine reports, for which a machine is cordoned
+     */
     ExitRecorder(Environment environment, MachineQuarantine quarantine, long heartbeatRoundMs) {
         this.environment = environment;
         this.quarantine = quarantine;
@@ -49,7 +53,7 @@
         }
     }
 
-    /** Whether this leader has decided on the assignment and seen it running. */
+    /** Returns whether this leader has made the assignment and has seen its task running. */
     private static boolean startObserved(TaskAssignment assignment) {
         return assignment.assignedAt() > 0 && assignment.runningSince() > 0;
     }
@@ -65,7 +69,7 @@
         machine.forgetFailures();
     }
 
-    /** Takes in an exit without completion; the quarantine may stop other tasks of the machine. */
+    /** Records an exit without completion; the quarantine may stop other tasks on the machine. */
     void recordFailure(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
         Job job = assignment.job();
         int index = assignment.index();
--- a/src/main/java/stileferry/lifecycle/GangMetrics.java
+++ b/src/main/java/stileferry/lifecycle/GangMetrics.java
@@ -5,7 +5,7 @@
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
 
-/** Counts what became of the attempts of gangs in one term, each attempt once, by the first task that ended. */
+/** Counts the outcomes of gang attempts during one term. Each attempt counts once, by its first task that ended. */
 public final class GangMetrics {
     private long attempts;
     private long started;
@@ -14,17 +14,17 @@
     private long lostTask;
     private long failed;
 
-    /** A gang was assigned to machines. */
+    /** Counts the assignment of a gang to machines. */
     void countAttempt() {
         attempts++;
     }
 
-    /** All tasks of a gang run. */
+    /** Counts a gang of which all tasks are running. */
     void countStarted() {
         started++;
     }
 
-    /** A task of a gang has exited without completing. */
+    /** Counts the exit of a gang's task without completion, if it is the first of its attempt to end. */
     void countExit(TaskAssignment assignment, Heartbeat.TaskStatus status) {
         if (!recordEndOfAttempt(assignment)) {
             return;
@@ -37,16 +37,17 @@
         }
     }
 
-    /** A task of a gang was lost with its machine or by lease expiry. */
+    /** Counts a gang's task lost with its machine or by lease expiry, if it is the first of its attempt to end. */
     void countLost(TaskAssignment assignment) {
         lostTask += recordEndOfAttempt(assignment) ? 1 : 0;
     }
 
+    /** Records that an attempt has ended; returns false if that is recorded already. */
     private static boolean recordEndOfAttempt(TaskAssignment assignment) {
         return assignment.job().failures().recordFailedAttempt(assignment.attempt());
     }
 
-    /** The counts in the form of the administration's views. */
+    /** Returns the counts in the form of the administrative views. */
     public ObjectNode describe() {
         return MessageCodec.map()
                 .put("attempts", attempts)
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -10,8 +10,8 @@
 import stileferry.storage.StoredEntry;
 
 /**
- * Completes and cancels jobs in one term. Users hear of a completion once it is durable, of a cancellation once enough
- * controllers know it too and no task can start any more.
+ * Completes and cancels jobs during one term. Users are told of a completion once it is durable, and of a cancellation
+ * once enough controllers know of it too and no task of the job can start any more.
  */
 public final class JobCompletion {
     private final ClusterState cluster;
@@ -21,16 +21,20 @@
     private final Listener listener;
     private final Consumer<TaskAssignment> stopTask;
 
-    /** Notified of what users may hear. */
+    /** Is notified of what users may be told. */
     public interface Listener {
-        /** A job's completion is durable. */
+        /** Called when the completion of a job is durable. */
         void jobCompleted(Job job, CompletedJob completed);
 
-        /** A job's cancellation may be confirmed. */
+        /** Called when the cancellation of a job may be confirmed. */
         void cancellationConfirmed(Job job);
     }
 
-    /** The completions of one term; {@code stop} stops an assigned task at once. */
+    /**
+     * Creates the job completion of one term.
+     *
+     * @param stopTask stops an assigned task at once
+     */
     public JobCompletion(
             ClusterState cluster,
             CommitQueue commitQueue,
@@ -46,7 +50,7 @@
         this.stopTask = stopTask;
     }
 
-    /** After a failover, completes the jobs that the former leader left to complete, and resumes cancellations. */
+    /** Completes the jobs that the former leader left to complete, and resumes cancellations, after a failover. */
     public void resumeAfterFailover() {
         for (Job job : List.copyOf(cluster.jobs().values())) {
             if (job.cancelled()) {
@@ -58,10 +62,10 @@
     }
 
     /**
-     * Moves a job's record to the completed jobs; what else is stored of it is deleted later. Does nothing if it is
-     * being moved already.
+     * Moves the record of a job to the completed jobs; other stored data of the job is deleted later. Does nothing if
+     * the record is already being moved.
      *
-     * @param onDurable run when that is durable; may be null
+     * @param onDurable runs when the move is durable; may be null
      */
     void complete(Job job, String outcome, Runnable onDurable) {
         if (job.completing()) {
@@ -103,7 +107,7 @@
         }
     }
 
-    /** A cancellation is durable: the tasks are stopped, and the other controllers hear of it. */
+    /** Stops the tasks of a durably cancelled job, and tells the other controllers of the cancellation. */
     private void onCancellationDurable(Job job) {
         job.markCancellationDurable();
         List.copyOf(job.assignments().values()).forEach(stopTask);
@@ -118,9 +122,9 @@
     }
 
     /**
-     * Confirms a job's cancellation to its users, if enough controllers know it (whoever renews leases may have to stop
-     * its tasks) and no task of it can start any more: while a machine can't be reached, one that still pulls its image
-     * would start later.
+     * Confirms the cancellation of a job to its users, if enough controllers know of it, as any of them that renews
+     * leases may have to stop the tasks, and if no task of the job can start any more: a task that is still pulling its
+     * image on an unreachable machine would start later.
      */
     void confirmCancellation(Job job) {
         if (job.cancellationReplicated()
--- a/src/main/java/stileferry/lifecycle/MachineQuarantine.java
+++ b/src/main/java/stileferry/lifecycle/MachineQuarantine.java
@@ -11,25 +11,29 @@
 import stileferry.cluster.TaskAssignment;
 
 /**
- * Quarantines machines that fail their tasks: when tasks of two jobs have failed on a machine since one succeeded, or
- * one job has failed there twice that succeeds elsewhere. A job that fails everywhere counts against no machine.
+ * Quarantines machines on which tasks fail: when tasks of two jobs have failed on a machine since one succeeded, or one
+ * job that succeeds elsewhere has failed there twice. A job that fails everywhere counts against no machine.
  */
 final class MachineQuarantine {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
-    /** Failures, counted as {@link #failureWeight} says, at which a machine is taken to be faulty. */
+    /** Sum of the failures' weights, see {@link #failureWeight}, at which a machine is considered faulty. */
     private static final int QUARANTINE_WEIGHT = 2;
 
     private final ClusterState cluster;
     private final Consumer<TaskAssignment> stopTask;
 
-    /** {@code stop} stops an assigned task, which may save a checkpoint. */
+    /**
+     * Creates the quarantine.
+     *
+     * @param stopTask stops an assigned task, which may save a checkpoint
+     */
     MachineQuarantine(ClusterState cluster, Consumer<TaskAssignment> stopTask) {
         this.cluster = cluster;
         this.stopTask = stopTask;
     }
 
-    /** A task of this job has failed on the machine. */
+    /** Records that a task of this job has failed on the machine, and quarantines a faulty machine. */
     void recordFailure(Machine machine, Job job) {
         job.failures().recordFailureOn(machine.name());
         machine.recordFailureOf(job.spec().id());
@@ -44,7 +48,11 @@
         }
     }
 
-    /** What a job's failures on one machine count against it; the job is null when it has completed since. */
+    /**
+     * Returns how much the failures of a job on one machine count against the machine.
+     *
+     * @param job null if the job has completed since
+     */
     private static int failureWeight(Job job, int failures) {
         if (job == null) {
             return 1;
--- a/src/main/java/stileferry/lifecycle/TaskEventReader.java
+++ b/src/main/java/stileferry/lifecycle/TaskEventReader.java
@@ -13,20 +13,23 @@
 import stileferry.storage.StoredEvent;
 
 /**
- * Reads stored event records back after a failover, in the order in which they were written. What their events say of
- * jobs that are not given to it, which have completed, is skipped.
+ * Reads stored event records after a failover, in the order in which they were written. Events of jobs that are not
+ * passed to the reader, because they have completed, are skipped.
  */
 public final class TaskEventReader {
     private final Map<String, Job> jobs;
-    private final Map<Job, Map<Integer, TaskAssignment>> assignments = new LinkedHashMap<>(); // so that seeds repeat
+
+    /** In insertion order, so that runs with the same seed are identical. */
+    private final Map<Job, Map<Integer, TaskAssignment>> assignments = new LinkedHashMap<>();
+
     private final Map<String, LastHeartbeatRecord> lastHeartbeats = new HashMap<>();
 
-    /** Reads events of these jobs, by id, and marks their completed tasks. */
+    /** Creates a reader for events of these jobs, by id, which also marks their completed tasks. */
     public TaskEventReader(Map<String, Job> jobs) {
         this.jobs = jobs;
     }
 
-    /** Takes in one record and returns its events of tasks. */
+    /** Reads one record and returns its task events. */
     public List<StoredEvent> read(JsonNode record, long recordNumber) {
         List<StoredEvent> events = new ArrayList<>();
         for (JsonNode event : record.path("e")) {
@@ -38,7 +41,7 @@
         return events;
     }
 
-    /** Takes in an event about a machine's heartbeats; false if it is none. */
+    /** Reads an event about the heartbeats of a machine; returns false if the event is of another kind. */
     private boolean readHeartbeatEvent(int kind, JsonNode event) {
         String machine = event.path(1).asText();
         if (kind == LastHeartbeatJournal.LAST_HEARTBEAT_EVENT) {
@@ -64,7 +67,8 @@
                 long incarnation = event.path(5).asLong();
                 into.add(restoreAssignment(job, index, attempt, machine, incarnation, recordNumber));
             }
-            case TaskEvents.SETTLED -> into.add(restoreSettlement(job, index, event.path(3).asLong()));
+            case TaskEvents.SETTLED ->
+                into.add(restoreSettlement(job, index, event.path(3).asLong()));
             case TaskEvents.COMPLETED -> {
                 int lastIndex = Math.min(event.path(3).asInt(), job.spec().taskCount() - 1);
                 into.add(restoreCompletion(job, index, lastIndex, recordNumber));
@@ -74,7 +78,7 @@
     }
 
     /**
-     * Takes in a record of the first stored form: one part of a job's tasks, with a bitmap of the completed ones and
+     * Reads a record of the first storage format: one chunk of a job's tasks, with a bitmap of the completed ones and
      * the assignments.
      */
     public List<StoredEvent> readLegacyChunk(Job job, int chunk, JsonNode record, long recordNumber) {
@@ -100,17 +104,21 @@
         return events;
     }
 
-    /** Whether a bit is set in a bitmap of two hexadecimal digits a byte, the lowest bit of a byte first. */
+    /**
+     * Returns whether a bit is set in a bitmap of two hexadecimal digits per byte, with the lowest bit of each byte
+     * first.
+     */
     private static boolean bitSet(String hexadecimal, int bit) {
         int highDigit = bit / 8 * 2;
         int digit = Character.digit(hexadecimal.charAt(bit % 8 < 4 ? highDigit + 1 : highDigit), 16);
         return (digit >> bit % 4 & 1) != 0;
     }
 
-    private StoredEvent restoreAssignment(Job job, int index, long attempt, String machine, long incarnation, long recordNumber) {
+    private StoredEvent restoreAssignment(
+            Job job, int index, long attempt, String machine, long incarnation, long recordNumber) {
         TaskAssignment assignment = new TaskAssignment(job, index, attempt, machine, incarnation, 0);
         assignment.markDurable();
-        assignment.markStartSent(); // the former leader may have sent it
+        assignment.markStartSent(); // the former leader may have sent the start
         assignment.stored(recordNumber);
         assignmentsOf(job).put(index, assignment);
         return new TaskEvents.Assigned(assignment);
@@ -138,12 +146,12 @@
         return assignments.computeIfAbsent(job, any -> new HashMap<>());
     }
 
-    /** The notes of machines' last heartbeats that stand after all records. */
+    /** Returns the records of machines' last heartbeats that are still valid after all records read. */
     public Iterable<LastHeartbeatRecord> lastHeartbeats() {
         return lastHeartbeats.values();
     }
 
-    /** The assignments that are not settled after all records. */
+    /** Returns the assignments that are not settled after all records read. */
     public List<TaskAssignment> unsettledAssignments() {
         List<TaskAssignment> unsettled = new ArrayList<>();
         for (Map<Integer, TaskAssignment> jobAssignments : assignments.values()) {
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -6,30 +6,30 @@
 import stileferry.storage.EndEvent;
 import stileferry.storage.StoredEvent;
 
-/** The stored events of tasks. Each is an array that begins with the event's kind and the job's id. */
+/** Stored task events. Each event is an array that begins with the event's kind and the job's id. */
 final class TaskEvents {
-    /** Kinds of events, beside those of machines' heartbeats. */
+    /** Event kinds, numbered in one sequence with those of machines' heartbeats. */
     static final int ASSIGNED = 0;
 
     static final int SETTLED = 1;
     static final int COMPLETED = 2;
 
-    /** Bytes of an event in JSON form beside its texts: brackets, quotes and numbers. */
+    /** Maximum size in bytes of an event in JSON form without its texts: brackets, quotes and numbers. */
     private static final int MAX_BYTES_WITHOUT_TEXTS = 48;
 
     private TaskEvents() {}
 
-    /** A task may be on a machine from now on. */
+    /** Returns the event that a task may be on a machine from now on. */
     static StoredEvent assigned(TaskAssignment assignment) {
         return new Assigned(assignment);
     }
 
-    /** An assignment is settled, and its task is pending again. */
+    /** Returns the event that an assignment is settled, and its task is pending again. */
     static StoredEvent settled(TaskAssignment assignment) {
         return new Settled(assignment.job(), assignment.index(), assignment.attempt());
     }
 
-    /** A task has completed. */
+    /** Returns the event that a task has completed. */
     static StoredEvent completed(Job job, int index) {
         return new Completed(job, index, index);
     }
@@ -38,7 +38,7 @@
         return MAX_BYTES_WITHOUT_TEXTS + job.spec().id().length();
     }
 
-    /** Event 0: an assignment, kept until it is settled. */
+    /** Event 0: an assignment; retained until it is settled. */
     record Assigned(TaskAssignment assignment) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
@@ -52,7 +52,8 @@
 
         @Override
         public int maxBytes() {
-            return TaskEvents.maxEventBytes(assignment.job()) + assignment.machine().length();
+            return TaskEvents.maxEventBytes(assignment.job())
+                    + assignment.machine().length();
         }
 
         @Override
@@ -84,7 +85,10 @@
         }
     }
 
-    /** Event 2: these tasks, both ends included, have completed. Kept until their job is completed. */
+    /**
+     * Event 2: the tasks in this range of indexes, both ends included, have completed. Retained until their job is
+     * completed.
+     */
     record Completed(Job job, int firstIndex, int lastIndex) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
@@ -103,10 +107,13 @@
 
         @Override
         public boolean endsEarlierEvent() {
-            return false; // it ends assignments too, but is kept for as long as its job is there
+            return false; // it also ends assignments, but is retained as long as its job exists
         }
 
-        /** Together with its neighbours that have completed by now, so that a long job takes ever fewer events. */
+        /**
+         * Returns this event merged with adjacent tasks that have completed by now, so that a long job takes ever fewer
+         * events.
+         */
         @Override
         public StoredEvent retainedFrom(long record) {
             if (job.completed()) {
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -20,8 +20,8 @@
 import stileferry.storage.CommitQueue;
 
 /**
- * The lifecycle of tasks in one term: from the assignment over start and stop to the proof that settles it. A gang's
- * tasks start, stop and complete together.
+ * Manages the lifecycle of tasks during one term: their assignment, start and stop, and the proof that settles the
+ * assignment. The tasks of a gang start, stop and complete together.
  */
 public final class TaskLifecycle implements TaskObserver {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
@@ -37,11 +37,11 @@
     private final GangMetrics gangMetrics = new GangMetrics();
 
     /**
-     * The lifecycle of one term.
+     * Creates the lifecycle of one term.
      *
-     * @param heartbeatHandlerFactory makes the handler of heartbeats, which notifies this lifecycle of its tasks
-     * @param jobCompletionFactory makes the completion of jobs, which stops their tasks here
-     * @param onSchedulingInputChange run when something has changed that a scheduling pass may use
+     * @param heartbeatHandlerFactory creates the heartbeat handler, which notifies this lifecycle of its tasks
+     * @param jobCompletionFactory creates the job completion, which stops tasks through this lifecycle
+     * @param onSchedulingInputChange runs when something has changed that a scheduling pass may use
      */
     public TaskLifecycle(
             ClusterState cluster,
@@ -83,11 +83,16 @@
 
     // ---- start
 
-    /** Assigns the next pending task of a job, or all tasks of a gang, to these machines and starts them there. */
+    /**
+     * Assigns the next pending task of a job, or all tasks of a gang, to these machines. The tasks are started there
+     * once the assignments are durable.
+     *
+     * @param overdue whether the job is overdue, so that the task is not to be preempted at once
+     */
     public void start(Job job, List<Machine> machines, boolean overdue) {
         long now = environment.now();
         int index = job.nextPendingTask(now);
-        long attempt = termSequence.next(); // one for all tasks of a gang, which find each other by it
+        long attempt = termSequence.next(); // shared by all tasks of a gang, which find each other by it
         GangAttempt gangAttempt = null;
         if (job.spec().gang()) {
             gangAttempt = new GangAttempt(machines.size());
@@ -149,7 +154,7 @@
 
     // ---- stop
 
-    /** Stops a task whose job was cancelled. */
+    /** Stops a task of a cancelled job. */
     public void stopCancelled(TaskAssignment assignment) {
         stopTask(assignment, 0);
     }
@@ -160,8 +165,8 @@
     }
 
     /**
-     * Stops an assigned task within a grace period in seconds. A gang is stopped whole: its tasks can save a checkpoint
-     * only together, and one that is left alone loses what it did.
+     * Stops an assigned task within a grace period in seconds. A gang is stopped as a whole: its tasks can save a
+     * checkpoint only together, and a task that is left alone loses its work.
      */
     public void stop(TaskAssignment assignment, double graceS) {
         if (assignment.job().spec().gang()) {
@@ -174,8 +179,8 @@
     }
 
     /**
-     * Whether all tasks of a gang can be expected to hear a stop in time. If one does not, the others can't save a
-     * checkpoint: they would only wait for it, and lose what came after their last checkpoint all the same.
+     * Returns whether all tasks of a gang can be expected to receive a stop in time. If one does not, the others can't
+     * save a checkpoint: they would only wait for it, and would lose the work since their last checkpoint all the same.
      */
     private boolean allReachable(Job gang) {
         for (TaskAssignment assignment : gang.assignments().values()) {
@@ -192,7 +197,8 @@
 
     private void stopTask(TaskAssignment assignment, double graceS) {
         if (!assignment.job().holds(assignment)) {
-            return; // settled with its gang; counted out twice it would let its team beyond its limit
+            return; // settled with its gang; subtracted twice from its team's usage, it would let the team exceed its
+            // limit
         }
         if (!assignment.startSent()) {
             logSettled(assignment, SettlementProof.NEVER_SENT);
@@ -212,8 +218,9 @@
     }
 
     /**
-     * Stops the rest of a gang of which one task does not run any more, so that it starts again whole. If that task had
-     * saved a checkpoint, so do the others. Otherwise none of them can: they would only wait for the missing one.
+     * Stops the rest of a gang of which one task no longer runs, so that the gang restarts as a whole. If that task
+     * saved a checkpoint, the others save one too. Otherwise none of them can: they would only wait for the missing
+     * task.
      */
     private void stopRestOfGang(TaskAssignment ended, boolean checkpointSaved) {
         if (ended.job().spec().gang()) {
@@ -222,9 +229,9 @@
     }
 
     /**
-     * Stops a gang at once that was read with fewer assignments than tasks, which was not started or has lost a task;
-     * or, as an older version may have left it, with assignments of different attempts, whose tasks would wait for each
-     * other in vain. Neither can complete or save a checkpoint; the gang starts again whole.
+     * Stops a gang at once if it was recovered with fewer assignments than tasks, as it was not started or has lost a
+     * task; or, as an older version may have left it, with assignments of different attempts, whose tasks would wait
+     * for each other in vain. Neither kind can complete or save a checkpoint; the gang restarts as a whole.
      */
     public void stopIncompleteGangAttempt(Job job) {
         if (job.spec().gang() && !job.assignments().isEmpty() && !job.assignmentsFormOneAttempt()) {
@@ -270,11 +277,12 @@
     }
 
     /**
-     * Completes all tasks of a gang of which one has completed, also one whose machine is gone before it reports. That
-     * is stored at once, in the record of the job's completion, so that no leader starts a part of the gang again.
+     * Completes all tasks of a gang of which one has completed, including a task whose machine is gone before it
+     * reports. This is stored at once, in the record of the job's completion, so that no leader restarts a part of the
+     * gang.
      *
-     * @param first the assignment of the completed task, which is left to the caller; null: there is none
-     * @return the assignments settled, whose machines may not clear them before the job's completion is durable
+     * @param first the assignment of the completed task, which the caller settles; null if there is none
+     * @return the settled assignments, whose machines may not clear them before the job's completion is durable
      */
     public List<TaskAssignment> completeGang(Job job, TaskAssignment first) {
         List<TaskAssignment> others = new ArrayList<>(job.assignments().values());
@@ -293,7 +301,7 @@
         return others;
     }
 
-    /** The outcome of a task that completed with its gang is durable, so its machine may clear it. */
+    /** Lets the machine of a task that completed with its gang clear the task, as its outcome is durable. */
     private void onOutcomeDurable(TaskAssignment assignment) {
         Machine machine = cluster.machines().get(assignment.machine());
         if (machine != null) {
--- a/src/main/java/stileferry/lifecycle/package-info.java
+++ b/src/main/java/stileferry/lifecycle/package-info.java
@@ -1,6 +1,6 @@
 /**
- * From the assignment of a task to the proof that settles it ({@link stileferry.lifecycle.TaskLifecycle}), to the
- * completion or cancellation of its job ({@link stileferry.lifecycle.JobCompletion}); and the events that are stored of
- * that ({@link stileferry.lifecycle.TaskEventReader}).
+ * The lifecycle of tasks from their assignment to the proof that settles it ({@link
+ * stileferry.lifecycle.TaskLifecycle}), the completion and cancellation of jobs ({@link
+ * stileferry.lifecycle.JobCompletion}), and the stored events of both ({@link stileferry.lifecycle.TaskEventReader}).
  */
 package stileferry.lifecycle;
--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -21,7 +21,7 @@
 import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MachineType;
 
-/** When a new leader deletes machines that it has not heard from. */
+/** Checks when a new leader deletes machines that it has not heard from. */
 class AutoscalerTest {
     private static final MachineType BOX = new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za"));
     private static final int SPOT_MACHINES = 8;
@@ -41,13 +41,13 @@
                 new HeartbeatHandler(cluster, environment, null, 1, null, null, new EventLoopLag(environment, 1));
     }
 
-    /** The list lags behind young machines, so these may report any moment. */
+    /** The cloud's list lags, so a machine missing from it may be a young one that reports at any moment. */
     @Test
     void unlistedMachineIsNotDeletedBeforeItCouldReport() {
         Autoscaler autoscaler = autoscalerWithUnlistedMachine();
         simulation.runFor(4);
         autoscaler.scaleIn(true);
-        assertFalse(cluster.machine("host-000099").instance().terminating(), "it may report any moment");
+        assertFalse(cluster.machine("host-000099").instance().terminating(), "it may still report");
     }
 
     @Test
@@ -59,7 +59,7 @@
         autoscaler.scaleIn(true);
         assertTrue(
                 cluster.machine("host-000099").instance().terminating(),
-                "what neither list nor heartbeat shows must end some day");
+                "a machine that neither is listed nor reports must be deleted eventually");
     }
 
     private static Job acceptedJob(int tasks) {
@@ -81,13 +81,16 @@
         return autoscaler;
     }
 
-    /** A new leader waits for part of a lease, not for a whole one, for machines that were lost with the former. */
+    /**
+     * A new leader waits for part of a lease, not a whole one, for machines that were lost together with the former
+     * leader.
+     */
     @Test
     void spotMachineThatMissesHeartbeatsIsPresumedLostWithinALease() {
         long leadingSince = addSpotMachines();
         simulation.runFor(7); // more than half a lease
         reportFrom(1);
-        assertPresumedLost(List.of(machine(0)), leadingSince, "the only one that was not heard");
+        assertPresumedLost(List.of(machine(0)), leadingSince, "the only machine not heard from");
     }
 
     @Test
@@ -95,29 +98,29 @@
         long leadingSince = addSpotMachines();
         simulation.runFor(7);
         reportFrom(1);
-        assertPresumedLost(List.of(machine(0)), leadingSince, "the only one that was not heard");
+        assertPresumedLost(List.of(machine(0)), leadingSince, "the only machine not heard from");
         simulation.runFor(7);
-        assertPresumedLost(List.of(), leadingSince, "nobody reports: the network is at fault");
+        assertPresumedLost(List.of(), leadingSince, "no machine reports, so the network is at fault");
     }
 
-    /** After a partition most machines come back by way of followers, one after the other. */
+    /** After a partition most machines reconnect by way of followers, one after the other. */
     @Test
     void machinesOfAPartitionedZoneArePresumedLostOnlyALeaseAfterThePartition() {
         long leadingSince = addSpotMachines();
         simulation.runFor(7);
         reportFrom(1);
         simulation.runFor(7);
-        assertPresumedLost(List.of(), leadingSince, "nobody reports: the network is at fault");
+        assertPresumedLost(List.of(), leadingSince, "no machine reports, so the network is at fault");
         reportFrom(2);
-        assertPresumedLost(List.of(), leadingSince, "the rest may be on their way");
+        assertPresumedLost(List.of(), leadingSince, "the others may still be reconnecting");
         for (int i = 0; i < 5; i++) {
             simulation.runFor(2);
             reportFrom(2);
         }
-        assertPresumedLost(List.of(machine(0), machine(1)), leadingSince, "a lease has passed");
+        assertPresumedLost(List.of(machine(0), machine(1)), leadingSince, "a lease has passed since the partition");
     }
 
-    /** Spot machines of one zone, each with a task; returns when the leader began. */
+    /** Adds spot machines in one zone, each with a task; returns when the leader started. */
     private long addSpotMachines() {
         startLeader(2);
         Job job = acceptedJob(SPOT_MACHINES + 1);
@@ -135,7 +138,7 @@
         return cluster.machine("host-" + number);
     }
 
-    /** The machines from this number on are heard now. */
+    /** Marks the machines from this number on as heard from now. */
     private void reportFrom(int first) {
         for (int i = first; i < SPOT_MACHINES; i++) {
             if (machine(i).agent().heardThisTerm()) {
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -13,11 +13,11 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.scheduling.RandomCluster;
 
-/** Limits that only a fleet of thousands of machines meets. */
+/** Checks limits that matter only in a fleet of thousands of machines. */
 class LargeFleetTest {
     private static final int PAGE_COUNT = 9;
 
-    /** Late lists and late heartbeats name machines that are gone: the larger the fleet, the more of them. */
+    /** Late lists and late heartbeats still name deleted machines: the larger the fleet, the more of them. */
     @Test
     void deletedMachinesAreRememberedInProportionToTheFleet() {
         ClusterState cluster = RandomCluster.cluster(4200, new SplittableRandom(5));
@@ -31,10 +31,10 @@
         }
         assertTrue(
                 cluster.deletedMachines().size() <= 4 * machines + 1,
-                cluster.deletedMachines().size() + " are remembered");
+                cluster.deletedMachines().size() + " deleted machines are remembered");
     }
 
-    /** The list of a large fleet has more pages than the cloud takes calls at once. */
+    /** The list of a large fleet has more pages than the cloud accepts calls at once. */
     @Test
     void listOfManyPagesIsReadCompletelyWithinTheCloudsRateLimit() {
         SimulatedCluster simulation = new SimulatedCluster(9);
@@ -51,13 +51,13 @@
             inventory.refresh();
             simulation.runFor(1);
         }
-        assertTrue(inventory.complete(), "the list was read to its end");
+        assertTrue(inventory.complete(), "the list should be read completely");
         assertEquals(1, firstRefreshes.get(), "the action of the first refresh runs once");
         assertEquals(PAGE_COUNT, cluster.machines().size());
-        assertTrue(simulation.now - startedAt > 3000, "within the rate limit");
+        assertTrue(simulation.now - startedAt > 3000, "reading should stay within the rate limit");
     }
 
-    /** A page of the cloud's list with one machine, {@code host-0} on the first. */
+    /** Returns a page of the cloud's list with one machine, which is {@code host-0} on the first page. */
     private static ObjectNode page(String path) {
         int number = path.contains("from=") ? Integer.parseInt(path.replaceAll(".*host-", "")) + 1 : 0;
         ObjectNode page = MessageCodec.map();
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -26,7 +26,7 @@
 import stileferry.storage.EventLog;
 import stileferry.storage.StoredEvent;
 
-/** What is stored of tasks, read again after any write, tells the state at that write. */
+/** Checks that the stored task events, read back after any write, yield the state at that write. */
 class TaskEventsTest {
     private static final double VALUE_KB = 8;
     private static final int SLOTS = 8;
@@ -48,7 +48,7 @@
         return MessageCodec.decode(MessageCodec.encode(value));
     }
 
-    /** Writes one record of the log into the store. */
+    /** Writes the next record of the log to the store. */
     private void write(EventLog log) {
         write(log.nextBatch(12), VALUE_KB);
     }
@@ -57,12 +57,12 @@
         JsonNode value = batch.put().value();
         assertTrue(
                 value.toString().length() < limitKb * 1024,
-                "a record of " + value.toString().length());
+                "record length: " + value.toString().length());
         store.put(batch.put().key(), encodedAndDecoded(value));
         batch.deletions().forEach(entry -> store.remove(entry.key()));
     }
 
-    /** Reads the store's records; the log, unless it is null, goes on from them. */
+    /** Reads the records in the store, and restores the log from them unless it is null. */
     private TaskEventReader read(Map<String, Job> jobs, EventLog log) {
         TaskEventReader reader = new TaskEventReader(jobs);
         store.entrySet().stream()
@@ -91,7 +91,7 @@
         return attempts(assignments);
     }
 
-    /** Jobs whose tasks are assigned and settled at random, while the log of that is written. */
+    /** Jobs whose tasks are assigned and settled at random, with the events appended to a log. */
     private final class RandomHistory {
         final SplittableRandom random;
         Map<String, Job> jobs = jobs(JOBS, TASKS);
@@ -140,7 +140,7 @@
             }
         }
 
-        /** A new leader goes on with what it has read. */
+        /** Continues as a new leader with the state that it has read. */
         void failOver(Map<String, Job> restoredJobs, TaskEventReader reader, EventLog nextLog) {
             reader.unsettledAssignments().forEach(assignment -> assignment.job().addAssignment(assignment));
             jobs = restoredJobs;
@@ -148,7 +148,9 @@
         }
     }
 
-    /** A small ring that goes round many times, read again and taken over at random moments. */
+    /**
+     * A small ring is overwritten many times; at random moments its records are read back, or a new leader takes over.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void ringHoldsTheWholeStateAfterEveryWrite(long seed) {
@@ -188,20 +190,20 @@
         }
     }
 
-    /** The last but one record of the old leader is lost, and its slot keeps what it held before. */
+    /** Loses the second-to-last record of the old leader, so that its slot keeps its previous content. */
     private void loseSecondToLastRecord(EventLog log) {
         EventLog.Batch lost = log.nextBatch(12);
         assertTrue(lost.deletions().isEmpty());
         EventLog.Batch last = log.nextBatch(12);
-        if (!last.endsGivenUp()) { // else it waits until the one before is durable
+        if (!last.endsGivenUp()) { // otherwise it waits until the previous record is durable
             store.put(last.put().key(), encodedAndDecoded(last.put().value()));
         }
     }
 
     /**
-     * Leaders of the version before go by the larger limit, and later ones by the lower limit that is announced, in
-     * turns. No leader of the lower limit writes a larger value, whatever it finds; and at every write the store
-     * tells all.
+     * Leaders of the previous version, which use a higher value limit, alternate with leaders that use the lower limit
+     * announced by the store. No leader with the lower limit may write a larger value, whatever it finds, and the store
+     * must hold the whole state after every write.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -211,7 +213,8 @@
         int overflowRecords = 0;
         for (int step = 0; step < 4000; step++) {
             int phase = step % 1000;
-            boolean manyTasks = phase < 500; // many tasks at once, most of which stay while the ring goes round
+            boolean manyTasks =
+                    phase < 500; // many tasks at once, most of which stay assigned while the ring is overwritten
             Job job = history.anyJob();
             if (job.assignments().size() < (manyTasks ? 55 : 40)) {
                 history.assignOne(job);
@@ -230,7 +233,7 @@
                 history.failOver(restoredJobs, read(restoredJobs, nextLog), nextLog);
             }
         }
-        assertTrue(overflowRecords > 0, "nothing was too large");
+        assertTrue(overflowRecords > 0, "no record was too large");
     }
 
     private static double limitKb(boolean lowLimit) {
@@ -241,7 +244,7 @@
         return new EventLog(limitKb(lowLimit), 64, "t" + term);
     }
 
-    /** Writes all that waits, checks what is stored, and returns how many records went beside the ring. */
+    /** Writes all pending events, checks what is stored, and returns the number of overflow records. */
     private int writeAllWithinLimit(boolean lowLimit, RandomHistory history, int step) {
         int overflowRecords = 0;
         while (history.log.hasPending()) {
@@ -257,7 +260,7 @@
         return overflowRecords;
     }
 
-    /** The largest job there may be, with every task assigned at once and half of them completed, fits the ring. */
+    /** The largest possible job, with all tasks assigned at once and half of them completed, fits into the ring. */
     @Test
     void ringHoldsAJobOfAHundredThousandTasks() {
         Job job = jobs(1, 100_000).get("job-0");
@@ -274,7 +277,7 @@
         int writes = 0;
         while (log.hasPending()) {
             write(log);
-            assertTrue(++writes < 4000, "the log writes the same again and again");
+            assertTrue(++writes < 4000, "the log keeps writing the same events");
         }
         Map<String, Job> restoredJobs = jobs(1, 100_000);
         TaskEventReader reader = read(restoredJobs, null);
@@ -284,34 +287,37 @@
                 restoredJobs.get("job-0").completedTasks().indexes());
     }
 
-    /** A job as it is stored with parts of 128 tasks each. */
+    /** Returns a job in its legacy stored form, with chunks of 128 tasks. */
     private static Job jobWithLegacyChunks(int tasks) throws InvalidJobSpecException {
         ObjectNode stored = MessageCodec.map().put("order", 0).put("at", 2).put("chunk", 128);
         stored.set("spec", JobSpecBuilder.array(0).tasks(tasks).build().write());
         return Job.read(stored, 0);
     }
 
-    /** Records of the first version: a part of a job's tasks each, with a bitmap in hexadecimal and the assignments. */
+    /**
+     * Records of the first version hold one chunk of a job's tasks each, with a hexadecimal bitmap of completed tasks
+     * and the assignments.
+     */
     @Test
     void legacyRecordsAreReadAndReplaced() throws InvalidJobSpecException {
         Job job = jobWithLegacyChunks(200);
         assertEquals(128, job.legacyChunkTasks());
-        ObjectNode part = MessageCodec.map().put("done", "0184"); // tasks 0, 10 and 15 of this part
-        ArrayNode claims = part.putArray("claims");
+        ObjectNode chunk = MessageCodec.map().put("done", "0184"); // tasks 0, 10 and 15 of this chunk
+        ArrayNode claims = chunk.putArray("claims");
         for (int i = 16; i < 60; i++) {
             claims.addArray().add(128 + i).add(7L << 32).add("host-000001").add(3);
         }
         EventLog log = new EventLog(VALUE_KB, SLOTS, "t");
         TaskEventReader reader = new TaskEventReader(Map.of("job-0", job));
-        store.put("c/job-0/1", part);
-        log.restore("c/job-0/1", 5, -1, reader.readLegacyChunk(job, 1, part, -1));
+        store.put("c/job-0/1", chunk);
+        log.restore("c/job-0/1", 5, -1, reader.readLegacyChunk(job, 1, chunk, -1));
         assertEquals("{128, 138, 143}", job.completedTasks().indexes().toString());
         assertEquals(44, reader.unsettledAssignments().size());
         reader.unsettledAssignments().forEach(job::addAssignment);
         while (log.hasPending()) {
             write(log);
         }
-        assertEquals(1, store.size(), "the older record is gone: " + store.keySet());
+        assertEquals(1, store.size(), "the legacy record should be gone: " + store.keySet());
         Map<String, Job> restoredJobs = jobs(1, 200);
         assertEquals(
                 attempts(job.assignments().values()),
@@ -326,6 +332,6 @@
         Job job = TestJob.accepted(JobSpecBuilder.gang(1).tasks(3).build(), 1, 2);
         assertEquals(0, job.nextPendingTask(0));
         job.addAssignment(new TaskAssignment(job, 1, 1, "m", 1, 0));
-        assertEquals(-1, job.nextPendingTask(0), "a gang starts whole or not at all");
+        assertEquals(-1, job.nextPendingTask(0), "a gang starts as a whole or not at all");
     }
 }
