--- a/src/main/java/stileferry/autoscaling/ScaleInPass.java
+++ b/src/main/java/stileferry/autoscaling/ScaleInPass.java
@@ -101,7 +101,7 @@
         if (presumedLost.contains(machine) && links.permitsRemovingMachine(machine.name())) {
             return machine.spot() ? ScaleInReason.SPOT_LOST : ScaleInReason.LOST;
         }
-        if (expiredAndEmpty(machine) && links.permitsRemovingMachine(machine.name())) {
+        if (leaseExpiredAndEmpty(machine) && links.permitsRemovingMachine(machine.name())) {
             return ScaleInReason.MISSED_HEARTBEATS;
         }
         if (allWorkersHeard && unreachable(machine.agent()) && links.permitsRemovingMachine(machine.name())) {
@@ -138,7 +138,7 @@
                 && inventory.complete();
     }
 
-    private boolean expiredAndEmpty(Machine machine) {
+    private boolean leaseExpiredAndEmpty(Machine machine) {
         AgentState agent = machine.agent();
         return agent.expiredIncarnation() >= agent.incarnation()
                 && machine.assignments().isEmpty()
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -18,8 +18,8 @@
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
     private static final int OK = 200;
-    private static final int MALFORMED = 400;
-    private static final int UNAVAILABLE = 503;
+    private static final int BAD_REQUEST = 400;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
@@ -101,10 +101,10 @@
         if (status == OK && body != null) {
             removePending(request);
             machinesCreated(request, CloudMessages.createdMachines(body));
-        } else if (status == UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
+        } else if (status == SERVICE_UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
             removePending(request);
-            backOff.refused(request.pool());
-        } else if (status == MALFORMED) {
+            backOff.recordRefusal(request.pool());
+        } else if (status == BAD_REQUEST) {
             removePending(request);
             LOG.error("scale out request malformed: answer={}", body);
         }
@@ -127,9 +127,9 @@
             addMachine(name, request);
         }
         if (names.size() < request.count()) {
-            backOff.refused(pool);
+            backOff.recordRefusal(pool);
         } else {
-            backOff.granted(pool);
+            backOff.recordGrant(pool);
         }
     }
 
--- a/src/main/java/stileferry/autoscaling/ScaleOutBackOff.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutBackOff.java
@@ -19,7 +19,7 @@
     private final Environment environment;
     private final Map<String, Refusal> refusalsByPool = new HashMap<>();
 
-    private record Refusal(int count, long until) {}
+    private record Refusal(int count, long retryAt) {}
 
     ScaleOutBackOff(Environment environment) {
         this.environment = environment;
@@ -27,10 +27,10 @@
 
     boolean permits(InstancePool pool) {
         Refusal refusal = refusalsByPool.get(pool.key());
-        return refusal == null || refusal.until <= environment.now();
+        return refusal == null || refusal.retryAt <= environment.now();
     }
 
-    void refused(InstancePool pool) {
+    void recordRefusal(InstancePool pool) {
         Refusal previous = refusalsByPool.get(pool.key());
         int refusalsBefore = previous == null ? 0 : previous.count;
         long pauseMs =
@@ -44,7 +44,7 @@
                 pauseMs / 1000);
     }
 
-    void granted(InstancePool pool) {
+    void recordGrant(InstancePool pool) {
         refusalsByPool.remove(pool.key());
     }
 }
--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -24,7 +24,7 @@
 /** Checks when a new leader deletes machines that it has not heard from. */
 class AutoscalerTest {
     private static final MachineType BOX = new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za"));
-    private static final int SPOT_MACHINES = 8;
+    private static final int SPOT_MACHINE_COUNT = 8;
 
     private SimulatedCluster simulation;
     private SimulatedEnvironment environment;
@@ -89,7 +89,7 @@
     void spotMachineThatMissesHeartbeatsIsPresumedLostWithinALease() {
         long leadingSince = addSpotMachines();
         simulation.runFor(7); // more than half a lease
-        reportFrom(1);
+        markHeardFrom(1);
         assertPresumedLost(List.of(machine(0)), leadingSince, "the only machine not heard from");
     }
 
@@ -97,7 +97,7 @@
     void noMachineOfAnUnreachableZoneIsPresumedLost() {
         long leadingSince = addSpotMachines();
         simulation.runFor(7);
-        reportFrom(1);
+        markHeardFrom(1);
         assertPresumedLost(List.of(machine(0)), leadingSince, "the only machine not heard from");
         simulation.runFor(7);
         assertPresumedLost(List.of(), leadingSince, "no machine reports, so the network is at fault");
@@ -108,14 +108,14 @@
     void machinesOfAPartitionedZoneArePresumedLostOnlyALeaseAfterThePartition() {
         long leadingSince = addSpotMachines();
         simulation.runFor(7);
-        reportFrom(1);
+        markHeardFrom(1);
         simulation.runFor(7);
         assertPresumedLost(List.of(), leadingSince, "no machine reports, so the network is at fault");
-        reportFrom(2);
+        markHeardFrom(2);
         assertPresumedLost(List.of(), leadingSince, "the others may still be reconnecting");
         for (int i = 0; i < 5; i++) {
             simulation.runFor(2);
-            reportFrom(2);
+            markHeardFrom(2);
         }
         assertPresumedLost(List.of(machine(0), machine(1)), leadingSince, "a lease has passed since the partition");
     }
@@ -123,8 +123,8 @@
     /** Adds spot machines in one zone, each with a task; returns when the leader started. */
     private long addSpotMachines() {
         startLeader(2);
-        Job job = acceptedJob(SPOT_MACHINES + 1);
-        for (int i = 0; i < SPOT_MACHINES; i++) {
+        Job job = acceptedJob(SPOT_MACHINE_COUNT + 1);
+        for (int i = 0; i < SPOT_MACHINE_COUNT; i++) {
             Machine machine = machine(i);
             machine.setType(BOX);
             machine.setSpot(true);
@@ -139,8 +139,8 @@
     }
 
     /** Marks the machines from this number on as heard from now. */
-    private void reportFrom(int first) {
-        for (int i = first; i < SPOT_MACHINES; i++) {
+    private void markHeardFrom(int first) {
+        for (int i = first; i < SPOT_MACHINE_COUNT; i++) {
             if (machine(i).agent().heardThisTerm()) {
                 machine(i).agent().markHeard(environment.now());
             } else {
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -28,10 +28,10 @@
 
 /** Checks that the stored task events, read back after any write, yield the state at that write. */
 class TaskEventsTest {
-    private static final double VALUE_KB = 8;
+    private static final double MAX_VALUE_KB = 8;
     private static final int SLOTS = 8;
     private static final int JOBS = 8;
-    private static final int TASKS = 60;
+    private static final int TASKS_PER_JOB = 60;
 
     private final Map<String, JsonNode> store = new HashMap<>();
 
@@ -44,13 +44,13 @@
         return jobs;
     }
 
-    private static JsonNode encodedAndDecoded(JsonNode value) {
+    private static JsonNode encodeAndDecode(JsonNode value) {
         return MessageCodec.decode(MessageCodec.encode(value));
     }
 
     /** Writes the next record of the log to the store. */
     private void write(EventLog log) {
-        write(log.nextBatch(12), VALUE_KB);
+        write(log.nextBatch(12), MAX_VALUE_KB);
     }
 
     private void write(EventLog.Batch batch, double limitKb) {
@@ -58,7 +58,7 @@
         assertTrue(
                 value.toString().length() < limitKb * 1024,
                 "record length: " + value.toString().length());
-        store.put(batch.put().key(), encodedAndDecoded(value));
+        store.put(batch.put().key(), encodeAndDecode(value));
         batch.deletions().forEach(entry -> store.remove(entry.key()));
     }
 
@@ -94,7 +94,7 @@
     /** Jobs whose tasks are assigned and settled at random, with the events appended to a log. */
     private final class RandomHistory {
         final SplittableRandom random;
-        Map<String, Job> jobs = jobs(JOBS, TASKS);
+        Map<String, Job> jobs = jobs(JOBS, TASKS_PER_JOB);
         EventLog log;
         long attempt;
 
@@ -103,14 +103,14 @@
             this.log = log;
         }
 
-        Job anyJob() {
+        Job randomJob() {
             return jobs.get("job-" + random.nextInt(JOBS));
         }
 
-        void assignOne(Job job) {
+        void assignTask(Job job) {
             attempt++;
-            int index = job.nextUnassignedTask(random.nextInt(TASKS));
-            if (index < TASKS) {
+            int index = job.nextUnassignedTask(random.nextInt(TASKS_PER_JOB));
+            if (index < TASKS_PER_JOB) {
                 TaskAssignment assignment = new TaskAssignment(job, index, attempt, "host-" + random.nextInt(20), 1, 0);
                 job.addAssignment(assignment);
                 log.append(TaskEvents.assigned(assignment), null);
@@ -126,7 +126,7 @@
                     null);
         }
 
-        TaskAssignment anyAssignment(Job job) {
+        TaskAssignment randomAssignment(Job job) {
             return job.assignments()
                     .get(job.assignments().keySet().stream()
                             .skip(random.nextInt(job.assignments().size()))
@@ -154,26 +154,26 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void ringHoldsTheWholeStateAfterEveryWrite(long seed) {
-        RandomHistory history = new RandomHistory(seed, new EventLog(VALUE_KB, SLOTS, "t"));
+        RandomHistory history = new RandomHistory(seed, new EventLog(MAX_VALUE_KB, SLOTS, "t"));
         for (int step = 0; step < 3000; step++) {
-            Job job = history.anyJob();
+            Job job = history.randomJob();
             if (job.assignments().isEmpty() || history.random.nextInt(5) < 2) {
-                history.assignOne(job);
+                history.assignTask(job);
             } else {
                 TaskAssignment oldest = job.assignments().values().iterator().next();
                 history.settle(oldest, history.random.nextInt(4) == 0);
             }
             if (history.random.nextInt(3) == 0) {
                 history.writeAll();
-                assertRestoredState(history, step);
+                restoreAndCheck(history, step);
             }
         }
         assertEquals(SLOTS, store.size());
     }
 
-    private void assertRestoredState(RandomHistory history, int step) {
-        Map<String, Job> restoredJobs = jobs(JOBS, TASKS);
-        EventLog nextLog = history.random.nextInt(50) == 0 ? new EventLog(VALUE_KB, SLOTS, "t") : null;
+    private void restoreAndCheck(RandomHistory history, int step) {
+        Map<String, Job> restoredJobs = jobs(JOBS, TASKS_PER_JOB);
+        EventLog nextLog = history.random.nextInt(50) == 0 ? new EventLog(MAX_VALUE_KB, SLOTS, "t") : null;
         if (nextLog != null && history.random.nextBoolean()) {
             loseSecondToLastRecord(history.log);
         }
@@ -196,7 +196,7 @@
         assertTrue(lost.deletions().isEmpty());
         EventLog.Batch last = log.nextBatch(12);
         if (!last.endsGivenUp()) { // otherwise it waits until the previous record is durable
-            store.put(last.put().key(), encodedAndDecoded(last.put().value()));
+            store.put(last.put().key(), encodeAndDecode(last.put().value()));
         }
     }
 
@@ -215,11 +215,11 @@
             int phase = step % 1000;
             boolean manyTasks =
                     phase < 500; // many tasks at once, most of which stay assigned while the ring is overwritten
-            Job job = history.anyJob();
+            Job job = history.randomJob();
             if (job.assignments().size() < (manyTasks ? 55 : 40)) {
-                history.assignOne(job);
+                history.assignTask(job);
             } else {
-                history.settle(history.anyAssignment(job), false);
+                history.settle(history.randomAssignment(job), false);
             }
             boolean limitChanges = phase == 499 || phase == 950;
             if (!limitChanges && history.random.nextInt(manyTasks ? 300 : 3) != 0) {
@@ -228,7 +228,7 @@
             overflowRecords += writeAllWithinLimit(lowLimit, history, step);
             if (limitChanges || history.random.nextInt(60) == 0) {
                 lowLimit = limitChanges ? phase == 499 : lowLimit;
-                Map<String, Job> restoredJobs = jobs(JOBS, TASKS);
+                Map<String, Job> restoredJobs = jobs(JOBS, TASKS_PER_JOB);
                 EventLog nextLog = limitedLog(lowLimit, step + "-");
                 history.failOver(restoredJobs, read(restoredJobs, nextLog), nextLog);
             }
@@ -252,7 +252,7 @@
             assertTrue(batch.deletions().size() < 4);
             overflowRecords += batch.put().key().startsWith("l/x") ? 1 : 0;
             write(batch, limitKb(lowLimit));
-            Map<String, Long> stored = attempts(read(jobs(JOBS, TASKS), null).unsettledAssignments());
+            Map<String, Long> stored = attempts(read(jobs(JOBS, TASKS_PER_JOB), null).unsettledAssignments());
             if (!history.log.hasPending()) {
                 assertEquals(attempts(history.jobs), stored, "at step " + step);
             }
@@ -264,7 +264,7 @@
     @Test
     void ringHoldsAJobOfAHundredThousandTasks() {
         Job job = jobs(1, 100_000).get("job-0");
-        EventLog log = new EventLog(VALUE_KB, 1024, "t");
+        EventLog log = new EventLog(MAX_VALUE_KB, 1024, "t");
         for (int i = 0; i < 100_000; i++) {
             TaskAssignment assignment = new TaskAssignment(job, i, (1L << 40) + i, "host-123456", 100, 0);
             job.addAssignment(assignment);
@@ -307,7 +307,7 @@
         for (int i = 16; i < 60; i++) {
             claims.addArray().add(128 + i).add(7L << 32).add("host-000001").add(3);
         }
-        EventLog log = new EventLog(VALUE_KB, SLOTS, "t");
+        EventLog log = new EventLog(MAX_VALUE_KB, SLOTS, "t");
         TaskEventReader reader = new TaskEventReader(Map.of("job-0", job));
         store.put("c/job-0/1", chunk);
         log.restore("c/job-0/1", 5, -1, reader.readLegacyChunk(job, 1, chunk, -1));
