--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -11,7 +11,7 @@
 import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 
-/** Deletes machines through the cloud: lost ones, whose deletion proves that their tasks are gone, and idle ones. */
+/** Has the cloud delete machines: lost ones, whose deletion proves that their tasks are gone, and idle ones. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
--- a/src/main/java/stileferry/autoscaling/ScaleInPass.java
+++ b/src/main/java/stileferry/autoscaling/ScaleInPass.java
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Returns how long a machine may be idle, in boot times of its type as set by the operators: another machine would
-     * take its boot time.
+     * Returns how long a machine may be idle, in milliseconds: a multiple of the boot time that another machine would
+     * take.
      */
     private long maxIdleMs(Machine machine) {
         double idleBoots = cluster.operatorSettings().number(OperatorSettings.IDLE_BOOTS);
--- a/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Returns the machines to request, by pool, in batches of at most this size; the largest batches come first, as
-     * calls to the cloud are scarce.
+     * Returns the machines to request, by pool, in batches of at most this size; the largest batches come first, as few
+     * calls to the cloud are allowed.
      */
     List<List<PlannedMachine>> batches(int maxSize) {
         Map<String, List<PlannedMachine>> byPool = new HashMap<>();
--- a/src/main/java/stileferry/heartbeat/CommandPlanner.java
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -12,7 +12,7 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.WorkerCommand;
 
-/** Decides which commands a worker needs: the wanted changes that its reports don't show to be carried out. */
+/** Decides which commands a worker needs: what it should do and has not yet been seen to have done. */
 final class CommandPlanner {
     private final Environment environment;
     private final LeaderElection leadership;
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Handles a heartbeat and replies with the body of the response, or with null if the response must not have status
-     * 200. The reply may come later, once it is durable that the machine has resumed its heartbeats.
+     * Handles a heartbeat and replies with the body of the response, or with null if the heartbeat must not be answered
+     * with status 200. The reply may come later, once it is durable that the machine has resumed its heartbeats.
      */
     public void receive(Heartbeat heartbeat, Consumer<byte[]> reply) {
         if (!leaseRenewalPolicy.mayAnswer(heartbeat)) {
--- a/src/main/java/stileferry/heartbeat/SettlementProof.java
+++ b/src/main/java/stileferry/heartbeat/SettlementProof.java
@@ -1,6 +1,6 @@
 package stileferry.heartbeat;
 
-/** The proof, other than its exit, that an assigned task is not on its machine and can't start there any more. */
+/** Proof, other than a reported exit, that an assigned task is not on its machine and can't start there any more. */
 public enum SettlementProof {
     /** The agent runs a higher incarnation than the assignment names: the tasks of the older one have ended. */
     HIGHER_INCARNATION("higher incarnation"),
--- a/src/main/java/stileferry/heartbeat/TaskObserver.java
+++ b/src/main/java/stileferry/heartbeat/TaskObserver.java
@@ -5,7 +5,7 @@
 import stileferry.cluster.TaskAssignment;
 import stileferry.protocol.Heartbeat;
 
-/** Is notified of what heartbeats, expired leases and deleted machines reveal about assigned tasks. */
+/** Observes what heartbeats, expired leases and deleted machines reveal about assigned tasks. */
 public interface TaskObserver {
     /** Called when a task has exited; its assignment is to be settled. */
     void taskExited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status);
--- a/src/main/java/stileferry/lifecycle/CompletedJob.java
+++ b/src/main/java/stileferry/lifecycle/CompletedJob.java
@@ -23,7 +23,7 @@
         return MessageCodec.map().put("how", outcome).put("done", completedTasks);
     }
 
-    /** Returns the state of the job as users are told it. */
+    /** Returns the state of the job in the form reported to users. */
     public ObjectNode jobState(String id) {
         return UserMessages.jobState(id, outcome, completedTasks, 0);
     }
--- a/src/main/java/stileferry/lifecycle/TaskEventReader.java
+++ b/src/main/java/stileferry/lifecycle/TaskEventReader.java
@@ -84,11 +84,11 @@
     public List<StoredEvent> readLegacyChunk(Job job, int chunk, JsonNode record, long recordNumber) {
         List<StoredEvent> events = new ArrayList<>();
         int firstIndex = chunk * job.legacyChunkTasks();
-        String hexadecimal = record.path("done").asText();
+        String bitmap = record.path("done").asText();
         for (int bit = 0;
-                bit < 4 * hexadecimal.length() && firstIndex + bit < job.spec().taskCount();
+                bit < 4 * bitmap.length() && firstIndex + bit < job.spec().taskCount();
                 bit++) {
-            if (bitSet(hexadecimal, bit)) {
+            if (bitSet(bitmap, bit)) {
                 events.add(restoreCompletion(job, firstIndex + bit, firstIndex + bit, recordNumber));
             }
         }
@@ -108,9 +108,9 @@
      * Returns whether a bit is set in a bitmap of two hexadecimal digits per byte, with the lowest bit of each byte
      * first.
      */
-    private static boolean bitSet(String hexadecimal, int bit) {
+    private static boolean bitSet(String bitmap, int bit) {
         int highDigit = bit / 8 * 2;
-        int digit = Character.digit(hexadecimal.charAt(bit % 8 < 4 ? highDigit + 1 : highDigit), 16);
+        int digit = Character.digit(bitmap.charAt(bit % 8 < 4 ? highDigit + 1 : highDigit), 16);
         return (digit >> bit % 4 & 1) != 0;
     }
 
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -197,8 +197,8 @@
 
     private void stopTask(TaskAssignment assignment, double graceS) {
         if (!assignment.job().holds(assignment)) {
-            return; // settled with its gang; subtracted twice from its team's usage, it would let the team exceed its
-            // limit
+            // Settled with its gang; subtracted twice from its team's usage, it would let the team exceed its limit.
+            return;
         }
         if (!assignment.startSent()) {
             logSettled(assignment, SettlementProof.NEVER_SENT);
--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -21,7 +21,7 @@
 import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MachineType;
 
-/** Checks when a new leader deletes machines that it has not heard from. */
+/** Checks when a new leader deletes machines, or presumes them lost, that it has not heard from. */
 class AutoscalerTest {
     private static final MachineType BOX = new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za"));
     private static final int SPOT_MACHINE_COUNT = 8;
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -201,9 +201,9 @@
     }
 
     /**
-     * Leaders of the previous version, which use a higher value limit, alternate with leaders that use the lower limit
-     * announced by the store. No leader with the lower limit may write a larger value, whatever it finds, and the store
-     * must hold the whole state after every write.
+     * Leaders of the previous version, which use a higher value limit, alternate with leaders that use the announced
+     * lower limit. No leader with the lower limit may write a larger value, whatever it finds, and the store must hold
+     * the whole state after every write.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -213,8 +213,8 @@
         int overflowRecords = 0;
         for (int step = 0; step < 4000; step++) {
             int phase = step % 1000;
-            boolean manyTasks =
-                    phase < 500; // many tasks at once, most of which stay assigned while the ring is overwritten
+            // many tasks at once, most of which stay assigned while the ring is overwritten
+            boolean manyTasks = phase < 500;
             Job job = history.randomJob();
             if (job.assignments().size() < (manyTasks ? 55 : 40)) {
                 history.assignTask(job);
@@ -252,7 +252,8 @@
             assertTrue(batch.deletions().size() < 4);
             overflowRecords += batch.put().key().startsWith("l/x") ? 1 : 0;
             write(batch, limitKb(lowLimit));
-            Map<String, Long> stored = attempts(read(jobs(JOBS, TASKS_PER_JOB), null).unsettledAssignments());
+            Map<String, Long> stored =
+                    attempts(read(jobs(JOBS, TASKS_PER_JOB), null).unsettledAssignments());
             if (!history.log.hasPending()) {
                 assertEquals(attempts(history.jobs), stored, "at step " + step);
             }
