--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -19,7 +19,7 @@
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
-    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int UNAVAILABLE = 503;
 
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
@@ -101,7 +101,7 @@
         if (status == OK && body != null) {
             removePending(request);
             machinesCreated(request, CloudMessages.createdMachines(body));
-        } else if (status == SERVICE_UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
+        } else if (status == UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
             removePending(request);
             backOff.recordRefusal(request.pool());
         } else if (status == BAD_REQUEST) {
