--- a/src/main/java/stileferry/autoscaling/ScaleIn.java
+++ b/src/main/java/stileferry/autoscaling/ScaleIn.java
@@ -11,7 +11,7 @@
 import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 
-/** Deletes machines at the cloud: lost ones, whose deletion proves that their tasks are gone, and idle ones. */
+/** Has the cloud delete machines: lost ones, whose deletion proves that their tasks are gone, and idle ones. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
@@ -25,7 +25,7 @@
     private final CloudInventory inventory;
     private final LinkHealth links;
     private final long leadingSince;
-    private boolean deleting;
+    private boolean deletionInFlight;
 
     ScaleIn(
             ClusterState cluster,
@@ -43,15 +43,15 @@
         this.leadingSince = environment.now();
     }
 
-    /** Marks the machines that are to be deleted, and deletes those that are marked. */
-    void scaleIn(boolean settled) {
+    /** Marks the machines that are to be deleted, and has the cloud delete marked ones. */
+    void scaleIn(boolean allWorkersHeard) {
         ScaleInPass pass = new ScaleInPass(
                 cluster,
                 heartbeatHandler.failureDetector(),
                 inventory,
                 links,
                 leadingSince,
-                settled,
+                allWorkersHeard,
                 environment.now());
         for (Machine machine : cluster.machines().values()) {
             if (!machine.instance().terminating()) {
@@ -81,19 +81,19 @@
                 names.add(machine.name());
             }
         }
-        if (deleting || names.isEmpty() || !cloud.tryAcquire()) {
+        if (deletionInFlight || names.isEmpty() || !cloud.tryAcquire()) {
             return;
         }
-        deleting = true;
+        deletionInFlight = true;
         cloud.call("POST", CloudMessages.DELETION_PATH, CloudMessages.deletionRequest(names), (status, body) -> {
-            deleting = false;
+            deletionInFlight = false;
             if (status == OK) {
-                names.forEach(this::deleted);
+                names.forEach(this::onDeleted);
             }
         });
     }
 
-    private void deleted(String name) {
+    private void onDeleted(String name) {
         Machine machine = cluster.machines().get(name);
         if (machine != null) {
             heartbeatHandler.machineDeleted(machine);
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -13,18 +13,18 @@
 import stileferry.protocol.CloudMessages;
 import stileferry.protocol.Environment;
 
-/** Requests machines from the cloud for the jobs that wait, each time under an id that is never used again. */
+/** Requests machines from the cloud for waiting jobs, each time under an id that is never reused. */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
     private static final int OK = 200;
-    private static final int MALFORMED = 400;
+    private static final int BAD_REQUEST = 400;
     private static final int UNAVAILABLE = 503;
 
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-    /** A request without an answer is sent again after this. */
-    private static final long RESEND_MS = 6000;
+    /** Time after which a request without an answer is sent again. */
+    private static final long RESEND_AFTER_MS = 6000;
 
     private final ClusterState cluster;
     private final Environment environment;
@@ -52,7 +52,7 @@
         this.idPrefix = "r-" + cluster.settings().controllerName() + "-" + term + "-";
     }
 
-    /** Requests machines for the jobs that wait, beside those that boot and those that were requested. */
+    /** Requests machines for the waiting jobs, in addition to those that are booting or already requested. */
     void scaleOut(List<Job> waiting) {
         resendUnanswered();
         Set<String> unreachableZones = failureDetector.unreachableZones(leadingSince);
@@ -74,11 +74,11 @@
 
     private void resendUnanswered() {
         for (ScaleOutRequest request : List.copyOf(pendingRequests)) {
-            if (environment.now() - request.sentAt() > RESEND_MS && cloud.tryAcquire()) {
+            if (environment.now() - request.sentAt() > RESEND_AFTER_MS && cloud.tryAcquire()) {
                 pendingRequests.remove(request);
-                ScaleOutRequest again = request.sentAgainAt(environment.now());
-                pendingRequests.add(again);
-                send(again);
+                ScaleOutRequest resent = request.resentAt(environment.now());
+                pendingRequests.add(resent);
+                send(resent);
             }
         }
     }
@@ -93,21 +93,24 @@
                 (status, body) -> receiveAnswer(request, status, body));
     }
 
-    /** After any other answer nothing was done or the outcome is unknown: the same request is sent again later. */
+    /**
+     * Handles the answer to a request. After any answer not handled here, nothing was done or the outcome is unknown,
+     * so the same request is sent again later.
+     */
     private void receiveAnswer(ScaleOutRequest request, int status, JsonNode body) {
         if (status == OK && body != null) {
-            settle(request);
+            removePending(request);
             machinesCreated(request, CloudMessages.createdMachines(body));
         } else if (status == UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
-            settle(request);
-            backOff.refused(request.pool());
-        } else if (status == MALFORMED) {
-            settle(request);
+            removePending(request);
+            backOff.recordRefusal(request.pool());
+        } else if (status == BAD_REQUEST) {
+            removePending(request);
             LOG.error("scale out request malformed: answer={}", body);
         }
     }
 
-    private void settle(ScaleOutRequest request) {
+    private void removePending(ScaleOutRequest request) {
         pendingRequests.removeIf(pending -> pending.id().equals(request.id()));
     }
 
@@ -124,9 +127,9 @@
             addMachine(name, request);
         }
         if (names.size() < request.count()) {
-            backOff.refused(pool);
+            backOff.recordRefusal(pool);
         } else {
-            backOff.granted(pool);
+            backOff.recordGrant(pool);
         }
     }
 
--- a/src/main/java/stileferry/autoscaling/ScaleOutBackOff.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutBackOff.java
@@ -6,20 +6,20 @@
 import org.slf4j.LoggerFactory;
 import stileferry.protocol.Environment;
 
-/** Pools of which the cloud refused machines, and until when no more are requested there. */
+/** Tracks the pools in which the cloud refused machines, and until when no more are requested from them. */
 final class ScaleOutBackOff {
     private static final Logger LOG = LoggerFactory.getLogger("cloud");
 
-    /** The first pause in milliseconds for each second that a machine boots: half a boot time. */
-    private static final double PAUSE_MS_PER_BOOT_S = 500;
+    /** First pause in milliseconds per second of boot time: half a boot time. */
+    private static final double FIRST_PAUSE_MS_PER_BOOT_S = 500;
 
-    /** Doublings of the pause, at most. */
+    /** Maximum number of doublings of the pause. */
     private static final int MAX_DOUBLINGS = 1;
 
     private final Environment environment;
     private final Map<String, Refusal> refusalsByPool = new HashMap<>();
 
-    private record Refusal(int count, long until) {}
+    private record Refusal(int count, long retryAt) {}
 
     ScaleOutBackOff(Environment environment) {
         this.environment = environment;
@@ -27,13 +27,14 @@
 
     boolean permits(InstancePool pool) {
         Refusal refusal = refusalsByPool.get(pool.key());
-        return refusal == null || refusal.until <= environment.now();
+        return refusal == null || refusal.retryAt <= environment.now();
     }
 
-    void refused(InstancePool pool) {
+    void recordRefusal(InstancePool pool) {
         Refusal previous = refusalsByPool.get(pool.key());
         int refusalsBefore = previous == null ? 0 : previous.count;
-        long pauseMs = Math.round(pool.type().bootS() * PAUSE_MS_PER_BOOT_S) << Math.min(MAX_DOUBLINGS, refusalsBefore);
+        long pauseMs =
+                Math.round(pool.type().bootS() * FIRST_PAUSE_MS_PER_BOOT_S) << Math.min(MAX_DOUBLINGS, refusalsBefore);
         refusalsByPool.put(pool.key(), new Refusal(refusalsBefore + 1, environment.now() + pauseMs));
         LOG.info(
                 "no capacity: spot={} type={} zone={} retry_s={}",
@@ -43,7 +44,7 @@
                 pauseMs / 1000);
     }
 
-    void granted(InstancePool pool) {
+    void recordGrant(InstancePool pool) {
         refusalsByPool.remove(pool.key());
     }
 }
--- a/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
@@ -16,24 +16,26 @@
 import stileferry.protocol.Settings;
 
 /**
- * Plans one pass of scaling out: places waiting tasks on the machines that will be up soon, and adds the cheapest
- * machines for those that do not fit.
+ * Plans one scale-out pass: places waiting tasks on the machines that will be up soon, and adds the cheapest machines
+ * for the tasks that do not fit.
  */
 final class ScaleOutPlan {
-    /** Sums of amounts may be off by this much. */
-    private static final double ROUNDING = 1e-6;
+    /** Tolerance for rounding errors in sums of resource amounts. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final ClusterState cluster;
     private final ScaleOutBackOff backOff;
     private final Set<String> unreachableZones;
-    private final List<PlannedMachine> upSoon = new ArrayList<>();
-    private final List<PlannedMachine> added = new ArrayList<>();
+    private final List<PlannedMachine> bootingOrRequested = new ArrayList<>();
+    private final List<PlannedMachine> toRequest = new ArrayList<>();
     private final Map<String, Integer> machinesByZone = new HashMap<>();
     private final Map<String, Double> cpusByTeam = new HashMap<>();
     private int spotMachines;
     private int allMachines;
 
-    /** Starts from the machines that there are, those that boot included, and from the requests that are under way. */
+    /**
+     * Creates a plan that starts from the existing machines, including booting ones, and from the requests in flight.
+     */
     ScaleOutPlan(
             ClusterState cluster,
             ScaleOutBackOff backOff,
@@ -50,32 +52,32 @@
         pendingRequests.forEach(this::addRequested);
     }
 
-    /** A machine that is said to run but sends no heartbeats is not counted on. */
+    /** Adds an existing machine. One that is listed as running but sends no heartbeats offers no capacity. */
     private void addExisting(Machine machine) {
         InstancePool pool = new InstancePool(machine.type(), machine.zone(), machine.spot());
-        count(pool, 1);
+        countMachines(pool, 1);
         if (machine.instance().booting()) {
-            upSoon.add(new PlannedMachine(pool));
+            bootingOrRequested.add(new PlannedMachine(pool));
         }
     }
 
     private void addRequested(ScaleOutRequest request) {
-        count(request.pool(), request.count());
+        countMachines(request.pool(), request.count());
         for (int i = 0; i < request.count(); i++) {
-            upSoon.add(new PlannedMachine(request.pool()));
+            bootingOrRequested.add(new PlannedMachine(request.pool()));
         }
     }
 
-    private void count(InstancePool pool, int machines) {
+    private void countMachines(InstancePool pool, int machines) {
         allMachines += machines;
         spotMachines += pool.spot() ? machines : 0;
         machinesByZone.merge(pool.zone(), machines, Integer::sum);
     }
 
-    /** Plans machines for all tasks of a job that wait and that its team may run. */
+    /** Plans machines for all waiting tasks of a job that its team may run. */
     void add(Job job) {
         JobSpec spec = job.spec();
-        int tasks = tasksWithinTeamLimit(job);
+        int tasks = waitingTasksWithinTeamLimit(job);
         String onlyZone = spec.gang() && spec.oneZone() ? gangZone(spec, tasks) : null;
         tasks -= placeOnPlanned(spec, tasks, onlyZone);
         while (tasks > 0) {
@@ -83,16 +85,19 @@
             if (machine == null) {
                 return;
             }
-            count(machine.pool(), 1);
-            added.add(machine);
+            countMachines(machine.pool(), 1);
+            toRequest.add(machine);
             tasks -= machine.place(spec, tasks);
         }
     }
 
-    /** The added machines, by pool, in batches of this size at most; the largest batches first, as calls are few. */
+    /**
+     * Returns the machines to request, by pool, in batches of at most this size; the largest batches come first, as few
+     * calls to the cloud are allowed.
+     */
     List<List<PlannedMachine>> batches(int maxSize) {
         Map<String, List<PlannedMachine>> byPool = new HashMap<>();
-        for (PlannedMachine machine : added) {
+        for (PlannedMachine machine : toRequest) {
             byPool.computeIfAbsent(machine.pool().key(), key -> new ArrayList<>())
                     .add(machine);
         }
@@ -102,8 +107,8 @@
         return batches;
     }
 
-    /** How many of a job's waiting tasks its team may still run, after what was planned for earlier jobs. */
-    private int tasksWithinTeamLimit(Job job) {
+    /** Returns how many of a job's waiting tasks its team may still run after what was planned for earlier jobs. */
+    private int waitingTasksWithinTeamLimit(Job job) {
         Settings.Team team = cluster.settings().team(job.spec().team());
         int waiting = job.pendingCount();
         double cpusPerTask = job.spec().cpus();
@@ -111,15 +116,20 @@
             return waiting;
         }
         double cpus = cpusByTeam.getOrDefault(team.name(), cluster.cpusInUse(team.name()));
-        int tasks = (int) Math.max(0, Math.min(waiting, (team.cpusMax() - cpus + ROUNDING) / cpusPerTask));
+        int tasks = (int) Math.max(0, Math.min(waiting, (team.cpusMax() - cpus + ROUNDING_TOLERANCE) / cpusPerTask));
         cpusByTeam.put(team.name(), cpus + tasks * cpusPerTask);
         return tasks;
     }
 
-    /** Places tasks on machines that are planned already, in one zone or (null) in any; returns how many fit. */
+    /**
+     * Places tasks on machines that are already planned.
+     *
+     * @param onlyZone the only zone to use; null: any
+     * @return the number of tasks placed
+     */
     private int placeOnPlanned(JobSpec spec, int tasks, String onlyZone) {
         int placed = 0;
-        for (List<PlannedMachine> machines : List.of(upSoon, added)) {
+        for (List<PlannedMachine> machines : List.of(bootingOrRequested, toRequest)) {
             for (PlannedMachine machine : machines) {
                 if (placed == tasks) {
                     return placed;
@@ -132,7 +142,10 @@
         return placed;
     }
 
-    /** The one zone for a gang: where most of its tasks fit soon, else where the cheapest machine is available. */
+    /**
+     * Returns the zone for a gang that must run in one zone: the one where most of its tasks fit soon, otherwise the
+     * one where the cheapest machine is available; null if there is none.
+     */
     private String gangZone(JobSpec spec, int tasks) {
         Map<String, Integer> fittingByZone = fittingTasksByZone(spec);
         String best = null;
@@ -151,7 +164,7 @@
 
     private Map<String, Integer> fittingTasksByZone(JobSpec spec) {
         Map<String, Integer> fittingByZone = new HashMap<>();
-        for (List<PlannedMachine> machines : List.of(upSoon, added)) {
+        for (List<PlannedMachine> machines : List.of(bootingOrRequested, toRequest)) {
             for (PlannedMachine machine : machines) {
                 if (machine.fits(spec)) {
                     int tasks = spec.cpus() > 0 ? (int) Math.max(1, machine.freeCpus() / spec.cpus()) : 1;
@@ -168,16 +181,20 @@
         return fitting > other || fitting == other && zone.compareTo(than) < 0;
     }
 
-    /** The cheapest machine, in one zone or (null) in any, that a task may run on and that may be requested now. */
+    /**
+     * Returns the cheapest machine that a task may run on and that may be requested now; null if there is none.
+     *
+     * @param onlyZone the only zone to use; null: any
+     */
     private PlannedMachine cheapest(JobSpec spec, String onlyZone) {
         double spotShare = cluster.operatorSettings().number(OperatorSettings.SPOT_SHARE);
-        boolean moreSpot = spotMachines + 1 <= spotShare * (allMachines + 1);
+        boolean spotAllowed = spotMachines + 1 <= spotShare * (allMachines + 1);
         PlannedMachine best = null;
         for (MachineType type : cluster.machineTypes()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     PlannedMachine machine = new PlannedMachine(new InstancePool(type, zone, spot));
-                    if ((!spot || moreSpot)
+                    if ((!spot || spotAllowed)
                             && (onlyZone == null || onlyZone.equals(zone))
                             && mayRequest(machine.pool())
                             && machine.fits(spec)
@@ -190,7 +207,10 @@
         return best;
     }
 
-    /** Machines that boot in an unreachable zone can't send heartbeats. */
+    /**
+     * Returns whether machines of a pool may be requested now; machines that boot in an unreachable zone can't send
+     * heartbeats.
+     */
     private boolean mayRequest(InstancePool pool) {
         return backOff.permits(pool) && !unreachableZones.contains(pool.zone());
     }
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -34,19 +34,22 @@
         for (TaskAssignment assignment : List.copyOf(machine.assignments().values())) {
             Heartbeat.TaskStatus status = assignedTasks.get(assignment.taskId());
             if (assignment.incarnation() < heartbeat.incarnation()) {
-                taskObserver.gone(assignment, SettlementProof.HIGHER_INCARNATION);
+                taskObserver.taskProvenGone(assignment, SettlementProof.HIGHER_INCARNATION);
             } else if (status != null) {
                 if (status.phase() == Heartbeat.TaskPhase.EXITED || assignment.stopping()) {
                     agent.setReconciled(false);
                 }
                 updatePhase(machine, assignment, status, now);
             } else if (origin == HeartbeatReconciliation.Origin.HEARTBEAT && neverStarted(machine, assignment)) {
-                taskObserver.gone(assignment, SettlementProof.NEVER_STARTED);
+                taskObserver.taskProvenGone(assignment, SettlementProof.NEVER_STARTED);
             }
         }
     }
 
-    /** The reported tasks that are assigned, by task; all others that have not exited are orphans, to be killed. */
+    /**
+     * Returns the reported tasks that are assigned, by task id. All others that have not exited are orphans, which are
+     * to be killed.
+     */
     private Map<String, Heartbeat.TaskStatus> assignedTasks(Machine machine, Heartbeat heartbeat) {
         machine.agent().setHasOrphanTasks(false);
         Map<String, Heartbeat.TaskStatus> assignedTasks = new HashMap<>();
@@ -59,16 +62,16 @@
                 assignedTasks.put(status.taskId(), status);
             } else if (status.phase() != Heartbeat.TaskPhase.EXITED) {
                 machine.agent().setHasOrphanTasks(true);
-                commandDispatcher.sendSoon(machine);
+                commandDispatcher.queueCommands(machine);
             }
         }
         return assignedTasks;
     }
 
     /**
-     * Whether a stopped task that a heartbeat does not name can't start any more. A worker has one heartbeat in flight:
-     * every response with a start in it was carried out or dropped before this heartbeat, no direct start is
-     * unanswered, and former leaders are not obeyed any more.
+     * Returns whether a stopped task that a heartbeat does not list can no longer start. A worker has one heartbeat in
+     * flight: every response that carried a start was carried out or dropped before this heartbeat, no direct start is
+     * unanswered, and former leaders are no longer obeyed.
      */
     private boolean neverStarted(Machine machine, TaskAssignment assignment) {
         return assignment.stopping()
@@ -86,10 +89,10 @@
                 case RUNNING, SAVING_CHECKPOINT -> markRunning(machine, assignment, now);
                 default -> {}
             }
-            taskObserver.phaseChanged(assignment);
+            taskObserver.taskPhaseChanged(assignment);
         }
         if (status.phase() == Heartbeat.TaskPhase.EXITED) {
-            taskObserver.exited(machine, assignment, status);
+            taskObserver.taskExited(machine, assignment, status);
         }
     }
 
--- a/src/main/java/stileferry/lifecycle/ExitRecorder.java
+++ b/src/main/java/stileferry/lifecycle/ExitRecorder.java
@@ -8,23 +8,27 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.Heartbeat;
 
-/** Records what the exit of a task says of its machine and of when the task may start again. */
+/** Records what the exit of a task reveals about its machine, and when the task may restart. */
 final class ExitRecorder {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
-    /** Bounded slowdown counts shorter runs as being this long, as in the paper that {@code Placement} names. */
+    /** Bounded slowdown treats shorter runs as this long, as in the paper that {@code Placement} cites. */
     private static final double SLOWDOWN_THRESHOLD_S = 60;
 
-    private static final long FAILED_FIRST_PAUSE_MS = 1000;
-    private static final int FAILED_MOST_DOUBLINGS = 6;
-    private static final long UNKNOWN_JOB_FIRST_PAUSE_MS = 500;
-    private static final int UNKNOWN_JOB_MOST_DOUBLINGS = 7;
+    private static final long FAILED_FIRST_BACK_OFF_MS = 1000;
+    private static final int FAILED_MAX_DOUBLINGS = 6;
+    private static final long UNKNOWN_JOB_FIRST_BACK_OFF_MS = 500;
+    private static final int UNKNOWN_JOB_MAX_DOUBLINGS = 7;
 
     private final Environment environment;
     private final MachineQuarantine quarantine;
     private final long heartbeatRoundMs;
 
-    /** {@code heartbeatRoundMs}: the time in which every machine reports, for which a machine is cordoned. */
+    /**
+     * Creates the recorder.
+     *
+     * @param heartbeatRoundMs the time in which every machine reports, for which a machine is cordoned
+     */
     ExitRecorder(Environment environment, MachineQuarantine quarantine, long heartbeatRoundMs) {
         this.environment = environment;
         this.quarantine = quarantine;
@@ -32,7 +36,7 @@
     }
 
     void log(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
-        if (startKnown(assignment)) {
+        if (startObserved(assignment)) {
             LOG.debug(
                     "task exited: task={} class={} machine={} reason={} assigned_after_ms={} started_after_ms={}"
                             + " ran_ms={}",
@@ -49,13 +53,13 @@
         }
     }
 
-    /** Whether this leader has decided on the assignment and seen it running. */
-    private static boolean startKnown(TaskAssignment assignment) {
+    /** Returns whether this leader has made the assignment and has seen its task running. */
+    private static boolean startObserved(TaskAssignment assignment) {
         return assignment.assignedAt() > 0 && assignment.runningSince() > 0;
     }
 
     void recordSuccess(Machine machine, TaskAssignment assignment, long now) {
-        if (startKnown(assignment)) {
+        if (startObserved(assignment)) {
             machine.recordSlowdown(
                     (now - assignment.runningSince()) / 1000.0,
                     (assignment.runningSince() - assignment.assignedAt()) / 1000.0,
@@ -65,19 +69,19 @@
         machine.clearFailures();
     }
 
-    /** Takes in an exit without completion; the quarantine may stop other tasks of the machine. */
+    /** Records an exit without completion; the quarantine may stop other tasks on the machine. */
     void recordFailure(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
         Job job = assignment.job();
         int index = assignment.index();
         switch (status.exitReason()) {
             case FAILED -> {
-                job.failureHistory().backOff(index, now, FAILED_FIRST_PAUSE_MS, FAILED_MOST_DOUBLINGS);
+                job.failureHistory().backOff(index, now, FAILED_FIRST_BACK_OFF_MS, FAILED_MAX_DOUBLINGS);
                 quarantine.recordFailure(machine, job);
             }
             case INSUFFICIENT_RESOURCES, CONFLICTING_ATTEMPT ->
                 machine.instance().cordonUntil(now + heartbeatRoundMs);
             case UNKNOWN_JOB ->
-                job.failureHistory().backOff(index, now, UNKNOWN_JOB_FIRST_PAUSE_MS, UNKNOWN_JOB_MOST_DOUBLINGS);
+                job.failureHistory().backOff(index, now, UNKNOWN_JOB_FIRST_BACK_OFF_MS, UNKNOWN_JOB_MAX_DOUBLINGS);
             default -> {}
         }
     }
--- a/src/main/java/stileferry/lifecycle/GangMetrics.java
+++ b/src/main/java/stileferry/lifecycle/GangMetrics.java
@@ -5,55 +5,56 @@
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.MessageCodec;
 
-/** Counts what became of the attempts of gangs in one term, each attempt once, by the first task that ended. */
+/** Counts the outcomes of gang attempts during one term. Each attempt counts once, by its first task that ended. */
 public final class GangMetrics {
     private long attempts;
     private long started;
     private long stoppedAndSaved;
     private long incomplete;
-    private long lostATask;
+    private long lostTask;
     private long failed;
 
-    /** A gang was assigned to machines. */
+    /** Counts the assignment of a gang to machines. */
     void countAttempt() {
         attempts++;
     }
 
-    /** All tasks of a gang run. */
+    /** Counts a gang of which all tasks are running. */
     void countStarted() {
         started++;
     }
 
-    /** A task of a gang has exited without completing. */
+    /** Counts the exit of a gang's task without completion, if it is the first of its attempt to end. */
     void countExit(TaskAssignment assignment, Heartbeat.TaskStatus status) {
-        if (!isFirstOfItsAttempt(assignment)) {
+        if (!recordEndOfAttempt(assignment)) {
             return;
         }
         switch (status.exitReason()) {
             case STOPPED -> stoppedAndSaved += status.checkpointSaved() ? 1 : 0;
             case GANG_INCOMPLETE -> incomplete++;
-            case GANG_MEMBER_LOST -> lostATask++;
+            case GANG_MEMBER_LOST -> lostTask++;
             default -> failed++;
         }
     }
 
-    /** A task of a gang was lost with its machine or by lease expiry. */
+    /** Counts a gang's task lost with its machine or by lease expiry, if it is the first of its attempt to end. */
     void countLost(TaskAssignment assignment) {
-        lostATask += isFirstOfItsAttempt(assignment) ? 1 : 0;
+        lostTask += recordEndOfAttempt(assignment) ? 1 : 0;
     }
 
-    private static boolean isFirstOfItsAttempt(TaskAssignment assignment) {
+    /** Records that an attempt has ended; returns false if that is recorded already. */
+    private static boolean recordEndOfAttempt(TaskAssignment assignment) {
         return assignment.job().failureHistory().recordFailedGangAttempt(assignment.attempt());
     }
 
-    /** The counts in the form of the administration's views. */
+    /** Returns the counts in the form of the administrative views. */
     public ObjectNode describe() {
         return MessageCodec.map()
                 .put("attempts", attempts)
                 .put("started", started)
                 .put("stopped_and_saved", stoppedAndSaved)
                 .put("incomplete", incomplete)
-                .put("lost_a_task", lostATask)
+                .put("lost_a_task", lostTask)
                 .put("failed", failed);
     }
 }
--- a/src/main/java/stileferry/lifecycle/MachineQuarantine.java
+++ b/src/main/java/stileferry/lifecycle/MachineQuarantine.java
@@ -11,47 +11,55 @@
 import stileferry.cluster.TaskAssignment;
 
 /**
- * Quarantines machines that fail their tasks: when tasks of two jobs have failed on a machine since one succeeded, or
- * one job has failed there twice that succeeds elsewhere. A job that fails everywhere counts against no machine.
+ * Quarantines machines on which tasks fail: when tasks of two jobs have failed on a machine since one succeeded, or one
+ * job that succeeds elsewhere has failed there twice. A job that fails everywhere counts against no machine.
  */
 final class MachineQuarantine {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
-    /** Failures, counted as {@link #weight} says, at which a machine is taken to be faulty. */
-    private static final int FAULTY_AT = 2;
+    /** Sum of the failures' weights, see {@link #failureWeight}, at which a machine is considered faulty. */
+    private static final int QUARANTINE_WEIGHT = 2;
 
     private final ClusterState cluster;
-    private final Consumer<TaskAssignment> stop;
+    private final Consumer<TaskAssignment> stopTask;
 
-    /** {@code stop} stops an assigned task, which may save a checkpoint. */
-    MachineQuarantine(ClusterState cluster, Consumer<TaskAssignment> stop) {
+    /**
+     * Creates the quarantine.
+     *
+     * @param stopTask stops an assigned task, which may save a checkpoint
+     */
+    MachineQuarantine(ClusterState cluster, Consumer<TaskAssignment> stopTask) {
         this.cluster = cluster;
-        this.stop = stop;
+        this.stopTask = stopTask;
     }
 
-    /** A task of this job has failed on the machine. */
+    /** Records that a task of this job has failed on the machine, and quarantines a faulty machine. */
     void recordFailure(Machine machine, Job job) {
         job.failureHistory().recordFailureOn(machine.name());
         machine.recordJobFailure(job.spec().id());
         int weight = 0;
         for (Map.Entry<String, Integer> failures : machine.failuresByJob().entrySet()) {
-            weight += weight(cluster.jobs().get(failures.getKey()), failures.getValue());
+            weight += failureWeight(cluster.jobs().get(failures.getKey()), failures.getValue());
         }
-        if (weight >= FAULTY_AT && !machine.instance().quarantined()) {
+        if (weight >= QUARANTINE_WEIGHT && !machine.instance().quarantined()) {
             LOG.info("machine quarantined: machine={}", machine.name());
             machine.instance().quarantine();
-            List.copyOf(machine.assignments().values()).forEach(stop);
+            List.copyOf(machine.assignments().values()).forEach(stopTask);
         }
     }
 
-    /** What a job's failures on one machine count against it; the job is null when it has completed since. */
-    private static int weight(Job job, int failures) {
+    /**
+     * Returns how much the failures of a job on one machine count against the machine.
+     *
+     * @param job null if the job has completed since
+     */
+    private static int failureWeight(Job job, int failures) {
         if (job == null) {
             return 1;
         }
         if (job.failureHistory().jobAtFault()) {
             return 0;
         }
-        return job.failureHistory().successCount() > 0 ? Math.min(FAULTY_AT, failures) : 1;
+        return job.failureHistory().successCount() > 0 ? Math.min(QUARANTINE_WEIGHT, failures) : 1;
     }
 }
--- a/src/main/java/stileferry/lifecycle/TaskEventReader.java
+++ b/src/main/java/stileferry/lifecycle/TaskEventReader.java
@@ -13,20 +13,23 @@
 import stileferry.storage.StoredEvent;
 
 /**
- * Reads stored event records back after a failover, in the order in which they were written. What their events say of
- * jobs that are not given to it, which have completed, is skipped.
+ * Reads stored event records after a failover, in the order in which they were written. Events of jobs that are not
+ * passed to the reader, because they have completed, are skipped.
  */
 public final class TaskEventReader {
     private final Map<String, Job> jobs;
-    private final Map<Job, Map<Integer, TaskAssignment>> assignments = new LinkedHashMap<>(); // so that seeds repeat
+
+    /** In insertion order, so that runs with the same seed are identical. */
+    private final Map<Job, Map<Integer, TaskAssignment>> assignments = new LinkedHashMap<>();
+
     private final Map<String, LastHeartbeatRecord> lastHeartbeats = new HashMap<>();
 
-    /** Reads events of these jobs, by id, and marks their completed tasks. */
+    /** Creates a reader for events of these jobs, by id, which also marks their completed tasks. */
     public TaskEventReader(Map<String, Job> jobs) {
         this.jobs = jobs;
     }
 
-    /** Takes in one record and returns its events of tasks. */
+    /** Reads one record and returns its task events. */
     public List<StoredEvent> read(JsonNode record, long recordNumber) {
         List<StoredEvent> events = new ArrayList<>();
         for (JsonNode event : record.path("e")) {
@@ -38,12 +41,12 @@
         return events;
     }
 
-    /** Takes in an event about a machine's heartbeats; false if it is none. */
+    /** Reads an event about the heartbeats of a machine; returns false if the event is of another kind. */
     private boolean readHeartbeatEvent(int kind, JsonNode event) {
         String machine = event.path(1).asText();
         if (kind == LastHeartbeatJournal.LAST_HEARTBEAT_EVENT) {
             lastHeartbeats.put(machine, LastHeartbeatRecord.read(event));
-        } else if (kind == LastHeartbeatJournal.HEARD_AGAIN_EVENT) {
+        } else if (kind == LastHeartbeatJournal.HEARTBEATS_RESUMED_EVENT) {
             lastHeartbeats.remove(machine);
         } else {
             return false;
@@ -62,30 +65,31 @@
                 long attempt = event.path(3).asLong();
                 String machine = event.path(4).asText();
                 long incarnation = event.path(5).asLong();
-                into.add(assign(job, index, attempt, machine, incarnation, recordNumber));
+                into.add(restoreAssignment(job, index, attempt, machine, incarnation, recordNumber));
             }
-            case TaskEvents.SETTLED -> into.add(settle(job, index, event.path(3).asLong()));
+            case TaskEvents.SETTLED ->
+                into.add(restoreSettlement(job, index, event.path(3).asLong()));
             case TaskEvents.COMPLETED -> {
-                int last = Math.min(event.path(3).asInt(), job.spec().taskCount() - 1);
-                into.add(complete(job, index, last, recordNumber));
+                int lastIndex = Math.min(event.path(3).asInt(), job.spec().taskCount() - 1);
+                into.add(restoreCompletion(job, index, lastIndex, recordNumber));
             }
             default -> {}
         }
     }
 
     /**
-     * Takes in a record of the first stored form: one part of a job's tasks, with a bitmap of the completed ones and
+     * Reads a record of the first storage format: one chunk of a job's tasks, with a bitmap of the completed ones and
      * the assignments.
      */
     public List<StoredEvent> readLegacyChunk(Job job, int chunk, JsonNode record, long recordNumber) {
         List<StoredEvent> events = new ArrayList<>();
-        int first = chunk * job.legacyTasksPerChunk();
-        String hexadecimal = record.path("done").asText();
+        int firstIndex = chunk * job.legacyTasksPerChunk();
+        String bitmap = record.path("done").asText();
         for (int bit = 0;
-                bit < 4 * hexadecimal.length() && first + bit < job.spec().taskCount();
+                bit < 4 * bitmap.length() && firstIndex + bit < job.spec().taskCount();
                 bit++) {
-            if (bitSet(hexadecimal, bit)) {
-                events.add(complete(job, first + bit, first + bit, recordNumber));
+            if (bitSet(bitmap, bit)) {
+                events.add(restoreCompletion(job, firstIndex + bit, firstIndex + bit, recordNumber));
             }
         }
         for (JsonNode claim : record.path("claims")) {
@@ -94,29 +98,33 @@
                 long attempt = claim.path(1).asLong();
                 String machine = claim.path(2).asText();
                 long incarnation = claim.path(3).asLong();
-                events.add(assign(job, index, attempt, machine, incarnation, recordNumber));
+                events.add(restoreAssignment(job, index, attempt, machine, incarnation, recordNumber));
             }
         }
         return events;
     }
 
-    /** Whether a bit is set in a bitmap of two hexadecimal digits a byte, the lowest bit of a byte first. */
-    private static boolean bitSet(String hexadecimal, int bit) {
+    /**
+     * Returns whether a bit is set in a bitmap of two hexadecimal digits per byte, with the lowest bit of each byte
+     * first.
+     */
+    private static boolean bitSet(String bitmap, int bit) {
         int highDigit = bit / 8 * 2;
-        int digit = Character.digit(hexadecimal.charAt(bit % 8 < 4 ? highDigit + 1 : highDigit), 16);
+        int digit = Character.digit(bitmap.charAt(bit % 8 < 4 ? highDigit + 1 : highDigit), 16);
         return (digit >> bit % 4 & 1) != 0;
     }
 
-    private StoredEvent assign(Job job, int index, long attempt, String machine, long incarnation, long recordNumber) {
+    private StoredEvent restoreAssignment(
+            Job job, int index, long attempt, String machine, long incarnation, long recordNumber) {
         TaskAssignment assignment = new TaskAssignment(job, index, attempt, machine, incarnation, 0);
         assignment.markDurable();
-        assignment.markStartSent(); // the former leader may have sent it
+        assignment.markStartSent(); // the former leader may have sent the start
         assignment.setRecordNumber(recordNumber);
         assignmentsOf(job).put(index, assignment);
         return new TaskEvents.Assigned(assignment);
     }
 
-    private StoredEvent settle(Job job, int index, long attempt) {
+    private StoredEvent restoreSettlement(Job job, int index, long attempt) {
         TaskAssignment assignment = assignmentsOf(job).get(index);
         if (assignment != null && assignment.attempt() == attempt) {
             assignmentsOf(job).remove(index);
@@ -124,12 +132,12 @@
         return new TaskEvents.Settled(job, index, attempt);
     }
 
-    private StoredEvent complete(Job job, int from, int to, long recordNumber) {
-        for (int index = from; index <= to; index++) {
+    private StoredEvent restoreCompletion(Job job, int firstIndex, int lastIndex, long recordNumber) {
+        for (int index = firstIndex; index <= lastIndex; index++) {
             job.markTaskCompleted(index);
             assignmentsOf(job).remove(index);
         }
-        TaskEvents.Completed completed = new TaskEvents.Completed(job, from, to);
+        TaskEvents.Completed completed = new TaskEvents.Completed(job, firstIndex, lastIndex);
         completed.recordedIn(recordNumber);
         return completed;
     }
@@ -138,16 +146,16 @@
         return assignments.computeIfAbsent(job, any -> new HashMap<>());
     }
 
-    /** The notes of machines' last heartbeats that stand after all records. */
+    /** Returns the records of machines' last heartbeats that are still valid after all records read. */
     public Iterable<LastHeartbeatRecord> lastHeartbeats() {
         return lastHeartbeats.values();
     }
 
-    /** The assignments that are not settled after all records. */
-    public List<TaskAssignment> assignments() {
+    /** Returns the assignments that are not settled after all records read. */
+    public List<TaskAssignment> unsettledAssignments() {
         List<TaskAssignment> unsettled = new ArrayList<>();
-        for (Map<Integer, TaskAssignment> ofOneJob : assignments.values()) {
-            for (TaskAssignment assignment : ofOneJob.values()) {
+        for (Map<Integer, TaskAssignment> jobAssignments : assignments.values()) {
+            for (TaskAssignment assignment : jobAssignments.values()) {
                 if (!assignment.job().completedTasks().contains(assignment.index())) {
                     unsettled.add(assignment);
                 }
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -6,39 +6,39 @@
 import stileferry.storage.EndEvent;
 import stileferry.storage.StoredEvent;
 
-/** The stored events of tasks. Each is an array that begins with the event's kind and the job's id. */
+/** Stored task events. Each event is an array that begins with the event's kind and the job's id. */
 final class TaskEvents {
-    /** Kinds of events, beside those of machines' heartbeats. */
+    /** Event kinds, numbered in one sequence with those of machines' heartbeats. */
     static final int ASSIGNED = 0;
 
     static final int SETTLED = 1;
     static final int COMPLETED = 2;
 
-    /** Bytes of an event in JSON form beside its texts: brackets, quotes and numbers. */
-    private static final int BYTES = 48;
+    /** Maximum size in bytes of an event in JSON form without its texts: brackets, quotes and numbers. */
+    private static final int MAX_BYTES_WITHOUT_TEXTS = 48;
 
     private TaskEvents() {}
 
-    /** A task may be on a machine from now on. */
+    /** Returns the event that a task may be on a machine from now on. */
     static StoredEvent assigned(TaskAssignment assignment) {
         return new Assigned(assignment);
     }
 
-    /** An assignment is settled, and its task is pending again. */
+    /** Returns the event that an assignment is settled, and its task is pending again. */
     static StoredEvent settled(TaskAssignment assignment) {
         return new Settled(assignment.job(), assignment.index(), assignment.attempt());
     }
 
-    /** A task has completed. */
+    /** Returns the event that a task has completed. */
     static StoredEvent completed(Job job, int index) {
         return new Completed(job, index, index);
     }
 
-    private static int bytes(Job job) {
-        return BYTES + job.spec().id().length();
+    private static int maxEventBytes(Job job) {
+        return MAX_BYTES_WITHOUT_TEXTS + job.spec().id().length();
     }
 
-    /** Event 0: an assignment, kept until it is settled. */
+    /** Event 0: an assignment; retained until it is settled. */
     record Assigned(TaskAssignment assignment) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
@@ -52,7 +52,8 @@
 
         @Override
         public int maxBytes() {
-            return TaskEvents.bytes(assignment.job()) + assignment.machine().length();
+            return TaskEvents.maxEventBytes(assignment.job())
+                    + assignment.machine().length();
         }
 
         @Override
@@ -80,44 +81,50 @@
 
         @Override
         public int maxBytes() {
-            return TaskEvents.bytes(job);
+            return TaskEvents.maxEventBytes(job);
         }
     }
 
-    /** Event 2: these tasks, both ends included, have completed. Kept until their job is completed. */
-    record Completed(Job job, int from, int to) implements StoredEvent {
+    /**
+     * Event 2: the tasks in this range of indexes, both ends included, have completed. Retained until their job is
+     * completed.
+     */
+    record Completed(Job job, int firstIndex, int lastIndex) implements StoredEvent {
         @Override
         public void write(ArrayNode into) {
-            into.add(COMPLETED).add(job.spec().id()).add(from).add(to);
+            into.add(COMPLETED).add(job.spec().id()).add(firstIndex).add(lastIndex);
         }
 
         @Override
         public int maxBytes() {
-            return TaskEvents.bytes(job);
+            return TaskEvents.maxEventBytes(job);
         }
 
         @Override
         public void recordedIn(long record) {
-            job.completedTasks().setRecordNumber(from, to, (int) record);
+            job.completedTasks().setRecordNumber(firstIndex, lastIndex, (int) record);
         }
 
         @Override
         public boolean endsEarlierEvent() {
-            return false; // it ends assignments too, but is kept for as long as its job is there
+            return false; // it also ends assignments, but is retained as long as its job exists
         }
 
-        /** Together with its neighbours that have completed by now, so that a long job takes ever fewer events. */
+        /**
+         * Returns this event merged with adjacent tasks that have completed by now, so that a long job takes ever fewer
+         * events.
+         */
         @Override
         public StoredEvent retainedFrom(long record) {
             if (job.completed()) {
                 return null;
             }
-            for (int index = from; index <= to; index++) {
+            for (int index = firstIndex; index <= lastIndex; index++) {
                 if (job.completedTasks().recordNumberOf(index) == (int) record) {
                     return new Completed(
                             job,
-                            job.completedTasks().rangeStart(from),
-                            job.completedTasks().rangeEnd(to));
+                            job.completedTasks().rangeStart(firstIndex),
+                            job.completedTasks().rangeEnd(lastIndex));
                 }
             }
             return null;
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -20,8 +20,8 @@
 import stileferry.storage.CommitQueue;
 
 /**
- * The lifecycle of tasks in one term: from the assignment over start and stop to the proof that settles it. A gang's
- * tasks start, stop and complete together.
+ * Manages the lifecycle of tasks during one term: their assignment, start and stop, and the proof that settles the
+ * assignment. The tasks of a gang start, stop and complete together.
  */
 public final class TaskLifecycle implements TaskObserver {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
@@ -33,35 +33,35 @@
     private final HeartbeatHandler heartbeatHandler;
     private final JobCompletion jobCompletion;
     private final ExitRecorder exitRecorder;
-    private final Runnable changed;
+    private final Runnable onSchedulingInputChange;
     private final GangMetrics gangMetrics = new GangMetrics();
 
     /**
-     * The lifecycle of one term.
+     * Creates the lifecycle of one term.
      *
-     * @param createHeartbeatHandler makes the handler of heartbeats, which notifies this lifecycle of its tasks
-     * @param createJobCompletion makes the completion of jobs, which stops their tasks here
-     * @param changed run when something has changed that a scheduling pass may use
+     * @param heartbeatHandlerFactory creates the heartbeat handler, which notifies this lifecycle of its tasks
+     * @param jobCompletionFactory creates the job completion, which stops tasks through this lifecycle
+     * @param onSchedulingInputChange runs when something has changed that a scheduling pass may use
      */
     public TaskLifecycle(
             ClusterState cluster,
             Environment environment,
             CommitQueue commitQueue,
             TermSequence termSequence,
-            Function<TaskObserver, HeartbeatHandler> createHeartbeatHandler,
-            Function<TaskLifecycle, JobCompletion> createJobCompletion,
-            Runnable changed) {
+            Function<TaskObserver, HeartbeatHandler> heartbeatHandlerFactory,
+            Function<TaskLifecycle, JobCompletion> jobCompletionFactory,
+            Runnable onSchedulingInputChange) {
         this.cluster = cluster;
         this.environment = environment;
         this.commitQueue = commitQueue;
         this.termSequence = termSequence;
-        this.heartbeatHandler = createHeartbeatHandler.apply(this);
-        this.jobCompletion = createJobCompletion.apply(this);
+        this.heartbeatHandler = heartbeatHandlerFactory.apply(this);
+        this.jobCompletion = jobCompletionFactory.apply(this);
         MachineQuarantine quarantine = new MachineQuarantine(
                 cluster, assignment -> stop(assignment, assignment.job().spec().checkpointSaveS()));
         this.exitRecorder = new ExitRecorder(
                 environment, quarantine, cluster.settings().workers().heartbeatRoundMs());
-        this.changed = changed;
+        this.onSchedulingInputChange = onSchedulingInputChange;
     }
 
     public HeartbeatHandler heartbeatHandler() {
@@ -77,17 +77,22 @@
     }
 
     @Override
-    public void changed() {
-        changed.run();
+    public void schedulingInputChanged() {
+        onSchedulingInputChange.run();
     }
 
     // ---- start
 
-    /** Assigns the next pending task of a job, or all tasks of a gang, to these machines and starts them there. */
+    /**
+     * Assigns the next pending task of a job, or all tasks of a gang, to these machines. The tasks are started there
+     * once the assignments are durable.
+     *
+     * @param overdue whether the job is overdue, so that the task is not to be preempted at once
+     */
     public void start(Job job, List<Machine> machines, boolean overdue) {
         long now = environment.now();
         int index = job.nextPendingTask(now);
-        long attempt = termSequence.next(); // one for all tasks of a gang, which find each other by it
+        long attempt = termSequence.next(); // shared by all tasks of a gang, which find each other by it
         GangAttempt gangAttempt = null;
         if (job.spec().gang()) {
             gangAttempt = new GangAttempt(machines.size());
@@ -101,17 +106,17 @@
             }
             assignment.joinGangAttempt(gangAttempt);
             cluster.assign(assignment);
-            commitQueue.appendEvent(TaskEvents.assigned(assignment), () -> assignmentDurable(assignment, machine));
+            commitQueue.appendEvent(TaskEvents.assigned(assignment), () -> onAssignmentDurable(assignment, machine));
             index = job.nextUnassignedTask(index);
         }
     }
 
-    private void assignmentDurable(TaskAssignment assignment, Machine machine) {
+    private void onAssignmentDurable(TaskAssignment assignment, Machine machine) {
         assignment.markDurable();
         GangAttempt gangAttempt = assignment.gangAttempt();
         if (gangAttempt == null) {
             if (mayStart(assignment)) {
-                heartbeatHandler.commandDispatcher().sendSoon(machine);
+                heartbeatHandler.commandDispatcher().queueCommands(machine);
             }
         } else if (gangAttempt.recordDurableAssignment()) {
             startGang(assignment.job(), gangAttempt);
@@ -121,7 +126,7 @@
     private void startGang(Job job, GangAttempt attempt) {
         for (TaskAssignment assignment : job.assignments().values()) {
             if (assignment.gangAttempt() == attempt && mayStart(assignment)) {
-                heartbeatHandler.commandDispatcher().sendSoon(cluster.getOrAddMachine(assignment.machine()));
+                heartbeatHandler.commandDispatcher().queueCommands(cluster.getOrAddMachine(assignment.machine()));
             }
         }
     }
@@ -133,7 +138,7 @@
     }
 
     @Override
-    public void phaseChanged(TaskAssignment assignment) {
+    public void taskPhaseChanged(TaskAssignment assignment) {
         jobCompletion.confirmCancellation(assignment.job());
     }
 
@@ -149,9 +154,9 @@
 
     // ---- stop
 
-    /** Stops a task whose job was cancelled. */
+    /** Stops a task of a cancelled job. */
     public void stopCancelled(TaskAssignment assignment) {
-        stopOne(assignment, 0);
+        stopTask(assignment, 0);
     }
 
     @Override
@@ -160,22 +165,22 @@
     }
 
     /**
-     * Stops an assigned task within a grace period in seconds. A gang is stopped whole: its tasks can save a checkpoint
-     * only together, and one that is left alone loses what it did.
+     * Stops an assigned task within a grace period in seconds. A gang is stopped as a whole: its tasks can save a
+     * checkpoint only together, and a task that is left alone loses its work.
      */
     public void stop(TaskAssignment assignment, double graceS) {
         if (assignment.job().spec().gang()) {
             double gangGraceS = graceS > 0 && !allReachable(assignment.job()) ? 0 : graceS;
-            stopOne(assignment, gangGraceS);
-            stopOthers(assignment, gangGraceS);
+            stopTask(assignment, gangGraceS);
+            stopOtherTasks(assignment, gangGraceS);
         } else {
-            stopOne(assignment, graceS);
+            stopTask(assignment, graceS);
         }
     }
 
     /**
-     * Whether all tasks of a gang can be expected to hear a stop in time. If one does not, the others can't save a
-     * checkpoint: they would only wait for it, and lose what came after their last checkpoint all the same.
+     * Returns whether all tasks of a gang can be expected to receive a stop in time. If one does not, the others can't
+     * save a checkpoint: they would only wait for it, and would lose the work since their last checkpoint all the same.
      */
     private boolean allReachable(Job gang) {
         for (TaskAssignment assignment : gang.assignments().values()) {
@@ -190,9 +195,10 @@
         return true;
     }
 
-    private void stopOne(TaskAssignment assignment, double graceS) {
+    private void stopTask(TaskAssignment assignment, double graceS) {
         if (!assignment.job().hasUnsettled(assignment)) {
-            return; // settled with its gang; counted out twice it would let its team beyond its limit
+            // Settled with its gang; subtracted twice from its team's usage, it would let the team exceed its limit.
+            return;
         }
         if (!assignment.startSent()) {
             logSettled(assignment, SettlementProof.NEVER_SENT);
@@ -200,31 +206,32 @@
             return;
         }
         cluster.requestStop(assignment, graceS, environment.now());
-        heartbeatHandler.commandDispatcher().sendSoon(cluster.getOrAddMachine(assignment.machine()));
+        heartbeatHandler.commandDispatcher().queueCommands(cluster.getOrAddMachine(assignment.machine()));
     }
 
-    private void stopOthers(TaskAssignment assignment, double graceS) {
+    private void stopOtherTasks(TaskAssignment assignment, double graceS) {
         for (TaskAssignment other : List.copyOf(assignment.job().assignments().values())) {
             if (other != assignment && (!other.stopping() || graceS < other.stopGraceS())) {
-                stopOne(other, graceS);
+                stopTask(other, graceS);
             }
         }
     }
 
     /**
-     * Stops the rest of a gang of which one task does not run any more, so that it starts again whole. If that task had
-     * saved a checkpoint, so do the others. Otherwise none of them can: they would only wait for the missing one.
+     * Stops the rest of a gang of which one task no longer runs, so that the gang restarts as a whole. If that task
+     * saved a checkpoint, the others save one too. Otherwise none of them can: they would only wait for the missing
+     * task.
      */
     private void stopRestOfGang(TaskAssignment ended, boolean checkpointSaved) {
         if (ended.job().spec().gang()) {
-            stopOthers(ended, checkpointSaved ? ended.job().spec().checkpointSaveS() : 0);
+            stopOtherTasks(ended, checkpointSaved ? ended.job().spec().checkpointSaveS() : 0);
         }
     }
 
     /**
-     * Stops a gang at once that was read with fewer assignments than tasks, which was not started or has lost a task;
-     * or, as an older version may have left it, with assignments of different attempts, whose tasks would wait for each
-     * other in vain. Neither can complete or save a checkpoint; the gang starts again whole.
+     * Stops a gang at once if it was recovered with fewer assignments than tasks, as it was not started or has lost a
+     * task; or, as an older version may have left it, with assignments of different attempts, whose tasks would wait
+     * for each other in vain. Neither kind can complete or save a checkpoint; the gang restarts as a whole.
      */
     public void stopIncompleteGangAttempt(Job job) {
         if (job.spec().gang() && !job.assignments().isEmpty() && !job.allTasksAssignedInOneAttempt()) {
@@ -236,7 +243,7 @@
     // ---- exit
 
     @Override
-    public void exited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status) {
+    public void taskExited(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status) {
         Job job = assignment.job();
         if (!job.hasUnsettled(assignment)) {
             return; // settled with its gang
@@ -257,7 +264,7 @@
         }
         settle(assignment, completed, () -> {
             machine.agent().markOutcomeDurable(status.attemptId());
-            others.forEach(this::outcomeDurable);
+            others.forEach(this::onOutcomeDurable);
         });
     }
 
@@ -270,11 +277,12 @@
     }
 
     /**
-     * Completes all tasks of a gang of which one has completed, also one whose machine is gone before it reports. That
-     * is stored at once, in the record of the job's completion, so that no leader starts a part of the gang again.
+     * Completes all tasks of a gang of which one has completed, including a task whose machine is gone before it
+     * reports. This is stored at once, in the record of the job's completion, so that no leader restarts a part of the
+     * gang.
      *
-     * @param first the assignment of the completed task, which is left to the caller; null: there is none
-     * @return the assignments settled, whose machines may not clear them before the job's completion is durable
+     * @param first the assignment of the completed task, which the caller settles; null if there is none
+     * @return the settled assignments, whose machines may not clear them before the job's completion is durable
      */
     public List<TaskAssignment> completeGang(Job job, TaskAssignment first) {
         List<TaskAssignment> others = new ArrayList<>(job.assignments().values());
@@ -293,8 +301,8 @@
         return others;
     }
 
-    /** The outcome of a task that completed with its gang is durable, so its machine may clear it. */
-    private void outcomeDurable(TaskAssignment assignment) {
+    /** Lets the machine of a task that completed with its gang clear the task, as its outcome is durable. */
+    private void onOutcomeDurable(TaskAssignment assignment) {
         Machine machine = cluster.machines().get(assignment.machine());
         if (machine != null) {
             machine.agent().markOutcomeDurable(assignment.attemptId());
@@ -302,7 +310,7 @@
     }
 
     @Override
-    public void gone(TaskAssignment assignment, SettlementProof proof) {
+    public void taskProvenGone(TaskAssignment assignment, SettlementProof proof) {
         if (assignment.job().hasUnsettled(assignment)) {
             logSettled(assignment, proof);
             settle(assignment, false, null);
@@ -335,7 +343,7 @@
                     onDurable);
             jobCompletion.confirmCancellation(job);
         }
-        changed.run();
+        onSchedulingInputChange.run();
     }
 
     private void markIdleIfEmpty(Machine machine) {
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -26,12 +26,12 @@
 import stileferry.storage.EventLog;
 import stileferry.storage.StoredEvent;
 
-/** What is stored of tasks, read again after any write, tells the state at that write. */
+/** Checks that the stored task events, read back after any write, yield the state at that write. */
 class TaskEventsTest {
-    private static final double VALUE_KB = 8;
+    private static final double MAX_VALUE_KB = 8;
     private static final int SLOTS = 8;
     private static final int JOBS = 8;
-    private static final int TASKS = 60;
+    private static final int TASKS_PER_JOB = 60;
 
     private final Map<String, JsonNode> store = new HashMap<>();
 
@@ -44,25 +44,25 @@
         return jobs;
     }
 
-    private static JsonNode encodedAndDecoded(JsonNode value) {
+    private static JsonNode encodeAndDecode(JsonNode value) {
         return MessageCodec.decode(MessageCodec.encode(value));
     }
 
-    /** Writes one record of the log into the store. */
+    /** Writes the next record of the log to the store. */
     private void write(EventLog log) {
-        write(log.nextBatch(12), VALUE_KB);
+        write(log.nextBatch(12), MAX_VALUE_KB);
     }
 
     private void write(EventLog.Batch batch, double limitKb) {
         JsonNode value = batch.put().value();
         assertTrue(
                 value.toString().length() < limitKb * 1024,
-                "a record of " + value.toString().length());
-        store.put(batch.put().key(), encodedAndDecoded(value));
+                "record length: " + value.toString().length());
+        store.put(batch.put().key(), encodeAndDecode(value));
         batch.deletions().forEach(entry -> store.remove(entry.key()));
     }
 
-    /** Reads the store's records; the log, unless it is null, goes on from them. */
+    /** Reads the records in the store, and restores the log from them unless it is null. */
     private TaskEventReader read(Map<String, Job> jobs, EventLog log) {
         TaskEventReader reader = new TaskEventReader(jobs);
         store.entrySet().stream()
@@ -91,10 +91,10 @@
         return attempts(assignments);
     }
 
-    /** Jobs whose tasks are assigned and settled at random, while the log of that is written. */
+    /** Jobs whose tasks are assigned and settled at random, with the events appended to a log. */
     private final class RandomHistory {
         final SplittableRandom random;
-        Map<String, Job> jobs = jobs(JOBS, TASKS);
+        Map<String, Job> jobs = jobs(JOBS, TASKS_PER_JOB);
         EventLog log;
         long attempt;
 
@@ -103,14 +103,14 @@
             this.log = log;
         }
 
-        Job anyJob() {
+        Job randomJob() {
             return jobs.get("job-" + random.nextInt(JOBS));
         }
 
-        void assignOne(Job job) {
+        void assignTask(Job job) {
             attempt++;
-            int index = job.nextUnassignedTask(random.nextInt(TASKS));
-            if (index < TASKS) {
+            int index = job.nextUnassignedTask(random.nextInt(TASKS_PER_JOB));
+            if (index < TASKS_PER_JOB) {
                 TaskAssignment assignment = new TaskAssignment(job, index, attempt, "host-" + random.nextInt(20), 1, 0);
                 job.addAssignment(assignment);
                 log.append(TaskEvents.assigned(assignment), null);
@@ -126,7 +126,7 @@
                     null);
         }
 
-        TaskAssignment anyAssignment(Job job) {
+        TaskAssignment randomAssignment(Job job) {
             return job.assignments()
                     .get(job.assignments().keySet().stream()
                             .skip(random.nextInt(job.assignments().size()))
@@ -140,128 +140,132 @@
             }
         }
 
-        /** A new leader goes on with what it has read. */
-        void failOver(Map<String, Job> readJobs, TaskEventReader reader, EventLog next) {
-            reader.assignments().forEach(assignment -> assignment.job().addAssignment(assignment));
-            jobs = readJobs;
-            log = next;
+        /** Continues as a new leader with the state that it has read. */
+        void failOver(Map<String, Job> restoredJobs, TaskEventReader reader, EventLog nextLog) {
+            reader.unsettledAssignments().forEach(assignment -> assignment.job().addAssignment(assignment));
+            jobs = restoredJobs;
+            log = nextLog;
         }
     }
 
-    /** A small ring that goes round many times, read again and taken over at random moments. */
+    /**
+     * A small ring is overwritten many times; at random moments its records are read back, or a new leader takes over.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void theRingAlwaysTellsTheWholeState(long seed) {
-        RandomHistory history = new RandomHistory(seed, new EventLog(VALUE_KB, SLOTS, "t"));
+    void ringHoldsTheWholeStateAfterEveryWrite(long seed) {
+        RandomHistory history = new RandomHistory(seed, new EventLog(MAX_VALUE_KB, SLOTS, "t"));
         for (int step = 0; step < 3000; step++) {
-            Job job = history.anyJob();
+            Job job = history.randomJob();
             if (job.assignments().isEmpty() || history.random.nextInt(5) < 2) {
-                history.assignOne(job);
+                history.assignTask(job);
             } else {
                 TaskAssignment oldest = job.assignments().values().iterator().next();
                 history.settle(oldest, history.random.nextInt(4) == 0);
             }
             if (history.random.nextInt(3) == 0) {
                 history.writeAll();
-                readAgain(history, step);
+                restoreAndCheck(history, step);
             }
         }
         assertEquals(SLOTS, store.size());
     }
 
-    private void readAgain(RandomHistory history, int step) {
-        Map<String, Job> readJobs = jobs(JOBS, TASKS);
-        EventLog next = history.random.nextInt(50) == 0 ? new EventLog(VALUE_KB, SLOTS, "t") : null;
-        if (next != null && history.random.nextBoolean()) {
-            loseLastButOneRecord(history.log);
+    private void restoreAndCheck(RandomHistory history, int step) {
+        Map<String, Job> restoredJobs = jobs(JOBS, TASKS_PER_JOB);
+        EventLog nextLog = history.random.nextInt(50) == 0 ? new EventLog(MAX_VALUE_KB, SLOTS, "t") : null;
+        if (nextLog != null && history.random.nextBoolean()) {
+            loseSecondToLastRecord(history.log);
         }
-        TaskEventReader reader = read(readJobs, next);
-        assertEquals(attempts(history.jobs), attempts(reader.assignments()), "at step " + step);
+        TaskEventReader reader = read(restoredJobs, nextLog);
+        assertEquals(attempts(history.jobs), attempts(reader.unsettledAssignments()), "at step " + step);
         for (Job job : history.jobs.values()) {
             assertEquals(
                     job.completedTasks().indexes(),
-                    readJobs.get(job.spec().id()).completedTasks().indexes(),
+                    restoredJobs.get(job.spec().id()).completedTasks().indexes(),
                     "at step " + step);
         }
-        if (next != null) {
-            history.failOver(readJobs, reader, next);
+        if (nextLog != null) {
+            history.failOver(restoredJobs, reader, nextLog);
         }
     }
 
-    /** The last but one record of the old leader is lost, and its slot keeps what it held before. */
-    private void loseLastButOneRecord(EventLog log) {
+    /** Loses the second-to-last record of the old leader, so that its slot keeps its previous content. */
+    private void loseSecondToLastRecord(EventLog log) {
         EventLog.Batch lost = log.nextBatch(12);
         assertTrue(lost.deletions().isEmpty());
         EventLog.Batch last = log.nextBatch(12);
-        if (!last.endsGivenUp()) { // else it waits until the one before is durable
-            store.put(last.put().key(), encodedAndDecoded(last.put().value()));
+        if (!last.endsGivenUp()) { // otherwise it waits until the previous record is durable
+            store.put(last.put().key(), encodeAndDecode(last.put().value()));
         }
     }
 
     /**
-     * Leaders of the version before go by the larger limit, and later ones by the lower limit that is announced, in
-     * turns. No leader of the lower limit writes a larger value, whatever it finds; and at every write the store
-     * tells all.
+     * Leaders of the previous version, which use a higher value limit, alternate with leaders that use the announced
+     * lower limit. No leader with the lower limit may write a larger value, whatever it finds, and the store must hold
+     * the whole state after every write.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void recordsOfALargerLimitAreReplacedBySmallOnes(long seed) {
+    void recordsAreRewrittenWithinALoweredLimit(long seed) {
         RandomHistory history = new RandomHistory(seed, limitedLog(false, ""));
-        boolean small = false;
-        int recordsAside = 0;
+        boolean lowLimit = false;
+        int overflowRecords = 0;
         for (int step = 0; step < 4000; step++) {
             int phase = step % 1000;
-            boolean crowd = phase < 500; // many tasks at once, most of which stay while the ring goes round
-            Job job = history.anyJob();
-            if (job.assignments().size() < (crowd ? 55 : 40)) {
-                history.assignOne(job);
+            // many tasks at once, most of which stay assigned while the ring is overwritten
+            boolean manyTasks = phase < 500;
+            Job job = history.randomJob();
+            if (job.assignments().size() < (manyTasks ? 55 : 40)) {
+                history.assignTask(job);
             } else {
-                history.settle(history.anyAssignment(job), false);
+                history.settle(history.randomAssignment(job), false);
             }
             boolean limitChanges = phase == 499 || phase == 950;
-            if (!limitChanges && history.random.nextInt(crowd ? 300 : 3) != 0) {
+            if (!limitChanges && history.random.nextInt(manyTasks ? 300 : 3) != 0) {
                 continue;
             }
-            recordsAside += writeAllWithin(small, history, step);
+            overflowRecords += writeAllWithinLimit(lowLimit, history, step);
             if (limitChanges || history.random.nextInt(60) == 0) {
-                small = limitChanges ? phase == 499 : small;
-                Map<String, Job> readJobs = jobs(JOBS, TASKS);
-                EventLog next = limitedLog(small, step + "-");
-                history.failOver(readJobs, read(readJobs, next), next);
+                lowLimit = limitChanges ? phase == 499 : lowLimit;
+                Map<String, Job> restoredJobs = jobs(JOBS, TASKS_PER_JOB);
+                EventLog nextLog = limitedLog(lowLimit, step + "-");
+                history.failOver(restoredJobs, read(restoredJobs, nextLog), nextLog);
             }
         }
-        assertTrue(recordsAside > 0, "nothing was too large");
+        assertTrue(overflowRecords > 0, "no record was too large");
     }
 
-    private static double limitKb(boolean small) {
-        return small ? 2 : 16;
+    private static double limitKb(boolean lowLimit) {
+        return lowLimit ? 2 : 16;
     }
 
-    private static EventLog limitedLog(boolean small, String term) {
-        return new EventLog(limitKb(small), 64, "t" + term);
+    private static EventLog limitedLog(boolean lowLimit, String term) {
+        return new EventLog(limitKb(lowLimit), 64, "t" + term);
     }
 
-    /** Writes all that waits, checks what is stored, and returns how many records went beside the ring. */
-    private int writeAllWithin(boolean small, RandomHistory history, int step) {
-        int recordsAside = 0;
+    /** Writes all pending events, checks what is stored, and returns the number of overflow records. */
+    private int writeAllWithinLimit(boolean lowLimit, RandomHistory history, int step) {
+        int overflowRecords = 0;
         while (history.log.hasPending()) {
             EventLog.Batch batch = history.log.nextBatch(4);
             assertTrue(batch.deletions().size() < 4);
-            recordsAside += batch.put().key().startsWith("l/x") ? 1 : 0;
-            write(batch, limitKb(small));
-            Map<String, Long> stored = attempts(read(jobs(JOBS, TASKS), null).assignments());
+            overflowRecords += batch.put().key().startsWith("l/x") ? 1 : 0;
+            write(batch, limitKb(lowLimit));
+            Map<String, Long> stored =
+                    attempts(read(jobs(JOBS, TASKS_PER_JOB), null).unsettledAssignments());
             if (!history.log.hasPending()) {
                 assertEquals(attempts(history.jobs), stored, "at step " + step);
             }
         }
-        return recordsAside;
+        return overflowRecords;
     }
 
-    /** The largest job there may be, with every task assigned at once and half of them completed, fits the ring. */
+    /** The largest possible job, with all tasks assigned at once and half of them completed, fits into the ring. */
     @Test
-    void aHundredThousandTasksFit() {
+    void ringHoldsAJobOfAHundredThousandTasks() {
         Job job = jobs(1, 100_000).get("job-0");
-        EventLog log = new EventLog(VALUE_KB, 1024, "t");
+        EventLog log = new EventLog(MAX_VALUE_KB, 1024, "t");
         for (int i = 0; i < 100_000; i++) {
             TaskAssignment assignment = new TaskAssignment(job, i, (1L << 40) + i, "host-123456", 100, 0);
             job.addAssignment(assignment);
@@ -274,58 +278,61 @@
         int writes = 0;
         while (log.hasPending()) {
             write(log);
-            assertTrue(++writes < 4000, "the log writes the same again and again");
+            assertTrue(++writes < 4000, "the log keeps writing the same events");
         }
-        Map<String, Job> readJobs = jobs(1, 100_000);
-        TaskEventReader reader = read(readJobs, null);
-        assertEquals(50_000, reader.assignments().size());
+        Map<String, Job> restoredJobs = jobs(1, 100_000);
+        TaskEventReader reader = read(restoredJobs, null);
+        assertEquals(50_000, reader.unsettledAssignments().size());
         assertEquals(
                 job.completedTasks().indexes(),
-                readJobs.get("job-0").completedTasks().indexes());
+                restoredJobs.get("job-0").completedTasks().indexes());
     }
 
-    /** A job as it is stored with parts of 128 tasks each. */
+    /** Returns a job in its legacy stored form, with chunks of 128 tasks. */
     private static Job jobWithLegacyChunks(int tasks) throws InvalidJobSpecException {
         ObjectNode stored = MessageCodec.map().put("order", 0).put("at", 2).put("chunk", 128);
         stored.set("spec", JobSpecBuilder.array(0).tasks(tasks).build().write());
         return Job.read(stored, 0);
     }
 
-    /** Records of the first version: a part of a job's tasks each, with a bitmap in hexadecimal and the assignments. */
+    /**
+     * Records of the first version hold one chunk of a job's tasks each, with a hexadecimal bitmap of completed tasks
+     * and the assignments.
+     */
     @Test
     void legacyRecordsAreReadAndReplaced() throws InvalidJobSpecException {
         Job job = jobWithLegacyChunks(200);
         assertEquals(128, job.legacyTasksPerChunk());
-        ObjectNode part = MessageCodec.map().put("done", "0184"); // tasks 0, 10 and 15 of this part
-        ArrayNode claims = part.putArray("claims");
+        ObjectNode chunk = MessageCodec.map().put("done", "0184"); // tasks 0, 10 and 15 of this chunk
+        ArrayNode claims = chunk.putArray("claims");
         for (int i = 16; i < 60; i++) {
             claims.addArray().add(128 + i).add(7L << 32).add("host-000001").add(3);
         }
-        EventLog log = new EventLog(VALUE_KB, SLOTS, "t");
+        EventLog log = new EventLog(MAX_VALUE_KB, SLOTS, "t");
         TaskEventReader reader = new TaskEventReader(Map.of("job-0", job));
-        store.put("c/job-0/1", part);
-        log.restore("c/job-0/1", 5, -1, reader.readLegacyChunk(job, 1, part, -1));
+        store.put("c/job-0/1", chunk);
+        log.restore("c/job-0/1", 5, -1, reader.readLegacyChunk(job, 1, chunk, -1));
         assertEquals("{128, 138, 143}", job.completedTasks().indexes().toString());
-        assertEquals(44, reader.assignments().size());
-        reader.assignments().forEach(job::addAssignment);
+        assertEquals(44, reader.unsettledAssignments().size());
+        reader.unsettledAssignments().forEach(job::addAssignment);
         while (log.hasPending()) {
             write(log);
         }
-        assertEquals(1, store.size(), "the older record is gone: " + store.keySet());
-        Map<String, Job> readJobs = jobs(1, 200);
+        assertEquals(1, store.size(), "the legacy record should be gone: " + store.keySet());
+        Map<String, Job> restoredJobs = jobs(1, 200);
         assertEquals(
                 attempts(job.assignments().values()),
-                attempts(read(readJobs, null).assignments()));
+                attempts(read(restoredJobs, null).unsettledAssignments()));
         assertEquals(
                 job.completedTasks().indexes(),
-                readJobs.get("job-0").completedTasks().indexes());
+                restoredJobs.get("job-0").completedTasks().indexes());
     }
 
     @Test
-    void aGangIsPendingOnlyWhenNoneOfItIsAssigned() {
+    void gangIsPendingOnlyWhileNoneOfItsTasksIsAssigned() {
         Job job = TestJob.accepted(JobSpecBuilder.gang(1).tasks(3).build(), 1, 2);
         assertEquals(0, job.nextPendingTask(0));
         job.addAssignment(new TaskAssignment(job, 1, 1, "m", 1, 0));
-        assertEquals(-1, job.nextPendingTask(0), "a gang starts whole or not at all");
+        assertEquals(-1, job.nextPendingTask(0), "a gang starts as a whole or not at all");
     }
 }
