--- a/src/main/java/stileferry/coordination/AdmissionHost.java
+++ b/src/main/java/stileferry/coordination/AdmissionCallbacks.java
@@ -7,13 +7,13 @@
 import stileferry.protocol.Settings;
 
 /** What the division of admissions calls. */
-final class AdmissionHost implements AdmissionControl.Host {
+final class AdmissionCallbacks implements AdmissionControl.Host {
     private final Supplier<Leader> leader;
     private final LeaderElection election;
     private final EventLoopLag eventLoopLag;
 
     /** {@code leader} gives null while this controller does not lead. */
-    AdmissionHost(Supplier<Leader> leader, LeaderElection election, EventLoopLag eventLoopLag) {
+    AdmissionCallbacks(Supplier<Leader> leader, LeaderElection election, EventLoopLag eventLoopLag) {
         this.leader = leader;
         this.election = election;
         this.eventLoopLag = eventLoopLag;
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -80,8 +80,8 @@
         controller.eventLoopLag().start();
         election.start();
         machineTypes.refresh();
-        links.start(new LinkHost(election, controller.store(), controller.eventLoopLag()));
-        admission.start(new AdmissionHost(this::leader, election, controller.eventLoopLag()));
+        links.start(new LinkHealthCallbacks(election, controller.store(), controller.eventLoopLag()));
+        admission.start(new AdmissionCallbacks(this::leader, election, controller.eventLoopLag()));
     }
 
     private void machineTypesRead(List<MachineType> types) {
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -120,7 +120,7 @@
                 commitQueue,
                 placement,
                 schedulingPass,
-                new SchedulingHost());
+                new SchedulingCallbacks());
     }
 
     /** Ends the term; what was not answered is refused. */
@@ -340,7 +340,7 @@
     }
 
     /** What the scheduling loop calls. */
-    private final class SchedulingHost implements SchedulingLoop.Host {
+    private final class SchedulingCallbacks implements SchedulingLoop.Callbacks {
         @Override
         public boolean mayRun() {
             return !closed && election.leaseHeld();
--- a/src/main/java/stileferry/coordination/LinkHost.java
+++ b/src/main/java/stileferry/coordination/LinkHealthCallbacks.java
@@ -6,12 +6,12 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /** What the watching of links calls. */
-final class LinkHost implements LinkHealth.Host {
+final class LinkHealthCallbacks implements LinkHealth.Host {
     private final LeaderElection election;
     private final KeyValueStoreClient store;
     private final EventLoopLag eventLoopLag;
 
-    LinkHost(LeaderElection election, KeyValueStoreClient store, EventLoopLag eventLoopLag) {
+    LinkHealthCallbacks(LeaderElection election, KeyValueStoreClient store, EventLoopLag eventLoopLag) {
         this.election = election;
         this.store = store;
         this.eventLoopLag = eventLoopLag;
--- a/src/main/java/stileferry/coordination/SchedulingLoop.java
+++ b/src/main/java/stileferry/coordination/SchedulingLoop.java
@@ -23,7 +23,7 @@
     private final CommitQueue commitQueue;
     private final Placement placement;
     private final SchedulingPass schedulingPass;
-    private final Host host;
+    private final Callbacks host;
     private final int maxBacklog;
 
     private boolean passRequested;
@@ -31,7 +31,7 @@
     private long lastPassAt;
 
     /** What the leader does for the loop. */
-    interface Host {
+    interface Callbacks {
         /** Whether passes may run: the leader is not closed and sure to lead. */
         boolean mayRun();
 
@@ -49,7 +49,7 @@
             CommitQueue commitQueue,
             Placement placement,
             SchedulingPass schedulingPass,
-            Host host) {
+            Callbacks host) {
         this.environment = environment;
         this.eventLoopLag = eventLoopLag;
         this.commitQueue = commitQueue;
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -13,7 +13,7 @@
 import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
 import stileferry.storage.CommitQueue;
-import stileferry.storage.EndEvent;
+import stileferry.storage.TombstoneEvent;
 import stileferry.storage.StoredEvent;
 
 /**
@@ -83,12 +83,12 @@
         }
 
         @Override
-        public boolean endsEarlierEvent() {
+        public boolean isTombstone() {
             return false;
         }
     }
 
-    private record HeardAgainEvent(String machine) implements EndEvent {
+    private record HeardAgainEvent(String machine) implements TombstoneEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(HEARD_AGAIN_EVENT).add(machine);
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import stileferry.cluster.Job;
 import stileferry.cluster.TaskAssignment;
-import stileferry.storage.EndEvent;
+import stileferry.storage.TombstoneEvent;
 import stileferry.storage.StoredEvent;
 
 /** The stored events of tasks. Each is an array that begins with the event's kind and the job's id. */
@@ -66,13 +66,13 @@
         }
 
         @Override
-        public boolean endsEarlierEvent() {
+        public boolean isTombstone() {
             return false;
         }
     }
 
     /** Event 1: the assignment of this attempt is settled. */
-    record Settled(Job job, int index, long attempt) implements EndEvent {
+    record Settled(Job job, int index, long attempt) implements TombstoneEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(SETTLED).add(job.spec().id()).add(index).add(attempt);
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public boolean endsEarlierEvent() {
+        public boolean isTombstone() {
             return false; // it ends assignments too, but is kept for as long as its job is there
         }
 
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -41,7 +41,7 @@
 
     /** What one transaction writes of the log, and whether the record that it overwrites held ends of assignments. */
     public record Batch(
-            StoredEntry put, List<StoredEntry> deletions, int bytes, List<Runnable> onDurable, boolean endsGivenUp) {}
+            StoredEntry put, List<StoredEntry> deletions, int bytes, List<Runnable> onDurable, boolean discardsTombstones) {}
 
     /**
      * A ring of so many records within the store's value limit.
@@ -127,7 +127,7 @@
             ring[slot] = new EventLogRecord(PREFIX + slot, 0, 0, List.of());
         }
         EventLogRecord record = ring[slot];
-        if (record.entry.inFlight() || record.endsEarlierEvents() && earlierRecordInFlight(slot)) {
+        if (record.entry.inFlight() || record.holdsTombstones() && earlierRecordInFlight(slot)) {
             return null;
         }
         if (record.retainedBytes() > maxRecordBytes) {
@@ -151,7 +151,7 @@
     }
 
     private Batch overwrite(EventLogRecord record, int maxChanges) {
-        boolean endsGivenUp = record.endsEarlierEvents();
+        boolean endsGivenUp = record.holdsTombstones();
         EventLogRecord.Contents contents = new EventLogRecord.Contents(++lastNumber);
         contents.retain(record.number, record.events);
         List<StoredEntry> deletions = migrateInto(contents, maxChanges - 1);
--- a/src/main/java/stileferry/storage/EventLogRecord.java
+++ b/src/main/java/stileferry/storage/EventLogRecord.java
@@ -47,8 +47,8 @@
                 + retainedEvents().stream().mapToInt(StoredEvent::maxBytes).sum();
     }
 
-    boolean endsEarlierEvents() {
-        return events.stream().anyMatch(StoredEvent::endsEarlierEvent);
+    boolean holdsTombstones() {
+        return events.stream().anyMatch(StoredEvent::isTombstone);
     }
 
     boolean overflowInFlight() {
--- a/src/main/java/stileferry/storage/StoredEvent.java
+++ b/src/main/java/stileferry/storage/StoredEvent.java
@@ -20,5 +20,5 @@
     StoredEvent retainedFrom(long record);
 
     /** Whether it ends what an older record may hold, so that it must not be lost before that record is. */
-    boolean endsEarlierEvent();
+    boolean isTombstone();
 }
--- a/src/main/java/stileferry/storage/EndEvent.java
+++ b/src/main/java/stileferry/storage/TombstoneEvent.java
@@ -4,7 +4,7 @@
  * An event that ends what an older record holds. It is not retained when its own record is given up: records are given
  * up in the order of their numbers, so the older one is gone by then.
  */
-public interface EndEvent extends StoredEvent {
+public interface TombstoneEvent extends StoredEvent {
     @Override
     default void recordedIn(long record) {}
 
@@ -14,7 +14,7 @@
     }
 
     @Override
-    default boolean endsEarlierEvent() {
+    default boolean isTombstone() {
         return true;
     }
 }
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -193,7 +193,7 @@
         EventLog.Batch lost = log.nextBatch(12);
         assertTrue(lost.deletions().isEmpty());
         EventLog.Batch last = log.nextBatch(12);
-        if (!last.endsGivenUp()) { // else it waits until the one before is durable
+        if (!last.discardsTombstones()) { // else it waits until the one before is durable
             store.put(last.put().key(), encodedAndDecoded(last.put().value()));
         }
     }
