--- a/src/main/java/stileferry/coordination/ConnectionBudgetWarning.java
+++ b/src/main/java/stileferry/coordination/ConnectionBudgetWarning.java
@@ -10,7 +10,7 @@
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
     private final Settings settings;
-    private boolean given;
+    private boolean logged;
 
     ConnectionBudgetWarning(Settings settings) {
         this.settings = settings;
@@ -18,8 +18,8 @@
 
     void check(int machines) {
         SocketBudget sockets = settings.socketBudget();
-        if (!given && sockets.closesWorkerConnections(machines)) {
-            given = true;
+        if (!logged && sockets.closesWorkerConnections(machines)) {
+            logged = true;
             LOG.warn(
                     "too few sockets to keep connections: machines={} max_sockets={} incoming={}",
                     machines,
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -41,7 +41,7 @@
     /** Null while this controller does not lead. */
     private Leader leader;
 
-    private long leaderSeenAt = Long.MIN_VALUE / 2;
+    private long leaderLastSeenAt = Long.MIN_VALUE / 2;
 
     /** A coordinator for one controller, without optional parts. */
     public Coordinator(Settings settings, Environment environment) {
@@ -67,7 +67,7 @@
                 admission,
                 new EventLoopLag(environment, settings.workers().heartbeatIntervalS()),
                 new CompletedJobCache(settings.maxSockets()));
-        this.machineTypes = new MachineTypeCatalog(environment, settings.cloudAddress(), this::machineTypesRead);
+        this.machineTypes = new MachineTypeCatalog(environment, settings.cloudAddress(), this::updateMachineTypes);
         RequestMetrics metrics = new RequestMetrics();
         this.heartbeats = new HeartbeatRouter(controller, this::leader);
         this.userRequests = new UserRequestRouter(controller, this::leader, heartbeats, metrics);
@@ -84,7 +84,7 @@
         admission.start(new AdmissionCallbacks(this::leader, election, controller.eventLoopLag()));
     }
 
-    private void machineTypesRead(List<MachineType> types) {
+    private void updateMachineTypes(List<MachineType> types) {
         if (leader != null) {
             leader.setMachineTypes(types);
         }
@@ -127,11 +127,11 @@
     public boolean ready() {
         long now = environment.now();
         if (leader != null && leader.active()) {
-            leaderSeenAt = now;
+            leaderLastSeenAt = now;
         } else if (election.leaderPeer() != null) {
-            leaderSeenAt = Math.max(leaderSeenAt, election.leaderLastHeardAt());
+            leaderLastSeenAt = Math.max(leaderLastSeenAt, election.leaderLastHeardAt());
         }
-        return now - leaderSeenAt < READY_GRACE_MS && !admission.shedsUsers();
+        return now - leaderLastSeenAt < READY_GRACE_MS && !admission.shedsUsers();
     }
 
     /** What is known of the links. */
@@ -144,7 +144,7 @@
     /** Called after each batch of commands. */
     public void endOfBatch() {
         if (leader != null) {
-            leader.endOfTurn();
+            leader.flush();
         }
     }
 
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -152,13 +152,13 @@
     // ---- failover
 
     /** Everything that is durable has been read. */
-    private void begin(StateRecovery.Recovered recovered) {
+    private void activate(StateRecovery.Recovered recovered) {
         administration = new AdministrationHandler(
                 new OperatorSettingsHandler(
                         cluster, commitQueue, recovered.operatorSettingsRevision(), this::setOperatorSettings),
                 new AdministrationViews(cluster, placement, environment),
                 this::describe);
-        completeBrokenGangs();
+        completePartlyCompletedGangs();
         heartbeatJournal.restore(recovered.lastHeartbeats());
         cluster.machines().values().forEach(machine -> links.workerExpected(machine.name(), machine.address()));
         if (election.admissionsCountedSince() > 0) {
@@ -177,7 +177,7 @@
         tick();
     }
 
-    private void completeBrokenGangs() {
+    private void completePartlyCompletedGangs() {
         // an older version stored that one task of a gang was done, and might have started the others again
         cluster.jobs().values().stream()
                 .filter(job -> job.spec().gang() && job.completedCount() > 0)
@@ -207,7 +207,7 @@
             autoscaler.refreshInventory();
             autoscaler.scaleIn(allWorkersHeard());
             schedulingLoop.runRegular(admissionCounting.started());
-            endOfTurn();
+            flush();
         }
     }
 
@@ -223,7 +223,7 @@
     }
 
     /** Everything that piled up in a turn goes out together. */
-    void endOfTurn() {
+    void flush() {
         if (closed) {
             return;
         }
@@ -353,7 +353,7 @@
 
         @Override
         public void afterRequestedPass() {
-            endOfTurn();
+            flush();
         }
     }
 
@@ -372,7 +372,7 @@
 
         @Override
         public void recovered(StateRecovery.Recovered recovered) {
-            begin(recovered);
+            activate(recovered);
         }
     }
 }
--- a/src/main/java/stileferry/coordination/MachineTypeCatalog.java
+++ b/src/main/java/stileferry/coordination/MachineTypeCatalog.java
@@ -8,8 +8,8 @@
 /** The machine types that the cloud rents, read again and again. */
 final class MachineTypeCatalog {
     private static final long REQUEST_TIMEOUT_MS = 5000;
-    private static final long REFRESH_MS = 60_000;
-    private static final long RETRY_MS = 1000;
+    private static final long REFRESH_INTERVAL_MS = 60_000;
+    private static final long MIN_RETRY_DELAY_MS = 1000;
     private static final long RETRY_JITTER_MS = 1000;
 
     private final Environment environment;
@@ -38,7 +38,7 @@
                 onRead.accept(read);
             }
             environment.schedule(
-                    types.isEmpty() ? RETRY_MS + environment.random().nextLong(RETRY_JITTER_MS) : REFRESH_MS,
+                    types.isEmpty() ? MIN_RETRY_DELAY_MS + environment.random().nextLong(RETRY_JITTER_MS) : REFRESH_INTERVAL_MS,
                     this::refresh);
         });
     }
--- a/src/main/java/stileferry/coordination/SchedulingLoop.java
+++ b/src/main/java/stileferry/coordination/SchedulingLoop.java
@@ -10,10 +10,10 @@
 /** When a leader's scheduling passes run: at regular intervals, and soon after something has changed. */
 final class SchedulingLoop {
     /** Changes within this time share a pass. */
-    private static final long COALESCE_MS = 20;
+    private static final long COALESCING_DELAY_MS = 20;
 
     /** Passes rest for so many times as long as they take, so that heartbeats and renewals get their turns. */
-    private static final long REST_FACTOR = 5;
+    private static final long MIN_PAUSE_FACTOR = 5;
 
     /** Transactions that may wait for the key-value store before nothing more is started. */
     private static final int MAX_BACKLOG_TRANSACTIONS = 4;
@@ -24,7 +24,7 @@
     private final Placement placement;
     private final SchedulingPass schedulingPass;
     private final Callbacks host;
-    private final int maxBacklog;
+    private final int maxBacklogChanges;
 
     private boolean passRequested;
     private long lastPassTookMs;
@@ -56,7 +56,7 @@
         this.placement = placement;
         this.schedulingPass = schedulingPass;
         this.host = host;
-        this.maxBacklog =
+        this.maxBacklogChanges =
                 MAX_BACKLOG_TRANSACTIONS * cluster.settings().keyValueStore().maxTransactionOperations();
     }
 
@@ -66,7 +66,7 @@
             return;
         }
         passRequested = true;
-        environment.schedule(Math.max(COALESCE_MS, REST_FACTOR * lastPassTookMs), () -> {
+        environment.schedule(Math.max(COALESCING_DELAY_MS, MIN_PAUSE_FACTOR * lastPassTookMs), () -> {
             passRequested = false;
             if (host.mayRun()) {
                 run(false);
@@ -84,7 +84,7 @@
     void runRegular(boolean restsWhenSaturated) {
         boolean rests = restsWhenSaturated
                 && eventLoopLag.saturated()
-                && environment.now() - lastPassAt < REST_FACTOR * lastPassTookMs;
+                && environment.now() - lastPassAt < MIN_PAUSE_FACTOR * lastPassTookMs;
         if (!rests) {
             run(true);
         }
@@ -92,7 +92,7 @@
 
     private void run(boolean regular) {
         long startedAt = environment.now();
-        if (commitQueue.backlog() <= maxBacklog) {
+        if (commitQueue.backlog() <= maxBacklogChanges) {
             schedulingPass.run(regular, host.allWorkersHeard());
         }
         lastPassAt = environment.now();
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -26,7 +26,7 @@
 final class StateRecovery {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
-    private static final long RETRY_MS = 300;
+    private static final long RETRY_DELAY_MS = 300;
 
     /** Records of an older form, read and then replaced: a part of one job's tasks each. */
     private static final String LEGACY_CHUNK_PREFIX = "c/";
@@ -103,7 +103,7 @@
                 return;
             }
             if (scan.rows() == null) {
-                environment.schedule(RETRY_MS, this::load);
+                environment.schedule(RETRY_DELAY_MS, this::load);
                 return;
             }
             if (prefix.equals(Job.PREFIX)) {
@@ -136,7 +136,7 @@
             if (result.found()) {
                 listener.operatorSettings(OperatorSettings.read(result.row().value()));
             } else if (result.unknown()) {
-                environment.schedule(RETRY_MS, this::load);
+                environment.schedule(RETRY_DELAY_MS, this::load);
                 return;
             }
             long revision = result.found() ? result.row().revision() : 0;
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -26,14 +26,14 @@
  */
 public final class CancellationQuorum {
     /** Jobs are remembered for so many times as long as their tasks may last after they were last named. */
-    private static final int REMEMBERED = 2;
+    private static final int RETENTION_FACTOR = 2;
 
     /** Stands for a time that has not come. */
     static final long NEVER = -1;
 
     private final Environment environment;
     private final long processId;
-    private final long rememberedMs;
+    private final long retentionMs;
 
     /** Cancelled jobs by the time at which each was last named to this process, the latest last. */
     private final Map<String, Long> cancelledJobs = new LinkedHashMap<>();
@@ -54,7 +54,7 @@
         this.peers = new PeerCancellationState[settings.peers().size()];
         Arrays.setAll(peers, index -> new PeerCancellationState());
         double lastS = settings.workers().cancelS() + settings.workers().leaseS();
-        this.rememberedMs = Math.round(1000 * REMEMBERED * lastS);
+        this.retentionMs = Math.round(1000 * RETENTION_FACTOR * lastS);
     }
 
     /** Processes that must be informed for all of them together to know every cancellation. */
@@ -222,7 +222,7 @@
     }
 
     private List<String> recentlyCancelled() {
-        long oldest = environment.now() - rememberedMs;
+        long oldest = environment.now() - retentionMs;
         cancelledJobs.values().removeIf(namedAt -> namedAt < oldest);
         return List.copyOf(cancelledJobs.keySet());
     }
--- a/src/main/java/stileferry/leadership/LeaderCampaign.java
+++ b/src/main/java/stileferry/leadership/LeaderCampaign.java
@@ -16,13 +16,13 @@
  * new lease, and the next term in one transaction. Each step belongs to a generation; an outdated one stops.
  */
 final class LeaderCampaign {
-    private static final long WATCH_MS = 10_000;
-    private static final long RETRY_FAILED_MS = 400;
-    private static final long RETRY_LOST_MS = 100;
-    private static final long RETRY_REVOKED_MS = 60;
+    private static final long WATCH_TIMEOUT_MS = 10_000;
+    private static final long REQUEST_FAILED_RETRY_MS = 400;
+    private static final long CAMPAIGN_LOST_RETRY_MS = 100;
+    private static final long LEASE_REVOKED_RETRY_MS = 60;
 
     /** While the key is left to others it is checked at least this often. */
-    private static final long DELAYED_CHECK_MS = 200;
+    private static final long DELAYED_CAMPAIGN_CHECK_MS = 200;
 
     private final Environment environment;
     private final KeyValueStoreClient store;
@@ -86,7 +86,7 @@
     /** Gives up a lease that was won too late, and begins to follow the leader key again. */
     void abandon(String leaseId) {
         store.revokeLease(leaseId, () -> {});
-        checkLater(RETRY_LOST_MS, ++generation);
+        checkLater(CAMPAIGN_LOST_RETRY_MS, ++generation);
     }
 
     private void checkLater(long delayMs, int step) {
@@ -103,14 +103,14 @@
                 return;
             }
             if (result.failed()) {
-                checkLater(RETRY_FAILED_MS, step);
+                checkLater(REQUEST_FAILED_RETRY_MS, step);
             } else {
-                decide(step, result);
+                handleScanResult(step, result);
             }
         });
     }
 
-    private void decide(int step, ScanResult result) {
+    private void handleScanResult(int step, ScanResult result) {
         TermRecord storedTerm = TermRecord.NONE;
         LeaderRecord holder = null;
         for (KeyValue row : result.rows()) {
@@ -127,7 +127,7 @@
             campaignUnlessDelayed(step, storedTerm);
         } else if (holder.node().equals(node)) {
             // left by an earlier process of this node, or by a campaign with an unknown outcome: nobody uses it
-            store.revokeLease(holder.leaseId(), () -> checkLater(RETRY_REVOKED_MS, step));
+            store.revokeLease(holder.leaseId(), () -> checkLater(LEASE_REVOKED_RETRY_MS, step));
         } else {
             listener.observeTerm(holder.term(), holder.node());
             watch(step, result.revision());
@@ -135,16 +135,16 @@
     }
 
     private void watch(int step, long revision) {
-        store.watch(LeaderElection.PREFIX, revision, WATCH_MS, result -> {
+        store.watch(LeaderElection.PREFIX, revision, WATCH_TIMEOUT_MS, result -> {
             if (generation == step) {
-                watched(step, revision, result);
+                handleWatchResult(step, revision, result);
             }
         });
     }
 
-    private void watched(int step, long revision, WatchResult result) {
+    private void handleWatchResult(int step, long revision, WatchResult result) {
         if (result == null) {
-            checkLater(RETRY_FAILED_MS, step);
+            checkLater(REQUEST_FAILED_RETRY_MS, step);
         } else if (result.changed()) {
             checkLeaderKey(step);
         } else {
@@ -156,7 +156,7 @@
     private void campaignUnlessDelayed(int step, TermRecord storedTerm) {
         long delayMs = links.electionDelayMs();
         if (delayMs > 0) {
-            checkLater(Math.min(delayMs, DELAYED_CHECK_MS), step);
+            checkLater(Math.min(delayMs, DELAYED_CAMPAIGN_CHECK_MS), step);
         } else {
             campaign(step, storedTerm);
         }
@@ -169,7 +169,7 @@
                 return;
             }
             if (lease == null) {
-                checkLater(RETRY_FAILED_MS, step);
+                checkLater(REQUEST_FAILED_RETRY_MS, step);
             } else {
                 writeLeaderKey(step, storedTerm, lease, requestedAt);
             }
@@ -194,7 +194,7 @@
             } else {
                 // if the outcome is unknown, the next check finds the key and ends its lease
                 store.revokeLease(lease.id(), () -> {});
-                checkLater(RETRY_LOST_MS, step);
+                checkLater(CAMPAIGN_LOST_RETRY_MS, step);
             }
         });
     }
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -116,7 +116,7 @@
     /** Begins to follow the leader key and to announce. */
     public void start() {
         campaign.start();
-        announcements.start();
+        announcements.announcePeriodically();
     }
 
     // ---- who leads
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -15,19 +15,19 @@
     private static final Logger LOG = LoggerFactory.getLogger("leadership");
 
     /** Clocks drift apart by 0.05% at most; this is twice that. */
-    private static final double CLOCK_DRIFT = 0.001;
+    private static final double MAX_CLOCK_DRIFT_RATIO = 0.001;
 
     /** A timer that fires late must not make an ended lease look held. */
     private static final long TIMER_SLACK_MS = 50;
 
-    private static final long SHORTEST_MS = 1000;
-    private static final long LONGEST_UNSCALED_MS = 1500;
+    private static final long MIN_DURATION_MS = 1000;
+    private static final long MAX_UNSCALED_DURATION_MS = 1500;
 
     /** The lease in heartbeat intervals: users wait that long after a crash. */
-    private static final double DURATION_IN_HEARTBEATS = 0.6;
+    private static final double DURATION_IN_HEARTBEAT_INTERVALS = 0.6;
 
     /** At most this share of a worker's lease: a crash must leave time for a failover before tasks are lost. */
-    private static final double DURATION_IN_WORKER_LEASES = 1 / 3.0;
+    private static final double MAX_DURATION_IN_WORKER_LEASES = 1 / 3.0;
 
     private static final int RENEWALS_PER_LEASE = 5;
 
@@ -59,9 +59,9 @@
 
     /** The lease's duration in milliseconds; longer on a small share of a core, where a busy leader renews late. */
     static long durationMs(Settings settings) {
-        double heartbeats = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEATS * 1000;
-        double ample = Math.max(SHORTEST_MS, Math.min(LONGEST_UNSCALED_MS, heartbeats));
-        double longest = Math.max(ample, settings.workers().leaseS() * 1000 * DURATION_IN_WORKER_LEASES);
+        double heartbeats = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEAT_INTERVALS * 1000;
+        double ample = Math.max(MIN_DURATION_MS, Math.min(MAX_UNSCALED_DURATION_MS, heartbeats));
+        double longest = Math.max(ample, settings.workers().leaseS() * 1000 * MAX_DURATION_IN_WORKER_LEASES);
         return Math.round(Math.min(longest, ample * settings.slowness()));
     }
 
@@ -72,7 +72,7 @@
     private static long workerRenewalGraceMs(Settings settings) {
         double cancelMs = 1000 * settings.workers().cancelS();
         double leaseMs = 1000 * settings.workers().leaseS();
-        return Math.round(cancelMs - leaseMs - CLOCK_DRIFT * (cancelMs + leaseMs)) - WORKER_LEASE_SLACK_MS;
+        return Math.round(cancelMs - leaseMs - MAX_CLOCK_DRIFT_RATIO * (cancelMs + leaseMs)) - WORKER_LEASE_SLACK_MS;
     }
 
     /** The leader key was won with this lease, which was asked for at {@code requestedAt}. */
@@ -114,29 +114,29 @@
     }
 
     private void extend(long sentAt) {
-        heldUntil = Math.max(heldUntil, sentAt + Math.round(durationMs * (1 - CLOCK_DRIFT)) - TIMER_SLACK_MS);
+        heldUntil = Math.max(heldUntil, sentAt + Math.round(durationMs * (1 - MAX_CLOCK_DRIFT_RATIO)) - TIMER_SLACK_MS);
     }
 
     /** Renews again whether or not the last renewal was answered: a store that is slow now and then is not down. */
     private void renew(int begun) {
-        if (!renews(begun)) {
+        if (!isCurrent(begun)) {
             return;
         }
         long sentAt = environment.now();
         boolean heldBefore = held();
         store.renewLease(id, durationMs, renewal -> {
-            if (renews(begun)) {
-                renewed(renewal, sentAt, heldBefore);
+            if (isCurrent(begun)) {
+                handleRenewalResult(renewal, sentAt, heldBefore);
             }
         });
         environment.schedule(durationMs / RENEWALS_PER_LEASE, () -> renew(begun));
     }
 
-    private boolean renews(int begun) {
+    private boolean isCurrent(int begun) {
         return active && generation == begun;
     }
 
-    private void renewed(LeaseRenewal renewal, long sentAt, boolean heldBefore) {
+    private void handleRenewalResult(LeaseRenewal renewal, long sentAt, boolean heldBefore) {
         switch (renewal.outcome()) {
             case RENEWED -> {
                 if (!held()) {
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -39,8 +39,8 @@
     /** One question to all peers whether anybody leads, on behalf of a batch of heartbeats. */
     private final class Poll {
         private final List<WaitingHeartbeat> batch;
-        private int repliesLeft = peers.size();
-        private boolean nobodyLeads = true;
+        private int pendingReplies = peers.size();
+        private boolean noPeerLeads = true;
         private int informedPeers;
 
         Poll(List<WaitingHeartbeat> batch) {
@@ -59,19 +59,19 @@
 
         private void receive(PeerMessage record) {
             if (record instanceof TermAnnouncement reply) {
-                count(reply);
+                recordReply(reply);
             } else {
-                nobodyLeads = false; // a peer that does not answer may lead
+                noPeerLeads = false; // a peer that does not answer may lead
             }
-            if (--repliesLeft == 0) {
+            if (--pendingReplies == 0) {
                 answer(batch, mayRenew());
             }
         }
 
-        private void count(TermAnnouncement reply) {
+        private void recordReply(TermAnnouncement reply) {
             election.announcements().observe(reply);
             election.cancellations().receive(reply, false);
-            nobodyLeads &= !reply.leading();
+            noPeerLeads &= !reply.leading();
             if (reply.knowledge() != null && reply.knowledge().informed()) {
                 informedPeers++;
             }
@@ -80,7 +80,7 @@
         /** Whether nobody leads, and the processes together know every cancellation. */
         private boolean mayRenew() {
             int informed = informedPeers + (election.cancellations().informed() ? 1 : 0);
-            return nobodyLeads
+            return noPeerLeads
                     && !election.leading()
                     && informed >= CancellationQuorum.informedQuorum(peers.size() + 1);
         }
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -12,8 +12,8 @@
  * also shows that it is there, and new cancellations at once; it collects who acknowledged its term.
  */
 final class PeerAnnouncements {
-    private static final long INTERVAL_MS = 1000;
-    private static final long TIMEOUT_MS = 1000;
+    private static final long ANNOUNCEMENT_INTERVAL_MS = 1000;
+    private static final long REPLY_TIMEOUT_MS = 1000;
     private static final long NOT_ACKNOWLEDGED = -1;
 
     private final Environment environment;
@@ -28,7 +28,7 @@
     /** By the peer's index: an announcement has not been answered yet. */
     private final boolean[] awaitingReply;
 
-    private long leadingSince;
+    private long termBeganAt;
     private long consentedToLeaderlessRenewalAt;
 
     PeerAnnouncements(
@@ -49,16 +49,16 @@
     }
 
     /** Announces regularly while this node leads. */
-    void start() {
+    void announcePeriodically() {
         if (election.leading()) {
             announceToAll();
         }
-        environment.schedule(INTERVAL_MS, this::start);
+        environment.schedule(ANNOUNCEMENT_INTERVAL_MS, this::announcePeriodically);
     }
 
     /** This node leads from now on; nobody has acknowledged its term. */
     void beginTerm() {
-        leadingSince = environment.now();
+        termBeganAt = environment.now();
         Arrays.fill(acknowledgedAt, NOT_ACKNOWLEDGED);
     }
 
@@ -79,7 +79,7 @@
 
     /** When the last controller acknowledged this term, after which none speaks for an older one; -1: not yet. */
     long acknowledgedByAllPeersAt() {
-        long last = leadingSince;
+        long last = termBeganAt;
         for (long at : acknowledgedAt) {
             if (at == NOT_ACKNOWLEDGED) {
                 return NOT_ACKNOWLEDGED;
@@ -104,12 +104,12 @@
         long sentAt = environment.now();
         TermAnnouncement sent = announcementTo(peer);
         awaitingReply[peer] = true;
-        environment.sendToPeer(settings.peers().get(peer), sent, TIMEOUT_MS, record -> {
+        environment.sendToPeer(settings.peers().get(peer), sent, REPLY_TIMEOUT_MS, record -> {
             awaitingReply[peer] = false;
             if (record instanceof TermAnnouncement reply) {
                 links.announcementReceived(settings.peers().get(peer).name(), reply);
                 if (election.leading() && election.term() == announcedTerm) {
-                    acknowledged(peer, reply, sentAt, sent);
+                    recordAcknowledgement(peer, reply, sentAt, sent);
                 }
                 observe(reply);
                 announceCancellations();
@@ -117,7 +117,7 @@
         });
     }
 
-    private void acknowledged(int peer, TermAnnouncement reply, long sentAt, TermAnnouncement sent) {
+    private void recordAcknowledgement(int peer, TermAnnouncement reply, long sentAt, TermAnnouncement sent) {
         if (reply.term() == sent.term() && acknowledgedAt[peer] == NOT_ACKNOWLEDGED) {
             acknowledgedAt[peer] = environment.now();
         }
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -22,17 +22,17 @@
     private static final int MIN_CHANGE_LIMIT = 3;
 
     /** Changes worth gathering where something is counted: the count costs one change for all of them. */
-    private static final int BATCH_WHERE_COUNTED = 5;
+    private static final int COUNTED_BATCH_THRESHOLD = 5;
 
     /** Bytes of a transaction, counted in JSON form, kept well below the store's limit. */
-    private static final int MAX_BYTES = MessageCodec.MAX_BODY * 3 / 4;
+    private static final int MAX_TRANSACTION_BYTES = MessageCodec.MAX_BODY * 3 / 4;
 
-    private static final int RADIX = 36;
+    private static final int TRANSACTION_ID_RADIX = 36;
 
     private final KeyValueStoreClient store;
     private final String fenceKey;
     private final long fenceRevision;
-    private final String stampPrefix;
+    private final String transactionIdPrefix;
     private final EventLog eventLog;
     private final TransactionCommitter committer;
     private final ArrayDeque<StoredEntry> pending = new ArrayDeque<>();
@@ -60,8 +60,8 @@
         this.store = store;
         this.fenceKey = fenceKey;
         this.fenceRevision = fenceRevision;
-        this.stampPrefix = Long.toString(term, RADIX) + "-";
-        this.eventLog = new EventLog(store.limits().maxValueKb(), EventLog.SLOTS, stampPrefix);
+        this.transactionIdPrefix = Long.toString(term, TRANSACTION_ID_RADIX) + "-";
+        this.eventLog = new EventLog(store.limits().maxValueKb(), EventLog.SLOTS, transactionIdPrefix);
         this.committer = new TransactionCommitter(environment, store, () -> {
             close();
             onFenced.run();
@@ -101,9 +101,9 @@
 
     /** Puts one key and deletes another in the same transaction; the action (null: none) runs once it is durable. */
     public void putAndDelete(StoredEntry put, StoredEntry delete, Runnable onDurable) {
-        put.partner = delete;
-        delete.partner = put;
-        delete.deleted = true;
+        put.pairedEntry = delete;
+        delete.pairedEntry = put;
+        delete.markedForDeletion = true;
         enqueue(delete, null);
         put(put, onDurable);
     }
@@ -160,7 +160,7 @@
     }
 
     private int batchThreshold() {
-        return Math.max(store.batchThreshold(), reservedForCount * BATCH_WHERE_COUNTED);
+        return Math.max(store.batchThreshold(), reservedForCount * COUNTED_BATCH_THRESHOLD);
     }
 
     private int maxOperations() {
@@ -191,7 +191,7 @@
                 continue;
             }
             if (transaction == null) {
-                transaction = begin();
+                transaction = beginTransaction();
             } else if (!hasRoom(transaction, entry, changeLimit)) {
                 postponed.add(entry);
                 break;
@@ -210,28 +210,28 @@
         if (batch == null) {
             return null;
         }
-        CompareAndSwapTransaction transaction = begin();
+        CompareAndSwapTransaction transaction = beginTransaction();
         transaction.add(batch.put(), batch.bytes());
         for (StoredEntry old : batch.deletions()) {
-            old.deleted = true;
+            old.markedForDeletion = true;
             transaction.add(old);
         }
         transaction.onDurable.addAll(batch.onDurable());
         return transaction;
     }
 
-    private CompareAndSwapTransaction begin() {
-        String stamp = stampPrefix + Long.toString(transactionsBegun++, RADIX);
+    private CompareAndSwapTransaction beginTransaction() {
+        String stamp = transactionIdPrefix + Long.toString(transactionsBegun++, TRANSACTION_ID_RADIX);
         return new CompareAndSwapTransaction(stamp, fenceKey, fenceRevision);
     }
 
     private static boolean hasRoom(CompareAndSwapTransaction transaction, StoredEntry entry, int changeLimit) {
-        int changes = entry.pendingPartner() == null ? 1 : 2;
-        return transaction.entries.size() + changes <= changeLimit && transaction.bytes <= MAX_BYTES / 2;
+        int changes = entry.pendingPairedEntry() == null ? 1 : 2;
+        return transaction.entries.size() + changes <= changeLimit && transaction.bytes <= MAX_TRANSACTION_BYTES / 2;
     }
 
     private static void pack(CompareAndSwapTransaction transaction, StoredEntry entry) {
-        StoredEntry partner = entry.pendingPartner();
+        StoredEntry partner = entry.pendingPairedEntry();
         transaction.add(entry);
         if (partner != null) {
             transaction.add(partner);
--- a/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
+++ b/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
@@ -13,10 +13,10 @@
  * durable. Its stamp stands in every value that it writes, so that it is recognised if its answer is lost.
  */
 final class CompareAndSwapTransaction {
-    private static final String STAMP = "x";
+    private static final String ID_FIELD = "x";
 
     /** More than a change takes beside its value, in JSON form. */
-    private static final int BYTES_PER_CHANGE = 200;
+    private static final int MAX_CHANGE_OVERHEAD_BYTES = 200;
 
     final List<StoredEntry> entries = new ArrayList<>();
     final List<Runnable> onDurable = new ArrayList<>();
@@ -30,19 +30,19 @@
 
     int retries;
 
-    private final String stamp;
+    private final String id;
     private final Set<StoredEntry> deletions = new HashSet<>();
 
     /** A transaction that fails unless the fence key stands at its revision. */
     CompareAndSwapTransaction(String stamp, String fenceKey, long fenceRevision) {
-        this.stamp = stamp;
+        this.id = stamp;
         request.compare(fenceKey, fenceRevision);
     }
 
     /** Takes a key in as it is now. */
     void add(StoredEntry entry) {
         addCondition(entry);
-        if (entry.deleted) {
+        if (entry.markedForDeletion) {
             request.delete(entry.key);
             deletions.add(entry);
         } else {
@@ -67,11 +67,11 @@
         if (entry.requiredUnchanged != null && entry.revision == 0) {
             request.compare(entry.requiredUnchanged.key, entry.requiredUnchanged.revision);
         }
-        bytes += BYTES_PER_CHANGE;
+        bytes += MAX_CHANGE_OVERHEAD_BYTES;
     }
 
     private ObjectNode put(StoredEntry entry) {
-        ObjectNode value = entry.value().put(STAMP, stamp);
+        ObjectNode value = entry.value().put(ID_FIELD, id);
         request.put(entry.key, value);
         return value;
     }
@@ -82,7 +82,7 @@
 
     /** Whether this transaction has written a row. */
     boolean wrote(KeyValue row) {
-        return row.value().path(STAMP).asText().equals(stamp);
+        return row.value().path(ID_FIELD).asText().equals(id);
     }
 
     /** The key by which to recognise whether the transaction was applied: one that it puts, if there is any. */
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -15,11 +15,11 @@
     /** Records in the ring; a new leader reads them in a few pages. */
     static final int SLOTS = 1024;
 
-    private static final String OVERFLOW = "x";
+    private static final String OVERFLOW_KEY_INFIX = "x";
     private static final int NO_SLOT = -1;
 
     /** Share of the value limit that a record may take in JSON form. */
-    private static final double MAX_FILL = 0.9;
+    private static final double MAX_FILL_RATIO = 0.9;
 
     /** More than one event of an older form takes. */
     private static final int MAX_LEGACY_EVENT_BYTES = 128;
@@ -35,7 +35,7 @@
     private int pendingBytes;
     private long overflowRecords;
     private long lastNumber;
-    private boolean restoredUnchecked;
+    private boolean staleRecordCheckDue;
 
     private record PendingEvent(StoredEvent event, Runnable onDurable) {}
 
@@ -50,15 +50,15 @@
      */
     public EventLog(double maxValueKb, int records, String term) {
         ring = new EventLogRecord[records];
-        overflowPrefix = PREFIX + OVERFLOW + term;
-        maxRecordBytes = (int) (maxValueKb * 1024 * MAX_FILL);
+        overflowPrefix = PREFIX + OVERFLOW_KEY_INFIX + term;
+        maxRecordBytes = (int) (maxValueKb * 1024 * MAX_FILL_RATIO);
     }
 
     // ---- what was stored before
 
     /** Takes in a stored record. */
     public void restore(String key, long revision, long number, List<StoredEvent> events) {
-        restoredUnchecked = true;
+        staleRecordCheckDue = true;
         EventLogRecord record = new EventLogRecord(key, revision, number, events);
         lastNumber = Math.max(lastNumber, number);
         int slot = slotOf(key);
@@ -86,10 +86,10 @@
      * older than the whole ring and has to go before anything of the ring: what ended its assignments must outlive it.
      */
     private void migrateStaleRecords() {
-        if (!restoredUnchecked) {
+        if (!staleRecordCheckDue) {
             return;
         }
-        restoredUnchecked = false;
+        staleRecordCheckDue = false;
         for (int slot = 0; slot < ring.length; slot++) {
             if (ring[slot] != null && ring[slot].number <= lastNumber - ring.length) {
                 toMigrate.add(ring[slot]);
--- a/src/main/java/stileferry/storage/EventLogRecord.java
+++ b/src/main/java/stileferry/storage/EventLogRecord.java
@@ -12,7 +12,7 @@
     private static final String EVENTS = "e";
 
     /** More than a record takes beside its events, in JSON form. */
-    private static final int BYTES_BESIDE_EVENTS = 80;
+    private static final int MAX_RECORD_OVERHEAD_BYTES = 80;
 
     final StoredEntry entry;
     long number;
@@ -43,7 +43,7 @@
 
     /** The size of a record that holds what must be written again. */
     int retainedBytes() {
-        return BYTES_BESIDE_EVENTS
+        return MAX_RECORD_OVERHEAD_BYTES
                 + retainedEvents().stream().mapToInt(StoredEvent::maxBytes).sum();
     }
 
@@ -67,7 +67,7 @@
     static final class Contents {
         private final long number;
         private final List<StoredEvent> events = new ArrayList<>();
-        private int bytes = BYTES_BESIDE_EVENTS;
+        private int bytes = MAX_RECORD_OVERHEAD_BYTES;
 
         Contents(long number) {
             this.number = number;
--- a/src/main/java/stileferry/storage/KeyValueStoreClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -26,21 +26,21 @@
     private static final double RATE_SHARE = 0.85;
 
     /** Share of the request burst that only urgent requests may use. */
-    private static final double URGENT_RESERVE = 0.2;
+    private static final double URGENT_RESERVE_SHARE = 0.2;
 
     /** Urgent requests are sent whatever the rate, and lend from it up to a whole burst. */
-    private static final double OVERDRAFT = -1;
+    private static final double FULL_BURST_OVERDRAFT = -1;
 
     private static final double REQUEST_BURST_S = 0.5;
     private static final double WRITE_BURST_S = 1.0;
 
     /** Seconds of the write rate that are gathered for one transaction under load. */
-    private static final double BATCH_S = 0.15;
+    private static final double BATCH_WINDOW_S = 0.15;
 
-    private static final long QUEUE_POLL_MS = 20;
+    private static final long QUEUE_POLL_INTERVAL_MS = 20;
 
     /** A request's timeout on an ample share of a core. */
-    private static final long TIMEOUT_MS = 1500;
+    private static final long BASE_TIMEOUT_MS = 1500;
 
     private static final int SCAN_PAGE_ROWS = 500;
 
@@ -61,7 +61,7 @@
         this.environment = environment;
         this.address = settings.keyValueStoreAddress();
         this.limits = settings.keyValueStore();
-        this.timeoutMs = Math.round(TIMEOUT_MS * settings.slowness());
+        this.timeoutMs = Math.round(BASE_TIMEOUT_MS * settings.slowness());
         this.requestRate = new RateLimiter(environment, limits.requestsPerS() * RATE_SHARE, REQUEST_BURST_S);
         this.writeRate = new RateLimiter(environment, limits.writesPerS() * RATE_SHARE, WRITE_BURST_S);
     }
@@ -73,17 +73,17 @@
 
     /** Changes worth gathering for one transaction when more wait than may be written. */
     public int batchThreshold() {
-        return (int) Math.max(1, Math.min(limits.writesPerS() * RATE_SHARE, Math.ceil(limits.writesPerS() * BATCH_S)));
+        return (int) Math.max(1, Math.min(limits.writesPerS() * RATE_SHARE, Math.ceil(limits.writesPerS() * BATCH_WINDOW_S)));
     }
 
     /** Changes that may be written now without waiting. */
     public int availableWrites() {
-        return requestRate.canAcquire(1, URGENT_RESERVE) ? writeRate.availablePermits() : 0;
+        return requestRate.canAcquire(1, URGENT_RESERVE_SHARE) ? writeRate.availablePermits() : 0;
     }
 
     /** Runs a task when the rates may have room again. */
     public void afterRefill(Runnable task) {
-        environment.schedule(QUEUE_POLL_MS, task);
+        environment.schedule(QUEUE_POLL_INTERVAL_MS, task);
     }
 
     /** Reads and writes that wait for their turn. */
@@ -167,7 +167,7 @@
 
     /** Renews a lease; never queued, as the renewed time counts from the sending. */
     public void renewLease(String leaseId, long renewalTimeoutMs, Consumer<LeaseRenewal> reply) {
-        requestRate.tryAcquire(1, OVERDRAFT);
+        requestRate.tryAcquire(1, FULL_BURST_OVERDRAFT);
         environment.request(
                 address,
                 "POST",
@@ -203,8 +203,8 @@
 
     private void send(int writes, boolean urgent, Runnable send) {
         if (urgent) {
-            requestRate.tryAcquire(1, OVERDRAFT);
-            writeRate.tryAcquire(writes, OVERDRAFT);
+            requestRate.tryAcquire(1, FULL_BURST_OVERDRAFT);
+            writeRate.tryAcquire(writes, FULL_BURST_OVERDRAFT);
             send.run();
             return;
         }
@@ -216,11 +216,11 @@
     private void sendQueued() {
         while (!queuedWrites.isEmpty()
                 && writeRate.canAcquire(queuedWrites.peek().writes, 0)
-                && requestRate.tryAcquire(1, URGENT_RESERVE)) {
+                && requestRate.tryAcquire(1, URGENT_RESERVE_SHARE)) {
             writeRate.tryAcquire(queuedWrites.peek().writes, 0);
             queuedWrites.poll().send.run();
         }
-        while (!queuedReads.isEmpty() && requestRate.tryAcquire(1, URGENT_RESERVE)) {
+        while (!queuedReads.isEmpty() && requestRate.tryAcquire(1, URGENT_RESERVE_SHARE)) {
             queuedReads.poll().send.run();
         }
         pollLater();
@@ -229,7 +229,7 @@
     private void pollLater() {
         if (!pollScheduled && queuedRequests() > 0) {
             pollScheduled = true;
-            environment.schedule(QUEUE_POLL_MS, () -> {
+            environment.schedule(QUEUE_POLL_INTERVAL_MS, () -> {
                 pollScheduled = false;
                 sendQueued();
             });
--- a/src/main/java/stileferry/storage/StoredEntry.java
+++ b/src/main/java/stileferry/storage/StoredEntry.java
@@ -23,10 +23,10 @@
     boolean inFlight;
 
     /** It is to be deleted instead of written. */
-    boolean deleted;
+    boolean markedForDeletion;
 
     /** The entry that is written or deleted in the same transaction; null: none. */
-    StoredEntry partner;
+    StoredEntry pairedEntry;
 
     /** The entry that must stand as it does for this one to be written for the first time; null: none. */
     StoredEntry requiredUnchanged;
@@ -74,11 +74,11 @@
 
     /** Whether it can't be packed until the outcome of another transaction is known. */
     boolean waitsForOutcome() {
-        return inFlight || partner != null && partner.inFlight;
+        return inFlight || pairedEntry != null && pairedEntry.inFlight;
     }
 
     /** The partner, if it waits too; null: none does. */
-    StoredEntry pendingPartner() {
-        return partner != null && partner.pending ? partner : null;
+    StoredEntry pendingPairedEntry() {
+        return pairedEntry != null && pairedEntry.pending ? pairedEntry : null;
     }
 }
--- a/src/main/java/stileferry/storage/TransactionCommitter.java
+++ b/src/main/java/stileferry/storage/TransactionCommitter.java
@@ -14,8 +14,8 @@
 final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger("commits");
 
-    private static final long MIN_RETRY_MS = 50;
-    private static final long MAX_RETRY_MS = 1000;
+    private static final long MIN_RETRY_DELAY_MS = 50;
+    private static final long MAX_RETRY_DELAY_MS = 1000;
     private static final int MAX_RETRY_DOUBLINGS = 5;
 
     private final Environment environment;
@@ -53,15 +53,15 @@
         }
         store.commit(transaction.request, false, result -> {
             if (!closed) {
-                answered(transaction, result);
+                handleResult(transaction, result);
             }
         });
     }
 
-    private void answered(CompareAndSwapTransaction transaction, CommitResult result) {
+    private void handleResult(CompareAndSwapTransaction transaction, CommitResult result) {
         switch (result.outcome()) {
-            case APPLIED -> applied(transaction, result.revision());
-            case CONFLICT -> conflicted(transaction);
+            case APPLIED -> handleApplied(transaction, result.revision());
+            case CONFLICT -> handleConflict(transaction);
             case INVALID -> {
                 LOG.error("transaction malformed: response={}", result.detail());
                 onFenced.run();
@@ -74,7 +74,7 @@
         }
     }
 
-    private void conflicted(CompareAndSwapTransaction transaction) {
+    private void handleConflict(CompareAndSwapTransaction transaction) {
         if (transaction.ambiguous) {
             readBack(transaction);
         } else {
@@ -84,7 +84,7 @@
 
     private void retryLater(CompareAndSwapTransaction transaction, Runnable retry) {
         int doublings = Math.min(MAX_RETRY_DOUBLINGS, transaction.retries++);
-        long delayMs = Math.min(MAX_RETRY_MS, MIN_RETRY_MS << doublings);
+        long delayMs = Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS << doublings);
         environment.schedule(delayMs / 2 + environment.random().nextLong(delayMs), retry);
     }
 
@@ -96,25 +96,25 @@
         StoredEntry entry = transaction.entryToReadBack();
         store.get(entry.key, result -> {
             if (!closed) {
-                readBack(transaction, entry, result);
+                handleReadBack(transaction, entry, result);
             }
         });
     }
 
-    private void readBack(CompareAndSwapTransaction transaction, StoredEntry entry, ReadResult result) {
+    private void handleReadBack(CompareAndSwapTransaction transaction, StoredEntry entry, ReadResult result) {
         boolean deleted = transaction.deletes(entry);
         if (result.unknown()) {
             retryLater(transaction, () -> readBack(transaction));
         } else if (deleted && !result.found()) {
-            applied(transaction, 0);
+            handleApplied(transaction, 0);
         } else if (!deleted && result.found() && transaction.wrote(result.row())) {
-            applied(transaction, result.row().revision());
+            handleApplied(transaction, result.row().revision());
         } else {
             onFenced.run();
         }
     }
 
-    private void applied(CompareAndSwapTransaction transaction, long revision) {
+    private void handleApplied(CompareAndSwapTransaction transaction, long revision) {
         inFlight--;
         for (StoredEntry entry : transaction.entries) {
             entry.inFlight = false;
