--- a/src/main/java/stileferry/coordination/MachineTypeCatalog.java
+++ b/src/main/java/stileferry/coordination/MachineTypeCatalog.java
@@ -38,7 +38,9 @@
                 onRead.accept(read);
             }
             environment.schedule(
-                    types.isEmpty() ? MIN_RETRY_DELAY_MS + environment.random().nextLong(RETRY_JITTER_MS) : REFRESH_INTERVAL_MS,
+                    types.isEmpty()
+                            ? MIN_RETRY_DELAY_MS + environment.random().nextLong(RETRY_JITTER_MS)
+                            : REFRESH_INTERVAL_MS,
                     this::refresh);
         });
     }
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -13,8 +13,8 @@
 import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
 import stileferry.storage.CommitQueue;
-import stileferry.storage.TombstoneEvent;
 import stileferry.storage.StoredEvent;
+import stileferry.storage.TombstoneEvent;
 
 /**
  * Journals in the store when machines that missed heartbeats were last answered, so that the next leader need not wait
--- a/src/main/java/stileferry/leadership/CancellationConfirmation.java
+++ b/src/main/java/stileferry/leadership/CancellationConfirmation.java
@@ -3,11 +3,15 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** A cancellation on its way to the other controllers. */
+/**
+ * Progress of confirming one job's cancellation: the peers that have acknowledged it, and the action that runs once
+ * enough of them have.
+ */
 final class CancellationConfirmation {
+    /** Indexes of the peers that have acknowledged the cancellation. */
     final Set<Integer> acknowledgedBy = new LinkedHashSet<>();
 
-    /** Null once it has run. */
+    /** Runs when the cancellation is confirmed; null once it has run. */
     Runnable onConfirmed;
 
     CancellationConfirmation(Runnable onConfirmed) {
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -14,36 +14,36 @@
 import stileferry.protocol.WorkerCommand;
 
 /**
- * Cancelled jobs as this process knows them, and how far its knowledge goes. A controller that renews workers' leases
- * without holding the leader's lease must know every cancellation that another one may have confirmed, or tasks of
- * cancelled jobs would outlive {@code cancel_s} on the leases that it renews.
+ * Tracks the cancelled jobs that this process knows and whether that knowledge is complete. A controller that renews
+ * workers' leases without holding the leader's lease must know every cancellation that another controller may have
+ * confirmed; otherwise tasks of cancelled jobs would run past {@code cancel_s} on the leases that it renews.
  *
- * <p>Of n processes, a leader confirms a cancellation to a user only when it and n/2 others know it. A process counts
- * as informed once a leader that held its lease named to it every cancellation since the process began. An informed
- * process does not know a cancellation only if it was not among those who acknowledged it; so n - n/2 informed
- * processes together know all of them (docs/design.md, "Cancellations"). Only processes that say that they keep this
- * count.
+ * <p>With n controller processes, a leader confirms a cancellation to the user only when it and n/2 other processes
+ * know it. A process is <em>informed</em> once a leader that held its lease has told it of every cancellation since the
+ * process started. An informed process lacks a confirmed cancellation only if it is not among the processes that
+ * acknowledged it, so any n - n/2 informed processes together know all confirmed cancellations (docs/design.md,
+ * "Cancellations"). Only processes that report this state are counted.
  */
 public final class CancellationQuorum {
-    /** Jobs are remembered for so many times as long as their tasks may last after they were last named. */
+    /** A cancelled job is kept for this multiple of the time its tasks can still run after it was last reported. */
     private static final int RETENTION_FACTOR = 2;
 
-    /** Stands for a time that has not come. */
+    /** Marks a point in time that has not been reached. */
     static final long NEVER = -1;
 
     private final Environment environment;
     private final long processId;
     private final long retentionMs;
 
-    /** Cancelled jobs by the time at which each was last named to this process, the latest last. */
+    /** Maps each cancelled job to the time at which it was last reported to this process, most recent last. */
     private final Map<String, Long> cancelledJobs = new LinkedHashMap<>();
 
     private final PeerCancellationState[] peers;
     private boolean informed;
 
-    // of the term in which this node leads
+    // The fields below belong to the term in which this node leads.
 
-    /** Jobs whose cancellation is durable and whose tasks may be on machines. */
+    /** By job: cancellations that are durable while tasks of the job may still be on machines. */
     private final Map<String, CancellationConfirmation> confirmations = new LinkedHashMap<>();
 
     private boolean allCancelledJobsRead;
@@ -53,24 +53,25 @@
         this.processId = 1 + environment.random().nextLong(Long.MAX_VALUE - 1);
         this.peers = new PeerCancellationState[settings.peers().size()];
         Arrays.setAll(peers, index -> new PeerCancellationState());
-        double lastS = settings.workers().cancelS() + settings.workers().leaseS();
-        this.retentionMs = Math.round(1000 * RETENTION_FACTOR * lastS);
+        double maxTaskRemainingS =
+                settings.workers().cancelS() + settings.workers().leaseS();
+        this.retentionMs = Math.round(1000 * RETENTION_FACTOR * maxTaskRemainingS);
     }
 
-    /** Processes that must be informed for all of them together to know every cancellation. */
+    /** Returns how many processes must be informed so that together they know every confirmed cancellation. */
     static int informedQuorum(int processes) {
         return processes - processes / 2;
     }
 
-    // ---- what is known
+    // ---- known cancellations
 
-    /** Takes in that a job's cancellation is durable. */
+    /** Records that a job's cancellation is durable. */
     public void addCancelled(String jobId) {
         cancelledJobs.remove(jobId);
         cancelledJobs.put(jobId, environment.now());
     }
 
-    /** Kill commands for the tasks of cancelled jobs that a heartbeat reports. */
+    /** Returns kill commands for the tasks in a heartbeat that belong to cancelled jobs and have not exited. */
     public List<WorkerCommand> killCommandsFor(Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
@@ -86,7 +87,10 @@
         return slash > 0 && cancelledJobs.containsKey(taskId.substring(0, slash));
     }
 
-    /** Whether this process and those that answered in this node's term know every cancellation before this term. */
+    /**
+     * Returns whether this process and the peers that replied in this node's term together know every cancellation
+     * confirmed before this term.
+     */
     public boolean knowsEarlierCancellations() {
         int informedProcesses = informed ? 1 : 0;
         for (PeerCancellationState peer : peers) {
@@ -95,32 +99,34 @@
         return informedProcesses >= informedQuorum(peers.length + 1);
     }
 
+    /** Returns whether this process is informed, in the sense of the class description. */
     boolean informed() {
         return informed;
     }
 
     /**
-     * Until when no later leader has certainly confirmed anything: enough informed processes knew of none. A later
-     * leader confirms only what n/2 others know, and whoever knows it knows its term.
+     * Returns a time up to which no later leader can have confirmed a cancellation, because enough informed processes
+     * knew no higher term then; {@link #NEVER} if there is no such time. A later leader confirms only cancellations
+     * that n/2 other processes know, and a process that knows such a cancellation also knows the later leader's term.
      */
     long noOtherConfirmationUntil() {
-        int others = informedQuorum(peers.length + 1) - 1;
+        int requiredPeers = informedQuorum(peers.length + 1) - 1;
         if (!informed) {
             return NEVER;
         }
-        if (others == 0) {
+        if (requiredPeers == 0) {
             return environment.now();
         }
         long[] ascending = Arrays.stream(peers)
                 .mapToLong(peer -> peer.knewNoHigherTermAt)
                 .sorted()
                 .toArray();
-        return ascending[ascending.length - others];
+        return ascending[ascending.length - requiredPeers];
     }
 
-    // ---- leading
+    // ---- the term in which this node leads
 
-    /** This node leads from now on; what it must know it has yet to read. */
+    /** Called when this node becomes the leader, before it has read the stored cancellations. */
     void beginTerm() {
         endTerm();
         for (PeerCancellationState peer : peers) {
@@ -128,19 +134,22 @@
         }
     }
 
-    /** All cancelled jobs have been read and passed to {@link #addCancelled} or {@link #confirm}. */
+    /**
+     * Called when the leader has read all cancelled jobs from the store and passed them to {@link #addCancelled} or
+     * {@link #confirm}.
+     */
     public void allCancelledJobsRead() {
         informed = true;
         allCancelledJobsRead = true;
     }
 
-    /** This node no longer leads; nothing that waits is confirmed. */
+    /** Called when this node stops leading; pending cancellations are dropped without being confirmed. */
     void endTerm() {
         allCancelledJobsRead = false;
         confirmations.clear();
     }
 
-    /** Tells others of a job whose cancellation is durable; the action runs when enough of them know. */
+    /** Tracks a durable cancellation; the action runs once enough peers know it, possibly within this call. */
     void confirm(String jobId, Runnable onConfirmed) {
         addCancelled(jobId);
         CancellationConfirmation confirmation = new CancellationConfirmation(onConfirmed);
@@ -148,12 +157,12 @@
         confirmIfKnownToQuorum(confirmation);
     }
 
-    /** No task of this job is on a machine any more. */
+    /** Called when no task of a cancelled job is on a machine any more; the job is no longer announced. */
     public void allTasksGone(String jobId) {
         confirmations.remove(jobId);
     }
 
-    /** Whether an unconfirmed cancellation has not been acknowledged by a peer. */
+    /** Returns whether there is an unconfirmed cancellation that the peer has not acknowledged. */
     boolean hasUnacknowledged(int peer) {
         return confirmations.values().stream()
                 .anyMatch(confirmation -> !confirmation.confirmed() && !confirmation.acknowledgedBy.contains(peer));
@@ -163,13 +172,13 @@
         if (confirmation.confirmed()) {
             return;
         }
-        int others = 0;
+        int peersThatKnow = 0;
         for (int peer = 0; peer < peers.length; peer++) {
-            // an older version is never informed, so it can't be taken for one that knows
-            boolean counts = peers[peer].version == PeerCancellationState.Version.WITHOUT_CANCELLATIONS;
-            others += counts || confirmation.acknowledgedBy.contains(peer) ? 1 : 0;
+            // A peer of an older version never becomes informed, so nobody relies on it to know a cancellation.
+            boolean needsNoAcknowledgement = peers[peer].version == PeerCancellationState.Version.WITHOUT_CANCELLATIONS;
+            peersThatKnow += needsNoAcknowledgement || confirmation.acknowledgedBy.contains(peer) ? 1 : 0;
         }
-        if (others >= (peers.length + 1) / 2) {
+        if (peersThatKnow >= (peers.length + 1) / 2) {
             confirmation.confirm();
         }
     }
@@ -177,7 +186,7 @@
     private void confirmAllKnownToQuorum() {
         for (String jobId : List.copyOf(confirmations.keySet())) {
             CancellationConfirmation confirmation = confirmations.get(jobId);
-            if (confirmation != null) { // an earlier confirmation's action may have removed it
+            if (confirmation != null) { // the action of an earlier confirmation may have removed it
                 confirmIfKnownToQuorum(confirmation);
             }
         }
@@ -185,12 +194,16 @@
 
     // ---- announcements
 
-    /** What to announce to a peer; {@code leaseHeld}: this node leads, and nobody else can. */
+    /**
+     * Returns what to announce to a peer.
+     *
+     * @param leaseHeld whether this node certainly holds the leader's lease, so that no other node can lead
+     */
     CancellationKnowledge knowledgeFor(int peer, boolean leaseHeld) {
         boolean complete = allCancelledJobsRead
                 && leaseHeld
                 && confirmations.size() <= PeerMessage.MAX_CANCELLED_JOBS
-                // an older version may lead one day and confirm what nobody else knows
+                // A peer of an older version may become leader and confirm a cancellation that no other process knows.
                 && Arrays.stream(peers)
                         .allMatch(other -> other.version == PeerCancellationState.Version.WITH_CANCELLATIONS);
         List<String> jobIds = new ArrayList<>();
@@ -208,7 +221,7 @@
         });
     }
 
-    /** What to answer to an announcement. */
+    /** Returns the reply to an announcement. */
     CancellationKnowledge knowledgeInReplyTo(TermAnnouncement received) {
         CancellationKnowledge theirs = received.knowledge();
         boolean fromCompleteLeader = received.leading() && theirs != null && theirs.complete();
@@ -227,26 +240,37 @@
         return List.copyOf(cancelledJobs.keySet());
     }
 
-    /** Takes in an announcement; {@code current}: its term is not outdated. */
+    /**
+     * Processes an announcement.
+     *
+     * @param current whether the announced term is not lower than the highest term that this node knows
+     */
     void receive(TermAnnouncement received, boolean current) {
         CancellationKnowledge knowledge = received.knowledge();
         merge(received);
         if (knowledge == null) {
             return;
         }
-        // an announcement to an earlier process of this node does not hold what was confirmed since
+        // An announcement addressed to an earlier process of this node may lack cancellations that were confirmed after
+        // the sender composed it.
         informed |= current && received.leading() && knowledge.complete() && knowledge.addressee() == processId;
     }
 
     private void merge(TermAnnouncement received) {
         if (received.knowledge() == null) {
-            informed &= !received.leading(); // a leader of an older version confirms what nobody else knows
+            informed &=
+                    !received.leading(); // a leader of an older version confirms cancellations that no other process
+            // knows
         } else {
             received.knowledge().cancelled().forEach(this::addCancelled);
         }
     }
 
-    /** Takes in a peer's reply to what was announced to it at {@code sentAt}. */
+    /**
+     * Processes a peer's reply to an announcement of this node's term.
+     *
+     * @param sentAt when the announcement was sent
+     */
     void receiveReply(int from, TermAnnouncement reply, long sentAt, TermAnnouncement sent) {
         PeerCancellationState peer = peers[from];
         peer.receiveReply(reply.knowledge());
--- a/src/main/java/stileferry/leadership/LeaderCampaign.java
+++ b/src/main/java/stileferry/leadership/LeaderCampaign.java
@@ -12,8 +12,9 @@
 import stileferry.storage.ScanResult;
 
 /**
- * Follows the leader key while this node does not lead, and campaigns for it when it is free: writes it, attached to a
- * new lease, and the next term in one transaction. Each step belongs to a generation; an outdated one stops.
+ * Watches the leader key while this node is a follower and campaigns for leadership when the key does not exist: it
+ * writes the key, attached to a new lease, and the next term in one transaction. Each asynchronous step belongs to a
+ * generation and does nothing once a newer generation has begun.
  */
 final class LeaderCampaign {
     private static final long WATCH_TIMEOUT_MS = 10_000;
@@ -21,7 +22,7 @@
     private static final long CAMPAIGN_LOST_RETRY_MS = 100;
     private static final long LEASE_REVOKED_RETRY_MS = 60;
 
-    /** While the key is left to others it is checked at least this often. */
+    /** Upper limit of the nominal delay between checks of the leader key while this node lets others campaign first. */
     private static final long DELAYED_CAMPAIGN_CHECK_MS = 200;
 
     private final Environment environment;
@@ -33,26 +34,26 @@
     private final Listener listener;
     private int generation;
 
-    /** The election, which knows the highest term and decides on a win. */
+    /** Implemented by the election, which tracks the highest term and decides whether a won campaign takes effect. */
     interface Listener {
-        /** The highest term that this node knows. */
+        /** Returns the highest term that this node knows. */
         long term();
 
-        /** A term was read, and who leads in it; empty: nobody. */
+        /** Called when a term has been read, with the name of its leader; empty if there is none. */
         void observeTerm(long term, String leader);
 
-        /** The operators' settings as they are stored. */
+        /** Called when the stored operators' settings have been read. */
         void operatorSettings(OperatorSettings settings);
 
-        /** The leader key was written. */
+        /** Called when this node has written the leader key. */
         void won(Win win);
     }
 
     /**
-     * A campaign that was won.
+     * A campaign that this node has won.
      *
-     * @param revision of the leader key
-     * @param requestedAt when the lease was asked for
+     * @param revision the revision of the leader key
+     * @param requestedAt when the lease was requested, in {@link Environment#now} time
      */
     record Win(TermRecord term, long revision, String leaseId, long requestedAt) {}
 
@@ -73,44 +74,44 @@
         this.listener = listener;
     }
 
-    /** Begins to follow the leader key. */
+    /** Starts to follow the leader key. */
     void start() {
         checkLeaderKey(++generation);
     }
 
-    /** Stops following, as this node leads. */
+    /** Stops following the leader key because this node leads. */
     void stop() {
         generation++;
     }
 
-    /** Gives up a lease that was won too late, and begins to follow the leader key again. */
+    /** Revokes the lease of a win that came too late and follows the leader key again. */
     void abandon(String leaseId) {
         store.revokeLease(leaseId, () -> {});
         checkLater(CAMPAIGN_LOST_RETRY_MS, ++generation);
     }
 
-    private void checkLater(long delayMs, int step) {
+    private void checkLater(long delayMs, int stepGeneration) {
         environment.schedule(delayMs / 2 + environment.random().nextLong(delayMs), () -> {
-            if (generation == step) {
-                checkLeaderKey(step);
+            if (generation == stepGeneration) {
+                checkLeaderKey(stepGeneration);
             }
         });
     }
 
-    private void checkLeaderKey(int step) {
+    private void checkLeaderKey(int stepGeneration) {
         store.scan(LeaderElection.PREFIX, true, result -> {
-            if (generation != step) {
+            if (generation != stepGeneration) {
                 return;
             }
             if (result.failed()) {
-                checkLater(REQUEST_FAILED_RETRY_MS, step);
+                checkLater(REQUEST_FAILED_RETRY_MS, stepGeneration);
             } else {
-                handleScanResult(step, result);
+                handleScanResult(stepGeneration, result);
             }
         });
     }
 
-    private void handleScanResult(int step, ScanResult result) {
+    private void handleScanResult(int stepGeneration, ScanResult result) {
         TermRecord storedTerm = TermRecord.NONE;
         LeaderRecord holder = null;
         for (KeyValue row : result.rows()) {
@@ -124,59 +125,63 @@
         }
         if (holder == null) {
             listener.observeTerm(storedTerm.term(), "");
-            campaignUnlessDelayed(step, storedTerm);
+            campaignUnlessDelayed(stepGeneration, storedTerm);
         } else if (holder.node().equals(node)) {
-            // left by an earlier process of this node, or by a campaign with an unknown outcome: nobody uses it
-            store.revokeLease(holder.leaseId(), () -> checkLater(LEASE_REVOKED_RETRY_MS, step));
+            // An earlier process of this node, or a campaign with an unknown outcome, left the key behind; nobody leads
+            // with it.
+            store.revokeLease(holder.leaseId(), () -> checkLater(LEASE_REVOKED_RETRY_MS, stepGeneration));
         } else {
             listener.observeTerm(holder.term(), holder.node());
-            watch(step, result.revision());
+            watch(stepGeneration, result.revision());
         }
     }
 
-    private void watch(int step, long revision) {
+    private void watch(int stepGeneration, long revision) {
         store.watch(LeaderElection.PREFIX, revision, WATCH_TIMEOUT_MS, result -> {
-            if (generation == step) {
-                handleWatchResult(step, revision, result);
+            if (generation == stepGeneration) {
+                handleWatchResult(stepGeneration, revision, result);
             }
         });
     }
 
-    private void handleWatchResult(int step, long revision, WatchResult result) {
+    private void handleWatchResult(int stepGeneration, long revision, WatchResult result) {
         if (result == null) {
-            checkLater(REQUEST_FAILED_RETRY_MS, step);
+            checkLater(REQUEST_FAILED_RETRY_MS, stepGeneration);
         } else if (result.changed()) {
-            checkLeaderKey(step);
+            checkLeaderKey(stepGeneration);
         } else {
-            watch(step, Math.max(revision, result.revision()));
+            watch(stepGeneration, Math.max(revision, result.revision()));
         }
     }
 
-    /** Leaves a free key to others for a while if their links are better, or this node has just released it. */
-    private void campaignUnlessDelayed(int step, TermRecord storedTerm) {
+    /**
+     * Campaigns, or lets other controllers campaign first for a while if their links are better or this node has just
+     * released the leadership.
+     */
+    private void campaignUnlessDelayed(int stepGeneration, TermRecord storedTerm) {
         long delayMs = links.electionDelayMs();
         if (delayMs > 0) {
-            checkLater(Math.min(delayMs, DELAYED_CAMPAIGN_CHECK_MS), step);
+            checkLater(Math.min(delayMs, DELAYED_CAMPAIGN_CHECK_MS), stepGeneration);
         } else {
-            campaign(step, storedTerm);
+            campaign(stepGeneration, storedTerm);
         }
     }
 
-    private void campaign(int step, TermRecord storedTerm) {
+    private void campaign(int stepGeneration, TermRecord storedTerm) {
         long requestedAt = environment.now();
         store.grantLease(leaseDurationMs, lease -> {
-            if (generation != step) {
+            if (generation != stepGeneration) {
                 return;
             }
             if (lease == null) {
-                checkLater(REQUEST_FAILED_RETRY_MS, step);
+                checkLater(REQUEST_FAILED_RETRY_MS, stepGeneration);
             } else {
-                writeLeaderKey(step, storedTerm, lease, requestedAt);
+                writeLeaderKey(stepGeneration, storedTerm, lease, requestedAt);
             }
         });
     }
 
-    private void writeLeaderKey(int step, TermRecord storedTerm, LeaseGrant lease, long requestedAt) {
+    private void writeLeaderKey(int stepGeneration, TermRecord storedTerm, LeaseGrant lease, long requestedAt) {
         long term = Math.max(listener.term(), storedTerm.term()) + 1;
         TermRecord next = storedTerm.next(term, countsAdmissions);
         LeaderRecord leader = new LeaderRecord(node, term, lease.id());
@@ -186,15 +191,15 @@
                 .put(LeaderElection.LEADER_KEY, leader.write(), lease)
                 .put(LeaderElection.TERM_KEY, next.write());
         store.commit(request, true, result -> {
-            if (generation != step) {
+            if (generation != stepGeneration) {
                 return;
             }
             if (result.outcome() == CommitResult.Outcome.APPLIED) {
                 listener.won(new Win(next, result.revision(), lease.id(), requestedAt));
             } else {
-                // if the outcome is unknown, the next check finds the key and ends its lease
+                // If the outcome is unknown and the key was written, the next check finds it and revokes its lease.
                 store.revokeLease(lease.id(), () -> {});
-                checkLater(CAMPAIGN_LOST_RETRY_MS, step);
+                checkLater(CAMPAIGN_LOST_RETRY_MS, stepGeneration);
             }
         });
     }
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -10,21 +10,22 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /**
- * Who leads, as far as this node knows. A leased key in the key-value store names the leader, and a counter beside it
- * gives each leader a term that never decreases. {@link LeaderCampaign} follows and wins the key, {@link LeaderLease}
- * keeps it, {@link PeerAnnouncements} announces it to the other controllers.
+ * Elects the leader and tracks who leads, as far as this node knows. A leased key in the key-value store names the
+ * leader, and a second key holds the highest term, which never decreases. {@link LeaderCampaign} watches and acquires
+ * the leader key, {@link LeaderLease} renews its lease, and {@link PeerAnnouncements} announces the term to the other
+ * controllers.
  */
 public final class LeaderElection {
-    /** The prefix of the keys below, which followers watch. */
+    /** Prefix of the keys below; followers watch it. */
     static final String PREFIX = "a/";
 
-    /** Names the leader; deleted with the leader's lease. */
+    /** Key that names the leader; the store deletes it when the leader's lease ends. */
     public static final String LEADER_KEY = "a/lead";
 
-    /** Holds the highest term, see {@link TermRecord}. */
+    /** Key of the highest term, stored as a {@link TermRecord}. */
     public static final String TERM_KEY = "a/term";
 
-    /** Holds the operators' settings. */
+    /** Key of the operators' settings. */
     public static final String OPERATOR_SETTINGS_KEY = "a/options";
 
     private static final Logger LOG = LoggerFactory.getLogger("leadership");
@@ -42,24 +43,28 @@
     private long term;
     private long admissionsCountedSince;
 
-    /** The other controller that leads in the term; empty: not known. */
+    /** Name of the other controller that leads in the current term; empty if not known. */
     private String otherLeader = "";
 
     private long leaderLastHeardAt;
 
-    /** What the coordinator is notified of. */
+    /** Receives changes of leadership; implemented by the coordinator. */
     public interface Listener {
-        /** This node leads from now on. */
+        /** Called when this node becomes the leader; {@code leaderRevision} is the revision of the leader key. */
         void elected(long term, long leaderRevision);
 
-        /** This node no longer leads. */
+        /** Called when this node stops leading. */
         void deposed();
 
-        /** The operators' settings were read; called on followers only. */
+        /** Called, on followers only, when the operators' settings have been read. */
         void operatorSettings(OperatorSettings operatorSettings);
     }
 
-    /** {@code countsAdmissions}: whether this controller counts what it accepts while it leads. */
+    /**
+     * Creates the election without starting it.
+     *
+     * @param countsAdmissions whether this controller counts the jobs that it accepts while it leads
+     */
     public LeaderElection(
             Environment environment,
             KeyValueStoreClient store,
@@ -108,35 +113,35 @@
         };
     }
 
-    /** The duration of the leader key's lease in milliseconds. */
+    /** Returns the duration of the leader key's lease in milliseconds. */
     public static long leaseDurationMs(Settings settings) {
         return LeaderLease.durationMs(settings);
     }
 
-    /** Begins to follow the leader key and to announce. */
+    /** Starts to follow the leader key and, while this node leads, to announce its term periodically. */
     public void start() {
         campaign.start();
         announcements.announcePeriodically();
     }
 
-    // ---- who leads
+    // ---- current leader and term
 
-    /** The highest term that this node knows. */
+    /** Returns the highest term that this node knows. */
     public long term() {
         return term;
     }
 
-    /** Whether this node leads, as far as it knows. */
+    /** Returns whether this node leads, as far as it knows; see {@link #leaseHeld} for certainty. */
     public boolean leading() {
         return leading;
     }
 
-    /** The leader's name; empty when nobody is known to lead. */
+    /** Returns the leader's name, or an empty string if no leader is known. */
     public String leader() {
         return leading ? settings.controllerName() : otherLeader;
     }
 
-    /** The leader as a peer; null when it is this node or unknown. */
+    /** Returns the leader as a peer, or null if this node leads or the leader is unknown. */
     public Settings.Peer leaderPeer() {
         if (leading) {
             return null;
@@ -147,34 +152,40 @@
                 .orElse(null);
     }
 
-    /** When another leader was last seen in the store or in an announcement, in {@link Environment#now} time. */
+    /** Returns when another leader was last seen in the store or in a message, in {@link Environment#now} time. */
     public long leaderLastHeardAt() {
         return leaderLastHeardAt;
     }
 
-    /** The first term of the unbroken run of leaders that count admissions, up to this node's term; 0: it does not. */
+    /**
+     * Returns the first term of the unbroken run of leaders that count admissions, up to the last term in which this
+     * node was elected; 0 if this node does not count them or was never elected.
+     */
     public long admissionsCountedSince() {
         return admissionsCountedSince;
     }
 
-    // ---- what a leader may do
+    // ---- rights of the leader
 
-    /** True while this node leads and its lease cannot have ended, counted from when its renewal was sent. */
+    /**
+     * Returns true while this node leads and its lease cannot have ended, where the lease counts from when its last
+     * successful request or renewal was sent.
+     */
     public boolean leaseHeld() {
         return lease.held();
     }
 
     /**
-     * Whether this leader may renew workers' leases. While it holds its lease, nobody else confirms cancellations.
-     * Later another leader may, and a task must not outlive that on a lease which this one renews. So it goes on only
-     * while enough other controllers say that there is no other leader, and for as long as what it renews will still
-     * expire in time.
+     * Returns whether this leader may renew workers' leases. While it holds its own lease, no other controller confirms
+     * cancellations. Afterwards another leader may, and a task that it cancels must not keep running on a lease renewed
+     * by this node. So this node continues only while enough other controllers report that there is no other leader, and
+     * for as long as the leases that it renews still expire in time.
      */
     public boolean mayRenewWorkerLeases() {
         return leaseHeld() || lease.permitsWorkerRenewal(cancellations.noOtherConfirmationUntil());
     }
 
-    /** Gives the leadership up, for example after a transaction has failed its comparison. */
+    /** Gives up leadership, for example after a transaction has failed its comparison; no effect on a follower. */
     public void resign() {
         if (leading) {
             LOG.info("leader resigned: term={}", term);
@@ -186,38 +197,51 @@
 
     // ---- announcements
 
-    /** What this process knows of cancelled jobs. */
+    /** Returns what this process knows about cancelled jobs. */
     public CancellationQuorum cancellations() {
         return cancellations;
     }
 
-    /** The exchange with the other controllers. */
+    /** Returns the exchange of terms with the other controllers. */
     PeerAnnouncements announcements() {
         return announcements;
     }
 
-    /** Announces to the other controllers that a job's cancellation is durable; the action runs when enough know. */
+    /**
+     * Announces to the other controllers that a job's cancellation is durable; the action runs once enough of them know,
+     * possibly within this call.
+     */
     public void confirmCancellation(String jobId, Runnable onConfirmed) {
         cancellations.confirm(jobId, onConfirmed);
         announcements.announceCancellations();
     }
 
-    /** When the last controller acknowledged this term, after which none speaks for an older one; -1: not yet. */
+    /**
+     * Returns when the last peer acknowledged this term, or -1 if not all of them have. From then on no controller acts
+     * for an older term.
+     */
     public long acknowledgedByAllPeersAt() {
         return announcements.acknowledgedByAllPeersAt();
     }
 
-    /** When this process last let another one answer heartbeats without a leader; it has not done so since. */
+    /**
+     * Returns when this process last consented that heartbeats be answered without a leader; the start of the process
+     * if it has not.
+     */
     public long consentedToLeaderlessRenewalAt() {
         return announcements.consentedToLeaderlessRenewalAt();
     }
 
-    /** Takes another controller's announcement and answers with what this one knows. */
+    /** Processes another controller's announcement and returns the reply. */
     public TermAnnouncement receive(TermAnnouncement announcement) {
         return announcements.receive(announcement);
     }
 
-    /** Takes in a term seen anywhere, as in a worker's heartbeat, and who leads in it; empty: not known. */
+    /**
+     * Processes a term seen in any message, such as a worker's heartbeat; steps down if it is higher than this leader's.
+     *
+     * @param leader the name of the controller that leads in the term; empty if not known
+     */
     public void observeTerm(long observedTerm, String leader) {
         if (observedTerm < term) {
             return;
@@ -236,10 +260,10 @@
         }
     }
 
-    // ---- changes of leader
+    // ---- leadership changes
 
     private void won(LeaderCampaign.Win win) {
-        if (win.term().term() < term) { // a higher term was observed meanwhile: this one would be ignored
+        if (win.term().term() < term) { // a higher term was observed meanwhile, so this one would be ignored
             campaign.abandon(win.leaseId());
         } else {
             becomeLeader(win);
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -8,30 +8,33 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /**
- * The lease of the leader key, while this node leads: renews it, and says for how long it certainly has not ended.
- * That time counts from when a renewal was sent, since nobody knows when the store carried it out.
+ * Renews the lease of the leader key while this node leads and determines until when the lease certainly has not ended.
+ * That time counts from when a renewal was sent, since the time at which the store applied it is not known.
  */
 final class LeaderLease {
     private static final Logger LOG = LoggerFactory.getLogger("leadership");
 
-    /** Clocks drift apart by 0.05% at most; this is twice that. */
+    /** Assumed clock drift between two machines: twice the actual maximum of 0.05%. */
     private static final double MAX_CLOCK_DRIFT_RATIO = 0.001;
 
-    /** A timer that fires late must not make an ended lease look held. */
+    /** Subtracted from the lease, so that a timer that fires late does not make an ended lease look held. */
     private static final long TIMER_SLACK_MS = 50;
 
     private static final long MIN_DURATION_MS = 1000;
     private static final long MAX_UNSCALED_DURATION_MS = 1500;
 
-    /** The lease in heartbeat intervals: users wait that long after a crash. */
+    /** Lease duration in heartbeat intervals; users wait that long after a leader crashes. */
     private static final double DURATION_IN_HEARTBEAT_INTERVALS = 0.6;
 
-    /** At most this share of a worker's lease: a crash must leave time for a failover before tasks are lost. */
+    /**
+     * Upper limit, as a share of a worker's lease, of a duration scaled up for a slow controller: after a crash there
+     * must be time for a failover before workers' leases end and tasks are lost.
+     */
     private static final double MAX_DURATION_IN_WORKER_LEASES = 1 / 3.0;
 
     private static final int RENEWALS_PER_LEASE = 5;
 
-    /** For a worker that notices its lease's end late, and has many tasks to end. */
+    /** Margin for a worker that notices late that its lease has ended and then has many tasks to stop. */
     private static final long WORKER_LEASE_SLACK_MS = 1000;
 
     private final Environment environment;
@@ -45,10 +48,14 @@
     private long term;
     private long heldUntil;
 
-    /** Counts begun leases, so that renewals of an earlier one stop. */
+    /** Incremented with each lease, so that renewals of an earlier lease stop. */
     private int generation;
 
-    /** {@code onExpired} runs when the store says that the lease has ended. */
+    /**
+     * Creates the holder of the lease, without a lease.
+     *
+     * @param onExpired runs when the store reports that the lease has ended
+     */
     LeaderLease(Environment environment, KeyValueStoreClient store, Settings settings, Runnable onExpired) {
         this.environment = environment;
         this.store = store;
@@ -57,17 +64,21 @@
         this.workerRenewalGraceMs = workerRenewalGraceMs(settings);
     }
 
-    /** The lease's duration in milliseconds; longer on a small share of a core, where a busy leader renews late. */
+    /**
+     * Returns the lease duration in milliseconds. It is longer on a controller with a small share of a core, where a busy
+     * leader renews late.
+     */
     static long durationMs(Settings settings) {
         double heartbeats = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEAT_INTERVALS * 1000;
-        double ample = Math.max(MIN_DURATION_MS, Math.min(MAX_UNSCALED_DURATION_MS, heartbeats));
-        double longest = Math.max(ample, settings.workers().leaseS() * 1000 * MAX_DURATION_IN_WORKER_LEASES);
-        return Math.round(Math.min(longest, ample * settings.slowness()));
+        double unscaled = Math.max(MIN_DURATION_MS, Math.min(MAX_UNSCALED_DURATION_MS, heartbeats));
+        double max = Math.max(unscaled, settings.workers().leaseS() * 1000 * MAX_DURATION_IN_WORKER_LEASES);
+        return Math.round(Math.min(max, unscaled * settings.slowness()));
     }
 
     /**
-     * For how long after a moment workers' leases may be renewed, whatever was cancelled later: a lease renewed then
-     * ends, with all clocks against us, within {@code cancel_s} after that moment.
+     * Returns for how many milliseconds after a given time workers' leases may be renewed regardless of cancellations
+     * after that time: even with the worst clock drift, a lease renewed within this period ends within {@code cancel_s}
+     * of the given time.
      */
     private static long workerRenewalGraceMs(Settings settings) {
         double cancelMs = 1000 * settings.workers().cancelS();
@@ -75,18 +86,22 @@
         return Math.round(cancelMs - leaseMs - MAX_CLOCK_DRIFT_RATIO * (cancelMs + leaseMs)) - WORKER_LEASE_SLACK_MS;
     }
 
-    /** The leader key was won with this lease, which was asked for at {@code requestedAt}. */
+    /**
+     * Starts to renew the lease with which the leader key was acquired.
+     *
+     * @param requestedAt when the lease was requested, in {@link Environment#now} time
+     */
     void begin(String leaseId, long wonTerm, long requestedAt) {
         active = true;
         id = leaseId;
         term = wonTerm;
         heldUntil = 0;
         extend(requestedAt);
-        int begun = ++generation;
-        environment.schedule(durationMs / RENEWALS_PER_LEASE, () -> renew(begun));
+        int leaseGeneration = ++generation;
+        environment.schedule(durationMs / RENEWALS_PER_LEASE, () -> renew(leaseGeneration));
     }
 
-    /** This node no longer leads. */
+    /** Stops renewals, because this node no longer leads. */
     void end() {
         active = false;
         heldUntil = 0;
@@ -100,14 +115,14 @@
         return id;
     }
 
-    /** True while the lease cannot have ended. */
+    /** Returns true while the lease cannot have ended. */
     boolean held() {
         return active && environment.now() < heldUntil;
     }
 
     /**
-     * Whether workers' leases may be renewed: while the lease is held, and for a grace period after it, or after
-     * {@code noOtherLeaderUntil} if that is later.
+     * Returns whether workers' leases may be renewed. They may while this lease is held and for a grace period after it,
+     * or after {@code noOtherLeaderUntil} if that is later.
      */
     boolean permitsWorkerRenewal(long noOtherLeaderUntil) {
         return active && environment.now() < Math.max(heldUntil, noOtherLeaderUntil) + workerRenewalGraceMs;
@@ -117,23 +132,23 @@
         heldUntil = Math.max(heldUntil, sentAt + Math.round(durationMs * (1 - MAX_CLOCK_DRIFT_RATIO)) - TIMER_SLACK_MS);
     }
 
-    /** Renews again whether or not the last renewal was answered: a store that is slow now and then is not down. */
-    private void renew(int begun) {
-        if (!isCurrent(begun)) {
+    /** Renews even if the previous renewal has not been answered: a store that is slow at times is not down. */
+    private void renew(int leaseGeneration) {
+        if (!isCurrent(leaseGeneration)) {
             return;
         }
         long sentAt = environment.now();
         boolean heldBefore = held();
         store.renewLease(id, durationMs, renewal -> {
-            if (isCurrent(begun)) {
+            if (isCurrent(leaseGeneration)) {
                 handleRenewalResult(renewal, sentAt, heldBefore);
             }
         });
-        environment.schedule(durationMs / RENEWALS_PER_LEASE, () -> renew(begun));
+        environment.schedule(durationMs / RENEWALS_PER_LEASE, () -> renew(leaseGeneration));
     }
 
-    private boolean isCurrent(int begun) {
-        return active && generation == begun;
+    private boolean isCurrent(int leaseGeneration) {
+        return active && generation == leaseGeneration;
     }
 
     private void handleRenewalResult(LeaseRenewal renewal, long sentAt, boolean heldBefore) {
--- a/src/main/java/stileferry/leadership/LeaderRecord.java
+++ b/src/main/java/stileferry/leadership/LeaderRecord.java
@@ -5,10 +5,10 @@
 import stileferry.protocol.MessageCodec;
 
 /**
- * The leader key as it is stored.
+ * The stored value of the leader key.
  *
- * @param node the leader's name
- * @param leaseId the lease that the key is deleted with
+ * @param node the name of the leading controller
+ * @param leaseId the lease that the key is attached to; the store deletes the key when that lease ends
  */
 record LeaderRecord(String node, long term, String leaseId) {
     private static final String NODE = "node";
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -15,13 +15,15 @@
 import stileferry.protocol.WorkerMessages;
 
 /**
- * Renews workers' leases while nobody can lead, as when the key-value store is down and the leader has crashed.
+ * Renews workers' leases while no controller can lead, for example when the key-value store is down and the leader has
+ * crashed.
  *
- * <p>A heartbeat may be answered with the worker's own fencing token, and without commands but kills of cancelled jobs'
- * tasks, once every other controller has said, after the heartbeat arrived, that it does not lead, and enough of them
- * are informed to know every cancellation together ({@link CancellationQuorum}). A leader of that token is then gone
- * for good, since nobody resumes a term and later terms are higher; so nobody counts on that lease's expiry. A later
- * leader counts a lease expiry only from when the worker accepted its term, or every controller acknowledged it.
+ * <p>A heartbeat may be answered with the worker's own fencing token, and with no commands other than kills for tasks of
+ * cancelled jobs, once every other controller has reported, after the heartbeat arrived, that it does not lead, and
+ * enough controllers are informed to know every cancellation together ({@link CancellationQuorum}). The leader that
+ * issued the token is then gone for good, because no controller resumes a term and later terms are higher; so no leader
+ * relies on the expiry of the renewed lease. A later leader computes the expiry of a worker's lease only from when the
+ * worker accepted its term or every controller acknowledged it.
  */
 public final class LeaderlessLeaseRenewal {
     private static final Logger LOG = LoggerFactory.getLogger("renewal");
@@ -36,7 +38,7 @@
 
     private record WaitingHeartbeat(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {}
 
-    /** One question to all peers whether anybody leads, on behalf of a batch of heartbeats. */
+    /** Asks all peers once whether they lead, on behalf of a batch of heartbeats. */
     private final class Poll {
         private final List<WaitingHeartbeat> batch;
         private int pendingReplies = peers.size();
@@ -57,11 +59,11 @@
             }
         }
 
-        private void receive(PeerMessage record) {
-            if (record instanceof TermAnnouncement reply) {
+        private void receive(PeerMessage message) {
+            if (message instanceof TermAnnouncement reply) {
                 recordReply(reply);
             } else {
-                noPeerLeads = false; // a peer that does not answer may lead
+                noPeerLeads = false; // a peer that does not reply may be the leader
             }
             if (--pendingReplies == 0) {
                 answer(batch, mayRenew());
@@ -77,7 +79,7 @@
             }
         }
 
-        /** Whether nobody leads, and the processes together know every cancellation. */
+        /** Returns whether no controller leads and the informed processes together know every cancellation. */
         private boolean mayRenew() {
             int informed = informedPeers + (election.cancellations().informed() ? 1 : 0);
             return noPeerLeads
@@ -86,14 +88,14 @@
         }
     }
 
-    /** A renewal that asks the peers named in the settings. */
+    /** Creates a renewal that polls the given peers. */
     public LeaderlessLeaseRenewal(Environment environment, LeaderElection election, List<Settings.Peer> peers) {
         this.environment = environment;
         this.election = election;
         this.peers = peers;
     }
 
-    /** Takes a heartbeat that no leader can be found for; it is answered with 200 or 503. */
+    /** Accepts a heartbeat for which no leader can be found; the reply is HTTP status 200 or 503, later. */
     public void requestRenewal(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {
         waiting.add(new WaitingHeartbeat(heartbeat, reply));
         poll();
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -8,8 +8,8 @@
 import stileferry.protocol.Settings;
 
 /**
- * Exchanges terms and cancellations with the other controllers. A leader announces its term once a second, which
- * also shows that it is there, and new cancellations at once; it collects who acknowledged its term.
+ * Exchanges terms and cancellations with the other controllers. A leader announces its term once a second, which also
+ * shows that it is alive, and announces new cancellations at once. It records which peers have acknowledged its term.
  */
 final class PeerAnnouncements {
     private static final long ANNOUNCEMENT_INTERVAL_MS = 1000;
@@ -22,10 +22,10 @@
     private final LeaderElection election;
     private final CancellationQuorum cancellations;
 
-    /** By the peer's index: when it first acknowledged this term. */
+    /** By peer index: when the peer first acknowledged this term, or {@link #NOT_ACKNOWLEDGED}. */
     private final long[] acknowledgedAt;
 
-    /** By the peer's index: an announcement has not been answered yet. */
+    /** By peer index: whether the reply to an announcement is outstanding. */
     private final boolean[] awaitingReply;
 
     private long termBeganAt;
@@ -44,11 +44,11 @@
         this.cancellations = cancellations;
         this.acknowledgedAt = new long[settings.peers().size()];
         this.awaitingReply = new boolean[settings.peers().size()];
-        // what an earlier process of this node consented to is not known
+        // An earlier process of this node may have consented at any time until now.
         this.consentedToLeaderlessRenewalAt = environment.now();
     }
 
-    /** Announces regularly while this node leads. */
+    /** Announces the term to all peers now, if this node leads, and again after each interval. */
     void announcePeriodically() {
         if (election.leading()) {
             announceToAll();
@@ -56,7 +56,7 @@
         environment.schedule(ANNOUNCEMENT_INTERVAL_MS, this::announcePeriodically);
     }
 
-    /** This node leads from now on; nobody has acknowledged its term. */
+    /** Called when this node becomes the leader; no peer has acknowledged its term yet. */
     void beginTerm() {
         termBeganAt = environment.now();
         Arrays.fill(acknowledgedAt, NOT_ACKNOWLEDGED);
@@ -68,7 +68,10 @@
         }
     }
 
-    /** Announces to those who have not acknowledged a cancellation; what comes up meanwhile goes out together. */
+    /**
+     * Announces cancellations to the peers that have not acknowledged all of them. Nothing is sent to a peer whose reply
+     * is outstanding: cancellations that come up meanwhile are sent together afterwards.
+     */
     void announceCancellations() {
         for (int peer = 0; peer < acknowledgedAt.length && election.leading(); peer++) {
             if (!awaitingReply[peer] && cancellations.hasUnacknowledged(peer)) {
@@ -77,7 +80,10 @@
         }
     }
 
-    /** When the last controller acknowledged this term, after which none speaks for an older one; -1: not yet. */
+    /**
+     * Returns when the last peer acknowledged this term, or -1 if not all of them have. From then on no controller acts
+     * for an older term.
+     */
     long acknowledgedByAllPeersAt() {
         long last = termBeganAt;
         for (long at : acknowledgedAt) {
@@ -89,7 +95,7 @@
         return last;
     }
 
-    /** What this controller announces to another one. */
+    /** Returns what this controller announces to a peer. */
     TermAnnouncement announcementTo(int peer) {
         return announcement(cancellations.knowledgeFor(peer, election.leaseHeld()));
     }
@@ -104,9 +110,9 @@
         long sentAt = environment.now();
         TermAnnouncement sent = announcementTo(peer);
         awaitingReply[peer] = true;
-        environment.sendToPeer(settings.peers().get(peer), sent, REPLY_TIMEOUT_MS, record -> {
+        environment.sendToPeer(settings.peers().get(peer), sent, REPLY_TIMEOUT_MS, message -> {
             awaitingReply[peer] = false;
-            if (record instanceof TermAnnouncement reply) {
+            if (message instanceof TermAnnouncement reply) {
                 links.announcementReceived(settings.peers().get(peer).name(), reply);
                 if (election.leading() && election.term() == announcedTerm) {
                     recordAcknowledgement(peer, reply, sentAt, sent);
@@ -124,22 +130,25 @@
         cancellations.receiveReply(peer, reply, sentAt, sent);
     }
 
-    /** Takes another controller's announcement and answers with what this one knows. */
+    /** Processes another controller's announcement and returns the reply. */
     TermAnnouncement receive(TermAnnouncement received) {
         observe(received);
         cancellations.receive(received, received.term() >= election.term());
         if (!received.leading() && !election.leading()) {
-            consentToLeaderlessRenewal(); // a controller that does not lead announces only to ask for that
+            consentToLeaderlessRenewal(); // a follower sends an announcement only to ask for this consent
         }
         return announcement(cancellations.knowledgeInReplyTo(received));
     }
 
-    /** Takes in an announcement's term. Only a leader speaks for itself: whom others believe in may be long gone. */
+    /**
+     * Processes the term of an announcement. The leader's name counts only if the leader itself sent the announcement,
+     * because a leader that others name may have gone long ago.
+     */
     void observe(TermAnnouncement received) {
         election.observeTerm(received.term(), received.leading() ? received.leader() : "");
     }
 
-    /** Takes in that another controller may answer heartbeats without a leader that were sent until now. */
+    /** Records the consent that heartbeats sent up to now may be answered without a leader. */
     void consentToLeaderlessRenewal() {
         consentedToLeaderlessRenewalAt = environment.now();
     }
--- a/src/main/java/stileferry/leadership/PeerCancellationState.java
+++ b/src/main/java/stileferry/leadership/PeerCancellationState.java
@@ -2,22 +2,28 @@
 
 import stileferry.protocol.PeerMessage.CancellationKnowledge;
 
-/** What is known of another controller, in this node's term where it leads. */
+/** What a leader knows of one peer with regard to cancellations; replies received in the leader's term update it. */
 final class PeerCancellationState {
-    /** How a peer answered in this node's term. */
+    /** Which kind of reply the peer sent last in this node's term. */
     enum Version {
-        /** It has not answered yet. */
+        /** The peer has not replied yet. */
         UNKNOWN,
-        /** An older version, whose messages hold no cancellations; it is never informed. */
+        /** The peer runs an older version, whose messages carry no cancellations; it never becomes informed. */
         WITHOUT_CANCELLATIONS,
+        /** The peer's messages carry cancellations. */
         WITH_CANCELLATIONS
     }
 
+    /** Identifies the peer's process, as in its last reply; 0: unknown. */
     long processId;
+
     Version version = Version.UNKNOWN;
     boolean informed;
 
-    /** When it was last asked, of all times at which it answered, informed, that it knows of no higher term. */
+    /**
+     * The latest time at which an announcement was sent that the peer, being informed, answered with this node's term:
+     * it knew no higher term then.
+     */
     long knewNoHigherTermAt = CancellationQuorum.NEVER;
 
     void beginTerm() {
@@ -27,9 +33,9 @@
     }
 
     void receiveReply(CancellationKnowledge knowledge) {
-        boolean known = knowledge != null;
-        version = known ? Version.WITH_CANCELLATIONS : Version.WITHOUT_CANCELLATIONS;
-        processId = known ? knowledge.process() : 0;
-        informed = known && knowledge.informed();
+        boolean carriesCancellations = knowledge != null;
+        version = carriesCancellations ? Version.WITH_CANCELLATIONS : Version.WITHOUT_CANCELLATIONS;
+        processId = carriesCancellations ? knowledge.process() : 0;
+        informed = carriesCancellations && knowledge.informed();
     }
 }
--- a/src/main/java/stileferry/leadership/TermRecord.java
+++ b/src/main/java/stileferry/leadership/TermRecord.java
@@ -5,22 +5,22 @@
 import stileferry.protocol.MessageCodec;
 
 /**
- * The highest term as it is stored. Older versions, and controllers that do not count admissions, write it without
- * the second field, so a run of counting leaders ends with them.
+ * The stored record of the highest term. Leaders of older versions, and leaders that do not count admissions, write it
+ * without {@code counting_since}, which ends an unbroken run of leaders that count admissions.
  *
- * @param term the term; 0: there was none yet
- * @param admissionsCountedSince the first of the terms up to this one whose leaders have all counted admissions; 0:
- *     this one does not
- * @param revision of the key; 0: it does not exist
+ * @param term the term; 0 if there has been none
+ * @param admissionsCountedSince the first term of the unbroken run, up to this term, of leaders that count admissions; 0
+ *     if the leader of this term does not count them
+ * @param revision the revision of the key; 0 if the key does not exist
  */
 public record TermRecord(long term, long admissionsCountedSince, long revision) {
-    /** Nothing is stored. */
+    /** Stands for a missing key. */
     static final TermRecord NONE = new TermRecord(0, 0, 0);
 
     private static final String TERM = "term";
     private static final String COUNTING_SINCE = "counting_since";
 
-    /** Reads the record as it is stored. */
+    /** Parses the record; missing fields become 0. */
     public static TermRecord read(KeyValue row) {
         return new TermRecord(
                 row.value().path(TERM).asLong(),
@@ -28,7 +28,7 @@
                 row.revision());
     }
 
-    /** The record of the next term, whose leader counts or not. */
+    /** Returns the record to store for the next term; {@code counts}: its leader counts admissions. */
     TermRecord next(long nextTerm, boolean counts) {
         long since = admissionsCountedSince > 0 ? admissionsCountedSince : nextTerm;
         return new TermRecord(nextTerm, counts ? since : 0, 0);
--- a/src/main/java/stileferry/leadership/TermSequence.java
+++ b/src/main/java/stileferry/leadership/TermSequence.java
@@ -1,18 +1,18 @@
 package stileferry.leadership;
 
-/** Numbers attempts and acceptances within one term, so that those of a later term are always higher. */
+/** Issues numbers for attempts and accepted jobs in one term; the numbers of a later term are always higher. */
 public final class TermSequence {
     private static final long NUMBERS_PER_TERM = 1L << 32;
 
     private final long first;
     private long issued;
 
-    /** The numbers of one term, none of which has been issued. */
+    /** Creates the sequence of a term, in which no number has been issued yet. */
     public TermSequence(long term) {
         this.first = term * NUMBERS_PER_TERM;
     }
 
-    /** The next number, higher than all before. */
+    /** Returns a number higher than all issued so far. */
     public long next() {
         return first + ++issued;
     }
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import stileferry.cluster.Job;
 import stileferry.cluster.TaskAssignment;
-import stileferry.storage.TombstoneEvent;
 import stileferry.storage.StoredEvent;
+import stileferry.storage.TombstoneEvent;
 
 /** The stored events of tasks. Each is an array that begins with the event's kind and the job's id. */
 final class TaskEvents {
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -41,7 +41,11 @@
 
     /** What one transaction writes of the log, and whether the record that it overwrites held ends of assignments. */
     public record Batch(
-            StoredEntry put, List<StoredEntry> deletions, int bytes, List<Runnable> onDurable, boolean discardsTombstones) {}
+            StoredEntry put,
+            List<StoredEntry> deletions,
+            int bytes,
+            List<Runnable> onDurable,
+            boolean discardsTombstones) {}
 
     /**
      * A ring of so many records within the store's value limit.
--- a/src/main/java/stileferry/storage/KeyValueStoreClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -73,7 +73,8 @@
 
     /** Changes worth gathering for one transaction when more wait than may be written. */
     public int batchThreshold() {
-        return (int) Math.max(1, Math.min(limits.writesPerS() * RATE_SHARE, Math.ceil(limits.writesPerS() * BATCH_WINDOW_S)));
+        return (int) Math.max(
+                1, Math.min(limits.writesPerS() * RATE_SHARE, Math.ceil(limits.writesPerS() * BATCH_WINDOW_S)));
     }
 
     /** Changes that may be written now without waiting. */
