--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -178,8 +178,8 @@
     /**
      * Returns whether this leader may renew workers' leases. While it holds its own lease, no other controller confirms
      * cancellations. Afterwards another leader may, and a task that it cancels must not keep running on a lease renewed
-     * by this node. So this node continues only while enough other controllers report that there is no other leader, and
-     * for as long as the leases that it renews still expire in time.
+     * by this node. So this node continues only while enough other controllers report that there is no other leader,
+     * and for as long as the leases that it renews still expire in time.
      */
     public boolean mayRenewWorkerLeases() {
         return leaseHeld() || lease.permitsWorkerRenewal(cancellations.noOtherConfirmationUntil());
@@ -208,8 +208,8 @@
     }
 
     /**
-     * Announces to the other controllers that a job's cancellation is durable; the action runs once enough of them know,
-     * possibly within this call.
+     * Announces to the other controllers that a job's cancellation is durable; the action runs once enough of them
+     * know, possibly within this call.
      */
     public void confirmCancellation(String jobId, Runnable onConfirmed) {
         cancellations.confirm(jobId, onConfirmed);
@@ -238,7 +238,8 @@
     }
 
     /**
-     * Processes a term seen in any message, such as a worker's heartbeat; steps down if it is higher than this leader's.
+     * Processes a term seen in any message, such as a worker's heartbeat; steps down if it is higher than this
+     * leader's.
      *
      * @param leader the name of the controller that leads in the term; empty if not known
      */
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Returns the lease duration in milliseconds. It is longer on a controller with a small share of a core, where a busy
-     * leader renews late.
+     * Returns the lease duration in milliseconds. It is longer on a controller with a small share of a core, where a
+     * busy leader renews late.
      */
     static long durationMs(Settings settings) {
         double heartbeats = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEAT_INTERVALS * 1000;
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Returns whether workers' leases may be renewed. They may while this lease is held and for a grace period after it,
-     * or after {@code noOtherLeaderUntil} if that is later.
+     * Returns whether workers' leases may be renewed. They may while this lease is held and for a grace period after
+     * it, or after {@code noOtherLeaderUntil} if that is later.
      */
     boolean permitsWorkerRenewal(long noOtherLeaderUntil) {
         return active && environment.now() < Math.max(heldUntil, noOtherLeaderUntil) + workerRenewalGraceMs;
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -18,8 +18,8 @@
  * Renews workers' leases while no controller can lead, for example when the key-value store is down and the leader has
  * crashed.
  *
- * <p>A heartbeat may be answered with the worker's own fencing token, and with no commands other than kills for tasks of
- * cancelled jobs, once every other controller has reported, after the heartbeat arrived, that it does not lead, and
+ * <p>A heartbeat may be answered with the worker's own fencing token, and with no commands other than kills for tasks
+ * of cancelled jobs, once every other controller has reported, after the heartbeat arrived, that it does not lead, and
  * enough controllers are informed to know every cancellation together ({@link CancellationQuorum}). The leader that
  * issued the token is then gone for good, because no controller resumes a term and later terms are higher; so no leader
  * relies on the expiry of the renewed lease. A later leader computes the expiry of a worker's lease only from when the
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Announces cancellations to the peers that have not acknowledged all of them. Nothing is sent to a peer whose reply
-     * is outstanding: cancellations that come up meanwhile are sent together afterwards.
+     * Announces cancellations to the peers that have not acknowledged all of them. Nothing is sent to a peer whose
+     * reply is outstanding: cancellations that come up meanwhile are sent together afterwards.
      */
     void announceCancellations() {
         for (int peer = 0; peer < acknowledgedAt.length && election.leading(); peer++) {
--- a/src/main/java/stileferry/leadership/TermRecord.java
+++ b/src/main/java/stileferry/leadership/TermRecord.java
@@ -9,8 +9,8 @@
  * without {@code counting_since}, which ends an unbroken run of leaders that count admissions.
  *
  * @param term the term; 0 if there has been none
- * @param admissionsCountedSince the first term of the unbroken run, up to this term, of leaders that count admissions; 0
- *     if the leader of this term does not count them
+ * @param admissionsCountedSince the first term of the unbroken run, up to this term, of leaders that count admissions;
+ *     0 if the leader of this term does not count them
  * @param revision the revision of the key; 0 if the key does not exist
  */
 public record TermRecord(long term, long admissionsCountedSince, long revision) {
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -7,24 +7,30 @@
 import stileferry.protocol.MessageCodec;
 
 /**
- * The leader's durable records, for one term. Changes wait here, are packed into compare-and-swap transactions and
- * acknowledged once they are durable. Every transaction compares the leader key and the revision of each key it
- * writes, so that one sent by a former leader, or applied late, changes nothing.
+ * Queues the changes to the leader's durable state during one term, packs them into compare-and-swap transactions and
+ * acknowledges each change once it is durable. Every transaction compares the revisions of the leader key and of each
+ * key that it writes, so a transaction that a former leader sent, or that is applied late, changes nothing.
  */
 public final class CommitQueue {
-    /** The prefix of the records that hold events. */
+    /** Prefix of the keys of event records. */
     public static final String EVENT_LOG_PREFIX = EventLog.PREFIX;
 
-    /** Transactions without a known outcome, at most. */
+    /** Maximum number of transactions whose outcome is not known. */
     static final int MAX_IN_FLIGHT = 8;
 
-    /** Changes that any transaction may hold: a record of events, and one key put while another is deleted. */
+    /**
+     * Number of changes that a transaction may hold even if fewer writes are available: an event record, and a pair of
+     * keys of which one is put and the other deleted.
+     */
     private static final int MIN_CHANGE_LIMIT = 3;
 
-    /** Changes worth gathering where something is counted: the count costs one change for all of them. */
+    /**
+     * Number of changes worth collecting for one transaction when admissions are counted: the count costs one change
+     * per transaction, however many admissions it covers.
+     */
     private static final int COUNTED_BATCH_THRESHOLD = 5;
 
-    /** Bytes of a transaction, counted in JSON form, kept well below the store's limit. */
+    /** Intended maximum size of a transaction in JSON form, well below the store's limit. */
     private static final int MAX_TRANSACTION_BYTES = MessageCodec.MAX_BODY * 3 / 4;
 
     private static final int TRANSACTION_ID_RADIX = 36;
@@ -38,7 +44,7 @@
     private final ArrayDeque<StoredEntry> pending = new ArrayDeque<>();
     private TransactionCounter counter = entries -> null;
 
-    /** Changes of each transaction that are reserved for the count: 0 or 1. */
+    /** Number of changes reserved in each transaction for the count: 0 or 1. */
     private int reservedForCount;
 
     private long transactionsBegun;
@@ -46,9 +52,10 @@
     private boolean closed;
 
     /**
-     * A queue for one term, fenced by the leader key at the revision it was written with.
+     * Creates a queue for one term, fenced by the leader key at the revision at which this leader wrote it.
      *
-     * @param onFenced runs when a transaction shows that another leader has written; the queue is closed then
+     * @param onFenced runs, after the queue has been closed, when a transaction shows that another leader has written
+     *     or when the store rejects a transaction as malformed
      */
     public CommitQueue(
             Environment environment,
@@ -68,30 +75,32 @@
         });
     }
 
-    /** Sets who counts; called before anything is written. */
+    /** Sets the counter that adds its count to transactions; must be called before anything is written. */
     public void setTransactionCounter(TransactionCounter newCounter) {
         counter = newCounter;
         reservedForCount = 1;
     }
 
-    /** Takes in a record of events that was read from the store, in the order of their numbers. */
+    /** Restores an event record that was read from the store; must be called in the order of record numbers. */
     public void restore(String key, long revision, long number, List<StoredEvent> events) {
         eventLog.restore(key, revision, number, events);
     }
 
     // ---- changes
 
-    /** Writes an event; the action (null: none) runs once it is durable. */
+    /** Queues an event; {@code onDurable}, which may be null, runs once it is durable. */
     public void appendEvent(StoredEvent event, Runnable onDurable) {
         eventLog.append(event, onDurable);
     }
 
-    /** Writes a key; the action (null: none) runs once it is durable. */
+    /** Queues a write of a key; {@code onDurable}, which may be null, runs once it is durable. */
     public void put(StoredEntry entry, Runnable onDurable) {
         enqueue(entry, onDurable);
     }
 
-    /** Writes a key before all that waits; the action (null: none) runs once it is durable. */
+    /**
+     * Queues a write of a key ahead of all other keys; {@code onDurable}, which may be null, runs once it is durable.
+     */
     public void putFirst(StoredEntry entry, Runnable onDurable) {
         enqueue(entry, onDurable);
         if (pending.removeLastOccurrence(entry)) {
@@ -99,7 +108,10 @@
         }
     }
 
-    /** Puts one key and deletes another in the same transaction; the action (null: none) runs once it is durable. */
+    /**
+     * Queues a put of one key and the deletion of another in the same transaction; {@code onDurable}, which may be
+     * null, runs once both are durable.
+     */
     public void putAndDelete(StoredEntry put, StoredEntry delete, Runnable onDurable) {
         put.pairedEntry = delete;
         delete.pairedEntry = put;
@@ -118,26 +130,29 @@
         }
     }
 
-    /** Changes not yet sent; events count as the records that they would fill. */
+    /** Returns the number of changes not yet sent; events count as the number of records that they would fill. */
     public int backlog() {
         return pending.size() + eventLog.backlog();
     }
 
-    /** Transactions that were sent and have no known outcome. */
+    /** Returns the number of transactions that were sent and whose outcome is not known. */
     public int inFlight() {
         return committer.inFlight();
     }
 
-    /** Stops everything; no action runs any more. */
+    /** Closes the queue: drops pending changes, sends nothing more and runs no more actions. */
     public void close() {
         closed = true;
         committer.close();
         pending.clear();
     }
 
-    // ---- packing
+    // ---- packing transactions
 
-    /** Sends what waits, as far as the store's rate allows; at low load nothing waits for anything else. */
+    /**
+     * Sends pending changes as far as the store's write rate allows. At low load a change does not wait for others to
+     * be sent with.
+     */
     public void flush() {
         while (!closed && committer.inFlight() < MAX_IN_FLIGHT && hasPending()) {
             int wanted = pending.size() + (eventLog.hasPending() ? 1 : 0);
@@ -177,14 +192,17 @@
         }
     }
 
-    /** Packs events and keys in the order in which they wait; null when all must wait for what is in flight. */
+    /**
+     * Packs pending events, then pending keys in queue order, into a transaction. Returns null if all of them have to
+     * wait for transactions in flight.
+     */
     private CompareAndSwapTransaction nextTransaction(int changeLimit) {
         CompareAndSwapTransaction transaction = beginWithEvents(changeLimit);
         List<StoredEntry> postponed = new ArrayList<>();
         for (int left = pending.size(); left > 0 && !pending.isEmpty(); left--) {
             StoredEntry entry = pending.poll();
             if (!entry.pending) {
-                continue; // was packed along with its partner
+                continue; // was already packed together with its paired entry
             }
             if (entry.waitsForOutcome()) {
                 postponed.add(entry);
@@ -221,8 +239,8 @@
     }
 
     private CompareAndSwapTransaction beginTransaction() {
-        String stamp = transactionIdPrefix + Long.toString(transactionsBegun++, TRANSACTION_ID_RADIX);
-        return new CompareAndSwapTransaction(stamp, fenceKey, fenceRevision);
+        String id = transactionIdPrefix + Long.toString(transactionsBegun++, TRANSACTION_ID_RADIX);
+        return new CompareAndSwapTransaction(id, fenceKey, fenceRevision);
     }
 
     private static boolean hasRoom(CompareAndSwapTransaction transaction, StoredEntry entry, int changeLimit) {
@@ -231,14 +249,17 @@
     }
 
     private static void pack(CompareAndSwapTransaction transaction, StoredEntry entry) {
-        StoredEntry partner = entry.pendingPairedEntry();
+        StoredEntry pairedEntry = entry.pendingPairedEntry();
         transaction.add(entry);
-        if (partner != null) {
-            transaction.add(partner);
+        if (pairedEntry != null) {
+            transaction.add(pairedEntry);
         }
     }
 
-    /** What is counted is durable together with its count: neither can be lost or doubled without the other. */
+    /**
+     * Adds the count to a transaction that contains counted keys. Keys and count become durable together, so neither
+     * can be lost or applied twice without the other.
+     */
     private void addCount(CompareAndSwapTransaction transaction) {
         StoredEntry count = transaction == null ? null : counter.count(List.copyOf(transaction.entries));
         if (count != null) {
--- a/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
+++ b/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
@@ -9,23 +9,24 @@
 import stileferry.protocol.KeyValueStoreProtocol.CommitRequest;
 
 /**
- * A compare-and-swap transaction: keys with the revisions that they are compared with, and what is to run once it is
- * durable. Its stamp stands in every value that it writes, so that it is recognised if its answer is lost.
+ * A compare-and-swap transaction: the keys that it writes, the revisions that it compares, and the actions that run
+ * once it is durable. Its id is stored in every value that it writes, so that a transaction whose response was lost can
+ * be recognised as applied.
  */
 final class CompareAndSwapTransaction {
     private static final String ID_FIELD = "x";
 
-    /** More than a change takes beside its value, in JSON form. */
+    /** Upper bound of the size of a change without its value, in JSON form. */
     private static final int MAX_CHANGE_OVERHEAD_BYTES = 200;
 
     final List<StoredEntry> entries = new ArrayList<>();
     final List<Runnable> onDurable = new ArrayList<>();
     final CommitRequest request = new CommitRequest();
 
-    /** An upper bound of its size in JSON form. */
+    /** Upper bound of the transaction's size in JSON form. */
     int bytes;
 
-    /** It was sent without a response that says whether it was applied. */
+    /** Whether it was sent at least once without a response that tells whether it was applied. */
     boolean ambiguous;
 
     int retries;
@@ -33,13 +34,13 @@
     private final String id;
     private final Set<StoredEntry> deletions = new HashSet<>();
 
-    /** A transaction that fails unless the fence key stands at its revision. */
-    CompareAndSwapTransaction(String stamp, String fenceKey, long fenceRevision) {
-        this.id = stamp;
+    /** Creates an empty transaction that the store applies only if the fence key has the given revision. */
+    CompareAndSwapTransaction(String id, String fenceKey, long fenceRevision) {
+        this.id = id;
         request.compare(fenceKey, fenceRevision);
     }
 
-    /** Takes a key in as it is now. */
+    /** Adds an entry with its current value, or its deletion if it is marked for deletion. */
     void add(StoredEntry entry) {
         addCondition(entry);
         if (entry.markedForDeletion) {
@@ -50,7 +51,7 @@
         }
     }
 
-    /** Takes a key in as it is now, whose value's size is known. */
+    /** Adds a put of an entry with its current value, whose size in JSON form is at most {@code valueBytes}. */
     void add(StoredEntry entry, int valueBytes) {
         addCondition(entry);
         put(entry);
@@ -76,16 +77,20 @@
         return value;
     }
 
+    /** Returns whether this transaction deletes the entry's key. */
     boolean deletes(StoredEntry entry) {
         return deletions.contains(entry);
     }
 
-    /** Whether this transaction has written a row. */
+    /** Returns whether the row holds a value that this transaction wrote. */
     boolean wrote(KeyValue row) {
         return row.value().path(ID_FIELD).asText().equals(id);
     }
 
-    /** The key by which to recognise whether the transaction was applied: one that it puts, if there is any. */
+    /**
+     * Returns the entry to read back in order to find out whether the transaction was applied: one that it puts, if
+     * there is any.
+     */
     StoredEntry entryToReadBack() {
         return entries.stream().filter(entry -> !deletes(entry)).findFirst().orElse(entries.get(0));
     }
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -5,30 +5,33 @@
 import java.util.List;
 
 /**
- * A ring of bounded records that hold events, so that many small changes cost one write. A full ring overwrites its
- * oldest record; what is still needed of it goes into the new one, in the same transaction. So the records, read in
- * the order of their numbers, always hold the whole state.
+ * A log of events, stored in a ring of records of limited size so that many small changes cost one write. When the ring
+ * is full, the oldest record is overwritten; those of its events that are still needed are copied into the new record
+ * in the same transaction. So the records, read in the order of their numbers, always hold the whole state.
  */
 public final class EventLog {
     static final String PREFIX = "l/";
 
-    /** Records in the ring; a new leader reads them in a few pages. */
+    /** Number of records in the ring; a new leader reads them in a few pages. */
     static final int SLOTS = 1024;
 
     private static final String OVERFLOW_KEY_INFIX = "x";
     private static final int NO_SLOT = -1;
 
-    /** Share of the value limit that a record may take in JSON form. */
+    /** Maximum size of a record in JSON form, as a share of the store's value limit. */
     private static final double MAX_FILL_RATIO = 0.9;
 
-    /** More than one event of an older form takes. */
+    /** Upper bound of the size of one event of the legacy format. */
     private static final int MAX_LEGACY_EVENT_BYTES = 128;
 
     private final EventLogRecord[] ring;
     private final int maxRecordBytes;
     private final String overflowPrefix;
 
-    /** Records that are not in the ring: copied into it and deleted before anything of the ring is overwritten. */
+    /**
+     * Records outside the ring. They are copied into the ring and deleted before anything that the ring holds is
+     * overwritten.
+     */
     private final ArrayDeque<EventLogRecord> toMigrate = new ArrayDeque<>();
 
     private final ArrayDeque<PendingEvent> pending = new ArrayDeque<>();
@@ -39,7 +42,7 @@
 
     private record PendingEvent(StoredEvent event, Runnable onDurable) {}
 
-    /** What one transaction writes of the log, and whether the record that it overwrites held ends of assignments. */
+    /** The part of the log that one transaction writes, and whether the record that it overwrites held tombstones. */
     public record Batch(
             StoredEntry put,
             List<StoredEntry> deletions,
@@ -48,26 +51,28 @@
             boolean discardsTombstones) {}
 
     /**
-     * A ring of so many records within the store's value limit.
+     * Creates an empty log.
      *
-     * @param term what no other leader's keys begin with
+     * @param maxValueKb the store's limit for the size of a value
+     * @param records the number of records in the ring
+     * @param leaderPrefix the start of this leader's overflow keys, which no other leader uses
      */
-    public EventLog(double maxValueKb, int records, String term) {
+    public EventLog(double maxValueKb, int records, String leaderPrefix) {
         ring = new EventLogRecord[records];
-        overflowPrefix = PREFIX + OVERFLOW_KEY_INFIX + term;
+        overflowPrefix = PREFIX + OVERFLOW_KEY_INFIX + leaderPrefix;
         maxRecordBytes = (int) (maxValueKb * 1024 * MAX_FILL_RATIO);
     }
 
-    // ---- what was stored before
+    // ---- recovery
 
-    /** Takes in a stored record. */
+    /** Restores a record that was read from the store. */
     public void restore(String key, long revision, long number, List<StoredEvent> events) {
         staleRecordCheckDue = true;
         EventLogRecord record = new EventLogRecord(key, revision, number, events);
         lastNumber = Math.max(lastNumber, number);
         int slot = slotOf(key);
         if (slot == NO_SLOT) {
-            toMigrate.add(record); // of an older form, or an overflow record
+            toMigrate.add(record); // a record of the legacy format, or an overflow record
         } else {
             ring[slot] = record;
         }
@@ -86,8 +91,10 @@
     }
 
     /**
-     * Records commit in any order, so the last leader may have left one that a lost record should have replaced. It is
-     * older than the whole ring and has to go before anything of the ring: what ended its assignments must outlive it.
+     * Moves stale records out of the ring so that they are migrated. Records commit in any order, so the last leader
+     * may have left a record in place because the record that should have replaced it was lost. A stale record is older
+     * than the whole ring and must be removed before anything in the ring: the tombstones of its assignments must
+     * outlive it.
      */
     private void migrateStaleRecords() {
         if (!staleRecordCheckDue) {
@@ -102,28 +109,32 @@
         }
     }
 
-    // ---- what waits
+    // ---- pending events
 
-    /** Queues an event; the action (null: none) runs once it is durable. */
+    /** Queues an event; {@code onDurable}, which may be null, runs once it is durable. */
     public void append(StoredEvent event, Runnable onDurable) {
         pending.add(new PendingEvent(event, onDurable));
         pendingBytes += event.maxBytes();
     }
 
-    /** Whether anything waits to be written. */
+    /** Returns whether there are pending events or records to migrate. */
     public boolean hasPending() {
         migrateStaleRecords();
         return !pending.isEmpty() || !toMigrate.isEmpty();
     }
 
-    /** Records that the pending events would fill. */
+    /** Returns the number of whole records that the pending events would fill. */
     public int backlog() {
         return pendingBytes / maxRecordBytes;
     }
 
     // ---- writing
 
-    /** The next record, in a transaction that has room for so many changes; null when the ring has to wait. */
+    /**
+     * Returns the next record to write, or null if the log has to wait for transactions in flight.
+     *
+     * @param maxChanges the number of changes that the transaction has room for
+     */
     public Batch nextBatch(int maxChanges) {
         migrateStaleRecords();
         int slot = (int) ((lastNumber + 1) % ring.length);
@@ -138,12 +149,15 @@
             return copyToOverflow(record);
         }
         if (record.overflowInFlight()) {
-            return null; // what it holds is not certain to be elsewhere yet
+            return null; // the copies of its events may not be durable yet
         }
         return overwrite(record, maxChanges);
     }
 
-    /** Ends may only be given up when every older record certainly is: it might hold what they end. */
+    /**
+     * Returns whether a record before the slot is in flight. Tombstones may be dropped only once every older record has
+     * certainly been overwritten, since it might hold the events that they make obsolete.
+     */
     private boolean earlierRecordInFlight(int slot) {
         for (int back = 1; back <= Math.min(CommitQueue.MAX_IN_FLIGHT, ring.length - 1); back++) {
             EventLogRecord earlier = ring[Math.floorMod(slot - back, ring.length)];
@@ -164,7 +178,10 @@
         return new Batch(record.entry, deletions, contents.bytes(), onDurable, endsGivenUp);
     }
 
-    /** Copies what is needed of records outside the ring; returns those that are copied whole, to be deleted. */
+    /**
+     * Copies events that are still needed from records outside the ring. Returns the entries of the records that have
+     * been copied completely and are to be deleted.
+     */
     private List<StoredEntry> migrateInto(EventLogRecord.Contents contents, int maxDeletions) {
         List<StoredEntry> deletions = new ArrayList<>();
         while (!toMigrate.isEmpty() && deletions.size() < maxDeletions && contents.bytes() < maxRecordBytes / 2) {
@@ -197,11 +214,12 @@
     }
 
     /**
-     * A record written under a larger value limit may hold more than fits into one of today's. As much as fits is put
-     * into a record beside the ring before the large one is overwritten. It holds no ends, so its order among the
-     * others does not matter; it is copied into the ring and deleted like records of an older form, also by versions
-     * that know only those. Its put compares that the large record still stands, so that it can't be carried out once
-     * more after its deletion.
+     * Copies events of a record that is too large to be retained in one record into an overflow record outside the
+     * ring. A record written under a larger value limit may hold more than fits under the current limit; as much as
+     * fits is copied before the large record is overwritten. The overflow record holds no tombstones, so its order
+     * relative to other records does not matter. It is copied into the ring and deleted like a record of the legacy
+     * format, also by versions that know only that format. Its put compares the large record's revision, so that it
+     * can't be applied a second time after the overflow record has been deleted.
      */
     private Batch copyToOverflow(EventLogRecord large) {
         EventLogRecord overflow = new EventLogRecord(overflowPrefix + overflowRecords++, 0, lastNumber, List.of());
--- a/src/main/java/stileferry/storage/EventLogRecord.java
+++ b/src/main/java/stileferry/storage/EventLogRecord.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import stileferry.protocol.MessageCodec;
 
-/** One record of the {@link EventLog} as it is stored, with the events that it holds. */
+/** One stored record of the {@link EventLog}, with the events that it holds. */
 final class EventLogRecord {
     private static final String NUMBER = "n";
     private static final String EVENTS = "e";
 
-    /** More than a record takes beside its events, in JSON form. */
+    /** Upper bound of the size of a record without its events, in JSON form. */
     private static final int MAX_RECORD_OVERHEAD_BYTES = 80;
 
     final StoredEntry entry;
     long number;
     List<StoredEvent> events;
 
-    /** Records that hold what was copied out of this one because it is too large to be copied whole. */
+    /** Overflow records with events copied from this record, because it is too large to be copied in one piece. */
     final List<EventLogRecord> overflow = new ArrayList<>();
 
     private ObjectNode value = MessageCodec.map();
@@ -29,19 +29,19 @@
         this.events = events;
     }
 
-    /** The events that must be written again when this record is overwritten. */
+    /** Returns the events that must be written again when this record is overwritten. */
     List<StoredEvent> retainedEvents() {
         List<StoredEvent> retained = new ArrayList<>();
         for (StoredEvent event : events) {
-            StoredEvent kept = event.retainedFrom(number);
-            if (kept != null) {
-                retained.add(kept);
+            StoredEvent retainedEvent = event.retainedFrom(number);
+            if (retainedEvent != null) {
+                retained.add(retainedEvent);
             }
         }
         return retained;
     }
 
-    /** The size of a record that holds what must be written again. */
+    /** Returns an upper bound of the size of a record that holds the events to be written again. */
     int retainedBytes() {
         return MAX_RECORD_OVERHEAD_BYTES
                 + retainedEvents().stream().mapToInt(StoredEvent::maxBytes).sum();
@@ -55,7 +55,7 @@
         return overflow.stream().anyMatch(record -> record.entry.inFlight());
     }
 
-    /** Takes over what the record holds from now on. */
+    /** Replaces the contents; the new value is what the next write of {@link #entry} stores. */
     void overwrite(Contents contents) {
         number = contents.number;
         events = contents.events;
@@ -63,7 +63,7 @@
         overflow.clear();
     }
 
-    /** What a record is going to hold. */
+    /** New contents of a record, built up before it is overwritten. */
     static final class Contents {
         private final long number;
         private final List<StoredEvent> events = new ArrayList<>();
@@ -87,7 +87,7 @@
             bytes += event.maxBytes();
         }
 
-        /** Adds what must be written again of events of another record. */
+        /** Adds those events of another record that must be written again. */
         void retain(long oldNumber, List<StoredEvent> oldEvents) {
             for (StoredEvent event : oldEvents) {
                 StoredEvent retained = event.retainedFrom(oldNumber);
--- a/src/main/java/stileferry/storage/KeyValueStoreClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -18,28 +18,32 @@
 import stileferry.protocol.Settings;
 
 /**
- * The client of the consensus-backed key-value store, kept under the store's published rates. Urgent requests, which
- * are the leadership's, are sent at once and have a reserve; others queue, writes before reads.
+ * Client of the consensus-backed key-value store that stays below the store's published rate limits. Urgent requests,
+ * such as those of leader election, are sent at once and have a reserved share of the rate; other requests are queued,
+ * writes before reads.
  */
 public final class KeyValueStoreClient {
-    /** Share of the published rates that one controller allows itself; the others need a little too. */
+    /** Share of the published rate limits that one controller uses; the other controllers need a small share too. */
     private static final double RATE_SHARE = 0.85;
 
     /** Share of the request burst that only urgent requests may use. */
     private static final double URGENT_RESERVE_SHARE = 0.2;
 
-    /** Urgent requests are sent whatever the rate, and lend from it up to a whole burst. */
+    /**
+     * Negative reserve for urgent requests: they are sent regardless of the rate, and overdraw it by up to a full
+     * burst.
+     */
     private static final double FULL_BURST_OVERDRAFT = -1;
 
     private static final double REQUEST_BURST_S = 0.5;
     private static final double WRITE_BURST_S = 1.0;
 
-    /** Seconds of the write rate that are gathered for one transaction under load. */
+    /** Under load, as many changes are collected for one transaction as the write rate permits in this many seconds. */
     private static final double BATCH_WINDOW_S = 0.15;
 
     private static final long QUEUE_POLL_INTERVAL_MS = 20;
 
-    /** A request's timeout on an ample share of a core. */
+    /** Request timeout of a controller that has an ample share of a core. */
     private static final long BASE_TIMEOUT_MS = 1500;
 
     private static final int SCAN_PAGE_ROWS = 500;
@@ -56,7 +60,7 @@
 
     private record QueuedRequest(int writes, Runnable send) {}
 
-    /** A client of the store that the settings name. */
+    /** Creates a client of the store whose address is in the settings. */
     public KeyValueStoreClient(Environment environment, Settings settings) {
         this.environment = environment;
         this.address = settings.keyValueStoreAddress();
@@ -66,33 +70,33 @@
         this.writeRate = new RateLimiter(environment, limits.writesPerS() * RATE_SHARE, WRITE_BURST_S);
     }
 
-    /** The store's limits. */
+    /** Returns the store's published limits. */
     public Settings.KeyValueStoreLimits limits() {
         return limits;
     }
 
-    /** Changes worth gathering for one transaction when more wait than may be written. */
+    /** Returns how many changes to collect for one transaction when more are pending than may be written now. */
     public int batchThreshold() {
         return (int) Math.max(
                 1, Math.min(limits.writesPerS() * RATE_SHARE, Math.ceil(limits.writesPerS() * BATCH_WINDOW_S)));
     }
 
-    /** Changes that may be written now without waiting. */
+    /** Returns how many changes may be written now without waiting. */
     public int availableWrites() {
         return requestRate.canAcquire(1, URGENT_RESERVE_SHARE) ? writeRate.availablePermits() : 0;
     }
 
-    /** Runs a task when the rates may have room again. */
+    /** Runs a task after a short delay, when the rate limits may permit requests again. */
     public void afterRefill(Runnable task) {
         environment.schedule(QUEUE_POLL_INTERVAL_MS, task);
     }
 
-    /** Reads and writes that wait for their turn. */
+    /** Returns the number of queued reads and writes. */
     public int queuedRequests() {
         return queuedWrites.size() + queuedReads.size();
     }
 
-    /** Reads one key. */
+    /** Reads one key, as a queued request. */
     public void get(String key, Consumer<ReadResult> reply) {
         String path = KeyValueStoreProtocol.keyPath(key);
         send(
@@ -107,12 +111,13 @@
                         (status, body) -> reply.accept(KeyValueStoreProtocol.readResult(status, body))));
     }
 
-    /** Reads all keys with a prefix, page by page. */
+    /** Reads all keys with a prefix, page by page; the reply is a failed result if any page can't be read. */
     public void scan(String prefix, boolean urgent, Consumer<ScanResult> reply) {
         scanPage(prefix, "", urgent, new ScanResult(new ArrayList<>(), 0, 0), reply);
     }
 
-    private void scanPage(String prefix, String after, boolean urgent, ScanResult before, Consumer<ScanResult> reply) {
+    private void scanPage(
+            String prefix, String after, boolean urgent, ScanResult previous, Consumer<ScanResult> reply) {
         String path = KeyValueStoreProtocol.scanPath(prefix, after, SCAN_PAGE_ROWS);
         send(
                 0,
@@ -123,7 +128,7 @@
                         reply.accept(ScanResult.FAILED);
                         return;
                     }
-                    ScanResult result = before.with(page, after.isEmpty());
+                    ScanResult result = previous.with(page, after.isEmpty());
                     String last = page.rows().isEmpty() ? after : lastKey(page);
                     if (page.more() && !last.equals(after)) {
                         scanPage(prefix, last, urgent, result, reply);
@@ -138,7 +143,7 @@
         return rows.get(rows.size() - 1).key();
     }
 
-    /** Sends a transaction. */
+    /** Sends a transaction, which counts against the write rate with the number of its changes. */
     public void commit(CommitRequest request, boolean urgent, Consumer<CommitResult> reply) {
         send(
                 request.changes(),
@@ -152,7 +157,7 @@
                         (status, body) -> reply.accept(KeyValueStoreProtocol.commitResult(status, body))));
     }
 
-    /** Asks for a lease; null stands for none. */
+    /** Requests a lease; the reply is null if none was granted. */
     public void grantLease(long durationMs, Consumer<LeaseGrant> reply) {
         send(
                 0,
@@ -166,7 +171,7 @@
                         (status, body) -> reply.accept(KeyValueStoreProtocol.leaseGrant(status, body))));
     }
 
-    /** Renews a lease; never queued, as the renewed time counts from the sending. */
+    /** Renews a lease; never queued, because the lease counts from when the renewal is sent. */
     public void renewLease(String leaseId, long renewalTimeoutMs, Consumer<LeaseRenewal> reply) {
         requestRate.tryAcquire(1, FULL_BURST_OVERDRAFT);
         environment.request(
@@ -178,16 +183,20 @@
                 (status, body) -> reply.accept(KeyValueStoreProtocol.leaseRenewal(status)));
     }
 
-    /** Ends a lease; the action runs whatever the outcome. */
-    public void revokeLease(String leaseId, Runnable then) {
+    /** Revokes a lease; the action runs regardless of the outcome. */
+    public void revokeLease(String leaseId, Runnable onDone) {
         String path = KeyValueStoreProtocol.leasePath(leaseId);
         send(
                 0,
                 true,
-                () -> environment.request(address, "DELETE", path, null, timeoutMs, (status, body) -> then.run()));
+                () -> environment.request(address, "DELETE", path, null, timeoutMs, (status, body) -> onDone.run()));
     }
 
-    /** Waits for changes below a prefix; null stands for a failed request. */
+    /**
+     * Waits for changes to keys with a prefix; the reply is null if the request failed.
+     *
+     * @param blockMs how long the store waits for a change before it replies
+     */
     public void watch(String prefix, long afterRevision, long blockMs, Consumer<WatchResult> reply) {
         String path = KeyValueStoreProtocol.watchPath(prefix, afterRevision, blockMs);
         send(
@@ -213,7 +222,7 @@
         sendQueued();
     }
 
-    /** Sends what the rates allow. A write that waits for the write rate holds no reads up. */
+    /** Sends queued requests as the rate limits permit. A write that waits for the write rate does not delay reads. */
     private void sendQueued() {
         while (!queuedWrites.isEmpty()
                 && writeRate.canAcquire(queuedWrites.peek().writes, 0)
--- a/src/main/java/stileferry/storage/RateLimiter.java
+++ b/src/main/java/stileferry/storage/RateLimiter.java
@@ -2,7 +2,7 @@
 
 import stileferry.protocol.Environment;
 
-/** A token bucket that keeps a client under a service's published rate. */
+/** A token bucket that keeps a client below a service's published rate limit. */
 public final class RateLimiter {
     private final Environment environment;
     private final double permitsPerMs;
@@ -10,7 +10,11 @@
     private double permits;
     private long refilledAt;
 
-    /** A full bucket that refills at a rate and holds a burst of so many seconds, but one permit at least. */
+    /**
+     * Creates a full bucket.
+     *
+     * @param burstS the capacity, as seconds of the rate; the bucket holds at least one permit
+     */
     public RateLimiter(Environment environment, double permitsPerSecond, double burstS) {
         this.environment = environment;
         this.permitsPerMs = permitsPerSecond / 1000;
@@ -20,9 +24,10 @@
     }
 
     /**
-     * Takes permits if that leaves a reserve untouched.
+     * Takes permits if the reserve remains untouched; returns whether they were taken.
      *
-     * @param reserveShare of the burst; negative: as much may be overdrawn
+     * @param reserveShare the reserve as a share of the capacity; if negative, the bucket may be overdrawn by that
+     *     share
      */
     public boolean tryAcquire(double count, double reserveShare) {
         if (!canAcquire(count, reserveShare)) {
@@ -32,13 +37,13 @@
         return true;
     }
 
-    /** Whether permits could be taken now; a full bucket grants more than it holds. */
+    /** Returns whether permits could be taken now; a full bucket grants any number, even more than it holds. */
     public boolean canAcquire(double count, double reserveShare) {
         refill();
         return permits >= Math.min(count, maxPermits) + maxPermits * reserveShare || permits >= maxPermits;
     }
 
-    /** Whole permits that are there now. */
+    /** Returns the number of whole permits available now; 0 if the bucket is overdrawn. */
     public int availablePermits() {
         refill();
         return (int) Math.max(0, Math.floor(permits));
--- a/src/main/java/stileferry/storage/ScanResult.java
+++ b/src/main/java/stileferry/storage/ScanResult.java
@@ -5,22 +5,23 @@
 import stileferry.protocol.KeyValueStoreProtocol.ScanPage;
 
 /**
- * All keys with a prefix, as read in pages.
+ * The rows of all keys with a prefix, read in pages.
  *
- * @param rows null when the read failed
- * @param revision the store's revision at the last page
- * @param firstRevision the store's revision at the first page; where no row is newer, the rows stood together at it
+ * @param rows the rows; null if the read failed
+ * @param revision the store's revision when the last page was read
+ * @param firstRevision the store's revision when the first page was read; if no row is newer, all rows existed together
+ *     at that revision
  */
 public record ScanResult(List<KeyValue> rows, long revision, long firstRevision) {
-    /** A page could not be read. */
+    /** Result of a scan of which a page could not be read. */
     static final ScanResult FAILED = new ScanResult(null, 0, 0);
 
-    /** Whether a page could not be read. */
+    /** Returns whether a page could not be read, so that there are no rows. */
     public boolean failed() {
         return rows == null;
     }
 
-    /** The result with one more page. */
+    /** Adds the rows of one more page and returns the result with that page's revision. */
     ScanResult with(ScanPage page, boolean isFirst) {
         rows.addAll(page.rows());
         return new ScanResult(rows, page.revision(), isFirst ? page.revision() : firstRevision);
--- a/src/main/java/stileferry/storage/StoredEntry.java
+++ b/src/main/java/stileferry/storage/StoredEntry.java
@@ -7,36 +7,41 @@
 import stileferry.protocol.MessageCodec;
 
 /**
- * One key of the leader's durable records. Its value is made anew from the leader's state whenever it is written, so a
- * key that changes while it waits is written once.
+ * One key of the leader's durable state. Its value is generated from the leader's in-memory state whenever the key is
+ * written, so a key that changes several times while it is pending is written once.
  */
 public final class StoredEntry {
     final String key;
 
-    /** The key's revision as last read or written; 0: it does not exist. */
+    /** The key's revision when last read or written; 0 if the key does not exist. */
     long revision;
 
-    /** It waits to be packed into a transaction; it may be in flight at the same time, with an older value. */
+    /** Whether it waits to be packed into a transaction. It may be in flight with an older value at the same time. */
     boolean pending;
 
-    /** A transaction with it has no known outcome. */
+    /** Whether it is part of a transaction whose outcome is not known. */
     boolean inFlight;
 
-    /** It is to be deleted instead of written. */
+    /** Whether the key is to be deleted instead of put. */
     boolean markedForDeletion;
 
-    /** The entry that is written or deleted in the same transaction; null: none. */
+    /** The entry that must be put or deleted in the same transaction; null if there is none. */
     StoredEntry pairedEntry;
 
-    /** The entry that must stand as it does for this one to be written for the first time; null: none. */
+    /** The entry whose revision is compared as well when this key is first written; null if there is none. */
     StoredEntry requiredUnchanged;
 
-    /** What runs once the pending change is durable. */
+    /** Actions that run once the pending change is durable. */
     List<Runnable> onDurable = new ArrayList<>();
 
     private final Supplier<ObjectNode> value;
 
-    /** A key with the revision last read (0: does not exist). */
+    /**
+     * Creates an entry that is not pending.
+     *
+     * @param revision the key's revision when last read; 0 if the key does not exist
+     * @param value generates the value whenever the key is written
+     */
     public StoredEntry(String key, long revision, Supplier<ObjectNode> value) {
         this.key = key;
         this.revision = revision;
@@ -44,40 +49,40 @@
     }
 
     /**
-     * Names a key that must stand as it does for this one to be written for the first time. Without it a transaction
-     * carried out late once more would bring a key back that has been put and deleted since.
+     * Makes the first write of this key conditional on another key being unchanged. Without this condition, a
+     * transaction that is applied late for a second time could bring back a key that has been put and deleted since.
      */
     public StoredEntry requireUnchanged(StoredEntry other) {
         requiredUnchanged = other;
         return this;
     }
 
-    /** Names a key that must not exist for this one to be written for the first time. */
+    /** Makes the first write of this key conditional on another key not existing. */
     public StoredEntry requireAbsent(String other) {
         return requireUnchanged(new StoredEntry(other, 0, MessageCodec::map));
     }
 
-    /** Whether a transaction with it has no known outcome. */
+    /** Returns whether the entry is part of a transaction whose outcome is not known. */
     public boolean inFlight() {
         return inFlight;
     }
 
-    /** The key. */
+    /** Returns the key under which the value is stored. */
     public String key() {
         return key;
     }
 
-    /** The value as it would be written now. */
+    /** Returns the value that would be written now. */
     public ObjectNode value() {
         return value.get();
     }
 
-    /** Whether it can't be packed until the outcome of another transaction is known. */
+    /** Returns whether the entry can't be packed until the outcome of another transaction is known. */
     boolean waitsForOutcome() {
         return inFlight || pairedEntry != null && pairedEntry.inFlight;
     }
 
-    /** The partner, if it waits too; null: none does. */
+    /** Returns the paired entry if it is pending too, else null. */
     StoredEntry pendingPairedEntry() {
         return pairedEntry != null && pairedEntry.pending ? pairedEntry : null;
     }
--- a/src/main/java/stileferry/storage/TransactionCommitter.java
+++ b/src/main/java/stileferry/storage/TransactionCommitter.java
@@ -7,9 +7,9 @@
 import stileferry.protocol.KeyValueStoreProtocol.ReadResult;
 
 /**
- * Sends transactions until their outcome is known. What was not applied is repeated as it is. If the repetition of
- * one with an ambiguous outcome fails its comparison, the transaction itself may have been applied before: one of its
- * keys is read back and recognised by the transaction's stamp.
+ * Sends each transaction until its outcome is known. A transaction that was not applied is retried unchanged. If a
+ * transaction whose outcome was ambiguous fails its comparison when it is retried, an earlier attempt may have been
+ * applied: one of its keys is read back, and the transaction id in its value shows whether it was.
  */
 final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger("commits");
@@ -24,24 +24,29 @@
     private int inFlight;
     private boolean closed;
 
-    /** {@code onFenced} runs when a transaction shows that another leader has written. */
+    /**
+     * Creates a committer.
+     *
+     * @param onFenced runs when a transaction shows that another leader has written, or when the store rejects a
+     *     transaction as malformed
+     */
     TransactionCommitter(Environment environment, KeyValueStoreClient store, Runnable onFenced) {
         this.environment = environment;
         this.store = store;
         this.onFenced = onFenced;
     }
 
-    /** Transactions without a known outcome. */
+    /** Returns the number of transactions whose outcome is not known. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Stops everything; nothing is sent and no action runs any more. */
+    /** Closes the committer: nothing is sent and no action runs any more. */
     void close() {
         closed = true;
     }
 
-    /** Sends a transaction; its actions run once it is durable. */
+    /** Sends a transaction and retries it as needed; its actions run once it is durable. */
     void commit(CompareAndSwapTransaction transaction) {
         inFlight++;
         send(transaction);
@@ -63,7 +68,7 @@
             case APPLIED -> handleApplied(transaction, result.revision());
             case CONFLICT -> handleConflict(transaction);
             case INVALID -> {
-                LOG.error("transaction malformed: response={}", result.detail());
+                LOG.error("key-value store rejected a malformed transaction: response={}", result.detail());
                 onFenced.run();
             }
             case NOT_APPLIED -> retryLater(transaction, () -> send(transaction));
@@ -88,7 +93,7 @@
         environment.schedule(delayMs / 2 + environment.random().nextLong(delayMs), retry);
     }
 
-    /** Reads one key back; as a transaction is applied whole or not at all, one is enough. */
+    /** Reads one key back; one is enough, because a transaction is applied atomically. */
     private void readBack(CompareAndSwapTransaction transaction) {
         if (closed) {
             return;
@@ -118,7 +123,7 @@
         inFlight--;
         for (StoredEntry entry : transaction.entries) {
             entry.inFlight = false;
-            // what was sent counts: the key may have been marked for deletion since
+            // What was sent decides here, because the entry may have been marked for deletion since.
             entry.revision = transaction.deletes(entry) ? 0 : revision;
         }
         transaction.onDurable.forEach(Runnable::run);
--- a/src/main/java/stileferry/storage/TransactionCounter.java
+++ b/src/main/java/stileferry/storage/TransactionCounter.java
@@ -2,12 +2,13 @@
 
 import java.util.List;
 
-/** Keeps an exact count of keys that are written for the first time, in the transactions that write them. */
+/** Keeps an exact count of keys written for the first time, as part of the transactions that write them. */
 public interface TransactionCounter {
     /**
-     * Counts those keys of a transaction that are registered to be counted.
+     * Counts those entries of a transaction that are registered to be counted.
      *
-     * @return the key that holds their count and is put with them, not in flight; null: none of them counts
+     * @return the entry that holds the count and is put in the same transaction, which must not be in flight; null if
+     *     none of the entries is counted
      */
     StoredEntry count(List<StoredEntry> entries);
 }
--- a/src/main/java/stileferry/storage/package-info.java
+++ b/src/main/java/stileferry/storage/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The key-value store's client under its rate limits, and the leader's durable records.
- * {@link stileferry.storage.CommitQueue} packs changes into compare-and-swap transactions,
- * {@link stileferry.storage.EventLog} lets many small events share records of a ring; docs/design.md ("Store") gives
- * the keys and their values.
+ * Rate-limited client of the key-value store, and the leader's durable state.
+ * {@link stileferry.storage.CommitQueue} packs changes into compare-and-swap transactions, and
+ * {@link stileferry.storage.EventLog} stores many small events in a ring of shared records; docs/design.md ("Store")
+ * describes the keys and their values.
  */
 package stileferry.storage;
