--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -157,7 +157,7 @@
     /** Takes an operator's request; the path is what follows the prefix, with its query. */
     public void handleAdministrationRequest(
             String method, String path, byte[] body, Consumer<PeerMessage.Response> reply) {
-        if (!localAdministration.answers(method, path, reply)) {
+        if (!localAdministration.tryAnswer(method, path, reply)) {
             handleUserRequest(PeerMessage.RequestKind.ADMINISTRATION, method + " " + path, body, reply);
         }
     }
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -158,7 +158,7 @@
                         cluster, commitQueue, recovered.operatorSettingsRevision(), this::setOperatorSettings),
                 new AdministrationViews(cluster, placement, environment),
                 this::describe);
-        completePartlyCompletedGangs();
+        repairGangs();
         heartbeatJournal.restore(recovered.lastHeartbeats());
         cluster.machines().values().forEach(machine -> links.workerExpected(machine.name(), machine.address()));
         if (election.admissionsCountedSince() > 0) {
@@ -177,7 +177,7 @@
         tick();
     }
 
-    private void completePartlyCompletedGangs() {
+    private void repairGangs() {
         // an older version stored that one task of a gang was done, and might have started the others again
         cluster.jobs().values().stream()
                 .filter(job -> job.spec().gang() && job.completedCount() > 0)
--- a/src/main/java/stileferry/coordination/LocalAdministration.java
+++ b/src/main/java/stileferry/coordination/LocalAdministration.java
@@ -17,7 +17,7 @@
     }
 
     /** Answers a request that needs no leader; false, and no answer, if only the leader can. */
-    boolean answers(String method, String path, Consumer<PeerMessage.Response> reply) {
+    boolean tryAnswer(String method, String path, Consumer<PeerMessage.Response> reply) {
         boolean isGet = method.equals("GET");
         if (path.equals("links")) {
             reply.accept(links(isGet));
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -140,11 +140,11 @@
                 return;
             }
             long revision = result.found() ? result.row().revision() : 0;
-            build(rowsByPrefix, revision);
+            restoreState(rowsByPrefix, revision);
         });
     }
 
-    private void build(Map<String, List<KeyValue>> rowsByPrefix, long operatorSettingsRevision) {
+    private void restoreState(Map<String, List<KeyValue>> rowsByPrefix, long operatorSettingsRevision) {
         buildJobs(rowsByPrefix.get(Job.PREFIX));
         TaskEventReader reader = new TaskEventReader(cluster.jobs());
         restoreLegacyChunks(rowsByPrefix.get(LEGACY_CHUNK_PREFIX), reader);
