--- a/src/main/java/stileferry/coordination/AdmissionCallbacks.java
+++ b/src/main/java/stileferry/coordination/AdmissionCallbacks.java
@@ -6,13 +6,13 @@
 import stileferry.overload.AdmissionControl;
 import stileferry.protocol.Settings;
 
-/** What the division of admissions calls. */
+/** Gives admission control access to this controller's leadership, jobs and load. */
 final class AdmissionCallbacks implements AdmissionControl.Host {
     private final Supplier<Leader> leader;
     private final LeaderElection election;
     private final EventLoopLag eventLoopLag;
 
-    /** {@code leader} gives null while this controller does not lead. */
+    /** {@code leader} supplies null while this controller does not lead. */
     AdmissionCallbacks(Supplier<Leader> leader, LeaderElection election, EventLoopLag eventLoopLag) {
         this.leader = leader;
         this.election = election;
--- a/src/main/java/stileferry/coordination/AdmissionCounting.java
+++ b/src/main/java/stileferry/coordination/AdmissionCounting.java
@@ -9,37 +9,43 @@
 import stileferry.protocol.SubmissionHeader;
 import stileferry.storage.CommitQueue;
 
-/** Counts the jobs that a leader accepts, where admissions are divided under overload. */
+/** Counts the jobs that a leader accepts if the controllers share out admissions under overload. */
 final class AdmissionCounting {
     private final Settings settings;
 
-    /** Null: this leader does not count. */
+    /** Null while this leader does not count. */
     private AdmissionCountShards shards;
 
     AdmissionCounting(Settings settings) {
         this.settings = settings;
     }
 
-    /** Begins to count; {@code countedSince} is the first term of the unbroken run of leaders that count. */
+    /**
+     * Starts counting; called before anything is written in the term.
+     *
+     * @param countedSince the first term of the unbroken run of leaders that count admissions
+     */
     void start(List<KeyValue> storedShards, long countedSince, CommitQueue commitQueue) {
         shards = new AdmissionCountShards(
                 storedShards, countedSince, settings.keyValueStore().maxValueKb());
         commitQueue.setTransactionCounter(shards);
     }
 
-    /** Whether this leader counts, and so divides admissions. */
+    /** Returns whether this leader counts the jobs that it accepts, and so shares out admissions. */
     boolean started() {
         return shards != null;
     }
 
-    /** Has a job counted in the transaction that makes it durable. */
+    /**
+     * Registers a job to be counted in the transaction that makes it durable; no effect if this leader does not count.
+     */
     void count(Job job) {
         if (started()) {
             shards.count(job.entry(), AdmissionSettings.cell(settings, job.spec()));
         }
     }
 
-    /** Whether a submission goes before all others, and is taken when they are not. */
+    /** Returns whether a submission is written before all others and accepted even when others are refused. */
     boolean bypassesBacklog(byte[] submission) {
         return started() && SubmissionHeader.isCritical(submission);
     }
--- a/src/main/java/stileferry/coordination/ConnectionBudgetWarning.java
+++ b/src/main/java/stileferry/coordination/ConnectionBudgetWarning.java
@@ -5,7 +5,7 @@
 import stileferry.protocol.Settings;
 import stileferry.protocol.SocketBudget;
 
-/** Warns, once in a term, when there are more machines than connections can be kept to. */
+/** Logs a warning, once per term, when there are more machines than connections can be kept open to. */
 final class ConnectionBudgetWarning {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
--- a/src/main/java/stileferry/coordination/ControllerContext.java
+++ b/src/main/java/stileferry/coordination/ControllerContext.java
@@ -9,7 +9,7 @@
 import stileferry.protocol.Settings;
 import stileferry.storage.KeyValueStoreClient;
 
-/** What the parts of one controller share, in and outside of its terms of leading. */
+/** The objects that the components of one controller share, whether or not it leads. */
 record ControllerContext(
         Settings settings,
         Environment environment,
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -20,11 +20,14 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /**
- * The single owner of one controller's state. Every method runs on the owner's turn; replies may come in a later
- * turn. Given the same calls and the same {@link Environment}, it does the same.
+ * Owns the state of one controller. All methods must be called from its single event loop; a reply may come in a later
+ * turn of the loop. Behaviour is deterministic, given the same calls and the same {@link Environment}.
  */
 public final class Coordinator implements LeaderElection.Listener {
-    /** A controller is ready for this long after it last saw a leader, so that a failover resets nobody. */
+    /**
+     * How long a controller stays ready after it last saw a leader, so that a failover does not cause users'
+     * connections to be reset.
+     */
     private static final long READY_GRACE_MS = 8000;
 
     private final ControllerContext controller;
@@ -43,17 +46,17 @@
 
     private long leaderLastSeenAt = Long.MIN_VALUE / 2;
 
-    /** A coordinator for one controller, without optional parts. */
+    /** Creates the coordinator of one controller with all optional features off. */
     public Coordinator(Settings settings, Environment environment) {
         this(settings, Features.NONE, environment);
     }
 
-    /** A coordinator for one controller. */
-    public Coordinator(Settings settings, Features features, Environment plainEnvironment) {
+    /** Creates the coordinator of one controller, without starting it. */
+    public Coordinator(Settings settings, Features features, Environment unobservedEnvironment) {
         this.links = features.partialCuts()
-                ? new LinkMonitor(settings, plainEnvironment, LeaderElection.leaseDurationMs(settings))
+                ? new LinkMonitor(settings, unobservedEnvironment, LeaderElection.leaseDurationMs(settings))
                 : LinkHealth.NONE;
-        this.environment = links.observedEnvironment(plainEnvironment);
+        this.environment = links.observedEnvironment(unobservedEnvironment);
         KeyValueStoreClient store = new KeyValueStoreClient(environment, settings);
         this.admission =
                 features.fairAdmission() ? new FairAdmission(settings, environment, store) : AdmissionControl.NONE;
@@ -75,7 +78,7 @@
         this.localAdministration = new LocalAdministration(controller, metrics);
     }
 
-    /** Begins to follow or run for the leadership. */
+    /** Starts all components; from now on the controller follows the leader or campaigns for leadership. */
     public void start() {
         controller.eventLoopLag().start();
         election.start();
@@ -118,12 +121,15 @@
         environment.setLogLevel(operatorSettings.text(OperatorSettings.LOG_LEVEL));
     }
 
-    /** Whether this controller leads. */
+    /** Returns whether this controller leads, as far as it knows. */
     public boolean leads() {
         return leader != null;
     }
 
-    /** Whether users should be sent here: a leader is, or was just now, within reach. */
+    /**
+     * Returns whether users' requests should be sent to this controller: it is the active leader or knows the leader,
+     * or did so a moment ago, and it does not shed load.
+     */
     public boolean ready() {
         long now = environment.now();
         if (leader != null && leader.active()) {
@@ -134,27 +140,31 @@
         return now - leaderLastSeenAt < READY_GRACE_MS && !admission.shedsUsers();
     }
 
-    /** What is known of the links. */
+    /** Returns what this controller knows about the health of its links. */
     LinkHealth links() {
         return links;
     }
 
     // ---- requests
 
-    /** Called after each batch of commands. */
+    /** Called after each batch of commands; sends the changes and commands that the batch has queued. */
     public void endOfBatch() {
         if (leader != null) {
             leader.flush();
         }
     }
 
-    /** Takes a user's request: here when this controller leads, else by way of the leader. */
+    /** Handles a user's request: locally if this controller leads, else by forwarding it to the leader. */
     public void handleUserRequest(
             PeerMessage.RequestKind kind, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
         userRequests.handle(new PeerMessage.ForwardedRequest(kind, id, body), reply);
     }
 
-    /** Takes an operator's request; the path is what follows the prefix, with its query. */
+    /**
+     * Handles an operator's request, locally or by forwarding it to the leader.
+     *
+     * @param path the part of the path after the administration prefix, including the query
+     */
     public void handleAdministrationRequest(
             String method, String path, byte[] body, Consumer<PeerMessage.Response> reply) {
         if (!localAdministration.tryAnswer(method, path, reply)) {
@@ -162,17 +172,20 @@
         }
     }
 
-    /** Seconds after which a request that met the limit on requests in progress is worth a try; 0: it may pass it. */
+    /**
+     * Returns after how many seconds a request that exceeds the limit on requests in progress should be retried; 0 if
+     * it may exceed the limit.
+     */
     public int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
         return admission.retryAfterS(kind, body);
     }
 
-    /** Takes a worker's heartbeat; the reply is an HTTP status and a body. */
+    /** Handles a worker's heartbeat; the reply is an HTTP status and a body. */
     public void handleHeartbeat(byte[] body, BiConsumer<Integer, byte[]> reply) {
         heartbeats.handle(body, reply);
     }
 
-    /** Takes a message from another controller. */
+    /** Handles a message from another controller; the reply is the message to answer it with. */
     public void handlePeerMessage(PeerMessage message, Consumer<PeerMessage> reply) {
         peerMessages.handle(message, reply);
     }
--- a/src/main/java/stileferry/coordination/HeartbeatRouter.java
+++ b/src/main/java/stileferry/coordination/HeartbeatRouter.java
@@ -10,7 +10,7 @@
 import stileferry.protocol.UserMessages;
 import stileferry.requests.Responses;
 
-/** Has workers' heartbeats answered, by the leader or by what a follower may say. */
+/** Routes workers' heartbeats to the leader's handler if this controller leads, else to {@link FollowerHeartbeats}. */
 final class HeartbeatRouter {
     private static final String MALFORMED = "not a report";
 
@@ -18,7 +18,7 @@
     private final Supplier<Leader> leader;
     private final FollowerHeartbeats followerHeartbeats;
 
-    /** {@code leader} gives null while this controller does not lead. */
+    /** {@code leader} supplies null while this controller does not lead. */
     HeartbeatRouter(ControllerContext controller, Supplier<Leader> leader) {
         this.controller = controller;
         this.leader = leader;
@@ -30,7 +30,7 @@
                 (heartbeat, reply) -> answer(heartbeat, false, reply));
     }
 
-    /** Answers a heartbeat that came straight from its worker, with an HTTP status and a body. */
+    /** Answers a heartbeat received directly from its worker, with an HTTP status and a body. */
     void handle(byte[] body, BiConsumer<Integer, byte[]> reply) {
         Leader current = leader.get();
         Heartbeat heartbeat = current == null ? Heartbeat.read(body) : Heartbeat.read(body, current::lastHeartbeat);
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Answers a heartbeat that another controller has forwarded to this one, which leads. */
+    /** Answers a heartbeat that another controller has forwarded; called only while this controller leads. */
     void handleForwarded(byte[] body, Consumer<PeerMessage.Response> reply) {
         Heartbeat heartbeat = Heartbeat.read(body, leader.get()::lastHeartbeat);
         if (heartbeat == null) {
@@ -66,7 +66,7 @@
                 reply.accept(200, answer);
             }
         };
-        Leader current = leader.get(); // a higher term may have deposed it just now
+        Leader current = leader.get(); // null if a higher term has just deposed it
         if (current == null) {
             onAnswer.accept(null);
         } else {
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -32,7 +32,10 @@
 import stileferry.scheduling.SchedulingPass;
 import stileferry.storage.CommitQueue;
 
-/** One term of leading: reads what is durable, then serves users, workers and the queue until it is closed. */
+/**
+ * The leader during one term: recovers the durable state, then serves users and workers and schedules jobs until it is
+ * closed.
+ */
 final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
@@ -58,23 +61,28 @@
     private final ConnectionBudgetWarning connectionBudgetWarning;
     private final long heartbeatRoundMs;
 
-    /** Null until all that is durable has been read. */
+    /** Null until recovery is complete. */
     private AdministrationHandler administration;
 
     private Phase phase = Phase.READING_JOBS;
     private boolean closed;
     private long activeAt;
 
-    /** How far a term has come. */
+    /** Progress of recovery. */
     private enum Phase {
+        /** Job records are being read. */
         READING_JOBS,
-        /** All cancellations before this term are known, so workers' leases may be renewed. */
+        /** All cancellations before this term are known, so workers' leases may be renewed; the rest is being read. */
         READING_TASKS,
-        /** Everything that is durable has been read. */
+        /** Recovery is complete. */
         ACTIVE
     }
 
-    /** Begins a term by reading what is durable; {@code leaderRevision} is that of the leader key, for fencing. */
+    /**
+     * Begins a term and starts to read the durable state.
+     *
+     * @param leaderRevision the revision of the leader key, which fences all writes of the term
+     */
     Leader(ControllerContext controller, List<MachineType> machineTypes, long term, long leaderRevision) {
         this.settings = controller.settings();
         this.environment = controller.environment();
@@ -123,7 +131,7 @@
                 new SchedulingCallbacks());
     }
 
-    /** Ends the term; what was not answered is refused. */
+    /** Ends the term and refuses the requests that have not been answered. */
     void close() {
         closed = true;
         recovery.close();
@@ -134,12 +142,12 @@
         jobRequests.close();
     }
 
-    /** Whether everything that is durable has been read. */
+    /** Returns whether recovery is complete. */
     boolean active() {
         return phase == Phase.ACTIVE;
     }
 
-    /** The machine types are known from now on, or have changed. */
+    /** Called when the machine types have been read for the first time or again. */
     void setMachineTypes(List<MachineType> types) {
         cluster.setMachineTypes(types);
         for (Machine machine : cluster.machines().values()) {
@@ -149,9 +157,9 @@
         requestPass();
     }
 
-    // ---- failover
+    // ---- recovery
 
-    /** Everything that is durable has been read. */
+    /** Called when the whole durable state has been read; starts regular work. */
     private void activate(StateRecovery.Recovered recovered) {
         administration = new AdministrationHandler(
                 new OperatorSettingsHandler(
@@ -178,7 +186,8 @@
     }
 
     private void repairGangs() {
-        // an older version stored that one task of a gang was done, and might have started the others again
+        // An older version stored the completion of a single task of a gang, and might have started the other tasks
+        // again.
         cluster.jobs().values().stream()
                 .filter(job -> job.spec().gang() && job.completedCount() > 0)
                 .forEach(job -> taskLifecycle.completeGang(job, null));
@@ -190,7 +199,7 @@
         environment.setLogLevel(operatorSettings.text(OperatorSettings.LOG_LEVEL));
     }
 
-    // ---- regular work
+    // ---- periodic work
 
     private void tick() {
         if (closed) {
@@ -211,7 +220,10 @@
         }
     }
 
-    /** After one round of heartbeats, what has not sent one is taken for absent where that only costs a chance. */
+    /**
+     * Returns whether this leader has been active for longer than one round of heartbeats. A worker that has not sent
+     * one by then is treated as absent in decisions where a mistake only means a missed opportunity.
+     */
     private boolean allWorkersHeard() {
         return environment.now() - activeAt > heartbeatRoundMs;
     }
@@ -222,7 +234,7 @@
         }
     }
 
-    /** Everything that piled up in a turn goes out together. */
+    /** Sends the changes and commands that have been queued; called once per turn, so that they are sent together. */
     void flush() {
         if (closed) {
             return;
@@ -235,7 +247,7 @@
 
     // ---- workers and other controllers
 
-    /** Answers a heartbeat; null: not with 200. */
+    /** Answers a heartbeat; the reply is null if this leader may not answer it with 200. */
     void receive(Heartbeat heartbeat, Consumer<byte[]> reply) {
         if (active()) {
             heartbeats.receive(heartbeat, reply);
@@ -247,13 +259,13 @@
         reply.accept(renews ? heartbeats.renewBeforeRecovery(heartbeat) : null);
     }
 
-    /** The last that was heard from a machine; null: nothing. */
+    /** Returns the last heartbeat received from a machine in this term, or null if there is none. */
     Heartbeat lastHeartbeat(String machineName) {
         Machine machine = cluster.machines().get(machineName);
         return machine == null ? null : machine.agent().lastHeartbeat();
     }
 
-    /** Transactions that were sent and have no known outcome. */
+    /** Returns the number of transactions that were sent and whose outcome is not known. */
     int transactionsInFlight() {
         return commitQueue.inFlight();
     }
@@ -264,24 +276,27 @@
         return active() && !closed && election.leaseHeld();
     }
 
-    /** Whether jobs may be accepted and cancelled. */
+    /** Returns whether users' jobs may be accepted and cancelled now. */
     boolean mayAcceptChanges() {
         return mayAnswer() && links.permitsUserChanges();
     }
 
-    /** Whether a job is known: accepted, about to be, or over and asked for lately. */
+    /**
+     * Returns whether a job is known: accepted or being accepted, stored but unreadable, or completed and still in the
+     * cache of completed jobs.
+     */
     boolean knowsJob(String id) {
         return cluster.jobs().containsKey(id)
                 || jobRequests.knowsCompleted(id)
                 || cluster.unreadableJobs().contains(id);
     }
 
-    /** Users' requests about jobs; refused there until everything has been read. */
+    /** Returns the handler of users' requests about jobs, which refuses them until recovery is complete. */
     JobRequestHandler jobRequests() {
         return jobRequests;
     }
 
-    /** Answers an operator's request. */
+    /** Answers an operator's request, or refuses it while this leader is not sure to lead or not yet active. */
     void administer(AdministrationRequest request, Consumer<PeerMessage.Response> reply) {
         if (!mayAnswer()) {
             reply.accept(Responses.noLeader());
@@ -301,7 +316,7 @@
                 .set("gangs", taskLifecycle.gangMetrics().describe());
     }
 
-    /** What users' requests call. */
+    /** Callbacks for the handler of users' requests about jobs. */
     private final class JobRequestCallbacks implements JobRequestHandler.LeaderCallbacks {
         @Override
         public boolean mayAnswer() {
@@ -339,7 +354,7 @@
         }
     }
 
-    /** What the scheduling loop calls. */
+    /** Callbacks for the scheduling loop. */
     private final class SchedulingCallbacks implements SchedulingLoop.Callbacks {
         @Override
         public boolean mayRun() {
@@ -357,7 +372,7 @@
         }
     }
 
-    /** What the recovery of durable state calls. */
+    /** Receives the recovered state. */
     private final class RecoveryListener implements StateRecovery.Listener {
         @Override
         public void cancelledJobs(List<String> jobs) {
--- a/src/main/java/stileferry/coordination/LinkHealthCallbacks.java
+++ b/src/main/java/stileferry/coordination/LinkHealthCallbacks.java
@@ -5,7 +5,7 @@
 import stileferry.links.LinkHealth;
 import stileferry.storage.KeyValueStoreClient;
 
-/** What the watching of links calls. */
+/** Gives link monitoring access to this controller's leadership, key-value store client and load. */
 final class LinkHealthCallbacks implements LinkHealth.Host {
     private final LeaderElection election;
     private final KeyValueStoreClient store;
--- a/src/main/java/stileferry/coordination/LocalAdministration.java
+++ b/src/main/java/stileferry/coordination/LocalAdministration.java
@@ -6,7 +6,7 @@
 import stileferry.requests.RequestMetrics;
 import stileferry.requests.Responses;
 
-/** The administration views that every controller answers from its own state, whether or not it leads. */
+/** Answers the administration views that every controller provides from its own state, whether or not it leads. */
 final class LocalAdministration {
     private final ControllerContext controller;
     private final RequestMetrics metrics;
@@ -16,7 +16,7 @@
         this.metrics = metrics;
     }
 
-    /** Answers a request that needs no leader; false, and no answer, if only the leader can. */
+    /** Answers a request that needs no leader; returns false, without answering, if only the leader can answer it. */
     boolean tryAnswer(String method, String path, Consumer<PeerMessage.Response> reply) {
         boolean isGet = method.equals("GET");
         if (path.equals("links")) {
--- a/src/main/java/stileferry/coordination/MachineTypeCatalog.java
+++ b/src/main/java/stileferry/coordination/MachineTypeCatalog.java
@@ -5,7 +5,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.MachineType;
 
-/** The machine types that the cloud rents, read again and again. */
+/** The machine types that the cloud offers, read periodically. */
 final class MachineTypeCatalog {
     private static final long REQUEST_TIMEOUT_MS = 5000;
     private static final long REFRESH_INTERVAL_MS = 60_000;
@@ -17,19 +17,19 @@
     private final Consumer<List<MachineType>> onRead;
     private List<MachineType> types = List.of();
 
-    /** {@code onRead} is told whenever the types have been read. */
+    /** {@code onRead} is called whenever the types have been read successfully. */
     MachineTypeCatalog(Environment environment, String cloudAddress, Consumer<List<MachineType>> onRead) {
         this.environment = environment;
         this.cloudAddress = cloudAddress;
         this.onRead = onRead;
     }
 
-    /** The types as they were read last; empty: not yet. */
+    /** Returns the types as last read; empty if they have not been read yet. */
     List<MachineType> types() {
         return types;
     }
 
-    /** Reads the types now and from now on. */
+    /** Reads the types now and then periodically; called once. */
     void refresh() {
         environment.request(cloudAddress, "GET", "/machine_types", null, REQUEST_TIMEOUT_MS, (status, body) -> {
             List<MachineType> read = status == 200 && body != null ? MachineType.readAll(body) : List.of();
--- a/src/main/java/stileferry/coordination/PeerMessageHandler.java
+++ b/src/main/java/stileferry/coordination/PeerMessageHandler.java
@@ -8,7 +8,7 @@
 import stileferry.requests.BatchResponder;
 import stileferry.requests.Responses;
 
-/** Answers what other controllers send. */
+/** Dispatches and answers the messages that other controllers send. */
 final class PeerMessageHandler {
     private static final Logger LOG = LoggerFactory.getLogger("coordinator");
 
@@ -16,7 +16,7 @@
     private final Supplier<Leader> leader;
     private final UserRequestRouter userRequests;
 
-    /** {@code leader} gives null while this controller does not lead. */
+    /** {@code leader} supplies null while this controller does not lead. */
     PeerMessageHandler(ControllerContext controller, Supplier<Leader> leader, UserRequestRouter userRequests) {
         this.controller = controller;
         this.leader = leader;
@@ -38,7 +38,7 @@
         } else if (message instanceof PeerMessage.LinkView view) {
             reply.accept(orUnavailable(controller.links().receiveView(view)));
         } else {
-            LOG.debug("unexpected message from a controller: message={}", message);
+            LOG.debug("unexpected message from peer: message={}", message);
             reply.accept(Responses.unavailable());
         }
     }
--- a/src/main/java/stileferry/coordination/SchedulingLoop.java
+++ b/src/main/java/stileferry/coordination/SchedulingLoop.java
@@ -7,15 +7,19 @@
 import stileferry.scheduling.SchedulingPass;
 import stileferry.storage.CommitQueue;
 
-/** When a leader's scheduling passes run: at regular intervals, and soon after something has changed. */
+/** Runs a leader's scheduling passes: at regular intervals, and on request soon after something has changed. */
 final class SchedulingLoop {
-    /** Changes within this time share a pass. */
+    /** Requests for a pass within this time are served by one pass. */
     private static final long COALESCING_DELAY_MS = 20;
 
-    /** Passes rest for so many times as long as they take, so that heartbeats and renewals get their turns. */
+    /**
+     * Minimum pause between passes, as a multiple of the duration of the last pass, so that heartbeats and lease
+     * renewals are processed in between. It applies to requested passes, and to regular ones where the caller asks for
+     * it.
+     */
     private static final long MIN_PAUSE_FACTOR = 5;
 
-    /** Transactions that may wait for the key-value store before nothing more is started. */
+    /** No pass runs while more changes wait for the key-value store than fit into this number of transactions. */
     private static final int MAX_BACKLOG_TRANSACTIONS = 4;
 
     private final Environment environment;
@@ -30,15 +34,15 @@
     private long lastPassTookMs;
     private long lastPassAt;
 
-    /** What the leader does for the loop. */
+    /** Implemented by the leader. */
     interface Callbacks {
-        /** Whether passes may run: the leader is not closed and sure to lead. */
+        /** Returns whether passes may run: the leader is not closed and holds its lease. */
         boolean mayRun();
 
-        /** Whether all workers that can send heartbeats have sent one in this term. */
+        /** Returns whether all workers that can send heartbeats have sent one in this term. */
         boolean allWorkersHeard();
 
-        /** Sends what a pass that was not a regular one has decided. */
+        /** Called after a requested pass, to send the changes and commands that it has queued. */
         void afterRequestedPass();
     }
 
@@ -60,7 +64,7 @@
                 MAX_BACKLOG_TRANSACTIONS * cluster.settings().keyValueStore().maxTransactionOperations();
     }
 
-    /** Has a pass run soon. */
+    /** Schedules a pass to run soon, unless one is already scheduled. */
     void requestPass() {
         if (passRequested) {
             return;
@@ -78,14 +82,14 @@
     /**
      * Runs a regular pass.
      *
-     * @param restsWhenSaturated whether it is left out while the event loop is saturated and the last pass took long:
-     *     passes must not take the time that lease renewals need
+     * @param skipWhenSaturated whether the pass is skipped while the event loop is saturated and the pause after the
+     *     last pass has not passed: passes must not take the time that lease renewals need
      */
-    void runRegular(boolean restsWhenSaturated) {
-        boolean rests = restsWhenSaturated
+    void runRegular(boolean skipWhenSaturated) {
+        boolean skip = skipWhenSaturated
                 && eventLoopLag.saturated()
                 && environment.now() - lastPassAt < MIN_PAUSE_FACTOR * lastPassTookMs;
-        if (!rests) {
+        if (!skip) {
             run(true);
         }
     }
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -22,13 +22,13 @@
 import stileferry.storage.KeyValueStoreClient;
 import stileferry.storage.StoredEvent;
 
-/** Reads all that is durable when a term of leading begins, and builds jobs and task assignments from it. */
+/** Reads the whole durable state when a leader's term begins, and restores jobs and task assignments from it. */
 final class StateRecovery {
     private static final Logger LOG = LoggerFactory.getLogger("leader");
 
     private static final long RETRY_DELAY_MS = 300;
 
-    /** Records of an older form, read and then replaced: a part of one job's tasks each. */
+    /** Prefix of legacy records, each with a part of one job's tasks, which are read and then replaced. */
     private static final String LEGACY_CHUNK_PREFIX = "c/";
 
     private final Environment environment;
@@ -39,23 +39,26 @@
     private final List<String> prefixes;
     private boolean closed;
 
-    /** Told what was read. */
+    /** Receives the recovered state; implemented by the leader. */
     interface Listener {
-        /** The jobs that were cancelled in earlier terms, long before everything has been read. */
+        /**
+         * Called with the ids of the jobs that were cancelled in earlier terms, long before recovery is complete; again
+         * if a failed read makes recovery start over.
+         */
         void cancelledJobs(List<String> jobs);
 
-        /** The operators' settings. */
+        /** Called with the operators' settings if any are stored. */
         void operatorSettings(OperatorSettings settings);
 
-        /** Everything is in the cluster state. */
+        /** Called when all jobs and task assignments are in the cluster state. */
         void recovered(Recovered recovered);
     }
 
     /**
-     * What was read beside jobs and task assignments.
+     * What was read besides jobs and task assignments.
      *
-     * @param operatorSettingsRevision the revision of the settings' record; 0: there is none
-     * @param assignments how many task assignments were read
+     * @param operatorSettingsRevision the revision of the operators' settings; 0 if none are stored
+     * @param assignments the number of task assignments that were read
      */
     record Recovered(
             long operatorSettingsRevision,
@@ -63,7 +66,11 @@
             Iterable<LastHeartbeatRecord> lastHeartbeats,
             List<KeyValue> admissionShards) {}
 
-    /** {@code readsAdmissionShards}: whether the count of admissions is read too. */
+    /**
+     * Creates a recovery, without starting it.
+     *
+     * @param readsAdmissionShards whether the durable count of admissions is read too
+     */
     StateRecovery(
             Environment environment,
             KeyValueStoreClient store,
@@ -86,12 +93,12 @@
         closed = true;
     }
 
-    /** Reads everything, and all of it again when a read fails. */
+    /** Reads the whole state, and starts over after a delay if a read fails. */
     void load() {
         read(prefixes, new HashMap<>());
     }
 
-    /** Reads one prefix after the other. */
+    /** Reads the remaining prefixes one after another. */
     private void read(List<String> prefixesLeft, Map<String, List<KeyValue>> rowsByPrefix) {
         if (prefixesLeft.isEmpty()) {
             readOperatorSettings(rowsByPrefix);
@@ -164,8 +171,8 @@
             try {
                 jobs.add(Job.read(row.value(), row.revision()));
             } catch (InvalidJobSpecException e) {
-                // its user was told that it is accepted, so nobody may hear that it is unknown
-                LOG.error("job record unreadable, its job can't run: key={} reason={}", row.key(), e.getMessage());
+                // The user was told that the job was accepted, so no user may be told that it is unknown.
+                LOG.error("stored job is unreadable and can't run: key={} reason={}", row.key(), e.getMessage());
                 cluster.addUnreadableJob(jobId(row));
             }
         }
@@ -178,7 +185,7 @@
         for (KeyValue row : rows) {
             String[] key = row.key().split("/");
             Job job = key.length == 3 ? cluster.jobs().get(key[1]) : null;
-            // what is left of a job that ended is deleted like the others, with nothing kept of it
+            // A chunk of a job that has ended is restored without events: it is deleted and nothing of it is retained.
             List<StoredEvent> events = job == null
                     ? List.of()
                     : reader.readLegacyChunk(job, Integer.parseInt(key[2]), row.value(), --number);
--- a/src/main/java/stileferry/coordination/TermComponents.java
+++ b/src/main/java/stileferry/coordination/TermComponents.java
@@ -16,7 +16,7 @@
 import stileferry.scheduling.Placement;
 import stileferry.storage.CommitQueue;
 
-/** What one term of leading consists of; all of it ends with the term. */
+/** The leader's components for one term; they are created with the term and discarded with it. */
 record TermComponents(
         ClusterState cluster,
         CommitQueue commitQueue,
@@ -26,10 +26,14 @@
         Placement placement,
         Autoscaler autoscaler) {
 
-    /** The number of a term, the revision of its leader key, and the numbers that are given out in it. */
+    /** The number of a term, the revision of its leader key, and the sequence that issues numbers within it. */
     record Term(long number, long leaderRevision, TermSequence sequence) {}
 
-    /** {@code requestPass} is called when something has changed that a scheduling pass may use. */
+    /**
+     * Creates the components of a term.
+     *
+     * @param requestPass called when something has changed that a scheduling pass may be able to use
+     */
     static TermComponents create(
             ControllerContext controller,
             List<MachineType> machineTypes,
--- a/src/main/java/stileferry/coordination/UserRequestRouter.java
+++ b/src/main/java/stileferry/coordination/UserRequestRouter.java
@@ -12,14 +12,14 @@
 import stileferry.requests.RequestMetrics;
 import stileferry.requests.Responses;
 
-/** Takes users' requests to the leader, here or at another controller. */
+/** Routes users' requests to the leader, which is this controller or another one. */
 final class UserRequestRouter {
     private static final Logger LOG = LoggerFactory.getLogger("coordinator");
 
-    /** Shorter than the users' own patience with a question, which is 2 s. */
+    /** Shorter than the users' own timeout for a query, which is 2 s. */
     private static final long STATUS_FORWARD_TIMEOUT_MS = 1500;
 
-    /** Shorter than the users' own patience with a change, which is 5 s. */
+    /** Shorter than the users' own timeout for a change, which is 5 s. */
     private static final long CHANGE_FORWARD_TIMEOUT_MS = 4000;
 
     private final ControllerContext controller;
@@ -27,7 +27,7 @@
     private final HeartbeatRouter heartbeats;
     private final RequestMetrics metrics;
 
-    /** {@code leader} gives null while this controller does not lead. */
+    /** {@code leader} supplies null while this controller does not lead. */
     UserRequestRouter(
             ControllerContext controller, Supplier<Leader> leader, HeartbeatRouter heartbeats, RequestMetrics metrics) {
         this.controller = controller;
@@ -36,7 +36,7 @@
         this.metrics = metrics;
     }
 
-    /** Answers a request that came to this controller: here when it leads, else by way of the leader. */
+    /** Answers a request received by this controller: locally if it leads, else by forwarding it to the leader. */
     void handle(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
         long receivedAt = controller.environment().now();
         route(request, response -> {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Answers a request that another controller has forwarded; refused when this one does not lead. */
+    /** Answers a request that another controller has forwarded; refuses it if this controller does not lead. */
     void handleForwarded(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
         Leader current = leader.get();
         if (current == null) {
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -69,10 +69,10 @@
      * busy leader renews late.
      */
     static long durationMs(Settings settings) {
-        double heartbeats = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEAT_INTERVALS * 1000;
-        double unscaled = Math.max(MIN_DURATION_MS, Math.min(MAX_UNSCALED_DURATION_MS, heartbeats));
-        double max = Math.max(unscaled, settings.workers().leaseS() * 1000 * MAX_DURATION_IN_WORKER_LEASES);
-        return Math.round(Math.min(max, unscaled * settings.slowness()));
+        double wantedMs = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEAT_INTERVALS * 1000;
+        double unscaledMs = Math.max(MIN_DURATION_MS, Math.min(MAX_UNSCALED_DURATION_MS, wantedMs));
+        double maxMs = Math.max(unscaledMs, settings.workers().leaseS() * 1000 * MAX_DURATION_IN_WORKER_LEASES);
+        return Math.round(Math.min(maxMs, unscaledMs * settings.slowness()));
     }
 
     /**
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -169,13 +169,13 @@
     }
 
     private Batch overwrite(EventLogRecord record, int maxChanges) {
-        boolean endsGivenUp = record.holdsTombstones();
+        boolean discardsTombstones = record.holdsTombstones();
         EventLogRecord.Contents contents = new EventLogRecord.Contents(++lastNumber);
         contents.retain(record.number, record.events);
         List<StoredEntry> deletions = migrateInto(contents, maxChanges - 1);
         List<Runnable> onDurable = movePendingInto(contents);
         record.overwrite(contents);
-        return new Batch(record.entry, deletions, contents.bytes(), onDurable, endsGivenUp);
+        return new Batch(record.entry, deletions, contents.bytes(), onDurable, discardsTombstones);
     }
 
     /**
