--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -234,7 +234,9 @@
         }
     }
 
-    /** Sends the changes and commands that have been queued; called once per turn, so that they are sent together. */
+    /**
+     * Sends all queued changes and commands; called at the end of an event loop turn, so that they are sent together.
+     */
     void flush() {
         if (closed) {
             return;
--- a/src/main/java/stileferry/coordination/MachineTypeCatalog.java
+++ b/src/main/java/stileferry/coordination/MachineTypeCatalog.java
@@ -5,7 +5,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.MachineType;
 
-/** The machine types that the cloud offers, read periodically. */
+/** Reads the machine types that the cloud offers, periodically, and keeps the last successful result. */
 final class MachineTypeCatalog {
     private static final long REQUEST_TIMEOUT_MS = 5000;
     private static final long REFRESH_INTERVAL_MS = 60_000;
--- a/src/main/java/stileferry/coordination/SchedulingLoop.java
+++ b/src/main/java/stileferry/coordination/SchedulingLoop.java
@@ -27,7 +27,7 @@
     private final CommitQueue commitQueue;
     private final Placement placement;
     private final SchedulingPass schedulingPass;
-    private final Callbacks host;
+    private final Callbacks callbacks;
     private final int maxBacklogChanges;
 
     private boolean passRequested;
@@ -53,13 +53,13 @@
             CommitQueue commitQueue,
             Placement placement,
             SchedulingPass schedulingPass,
-            Callbacks host) {
+            Callbacks callbacks) {
         this.environment = environment;
         this.eventLoopLag = eventLoopLag;
         this.commitQueue = commitQueue;
         this.placement = placement;
         this.schedulingPass = schedulingPass;
-        this.host = host;
+        this.callbacks = callbacks;
         this.maxBacklogChanges =
                 MAX_BACKLOG_TRANSACTIONS * cluster.settings().keyValueStore().maxTransactionOperations();
     }
@@ -72,9 +72,9 @@
         passRequested = true;
         environment.schedule(Math.max(COALESCING_DELAY_MS, MIN_PAUSE_FACTOR * lastPassTookMs), () -> {
             passRequested = false;
-            if (host.mayRun()) {
+            if (callbacks.mayRun()) {
                 run(false);
-                host.afterRequestedPass();
+                callbacks.afterRequestedPass();
             }
         });
     }
@@ -83,7 +83,7 @@
      * Runs a regular pass.
      *
      * @param skipWhenSaturated whether the pass is skipped while the event loop is saturated and the pause after the
-     *     last pass has not passed: passes must not take the time that lease renewals need
+     *     last pass has not elapsed: passes must not take the time that lease renewals need
      */
     void runRegular(boolean skipWhenSaturated) {
         boolean skip = skipWhenSaturated
@@ -97,7 +97,7 @@
     private void run(boolean regular) {
         long startedAt = environment.now();
         if (commitQueue.backlog() <= maxBacklogChanges) {
-            schedulingPass.run(regular, host.allWorkersHeard());
+            schedulingPass.run(regular, callbacks.allWorkersHeard());
         }
         lastPassAt = environment.now();
         lastPassTookMs = lastPassAt - startedAt;
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -75,14 +75,14 @@
     public List<WorkerCommand> killCommandsFor(Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
-            if (status.phase() != Heartbeat.TaskPhase.EXITED && isOfCancelledJob(status.taskId())) {
+            if (status.phase() != Heartbeat.TaskPhase.EXITED && belongsToCancelledJob(status.taskId())) {
                 commands.add(new WorkerCommand(WorkerCommand.Kind.KILL, status.taskId(), status.attempt(), 0));
             }
         }
         return commands;
     }
 
-    private boolean isOfCancelledJob(String taskId) {
+    private boolean belongsToCancelledJob(String taskId) {
         int slash = taskId.indexOf('/');
         return slash > 0 && cancelledJobs.containsKey(taskId.substring(0, slash));
     }
@@ -236,7 +236,7 @@
 
     private List<String> recentlyCancelled() {
         long oldest = environment.now() - retentionMs;
-        cancelledJobs.values().removeIf(namedAt -> namedAt < oldest);
+        cancelledJobs.values().removeIf(reportedAt -> reportedAt < oldest);
         return List.copyOf(cancelledJobs.keySet());
     }
 
@@ -258,9 +258,8 @@
 
     private void merge(TermAnnouncement received) {
         if (received.knowledge() == null) {
-            informed &=
-                    !received.leading(); // a leader of an older version confirms cancellations that no other process
-            // knows
+            // A leader of an older version confirms cancellations that no other process knows.
+            informed &= !received.leading();
         } else {
             received.knowledge().cancelled().forEach(this::addCancelled);
         }
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -69,8 +69,8 @@
      * busy leader renews late.
      */
     static long durationMs(Settings settings) {
-        double wantedMs = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEAT_INTERVALS * 1000;
-        double unscaledMs = Math.max(MIN_DURATION_MS, Math.min(MAX_UNSCALED_DURATION_MS, wantedMs));
+        double preferredMs = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEAT_INTERVALS * 1000;
+        double unscaledMs = Math.max(MIN_DURATION_MS, Math.min(MAX_UNSCALED_DURATION_MS, preferredMs));
         double maxMs = Math.max(unscaledMs, settings.workers().leaseS() * 1000 * MAX_DURATION_IN_WORKER_LEASES);
         return Math.round(Math.min(maxMs, unscaledMs * settings.slowness()));
     }
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -95,7 +95,7 @@
         this.peers = peers;
     }
 
-    /** Accepts a heartbeat for which no leader can be found; the reply is HTTP status 200 or 503, later. */
+    /** Accepts a heartbeat for which no leader can be found; the reply has HTTP status 200 or 503. */
     public void requestRenewal(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {
         waiting.add(new WaitingHeartbeat(heartbeat, reply));
         poll();
--- a/src/main/java/stileferry/leadership/TermSequence.java
+++ b/src/main/java/stileferry/leadership/TermSequence.java
@@ -4,16 +4,16 @@
 public final class TermSequence {
     private static final long NUMBERS_PER_TERM = 1L << 32;
 
-    private final long first;
+    private final long base;
     private long issued;
 
     /** Creates the sequence of a term, in which no number has been issued yet. */
     public TermSequence(long term) {
-        this.first = term * NUMBERS_PER_TERM;
+        this.base = term * NUMBERS_PER_TERM;
     }
 
     /** Returns a number higher than all issued so far. */
     public long next() {
-        return first + ++issued;
+        return base + ++issued;
     }
 }
--- a/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
+++ b/src/main/java/stileferry/storage/CompareAndSwapTransaction.java
@@ -42,7 +42,7 @@
 
     /** Adds an entry with its current value, or its deletion if it is marked for deletion. */
     void add(StoredEntry entry) {
-        addCondition(entry);
+        addEntry(entry);
         if (entry.markedForDeletion) {
             request.delete(entry.key);
             deletions.add(entry);
@@ -53,12 +53,12 @@
 
     /** Adds a put of an entry with its current value, whose size in JSON form is at most {@code valueBytes}. */
     void add(StoredEntry entry, int valueBytes) {
-        addCondition(entry);
+        addEntry(entry);
         put(entry);
         bytes += valueBytes;
     }
 
-    private void addCondition(StoredEntry entry) {
+    private void addEntry(StoredEntry entry) {
         entry.pending = false;
         entry.inFlight = true;
         entries.add(entry);
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -216,23 +216,23 @@
     /**
      * Copies events of a record that is too large to be retained in one record into an overflow record outside the
      * ring. A record written under a larger value limit may hold more than fits under the current limit; as much as
-     * fits is copied before the large record is overwritten. The overflow record holds no tombstones, so its order
+     * fits is copied before the oversized record is overwritten. The overflow record holds no tombstones, so its order
      * relative to other records does not matter. It is copied into the ring and deleted like a record of the legacy
-     * format, also by versions that know only that format. Its put compares the large record's revision, so that it
+     * format, also by versions that know only that format. Its put compares the oversized record's revision, so that it
      * can't be applied a second time after the overflow record has been deleted.
      */
-    private Batch copyToOverflow(EventLogRecord large) {
+    private Batch copyToOverflow(EventLogRecord oversized) {
         EventLogRecord overflow = new EventLogRecord(overflowPrefix + overflowRecords++, 0, lastNumber, List.of());
-        overflow.entry.requireUnchanged(large.entry);
+        overflow.entry.requireUnchanged(oversized.entry);
         EventLogRecord.Contents contents = new EventLogRecord.Contents(lastNumber);
-        for (StoredEvent event : large.retainedEvents()) {
+        for (StoredEvent event : oversized.retainedEvents()) {
             if (!contents.hasRoomFor(event, maxRecordBytes)) {
                 break;
             }
             contents.add(event);
         }
         overflow.overwrite(contents);
-        large.overflow.add(overflow);
+        oversized.overflow.add(overflow);
         toMigrate.add(overflow);
         return new Batch(overflow.entry, List.of(), contents.bytes(), List.of(), false);
     }
