--- a/src/main/java/stileferry/coordination/LinkHost.java
+++ b/src/main/java/stileferry/coordination/LinkHealthCallbacks.java
@@ -5,13 +5,13 @@
 import stileferry.links.LinkHealth;
 import stileferry.storage.KeyValueStoreClient;
 
-/** What the watching of links calls. */
-final class LinkHost implements LinkHealth.Host {
+/** Gives link monitoring access to this controller's leadership, key-value store client and load. */
+final class LinkHealthCallbacks implements LinkHealth.Host {
     private final LeaderElection election;
     private final KeyValueStoreClient store;
     private final EventLoopLag eventLoopLag;
 
-    LinkHost(LeaderElection election, KeyValueStoreClient store, EventLoopLag eventLoopLag) {
+    LinkHealthCallbacks(LeaderElection election, KeyValueStoreClient store, EventLoopLag eventLoopLag) {
         this.election = election;
         this.store = store;
         this.eventLoopLag = eventLoopLag;
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -13,8 +13,8 @@
 import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Environment;
 import stileferry.storage.CommitQueue;
-import stileferry.storage.EndEvent;
 import stileferry.storage.StoredEvent;
+import stileferry.storage.TombstoneEvent;
 
 /**
  * Records in the store when machines that missed heartbeats were last answered, so that the next leader need not wait
@@ -86,12 +86,12 @@
         }
 
         @Override
-        public boolean endsEarlierEvent() {
+        public boolean isTombstone() {
             return false;
         }
     }
 
-    private record HeartbeatsResumedEvent(String machine) implements EndEvent {
+    private record HeartbeatsResumedEvent(String machine) implements TombstoneEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(HEARTBEATS_RESUMED_EVENT).add(machine);
--- a/src/main/java/stileferry/lifecycle/TaskEvents.java
+++ b/src/main/java/stileferry/lifecycle/TaskEvents.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import stileferry.cluster.Job;
 import stileferry.cluster.TaskAssignment;
-import stileferry.storage.EndEvent;
 import stileferry.storage.StoredEvent;
+import stileferry.storage.TombstoneEvent;
 
 /** Stored task events. Each event is an array that begins with the event's kind and the job's id. */
 final class TaskEvents {
@@ -67,13 +67,13 @@
         }
 
         @Override
-        public boolean endsEarlierEvent() {
+        public boolean isTombstone() {
             return false;
         }
     }
 
     /** Event 1: the assignment of this attempt is settled. */
-    record Settled(Job job, int index, long attempt) implements EndEvent {
+    record Settled(Job job, int index, long attempt) implements TombstoneEvent {
         @Override
         public void write(ArrayNode into) {
             into.add(SETTLED).add(job.spec().id()).add(index).add(attempt);
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public boolean endsEarlierEvent() {
+        public boolean isTombstone() {
             return false; // it also ends assignments, but is retained as long as its job exists
         }
 
--- a/src/main/java/stileferry/storage/TransactionCommitter.java
+++ b/src/main/java/stileferry/storage/TransactionCommitter.java
@@ -7,15 +7,15 @@
 import stileferry.protocol.KeyValueStoreProtocol.ReadResult;
 
 /**
- * Sends transactions until their outcome is known. What was not applied is repeated as it is. If the repetition of
- * one with an ambiguous outcome fails its comparison, the transaction itself may have been applied before: one of its
- * keys is read back and recognised by the transaction's stamp.
+ * Sends each transaction until its outcome is known. A transaction that was not applied is retried unchanged. If a
+ * transaction whose outcome was ambiguous fails its comparison when it is retried, an earlier attempt may have been
+ * applied: one of its keys is read back, and the transaction id in its value shows whether it was.
  */
 final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger("commits");
 
-    private static final long MIN_RETRY_MS = 50;
-    private static final long MAX_RETRY_MS = 1000;
+    private static final long MIN_RETRY_DELAY_MS = 50;
+    private static final long MAX_RETRY_DELAY_MS = 1000;
     private static final int MAX_RETRY_DOUBLINGS = 5;
 
     private final Environment environment;
@@ -24,24 +24,29 @@
     private int inFlight;
     private boolean closed;
 
-    /** {@code onFenced} runs when a transaction shows that another leader has written. */
+    /**
+     * Creates a committer.
+     *
+     * @param onFenced runs when a transaction shows that another leader has written, or when the store rejects a
+     *     transaction as malformed
+     */
     TransactionCommitter(Environment environment, KeyValueStoreClient store, Runnable onFenced) {
         this.environment = environment;
         this.store = store;
         this.onFenced = onFenced;
     }
 
-    /** Transactions without a known outcome. */
+    /** Returns the number of transactions whose outcome is not known. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Stops everything; nothing is sent and no action runs any more. */
+    /** Closes the committer: nothing is sent and no action runs any more. */
     void close() {
         closed = true;
     }
 
-    /** Sends a transaction; its actions run once it is durable. */
+    /** Sends a transaction and retries it as needed; its actions run once it is durable. */
     void commit(CompareAndSwapTransaction transaction) {
         inFlight++;
         send(transaction);
@@ -53,17 +58,17 @@
         }
         store.commit(transaction.request, false, result -> {
             if (!closed) {
-                answered(transaction, result);
+                handleResult(transaction, result);
             }
         });
     }
 
-    private void answered(CompareAndSwapTransaction transaction, CommitResult result) {
+    private void handleResult(CompareAndSwapTransaction transaction, CommitResult result) {
         switch (result.outcome()) {
-            case APPLIED -> applied(transaction, result.revision());
-            case CONFLICT -> conflicted(transaction);
+            case APPLIED -> handleApplied(transaction, result.revision());
+            case CONFLICT -> handleConflict(transaction);
             case INVALID -> {
-                LOG.error("transaction malformed: response={}", result.detail());
+                LOG.error("key-value store rejected a malformed transaction: response={}", result.detail());
                 onFenced.run();
             }
             case NOT_APPLIED -> retryLater(transaction, () -> send(transaction));
@@ -74,7 +79,7 @@
         }
     }
 
-    private void conflicted(CompareAndSwapTransaction transaction) {
+    private void handleConflict(CompareAndSwapTransaction transaction) {
         if (transaction.ambiguous) {
             readBack(transaction);
         } else {
@@ -84,11 +89,11 @@
 
     private void retryLater(CompareAndSwapTransaction transaction, Runnable retry) {
         int doublings = Math.min(MAX_RETRY_DOUBLINGS, transaction.retries++);
-        long delayMs = Math.min(MAX_RETRY_MS, MIN_RETRY_MS << doublings);
+        long delayMs = Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS << doublings);
         environment.schedule(delayMs / 2 + environment.random().nextLong(delayMs), retry);
     }
 
-    /** Reads one key back; as a transaction is applied whole or not at all, one is enough. */
+    /** Reads one key back; one is enough, because a transaction is applied atomically. */
     private void readBack(CompareAndSwapTransaction transaction) {
         if (closed) {
             return;
@@ -96,29 +101,29 @@
         StoredEntry entry = transaction.entryToReadBack();
         store.get(entry.key, result -> {
             if (!closed) {
-                readBack(transaction, entry, result);
+                handleReadBack(transaction, entry, result);
             }
         });
     }
 
-    private void readBack(CompareAndSwapTransaction transaction, StoredEntry entry, ReadResult result) {
+    private void handleReadBack(CompareAndSwapTransaction transaction, StoredEntry entry, ReadResult result) {
         boolean deleted = transaction.deletes(entry);
         if (result.unknown()) {
             retryLater(transaction, () -> readBack(transaction));
         } else if (deleted && !result.found()) {
-            applied(transaction, 0);
+            handleApplied(transaction, 0);
         } else if (!deleted && result.found() && transaction.wrote(result.row())) {
-            applied(transaction, result.row().revision());
+            handleApplied(transaction, result.row().revision());
         } else {
             onFenced.run();
         }
     }
 
-    private void applied(CompareAndSwapTransaction transaction, long revision) {
+    private void handleApplied(CompareAndSwapTransaction transaction, long revision) {
         inFlight--;
         for (StoredEntry entry : transaction.entries) {
             entry.inFlight = false;
-            // what was sent counts: the key may have been marked for deletion since
+            // What was sent decides here, because the entry may have been marked for deletion since.
             entry.revision = transaction.deletes(entry) ? 0 : revision;
         }
         transaction.onDurable.forEach(Runnable::run);
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -195,7 +195,7 @@
         EventLog.Batch lost = log.nextBatch(12);
         assertTrue(lost.deletions().isEmpty());
         EventLog.Batch last = log.nextBatch(12);
-        if (!last.endsGivenUp()) { // otherwise it waits until the previous record is durable
+        if (!last.discardsTombstones()) { // otherwise it waits until the previous record is durable
             store.put(last.put().key(), encodeAndDecode(last.put().value()));
         }
     }
