--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -132,7 +132,7 @@
         machine.agent().discardLastHeartbeatRecord();
         machines.remove(machine.name());
         deletedMachines.add(machine.name());
-        links.workerGone(machine.name());
+        links.workerRemoved(machine.name());
     }
 
     /** Takes in a machine's zone, which may become known after the assignments on it. */
--- a/src/main/java/stileferry/coordination/LinkHost.java
+++ b/src/main/java/stileferry/coordination/LinkHost.java
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public boolean behind() {
+    public boolean overloaded() {
         return eventLoopLag.overloaded();
     }
 }
--- a/src/main/java/stileferry/heartbeat/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -49,7 +49,7 @@
         Visit visit = visits.getIfPresent(machine);
         Visit next;
         if (visit == null || !visit.leader.equals(leader) || wasElsewhere(visit, now)) {
-            next = new Visit(leader, now, now, !links.leaderHearsWorker(leader, machine));
+            next = new Visit(leader, now, now, !links.leaderKnowsWorker(leader, machine));
         } else if (shouldRetry(visit, machine, now)) {
             next = new Visit(leader, now, now, true);
         } else {
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -39,7 +39,7 @@
         long eventLoopLagMs();
 
         /** Whether this process is behind with its work. */
-        boolean behind();
+        boolean overloaded();
     }
 
     /** Whether links are monitored. */
@@ -67,7 +67,7 @@
     default void workerExpected(String machine, String address) {}
 
     /** The leader knows that a worker is gone. */
-    default void workerGone(String machine) {}
+    default void workerRemoved(String machine) {}
 
     /** This node leads from now on; {@code changesInFlight}: transactions without a known outcome. */
     default void elected(long term, IntSupplier changesInFlight) {}
@@ -93,7 +93,7 @@
     // ---- what the controller may do
 
     /** Whether the leader reports that it received a worker's heartbeat in its term, so that a redirect is no use. */
-    default boolean leaderHearsWorker(String leader, String machine) {
+    default boolean leaderKnowsWorker(String leader, String machine) {
         return false;
     }
 
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -90,7 +90,7 @@
         environment.schedule(tickMs, this::tick);
         long now = environment.now();
         connectivity.leaderObserved(host.term(), host.leader(), now);
-        connectivity.eventLoopLagMeasured(host.eventLoopLagMs(), host.behind(), now);
+        connectivity.eventLoopLagMeasured(host.eventLoopLagMs(), host.overloaded(), now);
         if (now - storeReachedAt >= storeProbeMs) {
             host.probeStore(); // a link that nothing else uses
         }
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public void workerGone(String machine) {
+    public void workerRemoved(String machine) {
         connectivity.workerRemoved(machine, environment.now());
         workerByAddress.inverse().remove(machine);
     }
@@ -241,7 +241,7 @@
     }
 
     @Override
-    public boolean leaderHearsWorker(String leader, String machine) {
+    public boolean leaderKnowsWorker(String leader, String machine) {
         return connectivity.peerKnowsWorker(leader, machine, environment.now());
     }
 
