--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -194,7 +194,7 @@
     public void receive(ReachabilityView view, long time) {
         require(view != null, "view", "missing");
         PeerLink link = links.peers.get(view.header().sender());
-        views.check(view);
+        views.validate(view);
         links.advance(time);
         views.receive(link, view);
     }
@@ -243,7 +243,7 @@
         require(max >= 0, "max", "negative");
         links.advance(time);
         if (links.leading()) {
-            probePlanner.ownProbes(links.workers, links.now()).forEach(probeQueue::offer);
+            probePlanner.nextOwnProbes(links.workers, links.now()).forEach(probeQueue::offer);
         }
         return probeQueue.poll(max);
     }
@@ -290,7 +290,7 @@
 
     /** Whether a handover is under way. */
     public boolean handingOver() {
-        return leadership.handover().underWay();
+        return leadership.handover().inProgress();
     }
 
     /** The next step of a handover; {@code changesInFlight}: commits that the state service has not answered yet. */
--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -18,10 +18,10 @@
 public record ConnectivityConfig(
         String self, List<String> peers, long heartbeatIntervalMs, long workerLeaseMs, long leaderLeaseMs) {
     /** Exchanges of views in a heartbeat interval while links are suspect. */
-    private static final int ALERT_EXCHANGES = 3;
+    private static final int SHORT_EXCHANGES_PER_HEARTBEAT_INTERVAL = 3;
 
     /** Exchange intervals after which a view, or what was observed of a worker, is stale. */
-    private static final int MAX_AGE_EXCHANGES = 3;
+    private static final int MAX_AGE_HEARTBEAT_INTERVALS = 3;
 
     /** Throws for names that are missing or repeated, and for times that are not positive. */
     public ConnectivityConfig {
@@ -37,7 +37,7 @@
 
     /** Milliseconds between two exchanges of views with the same controller; {@code alert}: while links are suspect. */
     public long exchangeIntervalMs(boolean alert) {
-        return alert ? Math.max(1, heartbeatIntervalMs / ALERT_EXCHANGES) : heartbeatIntervalMs;
+        return alert ? Math.max(1, heartbeatIntervalMs / SHORT_EXCHANGES_PER_HEARTBEAT_INTERVAL) : heartbeatIntervalMs;
     }
 
     /** Milliseconds after which an idle link to the state service is probed. */
@@ -47,12 +47,12 @@
 
     /** The age in milliseconds above which a view of another controller is stale. */
     public long viewMaxAgeMs() {
-        return MAX_AGE_EXCHANGES * heartbeatIntervalMs + leaderLeaseMs;
+        return MAX_AGE_HEARTBEAT_INTERVALS * heartbeatIntervalMs + leaderLeaseMs;
     }
 
     /** The age in milliseconds above which a follower forgets what it observed of a worker. */
     public long workerEvidenceMaxAgeMs() {
-        return MAX_AGE_EXCHANGES * heartbeatIntervalMs;
+        return MAX_AGE_HEARTBEAT_INTERVALS * heartbeatIntervalMs;
     }
 
     /**
--- a/src/main/java/stileferry/connectivity/DecisionGate.java
+++ b/src/main/java/stileferry/connectivity/DecisionGate.java
@@ -15,13 +15,13 @@
  */
 public final class DecisionGate {
     /** Heartbeat intervals for which many suspects withhold scaling out and preempting. */
-    private static final int MAX_WAIT_HEARTBEATS = 4;
+    private static final int MAX_WAIT_HEARTBEAT_INTERVALS = 4;
 
     /** Worker leases for which a silent worker that another controller reaches is kept. */
-    private static final int MAX_KEPT_LEASES = 3;
+    private static final int MAX_REMOVAL_DELAY_WORKER_LEASES = 3;
 
     /** Short exchange intervals within which the other controllers must have probed a suspect. */
-    private static final int PEER_ANSWER_EXCHANGES = 5;
+    private static final int PEER_PROBE_EXCHANGE_INTERVALS = 5;
 
     private final ConnectivityConfig config;
 
@@ -48,7 +48,7 @@
 
     private Verdict checkSuspects(Decision decision, LinkEvidence evidence) {
         boolean affected = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
-        long maxWaitMs = MAX_WAIT_HEARTBEATS * config.heartbeatIntervalMs();
+        long maxWaitMs = MAX_WAIT_HEARTBEAT_INTERVALS * config.heartbeatIntervalMs();
         if (affected && evidence.manySuspects() && evidence.manySuspectsMs() < maxWaitMs) {
             return Verdict.withheld("half of the workers are suspect", maxWaitMs - evidence.manySuspectsMs());
         }
@@ -64,10 +64,10 @@
      * @param keptMs for how long the worker has been kept because another controller reaches it
      */
     Verdict checkRemoval(long suspectMs, boolean reachedByPeer, boolean peersUnsure, long keptMs) {
-        if (reachedByPeer && keptMs < MAX_KEPT_LEASES * config.workerLeaseMs()) {
+        if (reachedByPeer && keptMs < MAX_REMOVAL_DELAY_WORKER_LEASES * config.workerLeaseMs()) {
             return Verdict.withheld("another controller reaches the worker", config.heartbeatIntervalMs());
         }
-        long peerAnswerMs = PEER_ANSWER_EXCHANGES * config.exchangeIntervalMs(true);
+        long peerAnswerMs = PEER_PROBE_EXCHANGE_INTERVALS * config.exchangeIntervalMs(true);
         if (peersUnsure && suspectMs < peerAnswerMs) {
             return Verdict.withheld("the other controllers were just asked", peerAnswerMs - suspectMs);
         }
--- a/src/main/java/stileferry/connectivity/ElectionDelay.java
+++ b/src/main/java/stileferry/connectivity/ElectionDelay.java
@@ -6,17 +6,17 @@
  */
 final class ElectionDelay {
     /** Leader leases that another controller gets for its election after a release. */
-    private static final int AFTER_RELEASE_LEASES = 2;
+    private static final int AFTER_RELEASE_LEADER_LEASES = 2;
 
     /** The longest delay after losses of the state service, in leader leases. */
-    private static final double MAX_FAILURES = 2;
+    private static final double MAX_RECENT_STORE_LOSSES = 2;
 
     private final ConnectivityConfig config;
     private long delayedUntil;
     private String reason = "";
 
     /** Recent losses of the state service; halved every two worker leases. */
-    private double recentFailures;
+    private double recentStoreLosses;
 
     private long decayedAt;
 
@@ -26,20 +26,20 @@
     }
 
     private void decay(long now) {
-        recentFailures *= Math.pow(0.5, Math.max(0, now - decayedAt) / (2.0 * config.workerLeaseMs()));
+        recentStoreLosses *= Math.pow(0.5, Math.max(0, now - decayedAt) / (2.0 * config.workerLeaseMs()));
         decayedAt = Math.max(decayedAt, now);
     }
 
     /** This controller released the leadership, or another one announced a nominee. */
     void deferToOthers(String newReason, long now) {
-        extend(AFTER_RELEASE_LEASES * config.leaderLeaseMs(), newReason, now);
+        extend(AFTER_RELEASE_LEADER_LEASES * config.leaderLeaseMs(), newReason, now);
     }
 
     /** This controller lost the leadership because the state service did not answer it. */
     void leadershipLost(long now) {
         decay(now);
-        recentFailures = Math.min(MAX_FAILURES, recentFailures + 1);
-        long delayMs = Math.round(recentFailures * config.leaderLeaseMs());
+        recentStoreLosses = Math.min(MAX_RECENT_STORE_LOSSES, recentStoreLosses + 1);
+        long delayMs = Math.round(recentStoreLosses * config.leaderLeaseMs());
         extend(delayMs, "the state service did not answer this controller", now);
     }
 
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -9,7 +9,7 @@
  */
 final class Handover {
     /** Exchanges of views within which the nominee must be ready. */
-    private static final int NOMINEE_ANSWER_EXCHANGES = 3;
+    private static final int NOMINEE_TIMEOUT_EXCHANGE_INTERVALS = 3;
 
     private final ConnectivityConfig config;
     private final long nomineeTimeoutMs;
@@ -27,10 +27,10 @@
     Handover(ConnectivityConfig config) {
         this.config = config;
         this.nomineeTimeoutMs =
-                Math.max(config.leaderLeaseMs(), NOMINEE_ANSWER_EXCHANGES * config.exchangeIntervalMs(true));
+                Math.max(config.leaderLeaseMs(), NOMINEE_TIMEOUT_EXCHANGE_INTERVALS * config.exchangeIntervalMs(true));
     }
 
-    boolean underWay() {
+    boolean inProgress() {
         return step != Step.IDLE;
     }
 
--- a/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
+++ b/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
@@ -5,20 +5,20 @@
  * whatever the links do.
  */
 final class HandoverRateLimiter {
-    private static final double CAPACITY = 2;
+    private static final double CAPACITY_TOKENS = 2;
 
-    private final long refillMs;
-    private double tokens = CAPACITY;
+    private final long refillIntervalMs;
+    private double tokens = CAPACITY_TOKENS;
     private long refilledAt;
 
     /** One token is added every {@code refillMs}. */
     HandoverRateLimiter(long refillMs, long now) {
-        this.refillMs = refillMs;
+        this.refillIntervalMs = refillMs;
         this.refilledAt = now;
     }
 
     private void refill(long now) {
-        tokens = Math.min(CAPACITY, tokens + Math.max(0, now - refilledAt) / (double) refillMs);
+        tokens = Math.min(CAPACITY_TOKENS, tokens + Math.max(0, now - refilledAt) / (double) refillIntervalMs);
         refilledAt = Math.max(refilledAt, now);
     }
 
--- a/src/main/java/stileferry/connectivity/LeaderCandidate.java
+++ b/src/main/java/stileferry/connectivity/LeaderCandidate.java
@@ -18,7 +18,7 @@
         String controller, boolean storeReachable, double workerShare, boolean lagging, int reachablePeers)
         implements Comparable<LeaderCandidate> {
     /** The margin of the hysteresis, as a share of all workers. */
-    static final double MIN_ADVANTAGE = 0.25;
+    static final double MIN_ADVANTAGE_SHARE = 0.25;
 
     private static final Comparator<LeaderCandidate> ORDER = Comparator.comparing(LeaderCandidate::storeReachable)
             .thenComparingDouble(LeaderCandidate::workerShare)
@@ -49,6 +49,6 @@
 
     /** Whether leadership should go here from another controller: only where that is worth the change. */
     public boolean clearlyBetterThan(LeaderCandidate other) {
-        return storeReachable && !lagging && workerShare >= other.workerShare + MIN_ADVANTAGE;
+        return storeReachable && !lagging && workerShare >= other.workerShare + MIN_ADVANTAGE_SHARE;
     }
 }
--- a/src/main/java/stileferry/connectivity/LeaderPermissions.java
+++ b/src/main/java/stileferry/connectivity/LeaderPermissions.java
@@ -30,16 +30,16 @@
     private Verdict checkRemoval(WorkerLink link) {
         long now = links.now();
         boolean reachedByPeer = links.peers.anyReaches(link.name, now);
-        if (reachedByPeer && link.keptSince < 0) {
-            link.keptSince = now;
+        if (reachedByPeer && link.removalWithheldSince < 0) {
+            link.removalWithheldSince = now;
         }
-        long keptMs = link.keptSince < 0 ? 0 : now - link.keptSince;
-        boolean peersUnsure = links.peers.anyUnsureOf(link.name, now);
+        long keptMs = link.removalWithheldSince < 0 ? 0 : now - link.removalWithheldSince;
+        boolean peersUnsure = links.peers.anyOutboundUnknown(link.name, now);
         return gate.checkRemoval(now - link.suspectSince, reachedByPeer, peersUnsure, keptMs);
     }
 
     private Verdict check(Decision decision) {
-        return gate.check(decision, links.evidence(leadership.handover().underWay()));
+        return gate.check(decision, links.evidence(leadership.handover().inProgress()));
     }
 
     private Verdict countWithheld(Verdict verdict) {
--- a/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
@@ -9,13 +9,13 @@
  */
 final class LeadershipAdvisor {
     /** Short exchange intervals for which the same controller must be clearly better. */
-    private static final int CONFIRM_EXCHANGES = 2;
+    private static final int CONFIRMATION_EXCHANGE_INTERVALS = 2;
 
     /** A leader that reaches no controller and less than this share of workers steps down. */
-    private static final double CUT_OFF_SHARE = 0.5;
+    private static final double ISOLATED_MAX_WORKER_SHARE = 0.5;
 
     /** The nominee where the leader should step down without one; no valid controller name. */
-    private static final String NOBODY = "\0";
+    private static final String STEP_DOWN_WITHOUT_NOMINEE = "\0";
 
     private static final String NO_CHANGE = "";
 
@@ -39,12 +39,12 @@
     LeadershipAdvice advise(LeaderCandidate own, List<LeaderCandidate> peers, boolean allPeersLost, long now) {
         Optional<LeaderCandidate> best =
                 peers.stream().filter(peer -> peer.clearlyBetterThan(own)).max(LeaderCandidate::compareTo);
-        boolean cutOff = allPeersLost && peers.isEmpty() && own.workerShare() < CUT_OFF_SHARE;
-        observeNominee(best.map(LeaderCandidate::controller).orElse(cutOff ? NOBODY : NO_CHANGE), now);
+        boolean cutOff = allPeersLost && peers.isEmpty() && own.workerShare() < ISOLATED_MAX_WORKER_SHARE;
+        observeNominee(best.map(LeaderCandidate::controller).orElse(cutOff ? STEP_DOWN_WITHOUT_NOMINEE : NO_CHANGE), now);
         if (nominee.equals(NO_CHANGE)) {
             return stay("nobody is clearly better");
         }
-        if (now - nomineeSince < CONFIRM_EXCHANGES * config.exchangeIntervalMs(true)) {
+        if (now - nomineeSince < CONFIRMATION_EXCHANGE_INTERVALS * config.exchangeIntervalMs(true)) {
             return stay("not yet confirmed");
         }
         if (!rateLimiter.allows(now)) {
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -8,7 +8,7 @@
 /** What follows from the links for the leadership: keeping it, handing it over, or delaying a candidacy. */
 final class LeadershipControl {
     /** Heartbeat intervals within which all workers that can reach a new leader have sent it a heartbeat. */
-    private static final double SETTLING_HEARTBEATS = 2.5;
+    private static final double WARM_UP_HEARTBEAT_INTERVALS = 2.5;
 
     private final ObservedLinks links;
     private final ConnectivityConfig config;
@@ -104,7 +104,7 @@
                 && notice.nomineeIncarnation() == incarnation
                 && notice.term() >= term
                 && links.storeReachable()
-                && !links.laggingLately();
+                && !links.recentlyLagging();
         return ready ? notice.id() : 0;
     }
 
@@ -126,15 +126,15 @@
     }
 
     private LeadershipAdvice adviseLeader() {
-        if (handover.underWay()) {
+        if (handover.inProgress()) {
             return new LeadershipAdvice(
                     LeadershipAdvice.Action.HAND_OVER, handover.notice().nominee(), "a handover is under way");
         }
-        boolean settled = links.now() - electedAt >= SETTLING_HEARTBEATS * config.heartbeatIntervalMs();
+        boolean settled = links.now() - electedAt >= WARM_UP_HEARTBEAT_INTERVALS * config.heartbeatIntervalMs();
         if (links.workers.count() == 0 || !settled) {
             return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "too little is known yet");
         }
-        if (links.laggingLately()) {
+        if (links.recentlyLagging()) {
             advisor.reset();
             return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "this process is behind, so nothing is certain");
         }
@@ -175,7 +175,7 @@
     /** Starts a handover; false: not possible now. */
     boolean beginHandover(PeerLink nominee) {
         boolean possible = links.leading()
-                && !handover.underWay()
+                && !handover.inProgress()
                 && links.peers.fresh(nominee, links.now())
                 && rateLimiter.allows(links.now());
         if (possible) {
@@ -186,7 +186,7 @@
     }
 
     HandoverAction advanceHandover(int changesInFlight) {
-        if (!handover.underWay()) {
+        if (!handover.inProgress()) {
             return HandoverAction.NONE;
         }
         PeerLink nominee = links.peers.get(handover.notice().nominee());
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -7,10 +7,10 @@
 /** All links of one controller as observed up to now. */
 final class ObservedLinks {
     /** Consecutive failures after which the state service counts as unreachable, before its silence is suspect. */
-    private static final int MAX_STORE_FAILURES = 2;
+    private static final int STORE_UNREACHABLE_FAILURES = 2;
 
     /** Heartbeat intervals for which a process still counts as lagging, as it has a backlog to process. */
-    private static final int LAGGING_HEARTBEATS = 3;
+    private static final int LAGGING_HEARTBEAT_INTERVALS = 3;
 
     final ConnectivityConfig config;
     final WorkerLinks workers;
@@ -48,7 +48,7 @@
     }
 
     /** Whether this process is behind with its work, or was lately. */
-    boolean laggingLately() {
+    boolean recentlyLagging() {
         return now < laggingUntil;
     }
 
@@ -59,7 +59,7 @@
     void eventLoopLagMeasured(long lagMs, boolean behind) {
         eventLoopLagMs = lagMs;
         if (behind) {
-            laggingUntil = now + LAGGING_HEARTBEATS * config.heartbeatIntervalMs();
+            laggingUntil = now + LAGGING_HEARTBEAT_INTERVALS * config.heartbeatIntervalMs();
         }
     }
 
@@ -76,11 +76,11 @@
     /** Whether the state service answers this controller. */
     boolean storeReachable() {
         return store.condition(now, eventLoopLagMs) == LinkCondition.GOOD
-                && store.consecutiveFailures() < MAX_STORE_FAILURES;
+                && store.consecutiveFailures() < STORE_UNREACHABLE_FAILURES;
     }
 
     ControllerHealth health() {
-        return new ControllerHealth(storeReachable(), laggingLately(), peers.reachable(now, eventLoopLagMs));
+        return new ControllerHealth(storeReachable(), recentlyLagging(), peers.reachable(now, eventLoopLagMs));
     }
 
     /** Marks workers that have fallen silent up to now. */
--- a/src/main/java/stileferry/connectivity/PeerLink.java
+++ b/src/main/java/stileferry/connectivity/PeerLink.java
@@ -6,7 +6,7 @@
 /** The links to one other controller, its last view, and what it has acknowledged of this controller's views. */
 final class PeerLink {
     /** Consecutive failures of requests after which a controller may count as unreachable. */
-    private static final int MAX_FAILURES = 2;
+    private static final int UNREACHABLE_FAILURES = 2;
 
     final String name;
     final PeerView view = new PeerView();
@@ -64,7 +64,7 @@
     /** Whether requests to it have failed for long. A lagging controller is slow, not unreachable. */
     boolean unreachable(long now, long eventLoopLagMs) {
         return !reportsLag()
-                && outbound.consecutiveFailures() >= MAX_FAILURES
+                && outbound.consecutiveFailures() >= UNREACHABLE_FAILURES
                 && outbound.condition(now, eventLoopLagMs) == LinkCondition.FAILING;
     }
 
--- a/src/main/java/stileferry/connectivity/PeerLinks.java
+++ b/src/main/java/stileferry/connectivity/PeerLinks.java
@@ -77,7 +77,7 @@
     }
 
     /** Whether a fresh view does not say if its sender reaches a worker. */
-    boolean anyUnsureOf(String worker, long now) {
+    boolean anyOutboundUnknown(String worker, long now) {
         for (PeerLink peer : peers.values()) {
             if (fresh(peer, now) && !peer.view.outboundKnown(worker)) {
                 return true;
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -28,11 +28,11 @@
     private static final double MANY_SUSPECTS_SHARE = 1 / 8.0;
 
     /** Rounds whose samples are used for estimates. */
-    private static final int KEPT_ROUNDS = 4;
+    private static final int RETAINED_ROUNDS = 4;
 
     private final ConnectivityConfig config;
     private final ArrayDeque<Round> rounds = new ArrayDeque<>();
-    private long plannedAt = -1;
+    private long lastPlannedAt = -1;
     private int lastHealthyId = -1;
 
     /** The samples of one round. */
@@ -51,7 +51,7 @@
     /** Forgets all rounds. */
     void reset() {
         rounds.clear();
-        plannedAt = -1;
+        lastPlannedAt = -1;
     }
 
     /** Whether there are so many suspects that a lost link is likelier than lost machines. */
@@ -63,7 +63,7 @@
      * Plans the next round if it is due; the probes of it that the leader itself sends. Heartbeats and commands show
      * enough of healthy workers and of single suspects.
      */
-    List<ProbeTarget> ownProbes(WorkerLinks workers, long now) {
+    List<ProbeTarget> nextOwnProbes(WorkerLinks workers, long now) {
         boolean many = manySuspects(workers);
         List<WorkerLink> sample = planRound(workers, now);
         return many ? targets(sample.stream().filter(WorkerLink::suspect).toList()) : List.of();
@@ -72,16 +72,16 @@
     /** Plans the next round; empty where it is not due yet. */
     private List<WorkerLink> planRound(WorkerLinks workers, long now) {
         boolean many = manySuspects(workers);
-        if (plannedAt >= 0 && now - plannedAt < roundIntervalMs(workers, many)) {
+        if (lastPlannedAt >= 0 && now - lastPlannedAt < roundIntervalMs(workers, many)) {
             return List.of();
         }
-        plannedAt = now;
+        lastPlannedAt = now;
         int suspectSampleSize = many ? SAMPLE_SIZE : FEW_SUSPECTS_SAMPLE_SIZE;
         List<WorkerLink> suspects = workers.suspects().nextSuspects(suspectSampleSize);
         List<WorkerLink> healthy = sampleHealthy(workers.suspects(), healthySampleSize(workers, many));
         Round round = new Round(suspects, healthy);
         rounds.addLast(round);
-        if (rounds.size() > KEPT_ROUNDS) {
+        if (rounds.size() > RETAINED_ROUNDS) {
             rounds.removeFirst();
         }
         return round.all();
--- a/src/main/java/stileferry/connectivity/ReachabilityView.java
+++ b/src/main/java/stileferry/connectivity/ReachabilityView.java
@@ -101,7 +101,7 @@
         }
 
         /** Throws where the parts contradict each other. */
-        void check() {
+        void validate() {
             InvalidInputException.require(
                     names.size() == changed.getCardinality(), "workers", "not a name for each changed worker");
             for (RoaringBitmap subset : List.of(removed, outboundKnown, inbound, outbound)) {
--- a/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
+++ b/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
@@ -7,7 +7,7 @@
 /** Estimates the share of workers that a controller reaches from the probed samples of suspect and healthy workers. */
 final class ReachableShareEstimator {
     /** Worker leases for which a worker whose heartbeats are relayed still counts as reached if it answers probes. */
-    private static final int MAX_RELAYED_LEASES = 3;
+    private static final int MAX_RELAYED_WORKER_LEASES = 3;
 
     private final ConnectivityConfig config;
     private final WorkerLinks workers;
@@ -35,7 +35,7 @@
 
     /** A worker whose heartbeats are relayed for long counts as not reached, even if it answers probes. */
     private boolean reached(WorkerLink link, long now) {
-        long maxRelayedMs = MAX_RELAYED_LEASES * config.workerLeaseMs();
+        long maxRelayedMs = MAX_RELAYED_WORKER_LEASES * config.workerLeaseMs();
         boolean relayedForLong = link.relayedSince >= 0 && now - link.relayedSince > maxRelayedMs;
         return !relayedForLong && link.probeAnsweredAt > link.probeFailedAt;
     }
--- a/src/main/java/stileferry/connectivity/SentViewLog.java
+++ b/src/main/java/stileferry/connectivity/SentViewLog.java
@@ -5,15 +5,15 @@
  * that, which bounds its age without comparing clocks.
  */
 final class SentViewLog {
-    private static final int CAPACITY = 256;
+    private static final int MAX_VIEWS = 256;
 
-    private final long[] sentAt = new long[CAPACITY];
+    private final long[] sentAt = new long[MAX_VIEWS];
     private long newestSequence;
 
     /** Records that a view is sent now; returns its sequence number. */
     long record(long now) {
         newestSequence++;
-        sentAt[(int) (newestSequence % CAPACITY)] = now;
+        sentAt[(int) (newestSequence % MAX_VIEWS)] = now;
         return newestSequence;
     }
 
@@ -23,8 +23,8 @@
 
     /** When a view was sent; -1: it was not, or it is no longer in the log. */
     long sentAt(long sequence) {
-        return sequence <= 0 || sequence > newestSequence || sequence <= newestSequence - CAPACITY
+        return sequence <= 0 || sequence > newestSequence || sequence <= newestSequence - MAX_VIEWS
                 ? -1
-                : sentAt[(int) (sequence % CAPACITY)];
+                : sentAt[(int) (sequence % MAX_VIEWS)];
     }
 }
--- a/src/main/java/stileferry/connectivity/SuspectTracker.java
+++ b/src/main/java/stileferry/connectivity/SuspectTracker.java
@@ -22,12 +22,12 @@
 
     /** Moves the worker to the group that its reachability puts it in. */
     void update(WorkerLink link, long now) {
-        boolean working = link.reachability.working();
+        boolean working = link.reachability.healthy();
         if (working && link.suspect()) {
             suspects.remove(link);
             healthyIds.add(link.id);
             link.suspectSince = -1;
-            link.keptSince = -1;
+            link.removalWithheldSince = -1;
         } else if (!working && !link.suspect()) {
             suspects.add(link);
             healthyIds.remove(link.id);
--- a/src/main/java/stileferry/connectivity/ViewBuilder.java
+++ b/src/main/java/stileferry/connectivity/ViewBuilder.java
@@ -14,7 +14,7 @@
 /** Builds views: only the changes after the last version that the receiver has acknowledged. */
 final class ViewBuilder {
     /** Bounds the size of a view; a fleet that is new to the receiver takes several. */
-    static final int MAX_WORKERS = 256;
+    static final int MAX_CHANGED_WORKERS = 256;
 
     private final ConnectivityConfig config;
     private final WorkerLinks workers;
@@ -53,7 +53,7 @@
     private WorkerChanges changesFor(PeerLink receiver) {
         int epoch = workers.numbering().epoch();
         long baseVersion = receiver.ackedEpoch == epoch ? receiver.ackedVersion : 0;
-        List<WorkerLink> changed = new ArrayList<>(workers.numbering().changedAfter(baseVersion, MAX_WORKERS));
+        List<WorkerLink> changed = new ArrayList<>(workers.numbering().changedAfter(baseVersion, MAX_CHANGED_WORKERS));
         long version = changed.isEmpty() ? baseVersion : changed.get(changed.size() - 1).version;
         changed.sort(Comparator.comparingInt(link -> link.id));
         return new WorkerChanges(
--- a/src/main/java/stileferry/connectivity/ViewSynchronizer.java
+++ b/src/main/java/stileferry/connectivity/ViewSynchronizer.java
@@ -42,9 +42,9 @@
     }
 
     /** Throws for a view that contradicts itself or this controller's own views; changes nothing. */
-    void check(ReachabilityView view) {
+    void validate(ReachabilityView view) {
         Header header = view.header();
-        view.workers().check();
+        view.workers().validate();
         require(header.incarnation() > 0 && header.sequence() > 0, "view", "impossible numbers");
         require(
                 header.ackedIncarnation() != incarnation || header.ackedSequence() <= sentViews.newestSequence(),
@@ -56,7 +56,7 @@
     void receive(PeerLink peer, ReachabilityView view) {
         Header header = view.header();
         raiseIncarnationAbove(header.ackedIncarnation());
-        if (!peer.view.merge(view, describedFrom(header))) {
+        if (!peer.view.merge(view, validFrom(header))) {
             staleViews++;
             return;
         }
@@ -81,7 +81,7 @@
     }
 
     /** The time from which on a view describes its sender's links: when the view that it acknowledges was sent. */
-    private long describedFrom(Header header) {
+    private long validFrom(Header header) {
         return header.ackedIncarnation() == incarnation ? sentViews.sentAt(header.ackedSequence()) : -1;
     }
 
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -3,7 +3,7 @@
 /** The links to one worker, in each direction, as this controller sees them. Times are -1 where there is none. */
 final class WorkerLink {
     /** Consecutive requests without an answer after which requests count as not reaching the worker. */
-    private static final int MAX_LOST_REQUESTS = 2;
+    private static final int UNREACHABLE_LOST_REQUESTS = 2;
 
     final String name;
     String address;
@@ -38,9 +38,9 @@
     long suspectSince = -1;
 
     /** Since when it is kept, although it is silent, because another controller reaches it. */
-    long keptSince = -1;
+    long removalWithheldSince = -1;
 
-    private int consecutiveLosses;
+    private int consecutiveLostRequests;
 
     /** When it last answered a probe. */
     long probeAnsweredAt = -1;
@@ -75,20 +75,20 @@
 
     /** A request or a heartbeat's answer has reached the worker. */
     void requestAnswered() {
-        consecutiveLosses = 0;
+        consecutiveLostRequests = 0;
     }
 
     /** A request or a heartbeat's answer was lost; returns whether the worker counts as out of reach from now on. */
     boolean requestFailed() {
-        consecutiveLosses++;
-        return consecutiveLosses >= MAX_LOST_REQUESTS;
+        consecutiveLostRequests++;
+        return consecutiveLostRequests >= UNREACHABLE_LOST_REQUESTS;
     }
 
     /**
      * Whether answers reach the worker, as far as its new heartbeat shows: one that has not accepted the term lacks the
      * answer to the heartbeat before.
      */
-    boolean outboundAfter(WorkerHeartbeat heartbeat) {
+    boolean evaluateOutbound(WorkerHeartbeat heartbeat) {
         if (!lastHeartbeatAnswered()) {
             return reachability.outboundAssumed();
         }
@@ -104,7 +104,7 @@
     }
 
     /** Whether its last direct heartbeat was answered and its heartbeats are relayed only from now on. */
-    boolean leftDespiteAnswers() {
+    boolean switchedToRelayDespiteAnswer() {
         return directHeartbeatAt >= 0 && lastHeartbeatAnswered() && relayedSince < 0;
     }
 }
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -21,7 +21,7 @@
     private final Map<String, WorkerLink> byName = new HashMap<>();
 
     /** Workers whose heartbeats come straight to this controller, the one that has been silent for longest first. */
-    private final Set<WorkerLink> direct = new LinkedHashSet<>();
+    private final Set<WorkerLink> byDirectHeartbeat = new LinkedHashSet<>();
 
     /** All workers, the least recently seen first. */
     private final Set<WorkerLink> byLastSeen = new LinkedHashSet<>();
@@ -40,7 +40,7 @@
     /** Forgets all workers. */
     void clear() {
         byName.clear();
-        direct.clear();
+        byDirectHeartbeat.clear();
         byLastSeen.clear();
         byOutboundObserved.clear();
         suspects.clear();
@@ -68,11 +68,11 @@
         if (link.directHeartbeatAt >= 0 && link.relayedSince < 0) {
             suspicionTimeout.addInterval(now - link.directHeartbeatAt);
         }
-        boolean outbound = link.outboundAfter(heartbeat);
+        boolean outbound = link.evaluateOutbound(heartbeat);
         link.directHeartbeatAt = now;
         link.relayedSince = -1;
         markSeen(link, now);
-        moveToEnd(direct, link);
+        moveToEnd(byDirectHeartbeat, link);
         update(link, link.reachability.withInbound(true).withOutbound(outbound), now);
         return true;
     }
@@ -83,12 +83,12 @@
         if (!link.acceptIfNewer(heartbeat)) {
             return;
         }
-        boolean outbound = link.reachability.outbound() && !link.leftDespiteAnswers();
+        boolean outbound = link.reachability.outbound() && !link.switchedToRelayDespiteAnswer();
         if (link.relayedSince < 0) {
             link.relayedSince = now;
         }
         markSeen(link, now);
-        direct.remove(link);
+        byDirectHeartbeat.remove(link);
         update(link, link.reachability.withInbound(false).withOutbound(outbound), now);
     }
 
@@ -136,13 +136,13 @@
         if (link == null) {
             return;
         }
-        direct.remove(link);
+        byDirectHeartbeat.remove(link);
         byLastSeen.remove(link);
         byOutboundObserved.remove(link);
         suspects.remove(link);
         link.removed = true;
         numbering.markChanged(link);
-        if (numbering.hasTooManySpareIds(byName.size())) {
+        if (numbering.hasTooManyUnusedIds(byName.size())) {
             startEpoch();
         }
     }
@@ -163,7 +163,7 @@
     /** Marks workers that have fallen silent; forgets those that are not retained and were not seen for long. */
     void detectSilent(long now, long eventLoopLagMs) {
         double timeoutMs = suspicionTimeoutMs(now) + eventLoopLagMs;
-        for (Iterator<WorkerLink> oldest = direct.iterator(); oldest.hasNext(); ) {
+        for (Iterator<WorkerLink> oldest = byDirectHeartbeat.iterator(); oldest.hasNext(); ) {
             WorkerLink link = oldest.next();
             if (now - link.directHeartbeatAt <= timeoutMs) {
                 break;
@@ -273,7 +273,7 @@
 
     /** Workers whose heartbeats come straight to this controller. */
     int directCount() {
-        return direct.size();
+        return byDirectHeartbeat.size();
     }
 
     /** How often a worker has become suspect by its silence. */
--- a/src/main/java/stileferry/connectivity/WorkerNumbering.java
+++ b/src/main/java/stileferry/connectivity/WorkerNumbering.java
@@ -11,7 +11,7 @@
  */
 final class WorkerNumbering {
     /** Ids of removed workers that are kept, beyond as many as there are workers, before ids are assigned anew. */
-    private static final int MAX_SPARE_IDS = 64;
+    private static final int MAX_UNUSED_IDS = 64;
 
     private final List<WorkerLink> byId = new ArrayList<>();
 
@@ -36,8 +36,8 @@
     }
 
     /** Whether too many ids belong to removed workers. */
-    boolean hasTooManySpareIds(int workers) {
-        return byId.size() > 2 * workers + MAX_SPARE_IDS;
+    boolean hasTooManyUnusedIds(int workers) {
+        return byId.size() > 2 * workers + MAX_UNUSED_IDS;
     }
 
     /** Starts a new epoch, in which only these workers have ids. */
--- a/src/main/java/stileferry/connectivity/WorkerReachability.java
+++ b/src/main/java/stileferry/connectivity/WorkerReachability.java
@@ -33,7 +33,7 @@
         return outbound || !outboundKnown;
     }
 
-    boolean working() {
+    boolean healthy() {
         return inbound && outboundAssumed();
     }
 }
--- a/src/main/java/stileferry/links/LeadershipHandover.java
+++ b/src/main/java/stileferry/links/LeadershipHandover.java
@@ -12,8 +12,8 @@
 final class LeadershipHandover {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
-    private static final long STEP_MS = 50;
-    private static final String NOBODY = "nobody";
+    private static final long POLL_INTERVAL_MS = 50;
+    private static final String NO_NOMINEE = "nobody";
 
     private final Environment environment;
     private final Connectivity connectivity;
@@ -59,7 +59,7 @@
             return;
         }
         if (advice.action() == LeadershipAdvice.Action.STEP_DOWN) {
-            release(NOBODY);
+            release(NO_NOMINEE);
         } else if (advice.action() == LeadershipAdvice.Action.HAND_OVER) {
             begin(advice.nominee());
         }
@@ -69,14 +69,14 @@
         if (connectivity.beginHandover(nominee, environment.now())) {
             LOG.info("leadership handover started: term={} nominee={}", term, nominee);
             viewExchange.exchangeWithAll();
-            proceed(nominee);
+            advance(nominee);
         }
     }
 
-    private void proceed(String nominee) {
+    private void advance(String nominee) {
         HandoverAction action = connectivity.advanceHandover(changesInFlight.getAsInt(), environment.now());
         switch (action) {
-            case WAIT -> environment.schedule(STEP_MS, () -> proceed(nominee));
+            case WAIT -> environment.schedule(POLL_INTERVAL_MS, () -> advance(nominee));
             case RELEASE -> release(nominee);
             case ABORTED -> {
                 LOG.info("leadership handover aborted, still leading: term={} nominee={}", term, nominee);
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -25,7 +25,7 @@
     private static final long MIN_PROBE_TIMEOUT_MS = 500;
 
     /** A store with this HTTP status serves nobody, or not this node. */
-    private static final int STORE_UNAVAILABLE = 503;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     private final Settings settings;
     private final Environment environment;
@@ -33,8 +33,8 @@
     private final ViewExchange viewExchange;
     private final WorkerProber prober;
     private final LeadershipHandover handover;
-    private final long tickMs;
-    private final long storeProbeMs;
+    private final long tickIntervalMs;
+    private final long storeProbeIntervalMs;
 
     /** Workers by the addresses that requests reach them at. */
     private final BiMap<String, String> workerByAddress = HashBiMap.create();
@@ -43,9 +43,9 @@
     private long term;
 
     /** The newest term of another leader that the others were sent a view about. */
-    private long exchangedTerm;
+    private long lastExchangedTerm;
 
-    private long storeReachedAt = Long.MIN_VALUE / 2;
+    private long storeAnsweredAt = Long.MIN_VALUE / 2;
 
     /** {@code leaderLeaseMs}: the duration of the leader key's lease. */
     public LinkMonitor(Settings settings, Environment environment, long leaderLeaseMs) {
@@ -59,10 +59,10 @@
                 Math.round(workers.leaseS() * 1000),
                 leaderLeaseMs);
         this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
-        this.tickMs = config.exchangeIntervalMs(true);
-        long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickMs);
+        this.tickIntervalMs = config.exchangeIntervalMs(true);
+        long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickIntervalMs);
         long exchangeTimeoutMs = config.exchangeIntervalMs(false); // longer, as a peer that is merely slow is not lost
-        this.storeProbeMs = config.storeProbeIntervalMs();
+        this.storeProbeIntervalMs = config.storeProbeIntervalMs();
         this.viewExchange = new ViewExchange(
                 settings, observedEnvironment(environment), connectivity, exchangeTimeoutMs, this::viewAccepted);
         this.prober = new WorkerProber(settings, environment, connectivity, probeTimeoutMs);
@@ -87,15 +87,15 @@
     }
 
     private void tick() {
-        environment.schedule(tickMs, this::tick);
+        environment.schedule(tickIntervalMs, this::tick);
         long now = environment.now();
         connectivity.leaderObserved(host.term(), host.leader(), now);
         connectivity.eventLoopLagMeasured(host.eventLoopLagMs(), host.overloaded(), now);
-        if (now - storeReachedAt >= storeProbeMs) {
+        if (now - storeAnsweredAt >= storeProbeIntervalMs) {
             host.probeStore(); // a link that nothing else uses
         }
-        viewExchange.exchangeWhereDue();
-        prober.probeWhereDue();
+        viewExchange.exchangeIfDue();
+        prober.sendDueProbes();
         handover.follow(connectivity.advise(now));
     }
 
@@ -176,8 +176,8 @@
 
     private void storeRequestCompleted(int status) {
         long now = environment.now();
-        if (answered(status) && status != STORE_UNAVAILABLE) {
-            storeReachedAt = now;
+        if (answered(status) && status != HTTP_SERVICE_UNAVAILABLE) {
+            storeAnsweredAt = now;
             connectivity.storeAnswered(now);
         } else {
             connectivity.storeFailed(
@@ -217,8 +217,8 @@
     @Override
     public void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         viewExchange.announcementReceived(controller, announcement);
-        if (announcement.leading() && announcement.term() > exchangedTerm) {
-            exchangedTerm = announcement.term();
+        if (announcement.leading() && announcement.term() > lastExchangedTerm) {
+            lastExchangedTerm = announcement.term();
             connectivity.leaderObserved(announcement.term(), controller, environment.now());
             viewExchange.exchangeWithAll(); // another controller may not hear the new leader
         }
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -98,7 +98,7 @@
     }
 
     /** Exchanges views with each controller whose turn has come. */
-    void exchangeWhereDue() {
+    void exchangeIfDue() {
         long before = environment.now() - connectivity.exchangeIntervalMs();
         for (Settings.Peer peer : settings.peers()) {
             if (sentAt.getOrDefault(peer.name(), Long.MIN_VALUE) <= before) {
--- a/src/main/java/stileferry/links/WorkerProber.java
+++ b/src/main/java/stileferry/links/WorkerProber.java
@@ -11,10 +11,10 @@
 /** Probes whether requests reach workers, a bounded number at a time. */
 final class WorkerProber {
     /** Of the sockets for commands to workers, the part that probes may take. */
-    private static final int SOCKET_SHARE = 4;
+    private static final int COMMAND_SOCKETS_PER_PROBE = 4;
 
     private static final String PROBE_PATH = "/inspect";
-    private static final int OK = 200;
+    private static final int HTTP_OK = 200;
 
     private final Environment environment;
     private final Connectivity connectivity;
@@ -26,11 +26,11 @@
         this.environment = environment;
         this.connectivity = connectivity;
         this.timeoutMs = timeoutMs;
-        this.maxInFlight = Math.max(1, settings.socketBudget().commands() / SOCKET_SHARE);
+        this.maxInFlight = Math.max(1, settings.socketBudget().commands() / COMMAND_SOCKETS_PER_PROBE);
     }
 
     /** Sends the probes that are due. */
-    void probeWhereDue() {
+    void sendDueProbes() {
         for (ProbeTarget target : connectivity.takeDueProbes(maxInFlight - inFlight.size(), environment.now())) {
             if (inFlight.add(target.worker())) {
                 probe(target);
@@ -41,7 +41,7 @@
     private void probe(ProbeTarget target) {
         environment.request(target.address(), "GET", PROBE_PATH, null, timeoutMs, (status, body) -> {
             inFlight.remove(target.worker());
-            Heartbeat heartbeat = status == OK ? Heartbeat.read(body) : null;
+            Heartbeat heartbeat = status == HTTP_OK ? Heartbeat.read(body) : null;
             // another worker may have its address by now
             boolean reached = heartbeat != null && heartbeat.machine().equals(target.worker());
             if (reached) {
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -24,7 +24,7 @@
     private static final int WORKERS = 12;
 
     /** What the merged view says of each worker. */
-    private static TreeMap<String, String> known(PeerView view) {
+    private static TreeMap<String, String> describeWorkers(PeerView view) {
         TreeMap<String, String> known = new TreeMap<>();
         for (int i = 0; i < WORKERS; i++) {
             String name = "w" + i;
@@ -33,7 +33,7 @@
         return known;
     }
 
-    private static void apply(Connectivity links, int event, long now) {
+    private static void applyEvent(Connectivity links, int event, long now) {
         String worker = "w" + event % WORKERS;
         switch (event / WORKERS % 5) {
             case 0 -> links.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
@@ -46,7 +46,7 @@
 
     /** Views that arrive in any order, some of them twice and some never, converge after one more complete view. */
     @Property(tries = 300)
-    void viewsConvergeInAnyOrder(
+    void viewsInAnyOrderConvergeAfterOneCompleteView(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 59) Integer> events,
             @ForAll @LongRange(min = 0, max = 1_000_000) long shuffle) {
         Connectivity sender = new Connectivity(CONFIG_OF_A, 5, 0);
@@ -56,7 +56,7 @@
         List<ReachabilityView> views = new ArrayList<>();
         long now = 1;
         for (int event : events) {
-            apply(sender, event, now);
+            applyEvent(sender, event, now);
             ReachabilityView view = sender.viewFor("b", now);
             views.add(view);
             inOrder.receive(ViewCodec.read(ViewCodec.write(view)), now);
@@ -76,7 +76,7 @@
         ReachabilityView rest = viewFrom(sender, shuffled, now);
         shuffled.merge(rest, -1);
         fresh.merge(viewFrom(sender, new PeerView(), now + 1), -1);
-        assertEquals(known(fresh), known(shuffled));
+        assertEquals(describeWorkers(fresh), describeWorkers(shuffled));
     }
 
     /** The next view for a receiver with these acknowledgements. */
@@ -92,7 +92,7 @@
                 receiver.version(),
                 receiver.epoch());
         ReachabilityView.WorkerChanges nothing =
-                new ReachabilityView.WorkerChanges(1, 0, 0, List.of(), empty(), empty(), empty(), empty(), empty());
+                new ReachabilityView.WorkerChanges(1, 0, 0, List.of(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap());
         sender.receive(
                 new ReachabilityView(
                         header,
@@ -105,35 +105,35 @@
         return sender.viewFor("b", now);
     }
 
-    private static RoaringBitmap empty() {
+    private static RoaringBitmap emptyBitmap() {
         return new RoaringBitmap();
     }
 
     /** Whatever the links do, releases are rate-limited, and there is a leader after the links recover. */
     @Property(tries = 40)
-    void leadershipDoesNotFlap(
+    void releasesAreRateLimitedAndALeaderIsElectedAfterRecovery(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
             @ForAll @Size(min = 5, max = 40) List<@IntRange(min = 0, max = 63) Integer> cuts,
             @ForAll @IntRange(min = 200, max = 4000) int periodMs) {
         ExampleHost host = new ExampleHost(seed, 9);
-        host.lateCopyShare = 0.2;
-        host.play(10);
+        host.lateDuplicateShare = 0.2;
+        host.runFor(10);
         for (int cut : cuts) {
-            host.passes = (from, to) -> !broken(cut, from, to) && !broken(cut, to, from);
-            host.play(periodMs / 1000.0);
+            host.delivers = (from, to) -> !linkBroken(cut, from, to) && !linkBroken(cut, to, from);
+            host.runFor(periodMs / 1000.0);
         }
         double seconds = cuts.size() * periodMs / 1000.0;
-        for (ExampleHost.Member member : host.members.values()) {
+        for (ExampleHost.Controller member : host.controllers.values()) {
             double bound = 2 + seconds / 20 + 1;
-            assertTrue(member.released <= bound, member.released + " releases in " + seconds + " s");
+            assertTrue(member.releases <= bound, member.releases + " releases in " + seconds + " s");
         }
-        host.passes = (from, to) -> true;
-        host.play(15);
+        host.delivers = (from, to) -> true;
+        host.runFor(15);
         assertTrue(host.leader() != null, "no leader with all links working");
     }
 
     /** Each bit of {@code cut} cuts one kind of link of one controller. */
-    private static boolean broken(int cut, String from, String to) {
+    private static boolean linkBroken(int cut, String from, String to) {
         boolean fromA = from.equals("a");
         boolean fromB = from.equals("b");
         return fromA && (cut & 1) != 0 && to.startsWith("worker")
@@ -168,7 +168,7 @@
 
     /** A longer silence is never less suspect, whatever intervals were measured. */
     @Property
-    void suspicionLevelGrowsWithSilence(
+    void suspicionLevelNeverFallsAsSilenceGrows(
             @ForAll @Size(max = 200) List<@DoubleRange(min = 0, max = 5000) Double> intervals,
             @ForAll @DoubleRange(min = 0, max = 50_000) double silence,
             @ForAll @DoubleRange(min = 0, max = 50_000) double more) {
--- a/src/test/java/stileferry/connectivity/ConnectivityTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityTest.java
@@ -22,30 +22,30 @@
     @Test
     void aLeaderCutOffFromAllWorkersHandsOver() {
         ExampleHost host = new ExampleHost(1, 40);
-        host.play(20);
-        ExampleHost.Member old = host.leader();
-        host.cutFromWorkers(old.name, true);
-        host.play(10);
+        host.runFor(20);
+        ExampleHost.Controller old = host.leader();
+        host.cutOffFromWorkers(old.name, true);
+        host.runFor(10);
         assertNotEquals(old, host.leader());
-        assertEquals(1, old.released);
-        host.cutFromWorkers(old.name, false);
-        host.play(60);
-        assertEquals(2, host.leaders.size(), "leadership does not go back by itself");
+        assertEquals(1, old.releases);
+        host.cutOffFromWorkers(old.name, false);
+        host.runFor(60);
+        assertEquals(2, host.electedLeaders.size(), "leadership does not go back by itself");
     }
 
     /** Every leader is cut off. All controllers count each handover, so they share one bound. */
     @Test
     void handoversAreRateLimitedWhenEveryLeaderIsCutOff() {
         ExampleHost host = new ExampleHost(3, 12);
-        host.play(20);
+        host.runFor(20);
         for (int second = 0; second < 200; second++) {
             if (host.leader() != null) {
-                host.cutFromWorkers(host.leader().name, true);
+                host.cutOffFromWorkers(host.leader().name, true);
             }
-            host.play(1);
+            host.runFor(1);
         }
-        long released = host.members.values().stream()
-                .mapToLong(member -> member.released)
+        long released = host.controllers.values().stream()
+                .mapToLong(member -> member.releases)
                 .sum();
         assertTrue(released >= 3, "released at all: " + released);
         assertTrue(released <= 2 + 200 / 20 + 1, released + " releases in 200 s");
@@ -54,8 +54,8 @@
     @Test
     void falseSuspicionsAreRareWithoutFaults() {
         ExampleHost host = new ExampleHost(2, 40);
-        host.play(3600);
-        assertEquals(1, host.leaders.size());
+        host.runFor(3600);
+        assertEquals(1, host.electedLeaders.size());
         long heartbeats = 40 * 3600;
         long suspicions =
                 host.leader().connectivity.snapshot(host.now).counters().suspicions();
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void copiesOfHeartbeatsAreRejected() {
+    void duplicateAndOutOfOrderHeartbeatsAreRejected() {
         Connectivity links = leaderOf(2);
         assertFalse(links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 30, true), 40_000));
         assertFalse(links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 2, true), 40_000));
@@ -100,38 +100,38 @@
 
     /** The error for invalid input names the argument. */
     @Test
-    void invalidInputChangesNothing() {
+    void invalidInputIsRejectedAndChangesNothing() {
         Connectivity links = leaderOf(3);
         ReachabilityView good = links.viewFor("b", 30_000);
         ConnectivitySnapshot before = links.snapshot(30_000);
-        refused(links, "now", self -> self.storeAnswered(-1));
-        refused(links, "now", self -> self.heartbeatReceived(new WorkerHeartbeat("w9", "x", 1, 1, true), -5));
-        refused(links, "peer", self -> self.peerRequestAnswered("nobody", 30_000));
-        refused(links, "peer", self -> self.viewFor("a", 30_000));
-        refused(links, "kind", self -> self.storeFailed(null, 30_000));
-        refused(links, "worker", self -> self.workerRemoved("", 30_000));
-        refused(links, "sequence", self -> self.heartbeatReceived(new WorkerHeartbeat("w0", "x", 1, -1, true), 30_000));
-        refused(links, "decision", self -> self.permits(null, 30_000));
-        refused(links, "lagMs", self -> self.eventLoopLagMeasured(-1, false, 30_000));
-        refused(links, "term", self -> self.elected(0, 30_000));
-        refused(links, "max", self -> self.takeDueProbes(-1, 30_000));
-        refused(links, "view", self -> self.receive(null, 30_000));
-        refused(links, "view", self -> ViewCodec.read(new byte[] {1, 2, 3}));
-        refused(links, "peer", self -> self.receive(good, 30_000)); // its own view
-        refused(links, "view", self -> self.receive(fromTheFuture(good), 30_000));
+        assertRejected(links, "now", self -> self.storeAnswered(-1));
+        assertRejected(links, "now", self -> self.heartbeatReceived(new WorkerHeartbeat("w9", "x", 1, 1, true), -5));
+        assertRejected(links, "peer", self -> self.peerRequestAnswered("nobody", 30_000));
+        assertRejected(links, "peer", self -> self.viewFor("a", 30_000));
+        assertRejected(links, "kind", self -> self.storeFailed(null, 30_000));
+        assertRejected(links, "worker", self -> self.workerRemoved("", 30_000));
+        assertRejected(links, "sequence", self -> self.heartbeatReceived(new WorkerHeartbeat("w0", "x", 1, -1, true), 30_000));
+        assertRejected(links, "decision", self -> self.permits(null, 30_000));
+        assertRejected(links, "lagMs", self -> self.eventLoopLagMeasured(-1, false, 30_000));
+        assertRejected(links, "term", self -> self.elected(0, 30_000));
+        assertRejected(links, "max", self -> self.takeDueProbes(-1, 30_000));
+        assertRejected(links, "view", self -> self.receive(null, 30_000));
+        assertRejected(links, "view", self -> ViewCodec.read(new byte[] {1, 2, 3}));
+        assertRejected(links, "peer", self -> self.receive(good, 30_000)); // its own view
+        assertRejected(links, "view", self -> self.receive(acknowledgingUnsentView(good), 30_000));
         assertEquals(before, links.snapshot(30_000));
-        refused(links, "heartbeatIntervalMs", self -> new ConnectivityConfig("a", List.of(), 0, 10, 10));
-        refused(links, "peers", self -> new ConnectivityConfig("a", List.of("a"), 10, 100, 10));
-        refused(links, "workerShare", self -> new LeaderCandidate("a", true, 1.5, false, 0));
+        assertRejected(links, "heartbeatIntervalMs", self -> new ConnectivityConfig("a", List.of(), 0, 10, 10));
+        assertRejected(links, "peers", self -> new ConnectivityConfig("a", List.of("a"), 10, 100, 10));
+        assertRejected(links, "workerShare", self -> new LeaderCandidate("a", true, 1.5, false, 0));
     }
 
-    private static ReachabilityView fromTheFuture(ReachabilityView view) {
+    private static ReachabilityView acknowledgingUnsentView(ReachabilityView view) {
         ReachabilityView.Header header =
                 new ReachabilityView.Header("b", 7, 1, 1, "", view.header().incarnation(), 1_000_000, 0, 0);
         return new ReachabilityView(header, view.senderHealth(), view.workers(), List.of(), null, 0);
     }
 
-    private static void refused(Connectivity links, String argument, Consumer<Connectivity> call) {
+    private static void assertRejected(Connectivity links, String argument, Consumer<Connectivity> call) {
         InvalidInputException error = assertThrows(InvalidInputException.class, () -> call.accept(links));
         assertEquals(argument, error.argument(), error.getMessage());
     }
@@ -151,7 +151,7 @@
 
     /** The clock went back between two processes of a controller; the second one raises its incarnation. */
     @Test
-    void aRestartWithALowerIncarnationIsRecoveredFrom() {
+    void viewsAreAcceptedAgainAfterARestartWithALowerIncarnation() {
         Connectivity peer = new Connectivity(CONFIG, 1000, 0);
         Connectivity former = new Connectivity(CONFIG_OF_B, 900, 0);
         peer.receive(former.viewFor("a", 0), 0);
@@ -179,7 +179,7 @@
             peer.receive(ViewCodec.read(bytes), now);
             links.receive(peer.viewFor("a", now), now);
         }
-        assertTrue(views <= workers / ViewBuilder.MAX_WORKERS + 3, views + " views for a whole fleet");
+        assertTrue(views <= workers / ViewBuilder.MAX_CHANGED_WORKERS + 3, views + " views for a whole fleet");
         assertTrue(largest < 8 * 1024, largest + " bytes");
         int unchanged = ViewCodec.write(links.viewFor("b", 30_200)).length;
         assertTrue(unchanged < 250, unchanged + " bytes when nothing changed");
--- a/src/test/java/stileferry/connectivity/ExampleHost.java
+++ b/src/test/java/stileferry/connectivity/ExampleHost.java
@@ -20,16 +20,16 @@
     static final long LEADER_LEASE_MS = 1500;
     private static final String STORE = "store";
 
-    final Map<String, Member> members = new LinkedHashMap<>();
-    final List<String> leaders = new ArrayList<>();
+    final Map<String, Controller> controllers = new LinkedHashMap<>();
+    final List<String> electedLeaders = new ArrayList<>();
     final SplittableRandom random;
     long now = 1;
 
     /** Whether messages from the first to the second arrive. */
-    BiPredicate<String, String> passes = (from, to) -> true;
+    BiPredicate<String, String> delivers = (from, to) -> true;
 
     /** The share of views of which a copy arrives much later. */
-    double lateCopyShare;
+    double lateDuplicateShare;
 
     private final int workers;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -47,13 +47,13 @@
     }
 
     /** One controller. */
-    final class Member {
+    final class Controller {
         final String name;
         final Connectivity connectivity;
         final Map<String, Long> sequences = new TreeMap<>();
-        long released;
+        long releases;
 
-        Member(String name, List<String> peers) {
+        Controller(String name, List<String> peers) {
             this.name = name;
             ConnectivityConfig config =
                     new ConnectivityConfig(name, peers, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS, LEADER_LEASE_MS);
@@ -61,17 +61,17 @@
         }
 
         private void tick() {
-            after(HEARTBEAT_INTERVAL_MS / 3, this::tick);
-            if (passes.test(name, STORE) && passes.test(STORE, name)) {
+            schedule(HEARTBEAT_INTERVAL_MS / 3, this::tick);
+            if (delivers.test(name, STORE) && delivers.test(STORE, name)) {
                 connectivity.storeAnswered(now);
                 campaignOrRenew();
             } else {
                 connectivity.storeFailed(FailureKind.UNANSWERED, now);
             }
-            members.values().stream().filter(peer -> peer != this).forEach(this::exchange);
+            controllers.values().stream().filter(peer -> peer != this).forEach(this::exchange);
             for (ProbeTarget target : connectivity.takeDueProbes(8, now)) {
-                boolean answered = passes.test(name, target.worker()) && passes.test(target.worker(), name);
-                after(5, () -> probeCompleted(target.worker(), answered));
+                boolean answered = delivers.test(name, target.worker()) && delivers.test(target.worker(), name);
+                schedule(5, () -> probeCompleted(target.worker(), answered));
             }
             followAdvice(connectivity.advise(now));
         }
@@ -89,10 +89,10 @@
                 leaseEndsAt = now + LEADER_LEASE_MS;
             } else if (now > leaseEndsAt && connectivity.electionDelayMs(now) == 0) {
                 if (!leader.isEmpty()) {
-                    members.get(leader).connectivity.deposed(true, now);
+                    controllers.get(leader).connectivity.deposed(true, now);
                 }
                 leader = name;
-                leaders.add(name);
+                electedLeaders.add(name);
                 leaseEndsAt = now + LEADER_LEASE_MS;
                 connectivity.elected(++term, now);
                 for (int i = 0; i < workers; i++) {
@@ -101,24 +101,24 @@
             }
         }
 
-        private void exchange(Member peer) {
+        private void exchange(Controller peer) {
             byte[] view = ViewCodec.write(connectivity.viewFor(peer.name, now));
-            if (!passes.test(name, peer.name)) {
+            if (!delivers.test(name, peer.name)) {
                 connectivity.peerRequestFailed(peer.name, FailureKind.UNANSWERED, now);
                 return;
             }
-            after(2, () -> peer.receiveView(this, view));
-            if (random.nextDouble() < lateCopyShare) {
-                after(WORKER_LEASE_MS + random.nextLong(WORKER_LEASE_MS), () -> peer.receiveView(this, view));
+            schedule(2, () -> peer.receiveView(this, view));
+            if (random.nextDouble() < lateDuplicateShare) {
+                schedule(WORKER_LEASE_MS + random.nextLong(WORKER_LEASE_MS), () -> peer.receiveView(this, view));
             }
         }
 
-        private void receiveView(Member from, byte[] view) {
+        private void receiveView(Controller from, byte[] view) {
             connectivity.receive(ViewCodec.read(view), now);
             connectivity.peerMessageReceived(from.name, now);
             byte[] reply = ViewCodec.write(connectivity.viewFor(from.name, now));
-            if (passes.test(name, from.name)) {
-                after(2, () -> {
+            if (delivers.test(name, from.name)) {
+                schedule(2, () -> {
                     from.connectivity.receive(ViewCodec.read(reply), now);
                     from.connectivity.peerRequestAnswered(name, now);
                 });
@@ -138,7 +138,7 @@
         }
 
         private void release() {
-            released++;
+            releases++;
             connectivity.deposed(false, now);
             connectivity.leadershipReleased(now);
             leader = "";
@@ -148,14 +148,14 @@
         /** A heartbeat arrives from a worker, unless it is lost; returns whether the answer arrives. */
         private boolean receiveHeartbeat(String worker) {
             long sequence = sequences.merge(worker, 1L, Long::sum);
-            if (!passes.test(worker, name)) {
+            if (!delivers.test(worker, name)) {
                 return false;
             }
             connectivity.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, sequence, true), now);
             if (leader.equals(name)) {
                 connectivity.heartbeatAnswered(worker, now);
             }
-            return passes.test(name, worker);
+            return delivers.test(name, worker);
         }
     }
 
@@ -164,33 +164,33 @@
         this.workers = workers;
         List<String> names = List.of("a", "b", "c");
         for (String name : names) {
-            members.put(
+            controllers.put(
                     name,
-                    new Member(
+                    new Controller(
                             name,
                             names.stream().filter(peer -> !peer.equals(name)).toList()));
         }
-        members.values().forEach(member -> after(random.nextLong(100), member::tick));
+        controllers.values().forEach(member -> schedule(random.nextLong(100), member::tick));
         for (int i = 0; i < workers; i++) {
             String worker = "worker-" + i;
-            after(random.nextLong(HEARTBEAT_INTERVAL_MS), () -> sendHeartbeat(worker));
+            schedule(random.nextLong(HEARTBEAT_INTERVAL_MS), () -> sendHeartbeat(worker));
         }
     }
 
     private void sendHeartbeat(String worker) {
-        after(HEARTBEAT_INTERVAL_MS * 3 / 4 + random.nextLong(HEARTBEAT_INTERVAL_MS / 2), () -> sendHeartbeat(worker));
-        Member receiver = members.get(leader);
+        schedule(HEARTBEAT_INTERVAL_MS * 3 / 4 + random.nextLong(HEARTBEAT_INTERVAL_MS / 2), () -> sendHeartbeat(worker));
+        Controller receiver = controllers.get(leader);
         if (receiver != null) {
             receiver.receiveHeartbeat(worker);
         }
     }
 
-    void after(long delayMs, Runnable task) {
+    void schedule(long delayMs, Runnable task) {
         events.add(new Event(now + delayMs, nextEventNumber++, task));
     }
 
     /** Runs the simulation for so many seconds. */
-    void play(double seconds) {
+    void runFor(double seconds) {
         long end = now + Math.round(1000 * seconds);
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
@@ -201,13 +201,13 @@
     }
 
     /** Null: there is no leader. */
-    Member leader() {
-        return members.get(leader);
+    Controller leader() {
+        return controllers.get(leader);
     }
 
     /** Cuts one member off from all workers; {@code cut} false: restores all links. */
-    void cutFromWorkers(String member, boolean cut) {
-        passes = cut
+    void cutOffFromWorkers(String member, boolean cut) {
+        delivers = cut
                 ? (from, to) -> !(from.equals(member) && to.startsWith("worker"))
                         && !(to.equals(member) && from.startsWith("worker"))
                 : (from, to) -> true;
