--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -8,12 +8,13 @@
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 
 /**
- * What one controller knows of the links between controllers, workers and the state service, and what follows from it
- * for the leadership. A host program reports what it observes, carries this controller's views to the other controllers
- * and theirs back, and asks for advice and permissions.
+ * Tracks the health of one controller's links to workers, the other controllers and the key-value store, and derives
+ * leadership advice and decision permissions from it. The host program reports the events that it observes, exchanges
+ * views with the other controllers, and asks for advice and permissions.
  *
- * <p>All times are milliseconds of a monotonic clock; one before the last counts as the last. Not thread-safe. Invalid
- * input, including the name of an unknown controller, throws {@code InvalidInputException} and changes nothing.
+ * <p>All times are milliseconds of a monotonic clock. A time earlier than the latest reported time is replaced by the
+ * latest one. Not thread-safe. Invalid input, including the name of an unknown controller, throws
+ * {@code InvalidInputException} and changes nothing.
  */
 public final class Connectivity {
     private final ConnectivityConfig config;
@@ -25,9 +26,10 @@
     private final LeaderPermissions permissions;
 
     /**
-     * Starts to monitor the links of one controller.
+     * Starts monitoring the links of one controller.
      *
-     * @param incarnation higher than that of the controller's former processes, such as the time of day at its start
+     * @param incarnation a positive number that is higher for each process of the controller than for its earlier ones,
+     *     such as the time of day at the process start
      */
     public Connectivity(ConnectivityConfig config, long incarnation, long now) {
         require(config != null, "config", "missing");
@@ -41,36 +43,36 @@
         permissions = new LeaderPermissions(links, leadership);
     }
 
-    // ---- observations: state service and controllers
+    // ---- observations: key-value store and controllers
 
-    /** The state service answered a request. */
+    /** Records that the key-value store answered a request. */
     public void storeAnswered(long time) {
         links.advance(time);
         links.store.succeeded(links.now());
     }
 
-    /** A request to the state service failed. */
+    /** Records that a request to the key-value store failed. */
     public void storeFailed(FailureKind kind, long time) {
         require(kind != null, "kind", "missing");
         links.advance(time);
         links.store.failed(kind);
     }
 
-    /** Another controller answered a request of this one. */
+    /** Records that another controller answered a request from this one. */
     public void peerRequestAnswered(String peer, long time) {
         PeerLink link = links.peers.get(peer);
         links.advance(time);
         link.requestAnswered(links.now());
     }
 
-    /** Another controller sent a request to this one. */
+    /** Records that a request from another controller arrived. */
     public void peerMessageReceived(String peer, long time) {
         PeerLink link = links.peers.get(peer);
         links.advance(time);
         link.messageReceived(links.now());
     }
 
-    /** A request to another controller failed. */
+    /** Records that a request to another controller failed. */
     public void peerRequestFailed(String peer, FailureKind kind, long time) {
         PeerLink link = links.peers.get(peer);
         require(kind != null, "kind", "missing");
@@ -80,7 +82,7 @@
 
     // ---- observations: workers
 
-    /** A worker is expected to exist, though no heartbeat of it has arrived; only a leader knows. */
+    /** Adds a worker that should exist although no heartbeat from it has arrived; only a leader knows such workers. */
     public void workerExpected(String worker, String address, long time) {
         requireName(worker, "worker");
         require(address != null, "address", "missing");
@@ -88,28 +90,36 @@
         links.workers.expected(worker, address, links.now());
     }
 
-    /** A heartbeat arrived straight from its worker; returns false where it is a copy or late. */
+    /**
+     * Records a heartbeat that arrived directly from its worker.
+     *
+     * @return false if the heartbeat is ignored because it is a duplicate or older than one already received
+     */
     public boolean heartbeatReceived(WorkerHeartbeat heartbeat, long time) {
         require(heartbeat != null, "heartbeat", "missing");
         links.advance(time);
         return links.workers.heartbeatReceived(heartbeat, links.now());
     }
 
-    /** A heartbeat was relayed by another controller. */
+    /** Records a heartbeat that another controller relayed; one that is a duplicate or out of order is ignored. */
     public void relayedHeartbeatReceived(WorkerHeartbeat heartbeat, long time) {
         require(heartbeat != null, "heartbeat", "missing");
         links.advance(time);
         links.workers.relayedHeartbeatReceived(heartbeat, links.now());
     }
 
-    /** The worker's last heartbeat that was not relayed was answered. */
+    /** Records that the worker's last direct heartbeat was answered. */
     public void heartbeatAnswered(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
         links.workers.heartbeatAnswered(worker, links.now());
     }
 
-    /** A worker answered a request; {@code probe}: one from {@link #takeDueProbes}. */
+    /**
+     * Records that a worker answered a request.
+     *
+     * @param probe whether the request was a probe from {@link #takeDueProbes}
+     */
     public void workerRequestAnswered(String worker, boolean probe, long time) {
         requireName(worker, "worker");
         links.advance(time);
@@ -117,7 +127,11 @@
         links.workers.requestAnswered(worker, probe, links.now());
     }
 
-    /** A worker did not answer a request; {@code probe}: one from {@link #takeDueProbes}. */
+    /**
+     * Records that a worker did not answer a request.
+     *
+     * @param probe whether the request was a probe from {@link #takeDueProbes}
+     */
     public void workerRequestFailed(String worker, boolean probe, long time) {
         requireName(worker, "worker");
         links.advance(time);
@@ -125,14 +139,17 @@
         links.workers.requestFailed(worker, probe, links.now());
     }
 
-    /** A follower learns of workers from the leader's probe targets; a worker that a leader lacks may be removed. */
+    /**
+     * Adds a probed worker on a follower, which learns of workers from the leader's probe targets. A leader does not add
+     * it: a worker that it does not know may have been removed.
+     */
     private void trackProbedWorker(String worker, boolean probe) {
         if (probe && !links.leading()) {
             links.workers.expected(worker, "", links.now());
         }
     }
 
-    /** A worker no longer exists. */
+    /** Removes a worker that no longer exists. */
     public void workerRemoved(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
@@ -141,14 +158,19 @@
 
     // ---- observations: this controller
 
-    /** The event-loop lag in milliseconds, and whether this process counts as behind with its work. */
-    public void eventLoopLagMeasured(long lagMs, boolean behind, long time) {
+    /**
+     * Records the event-loop lag of this process.
+     *
+     * @param lagMs by how many milliseconds timers are late
+     * @param overloaded whether this process cannot keep up with its work
+     */
+    public void eventLoopLagMeasured(long lagMs, boolean overloaded, long time) {
         require(lagMs >= 0, "lagMs", "negative");
         links.advance(time);
-        links.eventLoopLagMeasured(lagMs, behind);
+        links.eventLoopLagMeasured(lagMs, overloaded);
     }
 
-    /** This controller leads from now on. */
+    /** Records that this controller leads from now on; it forgets all workers, which it may know only as a follower. */
     public void elected(long newTerm, long time) {
         require(newTerm > 0, "term", "must be above 0");
         links.advance(time);
@@ -157,7 +179,11 @@
         probePlanner.reset();
     }
 
-    /** Which controller leads in which term, as far as this controller knows; empty: not known. */
+    /**
+     * Records the newest term and its leader as far as this controller knows them.
+     *
+     * @param leader the leader's name, or empty if it is not known
+     */
     public void leaderObserved(long term, String leader, long time) {
         require(term >= 0, "term", "negative");
         require(leader != null, "leader", "missing");
@@ -165,7 +191,11 @@
         leadership.leaderObserved(term, leader);
     }
 
-    /** This controller no longer leads; {@code storeLost}: because the state service did not answer it. */
+    /**
+     * Records that this controller no longer leads.
+     *
+     * @param storeLost whether it lost the leadership because the key-value store did not answer it
+     */
     public void deposed(boolean storeLost, long time) {
         links.advance(time);
         leadership.deposed(storeLost);
@@ -176,13 +206,16 @@
 
     // ---- views
 
-    /** The interval in milliseconds at which views should be exchanged with each controller now. */
+    /**
+     * Returns the current interval in milliseconds between two exchanges of views with the same controller; it is short
+     * while a leader has many suspect workers or a handover is in progress.
+     */
     public long exchangeIntervalMs() {
         boolean manySuspects = links.leading() && ProbePlanner.manySuspects(links.workers);
         return config.exchangeIntervalMs(manySuspects || handingOver());
     }
 
-    /** The view to be sent to another controller now. */
+    /** Returns a new view to be sent to another controller now. */
     public ReachabilityView viewFor(String peer, long time) {
         PeerLink link = links.peers.get(peer);
         links.advance(time);
@@ -190,7 +223,7 @@
         return views.viewFor(link);
     }
 
-    /** Merges another controller's view; stale and repeated views change nothing. */
+    /** Merges a view from another controller; duplicate and out-of-order views are ignored. */
     public void receive(ReachabilityView view, long time) {
         require(view != null, "view", "missing");
         PeerLink link = links.peers.get(view.header().sender());
@@ -199,7 +232,10 @@
         views.receive(link, view);
     }
 
-    /** Whether a fresh view of another controller, which is neither lagging nor failing requests, lists a worker. */
+    /**
+     * Returns whether the view of another controller lists a worker, provided that the view is fresh, the controller
+     * does not report event-loop lag, and the last request to it did not fail.
+     */
     public boolean peerKnowsWorker(String peer, String worker, long time) {
         PeerLink link = links.peers.get(peer);
         requireName(worker, "worker");
@@ -210,26 +246,29 @@
                 && link.view.lists(worker);
     }
 
-    /** Whether a fresh view of another controller says that its requests do not reach a worker. */
+    /** Returns whether a fresh view of another controller reports that its requests do not reach a worker. */
     public boolean peerCannotReachWorker(String peer, String worker, long time) {
         PeerView view = links.peers.get(peer).view;
         return peerKnowsWorker(peer, worker, time) && view.outboundKnown(worker) && !view.reaches(worker);
     }
 
-    /** Whether requests to another controller have failed for long, though it does not report lag. */
+    /** Returns whether requests to another controller keep failing although it does not report event-loop lag. */
     public boolean peerUnreachable(String peer, long time) {
         PeerLink link = links.peers.get(peer);
         links.advance(time);
         return link.unreachable(links.now(), links.eventLoopLagMs());
     }
 
-    /** Who leads in the newest term, from {@code minTerm} on, that a fresh view names a leader in; empty: none does. */
+    /**
+     * Returns the leader of the newest term, {@code minTerm} or later, for which a fresh view names another controller as
+     * leader, or an empty string if no view does.
+     */
     public String leaderReportedByPeers(long minTerm, long time) {
         links.advance(time);
         return links.peers.reportedLeader(minTerm, links.now());
     }
 
-    /** Whether another controller, by its last view, is handing over the leadership or has just done so. */
+    /** Returns whether another controller, by its last view, is handing over the leadership or has just done so. */
     public boolean peerHandsOver(String peer, long time) {
         PeerLink link = links.peers.get(peer);
         links.advance(time);
@@ -238,7 +277,10 @@
 
     // ---- probes
 
-    /** Removes and returns at most {@code max} probes to be sent now; the host must report the outcome of each. */
+    /**
+     * Removes and returns at most {@code max} probes to be sent now. The host must report the outcome of each with
+     * {@link #workerRequestAnswered} or {@link #workerRequestFailed}.
+     */
     public List<ProbeTarget> takeDueProbes(int max, long time) {
         require(max >= 0, "max", "negative");
         links.advance(time);
@@ -250,20 +292,20 @@
 
     // ---- leadership
 
-    /** What this controller should do about the leadership. */
+    /** Returns what this controller should do about the leadership, as leader or as follower. */
     public LeadershipAdvice advise(long time) {
         links.advance(time);
         links.detectSilentWorkers();
         return leadership.advise();
     }
 
-    /** For how many milliseconds this controller should not become a candidate. */
+    /** Returns for how many more milliseconds this controller should not become a candidate; 0 if it may now. */
     public long electionDelayMs(long time) {
         links.advance(time);
         return leadership.electionDelayMs();
     }
 
-    /** Whether the links permit a decision. */
+    /** Checks whether the state of the links permits a decision; counts it if it is withheld. */
     public Verdict permits(Decision decision, long time) {
         require(decision != null, "decision", "missing");
         links.advance(time);
@@ -271,7 +313,7 @@
         return permissions.permits(decision);
     }
 
-    /** Whether the links permit the removal of a silent worker before its lease has expired. */
+    /** Checks whether the state of the links permits removing a silent worker before its lease has expired. */
     public Verdict permitsRemovingWorker(String worker, long time) {
         requireName(worker, "worker");
         links.advance(time);
@@ -281,26 +323,34 @@
 
     // ---- handover
 
-    /** Starts a handover to another controller, which withholds all decisions; false: not possible now. */
+    /**
+     * Starts a handover to another controller. All decisions are withheld while it is in progress.
+     *
+     * @return false if a handover is not possible now
+     */
     public boolean beginHandover(String nominee, long time) {
         PeerLink link = links.peers.get(nominee);
         links.advance(time);
         return leadership.beginHandover(link);
     }
 
-    /** Whether a handover is under way. */
+    /** Returns whether a handover started by this controller is in progress. */
     public boolean handingOver() {
         return leadership.handover().inProgress();
     }
 
-    /** The next step of a handover; {@code changesInFlight}: commits that the state service has not answered yet. */
+    /**
+     * Advances the handover that is in progress, if any, and returns what the host has to do.
+     *
+     * @param changesInFlight commits that the key-value store has not answered yet
+     */
     public HandoverAction advanceHandover(int changesInFlight, long time) {
         require(changesInFlight >= 0, "changesInFlight", "negative");
         links.advance(time);
         return leadership.advanceHandover(changesInFlight);
     }
 
-    /** This controller has released the leadership, and delays its next candidacy. */
+    /** Records that this controller has released the leadership; its next candidacy is delayed. */
     public void leadershipReleased(long time) {
         links.advance(time);
         leadership.leadershipReleased();
@@ -308,7 +358,7 @@
 
     // ---- operators
 
-    /** All that is known now. */
+    /** Returns the current state of all links for operators. */
     public ConnectivitySnapshot snapshot(long time) {
         links.advance(time);
         links.detectSilentWorkers();
--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -7,63 +7,76 @@
 import java.util.List;
 
 /**
- * The names and times of one deployment. All other times of this package are multiples of these.
+ * The controller names and the base intervals of one deployment. All other times in this package are multiples of these
+ * intervals.
  *
  * @param self the name of this controller
  * @param peers the names of the other controllers
- * @param heartbeatIntervalMs milliseconds between two heartbeats of a worker
+ * @param heartbeatIntervalMs nominal milliseconds between two heartbeats of a worker
  * @param workerLeaseMs milliseconds after which a worker whose heartbeats are not answered stops its tasks
- * @param leaderLeaseMs milliseconds of the leader key's lease
+ * @param leaderLeaseMs duration of the leader key's lease in milliseconds
  */
 public record ConnectivityConfig(
         String self, List<String> peers, long heartbeatIntervalMs, long workerLeaseMs, long leaderLeaseMs) {
-    /** Exchanges of views in a heartbeat interval while links are suspect. */
+    /** Number of view exchanges per heartbeat interval while links are suspect. */
     private static final int SHORT_EXCHANGES_PER_HEARTBEAT_INTERVAL = 3;
 
-    /** Exchange intervals after which a view, or what was observed of a worker, is stale. */
+    /**
+     * Heartbeat intervals, which are the regular exchange intervals, after which a view or an observation of a worker is
+     * stale.
+     */
     private static final int MAX_AGE_HEARTBEAT_INTERVALS = 3;
 
-    /** Throws for names that are missing or repeated, and for times that are not positive. */
+    /**
+     * Validates the names and intervals; throws for missing, empty or duplicate names, for times that are not positive,
+     * and for a worker lease that is not longer than the heartbeat interval.
+     */
     public ConnectivityConfig {
         requireName(self, "self");
         require(peers != null, "peers", "missing");
         peers = List.copyOf(peers);
-        require(!peers.contains(self), "peers", "names this controller, " + self);
-        require(new HashSet<>(peers).size() == peers.size(), "peers", "a name stands twice");
+        require(!peers.contains(self), "peers", "contains this controller, " + self);
+        require(new HashSet<>(peers).size() == peers.size(), "peers", "contains a duplicate name");
         require(heartbeatIntervalMs > 0, "heartbeatIntervalMs", "must be above 0");
         require(workerLeaseMs > heartbeatIntervalMs, "workerLeaseMs", "must be above heartbeatIntervalMs");
         require(leaderLeaseMs > 0, "leaderLeaseMs", "must be above 0");
     }
 
-    /** Milliseconds between two exchanges of views with the same controller; {@code alert}: while links are suspect. */
-    public long exchangeIntervalMs(boolean alert) {
-        return alert ? Math.max(1, heartbeatIntervalMs / SHORT_EXCHANGES_PER_HEARTBEAT_INTERVAL) : heartbeatIntervalMs;
+    /**
+     * Returns the milliseconds between two exchanges of views with the same controller.
+     *
+     * @param linksSuspect whether links are suspect, so that the short exchange interval applies
+     */
+    public long exchangeIntervalMs(boolean linksSuspect) {
+        return linksSuspect
+                ? Math.max(1, heartbeatIntervalMs / SHORT_EXCHANGES_PER_HEARTBEAT_INTERVAL)
+                : heartbeatIntervalMs;
     }
 
-    /** Milliseconds after which an idle link to the state service is probed. */
+    /** Returns the milliseconds after which an idle link to the key-value store is probed. */
     public long storeProbeIntervalMs() {
         return 2 * exchangeIntervalMs(true);
     }
 
-    /** The age in milliseconds above which a view of another controller is stale. */
+    /** Returns the age in milliseconds above which a view from another controller is stale. */
     public long viewMaxAgeMs() {
         return MAX_AGE_HEARTBEAT_INTERVALS * heartbeatIntervalMs + leaderLeaseMs;
     }
 
-    /** The age in milliseconds above which a follower forgets what it observed of a worker. */
+    /** Returns the age in milliseconds of its last observation of a worker above which a follower forgets the worker. */
     public long workerEvidenceMaxAgeMs() {
         return MAX_AGE_HEARTBEAT_INTERVALS * heartbeatIntervalMs;
     }
 
     /**
-     * The age in milliseconds above which a probe's result is stale. It is less than the silence after which a worker
-     * is suspect, so that a result from before a cut is not taken for one from after it.
+     * Returns the age in milliseconds above which the outcome of a probe is stale. It is shorter than the silence after
+     * which a worker becomes suspect, so that an outcome from before a partition is not mistaken for one from after it.
      */
     public long probeResultMaxAgeMs() {
         return heartbeatIntervalMs;
     }
 
-    /** The age in milliseconds of the state service's last answer above which no decision is made. */
+    /** Returns the age in milliseconds of the key-value store's last answer above which all decisions are withheld. */
     public long storeAnswerMaxAgeMs() {
         return leaderLeaseMs;
     }
--- a/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
+++ b/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What is known of all links at a moment, for operators.
+ * The state of all links of one controller at one point in time, for operators.
  *
  * @param controller the controller whose links these are
  * @param leading whether it leads
- * @param store its link to the state service
+ * @param store its link to the key-value store
  * @param peers its links to the other controllers
  * @param workers its links to workers
  * @param advice the advice on its leadership
- * @param counters events since its process started
+ * @param counters numbers of events since its process started
  */
 public record ConnectivitySnapshot(
         String controller,
@@ -25,11 +25,11 @@
     /**
      * One direction of a link.
      *
-     * @param condition what is known of it
-     * @param suspicionLevel phi of its silence
-     * @param silentMs milliseconds since it last succeeded; -1: never
-     * @param consecutiveFailures requests that have failed since
-     * @param lastFailure how the last failed request failed; null: none has
+     * @param condition its condition according to its failure detector
+     * @param suspicionLevel the suspicion level (phi) of the current silence
+     * @param silentMs milliseconds since the last message or answer; -1 if there has never been one
+     * @param consecutiveFailures number of requests that have failed since then
+     * @param lastFailure how the last failed request failed; null if none has failed
      */
     public record Link(
             LinkCondition condition,
@@ -39,14 +39,14 @@
             FailureKind lastFailure) {}
 
     /**
-     * The links to another controller, and its view.
+     * The links to another controller and what its last view reports.
      *
      * @param controller its name
-     * @param inbound requests from it
-     * @param outbound requests to it that are answered
-     * @param viewAgeMs the greatest possible age of its view in milliseconds; -1: not known
-     * @param reachedWorkers workers that it reaches, of those that it probed
-     * @param reachableShare the share of all workers that it is estimated to reach; -1: not known
+     * @param inbound the direction in which its requests arrive
+     * @param outbound the direction in which it is sent requests, judged by its answers
+     * @param viewAgeMs the greatest possible age of its view in milliseconds; -1 if not known
+     * @param reachedWorkers number of workers that its requests reach, of those with a known recent outcome
+     * @param reachableShare estimated share of all workers that it reaches, from 0 to 1; -1 if not known
      */
     public record Peer(
             String controller,
@@ -59,23 +59,24 @@
     /**
      * The links to workers.
      *
-     * @param known workers that are known
-     * @param direct workers whose heartbeats come straight to this controller
-     * @param suspect workers with a suspect link
-     * @param reachableShare the share of all workers that it is estimated to reach; -1: it does not lead
+     * @param known number of known workers
+     * @param direct number of workers whose heartbeats arrive directly at this controller
+     * @param suspect number of workers with a suspect link
+     * @param reachableShare estimated share of all workers that the controller reaches, from 0 to 1; -1 if it does not
+     *     lead
      * @param suspicionTimeoutMs milliseconds of silence after which a worker is suspect
      */
     public record Workers(int known, int direct, int suspect, double reachableShare, double suspicionTimeoutMs) {}
 
     /**
-     * Events since the controller's process started.
+     * Numbers of events since the controller's process started.
      *
      * @param handoversBegun handovers that were started
      * @param released deliberate releases of the leadership
      * @param aborted handovers aborted before the release
-     * @param suspicions times at which a worker became suspect by its silence
+     * @param suspicions how often a worker became suspect because its heartbeats stopped
      * @param withheld decisions that were withheld
-     * @param staleViews views that were older than a view received before
+     * @param staleViews received views that were duplicates or older than a view received before
      */
     public record Counters(
             long handoversBegun, long released, long aborted, long suspicions, long withheld, long staleViews) {}
--- a/src/main/java/stileferry/connectivity/Decision.java
+++ b/src/main/java/stileferry/connectivity/Decision.java
@@ -1,25 +1,25 @@
 package stileferry.connectivity;
 
-/** The kinds of decisions of a leader. */
+/** The kinds of leader decisions that the state of the links may withhold. */
 public enum Decision {
-    /** A task starts. */
+    /** Start a task. */
     START_TASK,
 
-    /** A task is preempted for other work. */
+    /** Preempt a task in favor of other work. */
     PREEMPT,
 
-    /** A silent worker is removed before its lease has expired. */
+    /** Remove a silent worker before its lease has expired. */
     REMOVE_WORKER,
 
-    /** Machines are added. */
+    /** Add machines. */
     SCALE_OUT,
 
-    /** A machine is returned to the provider. */
+    /** Return a machine to the cloud provider. */
     SCALE_IN,
 
-    /** A user is told that a job is cancelled. */
+    /** Confirm to a user that a job is cancelled. */
     CONFIRM_CANCELLATION,
 
-    /** A user's job is admitted. */
+    /** Admit a user's job. */
     ADMIT_JOB
 }
--- a/src/main/java/stileferry/connectivity/ElectionDelay.java
+++ b/src/main/java/stileferry/connectivity/ElectionDelay.java
@@ -1,21 +1,24 @@
 package stileferry.connectivity;
 
 /**
- * For how long a controller does not become a candidate, so that another one is elected first. Each delay is bounded,
- * so a controller with poor links is still elected where no other one is a candidate.
+ * Delays the next candidacy of this controller so that another controller is elected first. Each delay is bounded, so a
+ * controller with poor links is still elected if no other controller becomes a candidate.
  */
 final class ElectionDelay {
-    /** Leader leases that another controller gets for its election after a release. */
+    /** Leader leases for which other controllers may be elected after a release. */
     private static final int AFTER_RELEASE_LEADER_LEASES = 2;
 
-    /** The longest delay after losses of the state service, in leader leases. */
+    /** Upper bound of {@link #recentStoreLosses}, and so of the delay after such losses in leader leases. */
     private static final double MAX_RECENT_STORE_LOSSES = 2;
 
     private final ConnectivityConfig config;
     private long delayedUntil;
     private String reason = "";
 
-    /** Recent losses of the state service; halved every two worker leases. */
+    /**
+     * Number of recent losses of the leadership because the key-value store did not answer; decays with a half-life of
+     * two worker leases.
+     */
     private double recentStoreLosses;
 
     private long decayedAt;
@@ -30,12 +33,15 @@
         decayedAt = Math.max(decayedAt, now);
     }
 
-    /** This controller released the leadership, or another one announced a nominee. */
+    /** Delays the candidacy because this controller released the leadership or another one announced a nominee. */
     void deferToOthers(String newReason, long now) {
         extend(AFTER_RELEASE_LEADER_LEASES * config.leaderLeaseMs(), newReason, now);
     }
 
-    /** This controller lost the leadership because the state service did not answer it. */
+    /**
+     * Delays the candidacy because this controller lost the leadership when the key-value store did not answer it; the
+     * delay grows with repeated losses.
+     */
     void leadershipLost(long now) {
         decay(now);
         recentStoreLosses = Math.min(MAX_RECENT_STORE_LOSSES, recentStoreLosses + 1);
@@ -53,12 +59,12 @@
         delayedUntil = 0;
     }
 
-    /** The rest of the delay in milliseconds. */
+    /** Returns the remaining delay in milliseconds; 0 if there is none. */
     long remainingMs(long now) {
         return Math.max(0, delayedUntil - now);
     }
 
-    /** Why the last delay began, for operators. */
+    /** Returns the reason for the last delay, for operators. */
     String reason() {
         return reason;
     }
--- a/src/main/java/stileferry/connectivity/FailureKind.java
+++ b/src/main/java/stileferry/connectivity/FailureKind.java
@@ -1,10 +1,10 @@
 package stileferry.connectivity;
 
-/** How a request failed. */
+/** How a request failed, which tells whether it may have been executed. */
 public enum FailureKind {
-    /** The connection or the request was refused: it was not executed. */
+    /** The connection or the request was refused, so the request was not executed. */
     REFUSED,
 
-    /** The request timed out: it may have been executed. */
+    /** The request timed out, so it may have been executed. */
     UNANSWERED
 }
--- a/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
@@ -40,7 +40,8 @@
         Optional<LeaderCandidate> best =
                 peers.stream().filter(peer -> peer.clearlyBetterThan(own)).max(LeaderCandidate::compareTo);
         boolean cutOff = allPeersLost && peers.isEmpty() && own.workerShare() < ISOLATED_MAX_WORKER_SHARE;
-        observeNominee(best.map(LeaderCandidate::controller).orElse(cutOff ? STEP_DOWN_WITHOUT_NOMINEE : NO_CHANGE), now);
+        observeNominee(
+                best.map(LeaderCandidate::controller).orElse(cutOff ? STEP_DOWN_WITHOUT_NOMINEE : NO_CHANGE), now);
         if (nominee.equals(NO_CHANGE)) {
             return stay("nobody is clearly better");
         }
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -91,8 +91,8 @@
                 1,
                 receiver.version(),
                 receiver.epoch());
-        ReachabilityView.WorkerChanges nothing =
-                new ReachabilityView.WorkerChanges(1, 0, 0, List.of(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap());
+        ReachabilityView.WorkerChanges nothing = new ReachabilityView.WorkerChanges(
+                1, 0, 0, List.of(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap());
         sender.receive(
                 new ReachabilityView(
                         header,
--- a/src/test/java/stileferry/connectivity/ConnectivityTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityTest.java
@@ -110,7 +110,8 @@
         assertRejected(links, "peer", self -> self.viewFor("a", 30_000));
         assertRejected(links, "kind", self -> self.storeFailed(null, 30_000));
         assertRejected(links, "worker", self -> self.workerRemoved("", 30_000));
-        assertRejected(links, "sequence", self -> self.heartbeatReceived(new WorkerHeartbeat("w0", "x", 1, -1, true), 30_000));
+        assertRejected(
+                links, "sequence", self -> self.heartbeatReceived(new WorkerHeartbeat("w0", "x", 1, -1, true), 30_000));
         assertRejected(links, "decision", self -> self.permits(null, 30_000));
         assertRejected(links, "lagMs", self -> self.eventLoopLagMeasured(-1, false, 30_000));
         assertRejected(links, "term", self -> self.elected(0, 30_000));
--- a/src/test/java/stileferry/connectivity/ExampleHost.java
+++ b/src/test/java/stileferry/connectivity/ExampleHost.java
@@ -178,7 +178,9 @@
     }
 
     private void sendHeartbeat(String worker) {
-        schedule(HEARTBEAT_INTERVAL_MS * 3 / 4 + random.nextLong(HEARTBEAT_INTERVAL_MS / 2), () -> sendHeartbeat(worker));
+        schedule(
+                HEARTBEAT_INTERVAL_MS * 3 / 4 + random.nextLong(HEARTBEAT_INTERVAL_MS / 2),
+                () -> sendHeartbeat(worker));
         Controller receiver = controllers.get(leader);
         if (receiver != null) {
             receiver.receiveHeartbeat(worker);
