--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -170,7 +170,7 @@
         links.eventLoopLagMeasured(lagMs, overloaded);
     }
 
-    /** Records that this controller leads from now on; it forgets all workers, which it may know only as a follower. */
+    /** Records that this controller leads from now on; all workers are forgotten, as followers do not learn of removals. */
     public void elected(long newTerm, long time) {
         require(newTerm > 0, "term", "must be above 0");
         links.advance(time);
@@ -223,7 +223,7 @@
         return views.viewFor(link);
     }
 
-    /** Merges a view from another controller; duplicate and out-of-order views are ignored. */
+    /** Merges a view from another controller; a duplicate or out-of-order view is not merged. */
     public void receive(ReachabilityView view, long time) {
         require(view != null, "view", "missing");
         PeerLink link = links.peers.get(view.header().sender());
@@ -234,7 +234,7 @@
 
     /**
      * Returns whether the view of another controller lists a worker, provided that the view is fresh, the controller
-     * does not report event-loop lag, and the last request to it did not fail.
+     * does not report event-loop lag, and no request to it has failed since its last answer.
      */
     public boolean peerKnowsWorker(String peer, String worker, long time) {
         PeerLink link = links.peers.get(peer);
@@ -246,7 +246,10 @@
                 && link.view.lists(worker);
     }
 
-    /** Returns whether a fresh view of another controller reports that its requests do not reach a worker. */
+    /**
+     * Returns whether the view of another controller reports that its requests do not reach a worker, on the conditions
+     * of {@link #peerKnowsWorker}.
+     */
     public boolean peerCannotReachWorker(String peer, String worker, long time) {
         PeerView view = links.peers.get(peer).view;
         return peerKnowsWorker(peer, worker, time) && view.outboundKnown(worker) && !view.reaches(worker);
--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -22,8 +22,8 @@
     private static final int SHORT_EXCHANGES_PER_HEARTBEAT_INTERVAL = 3;
 
     /**
-     * Heartbeat intervals, which are the regular exchange intervals, after which a view or an observation of a worker is
-     * stale.
+     * Heartbeat intervals, which are also the regular exchange intervals, in the maximum age of a view or of an
+     * observation of a worker.
      */
     private static final int MAX_AGE_HEARTBEAT_INTERVALS = 3;
 
--- a/src/main/java/stileferry/connectivity/DecisionGate.java
+++ b/src/main/java/stileferry/connectivity/DecisionGate.java
@@ -73,7 +73,7 @@
         }
         long peerProbeMs = PEER_PROBE_EXCHANGE_INTERVALS * config.exchangeIntervalMs(true);
         if (peerOutboundUnknown && suspectMs < peerProbeMs) {
-            return Verdict.withheld("the other controllers have not probed the worker yet", peerProbeMs - suspectMs);
+            return Verdict.withheld("another controller has not probed the worker yet", peerProbeMs - suspectMs);
         }
         return Verdict.ALLOWED;
     }
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -3,12 +3,12 @@
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 
 /**
- * A leader's handover of the leadership, step by step: the nominee is asked until it is ready; pending commits complete
- * or time out; the leader key is released. No decision is made from the first step on. Until the release the leader
- * leads as before; after it the state service alone decides who leads.
+ * State machine of a leader's handover to a nominee. The leader first waits until the nominee accepts, then until pending
+ * commits complete or time out, and then releases the leader key. All decisions are withheld from the first step on. The
+ * leader keeps the leadership until the release; after that the key-value store alone decides who leads.
  */
 final class Handover {
-    /** Exchanges of views within which the nominee must be ready. */
+    /** Short exchange intervals within which the nominee must accept, unless a leader lease is longer. */
     private static final int NOMINEE_TIMEOUT_EXCHANGE_INTERVALS = 3;
 
     private final ConnectivityConfig config;
@@ -34,18 +34,18 @@
         return step != Step.IDLE;
     }
 
-    /** What this controller's views say of its last handover; null: there was none. */
+    /** Returns the notice of the last handover for this controller's views, or null if there has been none. */
     HandoverNotice notice() {
         return notice;
     }
 
-    /** Starts a handover by asking a nominee. */
+    /** Starts a handover; the notice in the next views asks the nominee to accept it. */
     void begin(long term, String nominee, long nomineeIncarnation, long now) {
         notice = new HandoverNotice(++lastId, term, nominee, nomineeIncarnation, true);
         enter(Step.AWAITING_NOMINEE, now);
     }
 
-    /** A controller is ready for the handover with this id. */
+    /** Records that a controller accepts the handover with this id; ignored unless it is the nominee of the current one. */
     void nomineeAccepted(String controller, long incarnation, long id, long now) {
         boolean matches = step == Step.AWAITING_NOMINEE
                 && id == notice.id()
@@ -62,10 +62,10 @@
     }
 
     /**
-     * What to do now.
+     * Advances the handover and returns what the leader has to do now.
      *
-     * @param changesInFlight commits that the state service has not answered yet
-     * @param nomineeReady whether the nominee's view still says that it could lead
+     * @param changesInFlight commits that the key-value store has not answered yet
+     * @param nomineeReady whether the nominee's view still reports that it could lead
      */
     HandoverAction advance(int changesInFlight, boolean nomineeReady, long now) {
         return switch (step) {
@@ -78,7 +78,10 @@
         };
     }
 
-    /** Commits that still lack an answer after a leader's lease fail their check of the leader key, or are done. */
+    /**
+     * Waits for pending commits, but not longer than a leader lease: commits still unanswered after that either have been
+     * applied or fail their check of the leader key.
+     */
     private HandoverAction awaitCommits(int changesInFlight, long now) {
         if (changesInFlight > 0 && now - stepStartedAt <= config.leaderLeaseMs()) {
             return HandoverAction.WAIT;
@@ -93,7 +96,7 @@
         return HandoverAction.ABORTED;
     }
 
-    /** This controller no longer leads; its views keep the notice, so that the others still receive it. */
+    /** Ends the handover when the leadership changes; views keep the notice so that the other controllers receive it. */
     void reset() {
         step = Step.IDLE;
     }
--- a/src/main/java/stileferry/connectivity/HandoverAction.java
+++ b/src/main/java/stileferry/connectivity/HandoverAction.java
@@ -1,16 +1,16 @@
 package stileferry.connectivity;
 
-/** What the leader has to do next in a handover. */
+/** What the host of a leader has to do next in a handover. */
 public enum HandoverAction {
-    /** No handover is under way. */
+    /** No handover is in progress. */
     NONE,
 
-    /** A handover is under way and needs more time. */
+    /** Wait: the handover is in progress and needs more time. */
     WAIT,
 
-    /** The leader key must be released now. */
+    /** Release the leader key now. */
     RELEASE,
 
-    /** The handover was aborted; the leader continues as before. */
+    /** The handover was aborted; the leader keeps the leadership. */
     ABORTED
 }
--- a/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
+++ b/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
@@ -1,8 +1,8 @@
 package stileferry.connectivity;
 
 /**
- * A token bucket that bounds deliberate releases of the leadership: in any time T at most {@code 2 + T / refillMs},
- * whatever the links do.
+ * A token bucket that limits deliberate releases of the leadership: at most {@code 2 + T / refillIntervalMs} in any time
+ * T, regardless of the state of the links.
  */
 final class HandoverRateLimiter {
     private static final double CAPACITY_TOKENS = 2;
@@ -11,7 +11,7 @@
     private double tokens = CAPACITY_TOKENS;
     private long refilledAt;
 
-    /** One token is added every {@code refillMs}. */
+    /** Starts with a full bucket, to which one token is added every {@code refillIntervalMs}. */
     HandoverRateLimiter(long refillMs, long now) {
         this.refillIntervalMs = refillMs;
         this.refilledAt = now;
@@ -22,13 +22,13 @@
         refilledAt = Math.max(refilledAt, now);
     }
 
-    /** Whether one more handover is within the bound. */
+    /** Returns whether the limit permits one more handover. */
     boolean allows(long now) {
         refill(now);
         return tokens >= 1;
     }
 
-    /** Counts a handover, also one of another controller, which may exceed the bound. */
+    /** Takes a token for a handover; handovers of other controllers count too and may exceed the limit. */
     void consume(long now) {
         refill(now);
         tokens = Math.max(0, tokens - 1);
--- a/src/main/java/stileferry/connectivity/LeaderCandidate.java
+++ b/src/main/java/stileferry/connectivity/LeaderCandidate.java
@@ -5,19 +5,20 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * A controller as a candidate for the leadership. The order is total: the reachability of the state service first, then
- * the share of workers, event-loop lag, the number of reachable controllers, and at last the name.
+ * A controller as a candidate for the leadership, with a total order in which a better candidate is greater. Candidates
+ * are compared by the reachability of the key-value store, the share of workers, event-loop lag, the number of reachable
+ * controllers, and finally the name.
  *
  * @param controller its name
- * @param storeReachable whether the state service answers it
+ * @param storeReachable whether the key-value store answers it
  * @param workerShare the share of workers that it reaches, from 0 to 1
  * @param lagging whether its event loop lags
- * @param reachablePeers how many other controllers it reaches or is reached by
+ * @param reachablePeers number of other controllers whose messages or answers it receives
  */
 public record LeaderCandidate(
         String controller, boolean storeReachable, double workerShare, boolean lagging, int reachablePeers)
         implements Comparable<LeaderCandidate> {
-    /** The margin of the hysteresis, as a share of all workers. */
+    /** The advantage that justifies a handover, as a share of all workers; the margin of the hysteresis. */
     static final double MIN_ADVANTAGE_SHARE = 0.25;
 
     private static final Comparator<LeaderCandidate> ORDER = Comparator.comparing(LeaderCandidate::storeReachable)
@@ -26,10 +27,10 @@
             .thenComparingInt(LeaderCandidate::reachablePeers)
             .thenComparing(LeaderCandidate::controller, Comparator.reverseOrder());
 
-    /** Checks the share. */
+    /** Validates the name, that the share is from 0 to 1, and that the number of peers is not negative. */
     public LeaderCandidate {
         InvalidInputException.requireName(controller, "controller");
-        InvalidInputException.require(workerShare >= 0 && workerShare <= 1, "workerShare", "not from 0 to 1");
+        InvalidInputException.require(workerShare >= 0 && workerShare <= 1, "workerShare", "must be from 0 to 1");
         InvalidInputException.require(reachablePeers >= 0, "reachablePeers", "negative");
     }
 
@@ -47,7 +48,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Whether leadership should go here from another controller: only where that is worth the change. */
+    /** Returns whether this candidate is so much better than another that a change of leader is worthwhile. */
     public boolean clearlyBetterThan(LeaderCandidate other) {
         return storeReachable && !lagging && workerShare >= other.workerShare + MIN_ADVANTAGE_SHARE;
     }
--- a/src/main/java/stileferry/connectivity/LeaderPermissions.java
+++ b/src/main/java/stileferry/connectivity/LeaderPermissions.java
@@ -1,6 +1,6 @@
 package stileferry.connectivity;
 
-/** Permits or withholds the decisions of this controller as leader, and counts those withheld. */
+/** Checks this controller's leader decisions against the state of its links, and counts those that are withheld. */
 final class LeaderPermissions {
     private final ObservedLinks links;
     private final LeadershipControl leadership;
@@ -17,7 +17,7 @@
         return countWithheld(check(decision));
     }
 
-    /** Whether a silent worker may be removed before its lease has expired. */
+    /** Checks whether a silent worker may be removed before its lease has expired. */
     Verdict permitsRemoving(String worker) {
         Verdict verdict = check(Decision.REMOVE_WORKER);
         WorkerLink link = links.workers.find(worker);
@@ -33,9 +33,9 @@
         if (reachedByPeer && link.removalWithheldSince < 0) {
             link.removalWithheldSince = now;
         }
-        long keptMs = link.removalWithheldSince < 0 ? 0 : now - link.removalWithheldSince;
-        boolean peersUnsure = links.peers.anyOutboundUnknown(link.name, now);
-        return gate.checkRemoval(now - link.suspectSince, reachedByPeer, peersUnsure, keptMs);
+        long withheldMs = link.removalWithheldSince < 0 ? 0 : now - link.removalWithheldSince;
+        boolean peerOutboundUnknown = links.peers.anyOutboundUnknown(link.name, now);
+        return gate.checkRemoval(now - link.suspectSince, reachedByPeer, peerOutboundUnknown, withheldMs);
     }
 
     private Verdict check(Decision decision) {
@@ -49,7 +49,7 @@
         return verdict;
     }
 
-    /** Decisions that were withheld. */
+    /** Returns the number of decisions that were withheld. */
     long withheld() {
         return withheld;
     }
--- a/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /**
- * Advises a leader whether to keep the leadership. The hysteresis has three parts, so that a link that comes and goes
- * does not make the leadership flap: a margin, a time for which the same controller must be better, and a rate limit.
+ * Advises a leader whether to keep the leadership. So that an intermittent link does not make the leadership flap, there
+ * is hysteresis in three parts: a margin, a time for which the same controller must be better, and a rate limit.
  */
 final class LeadershipAdvisor {
     /** Short exchange intervals for which the same controller must be clearly better. */
     private static final int CONFIRMATION_EXCHANGE_INTERVALS = 2;
 
-    /** A leader that reaches no controller and less than this share of workers steps down. */
+    /** A leader that reaches no other controller and less than this share of workers is isolated and steps down. */
     private static final double ISOLATED_MAX_WORKER_SHARE = 0.5;
 
-    /** The nominee where the leader should step down without one; no valid controller name. */
+    /** Stands for the nominee if the leader should step down without one; not a valid controller name. */
     private static final String STEP_DOWN_WITHOUT_NOMINEE = "\0";
 
     private static final String NO_CHANGE = "";
@@ -30,18 +30,18 @@
     }
 
     /**
-     * What a leader should do.
+     * Returns what a leader should do.
      *
      * @param own this controller as a candidate
-     * @param peers the other controllers with fresh views
+     * @param peers the other controllers that are eligible as candidates
      * @param allPeersLost whether other controllers were reachable before and none is now
      */
     LeadershipAdvice advise(LeaderCandidate own, List<LeaderCandidate> peers, boolean allPeersLost, long now) {
         Optional<LeaderCandidate> best =
                 peers.stream().filter(peer -> peer.clearlyBetterThan(own)).max(LeaderCandidate::compareTo);
-        boolean cutOff = allPeersLost && peers.isEmpty() && own.workerShare() < ISOLATED_MAX_WORKER_SHARE;
+        boolean isolated = allPeersLost && peers.isEmpty() && own.workerShare() < ISOLATED_MAX_WORKER_SHARE;
         observeNominee(
-                best.map(LeaderCandidate::controller).orElse(cutOff ? STEP_DOWN_WITHOUT_NOMINEE : NO_CHANGE), now);
+                best.map(LeaderCandidate::controller).orElse(isolated ? STEP_DOWN_WITHOUT_NOMINEE : NO_CHANGE), now);
         if (nominee.equals(NO_CHANGE)) {
             return stay("nobody is clearly better");
         }
@@ -77,7 +77,7 @@
         return Math.round(100 * share) + "%";
     }
 
-    /** Forgets the current nominee. */
+    /** Forgets the current nominee, so that confirmation starts again. */
     void reset() {
         nominee = NO_CHANGE;
     }
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -5,9 +5,9 @@
 import java.util.OptionalDouble;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 
-/** What follows from the links for the leadership: keeping it, handing it over, or delaying a candidacy. */
+/** Derives from the state of the links whether to keep the leadership, hand it over, or delay a candidacy. */
 final class LeadershipControl {
-    /** Heartbeat intervals within which all workers that can reach a new leader have sent it a heartbeat. */
+    /** Heartbeat intervals after an election within which all workers that reach the new leader send it a heartbeat. */
     private static final double WARM_UP_HEARTBEAT_INTERVALS = 2.5;
 
     private final ObservedLinks links;
@@ -38,7 +38,7 @@
         return term;
     }
 
-    /** Who leads, as far as this controller knows; empty: not known. */
+    /** Returns the leader as far as this controller knows, or an empty string if it does not. */
     String leader() {
         return links.leading() ? config.self() : leader;
     }
@@ -56,7 +56,7 @@
         leader = name;
     }
 
-    /** This controller leads from now on. */
+    /** Records that this controller leads from now on. */
     void elected(long newTerm) {
         observeTerm(newTerm);
         electedAt = links.now();
@@ -65,7 +65,11 @@
         electionDelay.cancel();
     }
 
-    /** This controller no longer leads; {@code storeLost}: because the state service did not answer it. */
+    /**
+     * Records that this controller no longer leads.
+     *
+     * @param storeLost whether it lost the leadership because the key-value store did not answer it
+     */
     void deposed(boolean storeLost) {
         if (links.leading() && storeLost) {
             electionDelay.leadershipLost(links.now());
@@ -75,7 +79,7 @@
 
     // ---- handovers of other controllers
 
-    /** Takes in the handover notice of another controller's view; null: there is none. */
+    /** Processes the handover notice in another controller's view; null if there is none. */
     void handoverNoticeReceived(PeerLink peer, HandoverNotice notice) {
         HandoverNotice before = peer.handover;
         peer.handover = notice;
@@ -94,7 +98,7 @@
         }
     }
 
-    /** The id of another controller's handover that this controller, as its nominee, is ready for; 0: none. */
+    /** Returns the id of another controller's handover that this controller accepts as its nominee, or 0 if none. */
     long acceptableHandoverId(PeerLink from, long incarnation) {
         HandoverNotice notice = from.handover;
         boolean ready = notice != null
@@ -108,7 +112,7 @@
         return ready ? notice.id() : 0;
     }
 
-    /** Whether another controller, by its last view, is handing over the leadership or has just done so. */
+    /** Returns whether another controller, by its last view, is handing over the leadership or has just done so. */
     boolean peerHandsOver(PeerLink peer) {
         return peer.handover != null && peer.handover.active() && peer.handover.term() >= term;
     }
@@ -130,8 +134,8 @@
             return new LeadershipAdvice(
                     LeadershipAdvice.Action.HAND_OVER, handover.notice().nominee(), "a handover is under way");
         }
-        boolean settled = links.now() - electedAt >= WARM_UP_HEARTBEAT_INTERVALS * config.heartbeatIntervalMs();
-        if (links.workers.count() == 0 || !settled) {
+        boolean warmedUp = links.now() - electedAt >= WARM_UP_HEARTBEAT_INTERVALS * config.heartbeatIntervalMs();
+        if (links.workers.count() == 0 || !warmedUp) {
             return LeadershipAdvice.of(LeadershipAdvice.Action.STAY, "too little is known yet");
         }
         if (links.recentlyLagging()) {
@@ -146,12 +150,15 @@
         return advisor.advise(own, others, allPeersLost, links.now());
     }
 
-    /** For how many milliseconds this controller should not become a candidate. */
+    /** Returns for how many more milliseconds this controller should not become a candidate; 0 for a leader. */
     long electionDelayMs() {
         return links.leading() ? 0 : electionDelay.remainingMs(links.now());
     }
 
-    /** Another controller as a candidate; empty: it leads, or too little is known of it. */
+    /**
+     * Returns another controller as a candidate, or empty if its view is stale, names a higher term, or claims the
+     * leadership, or if too few of the probed workers are known in it.
+     */
     private Optional<LeaderCandidate> candidate(PeerLink peer) {
         boolean eligible = links.peers.fresh(peer, links.now()) && peer.view.term() <= term && !peer.view.leading();
         OptionalDouble share = eligible ? peerShare(peer) : OptionalDouble.empty();
@@ -160,19 +167,19 @@
                 : Optional.of(LeaderCandidate.of(peer.name, peer.view.senderHealth(), share.getAsDouble()));
     }
 
-    /** The share of workers that this controller reaches. */
+    /** Returns the estimated share of workers that this controller reaches, from 0 to 1. */
     double ownShare() {
         return shares.ownShare(links.now());
     }
 
-    /** The share of workers that another controller reaches; empty: too little is known. */
+    /** Returns the estimated share of workers that another controller reaches, or empty if too little is known. */
     OptionalDouble peerShare(PeerLink peer) {
         return shares.peerShare(peer.view);
     }
 
     // ---- handover of this controller
 
-    /** Starts a handover; false: not possible now. */
+    /** Starts a handover; returns false if it is not possible now. */
     boolean beginHandover(PeerLink nominee) {
         boolean possible = links.leading()
                 && !handover.inProgress()
@@ -196,7 +203,7 @@
         HandoverAction action = handover.advance(changesInFlight, ready, links.now());
         if (action == HandoverAction.ABORTED) {
             handoversAborted++;
-            rateLimiter.consume(links.now()); // it withheld decisions, which has the same bound as releases
+            rateLimiter.consume(links.now()); // an aborted handover also withheld decisions, so it shares the limit
         }
         return action;
     }
@@ -211,7 +218,7 @@
         return handoversBegun;
     }
 
-    /** Deliberate releases of the leadership. */
+    /** Returns the number of deliberate releases of the leadership. */
     long releases() {
         return releases;
     }
--- a/src/main/java/stileferry/connectivity/LinkCondition.java
+++ b/src/main/java/stileferry/connectivity/LinkCondition.java
@@ -1,13 +1,13 @@
 package stileferry.connectivity;
 
-/** The condition of one direction of a link, by its failure detector. */
+/** The condition of one direction of a link according to its failure detector. */
 public enum LinkCondition {
-    /** It has never succeeded, and its silence is not suspect yet. */
+    /** No message or answer has ever arrived, but the silence is not suspect yet. */
     UNKNOWN,
 
-    /** It succeeds as often as usual. */
+    /** Messages or answers arrive as often as usual. */
     GOOD,
 
-    /** Its suspicion level has reached the threshold. */
+    /** The suspicion level of the silence has reached the threshold. */
     FAILING
 }
--- a/src/main/java/stileferry/connectivity/LinkEvidence.java
+++ b/src/main/java/stileferry/connectivity/LinkEvidence.java
@@ -1,13 +1,13 @@
 package stileferry.connectivity;
 
 /**
- * What is known of the links when a decision is checked.
+ * The state of the links on which the check of a decision is based.
  *
  * @param leading whether this controller leads
- * @param handingOver whether a handover is under way
- * @param storeAnswerAgeMs milliseconds since the state service last answered; -1: it never has
+ * @param handingOver whether a handover is in progress
+ * @param storeAnswerAgeMs milliseconds since the key-value store last answered; -1 if it never has
  * @param manySuspects whether half of all workers or more are suspect
- * @param manySuspectsMs milliseconds for which that has been so; 0 where it is not
+ * @param manySuspectsMs milliseconds for which {@code manySuspects} has been true; 0 if it is false
  */
 public record LinkEvidence(
         boolean leading, boolean handingOver, long storeAnswerAgeMs, boolean manySuspects, long manySuspectsMs) {}
--- a/src/main/java/stileferry/connectivity/LinkFailureDetector.java
+++ b/src/main/java/stileferry/connectivity/LinkFailureDetector.java
@@ -1,11 +1,14 @@
 package stileferry.connectivity;
 
 /**
- * An accrual failure detector for one direction of a link, fed by the regular traffic. Successes that follow each other
- * closely count as one interval, so that a burst does not make an ordinary pause suspect.
+ * An accrual failure detector for one direction of a link, based on regular traffic. Messages or answers in quick
+ * succession count as one sample, so that a normal pause after a burst does not become suspect.
  */
 final class LinkFailureDetector {
-    /** The suspicion level (phi) from which on a link counts as failing: one false alarm in 100,000 intervals. */
+    /**
+     * The suspicion level (phi) at and above which a link counts as failing; 5 stands for one false alarm in 100,000
+     * intervals.
+     */
     static final double SUSPICION_THRESHOLD = 5;
 
     private final long expectedIntervalMs;
@@ -16,14 +19,14 @@
     private int consecutiveFailures;
     private FailureKind lastFailure;
 
-    /** A link that is expected to succeed once every {@code expectedIntervalMs}. */
+    /** Creates a detector for a link on which a message or an answer is expected every {@code expectedIntervalMs}. */
     LinkFailureDetector(long expectedIntervalMs, long now) {
         this.expectedIntervalMs = expectedIntervalMs;
         this.intervals = new PhiAccrualEstimator(expectedIntervalMs);
         this.startedAt = now;
     }
 
-    /** A message or an answer has arrived. */
+    /** Records that a message or an answer arrived. */
     void succeeded(long now) {
         lastSuccessAt = Math.max(lastSuccessAt, now);
         consecutiveFailures = 0;
@@ -36,13 +39,13 @@
         lastSampleAt = now;
     }
 
-    /** A request has failed. */
+    /** Records that a request failed. */
     void failed(FailureKind kind) {
         consecutiveFailures++;
         lastFailure = kind;
     }
 
-    /** When the link last succeeded; -1: never. */
+    /** Returns when a message or an answer last arrived, or -1 if none ever has. */
     long lastSuccessAt() {
         return lastSuccessAt;
     }
@@ -51,18 +54,18 @@
         return consecutiveFailures;
     }
 
-    /** How the last failed request failed; null: none has. */
+    /** Returns how the last failed request failed, or null if none has failed. */
     FailureKind lastFailure() {
         return lastFailure;
     }
 
-    /** The suspicion level (phi) of the silence, less this process's own event-loop lag. */
+    /** Returns the suspicion level (phi) of the silence, which is reduced by this process's own event-loop lag. */
     double suspicionLevel(long now, long eventLoopLagMs) {
         long silentSince = lastSuccessAt >= 0 ? lastSuccessAt : startedAt;
         return intervals.suspicionLevel(Math.max(0, now - silentSince - eventLoopLagMs));
     }
 
-    /** The condition of the link, by its suspicion level. */
+    /** Returns the condition of the link according to its suspicion level. */
     LinkCondition condition(long now, long eventLoopLagMs) {
         if (suspicionLevel(now, eventLoopLagMs) >= SUSPICION_THRESHOLD) {
             return LinkCondition.FAILING;
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -4,12 +4,12 @@
 
 import stileferry.connectivity.ReachabilityView.ControllerHealth;
 
-/** All links of one controller as observed up to now. */
+/** The observed state of all links of one controller, its clock, and its event-loop lag. */
 final class ObservedLinks {
-    /** Consecutive failures after which the state service counts as unreachable, before its silence is suspect. */
+    /** Consecutive failures at which the key-value store counts as unreachable even if its silence is not suspect yet. */
     private static final int STORE_UNREACHABLE_FAILURES = 2;
 
-    /** Heartbeat intervals for which a process still counts as lagging, as it has a backlog to process. */
+    /** Heartbeat intervals for which a process still counts as lagging after an overload, as it has a backlog to process. */
     private static final int LAGGING_HEARTBEAT_INTERVALS = 3;
 
     final ConnectivityConfig config;
@@ -21,7 +21,7 @@
     private long laggingUntil = -1;
     private boolean leading;
 
-    /** Since when half of all workers are suspect while this controller leads; -1: they are not. */
+    /** Since when half of all workers or more, and at least one, have been suspect on a leader; -1 if they are not. */
     private long manySuspectsSince = -1;
 
     ObservedLinks(ConnectivityConfig config, long now) {
@@ -32,7 +32,7 @@
         store = new LinkFailureDetector(config.storeProbeIntervalMs(), now);
     }
 
-    /** Advances the time; one before the last counts as the last. */
+    /** Advances the clock; an earlier time than the current one has no effect. */
     void advance(long time) {
         requireTime(time);
         now = Math.max(now, time);
@@ -42,12 +42,12 @@
         return now;
     }
 
-    /** By how many milliseconds this process's own timers are late. */
+    /** Returns by how many milliseconds this process's own timers were late at the last measurement. */
     long eventLoopLagMs() {
         return eventLoopLagMs;
     }
 
-    /** Whether this process is behind with its work, or was lately. */
+    /** Returns whether this process is overloaded or was overloaded recently. */
     boolean recentlyLagging() {
         return now < laggingUntil;
     }
@@ -56,14 +56,14 @@
         return leading;
     }
 
-    void eventLoopLagMeasured(long lagMs, boolean behind) {
+    void eventLoopLagMeasured(long lagMs, boolean overloaded) {
         eventLoopLagMs = lagMs;
-        if (behind) {
+        if (overloaded) {
             laggingUntil = now + LAGGING_HEARTBEAT_INTERVALS * config.heartbeatIntervalMs();
         }
     }
 
-    /** This controller has been elected or deposed. */
+    /** Records that this controller has been elected or deposed. */
     void setLeading(boolean elected) {
         leading = elected;
         manySuspectsSince = -1;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Whether the state service answers this controller. */
+    /** Returns whether the key-value store answers this controller. */
     boolean storeReachable() {
         return store.condition(now, eventLoopLagMs) == LinkCondition.GOOD
                 && store.consecutiveFailures() < STORE_UNREACHABLE_FAILURES;
@@ -83,7 +83,7 @@
         return new ControllerHealth(storeReachable(), recentlyLagging(), peers.reachable(now, eventLoopLagMs));
     }
 
-    /** Marks workers that have fallen silent up to now. */
+    /** Marks workers that have become silent as suspect, and updates since when many workers are suspect. */
     void detectSilentWorkers() {
         workers.detectSilent(now, eventLoopLagMs);
         boolean many = leading && 2 * workers.suspectCount() >= Math.max(2, workers.count());
@@ -94,7 +94,7 @@
         }
     }
 
-    /** What is known of the links when a decision is checked. */
+    /** Returns the state of the links for the check of a decision. */
     LinkEvidence evidence(boolean handingOver) {
         return new LinkEvidence(
                 leading,
--- a/src/main/java/stileferry/connectivity/PeerLink.java
+++ b/src/main/java/stileferry/connectivity/PeerLink.java
@@ -3,9 +3,9 @@
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 import stileferry.connectivity.ReachabilityView.Header;
 
-/** The links to one other controller, its last view, and what it has acknowledged of this controller's views. */
+/** The links to one other controller, its merged views, and what it has acknowledged of this controller's views. */
 final class PeerLink {
-    /** Consecutive failures of requests after which a controller may count as unreachable. */
+    /** Consecutive failed requests from which on a controller may count as unreachable. */
     private static final int UNREACHABLE_FAILURES = 2;
 
     final String name;
@@ -13,15 +13,15 @@
     final LinkFailureDetector inbound;
     final LinkFailureDetector outbound;
 
-    /** Whether it has ever sent or answered anything. */
+    /** Whether it has ever sent or answered a request. */
     private boolean everReachable;
 
-    /** The version of this controller's workers that it has, in the numbering of {@link #ackedEpoch}. */
+    /** The version of this controller's worker state that it has acknowledged, within {@link #ackedEpoch}. */
     long ackedVersion;
 
     int ackedEpoch;
 
-    /** The handover in its last view; null: none. */
+    /** The handover notice in its last view; null if there was none. */
     HandoverNotice handover;
 
     PeerLink(String name, ConnectivityConfig config, long now) {
@@ -30,45 +30,45 @@
         this.outbound = new LinkFailureDetector(config.exchangeIntervalMs(false), now);
     }
 
-    /** It answered a request. */
+    /** Records that it answered a request. */
     void requestAnswered(long now) {
         everReachable = true;
         outbound.succeeded(now);
     }
 
-    /** It sent a request. */
+    /** Records that a request from it arrived. */
     void messageReceived(long now) {
         everReachable = true;
         inbound.succeeded(now);
     }
 
-    /** Notes what a view acknowledges; what belongs to another incarnation of this controller is void. */
+    /** Records what a view acknowledges; acknowledgements for another incarnation of this controller are discarded. */
     void acknowledge(Header header, long ownIncarnation) {
         boolean current = header.ackedIncarnation() == ownIncarnation;
         ackedVersion = current ? header.ackedVersion() : 0;
         ackedEpoch = current ? header.ackedEpoch() : 0;
     }
 
-    /** Whether it has ever sent or answered anything. */
+    /** Returns whether it has ever sent or answered a request. */
     boolean everReachable() {
         return everReachable;
     }
 
-    /** Whether messages pass in either direction. */
+    /** Returns whether at least one direction of the link is in good condition. */
     boolean reachable(long now, long eventLoopLagMs) {
         return everReachable
                 && (inbound.condition(now, eventLoopLagMs) == LinkCondition.GOOD
                         || outbound.condition(now, eventLoopLagMs) == LinkCondition.GOOD);
     }
 
-    /** Whether requests to it have failed for long. A lagging controller is slow, not unreachable. */
+    /** Returns whether requests to it keep failing; a controller that reports lag counts as slow, not as unreachable. */
     boolean unreachable(long now, long eventLoopLagMs) {
         return !reportsLag()
                 && outbound.consecutiveFailures() >= UNREACHABLE_FAILURES
                 && outbound.condition(now, eventLoopLagMs) == LinkCondition.FAILING;
     }
 
-    /** Whether its last view says that its event loop lags. */
+    /** Returns whether its last view reports event-loop lag. */
     boolean reportsLag() {
         return view.senderHealth() != null && view.senderHealth().lagging();
     }
--- a/src/main/java/stileferry/connectivity/PeerLinks.java
+++ b/src/main/java/stileferry/connectivity/PeerLinks.java
@@ -18,10 +18,10 @@
         config.peers().forEach(name -> peers.put(name, new PeerLink(name, config, now)));
     }
 
-    /** The controller with this name; throws for one that is not known. */
+    /** Returns the links to the controller with this name; throws if there is no such controller. */
     PeerLink get(String name) {
         PeerLink peer = peers.get(name);
-        require(peer != null, "peer", "no such controller: " + name);
+        require(peer != null, "peer", "unknown controller: " + name);
         return peer;
     }
 
@@ -29,12 +29,12 @@
         return peers.values();
     }
 
-    /** Whether a controller's view is fresh enough to be used. */
+    /** Returns whether a controller's view is recent enough to be used. */
     boolean fresh(PeerLink peer, long now) {
         return peer.view.senderHealth() != null && peer.view.fresh(now, config.viewMaxAgeMs());
     }
 
-    /** The names of the controllers that are reachable now. */
+    /** Returns the names of the controllers that are reachable now. */
     List<String> reachable(long now, long eventLoopLagMs) {
         List<String> names = new ArrayList<>();
         for (PeerLink peer : peers.values()) {
@@ -45,13 +45,16 @@
         return names;
     }
 
-    /** Whether other controllers were reachable before and none is now. */
+    /** Returns whether other controllers were reachable before and none is now. */
     boolean allLost(long now, long eventLoopLagMs) {
         return peers.values().stream().anyMatch(PeerLink::everReachable)
                 && reachable(now, eventLoopLagMs).isEmpty();
     }
 
-    /** The leader in the newest term, from {@code minTerm} on, that a fresh view names one in; empty: none does. */
+    /**
+     * Returns the leader of the newest term, {@code minTerm} or later, for which a fresh view names another controller as
+     * leader, or an empty string if no view does.
+     */
     String reportedLeader(long minTerm, long now) {
         String leader = "";
         long newestTerm = minTerm - 1;
@@ -66,7 +69,7 @@
         return leader;
     }
 
-    /** Whether a fresh view says that its sender reaches a worker. */
+    /** Returns whether any fresh view reports that its sender reaches a worker. */
     boolean anyReaches(String worker, long now) {
         for (PeerLink peer : peers.values()) {
             if (fresh(peer, now) && peer.view.reaches(worker)) {
@@ -76,7 +79,7 @@
         return false;
     }
 
-    /** Whether a fresh view does not say if its sender reaches a worker. */
+    /** Returns whether any fresh view lacks a known outcome of its sender's requests to a worker. */
     boolean anyOutboundUnknown(String worker, long now) {
         for (PeerLink peer : peers.values()) {
             if (fresh(peer, now) && !peer.view.outboundKnown(worker)) {
--- a/src/main/java/stileferry/connectivity/PeerView.java
+++ b/src/main/java/stileferry/connectivity/PeerView.java
@@ -9,8 +9,8 @@
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 
 /**
- * The merged views of another controller. Views may arrive late, repeatedly or out of order: an older view changes
- * nothing, and changes of workers are merged only after those that they follow.
+ * The merged views of another controller. Views may be delayed, duplicated or reordered: a view that is not newer than
+ * the last one is ignored, and worker changes are merged only if all changes that they build on have been merged.
  */
 final class PeerView {
     private long incarnation;
@@ -20,7 +20,7 @@
     private boolean leading;
     private ControllerHealth senderHealth;
 
-    /** The view describes this moment or a later one; -1: not known. */
+    /** A lower bound of the time that the view describes; -1 if not known. */
     private long validAt = -1;
 
     private int epoch;
@@ -29,7 +29,12 @@
     private final RoaringBitmap outboundKnownIds = new RoaringBitmap();
     private final RoaringBitmap outboundIds = new RoaringBitmap();
 
-    /** Merges a view that describes {@code validFrom} or a later moment (-1: not known); false: it is stale. */
+    /**
+     * Merges a view.
+     *
+     * @param validFrom a lower bound of the time that the view describes; -1 if not known
+     * @return false if the view is stale and was ignored
+     */
     boolean merge(ReachabilityView view, long validFrom) {
         Header header = view.header();
         if (stale(header)) {
@@ -82,7 +87,7 @@
         for (int id : changes.changed()) {
             String name = names.next();
             if (changes.removed().contains(id)) {
-                idByWorker.remove(name, id); // the name may belong to a newer worker by now
+                idByWorker.remove(name, id); // the name may belong to a newer worker with another id
             } else {
                 idByWorker.put(name, id);
             }
@@ -106,17 +111,17 @@
         return term;
     }
 
-    /** Who leads, as far as the sender knows; empty: it does not know. */
+    /** Returns the leader as far as the sender knows, or an empty string if it does not. */
     String leader() {
         return leader;
     }
 
-    /** Whether the sender leads. */
+    /** Returns whether the sender leads. */
     boolean leading() {
         return leading;
     }
 
-    /** Null: no view was received. */
+    /** Returns the sender's health, or null if no view has been received. */
     ControllerHealth senderHealth() {
         return senderHealth;
     }
@@ -125,38 +130,38 @@
         return epoch;
     }
 
-    /** The version of the sender's workers up to which all changes are merged. */
+    /** Returns the version of the sender's worker state up to which all changes are merged. */
     long version() {
         return version;
     }
 
-    /** Whether the view describes a moment at most {@code maxAgeMs} ago. */
+    /** Returns whether the view describes a time at most {@code maxAgeMs} ago. */
     boolean fresh(long now, long maxAgeMs) {
         return validAt >= 0 && now - validAt <= maxAgeMs;
     }
 
-    /** The greatest possible age in milliseconds; -1: not known. */
+    /** Returns the greatest possible age of the view in milliseconds, or -1 if not known. */
     long ageMs(long now) {
         return validAt < 0 ? -1 : now - validAt;
     }
 
-    /** How many workers requests of the sender reach. */
+    /** Returns how many workers the sender's requests reach, of those with a known recent outcome. */
     int reachedWorkers() {
         return RoaringBitmap.andCardinality(outboundKnownIds, outboundIds);
     }
 
-    /** Whether the sender knows the worker. */
+    /** Returns whether the sender knows the worker. */
     boolean lists(String worker) {
         return idByWorker.containsKey(worker);
     }
 
-    /** Whether the sender knows if its requests reach the worker. */
+    /** Returns whether the sender has a known recent outcome of a request to the worker. */
     boolean outboundKnown(String worker) {
         Integer id = idByWorker.get(worker);
         return id != null && outboundKnownIds.contains(id);
     }
 
-    /** Whether requests of the sender reach the worker. */
+    /** Returns whether the sender's requests reach the worker, according to a known recent outcome. */
     boolean reaches(String worker) {
         Integer id = idByWorker.get(worker);
         return id != null && outboundKnownIds.contains(id) && outboundIds.contains(id);
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -10,24 +10,24 @@
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 
 /**
- * Chooses the workers that all controllers probe, as in SWIM's indirect probes: a sample of the suspects and, where
- * these are many, one of the healthy workers. From both samples the share of workers that a controller reaches is
- * estimated, at a cost that does not grow with the fleet.
+ * Selects the workers that all controllers probe in a round, similar to the indirect probes of SWIM: a sample of the
+ * suspect workers and, if there are many of them or none, a sample of the healthy workers. Both samples serve to estimate
+ * the share of workers that a controller reaches, at a cost that does not grow with the number of workers.
  */
 final class ProbePlanner {
-    /** Sampled workers of each group in one round while suspects are many. */
+    /** Sampled workers of each group per round while there are many suspects. */
     static final int SAMPLE_SIZE = 8;
 
-    /** Sampled suspects in one round while they are few: most are machines that no longer exist. */
+    /** Sampled suspects per round while there are few; most of these are machines that no longer exist. */
     private static final int FEW_SUSPECTS_SAMPLE_SIZE = 4;
 
-    /** Sampled workers in one round while none is suspect, so that followers know their links. */
+    /** Sampled healthy workers per round while there are no suspects, so that followers know the state of their links. */
     private static final int IDLE_SAMPLE_SIZE = 2;
 
-    /** Suspects are many from this share of all workers on. */
+    /** Share of all workers at and above which there are many suspects. */
     private static final double MANY_SUSPECTS_SHARE = 1 / 8.0;
 
-    /** Rounds whose samples are used for estimates. */
+    /** Number of latest rounds whose samples are used for estimates. */
     private static final int RETAINED_ROUNDS = 4;
 
     private final ConnectivityConfig config;
@@ -35,7 +35,7 @@
     private long lastPlannedAt = -1;
     private int lastHealthyId = -1;
 
-    /** The samples of one round. */
+    /** The samples of one round; the suspects come first. */
     private record Round(List<WorkerLink> suspects, List<WorkerLink> healthy) {
         List<WorkerLink> all() {
             Set<WorkerLink> all = new LinkedHashSet<>(suspects);
@@ -48,20 +48,20 @@
         this.config = config;
     }
 
-    /** Forgets all rounds. */
+    /** Forgets all rounds, so that the next one is due at once. */
     void reset() {
         rounds.clear();
         lastPlannedAt = -1;
     }
 
-    /** Whether there are so many suspects that a lost link is likelier than lost machines. */
+    /** Returns whether there are so many suspects that a failed link is more likely than lost machines. */
     static boolean manySuspects(WorkerLinks workers) {
         return workers.suspectCount() >= 2 && workers.suspectCount() >= MANY_SUSPECTS_SHARE * workers.count();
     }
 
     /**
-     * Plans the next round if it is due; the probes of it that the leader itself sends. Heartbeats and commands show
-     * enough of healthy workers and of single suspects.
+     * Plans the next round if it is due, and returns those of its probes that the leader itself sends: the suspects if there
+     * are many, otherwise none. Heartbeats and commands tell enough about healthy workers and about a few suspects.
      */
     List<ProbeTarget> nextOwnProbes(WorkerLinks workers, long now) {
         boolean many = manySuspects(workers);
@@ -69,7 +69,7 @@
         return many ? targets(sample.stream().filter(WorkerLink::suspect).toList()) : List.of();
     }
 
-    /** Plans the next round; empty where it is not due yet. */
+    /** Plans the next round and returns its sample; empty if the round is not due yet. */
     private List<WorkerLink> planRound(WorkerLinks workers, long now) {
         boolean many = manySuspects(workers);
         if (lastPlannedAt >= 0 && now - lastPlannedAt < roundIntervalMs(workers, many)) {
@@ -98,7 +98,7 @@
         return workers.suspectCount() > 0 ? 0 : IDLE_SAMPLE_SIZE;
     }
 
-    /** The healthy workers whose turn it is, by ascending id and then from the lowest id again. */
+    /** Returns the next healthy workers in round-robin order of their ids. */
     private List<WorkerLink> sampleHealthy(SuspectTracker workers, int size) {
         List<WorkerLink> sample = new ArrayList<>(workers.nextHealthy(lastHealthyId, size));
         if (sample.size() < size) {
@@ -110,7 +110,7 @@
         return sample;
     }
 
-    /** The probes of the newest round, for the other controllers. */
+    /** Returns the probes of the latest round, for the other controllers. */
     List<ProbeTarget> currentTargets() {
         return rounds.isEmpty() ? List.of() : targets(rounds.getLast().all());
     }
@@ -122,12 +122,12 @@
                 .toList();
     }
 
-    /** Sampled workers that are still suspect. */
+    /** Returns the workers that were sampled as suspects and still are suspect. */
     Set<WorkerLink> sampledSuspects() {
         return sampled(Round::suspects, true);
     }
 
-    /** Sampled workers that are still healthy. */
+    /** Returns the workers that were sampled as healthy and still are healthy. */
     Set<WorkerLink> sampledHealthy() {
         return sampled(Round::healthy, false);
     }
--- a/src/main/java/stileferry/connectivity/ReachabilityView.java
+++ b/src/main/java/stileferry/connectivity/ReachabilityView.java
@@ -5,16 +5,16 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * One controller's view of its links, as sent to another one: the changes since the last version that the receiver has
- * acknowledged (delta anti-entropy). No clocks are compared: a view is at most as old as the receiver's view that it
- * acknowledges.
+ * One controller's view of its links, as sent to another controller. It contains the worker changes since the last version
+ * that the receiver has acknowledged (delta anti-entropy). Its age is bounded without comparing clocks: a view is at most
+ * as old as the receiver's view that it acknowledges.
  *
  * @param header the sender, its position in its own sequence of views, and its acknowledgements
- * @param senderHealth the condition of the sender
- * @param workers the changes of the links to workers
- * @param probes workers that the receiver must probe; only from a leader
- * @param handover the sender's last handover; null: none
- * @param acceptedHandoverId the id of the receiver's handover that the sender is ready for; 0: none
+ * @param senderHealth the health of the sender
+ * @param workers changes of the sender's links to workers
+ * @param probes workers that the receiver must probe; empty unless the sender leads
+ * @param handover notice of the sender's last handover; null if there is none
+ * @param acceptedHandoverId id of the receiver's handover that the sender accepts as nominee; 0 if none
  */
 public record ReachabilityView(
         Header header,
@@ -24,23 +24,23 @@
         HandoverNotice handover,
         long acceptedHandoverId) {
 
-    /** Copies the list. */
+    /** Makes a defensive copy of the probes. */
     public ReachabilityView {
         probes = List.copyOf(probes);
     }
 
     /**
-     * The sender, its position in its own sequence of views, and its acknowledgements.
+     * The header of a view: sender, position in the sender's sequence of views, and acknowledgements.
      *
      * @param sender the sender's name
-     * @param incarnation the incarnation of the sender's process, higher than those before
-     * @param sequence the number of the view, ascending within the incarnation
+     * @param incarnation the incarnation of the sender's process, higher for each later process
+     * @param sequence the sequence number of the view, ascending within the incarnation
      * @param term the highest term that the sender knows
-     * @param leader the leader, as far as the sender knows; empty: not known
-     * @param ackedIncarnation the receiver's incarnation in its newest view that the sender has; 0: none
-     * @param ackedSequence the sequence of the receiver's newest view that the sender has; 0: none
-     * @param ackedVersion the version of the receiver's workers that the sender has
-     * @param ackedEpoch the receiver's epoch to which that version belongs
+     * @param leader the leader as far as the sender knows; empty if not known
+     * @param ackedIncarnation incarnation of the newest receiver view that the sender has merged; 0 if none
+     * @param ackedSequence sequence number of the newest receiver view that the sender has merged; 0 if none
+     * @param ackedVersion version of the receiver's worker state that the sender has merged
+     * @param ackedEpoch epoch of the receiver's worker ids to which that version belongs
      */
     public record Header(
             String sender,
@@ -52,38 +52,38 @@
             long ackedSequence,
             long ackedVersion,
             int ackedEpoch) {
-        /** Whether the sender leads. */
+        /** Returns whether the sender names itself as leader. */
         public boolean leading() {
             return leader.equals(sender);
         }
     }
 
     /**
-     * The condition of a controller.
+     * The health of a controller.
      *
-     * @param storeReachable whether the state service answers the controller
-     * @param lagging whether its event loop lags, or did lately
-     * @param reachablePeers the controllers that it reaches or is reached by
+     * @param storeReachable whether the key-value store answers the controller
+     * @param lagging whether its process is overloaded or was recently, so that its event loop lags
+     * @param reachablePeers names of the other controllers whose messages or answers it receives
      */
     public record ControllerHealth(boolean storeReachable, boolean lagging, List<String> reachablePeers) {
-        /** Copies the list. */
+        /** Makes a defensive copy of the names. */
         public ControllerHealth {
             reachablePeers = List.copyOf(reachablePeers);
         }
     }
 
     /**
-     * The changes of the links to workers. Workers have small ids, so that sets of them are small bitmaps.
+     * Changes of the sender's links to workers. Workers have small ids, so that sets of workers are small bitmaps.
      *
-     * @param epoch the assignment of ids; a new one voids all that was sent before
-     * @param baseVersion the version that these changes follow
-     * @param version the version that these changes lead to
-     * @param names the names of the changed workers, by ascending id
-     * @param changed the ids of the changed workers
-     * @param removed of these, workers that no longer exist
-     * @param outboundKnown of these, workers with a known recent outcome of a request
-     * @param inbound of these, workers whose heartbeats come straight to the sender
-     * @param outbound of these, workers that requests of the sender reach
+     * @param epoch number of the assignment of ids; a new epoch invalidates all changes sent before
+     * @param baseVersion version of the sender's worker state to which these changes apply
+     * @param version version of the sender's worker state after these changes
+     * @param names names of the changed workers, by ascending id
+     * @param changed ids of the changed workers
+     * @param removed changed workers that no longer exist
+     * @param outboundKnown changed workers with a known recent outcome of a request
+     * @param inbound changed workers whose heartbeats arrive directly at the sender
+     * @param outbound changed workers that the sender's requests reach, as last known
      */
     public record WorkerChanges(
             int epoch,
@@ -95,34 +95,37 @@
             RoaringBitmap outboundKnown,
             RoaringBitmap inbound,
             RoaringBitmap outbound) {
-        /** Copies the list, not the bitmaps, which must not change any more. */
+        /** Makes a defensive copy of the names, but not of the bitmaps, which must not be modified afterwards. */
         public WorkerChanges {
             names = List.copyOf(names);
         }
 
-        /** Throws where the parts contradict each other. */
+        /** Throws if the components contradict each other. */
         void validate() {
             InvalidInputException.require(
-                    names.size() == changed.getCardinality(), "workers", "not a name for each changed worker");
+                    names.size() == changed.getCardinality(),
+                    "workers",
+                    "number of names differs from number of changed workers");
             for (RoaringBitmap subset : List.of(removed, outboundKnown, inbound, outbound)) {
-                InvalidInputException.require(changed.contains(subset), "workers", "a worker that has not changed");
+                InvalidInputException.require(
+                        changed.contains(subset), "workers", "contains an id outside the changed workers");
             }
             InvalidInputException.require(
-                    baseVersion >= 0 && version >= baseVersion && epoch > 0, "workers", "impossible numbers");
+                    baseVersion >= 0 && version >= baseVersion && epoch > 0, "workers", "invalid epoch or versions");
         }
     }
 
-    /** A worker to be probed, and the address of its agent. */
+    /** A worker to be probed and the address of its agent. */
     public record ProbeTarget(String worker, String address) {}
 
     /**
      * A leader's announcement of a handover of the leadership.
      *
-     * @param id the number of the handover, ascending within the leader's process
-     * @param term the term in which the leader leads
+     * @param id number of the handover, ascending within the leader's process
+     * @param term the leader's term
      * @param nominee the controller that should lead next
-     * @param nomineeIncarnation the incarnation of its process
-     * @param active whether the handover goes on; false: it was aborted
+     * @param nomineeIncarnation incarnation of the nominee's process
+     * @param active false if the handover was aborted
      */
     public record HandoverNotice(long id, long term, String nominee, long nomineeIncarnation, boolean active) {}
 }
