--- a/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
+++ b/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
@@ -4,9 +4,9 @@
 import java.util.OptionalDouble;
 import java.util.function.Predicate;
 
-/** Estimates the share of workers that a controller reaches from the probed samples of suspect and healthy workers. */
+/** Estimates the share of workers that a controller reaches, from the samples of suspect and healthy workers. */
 final class ReachableShareEstimator {
-    /** Worker leases for which a worker whose heartbeats are relayed still counts as reached if it answers probes. */
+    /** Worker leases for which a worker that answers probes counts as reached although its heartbeats are relayed. */
     private static final int MAX_RELAYED_WORKER_LEASES = 3;
 
     private final ConnectivityConfig config;
@@ -23,7 +23,9 @@
         return workers.count() == 0 ? 0 : workers.suspectCount() / (double) workers.count();
     }
 
-    /** The leader's own share: all healthy workers, and as many of the suspects as answer its probes. */
+    /**
+     * Returns the leader's own share: all healthy workers, and the share of the suspects that answers the leader's probes.
+     */
     double ownShare(long now) {
         double suspectShare = suspectShare();
         OptionalDouble reachedSuspects = reachedShare(
@@ -33,14 +35,17 @@
         return 1 - suspectShare + suspectShare * reachedSuspects.orElse(0);
     }
 
-    /** A worker whose heartbeats are relayed for long counts as not reached, even if it answers probes. */
+    /**
+     * Returns whether a worker answered its last probe, unless its heartbeats have been relayed for so long that it counts
+     * as not reached.
+     */
     private boolean reached(WorkerLink link, long now) {
         long maxRelayedMs = MAX_RELAYED_WORKER_LEASES * config.workerLeaseMs();
-        boolean relayedForLong = link.relayedSince >= 0 && now - link.relayedSince > maxRelayedMs;
-        return !relayedForLong && link.probeAnsweredAt > link.probeFailedAt;
+        boolean relayedTooLong = link.relayedSince >= 0 && now - link.relayedSince > maxRelayedMs;
+        return !relayedTooLong && link.probeAnsweredAt > link.probeFailedAt;
     }
 
-    /** Another controller's share, by its view; empty: too little is known. */
+    /** Returns another controller's share according to its view, or empty if too little is known. */
     OptionalDouble peerShare(PeerView view) {
         double suspectShare = suspectShare();
         OptionalDouble reachedSuspects = reachedShare(planner.sampledSuspects(), view);
@@ -57,7 +62,10 @@
         return reachedShare(sample, link -> view.outboundKnown(link.name), link -> view.reaches(link.name));
     }
 
-    /** The reached share of a sample; empty where less than half of the sample is known. */
+    /**
+     * Returns the reached share of a sample's workers with a known outcome. Empty if there are none or, for samples of up
+     * to {@link ProbePlanner#SAMPLE_SIZE} workers, if they are less than half; larger samples need half of that number.
+     */
     private static OptionalDouble reachedShare(
             Collection<WorkerLink> sample, Predicate<WorkerLink> known, Predicate<WorkerLink> reached) {
         long knownCount = sample.stream().filter(known).count();
--- a/src/main/java/stileferry/connectivity/SentViewLog.java
+++ b/src/main/java/stileferry/connectivity/SentViewLog.java
@@ -1,8 +1,8 @@
 package stileferry.connectivity;
 
 /**
- * When this controller's last views were sent. A view of another controller that acknowledges one of them is newer than
- * that, which bounds its age without comparing clocks.
+ * Records when this controller's latest views were sent. A view from another controller that acknowledges one of them was
+ * built after it was sent, which bounds the age of that view without comparing clocks.
  */
 final class SentViewLog {
     private static final int MAX_VIEWS = 256;
@@ -10,7 +10,7 @@
     private final long[] sentAt = new long[MAX_VIEWS];
     private long newestSequence;
 
-    /** Records that a view is sent now; returns its sequence number. */
+    /** Records that a view is sent now, and returns the view's sequence number. */
     long record(long now) {
         newestSequence++;
         sentAt[(int) (newestSequence % MAX_VIEWS)] = now;
@@ -21,7 +21,7 @@
         return newestSequence;
     }
 
-    /** When a view was sent; -1: it was not, or it is no longer in the log. */
+    /** Returns when a view was sent, or -1 if it never was or is no longer in the log. */
     long sentAt(long sequence) {
         return sequence <= 0 || sequence > newestSequence || sequence <= newestSequence - MAX_VIEWS
                 ? -1
--- a/src/main/java/stileferry/connectivity/SnapshotBuilder.java
+++ b/src/main/java/stileferry/connectivity/SnapshotBuilder.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds the snapshot of one controller's links. */
+/** Builds the snapshot of one controller's links for operators. */
 final class SnapshotBuilder {
-    /** The share where it is not known. */
+    /** Stands for a share that is not known. */
     private static final double SHARE_UNKNOWN = -1;
 
     private SnapshotBuilder() {}
--- a/src/main/java/stileferry/connectivity/SuspectTracker.java
+++ b/src/main/java/stileferry/connectivity/SuspectTracker.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Which workers are suspect and which are healthy, in an order that lets samples rotate through both groups. */
+/** Groups the workers into suspect and healthy ones, each in an order by which samples rotate through the group. */
 final class SuspectTracker {
     private final WorkerNumbering numbering;
 
@@ -20,15 +20,15 @@
         this.numbering = numbering;
     }
 
-    /** Moves the worker to the group that its reachability puts it in. */
+    /** Moves a worker to the group that its reachability implies. */
     void update(WorkerLink link, long now) {
-        boolean working = link.reachability.healthy();
-        if (working && link.suspect()) {
+        boolean healthy = link.reachability.healthy();
+        if (healthy && link.suspect()) {
             suspects.remove(link);
             healthyIds.add(link.id);
             link.suspectSince = -1;
             link.removalWithheldSince = -1;
-        } else if (!working && !link.suspect()) {
+        } else if (!healthy && !link.suspect()) {
             suspects.add(link);
             healthyIds.remove(link.id);
             link.suspectSince = now;
@@ -45,7 +45,7 @@
         healthyIds = new RoaringBitmap();
     }
 
-    /** Takes over the ids of a new epoch. */
+    /** Rebuilds the set of healthy ids after a new epoch has reassigned all ids. */
     void idsReassigned(Collection<WorkerLink> workers) {
         healthyIds = new RoaringBitmap();
         for (WorkerLink link : workers) {
@@ -59,7 +59,7 @@
         return suspects.size();
     }
 
-    /** At most {@code max} suspects, the least recently returned first. */
+    /** Returns at most {@code max} suspects, the least recently returned first, and moves them to the end. */
     List<WorkerLink> nextSuspects(int max) {
         List<WorkerLink> next = suspects.stream().limit(max).toList();
         suspects.removeAll(next);
@@ -67,7 +67,7 @@
         return next;
     }
 
-    /** At most {@code max} healthy workers with ids above {@code afterId}, by ascending id. */
+    /** Returns at most {@code max} healthy workers with ids above {@code afterId}, by ascending id. */
     List<WorkerLink> nextHealthy(int afterId, int max) {
         List<WorkerLink> next = new ArrayList<>();
         long id = healthyIds.nextValue(afterId + 1);
--- a/src/main/java/stileferry/connectivity/Verdict.java
+++ b/src/main/java/stileferry/connectivity/Verdict.java
@@ -1,11 +1,11 @@
 package stileferry.connectivity;
 
 /**
- * Whether the links permit a decision.
+ * The result of checking a leader's decision against the state of its links.
  *
- * @param allowed whether it is permitted
- * @param reason why it is withheld, for operators; empty where it is permitted
- * @param retryAfterMs milliseconds after which to ask again; 0 where it is permitted
+ * @param allowed whether the decision is permitted
+ * @param reason why it is withheld, for operators; empty if it is permitted
+ * @param retryAfterMs milliseconds after which to check again; 0 if it is permitted
  */
 public record Verdict(boolean allowed, String reason, long retryAfterMs) {
     static final Verdict ALLOWED = new Verdict(true, "", 0);
--- a/src/main/java/stileferry/connectivity/ViewBuilder.java
+++ b/src/main/java/stileferry/connectivity/ViewBuilder.java
@@ -11,16 +11,16 @@
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 
-/** Builds views: only the changes after the last version that the receiver has acknowledged. */
+/** Builds views that contain only the worker changes since the last version that the receiver has acknowledged. */
 final class ViewBuilder {
-    /** Bounds the size of a view; a fleet that is new to the receiver takes several. */
+    /** Maximum number of changed workers in a view; a receiver that knows no workers yet may need several views. */
     static final int MAX_CHANGED_WORKERS = 256;
 
     private final ConnectivityConfig config;
     private final WorkerLinks workers;
     private final SentViewLog sentViews;
 
-    /** The sender of a view. */
+    /** What the header of a view says about its sender. */
     record Sender(long incarnation, long term, String leader) {}
 
     ViewBuilder(ConnectivityConfig config, WorkerLinks workers, SentViewLog sentViews) {
--- a/src/main/java/stileferry/connectivity/ViewCodec.java
+++ b/src/main/java/stileferry/connectivity/ViewCodec.java
@@ -16,7 +16,7 @@
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 import stileferry.validation.InvalidInputException;
 
-/** The binary encoding of views. Bytes after the known fields are ignored, so that later versions may append fields. */
+/** Binary encoding of views. Bytes after the known fields are ignored, so that later versions may append fields. */
 public final class ViewCodec {
     private static final byte FORMAT_VERSION = 1;
 
@@ -47,7 +47,7 @@
     public static ReachabilityView read(byte[] bytes) {
         InvalidInputException.require(bytes != null, "view", "missing");
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            InvalidInputException.require(in.readByte() == FORMAT_VERSION, "view", "not a form that is known");
+            InvalidInputException.require(in.readByte() == FORMAT_VERSION, "view", "unknown format version");
             Header header = readHeader(in);
             ControllerHealth health = readHealth(in);
             WorkerChanges workers = readWorkers(in);
@@ -57,7 +57,7 @@
             }
             return new ReachabilityView(header, health, workers, probes, readHandover(in), in.readLong());
         } catch (IOException | IndexOutOfBoundsException | NegativeArraySizeException e) {
-            throw new InvalidInputException("view", "can't be read: " + e);
+            throw new InvalidInputException("view", "malformed: " + e);
         }
     }
 
@@ -125,8 +125,8 @@
         RoaringBitmap bitmap = new RoaringBitmap();
         try {
             bitmap.deserialize(in);
-        } catch (RuntimeException e) { // broad catch: malformed bytes raise several unchecked types
-            throw new IOException("not a set of numbers", e);
+        } catch (RuntimeException e) { // broad catch: malformed bytes cause several types of unchecked exceptions
+            throw new IOException("malformed bitmap", e);
         }
         return bitmap;
     }
@@ -146,11 +146,11 @@
         return names;
     }
 
-    /** Reads the size of a list whose elements take at least two bytes each. */
+    /** Reads the size of a list whose elements take at least two bytes each; throws if the remaining bytes are too few. */
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available() / 2) {
-            throw new IOException("bad length " + count);
+            throw new IOException("invalid length " + count);
         }
         return count;
     }
--- a/src/main/java/stileferry/connectivity/ViewSynchronizer.java
+++ b/src/main/java/stileferry/connectivity/ViewSynchronizer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import stileferry.connectivity.ReachabilityView.Header;
 
-/** Builds this controller's views and merges those of the others. */
+/** Builds the views that this controller sends and processes those that it receives. */
 final class ViewSynchronizer {
     private final ObservedLinks links;
     private final LeadershipControl leadership;
@@ -41,18 +41,18 @@
                 links.now());
     }
 
-    /** Throws for a view that contradicts itself or this controller's own views; changes nothing. */
+    /** Throws for a view that contradicts itself or acknowledges a view that was never sent; changes nothing. */
     void validate(ReachabilityView view) {
         Header header = view.header();
         view.workers().validate();
-        require(header.incarnation() > 0 && header.sequence() > 0, "view", "impossible numbers");
+        require(header.incarnation() > 0 && header.sequence() > 0, "view", "incarnation or sequence not above 0");
         require(
                 header.ackedIncarnation() != incarnation || header.ackedSequence() <= sentViews.newestSequence(),
                 "view",
-                "from the future: it has seen a view that was never sent");
+                "acknowledges a view that was never sent");
     }
 
-    /** Merges a view that was checked; a stale one changes nothing but this controller's incarnation. */
+    /** Merges a validated view; a stale view has no effect except that it may raise this controller's incarnation. */
     void receive(PeerLink peer, ReachabilityView view) {
         Header header = view.header();
         raiseIncarnationAbove(header.ackedIncarnation());
@@ -73,19 +73,24 @@
         }
     }
 
-    /** A former process of this controller had a higher incarnation where the clock went back meanwhile. */
+    /**
+     * Raises this controller's incarnation above an acknowledged one. An earlier process of this controller had a higher
+     * incarnation if the clock was set back in between.
+     */
     private void raiseIncarnationAbove(long ackedIncarnation) {
         if (ackedIncarnation > incarnation) {
             incarnation = ackedIncarnation + 1;
         }
     }
 
-    /** The time from which on a view describes its sender's links: when the view that it acknowledges was sent. */
+    /**
+     * Returns a lower bound of the time that a view describes: when the view that it acknowledges was sent; -1 if not known.
+     */
     private long validFrom(Header header) {
         return header.ackedIncarnation() == incarnation ? sentViews.sentAt(header.ackedSequence()) : -1;
     }
 
-    /** Received views that were older than what was known. */
+    /** Returns how many received views were duplicates or older than a view received before. */
     long staleViews() {
         return staleViews;
     }
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -1,51 +1,51 @@
 package stileferry.connectivity;
 
-/** The links to one worker, in each direction, as this controller sees them. Times are -1 where there is none. */
+/** The links between this controller and one worker, in both directions. Times are -1 if the event has not occurred. */
 final class WorkerLink {
-    /** Consecutive requests without an answer after which requests count as not reaching the worker. */
+    /** Consecutive lost requests from which on requests count as not reaching the worker. */
     private static final int UNREACHABLE_LOST_REQUESTS = 2;
 
     final String name;
     String address;
 
-    /** Its id in this controller's views, unique within an epoch. */
+    /** The worker's id in this controller's views, unique within an epoch. */
     int id;
 
-    /** The version of its last change in this controller's views. */
+    /** The version of this controller's worker state at the worker's last change. */
     long version;
 
-    /** The incarnation and sequence of the newest heartbeat. */
+    /** Incarnation and, below, sequence number of the newest heartbeat. */
     private long incarnation = -1;
 
     private long sequence = -1;
 
-    /** When its last heartbeat that was not relayed arrived. */
+    /** When the last direct heartbeat, one that was not relayed, arrived. */
     long directHeartbeatAt = -1;
 
-    /** Since when its heartbeats arrive through another controller only. */
+    /** Since when heartbeats have only been relayed by other controllers. */
     long relayedSince = -1;
 
-    /** When its last heartbeat was answered; before {@link #directHeartbeatAt}: not yet. */
+    /** When a direct heartbeat was last answered; the last one is unanswered if this is before {@link #directHeartbeatAt}. */
     long heartbeatAnsweredAt = -1;
 
-    /** When the outcome of a request to it was last known. */
+    /** When the outcome of a request to the worker was last observed. */
     long outboundObservedAt;
 
-    /** When a heartbeat or an outcome of a request was last seen. */
+    /** When the worker was added, or last sent a heartbeat, answered a request, or failed to answer a probe. */
     long lastSeenAt;
 
-    /** Since when its links are suspect. */
+    /** Since when the links have been suspect. */
     long suspectSince = -1;
 
-    /** Since when it is kept, although it is silent, because another controller reaches it. */
+    /** Since when the removal of the silent worker has been withheld because another controller reaches it. */
     long removalWithheldSince = -1;
 
     private int consecutiveLostRequests;
 
-    /** When it last answered a probe. */
+    /** When the worker last answered a probe. */
     long probeAnsweredAt = -1;
 
-    /** When a probe of it last failed. */
+    /** When a probe of the worker last failed. */
     long probeFailedAt = -1;
 
     WorkerReachability reachability = WorkerReachability.UNKNOWN;
@@ -62,7 +62,7 @@
         return suspectSince >= 0;
     }
 
-    /** Notes a heartbeat's number; false where a newer heartbeat is known, so that this one is a copy or late. */
+    /** Accepts a heartbeat; returns false if it is a duplicate or older than the newest heartbeat. */
     boolean acceptIfNewer(WorkerHeartbeat heartbeat) {
         boolean newer = heartbeat.incarnation() > incarnation
                 || heartbeat.incarnation() == incarnation && heartbeat.sequence() > sequence;
@@ -73,20 +73,20 @@
         return newer;
     }
 
-    /** A request or a heartbeat's answer has reached the worker. */
+    /** Records that a request or the answer to a heartbeat reached the worker. */
     void requestAnswered() {
         consecutiveLostRequests = 0;
     }
 
-    /** A request or a heartbeat's answer was lost; returns whether the worker counts as out of reach from now on. */
+    /** Records the loss of a request or of the answer to a heartbeat; returns whether requests now count as not arriving. */
     boolean requestFailed() {
         consecutiveLostRequests++;
         return consecutiveLostRequests >= UNREACHABLE_LOST_REQUESTS;
     }
 
     /**
-     * Whether answers reach the worker, as far as its new heartbeat shows: one that has not accepted the term lacks the
-     * answer to the heartbeat before.
+     * Returns whether answers reach the worker according to a new direct heartbeat, and counts lost answers. If the previous
+     * direct heartbeat was answered but the worker has not accepted the term, that answer was lost.
      */
     boolean evaluateOutbound(WorkerHeartbeat heartbeat) {
         if (!lastHeartbeatAnswered()) {
@@ -103,7 +103,10 @@
         return heartbeatAnsweredAt >= 0 && heartbeatAnsweredAt >= directHeartbeatAt;
     }
 
-    /** Whether its last direct heartbeat was answered and its heartbeats are relayed only from now on. */
+    /**
+     * Returns whether the worker now turns to another controller, which relays its heartbeats, although its last direct
+     * heartbeat was answered.
+     */
     boolean switchedToRelayDespiteAnswer() {
         return directHeartbeatAt >= 0 && lastHeartbeatAnswered() && relayedSince < 0;
     }
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * The links to all known workers. A heartbeat costs the same whatever the number of workers; the detection of silent
- * workers looks only at those that have fallen silent since the last one.
+ * The links to all known workers. The cost of a heartbeat does not depend on the number of workers; the detection of silent
+ * workers visits only those that have become silent since the last detection.
  */
 final class WorkerLinks {
     private final ConnectivityConfig config;
@@ -20,13 +20,13 @@
     private final SuspectTracker suspects = new SuspectTracker(numbering);
     private final Map<String, WorkerLink> byName = new HashMap<>();
 
-    /** Workers whose heartbeats come straight to this controller, the one that has been silent for longest first. */
+    /** Workers whose heartbeats arrive directly at this controller, the one with the oldest heartbeat first. */
     private final Set<WorkerLink> byDirectHeartbeat = new LinkedHashSet<>();
 
-    /** All workers, the least recently seen first. */
+    /** All workers, the least recently seen first; the order is not maintained while silent workers are retained. */
     private final Set<WorkerLink> byLastSeen = new LinkedHashSet<>();
 
-    /** Workers with a known outcome of a request, the oldest outcome first. */
+    /** Workers with an observed outcome of a request, the oldest outcome first. */
     private final Set<WorkerLink> byOutboundObserved = new LinkedHashSet<>();
 
     private long suspicions;
@@ -49,7 +49,7 @@
 
     // ---- observations
 
-    /** A worker is expected to exist, though no heartbeat of it has arrived. */
+    /** Adds a worker that should exist although no heartbeat from it has arrived, or sets the address of a known one. */
     void expected(String name, String address, long now) {
         WorkerLink known = byName.get(name);
         if (known == null) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** A heartbeat arrived straight from its worker; false where it is a copy or late. */
+    /** Records a direct heartbeat; returns false if it is a duplicate or older than one already received. */
     boolean heartbeatReceived(WorkerHeartbeat heartbeat, long now) {
         WorkerLink link = findOrAdd(heartbeat, now);
         if (!link.acceptIfNewer(heartbeat)) {
@@ -77,7 +77,7 @@
         return true;
     }
 
-    /** A heartbeat was relayed by another controller. */
+    /** Records a heartbeat that another controller relayed; ignored if it is a duplicate or older than one received. */
     void relayedHeartbeatReceived(WorkerHeartbeat heartbeat, long now) {
         WorkerLink link = findOrAdd(heartbeat, now);
         if (!link.acceptIfNewer(heartbeat)) {
@@ -92,7 +92,7 @@
         update(link, link.reachability.withInbound(false).withOutbound(outbound), now);
     }
 
-    /** The worker's last heartbeat was answered. */
+    /** Records that the worker's last direct heartbeat was answered. */
     void heartbeatAnswered(String name, long now) {
         WorkerLink link = byName.get(name);
         if (link != null) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** A request to the worker was answered. */
+    /** Records that a request to the worker was answered. */
     void requestAnswered(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
         if (link == null) {
@@ -115,22 +115,25 @@
         update(link, link.reachability.withOutboundResult(true), now);
     }
 
-    /** A request to the worker was not answered; a single failed probe counts, other requests may get lost. */
+    /**
+     * Records that a request to the worker was not answered. One failed probe is enough for the worker to count as not
+     * reached; of other requests, single ones may get lost.
+     */
     void requestFailed(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
         if (link == null) {
             return;
         }
-        boolean lost = link.requestFailed() || probe;
+        boolean unreachable = link.requestFailed() || probe;
         if (probe) {
             link.probeFailedAt = now;
             markSeen(link, now);
         }
         markOutboundObserved(link, now);
-        update(link, link.reachability.withOutboundResult(link.reachability.outbound() && !lost), now);
+        update(link, link.reachability.withOutboundResult(link.reachability.outbound() && !unreachable), now);
     }
 
-    /** The worker no longer exists. */
+    /** Removes a worker that no longer exists. */
     void removed(String name) {
         WorkerLink link = byName.remove(name);
         if (link == null) {
@@ -147,9 +150,9 @@
         }
     }
 
-    // ---- silence
+    // ---- silent workers
 
-    /** Whether silent workers are retained, as a leader retains all until they are removed. */
+    /** Sets whether silent workers are retained; a leader retains all workers until they are removed. */
     void retainSilent(boolean retain) {
         retainSilent = retain;
         if (!retainSilent) {
@@ -160,7 +163,10 @@
         }
     }
 
-    /** Marks workers that have fallen silent; forgets those that are not retained and were not seen for long. */
+    /**
+     * Marks workers whose direct heartbeats have stopped. Unless silent workers are retained, this also expires old outcomes
+     * of requests and forgets workers that have not been seen for too long.
+     */
     void detectSilent(long now, long eventLoopLagMs) {
         double timeoutMs = suspicionTimeoutMs(now) + eventLoopLagMs;
         for (Iterator<WorkerLink> oldest = byDirectHeartbeat.iterator(); oldest.hasNext(); ) {
@@ -200,7 +206,7 @@
         names.forEach(this::removed);
     }
 
-    // ---- bookkeeping
+    // ---- state changes
 
     private WorkerLink findOrAdd(WorkerHeartbeat heartbeat, long now) {
         WorkerLink link = byName.get(heartbeat.worker());
@@ -253,12 +259,12 @@
 
     // ---- queries
 
-    /** The ids and versions of workers in this controller's views. */
+    /** Returns the ids and versions of workers in this controller's views. */
     WorkerNumbering numbering() {
         return numbering;
     }
 
-    /** The suspect and the healthy workers. */
+    /** Returns the groups of suspect and healthy workers. */
     SuspectTracker suspects() {
         return suspects;
     }
@@ -271,22 +277,22 @@
         return suspects.suspectCount();
     }
 
-    /** Workers whose heartbeats come straight to this controller. */
+    /** Returns the number of workers whose heartbeats arrive directly at this controller. */
     int directCount() {
         return byDirectHeartbeat.size();
     }
 
-    /** How often a worker has become suspect by its silence. */
+    /** Returns how often a worker has become suspect because its heartbeats stopped. */
     long suspicions() {
         return suspicions;
     }
 
-    /** The silence in milliseconds after which a worker is suspect. */
+    /** Returns the silence in milliseconds after which a worker is suspect, without allowance for event-loop lag. */
     double suspicionTimeoutMs(long now) {
         return suspicionTimeout.timeoutMs(now);
     }
 
-    /** Null: not known. */
+    /** Returns the links to a worker, or null if the worker is not known. */
     WorkerLink find(String name) {
         return byName.get(name);
     }
--- a/src/main/java/stileferry/connectivity/WorkerNumbering.java
+++ b/src/main/java/stileferry/connectivity/WorkerNumbering.java
@@ -6,16 +6,16 @@
 import java.util.TreeMap;
 
 /**
- * The ids and versions of workers in this controller's views: small ids make small bitmaps, and versions tell which
- * changes a receiver lacks.
+ * Assigns the ids and versions of workers in this controller's views. Small ids make small bitmaps; versions determine
+ * which changes a receiver lacks.
  */
 final class WorkerNumbering {
-    /** Ids of removed workers that are kept, beyond as many as there are workers, before ids are assigned anew. */
+    /** Ids of removed workers that are tolerated, beyond the number of workers, before all ids are reassigned. */
     private static final int MAX_UNUSED_IDS = 64;
 
     private final List<WorkerLink> byId = new ArrayList<>();
 
-    /** All workers, also removed ones, by the version of their last change. */
+    /** All workers of the epoch, including removed ones, by the version of their last change. */
     private final TreeMap<Long, WorkerLink> byVersion = new TreeMap<>();
 
     private int epoch = 1;
@@ -28,14 +28,14 @@
         markChanged(link);
     }
 
-    /** Gives the worker the next version, so that the next views contain it. */
+    /** Assigns the next version to a worker, so that the next views include it. */
     void markChanged(WorkerLink link) {
         byVersion.remove(link.version);
         link.version = ++lastVersion;
         byVersion.put(link.version, link);
     }
 
-    /** Whether too many ids belong to removed workers. */
+    /** Returns whether too many ids belong to removed workers. */
     boolean hasTooManyUnusedIds(int workers) {
         return byId.size() > 2 * workers + MAX_UNUSED_IDS;
     }
@@ -48,7 +48,7 @@
         workers.forEach(this::add);
     }
 
-    /** The number of the current assignment of ids. */
+    /** Returns the number of the current assignment of ids. */
     int epoch() {
         return epoch;
     }
@@ -57,7 +57,7 @@
         return byId.get(id);
     }
 
-    /** At most {@code max} workers that changed after a version, by ascending version. */
+    /** Returns at most {@code max} workers that changed after a version, by ascending version. */
     List<WorkerLink> changedAfter(long version, int max) {
         List<WorkerLink> changed = new ArrayList<>();
         for (WorkerLink link : byVersion.tailMap(version, false).values()) {
--- a/src/main/java/stileferry/connectivity/WorkerReachability.java
+++ b/src/main/java/stileferry/connectivity/WorkerReachability.java
@@ -1,34 +1,34 @@
 package stileferry.connectivity;
 
 /**
- * What this controller's views say of the links to one worker.
+ * The state of the links to one worker, as this controller's views report it.
  *
- * @param inbound whether heartbeats come straight from the worker
+ * @param inbound whether heartbeats arrive directly from the worker
  * @param outboundKnown whether the outcome of a recent request to the worker is known
  * @param outbound whether requests reach the worker, as last known
  */
 record WorkerReachability(boolean inbound, boolean outboundKnown, boolean outbound) {
     static final WorkerReachability UNKNOWN = new WorkerReachability(false, false, false);
 
-    WorkerReachability withInbound(boolean nowInbound) {
-        return new WorkerReachability(nowInbound, outboundKnown, outbound);
+    WorkerReachability withInbound(boolean newInbound) {
+        return new WorkerReachability(newInbound, outboundKnown, outbound);
     }
 
-    WorkerReachability withOutbound(boolean nowOutbound) {
-        return new WorkerReachability(inbound, outboundKnown, nowOutbound);
+    WorkerReachability withOutbound(boolean newOutbound) {
+        return new WorkerReachability(inbound, outboundKnown, newOutbound);
     }
 
-    /** After a request whose outcome is known. */
-    WorkerReachability withOutboundResult(boolean nowOutbound) {
-        return new WorkerReachability(inbound, true, nowOutbound);
+    /** Returns the state after the outcome of a request has become known. */
+    WorkerReachability withOutboundResult(boolean newOutbound) {
+        return new WorkerReachability(inbound, true, newOutbound);
     }
 
-    /** After the last known outcome of a request has become too old. */
+    /** Returns the state after the last known outcome of a request has become too old. */
     WorkerReachability withOutboundExpired() {
         return new WorkerReachability(inbound, false, outbound);
     }
 
-    /** Whether requests reach the worker, or nothing says that they do not. */
+    /** Returns whether requests reach the worker or their outcome is not known. */
     boolean outboundAssumed() {
         return outbound || !outboundKnown;
     }
--- a/src/main/java/stileferry/connectivity/WorkerSuspicionTimeout.java
+++ b/src/main/java/stileferry/connectivity/WorkerSuspicionTimeout.java
@@ -1,8 +1,9 @@
 package stileferry.connectivity;
 
 /**
- * The silence after which a worker is suspect. The heartbeat intervals of all workers are pooled, as they have the same
- * nominal interval; so the order of last heartbeats is the order of suspicion.
+ * Computes the silence after which a worker is suspect. The measured heartbeat intervals of all workers are pooled, as all
+ * have the same nominal interval. So there is one timeout, and workers become suspect in the order of their last
+ * heartbeats.
  */
 final class WorkerSuspicionTimeout {
     private final ConnectivityConfig config;
@@ -19,7 +20,7 @@
         estimator.addInterval(intervalMs);
     }
 
-    /** The timeout in milliseconds; it is computed anew at most once in a short exchange interval. */
+    /** Returns the timeout in milliseconds, at most half a worker lease; recomputed at most once per short exchange interval. */
     double timeoutMs(long now) {
         if (computedAt < 0 || now - computedAt > config.exchangeIntervalMs(true)) {
             computedAt = now;
