--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Adds a probed worker on a follower, which learns of workers from the leader's probe targets. A leader does not add
-     * it: a worker that it does not know may have been removed.
+     * Adds a probed worker on a follower, which learns of workers from the leader's probe targets. A leader does not
+     * add it: a worker that it does not know may have been removed.
      */
     private void trackProbedWorker(String worker, boolean probe) {
         if (probe && !links.leading()) {
@@ -170,7 +170,9 @@
         links.eventLoopLagMeasured(lagMs, overloaded);
     }
 
-    /** Records that this controller leads from now on; all workers are forgotten, as followers do not learn of removals. */
+    /**
+     * Records that this controller leads from now on; all workers are forgotten, as followers do not learn of removals.
+     */
     public void elected(long newTerm, long time) {
         require(newTerm > 0, "term", "must be above 0");
         links.advance(time);
@@ -263,8 +265,8 @@
     }
 
     /**
-     * Returns the leader of the newest term, {@code minTerm} or later, for which a fresh view names another controller as
-     * leader, or an empty string if no view does.
+     * Returns the leader of the newest term, {@code minTerm} or later, for which a fresh view names another controller
+     * as leader, or an empty string if no view does.
      */
     public String leaderReportedByPeers(long minTerm, long time) {
         links.advance(time);
--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -63,7 +63,9 @@
         return MAX_AGE_HEARTBEAT_INTERVALS * heartbeatIntervalMs + leaderLeaseMs;
     }
 
-    /** Returns the age in milliseconds of its last observation of a worker above which a follower forgets the worker. */
+    /**
+     * Returns the age in milliseconds of its last observation of a worker above which a follower forgets the worker.
+     */
     public long workerEvidenceMaxAgeMs() {
         return MAX_AGE_HEARTBEAT_INTERVALS * heartbeatIntervalMs;
     }
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -3,9 +3,9 @@
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 
 /**
- * State machine of a leader's handover to a nominee. The leader first waits until the nominee accepts, then until pending
- * commits complete or time out, and then releases the leader key. All decisions are withheld from the first step on. The
- * leader keeps the leadership until the release; after that the key-value store alone decides who leads.
+ * State machine of a leader's handover to a nominee. The leader first waits until the nominee accepts, then until
+ * pending commits complete or time out, and then releases the leader key. All decisions are withheld from the first
+ * step on. The leader keeps the leadership until the release; after that the key-value store alone decides who leads.
  */
 final class Handover {
     /** Short exchange intervals within which the nominee must accept, unless a leader lease is longer. */
@@ -45,7 +45,9 @@
         enter(Step.AWAITING_NOMINEE, now);
     }
 
-    /** Records that a controller accepts the handover with this id; ignored unless it is the nominee of the current one. */
+    /**
+     * Records that a controller accepts the handover with this id; ignored unless it is the nominee of the current one.
+     */
     void nomineeAccepted(String controller, long incarnation, long id, long now) {
         boolean matches = step == Step.AWAITING_NOMINEE
                 && id == notice.id()
@@ -79,8 +81,8 @@
     }
 
     /**
-     * Waits for pending commits, but not longer than a leader lease: commits still unanswered after that either have been
-     * applied or fail their check of the leader key.
+     * Waits for pending commits, but not longer than a leader lease: commits still unanswered after that either have
+     * been applied or fail their check of the leader key.
      */
     private HandoverAction awaitCommits(int changesInFlight, long now) {
         if (changesInFlight > 0 && now - stepStartedAt <= config.leaderLeaseMs()) {
@@ -96,7 +98,9 @@
         return HandoverAction.ABORTED;
     }
 
-    /** Ends the handover when the leadership changes; views keep the notice so that the other controllers receive it. */
+    /**
+     * Ends the handover when the leadership changes; views keep the notice so that the other controllers receive it.
+     */
     void reset() {
         step = Step.IDLE;
     }
--- a/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
+++ b/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
@@ -1,8 +1,8 @@
 package stileferry.connectivity;
 
 /**
- * A token bucket that limits deliberate releases of the leadership: at most {@code 2 + T / refillIntervalMs} in any time
- * T, regardless of the state of the links.
+ * A token bucket that limits deliberate releases of the leadership: at most {@code 2 + T / refillIntervalMs} in any
+ * time T, regardless of the state of the links.
  */
 final class HandoverRateLimiter {
     private static final double CAPACITY_TOKENS = 2;
--- a/src/main/java/stileferry/connectivity/LeaderCandidate.java
+++ b/src/main/java/stileferry/connectivity/LeaderCandidate.java
@@ -6,8 +6,8 @@
 
 /**
  * A controller as a candidate for the leadership, with a total order in which a better candidate is greater. Candidates
- * are compared by the reachability of the key-value store, the share of workers, event-loop lag, the number of reachable
- * controllers, and finally the name.
+ * are compared by the reachability of the key-value store, the share of workers, event-loop lag, the number of
+ * reachable controllers, and finally the name.
  *
  * @param controller its name
  * @param storeReachable whether the key-value store answers it
--- a/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Advises a leader whether to keep the leadership. So that an intermittent link does not make the leadership flap, there
- * is hysteresis in three parts: a margin, a time for which the same controller must be better, and a rate limit.
+ * Advises a leader whether to keep the leadership. So that an intermittent link does not make the leadership flap,
+ * there is hysteresis in three parts: a margin, a time for which the same controller must be better, and a rate limit.
  */
 final class LeadershipAdvisor {
     /** Short exchange intervals for which the same controller must be clearly better. */
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -6,10 +6,15 @@
 
 /** The observed state of all links of one controller, its clock, and its event-loop lag. */
 final class ObservedLinks {
-    /** Consecutive failures at which the key-value store counts as unreachable even if its silence is not suspect yet. */
+    /**
+     * Consecutive failures at which the key-value store counts as unreachable even if its silence is not suspect yet.
+     */
     private static final int STORE_UNREACHABLE_FAILURES = 2;
 
-    /** Heartbeat intervals for which a process still counts as lagging after an overload, as it has a backlog to process. */
+    /**
+     * Heartbeat intervals for which a process still counts as lagging after an overload, as it has a backlog to
+     * process.
+     */
     private static final int LAGGING_HEARTBEAT_INTERVALS = 3;
 
     final ConnectivityConfig config;
--- a/src/main/java/stileferry/connectivity/PeerLink.java
+++ b/src/main/java/stileferry/connectivity/PeerLink.java
@@ -61,7 +61,9 @@
                         || outbound.condition(now, eventLoopLagMs) == LinkCondition.GOOD);
     }
 
-    /** Returns whether requests to it keep failing; a controller that reports lag counts as slow, not as unreachable. */
+    /**
+     * Returns whether requests to it keep failing; a controller that reports lag counts as slow, not as unreachable.
+     */
     boolean unreachable(long now, long eventLoopLagMs) {
         return !reportsLag()
                 && outbound.consecutiveFailures() >= UNREACHABLE_FAILURES
--- a/src/main/java/stileferry/connectivity/PeerLinks.java
+++ b/src/main/java/stileferry/connectivity/PeerLinks.java
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Returns the leader of the newest term, {@code minTerm} or later, for which a fresh view names another controller as
-     * leader, or an empty string if no view does.
+     * Returns the leader of the newest term, {@code minTerm} or later, for which a fresh view names another controller
+     * as leader, or an empty string if no view does.
      */
     String reportedLeader(long minTerm, long now) {
         String leader = "";
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -11,8 +11,8 @@
 
 /**
  * Selects the workers that all controllers probe in a round, similar to the indirect probes of SWIM: a sample of the
- * suspect workers and, if there are many of them or none, a sample of the healthy workers. Both samples serve to estimate
- * the share of workers that a controller reaches, at a cost that does not grow with the number of workers.
+ * suspect workers and, if there are many of them or none, a sample of the healthy workers. Both samples serve to
+ * estimate the share of workers that a controller reaches, at a cost that does not grow with the number of workers.
  */
 final class ProbePlanner {
     /** Sampled workers of each group per round while there are many suspects. */
@@ -21,7 +21,9 @@
     /** Sampled suspects per round while there are few; most of these are machines that no longer exist. */
     private static final int FEW_SUSPECTS_SAMPLE_SIZE = 4;
 
-    /** Sampled healthy workers per round while there are no suspects, so that followers know the state of their links. */
+    /**
+     * Sampled healthy workers per round while there are no suspects, so that followers know the state of their links.
+     */
     private static final int IDLE_SAMPLE_SIZE = 2;
 
     /** Share of all workers at and above which there are many suspects. */
@@ -60,8 +62,9 @@
     }
 
     /**
-     * Plans the next round if it is due, and returns those of its probes that the leader itself sends: the suspects if there
-     * are many, otherwise none. Heartbeats and commands tell enough about healthy workers and about a few suspects.
+     * Plans the next round if it is due, and returns those of its probes that the leader itself sends: the suspects if
+     * there are many, otherwise none. Heartbeats and commands tell enough about healthy workers and about a few
+     * suspects.
      */
     List<ProbeTarget> nextOwnProbes(WorkerLinks workers, long now) {
         boolean many = manySuspects(workers);
--- a/src/main/java/stileferry/connectivity/ReachabilityView.java
+++ b/src/main/java/stileferry/connectivity/ReachabilityView.java
@@ -5,9 +5,9 @@
 import stileferry.validation.InvalidInputException;
 
 /**
- * One controller's view of its links, as sent to another controller. It contains the worker changes since the last version
- * that the receiver has acknowledged (delta anti-entropy). Its age is bounded without comparing clocks: a view is at most
- * as old as the receiver's view that it acknowledges.
+ * One controller's view of its links, as sent to another controller. It contains the worker changes since the last
+ * version that the receiver has acknowledged (delta anti-entropy). Its age is bounded without comparing clocks: a view
+ * is at most as old as the receiver's view that it acknowledges.
  *
  * @param header the sender, its position in its own sequence of views, and its acknowledgements
  * @param senderHealth the health of the sender
--- a/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
+++ b/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
@@ -24,7 +24,8 @@
     }
 
     /**
-     * Returns the leader's own share: all healthy workers, and the share of the suspects that answers the leader's probes.
+     * Returns the leader's own share: all healthy workers, and the share of the suspects that answers the leader's
+     * probes.
      */
     double ownShare(long now) {
         double suspectShare = suspectShare();
@@ -36,8 +37,8 @@
     }
 
     /**
-     * Returns whether a worker answered its last probe, unless its heartbeats have been relayed for so long that it counts
-     * as not reached.
+     * Returns whether a worker answered its last probe, unless its heartbeats have been relayed for so long that it
+     * counts as not reached.
      */
     private boolean reached(WorkerLink link, long now) {
         long maxRelayedMs = MAX_RELAYED_WORKER_LEASES * config.workerLeaseMs();
@@ -63,8 +64,9 @@
     }
 
     /**
-     * Returns the reached share of a sample's workers with a known outcome. Empty if there are none or, for samples of up
-     * to {@link ProbePlanner#SAMPLE_SIZE} workers, if they are less than half; larger samples need half of that number.
+     * Returns the reached share of a sample's workers with a known outcome. Empty if there are none or, for samples of
+     * up to {@link ProbePlanner#SAMPLE_SIZE} workers, if they are less than half; larger samples need half of that
+     * number.
      */
     private static OptionalDouble reachedShare(
             Collection<WorkerLink> sample, Predicate<WorkerLink> known, Predicate<WorkerLink> reached) {
--- a/src/main/java/stileferry/connectivity/SentViewLog.java
+++ b/src/main/java/stileferry/connectivity/SentViewLog.java
@@ -1,8 +1,8 @@
 package stileferry.connectivity;
 
 /**
- * Records when this controller's latest views were sent. A view from another controller that acknowledges one of them was
- * built after it was sent, which bounds the age of that view without comparing clocks.
+ * Records when this controller's latest views were sent. A view from another controller that acknowledges one of them
+ * was built after it was sent, which bounds the age of that view without comparing clocks.
  */
 final class SentViewLog {
     private static final int MAX_VIEWS = 256;
--- a/src/main/java/stileferry/connectivity/ViewCodec.java
+++ b/src/main/java/stileferry/connectivity/ViewCodec.java
@@ -146,7 +146,9 @@
         return names;
     }
 
-    /** Reads the size of a list whose elements take at least two bytes each; throws if the remaining bytes are too few. */
+    /**
+     * Reads the size of a list whose elements take at least two bytes each; throws if the remaining bytes are too few.
+     */
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available() / 2) {
--- a/src/main/java/stileferry/connectivity/ViewSynchronizer.java
+++ b/src/main/java/stileferry/connectivity/ViewSynchronizer.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Raises this controller's incarnation above an acknowledged one. An earlier process of this controller had a higher
-     * incarnation if the clock was set back in between.
+     * Raises this controller's incarnation above an acknowledged one. An earlier process of this controller had a
+     * higher incarnation if the clock was set back in between.
      */
     private void raiseIncarnationAbove(long ackedIncarnation) {
         if (ackedIncarnation > incarnation) {
@@ -84,7 +84,8 @@
     }
 
     /**
-     * Returns a lower bound of the time that a view describes: when the view that it acknowledges was sent; -1 if not known.
+     * Returns a lower bound of the time that a view describes: when the view that it acknowledges was sent; -1 if not
+     * known.
      */
     private long validFrom(Header header) {
         return header.ackedIncarnation() == incarnation ? sentViews.sentAt(header.ackedSequence()) : -1;
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -25,7 +25,10 @@
     /** Since when heartbeats have only been relayed by other controllers. */
     long relayedSince = -1;
 
-    /** When a direct heartbeat was last answered; the last one is unanswered if this is before {@link #directHeartbeatAt}. */
+    /**
+     * When a direct heartbeat was last answered. If this is before {@link #directHeartbeatAt}, the last direct heartbeat
+     * has not been answered.
+     */
     long heartbeatAnsweredAt = -1;
 
     /** When the outcome of a request to the worker was last observed. */
@@ -78,15 +81,18 @@
         consecutiveLostRequests = 0;
     }
 
-    /** Records the loss of a request or of the answer to a heartbeat; returns whether requests now count as not arriving. */
+    /**
+     * Records the loss of a request or of the answer to a heartbeat; returns whether requests now count as not
+     * arriving.
+     */
     boolean requestFailed() {
         consecutiveLostRequests++;
         return consecutiveLostRequests >= UNREACHABLE_LOST_REQUESTS;
     }
 
     /**
-     * Returns whether answers reach the worker according to a new direct heartbeat, and counts lost answers. If the previous
-     * direct heartbeat was answered but the worker has not accepted the term, that answer was lost.
+     * Returns whether answers reach the worker according to a new direct heartbeat, and counts lost answers. If the
+     * previous direct heartbeat was answered but the worker has not accepted the term, that answer was lost.
      */
     boolean evaluateOutbound(WorkerHeartbeat heartbeat) {
         if (!lastHeartbeatAnswered()) {
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * The links to all known workers. The cost of a heartbeat does not depend on the number of workers; the detection of silent
- * workers visits only those that have become silent since the last detection.
+ * The links to all known workers. The cost of a heartbeat does not depend on the number of workers; the detection of
+ * silent workers visits only those that have become silent since the last detection.
  */
 final class WorkerLinks {
     private final ConnectivityConfig config;
@@ -49,7 +49,9 @@
 
     // ---- observations
 
-    /** Adds a worker that should exist although no heartbeat from it has arrived, or sets the address of a known one. */
+    /**
+     * Adds a worker that should exist although no heartbeat from it has arrived, or sets the address of a known one.
+     */
     void expected(String name, String address, long now) {
         WorkerLink known = byName.get(name);
         if (known == null) {
@@ -164,8 +166,8 @@
     }
 
     /**
-     * Marks workers whose direct heartbeats have stopped. Unless silent workers are retained, this also expires old outcomes
-     * of requests and forgets workers that have not been seen for too long.
+     * Marks workers whose direct heartbeats have stopped. Unless silent workers are retained, this also expires old
+     * outcomes of requests and forgets workers that have not been seen for too long.
      */
     void detectSilent(long now, long eventLoopLagMs) {
         double timeoutMs = suspicionTimeoutMs(now) + eventLoopLagMs;
--- a/src/main/java/stileferry/connectivity/WorkerSuspicionTimeout.java
+++ b/src/main/java/stileferry/connectivity/WorkerSuspicionTimeout.java
@@ -1,8 +1,8 @@
 package stileferry.connectivity;
 
 /**
- * Computes the silence after which a worker is suspect. The measured heartbeat intervals of all workers are pooled, as all
- * have the same nominal interval. So there is one timeout, and workers become suspect in the order of their last
+ * Computes the silence after which a worker is suspect. The measured heartbeat intervals of all workers are pooled, as
+ * all have the same nominal interval. So there is one timeout, and workers become suspect in the order of their last
  * heartbeats.
  */
 final class WorkerSuspicionTimeout {
@@ -20,7 +20,10 @@
         estimator.addInterval(intervalMs);
     }
 
-    /** Returns the timeout in milliseconds, at most half a worker lease; recomputed at most once per short exchange interval. */
+    /**
+     * Returns the timeout in milliseconds, at most half a worker lease; recomputed at most once per short exchange
+     * interval.
+     */
     double timeoutMs(long now) {
         if (computedAt < 0 || now - computedAt > config.exchangeIntervalMs(true)) {
             computedAt = now;
--- a/src/main/java/stileferry/connectivity/package-info.java
+++ b/src/main/java/stileferry/connectivity/package-info.java
@@ -4,8 +4,8 @@
  * threads: a host program reports events with their times and asks for advice.
  * {@link stileferry.connectivity.Connectivity} is the entry point.
  *
- * <p>The package only withholds decisions, delays candidacies and advises releases of the leadership. It never concludes
- * that a task has ended: safety depends on the leader key, the durable task assignments and the proofs that tasks have
- * ended.
+ * <p>The package only withholds decisions, delays candidacies and advises releases of the leadership. It never
+ * concludes that a task has ended: safety depends on the leader key, the durable task assignments and the proofs that
+ * tasks have ended.
  */
 package stileferry.connectivity;
--- a/src/main/java/stileferry/links/LeadershipHandover.java
+++ b/src/main/java/stileferry/links/LeadershipHandover.java
@@ -8,7 +8,10 @@
 import stileferry.connectivity.LeadershipAdvice;
 import stileferry.protocol.Environment;
 
-/** Does what {@link Connectivity} advises a leader: hands the leadership over to a better connected controller. */
+/**
+ * Carries out the advice of {@link Connectivity} to a leader: hands the leadership over to a better connected
+ * controller or releases it without a nominee.
+ */
 final class LeadershipHandover {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
@@ -35,21 +38,25 @@
         host = controller;
     }
 
-    /** This node leads from now on; transactions without a known outcome delay a handover. */
-    void elected(long wonTerm, IntSupplier transactionsInFlight) {
-        term = wonTerm;
+    /**
+     * Records that this node leads from now on.
+     *
+     * @param transactionsInFlight supplies the number of transactions without a known outcome, which delay a handover
+     */
+    void elected(long newTerm, IntSupplier transactionsInFlight) {
+        term = newTerm;
         changesInFlight = transactionsInFlight;
         releasing = false;
     }
 
-    /** This node no longer leads; returns whether it has released the leadership itself. */
+    /** Records that this node no longer leads; returns whether it released the leadership deliberately. */
     boolean deposed() {
         boolean released = releasing;
         releasing = false;
         return released;
     }
 
-    /** Follows an advice as far as it is for leaders. */
+    /** Carries out an advice if this node leads; only logs a changed advice otherwise. */
     void follow(LeadershipAdvice advice) {
         if (lastAction != advice.action()) {
             LOG.info("leadership advice changed: action={} reason=\"{}\"", advice.action(), advice.reason());
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -8,156 +8,173 @@
 import stileferry.protocol.PeerMessage;
 
 /**
- * What a controller knows of its links, and what it may do while some of them fail. Where links are not monitored
- * ({@link #NONE}) nothing is known and everything is permitted.
+ * Tells the controller about the health of its links and which actions are permitted while some of them fail. If links
+ * are not monitored ({@link #NONE}), nothing is known and everything is permitted.
  */
 public interface LinkHealth {
-    /** Links are not monitored. */
+    /** The implementation for controllers that do not monitor their links. */
     LinkHealth NONE = new LinkHealth() {};
 
-    /** What link health needs of the controller, once all of it has been made. */
+    /** The controller's side: what link monitoring reads from the controller and asks it to do. */
     interface Host {
-        /** Whether this node leads. */
+        /** Returns whether this node leads. */
         boolean leading();
 
-        /** The highest term that is known. */
+        /** Returns the highest known term. */
         long term();
 
-        /** Who leads in it; empty: not known. */
+        /** Returns the leader of that term, or an empty string if it is not known. */
         String leader();
 
-        /** Takes in a term that another controller knows, and its name if it leads in it itself. */
+        /**
+         * Reports a term known to another controller; {@code leader} is that controller if it leads, otherwise empty.
+         */
         void observeTerm(long term, String leader);
 
-        /** Reads something small from the key-value store, to see whether the link to it works. */
+        /** Sends a small read to the key-value store to test the link to it. */
         void probeStore();
 
         /** Releases the leadership. */
         void releaseLeadership();
 
-        /** By how many milliseconds timers are late. */
+        /** Returns by how many milliseconds timers of this process are late. */
         long eventLoopLagMs();
 
-        /** Whether this process is behind with its work. */
+        /** Returns whether this process cannot keep up with its work. */
         boolean overloaded();
     }
 
-    /** Whether links are monitored. */
+    /** Returns whether links are monitored. */
     default boolean enabled() {
         return false;
     }
 
-    /** The environment that the rest of the controller has to use, so that its requests are observed. */
+    /**
+     * Wraps the environment for use by the rest of the controller, so that the outcomes of its requests are observed.
+     */
     default Environment observedEnvironment(Environment delegate) {
         return delegate;
     }
 
-    /** Begins to monitor. */
+    /** Starts monitoring; called once all parts of the controller exist. */
     default void start(Host host) {}
 
     // ---- what the controller observes
 
-    /** A follower got a heartbeat straight from its worker. */
+    /** Records on a follower that a heartbeat arrived directly from its worker. */
     default void heartbeatReceived(Heartbeat heartbeat) {}
 
-    /** The leader took a heartbeat in and answered it; {@code relayed}: it came by way of another controller. */
+    /**
+     * Records that the leader processed a heartbeat and answered it.
+     *
+     * @param relayed whether another controller forwarded the heartbeat
+     */
     default void heartbeatAnswered(Heartbeat heartbeat, boolean relayed) {}
 
-    /** The leader knows that a worker should be there. */
+    /** Records on the leader that a worker should exist, before any heartbeat from it. */
     default void workerExpected(String machine, String address) {}
 
-    /** The leader knows that a worker is gone. */
+    /** Records on the leader that a worker no longer exists. */
     default void workerRemoved(String machine) {}
 
-    /** This node leads from now on; {@code changesInFlight}: transactions without a known outcome. */
+    /**
+     * Records that this node leads from now on.
+     *
+     * @param changesInFlight supplies the number of transactions without a known outcome
+     */
     default void elected(long term, IntSupplier changesInFlight) {}
 
-    /** This node no longer leads. */
+    /** Records that this node no longer leads. */
     default void deposed() {}
 
     // ---- announcements and views
 
-    /** The controllers that are known to exchange views of their links, this one first; empty: it does not. */
+    /** Returns the controllers known to exchange views of their links, this one first; empty if this one does not. */
     default List<String> controllersExchangingViews() {
         return List.of();
     }
 
-    /** Takes in what another controller, of which the name is known, announced with its term. */
+    /** Processes the term announcement of another controller. */
     default void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {}
 
-    /** Takes in a view and returns the answer; null: views are not exchanged. */
+    /** Processes a view and returns the reply; null if views are not exchanged or the view is malformed. */
     default PeerMessage receiveView(PeerMessage.LinkView view) {
         return null;
     }
 
     // ---- what the controller may do
 
-    /** Whether the leader reports that it received a worker's heartbeat in its term, so that a redirect is no use. */
+    /**
+     * Returns whether a fresh view of the leader lists the worker, so that redirecting the worker there is of no use.
+     */
     default boolean leaderKnowsWorker(String leader, String machine) {
         return false;
     }
 
-    /** Whether the leader reports that its requests do not reach a worker. */
+    /** Returns whether a fresh view of the leader reports that its requests do not reach the worker. */
     default boolean leaderCannotReachWorker(String leader, String machine) {
         return false;
     }
 
-    /** Who leads in this term or a later one, as others report; empty: not known. A hint, as they may be wrong. */
-    default String leaderHint(long term) {
+    /**
+     * Returns who leads in {@code minTerm} or a later term according to other controllers, or an empty string if not
+     * known. This is only a hint, as the others may be wrong.
+     */
+    default String leaderHint(long minTerm) {
         return "";
     }
 
-    /** Whether requests to another controller have lately failed, so that there is no use in waiting for one. */
+    /** Returns whether requests to another controller keep failing, so that a further one is not worth waiting for. */
     default boolean peerUnreachable(String controller) {
         return false;
     }
 
-    /** Whether a leader is handing over or just has, so that the next one will be known at once. */
+    /** Returns whether a leader is handing over or has just done so, so that the next leader will be known soon. */
     default boolean leaderHandsOver(String leader) {
         return false;
     }
 
-    /** For how long a free leadership is left to others, in milliseconds. */
+    /** Returns for how many more milliseconds this node leaves a vacant leadership to other controllers. */
     default long electionDelayMs() {
         return 0;
     }
 
-    /** Whether the leader is about to hand over, so that nothing new is written. */
+    /** Returns whether this leader is handing over, so that no new transactions may be sent. */
     default boolean handingOver() {
         return false;
     }
 
-    /** Whether tasks may be started. */
+    /** Returns whether tasks may be started. */
     default boolean permitsTaskStart() {
         return true;
     }
 
-    /** Whether tasks may be preempted. */
+    /** Returns whether tasks may be preempted. */
     default boolean permitsPreemption() {
         return true;
     }
 
-    /** Whether machines may be rented (scale out). */
+    /** Returns whether machines may be rented (scale out). */
     default boolean permitsScaleOut() {
         return true;
     }
 
-    /** Whether machines that are not needed may be returned (scale in). */
+    /** Returns whether machines that are not needed may be returned to the provider (scale in). */
     default boolean permitsScaleIn() {
         return true;
     }
 
-    /** Whether a silent machine may be taken for lost and returned. */
+    /** Returns whether a silent machine may be presumed lost and returned to the provider. */
     default boolean permitsRemovingMachine(String machine) {
         return true;
     }
 
-    /** Whether users' jobs may be accepted and cancelled. */
+    /** Returns whether users' jobs may be accepted and cancelled. */
     default boolean permitsUserChanges() {
         return true;
     }
 
-    /** All that is known of the links; null: they are not monitored. */
+    /** Returns the state of all links for the administration API, or null if links are not monitored. */
     default ObjectNode describe() {
         return null;
     }
--- a/src/main/java/stileferry/links/LinkHealthView.java
+++ b/src/main/java/stileferry/links/LinkHealthView.java
@@ -7,7 +7,7 @@
 import stileferry.connectivity.ConnectivitySnapshot;
 import stileferry.protocol.MessageCodec;
 
-/** The links of one controller as the administration API shows them. */
+/** Formats the state of one controller's links as JSON for the administration API. */
 final class LinkHealthView {
     private LinkHealthView() {}
 
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -17,14 +17,16 @@
 import stileferry.protocol.Settings;
 
 /**
- * Lets {@link Connectivity} monitor the links of one controller: hands it what happens, has its views exchanged and its
- * probes sent, and asks it what is permitted. It starts nothing and proves nothing; it only releases the leadership or
- * leaves it to others.
+ * Runs {@link Connectivity} for one controller: reports events to it, exchanges its views, sends its probes, and
+ * answers from it what is permitted. It starts no tasks and never concludes that a task has ended; it only releases the
+ * leadership or leaves it to other controllers.
  */
 public final class LinkMonitor implements LinkHealth, LinkObservingEnvironment.Observer {
     private static final long MIN_PROBE_TIMEOUT_MS = 500;
 
-    /** A store with this HTTP status serves nobody, or not this node. */
+    /**
+     * The key-value store answers with this HTTP status if it serves no clients, or not this node; counts as a failure.
+     */
     private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     private final Settings settings;
@@ -36,18 +38,22 @@
     private final long tickIntervalMs;
     private final long storeProbeIntervalMs;
 
-    /** Workers by the addresses that requests reach them at. */
+    /** Workers by the addresses to which requests are sent. */
     private final BiMap<String, String> workerByAddress = HashBiMap.create();
 
     private Host host;
     private long term;
 
-    /** The newest term of another leader that the others were sent a view about. */
+    /** The newest term of another leader whose announcement has caused an exchange of views with all controllers. */
     private long lastExchangedTerm;
 
     private long storeAnsweredAt = Long.MIN_VALUE / 2;
 
-    /** {@code leaderLeaseMs}: the duration of the leader key's lease. */
+    /**
+     * Creates a monitor for the controller with these settings.
+     *
+     * @param leaderLeaseMs duration of the leader key's lease in milliseconds
+     */
     public LinkMonitor(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
@@ -61,7 +67,7 @@
         this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
         this.tickIntervalMs = config.exchangeIntervalMs(true);
         long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickIntervalMs);
-        long exchangeTimeoutMs = config.exchangeIntervalMs(false); // longer, as a peer that is merely slow is not lost
+        long exchangeTimeoutMs = config.exchangeIntervalMs(false); // a peer that is only slow should not count as lost
         this.storeProbeIntervalMs = config.storeProbeIntervalMs();
         this.viewExchange = new ViewExchange(
                 settings, observedEnvironment(environment), connectivity, exchangeTimeoutMs, this::viewAccepted);
@@ -92,21 +98,21 @@
         connectivity.leaderObserved(host.term(), host.leader(), now);
         connectivity.eventLoopLagMeasured(host.eventLoopLagMs(), host.overloaded(), now);
         if (now - storeAnsweredAt >= storeProbeIntervalMs) {
-            host.probeStore(); // a link that nothing else uses
+            host.probeStore(); // other requests have not shown for a while that the link works
         }
         viewExchange.exchangeIfDue();
         prober.sendDueProbes();
         handover.follow(connectivity.advise(now));
     }
 
-    // ---- leading
+    // ---- changes of leadership
 
     @Override
-    public void elected(long wonTerm, IntSupplier changesInFlight) {
-        term = wonTerm;
-        handover.elected(wonTerm, changesInFlight);
+    public void elected(long newTerm, IntSupplier changesInFlight) {
+        term = newTerm;
+        handover.elected(newTerm, changesInFlight);
         workerByAddress.clear();
-        connectivity.elected(wonTerm, environment.now());
+        connectivity.elected(newTerm, environment.now());
     }
 
     @Override
@@ -193,7 +199,10 @@
         }
     }
 
-    /** Whether a status is an HTTP status rather than one of {@link Environment}'s. */
+    /**
+     * Returns whether a request was answered: whether its status is an HTTP status and not one of
+     * {@link Environment}'s.
+     */
     private static boolean answered(int status) {
         return status > 0;
     }
@@ -220,7 +229,7 @@
         if (announcement.leading() && announcement.term() > lastExchangedTerm) {
             lastExchangedTerm = announcement.term();
             connectivity.leaderObserved(announcement.term(), controller, environment.now());
-            viewExchange.exchangeWithAll(); // another controller may not hear the new leader
+            viewExchange.exchangeWithAll(); // another controller may not receive the new leader's announcements
         }
     }
 
@@ -251,8 +260,8 @@
     }
 
     @Override
-    public String leaderHint(long leastTerm) {
-        return connectivity.leaderReportedByPeers(leastTerm, environment.now());
+    public String leaderHint(long minTerm) {
+        return connectivity.leaderReportedByPeers(minTerm, environment.now());
     }
 
     @Override
--- a/src/main/java/stileferry/links/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -7,17 +7,17 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
-/** An environment that reports the outcome of every request, so that links are judged by the real traffic. */
+/** An environment that reports the outcome of every request, so that regular traffic tells whether links work. */
 final class LinkObservingEnvironment implements Environment {
     private final Environment delegate;
     private final Observer observer;
 
-    /** Takes the outcomes. */
+    /** Receives the outcomes of requests. */
     interface Observer {
-        /** A request to an address had this outcome: an HTTP status, or one of {@link Environment}'s. */
+        /** Called with the outcome of a request to an address: an HTTP status, or one of {@link Environment}'s. */
         void requestCompleted(String address, int status);
 
-        /** A record was sent to another controller, and was answered or not. */
+        /** Called when a message to another controller has been answered or has failed. */
         void peerRequestCompleted(String controller, boolean answered);
     }
 
@@ -53,16 +53,16 @@
 
     @Override
     public void request(
-            String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
-        delegate.request(address, method, path, body, timeoutMs, (status, answer) -> {
+            String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler handler) {
+        delegate.request(address, method, path, body, timeoutMs, (status, responseBody) -> {
             observer.requestCompleted(address, status);
-            reply.onResponse(status, answer);
+            handler.onResponse(status, responseBody);
         });
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        delegate.sendToPeer(peer, record, timeoutMs, answer -> {
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {
+        delegate.sendToPeer(peer, message, timeoutMs, answer -> {
             observer.peerRequestCompleted(peer.name(), answer != null);
             reply.accept(answer);
         });
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -18,7 +18,7 @@
 import stileferry.protocol.Settings;
 import stileferry.validation.InvalidInputException;
 
-/** Exchanges views of links with the other controllers that have shown that they exchange them. */
+/** Exchanges views of links with those other controllers that are known to take part. */
 final class ViewExchange {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
@@ -31,13 +31,18 @@
     /** The other controllers that exchange views. */
     private final Set<String> participants = new LinkedHashSet<>();
 
-    /** Those that were sent a view and have not answered. */
+    /** Controllers to which a view was sent that has neither been answered nor failed. */
     private final Set<String> awaitingReply = new HashSet<>();
 
-    /** When a view was last sent to a controller, other than in a reply. */
+    /** When a view was last sent to each controller, not counting replies. */
     private final Map<String, Long> sentAt = new HashMap<>();
 
-    /** {@code onViewAccepted} takes the header of each view that was taken in. */
+    /**
+     * Creates an exchange without participants.
+     *
+     * @param timeoutMs timeout of one exchange in milliseconds
+     * @param onViewAccepted called with the header of each valid view
+     */
     ViewExchange(
             Settings settings,
             Environment environment,
@@ -51,18 +56,21 @@
         this.onViewAccepted = onViewAccepted;
     }
 
-    /** The controllers that exchange views, this one first. */
+    /** Returns the controllers that exchange views, this one first. */
     List<String> controllersExchangingViews() {
         List<String> names = new ArrayList<>(List.of(settings.controllerName()));
         names.addAll(participants);
         return names;
     }
 
-    /** Takes in who exchanges views, as an announcement names them; followers learn of each other from the leader. */
+    /**
+     * Updates the participants from an announcement. Each controller is authoritative for itself, and the leader for
+     * all controllers, so that followers learn of each other from the leader.
+     */
     void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         for (Settings.Peer peer : settings.peers()) {
-            boolean senderKnows = peer.name().equals(controller) || announcement.leading();
-            if (!senderKnows) {
+            boolean authoritative = peer.name().equals(controller) || announcement.leading();
+            if (!authoritative) {
                 continue;
             }
             if (announcement.linkAware().contains(peer.name())) {
@@ -73,7 +81,7 @@
         }
     }
 
-    /** Takes in a view and returns the reply; null: the view is malformed. */
+    /** Processes a view and returns the reply, or null if the view is rejected. */
     PeerMessage receive(PeerMessage.LinkView message) {
         ReachabilityView view = accept(message);
         if (view == null) {
@@ -84,7 +92,7 @@
         return new PeerMessage.LinkView(ViewCodec.write(connectivity.viewFor(sender, environment.now())));
     }
 
-    /** Takes in a view; null: it is malformed or contradicts itself, and changes nothing. */
+    /** Decodes and merges a view; returns null, and changes nothing, if it is malformed or contradicts itself. */
     private ReachabilityView accept(PeerMessage.LinkView message) {
         try {
             ReachabilityView view = ViewCodec.read(message.view());
@@ -97,7 +105,7 @@
         }
     }
 
-    /** Exchanges views with each controller whose turn has come. */
+    /** Exchanges views with each participant for which the exchange interval has elapsed. */
     void exchangeIfDue() {
         long before = environment.now() - connectivity.exchangeIntervalMs();
         for (Settings.Peer peer : settings.peers()) {
@@ -107,7 +115,7 @@
         }
     }
 
-    /** Exchanges views with all now. */
+    /** Exchanges views with all participants now. */
     void exchangeWithAll() {
         settings.peers().forEach(this::exchangeWith);
     }
--- a/src/main/java/stileferry/links/WorkerProber.java
+++ b/src/main/java/stileferry/links/WorkerProber.java
@@ -8,9 +8,9 @@
 import stileferry.protocol.Heartbeat;
 import stileferry.protocol.Settings;
 
-/** Probes whether requests reach workers, a bounded number at a time. */
+/** Sends probes that test whether requests reach workers, with a limited number in flight. */
 final class WorkerProber {
-    /** Of the sockets for commands to workers, the part that probes may take. */
+    /** Sockets for commands to workers per probe that may be in flight; at least one probe may be. */
     private static final int COMMAND_SOCKETS_PER_PROBE = 4;
 
     private static final String PROBE_PATH = "/inspect";
@@ -29,7 +29,7 @@
         this.maxInFlight = Math.max(1, settings.socketBudget().commands() / COMMAND_SOCKETS_PER_PROBE);
     }
 
-    /** Sends the probes that are due. */
+    /** Sends due probes up to the limit. */
     void sendDueProbes() {
         for (ProbeTarget target : connectivity.takeDueProbes(maxInFlight - inFlight.size(), environment.now())) {
             if (inFlight.add(target.worker())) {
@@ -42,7 +42,7 @@
         environment.request(target.address(), "GET", PROBE_PATH, null, timeoutMs, (status, body) -> {
             inFlight.remove(target.worker());
             Heartbeat heartbeat = status == HTTP_OK ? Heartbeat.read(body) : null;
-            // another worker may have its address by now
+            // the address may belong to another worker by now
             boolean reached = heartbeat != null && heartbeat.machine().equals(target.worker());
             if (reached) {
                 connectivity.workerRequestAnswered(target.worker(), true, environment.now());
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -17,20 +17,22 @@
 import net.jqwik.api.constraints.Size;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Properties that hold for any sequence of events. */
+/** Properties that must hold for any sequence of events and any state of the links. */
 class ConnectivityPropertiesTest {
     private static final ConnectivityConfig CONFIG_OF_A = new ConnectivityConfig("a", List.of("b"), 1000, 10_000, 1500);
     private static final ConnectivityConfig CONFIG_OF_B = new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500);
     private static final int WORKERS = 12;
 
-    /** What the merged view says of each worker. */
+    /**
+     * Returns for each worker whether the merged view lists it, knows the outcome of a request, and says it is reached.
+     */
     private static TreeMap<String, String> describeWorkers(PeerView view) {
-        TreeMap<String, String> known = new TreeMap<>();
+        TreeMap<String, String> descriptions = new TreeMap<>();
         for (int i = 0; i < WORKERS; i++) {
             String name = "w" + i;
-            known.put(name, view.lists(name) + " " + view.outboundKnown(name) + " " + view.reaches(name));
+            descriptions.put(name, view.lists(name) + " " + view.outboundKnown(name) + " " + view.reaches(name));
         }
-        return known;
+        return descriptions;
     }
 
     private static void applyEvent(Connectivity links, int event, long now) {
@@ -44,7 +46,10 @@
         }
     }
 
-    /** Views that arrive in any order, some of them twice and some never, converge after one more complete view. */
+    /**
+     * Views that arrive in any order, some of them twice and some never, must converge to the sender's state after one
+     * more complete view.
+     */
     @Property(tries = 300)
     void viewsInAnyOrderConvergeAfterOneCompleteView(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 59) Integer> events,
@@ -71,15 +76,15 @@
         Collections.shuffle(late, random);
         late.subList(0, random.nextInt(late.size())).forEach(view -> shuffled.merge(view, -1));
 
-        // the next view contains what the receiver has not acknowledged
-        PeerView fresh = new PeerView();
-        ReachabilityView rest = viewFrom(sender, shuffled, now);
-        shuffled.merge(rest, -1);
-        fresh.merge(viewFrom(sender, new PeerView(), now + 1), -1);
-        assertEquals(describeWorkers(fresh), describeWorkers(shuffled));
+        // the next view contains all changes that the receiver has not acknowledged
+        PeerView complete = new PeerView();
+        ReachabilityView remaining = viewFrom(sender, shuffled, now);
+        shuffled.merge(remaining, -1);
+        complete.merge(viewFrom(sender, new PeerView(), now + 1), -1);
+        assertEquals(describeWorkers(complete), describeWorkers(shuffled));
     }
 
-    /** The next view for a receiver with these acknowledgements. */
+    /** Returns the next view for a receiver that acknowledges what it has merged. */
     private static ReachabilityView viewFrom(Connectivity sender, PeerView receiver, long now) {
         ReachabilityView.Header header = new ReachabilityView.Header(
                 "b",
@@ -91,13 +96,13 @@
                 1,
                 receiver.version(),
                 receiver.epoch());
-        ReachabilityView.WorkerChanges nothing = new ReachabilityView.WorkerChanges(
+        ReachabilityView.WorkerChanges noChanges = new ReachabilityView.WorkerChanges(
                 1, 0, 0, List.of(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap());
         sender.receive(
                 new ReachabilityView(
                         header,
                         new ReachabilityView.ControllerHealth(true, false, List.of()),
-                        nothing,
+                        noChanges,
                         List.of(),
                         null,
                         0),
@@ -109,7 +114,10 @@
         return new RoaringBitmap();
     }
 
-    /** Whatever the links do, releases are rate-limited, and there is a leader after the links recover. */
+    /**
+     * Whatever links fail and recover, each controller releases the leadership at a limited rate, and there is a leader
+     * once all links work again.
+     */
     @Property(tries = 40)
     void releasesAreRateLimitedAndALeaderIsElectedAfterRecovery(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
@@ -123,16 +131,18 @@
             host.runFor(periodMs / 1000.0);
         }
         double seconds = cuts.size() * periodMs / 1000.0;
-        for (ExampleHost.Controller member : host.controllers.values()) {
+        for (ExampleHost.Controller controller : host.controllers.values()) {
             double bound = 2 + seconds / 20 + 1;
-            assertTrue(member.releases <= bound, member.releases + " releases in " + seconds + " s");
+            assertTrue(controller.releases <= bound, controller.releases + " releases in " + seconds + " s");
         }
         host.delivers = (from, to) -> true;
         host.runFor(15);
-        assertTrue(host.leader() != null, "no leader with all links working");
+        assertTrue(host.leader() != null, "no leader although all links work");
     }
 
-    /** Each bit of {@code cut} cuts one kind of link of one controller. */
+    /**
+     * Returns whether a link is broken; each bit of {@code cut} breaks the links between one controller and one target.
+     */
     private static boolean linkBroken(int cut, String from, String to) {
         boolean fromA = from.equals("a");
         boolean fromB = from.equals("b");
@@ -144,29 +154,38 @@
                 || fromB && (cut & 32) != 0 && to.equals("store");
     }
 
-    /** No decision is permitted during a handover, or when the state service's last answer is too old. */
+    /**
+     * A decision must be withheld, with a reason and a retry time, unless this controller leads, is not handing over,
+     * and has a recent answer from the key-value store. If all of this holds, only scaling out and
+     * preempting may be withheld, while many workers are suspect and for at most four heartbeat intervals.
+     */
     @Property
     void decisionsAreWithheldOnStaleEvidence(
             @ForAll Decision decision,
             @ForAll boolean leading,
             @ForAll boolean handingOver,
-            @ForAll @LongRange(min = -1, max = 10_000) long storeAgeMs,
-            @ForAll boolean many,
-            @ForAll @LongRange(min = 0, max = 20_000) long manyMs) {
+            @ForAll @LongRange(min = -1, max = 10_000) long storeAnswerAgeMs,
+            @ForAll boolean manySuspects,
+            @ForAll @LongRange(min = 0, max = 20_000) long manySuspectsMs) {
         Verdict verdict = new DecisionGate(CONFIG_OF_A)
-                .check(decision, new LinkEvidence(leading, handingOver, storeAgeMs, many, manyMs));
-        boolean mayPermit =
-                leading && !handingOver && storeAgeMs >= 0 && storeAgeMs <= CONFIG_OF_A.storeAnswerMaxAgeMs();
+                .check(
+                        decision,
+                        new LinkEvidence(leading, handingOver, storeAnswerAgeMs, manySuspects, manySuspectsMs));
+        boolean mayPermit = leading
+                && !handingOver
+                && storeAnswerAgeMs >= 0
+                && storeAnswerAgeMs <= CONFIG_OF_A.storeAnswerMaxAgeMs();
         assertFalse(verdict.allowed() && !mayPermit);
         assertTrue(verdict.allowed() || !verdict.reason().isEmpty());
-        assertTrue(verdict.allowed() || verdict.retryAfterMs() > 0, "retryAfterMs is set");
-        boolean waitsForSuspects = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
+        assertTrue(
+                verdict.allowed() || verdict.retryAfterMs() > 0, "a withheld decision needs a positive retryAfterMs");
+        boolean needsFewSuspects = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
         assertTrue(verdict.allowed()
                 || !mayPermit
-                || waitsForSuspects && many && manyMs < 4 * CONFIG_OF_A.heartbeatIntervalMs());
+                || needsFewSuspects && manySuspects && manySuspectsMs < 4 * CONFIG_OF_A.heartbeatIntervalMs());
     }
 
-    /** A longer silence is never less suspect, whatever intervals were measured. */
+    /** Whatever intervals were measured, a longer silence must not have a lower suspicion level. */
     @Property
     void suspicionLevelNeverFallsAsSilenceGrows(
             @ForAll @Size(max = 200) List<@DoubleRange(min = 0, max = 5000) Double> intervals,
@@ -180,7 +199,7 @@
         assertTrue(estimator.suspicionLevel(timeoutMs) >= 5 && timeoutMs > estimator.meanMs());
     }
 
-    /** No two candidates are equal, and none is clearly better than one that is clearly better than it. */
+    /** Two candidates must never compare as equal, and must never each be clearly better than the other. */
     @Property
     void candidatesAreTotallyOrdered(
             @ForAll boolean storeA,
--- a/src/test/java/stileferry/connectivity/ConnectivityTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.validation.InvalidInputException;
 
-/** The package as a host program uses it, without any other package of the service. */
+/** Tests the package as a host program uses it, without any other package of the service. */
 class ConnectivityTest {
     private static final ConnectivityConfig CONFIG = new ConnectivityConfig("a", List.of("b", "c"), 1000, 10_000, 1500);
     private static final ConnectivityConfig CONFIG_OF_B = new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500);
@@ -30,10 +30,12 @@
         assertEquals(1, old.releases);
         host.cutOffFromWorkers(old.name, false);
         host.runFor(60);
-        assertEquals(2, host.electedLeaders.size(), "leadership does not go back by itself");
+        assertEquals(2, host.electedLeaders.size(), "the leadership must not return once the links recover");
     }
 
-    /** Every leader is cut off. All controllers count each handover, so they share one bound. */
+    /**
+     * Each leader in turn loses all its workers. All controllers count every handover, so they share one rate limit.
+     */
     @Test
     void handoversAreRateLimitedWhenEveryLeaderIsCutOff() {
         ExampleHost host = new ExampleHost(3, 12);
@@ -45,9 +47,9 @@
             host.runFor(1);
         }
         long released = host.controllers.values().stream()
-                .mapToLong(member -> member.releases)
+                .mapToLong(controller -> controller.releases)
                 .sum();
-        assertTrue(released >= 3, "released at all: " + released);
+        assertTrue(released >= 3, "too few releases for the test to be meaningful: " + released);
         assertTrue(released <= 2 + 200 / 20 + 1, released + " releases in 200 s");
     }
 
@@ -62,7 +64,7 @@
         assertTrue(suspicions * 10_000 < heartbeats, suspicions + " suspicions in " + heartbeats + " heartbeats");
     }
 
-    /** The silence of workers counts only beyond this process's own event-loop lag. */
+    /** Silence that may be due to this process's own event-loop lag must not make workers suspect. */
     @Test
     void eventLoopLagDoesNotMakeWorkersSuspect() {
         Connectivity links = leaderOf(50);
@@ -70,10 +72,13 @@
         links.eventLoopLagMeasured(lagMs, true, 30_000 + lagMs);
         assertEquals(0, links.snapshot(30_000 + lagMs).workers().suspect());
         links.eventLoopLagMeasured(0, false, 30_000 + lagMs);
-        assertEquals(50, links.snapshot(30_000 + lagMs).workers().suspect(), "suspect without the lag");
+        assertEquals(
+                50,
+                links.snapshot(30_000 + lagMs).workers().suspect(),
+                "the same silence without lag makes all workers suspect");
     }
 
-    /** A leader whose workers sent regular heartbeats until 30 s. */
+    /** Returns a leader whose workers have sent a heartbeat every second for 30 s. */
     private static Connectivity leaderOf(int workers) {
         Connectivity links = new Connectivity(CONFIG, 1, 0);
         links.elected(1, 0);
@@ -94,11 +99,12 @@
         assertFalse(links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 2, true), 40_000));
         assertEquals(2, links.snapshot(40_000).workers().suspect());
         assertTrue(
-                links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 2, 1, true), 40_000), "a new incarnation");
+                links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 2, 1, true), 40_000),
+                "the first heartbeat of a new incarnation must be accepted");
         assertEquals(1, links.snapshot(40_000).workers().suspect());
     }
 
-    /** The error for invalid input names the argument. */
+    /** Each error must name the argument, and none may change the state. */
     @Test
     void invalidInputIsRejectedAndChangesNothing() {
         Connectivity links = leaderOf(3);
@@ -118,7 +124,7 @@
         assertRejected(links, "max", self -> self.takeDueProbes(-1, 30_000));
         assertRejected(links, "view", self -> self.receive(null, 30_000));
         assertRejected(links, "view", self -> ViewCodec.read(new byte[] {1, 2, 3}));
-        assertRejected(links, "peer", self -> self.receive(good, 30_000)); // its own view
+        assertRejected(links, "peer", self -> self.receive(good, 30_000)); // the controller's own view
         assertRejected(links, "view", self -> self.receive(acknowledgingUnsentView(good), 30_000));
         assertEquals(before, links.snapshot(30_000));
         assertRejected(links, "heartbeatIntervalMs", self -> new ConnectivityConfig("a", List.of(), 0, 10, 10));
@@ -137,7 +143,7 @@
         assertEquals(argument, error.argument(), error.getMessage());
     }
 
-    /** Later versions may append fields. */
+    /** Later versions may append fields, so unknown bytes at the end are ignored; every truncated view is rejected. */
     @Test
     void aViewWithUnknownTrailingFieldsIsDecoded() {
         ReachabilityView view = leaderOf(3).viewFor("b", 30_000);
@@ -150,7 +156,10 @@
         }
     }
 
-    /** The clock went back between two processes of a controller; the second one raises its incarnation. */
+    /**
+     * The clock is set back between two processes of a controller, so the second one starts with a lower incarnation
+     * and its views look stale. It must raise its incarnation above the one that the peer acknowledges.
+     */
     @Test
     void viewsAreAcceptedAgainAfterARestartWithALowerIncarnation() {
         Connectivity peer = new Connectivity(CONFIG, 1000, 0);
@@ -158,14 +167,16 @@
         peer.receive(former.viewFor("a", 0), 0);
         Connectivity restarted = new Connectivity(CONFIG_OF_B, 880, 0);
         peer.receive(restarted.viewFor("a", 10), 10);
-        restarted.receive(peer.viewFor("b", 20), 20); // it acknowledges the higher incarnation
+        restarted.receive(peer.viewFor("b", 20), 20); // this view acknowledges the former incarnation
         peer.receive(restarted.viewFor("a", 30), 30);
         restarted.receive(peer.viewFor("b", 40), 40);
         peer.receive(restarted.viewFor("a", 50), 50);
-        assertTrue(peer.snapshot(60).peers().get(0).viewAgeMs() >= 0, "its view has an age again");
+        assertTrue(
+                peer.snapshot(60).peers().get(0).viewAgeMs() >= 0,
+                "no view of the restarted controller has been merged");
     }
 
-    /** The size of a view and of a probe round does not grow with the fleet once that is known. */
+    /** Once a peer knows all workers, the sizes of views and probe rounds must not grow with the number of workers. */
     @ParameterizedTest
     @ValueSource(ints = {500, 4200})
     void viewsAndProbeRoundsAreBoundedOnALargeFleet(int workers) {
@@ -180,16 +191,20 @@
             peer.receive(ViewCodec.read(bytes), now);
             links.receive(peer.viewFor("a", now), now);
         }
-        assertTrue(views <= workers / ViewBuilder.MAX_CHANGED_WORKERS + 3, views + " views for a whole fleet");
-        assertTrue(largest < 8 * 1024, largest + " bytes");
+        assertTrue(
+                views <= workers / ViewBuilder.MAX_CHANGED_WORKERS + 3,
+                views + " views until the peer knows all workers");
+        assertTrue(largest < 8 * 1024, largest + " bytes in the largest view");
         int unchanged = ViewCodec.write(links.viewFor("b", 30_200)).length;
-        assertTrue(unchanged < 250, unchanged + " bytes when nothing changed");
+        assertTrue(unchanged < 250, unchanged + " bytes in a view without changes");
         links.workerRemoved("w7", 30_201);
-        assertTrue(ViewCodec.write(links.viewFor("b", 30_202)).length < unchanged + 80, "one change");
+        assertTrue(
+                ViewCodec.write(links.viewFor("b", 30_202)).length < unchanged + 80,
+                "a view with a single change is too large");
         links.storeAnswered(60_000);
         assertEquals(workers - 1, links.snapshot(60_000).workers().suspect());
         int probes = links.takeDueProbes(1000, 60_000).size();
-        assertTrue(probes <= ProbePlanner.SAMPLE_SIZE, probes + " probes in a round");
-        assertEquals(0, links.takeDueProbes(1000, 60_001).size(), "the next round is not due");
+        assertTrue(probes <= ProbePlanner.SAMPLE_SIZE, probes + " probes in one round");
+        assertEquals(0, links.takeDueProbes(1000, 60_001).size(), "the next round must not be due yet");
     }
 }
--- a/src/test/java/stileferry/connectivity/ExampleHost.java
+++ b/src/test/java/stileferry/connectivity/ExampleHost.java
@@ -11,8 +11,8 @@
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 
 /**
- * An example of a host program: three controllers in one process on a simulated clock and network, without any other
- * package of the service. A variable holds the leadership in place of a lock service.
+ * A simulated host program: three controllers in one process with a simulated clock and network, without any other
+ * package of the service. Fields for the leader and the end of its lease stand in for the key-value store.
  */
 final class ExampleHost {
     static final long HEARTBEAT_INTERVAL_MS = 1000;
@@ -25,10 +25,10 @@
     final SplittableRandom random;
     long now = 1;
 
-    /** Whether messages from the first to the second arrive. */
+    /** Whether messages from the first to the second endpoint arrive. */
     BiPredicate<String, String> delivers = (from, to) -> true;
 
-    /** The share of views of which a copy arrives much later. */
+    /** The share of views of which a duplicate arrives one to two worker leases later. */
     double lateDuplicateShare;
 
     private final int workers;
@@ -38,7 +38,7 @@
     private long term;
     private long leaseEndsAt;
 
-    /** A scheduled task; {@code number} orders those of one time. */
+    /** A scheduled task; {@code number} orders tasks that are due at the same time. */
     private record Event(long at, long number, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** One controller. */
+    /** One controller with its {@link Connectivity}. */
     final class Controller {
         final String name;
         final Connectivity connectivity;
@@ -145,7 +145,7 @@
             leaseEndsAt = now;
         }
 
-        /** A heartbeat arrives from a worker, unless it is lost; returns whether the answer arrives. */
+        /** Receives a worker's heartbeat unless it is lost; returns whether the answer reaches the worker. */
         private boolean receiveHeartbeat(String worker) {
             long sequence = sequences.merge(worker, 1L, Long::sum);
             if (!delivers.test(worker, name)) {
@@ -170,7 +170,7 @@
                             name,
                             names.stream().filter(peer -> !peer.equals(name)).toList()));
         }
-        controllers.values().forEach(member -> schedule(random.nextLong(100), member::tick));
+        controllers.values().forEach(controller -> schedule(random.nextLong(100), controller::tick));
         for (int i = 0; i < workers; i++) {
             String worker = "worker-" + i;
             schedule(random.nextLong(HEARTBEAT_INTERVAL_MS), () -> sendHeartbeat(worker));
@@ -191,7 +191,7 @@
         events.add(new Event(now + delayMs, nextEventNumber++, task));
     }
 
-    /** Runs the simulation for so many seconds. */
+    /** Runs the simulation for this many seconds. */
     void runFor(double seconds) {
         long end = now + Math.round(1000 * seconds);
         while (!events.isEmpty() && events.peek().at <= end) {
@@ -202,16 +202,16 @@
         now = end;
     }
 
-    /** Null: there is no leader. */
+    /** Returns the leader, or null if there is none. */
     Controller leader() {
         return controllers.get(leader);
     }
 
-    /** Cuts one member off from all workers; {@code cut} false: restores all links. */
-    void cutOffFromWorkers(String member, boolean cut) {
-        delivers = cut
-                ? (from, to) -> !(from.equals(member) && to.startsWith("worker"))
-                        && !(to.equals(member) && from.startsWith("worker"))
+    /** Breaks the links between one controller and all workers, or restores all links if {@code cutOff} is false. */
+    void cutOffFromWorkers(String controller, boolean cutOff) {
+        delivers = cutOff
+                ? (from, to) -> !(from.equals(controller) && to.startsWith("worker"))
+                        && !(to.equals(controller) && from.startsWith("worker"))
                 : (from, to) -> true;
     }
 }
