--- a/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
+++ b/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
@@ -12,8 +12,8 @@
     private long refilledAt;
 
     /** Starts with a full bucket, to which one token is added every {@code refillIntervalMs}. */
-    HandoverRateLimiter(long refillMs, long now) {
-        this.refillIntervalMs = refillMs;
+    HandoverRateLimiter(long refillIntervalMs, long now) {
+        this.refillIntervalMs = refillIntervalMs;
         this.refilledAt = now;
     }
 
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -81,9 +81,9 @@
 
     /** Processes the handover notice in another controller's view; null if there is none. */
     void handoverNoticeReceived(PeerLink peer, HandoverNotice notice) {
-        HandoverNotice before = peer.handover;
+        HandoverNotice previous = peer.handover;
         peer.handover = notice;
-        if (notice == null || links.leading() || notice.equals(before)) {
+        if (notice == null || links.leading() || notice.equals(previous)) {
             return;
         }
         if (!notice.active()) {
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -91,8 +91,8 @@
     /** Marks workers that have become silent as suspect, and updates since when many workers are suspect. */
     void detectSilentWorkers() {
         workers.detectSilent(now, eventLoopLagMs);
-        boolean many = leading && 2 * workers.suspectCount() >= Math.max(2, workers.count());
-        if (!many) {
+        boolean manySuspects = leading && 2 * workers.suspectCount() >= Math.max(2, workers.count());
+        if (!manySuspects) {
             manySuspectsSince = -1;
         } else if (manySuspectsSince < 0) {
             manySuspectsSince = now;
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -67,21 +67,23 @@
      * suspects.
      */
     List<ProbeTarget> nextOwnProbes(WorkerLinks workers, long now) {
-        boolean many = manySuspects(workers);
+        boolean manySuspects = manySuspects(workers);
         List<WorkerLink> sample = planRound(workers, now);
-        return many ? targets(sample.stream().filter(WorkerLink::suspect).toList()) : List.of();
+        return manySuspects
+                ? targets(sample.stream().filter(WorkerLink::suspect).toList())
+                : List.of();
     }
 
     /** Plans the next round and returns its sample; empty if the round is not due yet. */
     private List<WorkerLink> planRound(WorkerLinks workers, long now) {
-        boolean many = manySuspects(workers);
-        if (lastPlannedAt >= 0 && now - lastPlannedAt < roundIntervalMs(workers, many)) {
+        boolean manySuspects = manySuspects(workers);
+        if (lastPlannedAt >= 0 && now - lastPlannedAt < roundIntervalMs(workers, manySuspects)) {
             return List.of();
         }
         lastPlannedAt = now;
-        int suspectSampleSize = many ? SAMPLE_SIZE : FEW_SUSPECTS_SAMPLE_SIZE;
+        int suspectSampleSize = manySuspects ? SAMPLE_SIZE : FEW_SUSPECTS_SAMPLE_SIZE;
         List<WorkerLink> suspects = workers.suspects().nextSuspects(suspectSampleSize);
-        List<WorkerLink> healthy = sampleHealthy(workers.suspects(), healthySampleSize(workers, many));
+        List<WorkerLink> healthy = sampleHealthy(workers.suspects(), healthySampleSize(workers, manySuspects));
         Round round = new Round(suspects, healthy);
         rounds.addLast(round);
         if (rounds.size() > RETAINED_ROUNDS) {
@@ -90,12 +92,12 @@
         return round.all();
     }
 
-    private long roundIntervalMs(WorkerLinks workers, boolean many) {
-        return workers.suspectCount() > 0 ? config.exchangeIntervalMs(many) : config.workerLeaseMs() / 2;
+    private long roundIntervalMs(WorkerLinks workers, boolean manySuspects) {
+        return workers.suspectCount() > 0 ? config.exchangeIntervalMs(manySuspects) : config.workerLeaseMs() / 2;
     }
 
-    private static int healthySampleSize(WorkerLinks workers, boolean many) {
-        if (many) {
+    private static int healthySampleSize(WorkerLinks workers, boolean manySuspects) {
+        if (manySuspects) {
             return SAMPLE_SIZE;
         }
         return workers.suspectCount() > 0 ? 0 : IDLE_SAMPLE_SIZE;
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -26,8 +26,8 @@
     long relayedSince = -1;
 
     /**
-     * When a direct heartbeat was last answered. If this is before {@link #directHeartbeatAt}, the last direct heartbeat
-     * has not been answered.
+     * When a direct heartbeat was last answered. If this is before {@link #directHeartbeatAt}, the last direct
+     * heartbeat has not been answered.
      */
     long heartbeatAnsweredAt = -1;
 
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -35,14 +35,14 @@
         return descriptions;
     }
 
-    private static void applyEvent(Connectivity links, int event, long now) {
+    private static void applyEvent(Connectivity connectivity, int event, long now) {
         String worker = "w" + event % WORKERS;
         switch (event / WORKERS % 5) {
-            case 0 -> links.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
-            case 1 -> links.workerRequestAnswered(worker, false, now);
-            case 2 -> links.workerRequestFailed(worker, true, now);
-            case 3 -> links.workerRemoved(worker, now);
-            default -> links.relayedHeartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
+            case 0 -> connectivity.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
+            case 1 -> connectivity.workerRequestAnswered(worker, false, now);
+            case 2 -> connectivity.workerRequestFailed(worker, true, now);
+            case 3 -> connectivity.workerRemoved(worker, now);
+            default -> connectivity.relayedHeartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
         }
     }
 
@@ -53,7 +53,7 @@
     @Property(tries = 300)
     void viewsInAnyOrderConvergeAfterOneCompleteView(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 59) Integer> events,
-            @ForAll @LongRange(min = 0, max = 1_000_000) long shuffle) {
+            @ForAll @LongRange(min = 0, max = 1_000_000) long shuffleSeed) {
         Connectivity sender = new Connectivity(CONFIG_OF_A, 5, 0);
         sender.elected(1, 0);
         Connectivity inOrder = new Connectivity(CONFIG_OF_B, 6, 0);
@@ -70,11 +70,11 @@
             }
             now++;
         }
-        Random random = new Random(shuffle);
-        List<ReachabilityView> late = new ArrayList<>(views);
-        late.addAll(views.subList(0, views.size() / 2));
-        Collections.shuffle(late, random);
-        late.subList(0, random.nextInt(late.size())).forEach(view -> shuffled.merge(view, -1));
+        Random random = new Random(shuffleSeed);
+        List<ReachabilityView> delivered = new ArrayList<>(views);
+        delivered.addAll(views.subList(0, views.size() / 2));
+        Collections.shuffle(delivered, random);
+        delivered.subList(0, random.nextInt(delivered.size())).forEach(view -> shuffled.merge(view, -1));
 
         // the next view contains all changes that the receiver has not acknowledged
         PeerView complete = new PeerView();
@@ -121,19 +121,20 @@
     @Property(tries = 40)
     void releasesAreRateLimitedAndALeaderIsElectedAfterRecovery(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
-            @ForAll @Size(min = 5, max = 40) List<@IntRange(min = 0, max = 63) Integer> cuts,
+            @ForAll @Size(min = 5, max = 40) List<@IntRange(min = 0, max = 63) Integer> brokenLinkMasks,
             @ForAll @IntRange(min = 200, max = 4000) int periodMs) {
         ExampleHost host = new ExampleHost(seed, 9);
         host.lateDuplicateShare = 0.2;
         host.runFor(10);
-        for (int cut : cuts) {
-            host.delivers = (from, to) -> !linkBroken(cut, from, to) && !linkBroken(cut, to, from);
+        for (int brokenLinkMask : brokenLinkMasks) {
+            host.delivers =
+                    (from, to) -> !linkBroken(brokenLinkMask, from, to) && !linkBroken(brokenLinkMask, to, from);
             host.runFor(periodMs / 1000.0);
         }
-        double seconds = cuts.size() * periodMs / 1000.0;
+        double seconds = brokenLinkMasks.size() * periodMs / 1000.0;
         for (ExampleHost.Controller controller : host.controllers.values()) {
-            double bound = 2 + seconds / 20 + 1;
-            assertTrue(controller.releases <= bound, controller.releases + " releases in " + seconds + " s");
+            double maxReleases = 2 + seconds / 20 + 1;
+            assertTrue(controller.releases <= maxReleases, controller.releases + " releases in " + seconds + " s");
         }
         host.delivers = (from, to) -> true;
         host.runFor(15);
@@ -141,17 +142,18 @@
     }
 
     /**
-     * Returns whether a link is broken; each bit of {@code cut} breaks the links between one controller and one target.
+     * Returns whether a link is broken; each bit of {@code brokenLinkMask} breaks the links between one controller and
+     * one target.
      */
-    private static boolean linkBroken(int cut, String from, String to) {
+    private static boolean linkBroken(int brokenLinkMask, String from, String to) {
         boolean fromA = from.equals("a");
         boolean fromB = from.equals("b");
-        return fromA && (cut & 1) != 0 && to.startsWith("worker")
-                || fromA && (cut & 2) != 0 && to.equals("b")
-                || fromB && (cut & 4) != 0 && to.startsWith("worker")
-                || fromB && (cut & 8) != 0 && to.equals("c")
-                || fromA && (cut & 16) != 0 && to.equals("store")
-                || fromB && (cut & 32) != 0 && to.equals("store");
+        return fromA && (brokenLinkMask & 1) != 0 && to.startsWith("worker")
+                || fromA && (brokenLinkMask & 2) != 0 && to.equals("b")
+                || fromB && (brokenLinkMask & 4) != 0 && to.startsWith("worker")
+                || fromB && (brokenLinkMask & 8) != 0 && to.equals("c")
+                || fromA && (brokenLinkMask & 16) != 0 && to.equals("store")
+                || fromB && (brokenLinkMask & 32) != 0 && to.equals("store");
     }
 
     /**
@@ -189,12 +191,12 @@
     @Property
     void suspicionLevelNeverFallsAsSilenceGrows(
             @ForAll @Size(max = 200) List<@DoubleRange(min = 0, max = 5000) Double> intervals,
-            @ForAll @DoubleRange(min = 0, max = 50_000) double silence,
-            @ForAll @DoubleRange(min = 0, max = 50_000) double more) {
+            @ForAll @DoubleRange(min = 0, max = 50_000) double silenceMs,
+            @ForAll @DoubleRange(min = 0, max = 50_000) double additionalSilenceMs) {
         PhiAccrualEstimator estimator = new PhiAccrualEstimator(1000);
         intervals.forEach(estimator::addInterval);
-        double shorter = estimator.suspicionLevel(silence);
-        assertTrue(shorter >= 0 && estimator.suspicionLevel(silence + more) >= shorter);
+        double shorter = estimator.suspicionLevel(silenceMs);
+        assertTrue(shorter >= 0 && estimator.suspicionLevel(silenceMs + additionalSilenceMs) >= shorter);
         double timeoutMs = estimator.timeoutMs(5);
         assertTrue(estimator.suspicionLevel(timeoutMs) >= 5 && timeoutMs > estimator.meanMs());
     }
@@ -202,14 +204,14 @@
     /** Two candidates must never compare as equal, and must never each be clearly better than the other. */
     @Property
     void candidatesAreTotallyOrdered(
-            @ForAll boolean storeA,
-            @ForAll boolean storeB,
+            @ForAll boolean storeReachableA,
+            @ForAll boolean storeReachableB,
             @ForAll @DoubleRange(min = 0, max = 1) double shareA,
             @ForAll @DoubleRange(min = 0, max = 1) double shareB,
             @ForAll boolean laggingA,
             @ForAll boolean laggingB) {
-        LeaderCandidate first = new LeaderCandidate("a", storeA, shareA, laggingA, 1);
-        LeaderCandidate second = new LeaderCandidate("b", storeB, shareB, laggingB, 1);
+        LeaderCandidate first = new LeaderCandidate("a", storeReachableA, shareA, laggingA, 1);
+        LeaderCandidate second = new LeaderCandidate("b", storeReachableB, shareB, laggingB, 1);
         assertEquals(Integer.signum(first.compareTo(second)), -Integer.signum(second.compareTo(first)));
         assertTrue(first.compareTo(second) != 0);
         assertFalse(first.clearlyBetterThan(second) && second.clearlyBetterThan(first));
--- a/src/test/java/stileferry/connectivity/ConnectivityTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityTest.java
@@ -23,12 +23,12 @@
     void aLeaderCutOffFromAllWorkersHandsOver() {
         ExampleHost host = new ExampleHost(1, 40);
         host.runFor(20);
-        ExampleHost.Controller old = host.leader();
-        host.cutOffFromWorkers(old.name, true);
+        ExampleHost.Controller formerLeader = host.leader();
+        host.cutOffFromWorkers(formerLeader.name, true);
         host.runFor(10);
-        assertNotEquals(old, host.leader());
-        assertEquals(1, old.releases);
-        host.cutOffFromWorkers(old.name, false);
+        assertNotEquals(formerLeader, host.leader());
+        assertEquals(1, formerLeader.releases);
+        host.cutOffFromWorkers(formerLeader.name, false);
         host.runFor(60);
         assertEquals(2, host.electedLeaders.size(), "the leadership must not return once the links recover");
     }
@@ -46,11 +46,11 @@
             }
             host.runFor(1);
         }
-        long released = host.controllers.values().stream()
+        long releases = host.controllers.values().stream()
                 .mapToLong(controller -> controller.releases)
                 .sum();
-        assertTrue(released >= 3, "too few releases for the test to be meaningful: " + released);
-        assertTrue(released <= 2 + 200 / 20 + 1, released + " releases in 200 s");
+        assertTrue(releases >= 3, "too few releases for the test to be meaningful: " + releases);
+        assertTrue(releases <= 2 + 200 / 20 + 1, releases + " releases in 200 s");
     }
 
     @Test
@@ -67,69 +67,76 @@
     /** Silence that may be due to this process's own event-loop lag must not make workers suspect. */
     @Test
     void eventLoopLagDoesNotMakeWorkersSuspect() {
-        Connectivity links = leaderOf(50);
+        Connectivity connectivity = leaderOf(50);
         long lagMs = 20_000;
-        links.eventLoopLagMeasured(lagMs, true, 30_000 + lagMs);
-        assertEquals(0, links.snapshot(30_000 + lagMs).workers().suspect());
-        links.eventLoopLagMeasured(0, false, 30_000 + lagMs);
+        connectivity.eventLoopLagMeasured(lagMs, true, 30_000 + lagMs);
+        assertEquals(0, connectivity.snapshot(30_000 + lagMs).workers().suspect());
+        connectivity.eventLoopLagMeasured(0, false, 30_000 + lagMs);
         assertEquals(
                 50,
-                links.snapshot(30_000 + lagMs).workers().suspect(),
+                connectivity.snapshot(30_000 + lagMs).workers().suspect(),
                 "the same silence without lag makes all workers suspect");
     }
 
     /** Returns a leader whose workers have sent a heartbeat every second for 30 s. */
     private static Connectivity leaderOf(int workers) {
-        Connectivity links = new Connectivity(CONFIG, 1, 0);
-        links.elected(1, 0);
+        Connectivity connectivity = new Connectivity(CONFIG, 1, 0);
+        connectivity.elected(1, 0);
         for (int second = 1; second <= 30; second++) {
             for (int i = 0; i < workers; i++) {
-                links.heartbeatReceived(new WorkerHeartbeat("w" + i, "addr" + i, 1, second, true), 1000L * second);
-                links.heartbeatAnswered("w" + i, 1000L * second);
+                connectivity.heartbeatReceived(
+                        new WorkerHeartbeat("w" + i, "addr" + i, 1, second, true), 1000L * second);
+                connectivity.heartbeatAnswered("w" + i, 1000L * second);
             }
-            links.storeAnswered(1000L * second);
+            connectivity.storeAnswered(1000L * second);
         }
-        return links;
+        return connectivity;
     }
 
     @Test
     void duplicateAndOutOfOrderHeartbeatsAreRejected() {
-        Connectivity links = leaderOf(2);
-        assertFalse(links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 30, true), 40_000));
-        assertFalse(links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 2, true), 40_000));
-        assertEquals(2, links.snapshot(40_000).workers().suspect());
+        Connectivity connectivity = leaderOf(2);
+        assertFalse(connectivity.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 30, true), 40_000));
+        assertFalse(connectivity.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 1, 2, true), 40_000));
+        assertEquals(2, connectivity.snapshot(40_000).workers().suspect());
         assertTrue(
-                links.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 2, 1, true), 40_000),
+                connectivity.heartbeatReceived(new WorkerHeartbeat("w0", "addr0", 2, 1, true), 40_000),
                 "the first heartbeat of a new incarnation must be accepted");
-        assertEquals(1, links.snapshot(40_000).workers().suspect());
+        assertEquals(1, connectivity.snapshot(40_000).workers().suspect());
     }
 
     /** Each error must name the argument, and none may change the state. */
     @Test
     void invalidInputIsRejectedAndChangesNothing() {
-        Connectivity links = leaderOf(3);
-        ReachabilityView good = links.viewFor("b", 30_000);
-        ConnectivitySnapshot before = links.snapshot(30_000);
-        assertRejected(links, "now", self -> self.storeAnswered(-1));
-        assertRejected(links, "now", self -> self.heartbeatReceived(new WorkerHeartbeat("w9", "x", 1, 1, true), -5));
-        assertRejected(links, "peer", self -> self.peerRequestAnswered("nobody", 30_000));
-        assertRejected(links, "peer", self -> self.viewFor("a", 30_000));
-        assertRejected(links, "kind", self -> self.storeFailed(null, 30_000));
-        assertRejected(links, "worker", self -> self.workerRemoved("", 30_000));
+        Connectivity connectivity = leaderOf(3);
+        ReachabilityView validView = connectivity.viewFor("b", 30_000);
+        ConnectivitySnapshot before = connectivity.snapshot(30_000);
+        assertRejected(connectivity, "now", target -> target.storeAnswered(-1));
         assertRejected(
-                links, "sequence", self -> self.heartbeatReceived(new WorkerHeartbeat("w0", "x", 1, -1, true), 30_000));
-        assertRejected(links, "decision", self -> self.permits(null, 30_000));
-        assertRejected(links, "lagMs", self -> self.eventLoopLagMeasured(-1, false, 30_000));
-        assertRejected(links, "term", self -> self.elected(0, 30_000));
-        assertRejected(links, "max", self -> self.takeDueProbes(-1, 30_000));
-        assertRejected(links, "view", self -> self.receive(null, 30_000));
-        assertRejected(links, "view", self -> ViewCodec.read(new byte[] {1, 2, 3}));
-        assertRejected(links, "peer", self -> self.receive(good, 30_000)); // the controller's own view
-        assertRejected(links, "view", self -> self.receive(acknowledgingUnsentView(good), 30_000));
-        assertEquals(before, links.snapshot(30_000));
-        assertRejected(links, "heartbeatIntervalMs", self -> new ConnectivityConfig("a", List.of(), 0, 10, 10));
-        assertRejected(links, "peers", self -> new ConnectivityConfig("a", List.of("a"), 10, 100, 10));
-        assertRejected(links, "workerShare", self -> new LeaderCandidate("a", true, 1.5, false, 0));
+                connectivity,
+                "now",
+                target -> target.heartbeatReceived(new WorkerHeartbeat("w9", "x", 1, 1, true), -5));
+        assertRejected(connectivity, "peer", target -> target.peerRequestAnswered("nobody", 30_000));
+        assertRejected(connectivity, "peer", target -> target.viewFor("a", 30_000));
+        assertRejected(connectivity, "kind", target -> target.storeFailed(null, 30_000));
+        assertRejected(connectivity, "worker", target -> target.workerRemoved("", 30_000));
+        assertRejected(
+                connectivity,
+                "sequence",
+                target -> target.heartbeatReceived(new WorkerHeartbeat("w0", "x", 1, -1, true), 30_000));
+        assertRejected(connectivity, "decision", target -> target.permits(null, 30_000));
+        assertRejected(connectivity, "lagMs", target -> target.eventLoopLagMeasured(-1, false, 30_000));
+        assertRejected(connectivity, "term", target -> target.elected(0, 30_000));
+        assertRejected(connectivity, "max", target -> target.takeDueProbes(-1, 30_000));
+        assertRejected(connectivity, "view", target -> target.receive(null, 30_000));
+        assertRejected(connectivity, "view", target -> ViewCodec.read(new byte[] {1, 2, 3}));
+        assertRejected(connectivity, "peer", target -> target.receive(validView, 30_000)); // the controller's own view
+        assertRejected(connectivity, "view", target -> target.receive(acknowledgingUnsentView(validView), 30_000));
+        assertEquals(before, connectivity.snapshot(30_000));
+        assertRejected(
+                connectivity, "heartbeatIntervalMs", target -> new ConnectivityConfig("a", List.of(), 0, 10, 10));
+        assertRejected(connectivity, "peers", target -> new ConnectivityConfig("a", List.of("a"), 10, 100, 10));
+        assertRejected(connectivity, "workerShare", target -> new LeaderCandidate("a", true, 1.5, false, 0));
     }
 
     private static ReachabilityView acknowledgingUnsentView(ReachabilityView view) {
@@ -138,8 +145,8 @@
         return new ReachabilityView(header, view.senderHealth(), view.workers(), List.of(), null, 0);
     }
 
-    private static void assertRejected(Connectivity links, String argument, Consumer<Connectivity> call) {
-        InvalidInputException error = assertThrows(InvalidInputException.class, () -> call.accept(links));
+    private static void assertRejected(Connectivity connectivity, String argument, Consumer<Connectivity> call) {
+        InvalidInputException error = assertThrows(InvalidInputException.class, () -> call.accept(connectivity));
         assertEquals(argument, error.argument(), error.getMessage());
     }
 
@@ -148,11 +155,11 @@
     void aViewWithUnknownTrailingFieldsIsDecoded() {
         ReachabilityView view = leaderOf(3).viewFor("b", 30_000);
         byte[] bytes = ViewCodec.write(view);
-        byte[] longer = Arrays.copyOf(bytes, bytes.length + 9);
-        assertEquals(view, ViewCodec.read(longer));
+        byte[] extended = Arrays.copyOf(bytes, bytes.length + 9);
+        assertEquals(view, ViewCodec.read(extended));
         for (int length = 0; length < bytes.length; length++) {
-            byte[] shorter = Arrays.copyOf(bytes, length);
-            assertThrows(InvalidInputException.class, () -> ViewCodec.read(shorter));
+            byte[] truncated = Arrays.copyOf(bytes, length);
+            assertThrows(InvalidInputException.class, () -> ViewCodec.read(truncated));
         }
     }
 
@@ -180,31 +187,31 @@
     @ParameterizedTest
     @ValueSource(ints = {500, 4200})
     void viewsAndProbeRoundsAreBoundedOnALargeFleet(int workers) {
-        Connectivity links = leaderOf(workers);
+        Connectivity connectivity = leaderOf(workers);
         Connectivity peer = new Connectivity(CONFIG_OF_B, 2, 0);
-        int largest = 0;
+        int largestBytes = 0;
         int views = 0;
         for (long now = 30_001; !peer.peerKnowsWorker("a", "w" + (workers - 1), now) && views < 100; now++) {
-            byte[] bytes = ViewCodec.write(links.viewFor("b", now));
-            largest = Math.max(largest, bytes.length);
+            byte[] bytes = ViewCodec.write(connectivity.viewFor("b", now));
+            largestBytes = Math.max(largestBytes, bytes.length);
             views++;
             peer.receive(ViewCodec.read(bytes), now);
-            links.receive(peer.viewFor("a", now), now);
+            connectivity.receive(peer.viewFor("a", now), now);
         }
         assertTrue(
                 views <= workers / ViewBuilder.MAX_CHANGED_WORKERS + 3,
                 views + " views until the peer knows all workers");
-        assertTrue(largest < 8 * 1024, largest + " bytes in the largest view");
-        int unchanged = ViewCodec.write(links.viewFor("b", 30_200)).length;
-        assertTrue(unchanged < 250, unchanged + " bytes in a view without changes");
-        links.workerRemoved("w7", 30_201);
+        assertTrue(largestBytes < 8 * 1024, largestBytes + " bytes in the largest view");
+        int unchangedBytes = ViewCodec.write(connectivity.viewFor("b", 30_200)).length;
+        assertTrue(unchangedBytes < 250, unchangedBytes + " bytes in a view without changes");
+        connectivity.workerRemoved("w7", 30_201);
         assertTrue(
-                ViewCodec.write(links.viewFor("b", 30_202)).length < unchanged + 80,
+                ViewCodec.write(connectivity.viewFor("b", 30_202)).length < unchangedBytes + 80,
                 "a view with a single change is too large");
-        links.storeAnswered(60_000);
-        assertEquals(workers - 1, links.snapshot(60_000).workers().suspect());
-        int probes = links.takeDueProbes(1000, 60_000).size();
+        connectivity.storeAnswered(60_000);
+        assertEquals(workers - 1, connectivity.snapshot(60_000).workers().suspect());
+        int probes = connectivity.takeDueProbes(1000, 60_000).size();
         assertTrue(probes <= ProbePlanner.SAMPLE_SIZE, probes + " probes in one round");
-        assertEquals(0, links.takeDueProbes(1000, 60_001).size(), "the next round must not be due yet");
+        assertEquals(0, connectivity.takeDueProbes(1000, 60_001).size(), "the next round must not be due yet");
     }
 }
