--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Records the loss of a request or of the answer to a heartbeat; returns whether requests now count as not
-     * arriving.
+     * Records the loss of a request or of the answer to a heartbeat; returns whether requests now count as not reaching
+     * the worker.
      */
     boolean requestFailed() {
         consecutiveLostRequests++;
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Returns whether the worker now turns to another controller, which relays its heartbeats, although its last direct
-     * heartbeat was answered.
+     * Returns whether the worker now switches to another controller, which relays its heartbeats, although its last
+     * direct heartbeat was answered.
      */
     boolean switchedToRelayDespiteAnswer() {
         return directHeartbeatAt >= 0 && lastHeartbeatAnswered() && relayedSince < 0;
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -50,7 +50,8 @@
     // ---- observations
 
     /**
-     * Adds a worker that should exist although no heartbeat from it has arrived, or sets the address of a known one.
+     * Adds a worker that should exist although no heartbeat from it has arrived; for a known worker, sets the address
+     * if it has none.
      */
     void expected(String name, String address, long now) {
         WorkerLink known = byName.get(name);
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -67,7 +67,7 @@
         this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
         this.tickIntervalMs = config.exchangeIntervalMs(true);
         long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickIntervalMs);
-        long exchangeTimeoutMs = config.exchangeIntervalMs(false); // a peer that is only slow should not count as lost
+        long exchangeTimeoutMs = config.exchangeIntervalMs(false); // longer, so that a slow peer does not count as lost
         this.storeProbeIntervalMs = config.storeProbeIntervalMs();
         this.viewExchange = new ViewExchange(
                 settings, observedEnvironment(environment), connectivity, exchangeTimeoutMs, this::viewAccepted);
