--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -137,7 +137,7 @@
         machine.agent().discardLastHeartbeatRecord();
         machines.remove(machine.name());
         deletedMachines.add(machine.name());
-        linkHealth.workerGone(machine.name());
+        linkHealth.workerRemoved(machine.name());
     }
 
     /** Sets a machine's zone, which may become known only after tasks have been assigned to the machine. */
--- a/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
+++ b/src/main/java/stileferry/connectivity/HandoverRateLimiter.java
@@ -1,34 +1,34 @@
 package stileferry.connectivity;
 
 /**
- * A token bucket that bounds deliberate releases of the leadership: in any time T at most {@code 2 + T / refillMs},
- * whatever the links do.
+ * A token bucket that limits deliberate releases of the leadership: at most {@code 2 + T / refillIntervalMs} in any
+ * time T, regardless of the state of the links.
  */
 final class HandoverRateLimiter {
-    private static final double CAPACITY = 2;
+    private static final double CAPACITY_TOKENS = 2;
 
-    private final long refillMs;
-    private double tokens = CAPACITY;
+    private final long refillIntervalMs;
+    private double tokens = CAPACITY_TOKENS;
     private long refilledAt;
 
-    /** One token is added every {@code refillMs}. */
-    HandoverRateLimiter(long refillMs, long now) {
-        this.refillMs = refillMs;
+    /** Starts with a full bucket, to which one token is added every {@code refillIntervalMs}. */
+    HandoverRateLimiter(long refillIntervalMs, long now) {
+        this.refillIntervalMs = refillIntervalMs;
         this.refilledAt = now;
     }
 
     private void refill(long now) {
-        tokens = Math.min(CAPACITY, tokens + Math.max(0, now - refilledAt) / (double) refillMs);
+        tokens = Math.min(CAPACITY_TOKENS, tokens + Math.max(0, now - refilledAt) / (double) refillIntervalMs);
         refilledAt = Math.max(refilledAt, now);
     }
 
-    /** Whether one more handover is within the bound. */
+    /** Returns whether the limit permits one more handover. */
     boolean allows(long now) {
         refill(now);
         return tokens >= 1;
     }
 
-    /** Counts a handover, also one of another controller, which may exceed the bound. */
+    /** Takes a token for a handover; handovers of other controllers count too and may exceed the limit. */
     void consume(long now) {
         refill(now);
         tokens = Math.max(0, tokens - 1);
--- a/src/main/java/stileferry/connectivity/ViewBuilder.java
+++ b/src/main/java/stileferry/connectivity/ViewBuilder.java
@@ -11,16 +11,16 @@
 import stileferry.connectivity.ReachabilityView.ProbeTarget;
 import stileferry.connectivity.ReachabilityView.WorkerChanges;
 
-/** Builds views: only the changes after the last version that the receiver has acknowledged. */
+/** Builds views that contain only the worker changes since the last version that the receiver has acknowledged. */
 final class ViewBuilder {
-    /** Bounds the size of a view; a fleet that is new to the receiver takes several. */
-    static final int MAX_WORKERS = 256;
+    /** Maximum number of changed workers in a view; a receiver that knows no workers yet may need several views. */
+    static final int MAX_CHANGED_WORKERS = 256;
 
     private final ConnectivityConfig config;
     private final WorkerLinks workers;
     private final SentViewLog sentViews;
 
-    /** The sender of a view. */
+    /** What the header of a view says about its sender. */
     record Sender(long incarnation, long term, String leader) {}
 
     ViewBuilder(ConnectivityConfig config, WorkerLinks workers, SentViewLog sentViews) {
@@ -53,7 +53,7 @@
     private WorkerChanges changesFor(PeerLink receiver) {
         int epoch = workers.numbering().epoch();
         long baseVersion = receiver.ackedEpoch == epoch ? receiver.ackedVersion : 0;
-        List<WorkerLink> changed = new ArrayList<>(workers.numbering().changedAfter(baseVersion, MAX_WORKERS));
+        List<WorkerLink> changed = new ArrayList<>(workers.numbering().changedAfter(baseVersion, MAX_CHANGED_WORKERS));
         long version = changed.isEmpty() ? baseVersion : changed.get(changed.size() - 1).version;
         changed.sort(Comparator.comparingInt(link -> link.id));
         return new WorkerChanges(
--- a/src/main/java/stileferry/coordination/LinkHealthCallbacks.java
+++ b/src/main/java/stileferry/coordination/LinkHealthCallbacks.java
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public boolean behind() {
+    public boolean overloaded() {
         return eventLoopLag.overloaded();
     }
 }
--- a/src/main/java/stileferry/heartbeat/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -49,7 +49,7 @@
         RedirectState state = redirectStates.getIfPresent(machine);
         RedirectState updated;
         if (state == null || !state.leader.equals(leader) || absentForALease(state, now)) {
-            updated = new RedirectState(leader, now, now, !links.leaderHearsWorker(leader, machine));
+            updated = new RedirectState(leader, now, now, !links.leaderKnowsWorker(leader, machine));
         } else if (shouldRedirectAgain(state, machine, now)) {
             updated = new RedirectState(leader, now, now, true);
         } else {
--- a/src/main/java/stileferry/links/LeadershipHandover.java
+++ b/src/main/java/stileferry/links/LeadershipHandover.java
@@ -8,12 +8,15 @@
 import stileferry.connectivity.LeadershipAdvice;
 import stileferry.protocol.Environment;
 
-/** Does what {@link Connectivity} advises a leader: hands the leadership over to a better connected controller. */
+/**
+ * Carries out the advice of {@link Connectivity} to a leader: hands the leadership over to a better connected
+ * controller or releases it without a nominee.
+ */
 final class LeadershipHandover {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
-    private static final long STEP_MS = 50;
-    private static final String NOBODY = "nobody";
+    private static final long POLL_INTERVAL_MS = 50;
+    private static final String NO_NOMINEE = "nobody";
 
     private final Environment environment;
     private final Connectivity connectivity;
@@ -35,21 +38,25 @@
         host = controller;
     }
 
-    /** This node leads from now on; transactions without a known outcome delay a handover. */
-    void elected(long wonTerm, IntSupplier transactionsInFlight) {
-        term = wonTerm;
+    /**
+     * Records that this node leads from now on.
+     *
+     * @param transactionsInFlight supplies the number of transactions without a known outcome, which delay a handover
+     */
+    void elected(long newTerm, IntSupplier transactionsInFlight) {
+        term = newTerm;
         changesInFlight = transactionsInFlight;
         releasing = false;
     }
 
-    /** This node no longer leads; returns whether it has released the leadership itself. */
+    /** Records that this node no longer leads; returns whether it released the leadership deliberately. */
     boolean deposed() {
         boolean released = releasing;
         releasing = false;
         return released;
     }
 
-    /** Follows an advice as far as it is for leaders. */
+    /** Carries out an advice if this node leads; only logs a changed advice otherwise. */
     void follow(LeadershipAdvice advice) {
         if (lastAction != advice.action()) {
             LOG.info("leadership advice changed: action={} reason=\"{}\"", advice.action(), advice.reason());
@@ -59,7 +66,7 @@
             return;
         }
         if (advice.action() == LeadershipAdvice.Action.STEP_DOWN) {
-            release(NOBODY);
+            release(NO_NOMINEE);
         } else if (advice.action() == LeadershipAdvice.Action.HAND_OVER) {
             begin(advice.nominee());
         }
@@ -69,14 +76,14 @@
         if (connectivity.beginHandover(nominee, environment.now())) {
             LOG.info("leadership handover started: term={} nominee={}", term, nominee);
             viewExchange.exchangeWithAll();
-            proceed(nominee);
+            advance(nominee);
         }
     }
 
-    private void proceed(String nominee) {
+    private void advance(String nominee) {
         HandoverAction action = connectivity.advanceHandover(changesInFlight.getAsInt(), environment.now());
         switch (action) {
-            case WAIT -> environment.schedule(STEP_MS, () -> proceed(nominee));
+            case WAIT -> environment.schedule(POLL_INTERVAL_MS, () -> advance(nominee));
             case RELEASE -> release(nominee);
             case ABORTED -> {
                 LOG.info("leadership handover aborted, still leading: term={} nominee={}", term, nominee);
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -17,15 +17,17 @@
 import stileferry.protocol.Settings;
 
 /**
- * Lets {@link Connectivity} monitor the links of one controller: hands it what happens, has its views exchanged and its
- * probes sent, and asks it what is permitted. It starts nothing and proves nothing; it only releases the leadership or
- * leaves it to others.
+ * Runs {@link Connectivity} for one controller: reports events to it, exchanges its views, sends its probes, and
+ * answers from it what is permitted. It starts no tasks and never concludes that a task has ended; it only releases the
+ * leadership or leaves it to other controllers.
  */
 public final class LinkMonitor implements LinkHealth, LinkObservingEnvironment.Observer {
     private static final long MIN_PROBE_TIMEOUT_MS = 500;
 
-    /** A store with this HTTP status serves nobody, or not this node. */
-    private static final int STORE_UNAVAILABLE = 503;
+    /**
+     * The key-value store answers with this HTTP status if it serves no clients, or not this node; counts as a failure.
+     */
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     private final Settings settings;
     private final Environment environment;
@@ -33,21 +35,25 @@
     private final ViewExchange viewExchange;
     private final WorkerProber prober;
     private final LeadershipHandover handover;
-    private final long tickMs;
-    private final long storeProbeMs;
+    private final long tickIntervalMs;
+    private final long storeProbeIntervalMs;
 
-    /** Workers by the addresses that requests reach them at. */
+    /** Workers by the addresses to which requests are sent. */
     private final BiMap<String, String> workerByAddress = HashBiMap.create();
 
     private Host host;
     private long term;
 
-    /** The newest term of another leader that the others were sent a view about. */
-    private long exchangedTerm;
+    /** The newest term of another leader whose announcement has caused an exchange of views with all controllers. */
+    private long lastExchangedTerm;
 
-    private long storeReachedAt = Long.MIN_VALUE / 2;
+    private long storeAnsweredAt = Long.MIN_VALUE / 2;
 
-    /** {@code leaderLeaseMs}: the duration of the leader key's lease. */
+    /**
+     * Creates a monitor for the controller with these settings.
+     *
+     * @param leaderLeaseMs duration of the leader key's lease in milliseconds
+     */
     public LinkMonitor(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
@@ -59,10 +65,10 @@
                 Math.round(workers.leaseS() * 1000),
                 leaderLeaseMs);
         this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
-        this.tickMs = config.exchangeIntervalMs(true);
-        long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickMs);
-        long exchangeTimeoutMs = config.exchangeIntervalMs(false); // longer, as a peer that is merely slow is not lost
-        this.storeProbeMs = config.storeProbeIntervalMs();
+        this.tickIntervalMs = config.exchangeIntervalMs(true);
+        long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickIntervalMs);
+        long exchangeTimeoutMs = config.exchangeIntervalMs(false); // longer, so that a slow peer does not count as lost
+        this.storeProbeIntervalMs = config.storeProbeIntervalMs();
         this.viewExchange = new ViewExchange(
                 settings, observedEnvironment(environment), connectivity, exchangeTimeoutMs, this::viewAccepted);
         this.prober = new WorkerProber(settings, environment, connectivity, probeTimeoutMs);
@@ -87,26 +93,26 @@
     }
 
     private void tick() {
-        environment.schedule(tickMs, this::tick);
+        environment.schedule(tickIntervalMs, this::tick);
         long now = environment.now();
         connectivity.leaderObserved(host.term(), host.leader(), now);
-        connectivity.eventLoopLagMeasured(host.eventLoopLagMs(), host.behind(), now);
-        if (now - storeReachedAt >= storeProbeMs) {
-            host.probeStore(); // a link that nothing else uses
+        connectivity.eventLoopLagMeasured(host.eventLoopLagMs(), host.overloaded(), now);
+        if (now - storeAnsweredAt >= storeProbeIntervalMs) {
+            host.probeStore(); // other requests have not shown for a while that the link works
         }
-        viewExchange.exchangeWhereDue();
-        prober.probeWhereDue();
+        viewExchange.exchangeIfDue();
+        prober.sendDueProbes();
         handover.follow(connectivity.advise(now));
     }
 
-    // ---- leading
+    // ---- changes of leadership
 
     @Override
-    public void elected(long wonTerm, IntSupplier changesInFlight) {
-        term = wonTerm;
-        handover.elected(wonTerm, changesInFlight);
+    public void elected(long newTerm, IntSupplier changesInFlight) {
+        term = newTerm;
+        handover.elected(newTerm, changesInFlight);
         workerByAddress.clear();
-        connectivity.elected(wonTerm, environment.now());
+        connectivity.elected(newTerm, environment.now());
     }
 
     @Override
@@ -157,7 +163,7 @@
     }
 
     @Override
-    public void workerGone(String machine) {
+    public void workerRemoved(String machine) {
         connectivity.workerRemoved(machine, environment.now());
         workerByAddress.inverse().remove(machine);
     }
@@ -176,8 +182,8 @@
 
     private void storeRequestCompleted(int status) {
         long now = environment.now();
-        if (answered(status) && status != STORE_UNAVAILABLE) {
-            storeReachedAt = now;
+        if (answered(status) && status != HTTP_SERVICE_UNAVAILABLE) {
+            storeAnsweredAt = now;
             connectivity.storeAnswered(now);
         } else {
             connectivity.storeFailed(
@@ -193,7 +199,10 @@
         }
     }
 
-    /** Whether a status is an HTTP status rather than one of {@link Environment}'s. */
+    /**
+     * Returns whether a request was answered: whether its status is an HTTP status and not one of
+     * {@link Environment}'s.
+     */
     private static boolean answered(int status) {
         return status > 0;
     }
@@ -217,10 +226,10 @@
     @Override
     public void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         viewExchange.announcementReceived(controller, announcement);
-        if (announcement.leading() && announcement.term() > exchangedTerm) {
-            exchangedTerm = announcement.term();
+        if (announcement.leading() && announcement.term() > lastExchangedTerm) {
+            lastExchangedTerm = announcement.term();
             connectivity.leaderObserved(announcement.term(), controller, environment.now());
-            viewExchange.exchangeWithAll(); // another controller may not hear the new leader
+            viewExchange.exchangeWithAll(); // another controller may not receive the new leader's announcements
         }
     }
 
@@ -241,7 +250,7 @@
     }
 
     @Override
-    public boolean leaderHearsWorker(String leader, String machine) {
+    public boolean leaderKnowsWorker(String leader, String machine) {
         return connectivity.peerKnowsWorker(leader, machine, environment.now());
     }
 
@@ -251,8 +260,8 @@
     }
 
     @Override
-    public String leaderHint(long leastTerm) {
-        return connectivity.leaderReportedByPeers(leastTerm, environment.now());
+    public String leaderHint(long minTerm) {
+        return connectivity.leaderReportedByPeers(minTerm, environment.now());
     }
 
     @Override
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -17,38 +17,43 @@
 import net.jqwik.api.constraints.Size;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Properties that hold for any sequence of events. */
+/** Properties that must hold for any sequence of events and any state of the links. */
 class ConnectivityPropertiesTest {
     private static final ConnectivityConfig CONFIG_OF_A = new ConnectivityConfig("a", List.of("b"), 1000, 10_000, 1500);
     private static final ConnectivityConfig CONFIG_OF_B = new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500);
     private static final int WORKERS = 12;
 
-    /** What the merged view says of each worker. */
-    private static TreeMap<String, String> known(PeerView view) {
-        TreeMap<String, String> known = new TreeMap<>();
+    /**
+     * Returns for each worker whether the merged view lists it, knows the outcome of a request, and says it is reached.
+     */
+    private static TreeMap<String, String> describeWorkers(PeerView view) {
+        TreeMap<String, String> descriptions = new TreeMap<>();
         for (int i = 0; i < WORKERS; i++) {
             String name = "w" + i;
-            known.put(name, view.lists(name) + " " + view.outboundKnown(name) + " " + view.reaches(name));
+            descriptions.put(name, view.lists(name) + " " + view.outboundKnown(name) + " " + view.reaches(name));
         }
-        return known;
+        return descriptions;
     }
 
-    private static void apply(Connectivity links, int event, long now) {
+    private static void applyEvent(Connectivity connectivity, int event, long now) {
         String worker = "w" + event % WORKERS;
         switch (event / WORKERS % 5) {
-            case 0 -> links.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
-            case 1 -> links.workerRequestAnswered(worker, false, now);
-            case 2 -> links.workerRequestFailed(worker, true, now);
-            case 3 -> links.workerRemoved(worker, now);
-            default -> links.relayedHeartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
+            case 0 -> connectivity.heartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
+            case 1 -> connectivity.workerRequestAnswered(worker, false, now);
+            case 2 -> connectivity.workerRequestFailed(worker, true, now);
+            case 3 -> connectivity.workerRemoved(worker, now);
+            default -> connectivity.relayedHeartbeatReceived(new WorkerHeartbeat(worker, worker, 1, now, true), now);
         }
     }
 
-    /** Views that arrive in any order, some of them twice and some never, converge after one more complete view. */
+    /**
+     * Views that arrive in any order, some of them twice and some never, must converge to the sender's state after one
+     * more complete view.
+     */
     @Property(tries = 300)
-    void viewsConvergeInAnyOrder(
+    void viewsInAnyOrderConvergeAfterOneCompleteView(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 59) Integer> events,
-            @ForAll @LongRange(min = 0, max = 1_000_000) long shuffle) {
+            @ForAll @LongRange(min = 0, max = 1_000_000) long shuffleSeed) {
         Connectivity sender = new Connectivity(CONFIG_OF_A, 5, 0);
         sender.elected(1, 0);
         Connectivity inOrder = new Connectivity(CONFIG_OF_B, 6, 0);
@@ -56,7 +61,7 @@
         List<ReachabilityView> views = new ArrayList<>();
         long now = 1;
         for (int event : events) {
-            apply(sender, event, now);
+            applyEvent(sender, event, now);
             ReachabilityView view = sender.viewFor("b", now);
             views.add(view);
             inOrder.receive(ViewCodec.read(ViewCodec.write(view)), now);
@@ -65,21 +70,21 @@
             }
             now++;
         }
-        Random random = new Random(shuffle);
-        List<ReachabilityView> late = new ArrayList<>(views);
-        late.addAll(views.subList(0, views.size() / 2));
-        Collections.shuffle(late, random);
-        late.subList(0, random.nextInt(late.size())).forEach(view -> shuffled.merge(view, -1));
+        Random random = new Random(shuffleSeed);
+        List<ReachabilityView> delivered = new ArrayList<>(views);
+        delivered.addAll(views.subList(0, views.size() / 2));
+        Collections.shuffle(delivered, random);
+        delivered.subList(0, random.nextInt(delivered.size())).forEach(view -> shuffled.merge(view, -1));
 
-        // the next view contains what the receiver has not acknowledged
-        PeerView fresh = new PeerView();
-        ReachabilityView rest = viewFrom(sender, shuffled, now);
-        shuffled.merge(rest, -1);
-        fresh.merge(viewFrom(sender, new PeerView(), now + 1), -1);
-        assertEquals(known(fresh), known(shuffled));
+        // the next view contains all changes that the receiver has not acknowledged
+        PeerView complete = new PeerView();
+        ReachabilityView remaining = viewFrom(sender, shuffled, now);
+        shuffled.merge(remaining, -1);
+        complete.merge(viewFrom(sender, new PeerView(), now + 1), -1);
+        assertEquals(describeWorkers(complete), describeWorkers(shuffled));
     }
 
-    /** The next view for a receiver with these acknowledgements. */
+    /** Returns the next view for a receiver that acknowledges what it has merged. */
     private static ReachabilityView viewFrom(Connectivity sender, PeerView receiver, long now) {
         ReachabilityView.Header header = new ReachabilityView.Header(
                 "b",
@@ -91,13 +96,13 @@
                 1,
                 receiver.version(),
                 receiver.epoch());
-        ReachabilityView.WorkerChanges nothing =
-                new ReachabilityView.WorkerChanges(1, 0, 0, List.of(), empty(), empty(), empty(), empty(), empty());
+        ReachabilityView.WorkerChanges noChanges = new ReachabilityView.WorkerChanges(
+                1, 0, 0, List.of(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap(), emptyBitmap());
         sender.receive(
                 new ReachabilityView(
                         header,
                         new ReachabilityView.ControllerHealth(true, false, List.of()),
-                        nothing,
+                        noChanges,
                         List.of(),
                         null,
                         0),
@@ -105,92 +110,108 @@
         return sender.viewFor("b", now);
     }
 
-    private static RoaringBitmap empty() {
+    private static RoaringBitmap emptyBitmap() {
         return new RoaringBitmap();
     }
 
-    /** Whatever the links do, releases are rate-limited, and there is a leader after the links recover. */
+    /**
+     * Whatever links fail and recover, each controller releases the leadership at a limited rate, and there is a leader
+     * once all links work again.
+     */
     @Property(tries = 40)
-    void leadershipDoesNotFlap(
+    void releasesAreRateLimitedAndALeaderIsElectedAfterRecovery(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
-            @ForAll @Size(min = 5, max = 40) List<@IntRange(min = 0, max = 63) Integer> cuts,
+            @ForAll @Size(min = 5, max = 40) List<@IntRange(min = 0, max = 63) Integer> brokenLinkMasks,
             @ForAll @IntRange(min = 200, max = 4000) int periodMs) {
         ExampleHost host = new ExampleHost(seed, 9);
-        host.lateCopyShare = 0.2;
-        host.play(10);
-        for (int cut : cuts) {
-            host.passes = (from, to) -> !broken(cut, from, to) && !broken(cut, to, from);
-            host.play(periodMs / 1000.0);
+        host.lateDuplicateShare = 0.2;
+        host.runFor(10);
+        for (int brokenLinkMask : brokenLinkMasks) {
+            host.delivers =
+                    (from, to) -> !linkBroken(brokenLinkMask, from, to) && !linkBroken(brokenLinkMask, to, from);
+            host.runFor(periodMs / 1000.0);
         }
-        double seconds = cuts.size() * periodMs / 1000.0;
-        for (ExampleHost.Member member : host.members.values()) {
-            double bound = 2 + seconds / 20 + 1;
-            assertTrue(member.released <= bound, member.released + " releases in " + seconds + " s");
+        double seconds = brokenLinkMasks.size() * periodMs / 1000.0;
+        for (ExampleHost.Controller controller : host.controllers.values()) {
+            double maxReleases = 2 + seconds / 20 + 1;
+            assertTrue(controller.releases <= maxReleases, controller.releases + " releases in " + seconds + " s");
         }
-        host.passes = (from, to) -> true;
-        host.play(15);
-        assertTrue(host.leader() != null, "no leader with all links working");
+        host.delivers = (from, to) -> true;
+        host.runFor(15);
+        assertTrue(host.leader() != null, "no leader although all links work");
     }
 
-    /** Each bit of {@code cut} cuts one kind of link of one controller. */
-    private static boolean broken(int cut, String from, String to) {
+    /**
+     * Returns whether a link is broken; each bit of {@code brokenLinkMask} breaks the links between one controller and
+     * one target.
+     */
+    private static boolean linkBroken(int brokenLinkMask, String from, String to) {
         boolean fromA = from.equals("a");
         boolean fromB = from.equals("b");
-        return fromA && (cut & 1) != 0 && to.startsWith("worker")
-                || fromA && (cut & 2) != 0 && to.equals("b")
-                || fromB && (cut & 4) != 0 && to.startsWith("worker")
-                || fromB && (cut & 8) != 0 && to.equals("c")
-                || fromA && (cut & 16) != 0 && to.equals("store")
-                || fromB && (cut & 32) != 0 && to.equals("store");
+        return fromA && (brokenLinkMask & 1) != 0 && to.startsWith("worker")
+                || fromA && (brokenLinkMask & 2) != 0 && to.equals("b")
+                || fromB && (brokenLinkMask & 4) != 0 && to.startsWith("worker")
+                || fromB && (brokenLinkMask & 8) != 0 && to.equals("c")
+                || fromA && (brokenLinkMask & 16) != 0 && to.equals("store")
+                || fromB && (brokenLinkMask & 32) != 0 && to.equals("store");
     }
 
-    /** No decision is permitted during a handover, or when the state service's last answer is too old. */
+    /**
+     * A decision must be withheld, with a reason and a retry time, unless this controller leads, is not handing over,
+     * and has a recent answer from the key-value store. If all of this holds, only scaling out and
+     * preempting may be withheld, while many workers are suspect and for at most four heartbeat intervals.
+     */
     @Property
     void decisionsAreWithheldOnStaleEvidence(
             @ForAll Decision decision,
             @ForAll boolean leading,
             @ForAll boolean handingOver,
-            @ForAll @LongRange(min = -1, max = 10_000) long storeAgeMs,
-            @ForAll boolean many,
-            @ForAll @LongRange(min = 0, max = 20_000) long manyMs) {
+            @ForAll @LongRange(min = -1, max = 10_000) long storeAnswerAgeMs,
+            @ForAll boolean manySuspects,
+            @ForAll @LongRange(min = 0, max = 20_000) long manySuspectsMs) {
         Verdict verdict = new DecisionGate(CONFIG_OF_A)
-                .check(decision, new LinkEvidence(leading, handingOver, storeAgeMs, many, manyMs));
-        boolean mayPermit =
-                leading && !handingOver && storeAgeMs >= 0 && storeAgeMs <= CONFIG_OF_A.storeAnswerMaxAgeMs();
+                .check(
+                        decision,
+                        new LinkEvidence(leading, handingOver, storeAnswerAgeMs, manySuspects, manySuspectsMs));
+        boolean mayPermit = leading
+                && !handingOver
+                && storeAnswerAgeMs >= 0
+                && storeAnswerAgeMs <= CONFIG_OF_A.storeAnswerMaxAgeMs();
         assertFalse(verdict.allowed() && !mayPermit);
         assertTrue(verdict.allowed() || !verdict.reason().isEmpty());
-        assertTrue(verdict.allowed() || verdict.retryAfterMs() > 0, "retryAfterMs is set");
-        boolean waitsForSuspects = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
+        assertTrue(
+                verdict.allowed() || verdict.retryAfterMs() > 0, "a withheld decision needs a positive retryAfterMs");
+        boolean needsFewSuspects = decision == Decision.SCALE_OUT || decision == Decision.PREEMPT;
         assertTrue(verdict.allowed()
                 || !mayPermit
-                || waitsForSuspects && many && manyMs < 4 * CONFIG_OF_A.heartbeatIntervalMs());
+                || needsFewSuspects && manySuspects && manySuspectsMs < 4 * CONFIG_OF_A.heartbeatIntervalMs());
     }
 
-    /** A longer silence is never less suspect, whatever intervals were measured. */
+    /** Whatever intervals were measured, a longer silence must not have a lower suspicion level. */
     @Property
-    void suspicionLevelGrowsWithSilence(
+    void suspicionLevelNeverFallsAsSilenceGrows(
             @ForAll @Size(max = 200) List<@DoubleRange(min = 0, max = 5000) Double> intervals,
-            @ForAll @DoubleRange(min = 0, max = 50_000) double silence,
-            @ForAll @DoubleRange(min = 0, max = 50_000) double more) {
+            @ForAll @DoubleRange(min = 0, max = 50_000) double silenceMs,
+            @ForAll @DoubleRange(min = 0, max = 50_000) double additionalSilenceMs) {
         PhiAccrualEstimator estimator = new PhiAccrualEstimator(1000);
         intervals.forEach(estimator::addInterval);
-        double shorter = estimator.suspicionLevel(silence);
-        assertTrue(shorter >= 0 && estimator.suspicionLevel(silence + more) >= shorter);
+        double shorter = estimator.suspicionLevel(silenceMs);
+        assertTrue(shorter >= 0 && estimator.suspicionLevel(silenceMs + additionalSilenceMs) >= shorter);
         double timeoutMs = estimator.timeoutMs(5);
         assertTrue(estimator.suspicionLevel(timeoutMs) >= 5 && timeoutMs > estimator.meanMs());
     }
 
-    /** No two candidates are equal, and none is clearly better than one that is clearly better than it. */
+    /** Two candidates must never compare as equal, and must never each be clearly better than the other. */
     @Property
     void candidatesAreTotallyOrdered(
-            @ForAll boolean storeA,
-            @ForAll boolean storeB,
+            @ForAll boolean storeReachableA,
+            @ForAll boolean storeReachableB,
             @ForAll @DoubleRange(min = 0, max = 1) double shareA,
             @ForAll @DoubleRange(min = 0, max = 1) double shareB,
             @ForAll boolean laggingA,
             @ForAll boolean laggingB) {
-        LeaderCandidate first = new LeaderCandidate("a", storeA, shareA, laggingA, 1);
-        LeaderCandidate second = new LeaderCandidate("b", storeB, shareB, laggingB, 1);
+        LeaderCandidate first = new LeaderCandidate("a", storeReachableA, shareA, laggingA, 1);
+        LeaderCandidate second = new LeaderCandidate("b", storeReachableB, shareB, laggingB, 1);
         assertEquals(Integer.signum(first.compareTo(second)), -Integer.signum(second.compareTo(first)));
         assertTrue(first.compareTo(second) != 0);
         assertFalse(first.clearlyBetterThan(second) && second.clearlyBetterThan(first));
