--- a/src/main/java/stileferry/standin/ChangeLog.java
+++ b/src/main/java/stileferry/standin/ChangeLog.java
@@ -25,17 +25,17 @@
 
     private record Change(String key, boolean deleted, long revision) {}
 
-    private record Watch(String prefix, long afterRevision, long until, Environment.ResponseHandler reply) {}
+    private record Watch(String prefix, long afterRevision, long expiresAt, Environment.ResponseHandler reply) {}
 
     ChangeLog(LongSupplier storeRevision) {
         this.storeRevision = storeRevision;
     }
 
-    void put(String key, long revision) {
+    void recordPut(String key, long revision) {
         changes.add(new Change(key, false, revision));
     }
 
-    void deleted(String key, long revision) {
+    void recordDeletion(String key, long revision) {
         changes.add(new Change(key, true, revision));
     }
 
@@ -66,7 +66,7 @@
     /** Replies to the watches that have waited until now. */
     void expireWatches(long now) {
         for (Watch watch : List.copyOf(watches)) {
-            if (watch.until <= now) {
+            if (watch.expiresAt <= now) {
                 watches.remove(watch);
                 watch.reply.onResponse(200, changesSince(watch.prefix, watch.afterRevision));
             }
--- a/src/main/java/stileferry/standin/Cloud.java
+++ b/src/main/java/stileferry/standin/Cloud.java
@@ -30,8 +30,8 @@
     private final Map<String, Instance> removedInstances = new HashMap<>();
 
     private final Map<String, List<String>> namesByRequestId = new HashMap<>();
-    private int createdInstances;
-    private int deletionRequests;
+    private int createdInstanceCount;
+    private int deletionRequestCount;
     private long now;
 
     /** Starts the worker of a machine that has booted. */
@@ -108,8 +108,8 @@
     }
 
     /** How many deletions were requested. */
-    public int deletionRequests() {
-        return deletionRequests;
+    public int deletionRequestCount() {
+        return deletionRequestCount;
     }
 
     /** Names of the machines that have booted. */
@@ -127,11 +127,11 @@
         } else if (path.equals("/hosts")) {
             create(body, reply);
         } else if (path.equals("/hosts/delete")) {
-            deletionRequests++;
+            deletionRequestCount++;
             body.path(WireNames.MACHINES).forEach(name -> reclaim(name.asText()));
             reply.onResponse(200, MessageCodec.map());
         } else if (path.startsWith("/hosts?")) {
-            reply.onResponse(200, list(QueryString.of(path).text("from")));
+            reply.onResponse(200, listMachines(QueryString.of(path).text("from")));
         } else {
             reply.onResponse(400, null);
         }
@@ -180,7 +180,7 @@
                 .filter(instance -> instance.zone.equals(zone) && instance.spot == spot)
                 .count();
         for (int i = 0; i < count && existing + i < machinesPerPool; i++) {
-            String name = String.format("host-%06d", createdInstances++);
+            String name = String.format("host-%06d", createdInstanceCount++);
             instances.put(name, new Instance(zone, spot, now, now + Math.round(bootS * 1000)));
             names.add(name);
         }
@@ -188,7 +188,7 @@
     }
 
     /** All machines after this one, as they were before the list's lag. */
-    private ObjectNode list(String from) {
+    private ObjectNode listMachines(String from) {
         ObjectNode answer = MessageCodec.map().put("more", false);
         ArrayNode list = answer.putArray(WireNames.MACHINES);
         removedInstances.values().removeIf(instance -> now - instance.removedAt > listLagMs);
--- a/src/main/java/stileferry/standin/GangSimulation.java
+++ b/src/main/java/stileferry/standin/GangSimulation.java
@@ -29,7 +29,7 @@
         private long memberLostAt = NEVER;
 
         /** When the first task began to save. */
-        private long saveBegunAt = NEVER;
+        private long saveStartedAt = NEVER;
 
         private int savingTasks;
 
@@ -46,7 +46,7 @@
         }
 
         boolean saving() {
-            return saveBegunAt != NEVER;
+            return saveStartedAt != NEVER;
         }
 
         boolean complete() {
@@ -59,8 +59,8 @@
         }
 
         /** When progress ended: when the save began, if one has begun. */
-        long progressEndedAt(long now) {
-            return saving() ? saveBegunAt : now;
+        long progressEnd(long now) {
+            return saving() ? saveStartedAt : now;
         }
     }
 
@@ -92,7 +92,7 @@
             gang.startedAt = now;
             for (WorkerTask member : gang.members.values()) {
                 member.enter(TaskPhase.RUNNING);
-                member.worker().markChanged();
+                member.worker().markHeartbeatDue();
             }
         }
     }
@@ -104,12 +104,12 @@
             return now >= task.phaseEndsAt() ? ExitReason.GANG_INCOMPLETE : null;
         }
         if (gang.saving()) {
-            return tickSaving(gang, task, now);
+            return tickCheckpointSave(gang, task, now);
         }
         if (gang.memberLost()) {
             return lossDetected(gang, now) ? ExitReason.GANG_MEMBER_LOST : null;
         }
-        if (now >= gang.startedAt + remainingMs(gang.spec)) {
+        if (now >= gang.startedAt + remainingRunTimeMs(gang.spec)) {
             for (WorkerTask member : new ArrayList<>(gang.members.values())) {
                 member.worker().exit(member, ExitReason.COMPLETED);
             }
@@ -117,20 +117,20 @@
         return null;
     }
 
-    private ExitReason tickSaving(Gang gang, WorkerTask task, long now) {
+    private ExitReason tickCheckpointSave(Gang gang, WorkerTask task, long now) {
         if (!gang.allSaving()) {
-            return now >= gang.saveBegunAt + lossDetectionMs ? ExitReason.GANG_MEMBER_LOST : null;
+            return now >= gang.saveStartedAt + lossDetectionMs ? ExitReason.GANG_MEMBER_LOST : null;
         }
         if (task.phase() == TaskPhase.SAVING_CHECKPOINT && now >= task.phaseEndsAt()) {
-            savedProgressMs.merge(gang.spec.id(), gang.saveBegunAt - gang.startedAt, Long::sum);
-            gang.startedAt = gang.saveBegunAt; // so that the other tasks add nothing
+            savedProgressMs.merge(gang.spec.id(), gang.saveStartedAt - gang.startedAt, Long::sum);
+            gang.startedAt = gang.saveStartedAt; // so that the other tasks add nothing
             task.markCheckpointSaved();
             return ExitReason.STOPPED;
         }
         return null;
     }
 
-    private long remainingMs(JobSpec spec) {
+    private long remainingRunTimeMs(JobSpec spec) {
         return Math.round(1000 * spec.estimateS()) - savedProgressMs.getOrDefault(spec.id(), 0L);
     }
 
@@ -139,12 +139,12 @@
     }
 
     /** A running task is to save its checkpoint; whether it does so. */
-    boolean beginSave(WorkerTask task, long now) {
+    boolean tryBeginSave(WorkerTask task, long now) {
         Gang gang = gangOf(task);
         if (!gang.started() || lossDetected(gang, now)) {
             return false;
         }
-        gang.saveBegunAt = gang.progressEndedAt(now);
+        gang.saveStartedAt = gang.progressEnd(now);
         gang.savingTasks++;
         return true;
     }
@@ -166,7 +166,7 @@
     /** Of a gang that lost a task only the progress up to its last regular checkpoint is kept. */
     private void rollBackToPeriodicCheckpoint(Gang gang, long now) {
         long intervalMs = Math.round(1000 * gang.spec.checkpointIntervalS());
-        long progressMs = savedProgressMs.getOrDefault(gang.spec.id(), 0L) + gang.progressEndedAt(now) - gang.startedAt;
+        long progressMs = savedProgressMs.getOrDefault(gang.spec.id(), 0L) + gang.progressEnd(now) - gang.startedAt;
         savedProgressMs.put(gang.spec.id(), intervalMs > 0 ? progressMs / intervalMs * intervalMs : 0);
     }
 
--- a/src/main/java/stileferry/standin/KeyValueStore.java
+++ b/src/main/java/stileferry/standin/KeyValueStore.java
@@ -51,7 +51,7 @@
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
     private long revision;
-    private long writtenKeys;
+    private long writtenKeyCount;
     private long lastLeaseId;
     private long now;
     private final ChangeLog changeLog = new ChangeLog(() -> revision);
@@ -89,8 +89,8 @@
     }
 
     /** How many keys were put or deleted by transactions so far. */
-    public long writtenKeys() {
-        return writtenKeys;
+    public long writtenKeyCount() {
+        return writtenKeyCount;
     }
 
     /** Lets time pass: leases and watches expire. */
@@ -202,7 +202,7 @@
         for (String key : List.copyOf(entries.keySet())) {
             if (entries.get(key).lease == lease) {
                 entries.remove(key);
-                changeLog.deleted(key, ++revision);
+                changeLog.recordDeletion(key, ++revision);
             }
         }
         changeLog.notifyWatches();
@@ -220,7 +220,7 @@
                     409, MessageCodec.map().put(STORE_REVISION, revision).set("failed", failed));
             return;
         }
-        String error = firstError(operations);
+        String error = firstValidationError(operations);
         if (error != null) {
             reject(error, reply);
             return;
@@ -253,7 +253,7 @@
     }
 
     /** What is wrong with the first invalid operation; null: all are valid. */
-    private String firstError(JsonNode operations) {
+    private String firstValidationError(JsonNode operations) {
         for (JsonNode operation : operations) {
             if (operation.has(PUT) && operation.path(VALUE).toString().length() > maxValueBytes) {
                 return "value too large";
@@ -267,7 +267,7 @@
     }
 
     private void apply(JsonNode operations) {
-        writtenKeys += operations.size();
+        writtenKeyCount += operations.size();
         if (!operations.isEmpty()) {
             revision++;
         }
@@ -277,7 +277,7 @@
             } else {
                 String key = operation.path(DELETE).asText();
                 if (entries.remove(key) != null) {
-                    changeLog.deleted(key, revision);
+                    changeLog.recordDeletion(key, revision);
                 }
             }
         }
@@ -288,6 +288,6 @@
         JsonNode value = operation.path(VALUE);
         entries.put(
                 key, new Entry(value.deepCopy(), revision, operation.path(LEASE).asLong()));
-        changeLog.put(key, revision);
+        changeLog.recordPut(key, revision);
     }
 }
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -39,7 +39,7 @@
     private boolean ignoresLease;
     private long hangsUntil;
     private double reclaimNoticeS = -1;
-    private boolean changed;
+    private boolean heartbeatDue;
 
     /** Learns what really happens on the machine. */
     public interface TaskListener {
@@ -135,13 +135,13 @@
     /** The cloud will reclaim the machine. */
     public void setReclaimNoticeS(double seconds) {
         reclaimNoticeS = seconds;
-        changed = true;
+        heartbeatDue = true;
     }
 
     /** True once after something changed that is worth a heartbeat. */
-    public boolean pollChanged() {
-        boolean wasChanged = changed;
-        changed = false;
+    public boolean pollHeartbeatDue() {
+        boolean wasChanged = heartbeatDue;
+        heartbeatDue = false;
         return wasChanged;
     }
 
@@ -164,7 +164,7 @@
             removeAllTasks();
             incarnation++;
             leaseRenewedAt = now;
-            changed = true;
+            heartbeatDue = true;
         }
         for (WorkerTask task : List.copyOf(tasksByAttempt.values())) {
             if (!task.exited() && now >= hangsUntil) {
@@ -180,11 +180,11 @@
                 exit(task, reason);
             }
         } else if (now >= task.phaseEndsAt()) {
-            endPhase(task);
+            completePhase(task);
         }
     }
 
-    private void endPhase(WorkerTask task) {
+    private void completePhase(WorkerTask task) {
         switch (task.phase()) {
             case PULLING_IMAGE -> start(task);
             case SAVING_CHECKPOINT -> exit(task, ExitReason.STOPPED);
@@ -201,15 +201,15 @@
             task.enter(TaskPhase.RUNNING, endsAt);
         }
         taskListener.taskStarted(task.taskId(), this);
-        changed = true;
+        heartbeatDue = true;
         if (faulty) {
             exit(task, ExitReason.FAILED);
         }
     }
 
     /** Something changed that is worth a heartbeat. */
-    void markChanged() {
-        changed = true;
+    void markHeartbeatDue() {
+        heartbeatDue = true;
     }
 
     /** Ends a task; it stays in the heartbeats until it is cleared. */
@@ -221,7 +221,7 @@
         task.exit(reason);
         freeCpus += task.spec().cpus();
         freeMemoryGb += task.spec().memoryGb();
-        changed = true;
+        heartbeatDue = true;
         if (started) {
             if (task.spec().gang()) {
                 gangs.memberExited(task, now);
@@ -249,7 +249,7 @@
     }
 
     private void acceptFencingToken(long token) {
-        changed |= token > fencingToken;
+        heartbeatDue |= token > fencingToken;
         fencingToken = token;
     }
 
@@ -292,7 +292,7 @@
         boolean saves = task.phase() == TaskPhase.RUNNING
                 && spec.checkpointIntervalS() > 0
                 && graceS >= spec.checkpointSaveS()
-                && (!spec.gang() || gangs.beginSave(task, now));
+                && (!spec.gang() || gangs.tryBeginSave(task, now));
         if (saves) {
             task.enter(TaskPhase.SAVING_CHECKPOINT, now + Math.round(spec.checkpointSaveS() * 1000));
         } else if (task.phase() != TaskPhase.SAVING_CHECKPOINT || graceS == 0) {
@@ -303,9 +303,9 @@
     private void run(WorkerCommand command) {
         String jobId = command.taskId().substring(0, command.taskId().indexOf('/'));
         JobSpec spec = jobSpecs.apply(jobId);
-        changed = true;
+        heartbeatDue = true;
         WorkerTask task = new WorkerTask(this, command.taskId(), command.attempt(), spec);
-        ExitReason refusal = refusal(task);
+        ExitReason refusal = startRejection(task);
         tasksByAttempt.put(command.attemptId(), task);
         if (refusal != null) {
             task.exit(refusal);
@@ -317,7 +317,7 @@
     }
 
     /** Why a task can't start here; null: it can. */
-    private ExitReason refusal(WorkerTask task) {
+    private ExitReason startRejection(WorkerTask task) {
         JobSpec spec = task.spec();
         if (spec == null) {
             return ExitReason.UNKNOWN_JOB;
--- a/src/main/java/stileferry/transport/ApiClient.java
+++ b/src/main/java/stileferry/transport/ApiClient.java
@@ -32,7 +32,7 @@
     public Response sendOnce(String method, String path, byte[] body) throws InterruptedException {
         String address = addresses.get(Math.floorMod(nextAddress++, addresses.size()));
         CompletableFuture<Response> response = new CompletableFuture<>();
-        loop.thread().execute(() -> loop.http()
+        loop.ioThread().execute(() -> loop.httpClient()
                 .request(
                         address,
                         method,
--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -24,10 +24,10 @@
 final class ApiServer implements HttpHandler {
     private static final byte[] NO_BODY = new byte[0];
 
-    private static final byte[] OVERLOADED = MessageCodec.encode(UserMessages.error("too much to do, try again"));
+    private static final byte[] OVERLOADED_BODY = MessageCodec.encode(UserMessages.error("too much to do, try again"));
 
     /** A request that is let past the limit says nothing to it. */
-    private static final Limiter.Listener UNLIMITED = new Limiter.Listener() {
+    private static final Limiter.Listener NO_OP_LISTENER = new Limiter.Listener() {
         @Override
         public void onSuccess() {}
 
@@ -66,17 +66,17 @@
             closeAfterResponse(exchange);
         }
         if (isHeartbeat) {
-            post(exchange, body -> heartbeat(exchange, body));
+            acceptPost(exchange, body -> handleHeartbeat(exchange, body));
         } else if (path.equals(ApiPaths.READY)) {
-            get(exchange, () -> ready(exchange));
+            acceptGet(exchange, () -> handleReadiness(exchange));
         } else if (path.startsWith(ApiPaths.ADMINISTRATION)) {
-            administration(exchange, path.substring(ApiPaths.ADMINISTRATION.length()));
+            handleAdministration(exchange, path.substring(ApiPaths.ADMINISTRATION.length()));
         } else if (path.equals(ApiPaths.JOBS)) {
-            post(exchange, body -> user(exchange, RequestKind.SUBMIT, "", body));
+            acceptPost(exchange, body -> handleUserRequest(exchange, RequestKind.SUBMIT, "", body));
         } else if (ApiPaths.afterJobs(path) != null) {
-            job(exchange, ApiPaths.afterJobs(path));
+            handleJob(exchange, ApiPaths.afterJobs(path));
         } else {
-            refuse(exchange, 404, "no such path");
+            reject(exchange, 404, "no such path");
         }
     }
 
@@ -88,59 +88,59 @@
         });
     }
 
-    private void ready(HttpServerExchange exchange) {
+    private void handleReadiness(HttpServerExchange exchange) {
         enqueue(exchange, () -> send(exchange, coordinator.ready() ? 200 : 503, 0, NO_BODY));
     }
 
-    private void heartbeat(HttpServerExchange exchange, byte[] body) {
+    private void handleHeartbeat(HttpServerExchange exchange, byte[] body) {
         enqueue(
                 exchange,
                 () -> coordinator.handleHeartbeat(body, (status, answer) -> send(exchange, status, 0, answer)));
     }
 
-    private void administration(HttpServerExchange exchange, String path) {
+    private void handleAdministration(HttpServerExchange exchange, String path) {
         String query = exchange.getQueryString();
         String pathAndQuery = query.isEmpty() ? path : path + "?" + query;
         String method = exchange.getRequestMethod().toString();
         if (method.equals("GET")) {
-            administration(exchange, method, pathAndQuery, NO_BODY);
+            handleAdministration(exchange, method, pathAndQuery, NO_BODY);
         } else {
-            post(exchange, body -> administration(exchange, method, pathAndQuery, body));
+            acceptPost(exchange, body -> handleAdministration(exchange, method, pathAndQuery, body));
         }
     }
 
-    private void administration(HttpServerExchange exchange, String method, String pathAndQuery, byte[] body) {
+    private void handleAdministration(HttpServerExchange exchange, String method, String pathAndQuery, byte[] body) {
         enqueue(
                 exchange,
                 () -> coordinator.handleAdministrationRequest(
                         method, pathAndQuery, body, response -> send(exchange, response)));
     }
 
-    private void job(HttpServerExchange exchange, String idAndAction) {
+    private void handleJob(HttpServerExchange exchange, String idAndAction) {
         if (idAndAction.endsWith(ApiPaths.CANCEL)) {
             String id = idAndAction.substring(0, idAndAction.length() - ApiPaths.CANCEL.length());
-            post(exchange, body -> job(exchange, RequestKind.CANCEL, id));
+            acceptPost(exchange, body -> handleJob(exchange, RequestKind.CANCEL, id));
         } else {
-            get(exchange, () -> job(exchange, RequestKind.STATUS, idAndAction));
+            acceptGet(exchange, () -> handleJob(exchange, RequestKind.STATUS, idAndAction));
         }
     }
 
-    private void job(HttpServerExchange exchange, RequestKind kind, String id) {
+    private void handleJob(HttpServerExchange exchange, RequestKind kind, String id) {
         if (JobSpec.validId(id)) {
-            user(exchange, kind, id, NO_BODY);
+            handleUserRequest(exchange, kind, id, NO_BODY);
         } else {
-            refuse(exchange, 404, "no such job");
+            reject(exchange, 404, "no such job");
         }
     }
 
-    private void user(HttpServerExchange exchange, RequestKind kind, String id, byte[] body) {
+    private void handleUserRequest(HttpServerExchange exchange, RequestKind kind, String id, byte[] body) {
         Optional<Limiter.Listener> free = limiter.acquire(null);
         int retryAfterS = free.isPresent() ? 0 : coordinator.retryAfterS(kind, body);
         if (retryAfterS > 0) {
-            send(exchange, 503, retryAfterS, OVERLOADED);
+            send(exchange, 503, retryAfterS, OVERLOADED_BODY);
             return;
         }
-        Limiter.Listener slot = free.orElse(UNLIMITED);
+        Limiter.Listener slot = free.orElse(NO_OP_LISTENER);
         enqueue(
                 exchange,
                 () -> coordinator.handleUserRequest(kind, id, body, response -> {
@@ -167,28 +167,28 @@
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             if (!commands.offer(command)) {
                 refused.run();
-                send(exchange, 503, 1, OVERLOADED);
+                send(exchange, 503, 1, OVERLOADED_BODY);
             }
         });
     }
 
-    private static void get(HttpServerExchange exchange, Runnable handler) {
+    private static void acceptGet(HttpServerExchange exchange, Runnable handler) {
         if (exchange.getRequestMethod().equals(Methods.GET)) {
             handler.run();
         } else {
-            refuse(exchange, 405, "only GET here");
+            reject(exchange, 405, "only GET here");
         }
     }
 
-    private static void post(HttpServerExchange exchange, Consumer<byte[]> handler) {
+    private static void acceptPost(HttpServerExchange exchange, Consumer<byte[]> handler) {
         if (exchange.getRequestMethod().equals(Methods.POST)) {
             RequestBodyReader.read(exchange, MessageCodec.MAX_BODY, handler);
         } else {
-            refuse(exchange, 405, "only POST here");
+            reject(exchange, 405, "only POST here");
         }
     }
 
-    static void refuse(HttpServerExchange exchange, int status, String reason) {
+    static void reject(HttpServerExchange exchange, int status, String reason) {
         send(exchange, status, 0, MessageCodec.encode(UserMessages.error(reason)));
     }
 
--- a/src/main/java/stileferry/transport/CommandQueue.java
+++ b/src/main/java/stileferry/transport/CommandQueue.java
@@ -12,7 +12,7 @@
     private static final int CAPACITY = 16 * 1024;
     private static final int MAX_BATCH = 256;
 
-    private final XnioIoThread thread;
+    private final XnioIoThread ioThread;
     private final ManyToOneConcurrentArrayQueue<Runnable> queue = new ManyToOneConcurrentArrayQueue<>(CAPACITY);
     private final AtomicBoolean scheduled = new AtomicBoolean();
     private Runnable afterBatch = () -> {};
@@ -22,7 +22,7 @@
     private boolean draining;
 
     CommandQueue(XnioIoThread thread) {
-        this.thread = thread;
+        this.ioThread = thread;
     }
 
     /** Sets what runs after each batch; called before the first command. */
@@ -43,7 +43,7 @@
         if (closed || !queue.offer(command)) {
             return false;
         }
-        if (Thread.currentThread() != thread) {
+        if (Thread.currentThread() != ioThread) {
             schedule();
         } else if (!draining) {
             drain();
@@ -59,13 +59,13 @@
         if (queue.offer(command)) {
             schedule();
         } else {
-            thread.execute(() -> submit(command));
+            ioThread.execute(() -> submit(command));
         }
     }
 
     private void schedule() {
         if (scheduled.compareAndSet(false, true)) {
-            thread.execute(this::drain);
+            ioThread.execute(this::drain);
         }
     }
 
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -18,7 +18,7 @@
 /** One controller's sockets: both servers and the client share one worker with one IO thread. */
 public final class ControllerServer implements AutoCloseable {
     /** Heartbeat intervals without a word after which a connection is closed: its machine may be gone. */
-    private static final double IDLE_HEARTBEATS = 4;
+    private static final double IDLE_HEARTBEAT_INTERVALS = 4;
 
     /** At least this long: users ask again within some seconds. */
     private static final int MIN_IDLE_MS = 20_000;
@@ -39,7 +39,7 @@
     public static ControllerServer open(Settings settings, Features features, InetAddress source) throws IOException {
         EventLoop loop = new EventLoop(settings.socketBudget().idle(), source);
         FutureTask<ControllerServer> opening = new FutureTask<>(() -> new ControllerServer(settings, features, loop));
-        loop.thread().execute(opening);
+        loop.ioThread().execute(opening);
         try {
             return opening.get();
         } catch (ExecutionException e) {
@@ -54,14 +54,15 @@
     private ControllerServer(Settings settings, Features features, EventLoop loop) {
         this.loop = loop;
         idleMs = (int) Math.max(
-                MIN_IDLE_MS, IDLE_HEARTBEATS * 1000 * settings.workers().heartbeatIntervalS());
+                MIN_IDLE_MS,
+                IDLE_HEARTBEAT_INTERVALS * 1000 * settings.workers().heartbeatIntervalS());
         SocketBudget sockets = settings.socketBudget();
-        commands = new CommandQueue(loop.thread());
+        commands = new CommandQueue(loop.ioThread());
         environment = new NetworkEnvironment(commands, loop, sockets.forwards());
         Coordinator coordinator = new Coordinator(settings, features, environment);
         commands.afterBatch(coordinator::endOfBatch);
-        peerServer = server(settings.peerListen(), sockets.peers(), new PeerServer(commands, coordinator));
-        apiServer = server(
+        peerServer = buildServer(settings.peerListen(), sockets.peers(), new PeerServer(commands, coordinator));
+        apiServer = buildServer(
                 settings.clientListen(),
                 sockets.incoming(),
                 new ApiServer(commands, coordinator, ConcurrencyLimit.create(), sockets, this::openConnections));
@@ -77,7 +78,7 @@
     }
 
     @SuppressWarnings("deprecation") // the listener reads no other option for its statistics
-    private Undertow server(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
+    private Undertow buildServer(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
         return Undertow.builder()
                 .setWorker(loop.worker())
                 .setByteBufferPool(loop.buffers())
--- a/src/main/java/stileferry/transport/EventLoop.java
+++ b/src/main/java/stileferry/transport/EventLoop.java
@@ -14,13 +14,13 @@
 final class EventLoop implements AutoCloseable {
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int MAX_POOLED_BUFFERS = 256;
-    private static final int THREAD_LOCAL_BUFFERS = 4;
+    private static final int BUFFERS_PER_THREAD = 4;
 
     private final XnioWorker worker;
-    private final XnioIoThread thread;
+    private final XnioIoThread ioThread;
     private final ByteBufferPool buffers =
-            new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, THREAD_LOCAL_BUFFERS);
-    private final HttpClient http;
+            new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
+    private final HttpClient httpClient;
 
     EventLoop(int idleConnections) throws IOException {
         this(idleConnections, null);
@@ -35,24 +35,24 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        thread = worker.getIoThread();
-        http = new HttpClient(thread, buffers, idleConnections, source);
+        ioThread = worker.getIoThread();
+        httpClient = new HttpClient(ioThread, buffers, idleConnections, source);
     }
 
     XnioWorker worker() {
         return worker;
     }
 
-    XnioIoThread thread() {
-        return thread;
+    XnioIoThread ioThread() {
+        return ioThread;
     }
 
     ByteBufferPool buffers() {
         return buffers;
     }
 
-    HttpClient http() {
-        return http;
+    HttpClient httpClient() {
+        return httpClient;
     }
 
     @Override
--- a/src/main/java/stileferry/transport/HttpCall.java
+++ b/src/main/java/stileferry/transport/HttpCall.java
@@ -22,13 +22,13 @@
     /** No response that this service asks for is larger, but for a watch's, which has no limit of its own. */
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-    private static final int INITIAL_BYTES = 256;
+    private static final int INITIAL_BUFFER_BYTES = 256;
     private static final byte[] NO_BODY = new byte[0];
 
     private final HttpClient client;
     private final Request request;
     private final HttpClient.ResponseHandler responseHandler;
-    private final ByteArrayOutputStream received = new ByteArrayOutputStream(INITIAL_BYTES);
+    private final ByteArrayOutputStream received = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     private XnioExecutor.Key timeout;
     private ClientConnection connection;
     private State state = State.CONNECTING;
@@ -41,7 +41,7 @@
         /** Given to a connection, so the other side may have it. */
         SENT,
         /** The handler was told the response, or that there is none. */
-        OVER
+        COMPLETED
     }
 
     HttpCall(HttpClient client, Request request, HttpClient.ResponseHandler responseHandler) {
@@ -51,12 +51,12 @@
     }
 
     void start(long timeoutMs) {
-        timeout = client.thread().executeAfter(this::fail, timeoutMs, TimeUnit.MILLISECONDS);
+        timeout = client.ioThread().executeAfter(this::fail, timeoutMs, TimeUnit.MILLISECONDS);
         ClientConnection idle = client.idleConnections().take(request.address());
         if (idle != null) {
             send(idle);
         } else {
-            client.connect(request.address(), new ConnectCallback());
+            client.openConnection(request.address(), new ConnectCallback());
         }
     }
 
@@ -64,7 +64,7 @@
     private final class ConnectCallback implements ClientCallback<ClientConnection> {
         @Override
         public void completed(ClientConnection connected) {
-            if (state == State.OVER) {
+            if (state == State.COMPLETED) {
                 IoUtils.safeClose(connected);
             } else {
                 send(connected);
@@ -155,7 +155,7 @@
     private void read(StreamSourceChannel in, int status) {
         try (PooledByteBuffer pooled = client.buffers().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            while (state != State.OVER) {
+            while (state != State.COMPLETED) {
                 buffer.clear();
                 int count = in.read(buffer);
                 if (count == 0) {
@@ -167,14 +167,14 @@
                     return;
                 }
                 buffer.flip();
-                keep(buffer, count);
+                append(buffer, count);
             }
         } catch (IOException e) {
             fail();
         }
     }
 
-    private void keep(ByteBuffer buffer, int count) {
+    private void append(ByteBuffer buffer, int count) {
         byte[] chunk = new byte[count];
         buffer.get(chunk);
         received.writeBytes(chunk);
@@ -184,21 +184,21 @@
     }
 
     private void finish(int status) {
-        if (state == State.OVER) {
+        if (state == State.COMPLETED) {
             return;
         }
-        state = State.OVER;
+        state = State.COMPLETED;
         timeout.remove();
-        client.idleConnections().keep(request.address(), connection);
+        client.idleConnections().release(request.address(), connection);
         responseHandler.onResponse(status, received.toByteArray());
     }
 
     private void fail() {
-        if (state == State.OVER) {
+        if (state == State.COMPLETED) {
             return;
         }
         int status = state == State.SENT ? Environment.NO_ANSWER : Environment.NOT_SENT;
-        state = State.OVER;
+        state = State.COMPLETED;
         timeout.remove();
         IoUtils.safeClose(connection);
         responseHandler.onResponse(status, NO_BODY);
--- a/src/main/java/stileferry/transport/HttpClient.java
+++ b/src/main/java/stileferry/transport/HttpClient.java
@@ -13,13 +13,13 @@
 
 /** HTTP requests over kept connections, each with a time limit. All of it runs on the one IO thread. */
 final class HttpClient {
-    private final XnioIoThread thread;
+    private final XnioIoThread ioThread;
     private final ByteBufferPool buffers;
     private final UndertowClient client = UndertowClient.getInstance();
     private final IdleConnections idleConnections;
 
     /** Where connections come from; null: the system chooses. */
-    private final InetSocketAddress source;
+    private final InetSocketAddress sourceAddress;
 
     /** Takes the response to a request. */
     interface ResponseHandler {
@@ -28,10 +28,10 @@
     }
 
     HttpClient(XnioIoThread thread, ByteBufferPool buffers, int maxIdleConnections, InetAddress source) {
-        this.thread = thread;
+        this.ioThread = thread;
         this.buffers = buffers;
         this.idleConnections = new IdleConnections(maxIdleConnections);
-        this.source = source == null ? null : new InetSocketAddress(source, 0);
+        this.sourceAddress = source == null ? null : new InetSocketAddress(source, 0);
     }
 
     void request(
@@ -43,15 +43,15 @@
         return idleConnections;
     }
 
-    XnioIoThread thread() {
-        return thread;
+    XnioIoThread ioThread() {
+        return ioThread;
     }
 
     ByteBufferPool buffers() {
         return buffers;
     }
 
-    void connect(String address, ClientCallback<ClientConnection> callback) {
-        client.connect(callback, source, URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
+    void openConnection(String address, ClientCallback<ClientConnection> callback) {
+        client.connect(callback, sourceAddress, URI.create("http://" + address), ioThread, buffers, OptionMap.EMPTY);
     }
 }
--- a/src/main/java/stileferry/transport/IdleConnections.java
+++ b/src/main/java/stileferry/transport/IdleConnections.java
@@ -9,13 +9,13 @@
 
 /** Connections that are kept for the next request to their address. */
 final class IdleConnections {
-    private static final int MAX_EACH_ADDRESS = 8;
+    private static final int MAX_PER_ADDRESS = 8;
 
     private final int maxConnections;
     private final Map<String, ArrayDeque<ClientConnection>> byAddress = new HashMap<>();
 
     /** The connections with their addresses, the least lately used first. */
-    private final LinkedHashMap<ClientConnection, String> byUse = new LinkedHashMap<>();
+    private final LinkedHashMap<ClientConnection, String> byLastUse = new LinkedHashMap<>();
 
     IdleConnections(int maxConnections) {
         this.maxConnections = maxConnections;
@@ -26,7 +26,7 @@
         ArrayDeque<ClientConnection> kept = byAddress.get(address);
         while (kept != null && !kept.isEmpty()) {
             ClientConnection connection = kept.pollLast();
-            byUse.remove(connection);
+            byLastUse.remove(connection);
             if (connection.isOpen()) {
                 return connection;
             }
@@ -35,24 +35,25 @@
     }
 
     /** Keeps a connection, or closes it; with many addresses the least lately used connection makes room. */
-    void keep(String address, ClientConnection connection) {
+    void release(String address, ClientConnection connection) {
         if (!connection.isOpen()) {
             return;
         }
         ArrayDeque<ClientConnection> kept = byAddress.computeIfAbsent(address, key -> new ArrayDeque<>(2));
-        if (kept.size() >= MAX_EACH_ADDRESS) {
+        if (kept.size() >= MAX_PER_ADDRESS) {
             IoUtils.safeClose(connection);
             return;
         }
         kept.addLast(connection);
-        byUse.put(connection, address);
-        if (byUse.size() > maxConnections) {
-            closeLeastLatelyUsed();
+        byLastUse.put(connection, address);
+        if (byLastUse.size() > maxConnections) {
+            closeLeastRecentlyUsed();
         }
     }
 
-    private void closeLeastLatelyUsed() {
-        Map.Entry<ClientConnection, String> eldest = byUse.entrySet().iterator().next();
+    private void closeLeastRecentlyUsed() {
+        Map.Entry<ClientConnection, String> eldest =
+                byLastUse.entrySet().iterator().next();
         ClientConnection connection = eldest.getKey();
         String address = eldest.getValue();
         ArrayDeque<ClientConnection> kept = byAddress.get(address);
@@ -60,7 +61,7 @@
         if (kept.isEmpty()) {
             byAddress.remove(address);
         }
-        byUse.remove(connection);
+        byLastUse.remove(connection);
         IoUtils.safeClose(connection);
     }
 }
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -21,8 +21,8 @@
     private static final byte[] NO_BODY = new byte[0];
 
     private final CommandQueue commands;
-    private final XnioIoThread thread;
-    private final HttpClient http;
+    private final XnioIoThread ioThread;
+    private final HttpClient httpClient;
     private final RandomGenerator random = new SplittableRandom();
     private final int maxForwards;
 
@@ -34,8 +34,8 @@
     NetworkEnvironment(CommandQueue commands, EventLoop loop, int maxForwards) {
         this.maxForwards = maxForwards;
         this.commands = commands;
-        this.thread = loop.thread();
-        this.http = loop.http();
+        this.ioThread = loop.ioThread();
+        this.httpClient = loop.httpClient();
     }
 
     void close() {
@@ -65,7 +65,7 @@
     @Override
     public void schedule(long delayMs, Runnable task) {
         if (!closed) {
-            thread.executeAfter(
+            ioThread.executeAfter(
                     () -> {
                         if (!commands.offer(task)) {
                             commands.submit(task); // never lost: it goes behind what is queued
@@ -79,7 +79,7 @@
     @Override
     public void request(
             String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler handler) {
-        http.request(
+        httpClient.request(
                 address,
                 method,
                 path,
@@ -99,7 +99,7 @@
         if (isForward) {
             forwardsInFlight.merge(peer.address(), 1, Integer::sum);
         }
-        http.request(
+        httpClient.request(
                 peer.address(),
                 "POST",
                 PEER_PATH,
--- a/src/main/java/stileferry/transport/PeerServer.java
+++ b/src/main/java/stileferry/transport/PeerServer.java
@@ -21,19 +21,19 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         if (!exchange.getRequestPath().equals(NetworkEnvironment.PEER_PATH)) {
-            ApiServer.refuse(exchange, 404, "no such path");
+            ApiServer.reject(exchange, 404, "no such path");
             return;
         }
         RequestBodyReader.read(exchange, 2 * MessageCodec.MAX_BODY, body -> {
             PeerMessage message = PeerMessageCodec.decode(body);
             if (message == null) {
-                ApiServer.refuse(exchange, 400, "not a record");
+                ApiServer.reject(exchange, 400, "not a record");
                 return;
             }
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                 if (!commands.offer(() -> coordinator.handlePeerMessage(
                         message, answer -> ApiServer.send(exchange, 200, 0, PeerMessageCodec.encode(answer))))) {
-                    ApiServer.refuse(exchange, 503, "too much to do, try again");
+                    ApiServer.reject(exchange, 503, "too much to do, try again");
                 }
             });
         });
--- a/src/main/java/stileferry/transport/RequestBodyReader.java
+++ b/src/main/java/stileferry/transport/RequestBodyReader.java
@@ -9,16 +9,17 @@
 
     static void read(HttpServerExchange exchange, int maxBytes, Consumer<byte[]> handler) {
         if (exchange.getRequestContentLength() > maxBytes) {
-            tooLarge(exchange);
+            rejectTooLarge(exchange);
             return;
         }
         exchange.setMaxEntitySize(maxBytes); // also for bodies in chunks, whose length nobody announces
         exchange.getRequestReceiver()
-                .receiveFullBytes((received, body) -> handler.accept(body), (failed, problem) -> tooLarge(failed));
+                .receiveFullBytes(
+                        (received, body) -> handler.accept(body), (failed, problem) -> rejectTooLarge(failed));
     }
 
-    private static void tooLarge(HttpServerExchange exchange) {
+    private static void rejectTooLarge(HttpServerExchange exchange) {
         exchange.setPersistent(false);
-        ApiServer.refuse(exchange, 413, "the body is too large");
+        ApiServer.reject(exchange, 413, "the body is too large");
     }
 }
--- a/src/main/java/stileferry/transport/StandInServer.java
+++ b/src/main/java/stileferry/transport/StandInServer.java
@@ -96,11 +96,11 @@
                 .setHandler(this::handle);
         builder.addHttpListener(port, LOOPBACK);
         for (int number = 1; number <= size.machines(); number++) {
-            builder.addHttpListener(port, StandInWorkers.host(number));
+            builder.addHttpListener(port, StandInWorkers.loopbackAddress(number));
         }
         server = builder.build();
         server.start();
-        loop.thread().execute(this::tick);
+        loop.ioThread().execute(this::tick);
     }
 
     /** Where the key-value store and the cloud are. */
@@ -119,7 +119,7 @@
         store.tick(now());
         cloud.tick(now());
         workers.tick();
-        loop.thread().executeAfter(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.ioThread().executeAfter(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void handle(HttpServerExchange exchange) {
@@ -131,7 +131,8 @@
 
     private void receive(HttpServerExchange exchange, byte[] body) {
         Destination destination = Destination.of(exchange.getRequestPath());
-        Worker worker = workers.at(exchange.getDestinationAddress().getAddress().getHostAddress());
+        Worker worker =
+                workers.workerAt(exchange.getDestinationAddress().getAddress().getHostAddress());
         applyLinkFault(new Request(exchange, body, destination, worker));
     }
 
@@ -153,7 +154,7 @@
             case REQUEST_LOST -> {} // its sender gives up and closes the connection
             case ANSWER_LOST -> serve(request, (status, answer) -> {});
             case SLOW ->
-                loop.thread().executeAfter(() -> serve(request, reply), SLOW_LINK_DELAY_MS, TimeUnit.MILLISECONDS);
+                loop.ioThread().executeAfter(() -> serve(request, reply), SLOW_LINK_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -17,36 +17,36 @@
 /** The stand-ins of workers: boots them, and sends their heartbeats to controllers as a real worker would. */
 final class StandInWorkers {
     /** How long a worker waits for an answer, and then until it tries the next controller. */
-    private static final long PATIENCE_MS = 4000;
+    private static final long RESPONSE_TIMEOUT_MS = 4000;
 
-    private static final long NEXT_CONTROLLER_MS = 1000;
+    private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
 
     /** After a redirect a worker tries the named controller so soon. */
-    private static final long REDIRECT_MS = 50;
+    private static final long REDIRECT_DELAY_MS = 50;
 
     private static final double CPUS = 8;
     private static final double MEMORY_GB = 32;
 
     /** Addresses of workers in one block of loopback addresses. */
-    private static final int ADDRESSES_IN_BLOCK = 250;
+    private static final int ADDRESSES_PER_BLOCK = 250;
 
     private final EventLoop loop;
     private final Config config;
     private final LinkFaults faults;
-    private final Worker.TaskListener watcher;
-    private final Function<String, JobSpec> jobs;
+    private final Worker.TaskListener taskListener;
+    private final Function<String, JobSpec> jobSpecs;
     private final GangSimulation gangs =
             new GangSimulation(StandInServer.GANG_ASSEMBLY_TIMEOUT_S, StandInServer.GANG_LOSS_DETECTION_S);
     private final Map<String, Worker> byAddress = new HashMap<>();
-    private int booted;
+    private int bootedWorkers;
     private volatile boolean closed;
 
     /** Where workers and controllers are: the port of all workers, and the controllers' addresses and names. */
-    record Config(int port, StandInServer.Size size, List<String> controllers, List<String> names) {
+    record Config(int port, StandInServer.Size size, List<String> controllerAddresses, List<String> controllerNames) {
         /** Copies the lists. */
         Config {
-            controllers = List.copyOf(controllers);
-            names = List.copyOf(names);
+            controllerAddresses = List.copyOf(controllerAddresses);
+            controllerNames = List.copyOf(controllerNames);
         }
     }
 
@@ -60,17 +60,17 @@
         this.loop = loop;
         this.config = config;
         this.faults = faults;
-        this.watcher = watcher;
-        this.jobs = jobs;
+        this.taskListener = watcher;
+        this.jobSpecs = jobs;
     }
 
     /** The loopback address of a worker by its number, from 1. */
-    static String host(int number) {
-        return "127.0." + (1 + number / ADDRESSES_IN_BLOCK) + "." + (1 + number % ADDRESSES_IN_BLOCK);
+    static String loopbackAddress(int number) {
+        return "127.0." + (1 + number / ADDRESSES_PER_BLOCK) + "." + (1 + number % ADDRESSES_PER_BLOCK);
     }
 
     /** The worker at an address; null: there is none. */
-    Worker at(String host) {
+    Worker workerAt(String host) {
         return byAddress.get(host + ":" + config.port());
     }
 
@@ -84,7 +84,7 @@
 
     /** Boots a worker. */
     Worker boot(String machine, String zone, boolean spot) {
-        String address = host(1 + booted++ % config.size().machines()) + ":" + config.port();
+        String address = loopbackAddress(1 + bootedWorkers++ % config.size().machines()) + ":" + config.port();
         Worker worker = new Worker(
                 machine,
                 address,
@@ -95,8 +95,8 @@
                 MEMORY_GB,
                 config.size().leaseMs(),
                 StandInServer.now(),
-                jobs,
-                watcher,
+                jobSpecs,
+                taskListener,
                 gangs);
         byAddress.put(address, worker);
         sendHeartbeat(worker, 0);
@@ -114,57 +114,61 @@
             return;
         }
         LinkFaults.Effect effect =
-                faults.effectOn(worker.machine(), config.names().get(controller));
+                faults.effectOn(worker.machine(), config.controllerNames().get(controller));
         switch (effect) {
-            case NONE -> request(worker, controller, false);
-            case REFUSED -> sendLater(NEXT_CONTROLLER_MS, worker, next(controller));
-            case REQUEST_LOST -> sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
-            case ANSWER_LOST -> request(worker, controller, true);
+            case NONE -> postHeartbeat(worker, controller, false);
+            case REFUSED -> sendHeartbeatLater(NEXT_CONTROLLER_DELAY_MS, worker, nextController(controller));
+            case REQUEST_LOST ->
+                sendHeartbeatLater(RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS, worker, nextController(controller));
+            case ANSWER_LOST -> postHeartbeat(worker, controller, true);
             case SLOW ->
-                loop.thread()
+                loop.ioThread()
                         .executeAfter(
-                                () -> request(worker, controller, false),
+                                () -> postHeartbeat(worker, controller, false),
                                 StandInServer.SLOW_LINK_DELAY_MS,
                                 TimeUnit.MILLISECONDS);
         }
     }
 
-    private void request(Worker worker, int controller, boolean answerLost) {
+    private void postHeartbeat(Worker worker, int controller, boolean answerLost) {
         long sentAt = StandInServer.now();
         long incarnation = worker.incarnation();
-        loop.http()
+        loop.httpClient()
                 .request(
-                        config.controllers().get(controller),
+                        config.controllerAddresses().get(controller),
                         "POST",
                         ApiPaths.HEARTBEATS,
                         MessageCodec.encode(worker.heartbeat()),
-                        PATIENCE_MS,
+                        RESPONSE_TIMEOUT_MS,
                         (status, bytes) -> {
                             JsonNode body = bytes.length == 0 ? null : MessageCodec.decode(bytes);
-                            int redirect = redirect(body);
+                            int redirect = redirectTarget(body);
                             if (answerLost) {
-                                sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
+                                sendHeartbeatLater(
+                                        RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS,
+                                        worker,
+                                        nextController(controller));
                             } else if (status == 200) {
                                 worker.handleHeartbeatResponse(body, incarnation, sentAt);
-                                sendLater(config.size().heartbeatIntervalMs(), worker, controller);
+                                sendHeartbeatLater(config.size().heartbeatIntervalMs(), worker, controller);
                             } else if (status == 421 && redirect >= 0 && redirect != controller) {
-                                sendLater(REDIRECT_MS, worker, redirect);
+                                sendHeartbeatLater(REDIRECT_DELAY_MS, worker, redirect);
                             } else {
-                                sendLater(NEXT_CONTROLLER_MS, worker, next(controller));
+                                sendHeartbeatLater(NEXT_CONTROLLER_DELAY_MS, worker, nextController(controller));
                             }
                         });
     }
 
     /** The number of the controller that an answer names; -1: none that is known. */
-    private int redirect(JsonNode body) {
-        return body == null ? -1 : config.names().indexOf(WorkerMessages.redirectedTo(body));
+    private int redirectTarget(JsonNode body) {
+        return body == null ? -1 : config.controllerNames().indexOf(WorkerMessages.redirectedTo(body));
     }
 
-    private int next(int controller) {
-        return (controller + 1) % config.controllers().size();
+    private int nextController(int controller) {
+        return (controller + 1) % config.controllerAddresses().size();
     }
 
-    private void sendLater(long delayMs, Worker worker, int controller) {
-        loop.thread().executeAfter(() -> sendHeartbeat(worker, controller), delayMs, TimeUnit.MILLISECONDS);
+    private void sendHeartbeatLater(long delayMs, Worker worker, int controller) {
+        loop.ioThread().executeAfter(() -> sendHeartbeat(worker, controller), delayMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -61,7 +61,7 @@
     private static Outcome play(long seed, Features features) {
         SimulatedCluster cluster = AdmissionLoad.smallCluster(seed, features);
         cluster.runFor(20);
-        long changes = cluster.store.writtenKeys();
+        long changes = cluster.store.writtenKeyCount();
         AdmissionLoad.flood(cluster, 100, FLOOD_S);
         Histogram waits = new Histogram(LONGEST_MS, 2);
         cluster.users.values().stream()
@@ -70,7 +70,7 @@
         double accepted = waits.getTotalCount();
         return new Outcome(
                 jain(cluster),
-                (cluster.store.writtenKeys() - changes) / accepted,
+                (cluster.store.writtenKeyCount() - changes) / accepted,
                 cluster.users.values().stream()
                         .mapToInt(u -> u.rejections)
                         .average()
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -258,10 +258,12 @@
         String addr = SimulatedMachines.address(machine);
         cluster.network.blockBoth(leader.name(), addr, LinkFault.LOST);
         cluster.others(leader).forEach(n -> cluster.network.block(addr, n.name(), LinkFault.REFUSED));
-        int deletions = cluster.cloud.deletionRequests();
+        int deletions = cluster.cloud.deletionRequestCount();
         cluster.runFor(9.5);
         assertEquals(
-                on ? deletions : deletions + 1, cluster.cloud.deletionRequests(), "deletions before the lease's end");
+                on ? deletions : deletions + 1,
+                cluster.cloud.deletionRequestCount(),
+                "deletions before the lease's end");
         checkRecovered(cluster);
     }
 
--- a/src/test/java/stileferry/coordination/ScaleInTest.java
+++ b/src/test/java/stileferry/coordination/ScaleInTest.java
@@ -18,9 +18,9 @@
         cluster.submit(Workloads.random(1, random));
         cluster.runFor(200);
         assertEquals(List.of(), cluster.cloud.runningMachines(), "nothing to do, so all machines are returned");
-        int deletions = cluster.cloud.deletionRequests();
+        int deletions = cluster.cloud.deletionRequestCount();
         cluster.runFor(60);
-        assertEquals(deletions, cluster.cloud.deletionRequests(), "what is gone is returned once");
+        assertEquals(deletions, cluster.cloud.deletionRequestCount(), "what is gone is returned once");
         assertTrue(deletions > 0 && deletions <= 5, deletions + " deletions");
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedMachines.java
+++ b/src/test/java/stileferry/coordination/SimulatedMachines.java
@@ -67,7 +67,7 @@
         }
         long sentAt = cluster.now;
         long incarnation = worker.incarnation();
-        worker.pollChanged();
+        worker.pollHeartbeatDue();
         JsonNode heartbeat = MessageCodec.decode(MessageCodec.encode(worker.heartbeat()));
         copyHeartbeat(heartbeat);
         ControllerNode controller = cluster.controllers.get(to);
@@ -112,7 +112,7 @@
     }
 
     private void awaitNextHeartbeat(Worker worker, String to, long latest, long earliest) {
-        if (cluster.now >= latest || cluster.now >= earliest && worker.pollChanged()) {
+        if (cluster.now >= latest || cluster.now >= earliest && worker.pollHeartbeatDue()) {
             sendHeartbeats(worker, to);
         } else {
             cluster.after(100, () -> awaitNextHeartbeat(worker, to, latest, earliest));
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -91,7 +91,7 @@
             world.runFor(1);
         }
         int machines = world.cloud.runningMachines().size();
-        long changesBefore = world.store.writtenKeys();
+        long changesBefore = world.store.writtenKeyCount();
         world.faults.partitionZone("za", 45_000);
         world.runFor(12);
         ControllerNode leader = world.leader();
@@ -108,7 +108,7 @@
         assertTrue(
                 world.users.values().stream().allMatch(user -> user.spec.service() || "done".equals(user.endState)),
                 "work is left");
-        long changes = world.store.writtenKeys() - changesBefore;
+        long changes = world.store.writtenKeyCount() - changesBefore;
         assertTrue(changes < 213 * 50 / 2, changes + " changes in 213 s, at 50 a second");
     }
 
@@ -141,7 +141,7 @@
         assertTrue(world.users.values().stream().allMatch(user -> "done".equals(user.endState)), "work is left");
         assertTrue(world.tasks.starts > 5000, world.tasks.starts + " starts");
         assertTrue(
-                world.store.writtenKeys() < world.tasks.starts,
-                world.store.writtenKeys() + " changes for " + world.tasks.starts + " starts and as many ends");
+                world.store.writtenKeyCount() < world.tasks.starts,
+                world.store.writtenKeyCount() + " changes for " + world.tasks.starts + " starts and as many ends");
     }
 }
--- a/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
+++ b/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
@@ -10,20 +10,20 @@
 
 /** A simulated server with a fixed rate behind the limit: what is taken in must not wait ever longer. */
 class ConcurrencyLimitTest {
-    private static final long SERVICE_NANOS = 5_000_000;
+    private static final long SERVICE_TIME_NANOS = 5_000_000;
 
-    private record Accepted(long at, Limiter.Listener slot) {}
+    private record AcceptedRequest(long at, Limiter.Listener slot) {}
 
     private long nanos = 1;
 
     /** How many requests were accepted and refused, and the longest wait in the second half of the time. */
-    private record Outcome(long accepted, long refused, long longestWaitMs) {}
+    private record Outcome(long accepted, long rejected, long longestWaitMs) {}
 
     /** Offers so many requests a second to a server that does 200. */
-    private Outcome offer(double perSecond, int seconds) {
+    private Outcome simulate(double perSecond, int seconds) {
         Limiter<Void> limit = ConcurrencyLimit.create(() -> nanos);
         SplittableRandom random = new SplittableRandom(3);
-        ArrayDeque<Accepted> queue = new ArrayDeque<>();
+        ArrayDeque<AcceptedRequest> queue = new ArrayDeque<>();
         long freeAt = 0;
         long accepted = 0;
         long refused = 0;
@@ -32,10 +32,10 @@
         long half = nanos + seconds * 500_000_000L;
         while (nanos < end) {
             nanos += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
-            while (!queue.isEmpty() && Math.max(freeAt, queue.peek().at) + SERVICE_NANOS <= nanos) {
-                Accepted done = queue.poll();
+            while (!queue.isEmpty() && Math.max(freeAt, queue.peek().at) + SERVICE_TIME_NANOS <= nanos) {
+                AcceptedRequest done = queue.poll();
                 long now = nanos;
-                freeAt = Math.max(freeAt, done.at) + SERVICE_NANOS;
+                freeAt = Math.max(freeAt, done.at) + SERVICE_TIME_NANOS;
                 nanos = freeAt;
                 done.slot.onSuccess();
                 nanos = now;
@@ -44,7 +44,7 @@
             var slot = limit.acquire(null);
             if (slot.isPresent()) {
                 accepted++;
-                queue.add(new Accepted(nanos, slot.get()));
+                queue.add(new AcceptedRequest(nanos, slot.get()));
             } else {
                 refused++;
             }
@@ -53,15 +53,15 @@
     }
 
     @Test
-    void ordinaryLoadIsNeverRefused() {
-        assertEquals(0, offer(100, 20).refused);
+    void loadBelowCapacityIsNeverRejected() {
+        assertEquals(0, simulate(100, 20).rejected);
     }
 
     @Test
-    void whatIsAcceptedKeepsItsTimesAsTheLoadDoubles() {
-        Outcome full = offer(400, 20);
-        Outcome twice = offer(800, 20);
-        assertTrue(full.refused > 0 && twice.refused > full.refused, "more is refused");
+    void doublingOverloadKeepsThroughputAndBoundsWaitTimes() {
+        Outcome full = simulate(400, 20);
+        Outcome twice = simulate(800, 20);
+        assertTrue(full.rejected > 0 && twice.rejected > full.rejected, "more is refused");
         assertTrue(
                 twice.accepted > 0.9 * full.accepted,
                 "and as much is taken: " + twice.accepted + " of " + full.accepted);
