--- a/src/main/java/stileferry/Controller.java
+++ b/src/main/java/stileferry/Controller.java
@@ -7,7 +7,7 @@
 import stileferry.protocol.Settings;
 import stileferry.transport.ControllerServer;
 
-/** One controller, for programs that embed it and for the daemon. */
+/** A controller of the scheduler, to be run by the daemon or embedded in another program. */
 public final class Controller implements AutoCloseable {
     private final Settings settings;
     private final Features features;
@@ -21,12 +21,12 @@
         this.sourceAddress = builder.sourceAddress;
     }
 
-    /** Starts describing a controller. */
+    /** Creates a builder with default features and without settings, which have to be set. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Describes a controller. */
+    /** Collects what a controller is created from. */
     public static final class Builder {
         private Settings settings;
         private Features features = Features.NONE;
@@ -34,25 +34,33 @@
 
         private Builder() {}
 
-        /** What the platform hands over. */
+        /** Sets the settings, which the platform provides; required. */
         public Builder settings(Settings value) {
             settings = value;
             return this;
         }
 
-        /** Which optional parts are on; none unless this is called. */
+        /** Sets which optional features are on; by default none is. */
         public Builder features(Features value) {
             features = value;
             return this;
         }
 
-        /** The address that outgoing connections come from, on machines with several; null: the system chooses. */
+        /**
+         * Sets the local address of outgoing connections, for machines with several addresses.
+         *
+         * @param value null (the default): chosen by the operating system
+         */
         public Builder sourceAddress(InetAddress value) {
             sourceAddress = value;
             return this;
         }
 
-        /** A controller that has not started. */
+        /**
+         * Creates a controller without starting it.
+         *
+         * @throws IllegalStateException if no settings were set
+         */
         public Controller build() {
             if (settings == null) {
                 throw new IllegalStateException("a controller needs settings");
@@ -61,15 +69,20 @@
         }
     }
 
-    /** Opens the addresses and begins to work; returns at once. */
+    /**
+     * Opens the listeners, starts the controller on its own thread and returns.
+     *
+     * @throws IOException if a listener can't be opened
+     * @throws IllegalStateException if the controller runs already
+     */
     public synchronized void start() throws IOException {
         if (server != null) {
-            throw new IllegalStateException("started already");
+            throw new IllegalStateException("the controller runs already");
         }
         server = ControllerServer.open(settings, features, sourceAddress);
     }
 
-    /** Closes the addresses and stops all work; what is durable stays. */
+    /** Closes the listeners and stops all work; durable state remains. */
     @Override
     public synchronized void close() {
         if (server != null) {
@@ -79,7 +92,7 @@
         closed.countDown();
     }
 
-    /** Waits until the controller is closed. */
+    /** Blocks until the controller is closed. */
     public void awaitClosed() throws InterruptedException {
         closed.await();
     }
--- a/src/main/java/stileferry/standin/ChangeLog.java
+++ b/src/main/java/stileferry/standin/ChangeLog.java
@@ -14,9 +14,9 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 
-/** The latest changes of the stand-in store's keys, and the watches that wait for more. */
+/** Recent changes of the stand-in store's keys, and the watches that wait for more. */
 final class ChangeLog {
-    /** Changes that are kept for watches that begin at an earlier revision. */
+    /** Changes kept for watches that start from an earlier revision. */
     private static final int MAX_CHANGES = 10_000;
 
     private final LongSupplier storeRevision;
@@ -39,23 +39,23 @@
         changes.add(new Change(key, true, revision));
     }
 
-    /** Replies with the changes after a revision as soon as there are any, or without some at a time. */
-    void watch(String prefix, long afterRevision, long until, Environment.ResponseHandler reply) {
-        ObjectNode answer = changesSince(prefix, afterRevision);
-        if (answer.path(EVENTS).isEmpty()) {
-            watches.add(new Watch(prefix, afterRevision, until, reply));
+    /** Replies with the changes after a revision as soon as there are any, or without changes once the watch expires. */
+    void watch(String prefix, long afterRevision, long expiresAt, Environment.ResponseHandler reply) {
+        ObjectNode response = changesSince(prefix, afterRevision);
+        if (response.path(EVENTS).isEmpty()) {
+            watches.add(new Watch(prefix, afterRevision, expiresAt, reply));
         } else {
-            reply.onResponse(200, answer);
+            reply.onResponse(200, response);
         }
     }
 
-    /** Replies to the watches that have seen changes. */
+    /** Replies to the watches that have changes to report, and discards the oldest changes. */
     void notifyWatches() {
         for (Watch watch : List.copyOf(watches)) {
-            ObjectNode answer = changesSince(watch.prefix, watch.afterRevision);
-            if (!answer.path(EVENTS).isEmpty()) {
+            ObjectNode response = changesSince(watch.prefix, watch.afterRevision);
+            if (!response.path(EVENTS).isEmpty()) {
                 watches.remove(watch);
-                watch.reply.onResponse(200, answer);
+                watch.reply.onResponse(200, response);
             }
         }
         while (changes.size() > MAX_CHANGES) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Replies to the watches that have waited until now. */
+    /** Replies to the watches that have expired. */
     void expireWatches(long now) {
         for (Watch watch : List.copyOf(watches)) {
             if (watch.expiresAt <= now) {
@@ -74,8 +74,8 @@
     }
 
     private ObjectNode changesSince(String prefix, long afterRevision) {
-        ObjectNode answer = MessageCodec.map().put(STORE_REVISION, storeRevision.getAsLong());
-        ArrayNode events = answer.putArray(EVENTS);
+        ObjectNode response = MessageCodec.map().put(STORE_REVISION, storeRevision.getAsLong());
+        ArrayNode events = response.putArray(EVENTS);
         for (Change change : changes) {
             if (change.revision > afterRevision && change.key.startsWith(prefix)) {
                 events.addObject()
@@ -83,6 +83,6 @@
                         .put(KEY_REVISION, change.revision);
             }
         }
-        return answer;
+        return response;
     }
 }
--- a/src/main/java/stileferry/standin/Cloud.java
+++ b/src/main/java/stileferry/standin/Cloud.java
@@ -13,7 +13,7 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.WireNames;
 
-/** A stand-in for the cloud with one machine type, after the published protocol. Time comes from outside. */
+/** Stand-in for a cloud with one machine type; implements the published protocol. The caller passes in the time. */
 public final class Cloud {
     private final String type;
     private final double cpus;
@@ -26,7 +26,7 @@
     private final Consumer<Worker> workerRemover;
     private final TreeMap<String, Instance> instances = new TreeMap<>();
 
-    /** Instances that are gone and may still be listed. */
+    /** Removed instances, which the list still shows for a while. */
     private final Map<String, Instance> removedInstances = new HashMap<>();
 
     private final Map<String, List<String>> namesByRequestId = new HashMap<>();
@@ -34,9 +34,9 @@
     private int deletionRequestCount;
     private long now;
 
-    /** Starts the worker of a machine that has booted. */
+    /** Starts the workers of machines that have booted. */
     public interface WorkerStarter {
-        /** A machine of this name has booted. */
+        /** Starts and returns the worker of a machine that has just booted. */
         Worker start(String machine, String zone, boolean spot);
     }
 
@@ -57,12 +57,12 @@
     }
 
     /**
-     * A cloud without machines.
+     * Creates a cloud without machines.
      *
-     * @param machinesPerPool machines that can be had in each zone, as spot instances and on demand each
-     * @param listLagMs by how much the list of machines lags
-     * @param workerBoot starts the worker of a machine that has booted
-     * @param removeWorker ends the worker of a machine that is gone
+     * @param machinesPerPool largest number of machines in a zone, for spot instances and on-demand machines each
+     * @param listLagMs age of the state that the list of machines shows
+     * @param workerStarter starts the worker of a machine that has booted
+     * @param workerRemover removes the worker of a machine that is gone
      */
     public Cloud(
             String type,
@@ -72,8 +72,8 @@
             List<String> zones,
             int machinesPerPool,
             long listLagMs,
-            WorkerStarter workerBoot,
-            Consumer<Worker> removeWorker) {
+            WorkerStarter workerStarter,
+            Consumer<Worker> workerRemover) {
         this.type = type;
         this.cpus = cpus;
         this.memoryGb = memoryGb;
@@ -81,11 +81,11 @@
         this.zones = zones;
         this.machinesPerPool = machinesPerPool;
         this.listLagMs = listLagMs;
-        this.workerStarter = workerBoot;
-        this.workerRemover = removeWorker;
+        this.workerStarter = workerStarter;
+        this.workerRemover = workerRemover;
     }
 
-    /** Lets time pass: machines boot. */
+    /** Advances the time: machines finish booting. */
     public void tick(long time) {
         now = time;
         instances.forEach((name, instance) -> {
@@ -95,7 +95,7 @@
         });
     }
 
-    /** Takes a machine away without notice. */
+    /** Removes a machine without notice; does nothing if there is no such machine. */
     public void reclaim(String name) {
         Instance instance = instances.remove(name);
         if (instance != null) {
@@ -107,12 +107,12 @@
         }
     }
 
-    /** How many deletions were requested. */
+    /** Returns how many deletion requests were received. */
     public int deletionRequestCount() {
         return deletionRequestCount;
     }
 
-    /** Names of the machines that have booted. */
+    /** Returns the names of the machines that have booted and still exist. */
     public List<String> runningMachines() {
         return instances.entrySet().stream()
                 .filter(entry -> entry.getValue().worker != null)
@@ -120,7 +120,7 @@
                 .toList();
     }
 
-    /** Carries a request out. */
+    /** Handles a request to the cloud. */
     public void handleRequest(String method, String path, JsonNode body, Environment.ResponseHandler reply) {
         if (path.equals("/machine_types")) {
             reply.onResponse(200, machineTypes());
@@ -138,8 +138,8 @@
     }
 
     private ObjectNode machineTypes() {
-        ObjectNode answer = MessageCodec.map();
-        ObjectNode machineType = answer.putArray(WireNames.MACHINE_TYPES)
+        ObjectNode response = MessageCodec.map();
+        ObjectNode machineType = response.putArray(WireNames.MACHINE_TYPES)
                 .addObject()
                 .put(WireNames.MACHINE_TYPE_NAME, type)
                 .put(WireNames.CPUS, cpus)
@@ -151,13 +151,13 @@
                 .put(WireNames.SPOT_PRICE, 0.4)
                 .put(WireNames.BOOT_S, bootS);
         zones.forEach(machineType.putArray(WireNames.ZONES)::add);
-        return answer;
+        return response;
     }
 
-    /** Creates machines once for each request's id, and answers a repeated request the same. */
+    /** Creates machines once for each request id; a repeated request gets the same response. */
     private void create(JsonNode body, Environment.ResponseHandler reply) {
-        String request = body.path(WireNames.SCALE_OUT_REQUEST).asText();
-        List<String> names = namesByRequestId.get(request);
+        String requestId = body.path(WireNames.SCALE_OUT_REQUEST).asText();
+        List<String> names = namesByRequestId.get(requestId);
         if (names == null) {
             names = createInstances(
                     body.path(WireNames.ZONE).asText(),
@@ -167,19 +167,19 @@
                 reply.onResponse(503, MessageCodec.map().put(WireNames.ERROR, "no capacity"));
                 return;
             }
-            namesByRequestId.put(request, names);
+            namesByRequestId.put(requestId, names);
         }
-        ObjectNode answer = MessageCodec.map();
-        names.forEach(answer.putArray(WireNames.MACHINES)::add);
-        reply.onResponse(200, answer);
+        ObjectNode response = MessageCodec.map();
+        names.forEach(response.putArray(WireNames.MACHINES)::add);
+        reply.onResponse(200, response);
     }
 
     private List<String> createInstances(String zone, boolean spot, int count) {
         List<String> names = new ArrayList<>();
-        long existing = instances.values().stream()
+        long machinesInPool = instances.values().stream()
                 .filter(instance -> instance.zone.equals(zone) && instance.spot == spot)
                 .count();
-        for (int i = 0; i < count && existing + i < machinesPerPool; i++) {
+        for (int i = 0; i < count && machinesInPool + i < machinesPerPool; i++) {
             String name = String.format("host-%06d", createdInstanceCount++);
             instances.put(name, new Instance(zone, spot, now, now + Math.round(bootS * 1000)));
             names.add(name);
@@ -187,16 +187,16 @@
         return names;
     }
 
-    /** All machines after this one, as they were before the list's lag. */
-    private ObjectNode listMachines(String from) {
-        ObjectNode answer = MessageCodec.map().put("more", false);
-        ArrayNode list = answer.putArray(WireNames.MACHINES);
+    /** Lists the machines whose names follow a given one, with the lag of the list. */
+    private ObjectNode listMachines(String afterName) {
+        ObjectNode response = MessageCodec.map().put("more", false);
+        ArrayNode machines = response.putArray(WireNames.MACHINES);
         removedInstances.values().removeIf(instance -> now - instance.removedAt > listLagMs);
-        TreeMap<String, Instance> listed = new TreeMap<>(instances);
-        listed.putAll(removedInstances);
-        listed.tailMap(from, false).forEach((name, instance) -> {
+        TreeMap<String, Instance> visible = new TreeMap<>(instances);
+        visible.putAll(removedInstances);
+        visible.tailMap(afterName, false).forEach((name, instance) -> {
             if (now - instance.createdAt >= listLagMs) {
-                list.addObject()
+                machines.addObject()
                         .put(WireNames.NAME_ID, name)
                         .put(WireNames.ADDRESS, instance.worker == null ? "" : instance.worker.address())
                         .put(WireNames.MACHINE_TYPE, type)
@@ -206,6 +206,6 @@
                         .put(WireNames.AGE_S, (now - instance.createdAt) / 1000.0);
             }
         });
-        return answer;
+        return response;
     }
 }
--- a/src/main/java/stileferry/standin/GangSimulation.java
+++ b/src/main/java/stileferry/standin/GangSimulation.java
@@ -8,7 +8,10 @@
 import stileferry.protocol.Heartbeat.TaskPhase;
 import stileferry.protocol.JobSpec;
 
-/** What the tasks of gangs know of each other, for all workers of one deployment, after the published protocol. */
+/**
+ * Simulates what the tasks of a gang know of each other, for all workers of one deployment and as the published protocol
+ * demands: they start together, save their checkpoints together, and exit when one of them is lost.
+ */
 public final class GangSimulation {
     private static final long NEVER = -1;
 
@@ -16,7 +19,7 @@
     private final long lossDetectionMs;
     private final Map<String, Gang> gangs = new HashMap<>();
 
-    /** Saved progress of jobs, in milliseconds. */
+    /** Saved progress of each job in milliseconds of run time, by job id. */
     private final Map<String, Long> savedProgressMs = new HashMap<>();
 
     /** One attempt of a gang. */
@@ -25,10 +28,10 @@
         private final Map<String, WorkerTask> members = new HashMap<>();
         private long startedAt = NEVER;
 
-        /** When the first task was lost whose progress had not been saved. */
+        /** When the first task was lost without a saved checkpoint. */
         private long memberLostAt = NEVER;
 
-        /** When the first task began to save. */
+        /** When the first task began to save its checkpoint. */
         private long saveStartedAt = NEVER;
 
         private int savingTasks;
@@ -53,26 +56,26 @@
             return members.size() == spec.taskCount();
         }
 
-        /** Whether all tasks save, and none is lost, so that the save succeeds. */
+        /** Returns whether all tasks are saving and none is lost, so that the checkpoint will be complete. */
         boolean allSaving() {
             return savingTasks == spec.taskCount() && !memberLost();
         }
 
-        /** When progress ended: when the save began, if one has begun. */
+        /** Returns until when the gang has made progress: the time when it began to save, else now. */
         long progressEnd(long now) {
             return saving() ? saveStartedAt : now;
         }
     }
 
     /**
-     * Gangs of one deployment.
+     * Creates a simulation without gangs.
      *
-     * @param waitS seconds that a task waits for the others
-     * @param peerS seconds within which a task notices that another one is lost
+     * @param assemblyTimeoutS seconds for which a task waits for the gang's other tasks
+     * @param lossDetectionS seconds within which a task detects that another one is lost
      */
-    public GangSimulation(double waitS, double peerS) {
-        assemblyTimeoutMs = Math.round(1000 * waitS);
-        lossDetectionMs = Math.round(1000 * peerS);
+    public GangSimulation(double assemblyTimeoutS, double lossDetectionS) {
+        assemblyTimeoutMs = Math.round(1000 * assemblyTimeoutS);
+        lossDetectionMs = Math.round(1000 * lossDetectionS);
     }
 
     private static String key(WorkerTask task) {
@@ -83,7 +86,7 @@
         return gangs.computeIfAbsent(key(task), key -> new Gang(task.spec()));
     }
 
-    /** A task has its image; it waits, and when it is the last, all of them start. */
+    /** Handles a task whose image has been pulled: it waits for its gang; the last one makes all of them start. */
     void imagePulled(WorkerTask task, long now) {
         Gang gang = gangOf(task);
         gang.members.put(task.taskId(), task);
@@ -97,7 +100,7 @@
         }
     }
 
-    /** Lets time pass for a task that has its image; the reason for which it exits now, or null. */
+    /** Advances the time for a task whose image has been pulled; returns why it exits now, or null if it does not. */
     ExitReason tick(WorkerTask task, long now) {
         Gang gang = gangOf(task);
         if (!gang.started()) {
@@ -123,7 +126,7 @@
         }
         if (task.phase() == TaskPhase.SAVING_CHECKPOINT && now >= task.phaseEndsAt()) {
             savedProgressMs.merge(gang.spec.id(), gang.saveStartedAt - gang.startedAt, Long::sum);
-            gang.startedAt = gang.saveStartedAt; // so that the other tasks add nothing
+            gang.startedAt = gang.saveStartedAt; // so that the other tasks do not add this progress again
             task.markCheckpointSaved();
             return ExitReason.STOPPED;
         }
@@ -138,7 +141,7 @@
         return gang.memberLost() && now >= gang.memberLostAt + lossDetectionMs / 2;
     }
 
-    /** A running task is to save its checkpoint; whether it does so. */
+    /** Makes a running task save its checkpoint; returns false if its gang has not started or has detected a loss. */
     boolean tryBeginSave(WorkerTask task, long now) {
         Gang gang = gangOf(task);
         if (!gang.started() || lossDetected(gang, now)) {
@@ -149,7 +152,7 @@
         return true;
     }
 
-    /** A task that had its image has exited. */
+    /** Handles the exit of a task whose image had been pulled. */
     void memberExited(WorkerTask task, long now) {
         Gang gang = gangOf(task);
         gang.members.remove(task.taskId(), task);
@@ -163,14 +166,14 @@
         }
     }
 
-    /** Of a gang that lost a task only the progress up to its last regular checkpoint is kept. */
+    /** Discards the progress of a gang that lost a task since its last periodic checkpoint. */
     private void rollBackToPeriodicCheckpoint(Gang gang, long now) {
         long intervalMs = Math.round(1000 * gang.spec.checkpointIntervalS());
         long progressMs = savedProgressMs.getOrDefault(gang.spec.id(), 0L) + gang.progressEnd(now) - gang.startedAt;
         savedProgressMs.put(gang.spec.id(), intervalMs > 0 ? progressMs / intervalMs * intervalMs : 0);
     }
 
-    /** Jobs with tasks of more than one attempt at a time, which must never be. */
+    /** Returns the ids of jobs that have tasks of more than one attempt now, which must never happen. */
     public List<String> jobsWithConcurrentAttempts() {
         Map<String, Integer> attemptsByJob = new HashMap<>();
         gangs.values().stream()
--- a/src/main/java/stileferry/standin/KeyValueStore.java
+++ b/src/main/java/stileferry/standin/KeyValueStore.java
@@ -35,15 +35,15 @@
 import stileferry.protocol.WireNames;
 
 /**
- * A stand-in for the consensus-backed key-value store, after the published protocol. Time comes from outside; nothing
- * runs by itself.
+ * Stand-in for the consensus-backed key-value store; implements the published protocol. The caller passes in the time;
+ * nothing runs in the background.
  */
 public final class KeyValueStore {
     private static final String KEY_PATH = KEYS_PATH + "/";
     private static final String LEASE_PATH = LEASES_PATH + "/";
     private static final int MAX_ROWS = 1000;
 
-    /** Comparisons that a transaction may have for each operation that it may have. */
+    /** Comparisons allowed in a transaction per allowed operation. */
     private static final int COMPARISONS_PER_OPERATION = 4;
 
     private int maxOperations;
@@ -71,29 +71,34 @@
         }
     }
 
-    /** A store with limits on the operations of a transaction and on the size of a value. */
+    /**
+     * Creates an empty store.
+     *
+     * @param maxOperations most operations of a transaction
+     * @param maxValueKb greatest size of a value, in units of 1024 bytes
+     */
     public KeyValueStore(int maxOperations, double maxValueKb) {
         setLimits(maxOperations, maxValueKb);
     }
 
-    /** Other limits from now on; what is stored stays readable. */
-    public void setLimits(int operations, double valueKb) {
-        maxOperations = operations;
-        maxValueBytes = (int) (valueKb * 1024);
+    /** Changes the limits for later transactions; stored values remain readable. */
+    public void setLimits(int newMaxOperations, double newMaxValueKb) {
+        maxOperations = newMaxOperations;
+        maxValueBytes = (int) (newMaxValueKb * 1024);
     }
 
-    /** The value of a key, or null. */
+    /** Returns the value of a key, or null if the key does not exist. */
     public JsonNode value(String key) {
         Entry entry = entries.get(key);
         return entry == null ? null : entry.value;
     }
 
-    /** How many keys were put or deleted by transactions so far. */
+    /** Returns how many puts and deletions transactions have made so far. */
     public long writtenKeyCount() {
         return writtenKeyCount;
     }
 
-    /** Lets time pass: leases and watches expire. */
+    /** Advances the time: leases and watches expire. */
     public void tick(long time) {
         now = time;
         for (Iterator<Map.Entry<Long, Lease>> iterator = leases.entrySet().iterator(); iterator.hasNext(); ) {
@@ -106,13 +111,13 @@
         changeLog.expireWatches(now);
     }
 
-    /** Gives every lease its full time again, as after an outage. */
+    /** Renews every lease for its full duration, as the store does after an outage. */
     public void renewAllLeases(long time) {
         now = time;
         leases.values().forEach(lease -> lease.renew(now));
     }
 
-    /** Carries a request out; the reply to a watch comes later. */
+    /** Handles a request to the store; the reply to a watch may come later. */
     public void handleRequest(String method, String path, JsonNode body, Environment.ResponseHandler reply) {
         if (path.startsWith(KEY_PATH)) {
             get(path.substring(KEY_PATH.length()), reply);
@@ -138,24 +143,24 @@
             reply.onResponse(404, MessageCodec.map().put(STORE_REVISION, revision));
             return;
         }
-        ObjectNode answer = MessageCodec.map().put(KEY, key).put(KEY_REVISION, entry.revision);
-        answer.set(VALUE, entry.value);
+        ObjectNode response = MessageCodec.map().put(KEY, key).put(KEY_REVISION, entry.revision);
+        response.set(VALUE, entry.value);
         if (entry.lease != 0) {
-            answer.put(LEASE, entry.lease);
+            response.put(LEASE, entry.lease);
         }
-        reply.onResponse(200, answer);
+        reply.onResponse(200, response);
     }
 
     private ObjectNode list(QueryString query) {
         String prefix = query.text(PREFIX);
-        String from = query.text(AFTER);
+        String afterKey = query.text(AFTER);
         long limit = Math.min(MAX_ROWS, query.number(LIMIT, MAX_ROWS));
-        ObjectNode answer = MessageCodec.map().put(STORE_REVISION, revision);
-        ArrayNode rows = answer.putArray(ROWS);
-        SortedMap<String, Entry> following =
-                from.isEmpty() ? entries.tailMap(prefix, true) : entries.tailMap(from, false);
+        ObjectNode response = MessageCodec.map().put(STORE_REVISION, revision);
+        ArrayNode rows = response.putArray(ROWS);
+        SortedMap<String, Entry> candidates =
+                afterKey.isEmpty() ? entries.tailMap(prefix, true) : entries.tailMap(afterKey, false);
         boolean more = false;
-        for (Map.Entry<String, Entry> row : following.entrySet()) {
+        for (Map.Entry<String, Entry> row : candidates.entrySet()) {
             if (!row.getKey().startsWith(prefix)) {
                 break;
             }
@@ -168,12 +173,12 @@
                     .put(KEY_REVISION, row.getValue().revision)
                     .set(VALUE, row.getValue().value);
         }
-        return answer.put(MORE, more);
+        return response.put(MORE, more);
     }
 
     private void watch(QueryString query, Environment.ResponseHandler reply) {
-        long until = now + query.number(WAIT_MS, 0);
-        changeLog.watch(query.text(PREFIX), query.number(AFTER, 0), until, reply);
+        long expiresAt = now + query.number(WAIT_MS, 0);
+        changeLog.watch(query.text(PREFIX), query.number(AFTER, 0), expiresAt, reply);
     }
 
     private void grantLease(long durationMs, Environment.ResponseHandler reply) {
@@ -183,7 +188,6 @@
         reply.onResponse(200, MessageCodec.map().put(LEASE, lastLeaseId));
     }
 
-    /** Deletes a lease, or renews it. */
     private void renewOrDeleteLease(String method, long id, Environment.ResponseHandler reply) {
         Lease lease = leases.get(id);
         if (lease == null) {
@@ -252,7 +256,7 @@
         return failed;
     }
 
-    /** What is wrong with the first invalid operation; null: all are valid. */
+    /** Returns what is wrong with the first invalid operation; null if all are valid. */
     private String firstValidationError(JsonNode operations) {
         for (JsonNode operation : operations) {
             if (operation.has(PUT) && operation.path(VALUE).toString().length() > maxValueBytes) {
--- a/src/main/java/stileferry/standin/LinkFaults.java
+++ b/src/main/java/stileferry/standin/LinkFaults.java
@@ -1,36 +1,36 @@
 package stileferry.standin;
 
-/** Injects faults into the links between the stand-ins and the controllers, each direction by itself. */
+/** Injects faults into the links between stand-ins and controllers, independently in each direction. */
 public interface LinkFaults {
     /** No link has a fault. */
     LinkFaults NONE = (from, to) -> Effect.NONE;
 
-    /** Names the key-value store. */
+    /** Name of the key-value store as a destination. */
     String KEY_VALUE_STORE = "state";
 
-    /** Names the cloud. */
+    /** Name of the cloud as a destination. */
     String CLOUD = "cloud";
 
-    /** What becomes of a request. */
+    /** What happens to a request on a link. */
     enum Effect {
-        /** It is carried out and answered. */
+        /** The request is processed and its response arrives. */
         NONE,
 
-        /** It is refused at once. */
+        /** The request is refused at once. */
         REFUSED,
 
-        /** It is lost on its way. */
+        /** The request is lost before it is processed. */
         REQUEST_LOST,
 
-        /** It is carried out, and its answer is lost. */
+        /** The request is processed, but its response is lost. */
         ANSWER_LOST,
 
-        /** It is carried out and answered, but late. */
+        /** The request is processed and its response arrives, but late. */
         SLOW
     }
 
     /**
-     * What becomes of a request that is sent now.
+     * Returns what happens to a request that is sent now.
      *
      * @param from a machine's name, or the address that a controller's connections come from
      * @param to a machine's or a controller's name, {@link #KEY_VALUE_STORE} or {@link #CLOUD}
--- a/src/main/java/stileferry/standin/QueryString.java
+++ b/src/main/java/stileferry/standin/QueryString.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The parameters of a path's query string; values are taken as they are, without decoding. */
+/** The parameters of a URL's query string; values are not percent-decoded. */
 record QueryString(Map<String, String> parameters) {
     static QueryString of(String path) {
         Map<String, String> parameters = new HashMap<>();
@@ -19,12 +19,12 @@
         return new QueryString(parameters);
     }
 
-    /** A parameter's value; empty when it is missing. */
+    /** Returns a parameter's value; empty if the parameter is missing. */
     String text(String name) {
         return parameters.getOrDefault(name, "");
     }
 
-    long number(String name, long missing) {
-        return parameters.containsKey(name) ? Long.parseLong(parameters.get(name)) : missing;
+    long number(String name, long defaultValue) {
+        return parameters.containsKey(name) ? Long.parseLong(parameters.get(name)) : defaultValue;
     }
 }
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -11,11 +11,11 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.WorkerCommand;
 
-/** A stand-in for the worker on one machine, after the published protocol. Time comes from outside. */
+/** Stand-in for the worker on one machine; implements the published protocol. The caller passes in the time. */
 public final class Worker {
     private static final long IMAGE_PULL_MS = 800;
 
-    /** Sums of amounts may be off by this much. */
+    /** Tolerance for rounding errors in sums of CPUs and of gigabytes. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final String machine;
@@ -41,9 +41,9 @@
     private double reclaimNoticeS = -1;
     private boolean heartbeatDue;
 
-    /** Learns what really happens on the machine. */
+    /** Is told when tasks start and end on a machine, whatever its heartbeats say. */
     public interface TaskListener {
-        /** Watches nothing. */
+        /** Ignores all tasks. */
         TaskListener NO_OP = new TaskListener() {
             @Override
             public void taskStarted(String task, Worker worker) {}
@@ -52,34 +52,35 @@
             public void taskEnded(String task, Worker worker) {}
         };
 
-        /** A task has its image and is on the machine from now on. */
+        /** Called when the image of a task has been pulled and the task starts on the machine. */
         void taskStarted(String task, Worker worker);
 
-        /** A task is not on the machine any more. */
+        /** Called when a task that had started is no longer on the machine. */
         void taskEnded(String task, Worker worker);
     }
 
     /**
-     * A worker that begins now.
+     * Creates a worker that starts now, without tasks.
      *
-     * @param specs finds the spec of a job by its id; null: unknown
+     * @param leaseMs duration of the worker's lease, which begins now
+     * @param jobSpecs returns the spec of a job by its id; null if the job is unknown
      */
     public Worker(
             String machine,
             String address,
-            String type,
+            String machineType,
             String zone,
             boolean spot,
             double cpus,
             double memoryGb,
             long leaseMs,
             long now,
-            Function<String, JobSpec> specs,
-            TaskListener watcher,
+            Function<String, JobSpec> jobSpecs,
+            TaskListener taskListener,
             GangSimulation gangs) {
         this.machine = machine;
         this.address = address;
-        this.machineType = type;
+        this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
         this.freeCpus = cpus;
@@ -87,8 +88,8 @@
         this.leaseMs = leaseMs;
         this.leaseRenewedAt = now;
         this.now = now;
-        this.jobSpecs = specs;
-        this.taskListener = watcher;
+        this.jobSpecs = jobSpecs;
+        this.taskListener = taskListener;
         this.gangs = gangs;
     }
 
@@ -112,40 +113,40 @@
         return spot;
     }
 
-    /** The incarnation in which the next heartbeat is sent. */
+    /** Returns the current incarnation, which the next heartbeat reports. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** From now on every task that starts fails, or no longer does. */
+    /** Sets whether every task that starts from now on fails. */
     public void setFaulty(boolean value) {
         faulty = value;
     }
 
-    /** For tests of the tests: the worker no longer minds its lease, as a broken one might. */
+    /** Makes the worker ignore the end of its lease, as a defective one might; tests of the invariant checks use this. */
     public void ignoreLeaseExpiry() {
         ignoresLease = true;
     }
 
-    /** The machine hangs until then: its tasks stay as they are, unless its lease expires. */
+    /** Suspends the tasks of the machine until a given time; its lease still expires meanwhile. */
     public void hangUntil(long time) {
         hangsUntil = time;
     }
 
-    /** The cloud will reclaim the machine. */
+    /** Makes the heartbeats report that the cloud will reclaim the machine, with a notice of this many seconds. */
     public void setReclaimNoticeS(double seconds) {
         reclaimNoticeS = seconds;
         heartbeatDue = true;
     }
 
-    /** True once after something changed that is worth a heartbeat. */
+    /** Returns whether something changed since the last call that calls for a heartbeat before the next regular one. */
     public boolean pollHeartbeatDue() {
-        boolean wasChanged = heartbeatDue;
+        boolean wasDue = heartbeatDue;
         heartbeatDue = false;
-        return wasChanged;
+        return wasDue;
     }
 
-    /** The machine is gone with all that was on it. */
+    /** Ends all tasks, as the machine is gone. */
     public void destroy() {
         removeAllTasks();
     }
@@ -157,7 +158,7 @@
         tasksByAttempt.clear();
     }
 
-    /** Lets time pass: the lease may expire, images arrive, tasks complete. */
+    /** Advances the time: the lease may expire, image pulls end, tasks complete. */
     public void tick(long time) {
         now = time;
         if (now - leaseRenewedAt > leaseMs && !ignoresLease) {
@@ -207,22 +208,22 @@
         }
     }
 
-    /** Something changed that is worth a heartbeat. */
+    /** Notes that something changed that calls for a heartbeat before the next regular one. */
     void markHeartbeatDue() {
         heartbeatDue = true;
     }
 
-    /** Ends a task; it stays in the heartbeats until it is cleared. */
+    /** Ends a task; the heartbeats report it until a command clears it. */
     void exit(WorkerTask task, ExitReason reason) {
         if (task.exited()) {
             return;
         }
-        boolean started = task.started();
+        boolean wasStarted = task.started();
         task.exit(reason);
         freeCpus += task.spec().cpus();
         freeMemoryGb += task.spec().memoryGb();
         heartbeatDue = true;
-        if (started) {
+        if (wasStarted) {
             if (task.spec().gang()) {
                 gangs.memberExited(task, now);
             }
@@ -230,12 +231,17 @@
         }
     }
 
-    /** The worker's next heartbeat. */
+    /** Creates the next heartbeat, with the next sequence number. */
     public ObjectNode heartbeat() {
         return WorkerWireFormat.heartbeat(this, ++sequence, fencingToken, reclaimNoticeS, tasksByAttempt.values());
     }
 
-    /** Takes the 200 answer to a heartbeat that was sent in this incarnation at this time. */
+    /**
+     * Handles a response with status 200 to a heartbeat.
+     *
+     * @param sentIncarnation the incarnation in which the heartbeat was sent
+     * @param sentAt when the heartbeat was sent
+     */
     public void handleHeartbeatResponse(JsonNode body, long sentIncarnation, long sentAt) {
         if (body == null
                 || !WorkerWireFormat.hasFencingToken(body)
@@ -253,7 +259,11 @@
         fencingToken = token;
     }
 
-    /** Carries direct commands out; the status of the answer, whose body is a heartbeat unless it is 400. */
+    /**
+     * Executes direct commands.
+     *
+     * @return the HTTP status of the response, whose body is a heartbeat unless the status is 400
+     */
     public int handleCommands(JsonNode body) {
         if (!WorkerWireFormat.hasFencingToken(body) || !WorkerWireFormat.hasIncarnation(body)) {
             return 400;
@@ -289,11 +299,11 @@
 
     private void kill(WorkerTask task, double graceS) {
         JobSpec spec = task.spec();
-        boolean saves = task.phase() == TaskPhase.RUNNING
+        boolean savesCheckpoint = task.phase() == TaskPhase.RUNNING
                 && spec.checkpointIntervalS() > 0
                 && graceS >= spec.checkpointSaveS()
                 && (!spec.gang() || gangs.tryBeginSave(task, now));
-        if (saves) {
+        if (savesCheckpoint) {
             task.enter(TaskPhase.SAVING_CHECKPOINT, now + Math.round(spec.checkpointSaveS() * 1000));
         } else if (task.phase() != TaskPhase.SAVING_CHECKPOINT || graceS == 0) {
             exit(task, ExitReason.STOPPED);
@@ -305,10 +315,10 @@
         JobSpec spec = jobSpecs.apply(jobId);
         heartbeatDue = true;
         WorkerTask task = new WorkerTask(this, command.taskId(), command.attempt(), spec);
-        ExitReason refusal = startRejection(task);
+        ExitReason rejection = startRejection(task);
         tasksByAttempt.put(command.attemptId(), task);
-        if (refusal != null) {
-            task.exit(refusal);
+        if (rejection != null) {
+            task.exit(rejection);
             return;
         }
         freeCpus -= spec.cpus();
@@ -316,7 +326,7 @@
         task.setPhaseEndsAt(now + IMAGE_PULL_MS);
     }
 
-    /** Why a task can't start here; null: it can. */
+    /** Returns why a task can't start here; null if it can. */
     private ExitReason startRejection(WorkerTask task) {
         JobSpec spec = task.spec();
         if (spec == null) {
--- a/src/main/java/stileferry/standin/WorkerTask.java
+++ b/src/main/java/stileferry/standin/WorkerTask.java
@@ -15,7 +15,11 @@
     private ExitReason exitReason;
     private boolean checkpointSaved;
 
-    /** A task that begins to pull its image; without a spec if the worker does not know its job. */
+    /**
+     * Creates a task that begins to pull its image.
+     *
+     * @param spec null if the worker does not know the job
+     */
     WorkerTask(Worker worker, String taskId, long attempt, JobSpec spec) {
         this.worker = worker;
         this.taskId = taskId;
@@ -43,7 +47,7 @@
         return phase;
     }
 
-    /** When the phase ends, if nothing else happens before. */
+    /** Returns when the current phase ends unless something else ends it before. */
     long phaseEndsAt() {
         return phaseEndsAt;
     }
@@ -70,14 +74,14 @@
         return phase == TaskPhase.EXITED;
     }
 
-    /** Whether the task has its image and has not exited. */
+    /** Returns whether the image has been pulled and the task has not exited. */
     boolean started() {
         return phase == TaskPhase.WAITING_FOR_GANG
                 || phase == TaskPhase.RUNNING
                 || phase == TaskPhase.SAVING_CHECKPOINT;
     }
 
-    /** Why it has exited; null: it has not. */
+    /** Returns why the task has exited; null if it has not. */
     ExitReason exitReason() {
         return exitReason;
     }
--- a/src/main/java/stileferry/standin/WorkerWireFormat.java
+++ b/src/main/java/stileferry/standin/WorkerWireFormat.java
@@ -10,14 +10,14 @@
 import stileferry.protocol.WireNames;
 import stileferry.protocol.WorkerCommand;
 
-/** The worker's side of its messages, after the published protocol. */
+/** Encodes the heartbeats of a worker and decodes the messages that it receives, as the published protocol demands. */
 final class WorkerWireFormat {
     private WorkerWireFormat() {}
 
     /**
-     * Writes a heartbeat.
+     * Encodes a heartbeat.
      *
-     * @param reclaimNoticeS negative: no notice
+     * @param reclaimNoticeS seconds of notice before the cloud reclaims the machine; negative if there is no notice
      */
     static ObjectNode heartbeat(
             Worker worker, long sequence, long fencingToken, double reclaimNoticeS, Collection<WorkerTask> tasks) {
@@ -68,7 +68,7 @@
         return message.path(WireNames.INCARNATION).asLong();
     }
 
-    /** The commands of a message, without those of a kind that is not known. */
+    /** Decodes the commands of a message; commands of unknown kinds are skipped. */
     static List<WorkerCommand> commands(JsonNode message) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (JsonNode command : message.path(WireNames.COMMANDS)) {
--- a/src/main/java/stileferry/transport/ApiClient.java
+++ b/src/main/java/stileferry/transport/ApiClient.java
@@ -10,7 +10,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 
-/** A client for users and operators: waits for answers, and repeats requests as the protocol asks. */
+/** Blocking API client for users and operators, with retries as the API protocol asks for. */
 public final class ApiClient implements AutoCloseable {
     private static final long RESPONSE_TIMEOUT_MS = 5000;
     private static final long RETRY_INTERVAL_MS = 1000;
@@ -19,16 +19,21 @@
     private final List<String> addresses;
     private int nextAddress;
 
-    /** A response; the body is null when it is empty or not MessagePack. */
+    /**
+     * A response.
+     *
+     * @param status the HTTP status, {@link Environment#NO_ANSWER} or {@link Environment#NOT_SENT}
+     * @param body null if it is empty or not MessagePack
+     */
     public record Response(int status, JsonNode body) {}
 
-    /** A client of the controllers at these addresses. */
+    /** Creates a client that sends its requests to these controllers in turn. */
     public ApiClient(List<String> addresses) throws IOException {
         this.addresses = List.copyOf(addresses);
         this.loop = new EventLoop(this.addresses.size());
     }
 
-    /** Asks one controller once; each call takes the next address. */
+    /** Sends a request once and waits for the response; each call uses the next address. */
     public Response sendOnce(String method, String path, byte[] body) throws InterruptedException {
         String address = addresses.get(Math.floorMod(nextAddress++, addresses.size()));
         CompletableFuture<Response> response = new CompletableFuture<>();
@@ -48,14 +53,19 @@
         }
     }
 
-    /** Asks until there is a response other than "try again", for so long at most. */
-    public Response sendWithRetries(String method, String path, byte[] body, long patienceMs)
+    /**
+     * Sends a request and repeats it while there is no response or the response is 429 or 5xx.
+     *
+     * @param retryTimeoutMs time after which no further attempt begins
+     * @return the response to the last attempt
+     */
+    public Response sendWithRetries(String method, String path, byte[] body, long retryTimeoutMs)
             throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(retryTimeoutMs);
         while (true) {
             Response response = sendOnce(method, path, body);
-            boolean tryAgain = response.status <= 0 || response.status == 429 || response.status >= 500;
-            if (!tryAgain || System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS) > until) {
+            boolean retryable = response.status <= 0 || response.status == 429 || response.status >= 500;
+            if (!retryable || System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS) > deadlineNanos) {
                 return response;
             }
             Thread.sleep(RETRY_INTERVAL_MS);
--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -20,13 +20,13 @@
 import stileferry.protocol.SocketBudget;
 import stileferry.protocol.UserMessages;
 
-/** The address for users, workers and health checks: takes requests apart and hands them to the owner. */
+/** HTTP server for users, operators, workers and health checks; routes requests to the coordinator on its thread. */
 final class ApiServer implements HttpHandler {
     private static final byte[] NO_BODY = new byte[0];
 
     private static final byte[] OVERLOADED_BODY = MessageCodec.encode(UserMessages.error("too much to do, try again"));
 
-    /** A request that is let past the limit says nothing to it. */
+    /** For requests that are admitted above the concurrency limit; they do not influence it. */
     private static final Limiter.Listener NO_OP_LISTENER = new Limiter.Listener() {
         @Override
         public void onSuccess() {}
@@ -81,9 +81,9 @@
     }
 
     private static void closeAfterResponse(HttpServerExchange exchange) {
-        exchange.setPersistent(false); // past the limit nobody could connect any more
+        exchange.setPersistent(false); // at the connection limit nobody could connect any more
         exchange.addExchangeCompleteListener((completed, next) -> {
-            IoUtils.safeClose(completed.getConnection()); // without waiting for the other side to close it too
+            IoUtils.safeClose(completed.getConnection()); // does not wait for the client to close its side
             next.proceed();
         });
     }
@@ -95,7 +95,7 @@
     private void handleHeartbeat(HttpServerExchange exchange, byte[] body) {
         enqueue(
                 exchange,
-                () -> coordinator.handleHeartbeat(body, (status, answer) -> send(exchange, status, 0, answer)));
+                () -> coordinator.handleHeartbeat(body, (status, response) -> send(exchange, status, 0, response)));
     }
 
     private void handleAdministration(HttpServerExchange exchange, String path) {
@@ -134,13 +134,13 @@
     }
 
     private void handleUserRequest(HttpServerExchange exchange, RequestKind kind, String id, byte[] body) {
-        Optional<Limiter.Listener> free = limiter.acquire(null);
-        int retryAfterS = free.isPresent() ? 0 : coordinator.retryAfterS(kind, body);
+        Optional<Limiter.Listener> acquired = limiter.acquire(null);
+        int retryAfterS = acquired.isPresent() ? 0 : coordinator.retryAfterS(kind, body);
         if (retryAfterS > 0) {
             send(exchange, 503, retryAfterS, OVERLOADED_BODY);
             return;
         }
-        Limiter.Listener slot = free.orElse(NO_OP_LISTENER);
+        Limiter.Listener slot = acquired.orElse(NO_OP_LISTENER);
         enqueue(
                 exchange,
                 () -> coordinator.handleUserRequest(kind, id, body, response -> {
@@ -152,7 +152,7 @@
 
     private static void release(Limiter.Listener slot, PeerMessage.Response response) {
         if (response.status() == 503) {
-            slot.onIgnore(); // says nothing about how long an answer takes
+            slot.onIgnore(); // a 503 says nothing about how long requests take
         } else {
             slot.onSuccess();
         }
@@ -162,11 +162,11 @@
         enqueue(exchange, command, () -> {});
     }
 
-    /** Hands the request to the owner; the exchange stays open until somebody sends. */
-    private void enqueue(HttpServerExchange exchange, Runnable command, Runnable refused) {
+    /** Queues a command for the coordinator; the exchange stays open until a response is sent. */
+    private void enqueue(HttpServerExchange exchange, Runnable command, Runnable onRejected) {
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             if (!commands.offer(command)) {
-                refused.run();
+                onRejected.run();
                 send(exchange, 503, 1, OVERLOADED_BODY);
             }
         });
--- a/src/main/java/stileferry/transport/CommandQueue.java
+++ b/src/main/java/stileferry/transport/CommandQueue.java
@@ -6,7 +6,10 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** The queue of commands for the owner of the state, drained in batches on the one IO thread. */
+/**
+ * Queue of commands for the coordinator. They run in batches on the single IO thread, which owns the coordinator's
+ * state.
+ */
 final class CommandQueue {
     private static final Logger LOG = LoggerFactory.getLogger("command-queue");
     private static final int CAPACITY = 16 * 1024;
@@ -18,26 +21,28 @@
     private Runnable afterBatch = () -> {};
     private volatile boolean closed;
 
-    /** A batch is being carried out; only looked at on the IO thread. */
+    /** Whether a batch is running; used only on the IO thread. */
     private boolean draining;
 
-    CommandQueue(XnioIoThread thread) {
-        this.ioThread = thread;
+    CommandQueue(XnioIoThread ioThread) {
+        this.ioThread = ioThread;
     }
 
-    /** Sets what runs after each batch; called before the first command. */
+    /** Sets the task that runs after each batch; must be called before the first command is queued. */
     void afterBatch(Runnable task) {
         afterBatch = task;
     }
 
-    /** From now on nothing is taken any more. */
+    /** Stops accepting commands. */
     void close() {
         closed = true;
     }
 
     /**
-     * Takes a command that may be refused when the owner is far behind. On the IO thread, outside of any batch, it is
-     * carried out at once: to have the thread woken up by itself takes several system calls a command.
+     * Queues a command unless the queue is full or closed. When called on the IO thread outside of a batch, it drains
+     * the queue at once, because waking the thread up takes several system calls per command.
+     *
+     * @return whether the command was accepted
      */
     boolean offer(Runnable command) {
         if (closed || !queue.offer(command)) {
@@ -51,7 +56,11 @@
         return true;
     }
 
-    /** Queues a command that must not be lost and has to wait until its caller, on any thread, is done: a reply. */
+    /**
+     * Queues a command that must not be lost, such as a reply to a request. May be called on any thread and never runs
+     * the command within the call. If the queue is full, the command is submitted again later; after {@link #close} it
+     * is dropped.
+     */
     void submit(Runnable command) {
         if (closed) {
             return;
@@ -82,7 +91,7 @@
             }
             run(afterBatch);
         } finally {
-            // also after an error that is not caught here, else nothing would ever be carried out again
+            // reset even after an uncaught error; otherwise commands would never run again
             draining = false;
         }
         if (!queue.isEmpty()) {
@@ -93,7 +102,7 @@
     private static void run(Runnable command) {
         try {
             command.run();
-        } catch (RuntimeException e) { // broad catch: one command's defect must not end the owner's thread
+        } catch (RuntimeException e) { // broad catch: a fault in one command must not end the IO thread
             LOG.error("command failed", e);
         }
     }
--- a/src/main/java/stileferry/transport/ConcurrencyLimit.java
+++ b/src/main/java/stileferry/transport/ConcurrencyLimit.java
@@ -5,7 +5,7 @@
 import com.netflix.concurrency.limits.limiter.SimpleLimiter;
 import java.util.function.LongSupplier;
 
-/** The limit on user requests in progress: it follows the measured times of answers, within bounds. */
+/** Creates limiters of concurrent user requests whose limit adapts to the measured response times, within bounds. */
 final class ConcurrencyLimit {
     private static final int MIN_REQUESTS = 32;
     private static final int INITIAL_REQUESTS = 128;
@@ -17,9 +17,9 @@
         return create(System::nanoTime);
     }
 
-    static Limiter<Void> create(LongSupplier nanos) {
+    static Limiter<Void> create(LongSupplier nanoClock) {
         return SimpleLimiter.newBuilder()
-                .nanoClock(nanos)
+                .nanoClock(nanoClock)
                 .limit(Gradient2Limit.newBuilder()
                         .minLimit(MIN_REQUESTS)
                         .initialLimit(INITIAL_REQUESTS)
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -15,12 +15,12 @@
 import stileferry.protocol.Settings;
 import stileferry.protocol.SocketBudget;
 
-/** One controller's sockets: both servers and the client share one worker with one IO thread. */
+/** Servers and HTTP client of one controller, which share one XNIO worker with a single IO thread. */
 public final class ControllerServer implements AutoCloseable {
-    /** Heartbeat intervals without a word after which a connection is closed: its machine may be gone. */
+    /** Heartbeat intervals without traffic after which a connection is closed, as its machine may be gone. */
     private static final double IDLE_HEARTBEAT_INTERVALS = 4;
 
-    /** At least this long: users ask again within some seconds. */
+    /** Lower bound of the idle timeout, so that users who repeat requests every few seconds keep their connection. */
     private static final int MIN_IDLE_MS = 20_000;
 
     private final EventLoop loop;
@@ -32,19 +32,23 @@
     private ConnectorStatistics statistics;
 
     /**
-     * Opens the addresses and begins to work. All of it is done by the IO thread while the caller waits: on simulated
-     * machines, which rewrite system calls in the running process, a thread that loads classes while another reads from
-     * its sockets can end the runtime.
+     * Opens the listeners and starts the controller. The IO thread does all of this while the caller waits: on simulated
+     * machines, which rewrite system calls in the running process, the JVM can crash if one thread loads classes while
+     * another reads from its sockets.
+     *
+     * @param sourceAddress local address of outgoing connections; null: chosen by the operating system
+     * @throws IOException if a listener can't be opened, or if the caller is interrupted
      */
-    public static ControllerServer open(Settings settings, Features features, InetAddress source) throws IOException {
-        EventLoop loop = new EventLoop(settings.socketBudget().idle(), source);
+    public static ControllerServer open(Settings settings, Features features, InetAddress sourceAddress)
+            throws IOException {
+        EventLoop loop = new EventLoop(settings.socketBudget().idle(), sourceAddress);
         FutureTask<ControllerServer> opening = new FutureTask<>(() -> new ControllerServer(settings, features, loop));
         loop.ioThread().execute(opening);
         try {
             return opening.get();
         } catch (ExecutionException e) {
-            Throwable problem = e.getCause();
-            throw new IOException(problem.getCause() == null ? problem : problem.getCause());
+            Throwable cause = e.getCause();
+            throw new IOException(cause.getCause() == null ? cause : cause.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting");
@@ -70,14 +74,14 @@
             peerServer.start();
             apiServer.start();
             statistics = apiServer.getListenerInfo().get(0).getConnectorStatistics();
-        } catch (RuntimeException e) { // broad catch: an address in use comes as one
-            close(); // the other address and the threads must not outlive a failed start
+        } catch (RuntimeException e) { // broad catch: thrown if an address is in use
+            close(); // a failed start must leave neither the other listener nor the threads behind
             throw e;
         }
         commands.submit(coordinator::start);
     }
 
-    @SuppressWarnings("deprecation") // the listener reads no other option for its statistics
+    @SuppressWarnings("deprecation") // the listener supports no other option for statistics
     private Undertow buildServer(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
         return Undertow.builder()
                 .setWorker(loop.worker())
@@ -98,7 +102,7 @@
                 .build();
     }
 
-    /** Connections of users, workers and health checks that are open now. */
+    /** Returns how many connections of users, workers and health checks are open now. */
     private long openConnections() {
         return statistics.getActiveConnections();
     }
--- a/src/main/java/stileferry/transport/EventLoop.java
+++ b/src/main/java/stileferry/transport/EventLoop.java
@@ -10,7 +10,7 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The one worker with its one IO thread and its buffers, which servers and clients of a process share. */
+/** XNIO worker with a single IO thread, a buffer pool and an HTTP client; the servers of a process share it. */
 final class EventLoop implements AutoCloseable {
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int MAX_POOLED_BUFFERS = 256;
@@ -22,12 +22,17 @@
             new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
     private final HttpClient httpClient;
 
-    EventLoop(int idleConnections) throws IOException {
-        this(idleConnections, null);
+    EventLoop(int maxIdleConnections) throws IOException {
+        this(maxIdleConnections, null);
     }
 
-    /** An event loop whose outgoing connections come from this address; null: the system chooses. */
-    EventLoop(int idleConnections, InetAddress source) throws IOException {
+    /**
+     * Starts an event loop.
+     *
+     * @param maxIdleConnections outgoing connections that are kept for reuse
+     * @param sourceAddress local address of outgoing connections; null: chosen by the operating system
+     */
+    EventLoop(int maxIdleConnections, InetAddress sourceAddress) throws IOException {
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -36,7 +41,7 @@
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
         ioThread = worker.getIoThread();
-        httpClient = new HttpClient(ioThread, buffers, idleConnections, source);
+        httpClient = new HttpClient(ioThread, buffers, maxIdleConnections, sourceAddress);
     }
 
     XnioWorker worker() {
--- a/src/main/java/stileferry/transport/HttpCall.java
+++ b/src/main/java/stileferry/transport/HttpCall.java
@@ -17,9 +17,9 @@
 import org.xnio.channels.StreamSourceChannel;
 import stileferry.protocol.Environment;
 
-/** One request from its connection to its response. */
+/** One outgoing HTTP request, from the choice of a connection to the response. */
 final class HttpCall implements ClientCallback<ClientExchange> {
-    /** No response that this service asks for is larger, but for a watch's, which has no limit of its own. */
+    /** Larger than any response that this service requests, except for that of a watch, which has no limit of its own. */
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
     private static final int INITIAL_BUFFER_BYTES = 256;
@@ -33,14 +33,14 @@
     private ClientConnection connection;
     private State state = State.CONNECTING;
 
-    /** What is asked for, and where. */
+    /** The request line, server address and body of a call. */
     record Request(String address, String method, String path, byte[] body) {}
 
     private enum State {
         CONNECTING,
-        /** Given to a connection, so the other side may have it. */
+        /** Passed to a connection, so the server may have received it. */
         SENT,
-        /** The handler was told the response, or that there is none. */
+        /** The handler was called with the response or with a failure. */
         COMPLETED
     }
 
@@ -60,14 +60,14 @@
         }
     }
 
-    /** Told of a new connection. */
+    /** Called when a new connection is open or has failed. */
     private final class ConnectCallback implements ClientCallback<ClientConnection> {
         @Override
-        public void completed(ClientConnection connected) {
+        public void completed(ClientConnection newConnection) {
             if (state == State.COMPLETED) {
-                IoUtils.safeClose(connected);
+                IoUtils.safeClose(newConnection);
             } else {
-                send(connected);
+                send(newConnection);
             }
         }
 
@@ -77,8 +77,8 @@
         }
     }
 
-    private void send(ClientConnection over) {
-        connection = over;
+    private void send(ClientConnection openConnection) {
+        connection = openConnection;
         state = State.SENT;
         ClientRequest message =
                 new ClientRequest().setMethod(new HttpString(request.method())).setPath(request.path());
@@ -87,7 +87,7 @@
         if (request.body().length > 0) {
             message.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/msgpack");
         }
-        over.sendRequest(message, this);
+        openConnection.sendRequest(message, this);
     }
 
     @Override
@@ -101,7 +101,7 @@
         fail();
     }
 
-    /** Told of the head of the response. */
+    /** Called when the headers of the response have arrived or the exchange has failed. */
     private final class ResponseCallback implements ClientCallback<ClientExchange> {
         @Override
         public void completed(ClientExchange exchange) {
--- a/src/main/java/stileferry/transport/HttpClient.java
+++ b/src/main/java/stileferry/transport/HttpClient.java
@@ -11,27 +11,27 @@
 import org.xnio.XnioIoThread;
 import stileferry.protocol.Environment;
 
-/** HTTP requests over kept connections, each with a time limit. All of it runs on the one IO thread. */
+/** HTTP client with connection reuse and a timeout for each request. All of it runs on the single IO thread. */
 final class HttpClient {
     private final XnioIoThread ioThread;
     private final ByteBufferPool buffers;
     private final UndertowClient client = UndertowClient.getInstance();
     private final IdleConnections idleConnections;
 
-    /** Where connections come from; null: the system chooses. */
+    /** Local address of outgoing connections; null: chosen by the operating system. */
     private final InetSocketAddress sourceAddress;
 
-    /** Takes the response to a request. */
+    /** Receives the response to a request. */
     interface ResponseHandler {
         /** Called once, with an HTTP status, {@link Environment#NO_ANSWER} or {@link Environment#NOT_SENT}. */
         void onResponse(int status, byte[] body);
     }
 
-    HttpClient(XnioIoThread thread, ByteBufferPool buffers, int maxIdleConnections, InetAddress source) {
-        this.ioThread = thread;
+    HttpClient(XnioIoThread ioThread, ByteBufferPool buffers, int maxIdleConnections, InetAddress sourceAddress) {
+        this.ioThread = ioThread;
         this.buffers = buffers;
         this.idleConnections = new IdleConnections(maxIdleConnections);
-        this.sourceAddress = source == null ? null : new InetSocketAddress(source, 0);
+        this.sourceAddress = sourceAddress == null ? null : new InetSocketAddress(sourceAddress, 0);
     }
 
     void request(
--- a/src/main/java/stileferry/transport/IdleConnections.java
+++ b/src/main/java/stileferry/transport/IdleConnections.java
@@ -7,25 +7,25 @@
 import java.util.Map;
 import org.xnio.IoUtils;
 
-/** Connections that are kept for the next request to their address. */
+/** Pool of idle connections for reuse by later requests to the same address. */
 final class IdleConnections {
     private static final int MAX_PER_ADDRESS = 8;
 
     private final int maxConnections;
     private final Map<String, ArrayDeque<ClientConnection>> byAddress = new HashMap<>();
 
-    /** The connections with their addresses, the least lately used first. */
+    /** The pooled connections with their addresses, least recently used first. */
     private final LinkedHashMap<ClientConnection, String> byLastUse = new LinkedHashMap<>();
 
     IdleConnections(int maxConnections) {
         this.maxConnections = maxConnections;
     }
 
-    /** An open connection to this address, which is no longer kept; null: there is none. */
+    /** Removes an open connection to an address from the pool and returns it; null if there is none. */
     ClientConnection take(String address) {
-        ArrayDeque<ClientConnection> kept = byAddress.get(address);
-        while (kept != null && !kept.isEmpty()) {
-            ClientConnection connection = kept.pollLast();
+        ArrayDeque<ClientConnection> pooled = byAddress.get(address);
+        while (pooled != null && !pooled.isEmpty()) {
+            ClientConnection connection = pooled.pollLast();
             byLastUse.remove(connection);
             if (connection.isOpen()) {
                 return connection;
@@ -34,17 +34,20 @@
         return null;
     }
 
-    /** Keeps a connection, or closes it; with many addresses the least lately used connection makes room. */
+    /**
+     * Adds a connection to the pool, or closes it if the pool holds enough to its address. If the whole pool is full,
+     * the least recently used connection is closed.
+     */
     void release(String address, ClientConnection connection) {
         if (!connection.isOpen()) {
             return;
         }
-        ArrayDeque<ClientConnection> kept = byAddress.computeIfAbsent(address, key -> new ArrayDeque<>(2));
-        if (kept.size() >= MAX_PER_ADDRESS) {
+        ArrayDeque<ClientConnection> pooled = byAddress.computeIfAbsent(address, key -> new ArrayDeque<>(2));
+        if (pooled.size() >= MAX_PER_ADDRESS) {
             IoUtils.safeClose(connection);
             return;
         }
-        kept.addLast(connection);
+        pooled.addLast(connection);
         byLastUse.put(connection, address);
         if (byLastUse.size() > maxConnections) {
             closeLeastRecentlyUsed();
@@ -52,13 +55,13 @@
     }
 
     private void closeLeastRecentlyUsed() {
-        Map.Entry<ClientConnection, String> eldest =
+        Map.Entry<ClientConnection, String> leastRecentlyUsed =
                 byLastUse.entrySet().iterator().next();
-        ClientConnection connection = eldest.getKey();
-        String address = eldest.getValue();
-        ArrayDeque<ClientConnection> kept = byAddress.get(address);
-        kept.remove(connection);
-        if (kept.isEmpty()) {
+        ClientConnection connection = leastRecentlyUsed.getKey();
+        String address = leastRecentlyUsed.getValue();
+        ArrayDeque<ClientConnection> pooled = byAddress.get(address);
+        pooled.remove(connection);
+        if (pooled.isEmpty()) {
             byAddress.remove(address);
         }
         byLastUse.remove(connection);
--- a/src/main/java/stileferry/transport/LogLevel.java
+++ b/src/main/java/stileferry/transport/LogLevel.java
@@ -5,12 +5,12 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** How much is logged, now; the logging of the platform is behind SLF4J since it can be changed while it runs. */
+/** Sets the log level. SLF4J is backed by java.util.logging, whose levels can be changed while the process runs. */
 public final class LogLevel {
     private static final Map<String, Level> LEVELS =
             Map.of("error", Level.SEVERE, "info", Level.INFO, "debug", Level.FINE);
 
-    /** Kept here, since the platform forgets loggers that nobody holds. */
+    /** Referenced here because java.util.logging discards loggers that are not strongly referenced. */
     private static final Logger ROOT = Logger.getLogger("");
 
     private static final Logger[] LIBRARY_LOGGERS = {
@@ -24,9 +24,13 @@
 
     private LogLevel() {}
 
-    /** Sets the level that the process starts with and returns to: error, info or debug; info when there is none. */
+    /**
+     * Sets up logging when the process starts.
+     *
+     * @param level the initial level, to which {@link #set} can return: error, info or debug; info if null or unknown
+     */
     public static void initialize(String level) {
-        // read when the platform makes its handlers, which is below
+        // must precede getHandlers() below: the format is read when the handlers are created
         System.setProperty("java.util.logging.SimpleFormatter.format", "%4$s %3$s - %5$s%6$s%n");
         initialLevel = level == null ? Level.INFO : LEVELS.getOrDefault(level.toLowerCase(Locale.ROOT), Level.INFO);
         for (Logger logger : LIBRARY_LOGGERS) {
@@ -38,7 +42,7 @@
         ROOT.setLevel(initialLevel);
     }
 
-    /** Sets the level from now on; anything unknown is the one the process was started with. */
+    /** Sets the level to error, info or debug; any other text restores the initial level. */
     static void set(String level) {
         ROOT.setLevel(LEVELS.getOrDefault(level, initialLevel));
     }
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -14,7 +14,7 @@
 import stileferry.protocol.PeerMessageCodec;
 import stileferry.protocol.Settings;
 
-/** The real outside: sockets, clocks and timers, with replies put into the owner's queue. */
+/** Environment of a running controller: system clocks, timers and sockets. Timers and replies use the command queue. */
 final class NetworkEnvironment implements Environment {
     static final String PEER_PATH = "/peer";
 
@@ -26,7 +26,7 @@
     private final RandomGenerator random = new SplittableRandom();
     private final int maxForwards;
 
-    /** Requests that were forwarded to a controller and have no answer yet, by its address. */
+    /** Forwarded requests without a response yet, by the address of the peer. */
     private final Map<String, Integer> forwardsInFlight = new HashMap<>();
 
     private volatile boolean closed;
@@ -68,7 +68,7 @@
             ioThread.executeAfter(
                     () -> {
                         if (!commands.offer(task)) {
-                            commands.submit(task); // never lost: it goes behind what is queued
+                            commands.submit(task); // the queue is full; a timer must not be lost
                         }
                     },
                     Math.max(1, delayMs),
@@ -93,7 +93,7 @@
     public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {
         boolean isForward = message instanceof PeerMessage.ForwardedRequest;
         if (isForward && forwardsInFlight.getOrDefault(peer.address(), 0) >= maxForwards) {
-            commands.submit(() -> reply.accept(null)); // a controller that stands still must not take all sockets
+            commands.submit(() -> reply.accept(null)); // an unresponsive peer must not use up all sockets
             return;
         }
         if (isForward) {
--- a/src/main/java/stileferry/transport/PeerServer.java
+++ b/src/main/java/stileferry/transport/PeerServer.java
@@ -8,7 +8,7 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.PeerMessageCodec;
 
-/** The address for the other controllers. */
+/** HTTP server for messages from the other controllers. */
 final class PeerServer implements HttpHandler {
     private final CommandQueue commands;
     private final Coordinator coordinator;
@@ -32,7 +32,7 @@
             }
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                 if (!commands.offer(() -> coordinator.handlePeerMessage(
-                        message, answer -> ApiServer.send(exchange, 200, 0, PeerMessageCodec.encode(answer))))) {
+                        message, response -> ApiServer.send(exchange, 200, 0, PeerMessageCodec.encode(response))))) {
                     ApiServer.reject(exchange, 503, "too much to do, try again");
                 }
             });
--- a/src/main/java/stileferry/transport/RequestBodyReader.java
+++ b/src/main/java/stileferry/transport/RequestBodyReader.java
@@ -3,7 +3,7 @@
 import io.undertow.server.HttpServerExchange;
 import java.util.function.Consumer;
 
-/** Reads request bodies up to a limit, without waiting and without reading what is too long. */
+/** Reads request bodies without blocking; a longer body is rejected with 413 and not read to its end. */
 final class RequestBodyReader {
     private RequestBodyReader() {}
 
@@ -12,10 +12,9 @@
             rejectTooLarge(exchange);
             return;
         }
-        exchange.setMaxEntitySize(maxBytes); // also for bodies in chunks, whose length nobody announces
+        exchange.setMaxEntitySize(maxBytes); // covers chunked bodies, which have no Content-Length
         exchange.getRequestReceiver()
-                .receiveFullBytes(
-                        (received, body) -> handler.accept(body), (failed, problem) -> rejectTooLarge(failed));
+                .receiveFullBytes((received, body) -> handler.accept(body), (failed, cause) -> rejectTooLarge(failed));
     }
 
     private static void rejectTooLarge(HttpServerExchange exchange) {
--- a/src/main/java/stileferry/transport/StandInServer.java
+++ b/src/main/java/stileferry/transport/StandInServer.java
@@ -18,19 +18,20 @@
 import stileferry.standin.Worker;
 
 /**
- * The stand-ins for key-value store, cloud and workers on loopback addresses, for trying the service out and for its
- * tests. Everything runs on one IO thread. The workers read job descriptions from the stand-in key-value store.
+ * Serves the stand-ins for the key-value store, the cloud and the workers on loopback addresses, for local trials and
+ * for tests. Everything runs on one IO thread. The workers read job specs from the stand-in key-value store.
  */
 public final class StandInServer implements AutoCloseable {
-    /** The machine type that the cloud stand-in rents. */
+    /** The only machine type of the stand-in cloud. */
     public static final String MACHINE_TYPE = "box";
 
-    /** How long a gang's task waits for the others, and within what time it notices that one is gone, in seconds. */
+    /** How long a task of a gang waits for the gang's other tasks. */
     public static final double GANG_ASSEMBLY_TIMEOUT_S = 10;
 
+    /** Time within which a task of a gang detects that another one is gone. */
     public static final double GANG_LOSS_DETECTION_S = 2;
 
-    /** What a slow link adds. */
+    /** Delay that a slow link adds to a request. */
     static final long SLOW_LINK_DELAY_MS = 1500;
 
     private static final long TICK_INTERVAL_MS = 50;
@@ -46,13 +47,19 @@
     private final Undertow server;
     private volatile boolean closed;
 
-    /** How many machines the cloud has, how often their workers send heartbeats, and how long a worker's lease is. */
+    /**
+     * The size and the timing of the simulated deployment.
+     *
+     * @param machines machines that the cloud has
+     * @param heartbeatIntervalMs interval between the heartbeats of a worker
+     * @param leaseMs duration of a worker's lease
+     */
     public record Size(int machines, long heartbeatIntervalMs, long leaseMs) {
-        /** What a trial on one computer needs. */
+        /** Suits a trial on one computer. */
         public static final Size SMALL = new Size(8, 500, 5000);
     }
 
-    /** Which of the stand-ins a request is for. */
+    /** The kind of stand-in that a request is addressed to. */
     private enum Destination {
         WORKER,
         CLOUD,
@@ -66,28 +73,39 @@
         }
     }
 
-    /** A request with what it is for; {@code worker} is null where there is none at the address. */
+    /** A received request; {@code worker} is null if there is none at the address to which it was sent. */
     private record Request(HttpServerExchange exchange, byte[] body, Destination destination, Worker worker) {}
 
-    /** Starts the stand-ins for controllers with these client addresses and names. */
-    public StandInServer(int port, List<String> controllers, List<String> names, Size size) throws IOException {
-        this(port, controllers, names, size, LinkFaults.NONE, Worker.TaskListener.NO_OP);
+    /**
+     * Starts the stand-ins, with links that have no faults.
+     *
+     * @param port port of all stand-ins
+     * @param controllerAddresses client addresses of the controllers
+     * @param controllerNames names of the controllers, in the order of their addresses
+     */
+    public StandInServer(int port, List<String> controllerAddresses, List<String> controllerNames, Size size)
+            throws IOException {
+        this(port, controllerAddresses, controllerNames, size, LinkFaults.NONE, Worker.TaskListener.NO_OP);
     }
 
-    /** Starts them with links that may be broken, and somebody who watches the workers' tasks. */
+    /** Starts the stand-ins, with faults on their links and a listener for the starts and ends of tasks. */
     public StandInServer(
             int port,
-            List<String> controllers,
-            List<String> names,
+            List<String> controllerAddresses,
+            List<String> controllerNames,
             Size size,
             LinkFaults faults,
-            Worker.TaskListener watcher)
+            Worker.TaskListener taskListener)
             throws IOException {
         this.port = port;
         this.faults = faults;
         this.loop = new EventLoop(size.machines());
         this.workers = new StandInWorkers(
-                loop, new StandInWorkers.Config(port, size, controllers, names), faults, watcher, this::jobSpec);
+                loop,
+                new StandInWorkers.Config(port, size, controllerAddresses, controllerNames),
+                faults,
+                taskListener,
+                this::jobSpec);
         this.cloud = new Cloud(
                 MACHINE_TYPE, 8, 32, 1, List.of("a", "b"), size.machines() / 4, 500, workers::boot, workers::remove);
         Undertow.Builder builder = Undertow.builder()
@@ -103,7 +121,7 @@
         loop.ioThread().execute(this::tick);
     }
 
-    /** Where the key-value store and the cloud are. */
+    /** Returns the address of the key-value store and the cloud, as host:port. */
     public String address() {
         return LOOPBACK + ":" + port;
     }
@@ -136,12 +154,12 @@
         applyLinkFault(new Request(exchange, body, destination, worker));
     }
 
-    /** Carries a request out as far as the link lets it. */
+    /** Serves a request with the fault that its link has, if any. */
     private void applyLinkFault(Request request) {
         HttpServerExchange exchange = request.exchange();
         String source = exchange.getSourceAddress().getAddress().getHostAddress();
-        Environment.ResponseHandler reply = (status, answer) ->
-                ApiServer.send(exchange, status, 0, answer == null ? NO_BODY : MessageCodec.encode(answer));
+        Environment.ResponseHandler reply = (status, response) ->
+                ApiServer.send(exchange, status, 0, response == null ? NO_BODY : MessageCodec.encode(response));
         switch (faults.effectOn(source, linkEndpoint(request))) {
             case NONE -> serve(request, reply);
             case REFUSED -> {
@@ -151,14 +169,14 @@
                     reply.onResponse(503, null);
                 }
             }
-            case REQUEST_LOST -> {} // its sender gives up and closes the connection
-            case ANSWER_LOST -> serve(request, (status, answer) -> {});
+            case REQUEST_LOST -> {} // the sender times out and closes the connection
+            case ANSWER_LOST -> serve(request, (status, response) -> {});
             case SLOW ->
                 loop.ioThread().executeAfter(() -> serve(request, reply), SLOW_LINK_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The name of a request's destination among the ends of links. */
+    /** Returns the name of a request's destination as {@link LinkFaults} knows it; empty if there is no such worker. */
     private static String linkEndpoint(Request request) {
         return switch (request.destination()) {
             case CLOUD -> LinkFaults.CLOUD;
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -14,20 +14,21 @@
 import stileferry.standin.LinkFaults;
 import stileferry.standin.Worker;
 
-/** The stand-ins of workers: boots them, and sends their heartbeats to controllers as a real worker would. */
+/** The stand-in workers: starts them, and sends their heartbeats to controllers as a real worker does. */
 final class StandInWorkers {
-    /** How long a worker waits for an answer, and then until it tries the next controller. */
+    /** How long a worker waits for the response to a heartbeat. */
     private static final long RESPONSE_TIMEOUT_MS = 4000;
 
+    /** Delay after a failed heartbeat until the worker tries the next controller. */
     private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
 
-    /** After a redirect a worker tries the named controller so soon. */
+    /** Delay after a redirect until the worker tries the named controller. */
     private static final long REDIRECT_DELAY_MS = 50;
 
     private static final double CPUS = 8;
     private static final double MEMORY_GB = 32;
 
-    /** Addresses of workers in one block of loopback addresses. */
+    /** Worker addresses in each block of loopback addresses that differ only in their last byte. */
     private static final int ADDRESSES_PER_BLOCK = 250;
 
     private final EventLoop loop;
@@ -41,37 +42,46 @@
     private int bootedWorkers;
     private volatile boolean closed;
 
-    /** Where workers and controllers are: the port of all workers, and the controllers' addresses and names. */
+    /**
+     * Configuration of the workers.
+     *
+     * @param port port of all workers
+     * @param controllerAddresses client addresses of the controllers
+     * @param controllerNames names of the controllers, in the order of their addresses
+     */
     record Config(int port, StandInServer.Size size, List<String> controllerAddresses, List<String> controllerNames) {
-        /** Copies the lists. */
         Config {
             controllerAddresses = List.copyOf(controllerAddresses);
             controllerNames = List.copyOf(controllerNames);
         }
     }
 
-    /** {@code jobs} finds a job's description by its id; null: there is none. */
+    /** Creates no workers yet; {@code jobSpecs} returns the spec of a job by its id, or null if there is none. */
     StandInWorkers(
             EventLoop loop,
             Config config,
             LinkFaults faults,
-            Worker.TaskListener watcher,
-            Function<String, JobSpec> jobs) {
+            Worker.TaskListener taskListener,
+            Function<String, JobSpec> jobSpecs) {
         this.loop = loop;
         this.config = config;
         this.faults = faults;
-        this.taskListener = watcher;
-        this.jobSpecs = jobs;
+        this.taskListener = taskListener;
+        this.jobSpecs = jobSpecs;
     }
 
-    /** The loopback address of a worker by its number, from 1. */
+    /**
+     * Returns the loopback address of a worker.
+     *
+     * @param number the worker's number, from 1
+     */
     static String loopbackAddress(int number) {
         return "127.0." + (1 + number / ADDRESSES_PER_BLOCK) + "." + (1 + number % ADDRESSES_PER_BLOCK);
     }
 
-    /** The worker at an address; null: there is none. */
-    Worker workerAt(String host) {
-        return byAddress.get(host + ":" + config.port());
+    /** Returns the worker at a loopback address; null if there is none. */
+    Worker workerAt(String ipAddress) {
+        return byAddress.get(ipAddress + ":" + config.port());
     }
 
     void tick() {
@@ -82,7 +92,7 @@
         closed = true;
     }
 
-    /** Boots a worker. */
+    /** Starts the worker of a machine that has booted, and sends its first heartbeat. */
     Worker boot(String machine, String zone, boolean spot) {
         String address = loopbackAddress(1 + bootedWorkers++ % config.size().machines()) + ":" + config.port();
         Worker worker = new Worker(
@@ -108,67 +118,68 @@
         worker.destroy();
     }
 
-    /** Sends a heartbeat to a controller, by its number, as far as the link lets it. */
-    private void sendHeartbeat(Worker worker, int controller) {
+    /** Sends a heartbeat to a controller, given by its index, with the fault that the link has, if any. */
+    private void sendHeartbeat(Worker worker, int controllerIndex) {
         if (closed || byAddress.get(worker.address()) != worker) {
             return;
         }
         LinkFaults.Effect effect =
-                faults.effectOn(worker.machine(), config.controllerNames().get(controller));
+                faults.effectOn(worker.machine(), config.controllerNames().get(controllerIndex));
         switch (effect) {
-            case NONE -> postHeartbeat(worker, controller, false);
-            case REFUSED -> sendHeartbeatLater(NEXT_CONTROLLER_DELAY_MS, worker, nextController(controller));
+            case NONE -> postHeartbeat(worker, controllerIndex, false);
+            case REFUSED -> sendHeartbeatLater(NEXT_CONTROLLER_DELAY_MS, worker, nextController(controllerIndex));
             case REQUEST_LOST ->
-                sendHeartbeatLater(RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS, worker, nextController(controller));
-            case ANSWER_LOST -> postHeartbeat(worker, controller, true);
+                sendHeartbeatLater(
+                        RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS, worker, nextController(controllerIndex));
+            case ANSWER_LOST -> postHeartbeat(worker, controllerIndex, true);
             case SLOW ->
                 loop.ioThread()
                         .executeAfter(
-                                () -> postHeartbeat(worker, controller, false),
+                                () -> postHeartbeat(worker, controllerIndex, false),
                                 StandInServer.SLOW_LINK_DELAY_MS,
                                 TimeUnit.MILLISECONDS);
         }
     }
 
-    private void postHeartbeat(Worker worker, int controller, boolean answerLost) {
+    private void postHeartbeat(Worker worker, int controllerIndex, boolean responseLost) {
         long sentAt = StandInServer.now();
         long incarnation = worker.incarnation();
         loop.httpClient()
                 .request(
-                        config.controllerAddresses().get(controller),
+                        config.controllerAddresses().get(controllerIndex),
                         "POST",
                         ApiPaths.HEARTBEATS,
                         MessageCodec.encode(worker.heartbeat()),
                         RESPONSE_TIMEOUT_MS,
                         (status, bytes) -> {
                             JsonNode body = bytes.length == 0 ? null : MessageCodec.decode(bytes);
-                            int redirect = redirectTarget(body);
-                            if (answerLost) {
+                            int redirectIndex = redirectTarget(body);
+                            if (responseLost) {
                                 sendHeartbeatLater(
                                         RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS,
                                         worker,
-                                        nextController(controller));
+                                        nextController(controllerIndex));
                             } else if (status == 200) {
                                 worker.handleHeartbeatResponse(body, incarnation, sentAt);
-                                sendHeartbeatLater(config.size().heartbeatIntervalMs(), worker, controller);
-                            } else if (status == 421 && redirect >= 0 && redirect != controller) {
-                                sendHeartbeatLater(REDIRECT_DELAY_MS, worker, redirect);
+                                sendHeartbeatLater(config.size().heartbeatIntervalMs(), worker, controllerIndex);
+                            } else if (status == 421 && redirectIndex >= 0 && redirectIndex != controllerIndex) {
+                                sendHeartbeatLater(REDIRECT_DELAY_MS, worker, redirectIndex);
                             } else {
-                                sendHeartbeatLater(NEXT_CONTROLLER_DELAY_MS, worker, nextController(controller));
+                                sendHeartbeatLater(NEXT_CONTROLLER_DELAY_MS, worker, nextController(controllerIndex));
                             }
                         });
     }
 
-    /** The number of the controller that an answer names; -1: none that is known. */
+    /** Returns the index of the controller that a response redirects to; -1 if it names none that is known. */
     private int redirectTarget(JsonNode body) {
         return body == null ? -1 : config.controllerNames().indexOf(WorkerMessages.redirectedTo(body));
     }
 
-    private int nextController(int controller) {
-        return (controller + 1) % config.controllerAddresses().size();
+    private int nextController(int controllerIndex) {
+        return (controllerIndex + 1) % config.controllerAddresses().size();
     }
 
-    private void sendHeartbeatLater(long delayMs, Worker worker, int controller) {
-        loop.ioThread().executeAfter(() -> sendHeartbeat(worker, controller), delayMs, TimeUnit.MILLISECONDS);
+    private void sendHeartbeatLater(long delayMs, Worker worker, int controllerIndex) {
+        loop.ioThread().executeAfter(() -> sendHeartbeat(worker, controllerIndex), delayMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
+++ b/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
@@ -8,7 +8,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A simulated server with a fixed rate behind the limit: what is taken in must not wait ever longer. */
+/**
+ * Puts the limiter in front of a simulated server with a fixed service time. Guards against a limit that grows under
+ * overload, so that accepted requests wait longer and longer.
+ */
 class ConcurrencyLimitTest {
     private static final long SERVICE_TIME_NANOS = 5_000_000;
 
@@ -16,22 +19,22 @@
 
     private long nanos = 1;
 
-    /** How many requests were accepted and refused, and the longest wait in the second half of the time. */
+    /** Numbers of accepted and rejected requests, and the longest response time in the second half of the run. */
     private record Outcome(long accepted, long rejected, long longestWaitMs) {}
 
-    /** Offers so many requests a second to a server that does 200. */
-    private Outcome simulate(double perSecond, int seconds) {
-        Limiter<Void> limit = ConcurrencyLimit.create(() -> nanos);
+    /** Sends requests at a mean rate, at random times, to a server that can process 200 per second. */
+    private Outcome simulate(double requestsPerSecond, int durationS) {
+        Limiter<Void> limiter = ConcurrencyLimit.create(() -> nanos);
         SplittableRandom random = new SplittableRandom(3);
         ArrayDeque<AcceptedRequest> queue = new ArrayDeque<>();
         long freeAt = 0;
         long accepted = 0;
-        long refused = 0;
+        long rejected = 0;
         long longestWaitMs = 0;
-        long end = nanos + seconds * 1_000_000_000L;
-        long half = nanos + seconds * 500_000_000L;
-        while (nanos < end) {
-            nanos += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
+        long endTime = nanos + durationS * 1_000_000_000L;
+        long halfTime = nanos + durationS * 500_000_000L;
+        while (nanos < endTime) {
+            nanos += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
             while (!queue.isEmpty() && Math.max(freeAt, queue.peek().at) + SERVICE_TIME_NANOS <= nanos) {
                 AcceptedRequest done = queue.poll();
                 long now = nanos;
@@ -39,17 +42,18 @@
                 nanos = freeAt;
                 done.slot.onSuccess();
                 nanos = now;
-                longestWaitMs = freeAt > half ? Math.max(longestWaitMs, (freeAt - done.at) / 1_000_000) : longestWaitMs;
+                longestWaitMs =
+                        freeAt > halfTime ? Math.max(longestWaitMs, (freeAt - done.at) / 1_000_000) : longestWaitMs;
             }
-            var slot = limit.acquire(null);
+            var slot = limiter.acquire(null);
             if (slot.isPresent()) {
                 accepted++;
                 queue.add(new AcceptedRequest(nanos, slot.get()));
             } else {
-                refused++;
+                rejected++;
             }
         }
-        return new Outcome(accepted, refused, longestWaitMs);
+        return new Outcome(accepted, rejected, longestWaitMs);
     }
 
     @Test
@@ -59,14 +63,16 @@
 
     @Test
     void doublingOverloadKeepsThroughputAndBoundsWaitTimes() {
-        Outcome full = simulate(400, 20);
-        Outcome twice = simulate(800, 20);
-        assertTrue(full.rejected > 0 && twice.rejected > full.rejected, "more is refused");
+        Outcome overload = simulate(400, 20);
+        Outcome doubledOverload = simulate(800, 20);
         assertTrue(
-                twice.accepted > 0.9 * full.accepted,
-                "and as much is taken: " + twice.accepted + " of " + full.accepted);
+                overload.rejected > 0 && doubledOverload.rejected > overload.rejected,
+                "doubled overload must be rejected more often");
         assertTrue(
-                full.longestWaitMs < 2000 && twice.longestWaitMs < 2000,
-                "waits of " + full.longestWaitMs + " and " + twice.longestWaitMs + " ms");
+                doubledOverload.accepted > 0.9 * overload.accepted,
+                "accepted under doubled overload: " + doubledOverload.accepted + ", before: " + overload.accepted);
+        assertTrue(
+                overload.longestWaitMs < 2000 && doubledOverload.longestWaitMs < 2000,
+                "waits of " + overload.longestWaitMs + " and " + doubledOverload.longestWaitMs + " ms");
     }
 }
