--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -41,19 +41,19 @@
     private final CommandQueue commands;
     private final Coordinator coordinator;
     private final Limiter<Void> limiter;
-    private final SocketBudget sockets;
+    private final SocketBudget socketBudget;
     private final LongSupplier openConnections;
 
     ApiServer(
             CommandQueue commands,
             Coordinator coordinator,
             Limiter<Void> limiter,
-            SocketBudget sockets,
+            SocketBudget socketBudget,
             LongSupplier openConnections) {
         this.commands = commands;
         this.coordinator = coordinator;
         this.limiter = limiter;
-        this.sockets = sockets;
+        this.socketBudget = socketBudget;
         this.openConnections = openConnections;
     }
 
@@ -62,7 +62,7 @@
         String path = exchange.getRequestPath();
         boolean isHeartbeat = path.equals(ApiPaths.HEARTBEATS);
         long open = openConnections.getAsLong();
-        if (isHeartbeat ? sockets.closesWorkerConnections(open) : sockets.closesUserConnections(open)) {
+        if (isHeartbeat ? socketBudget.closesWorkerConnections(open) : socketBudget.closesUserConnections(open)) {
             closeAfterResponse(exchange);
         }
         if (isHeartbeat) {
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -21,15 +21,15 @@
     private static final double IDLE_HEARTBEAT_INTERVALS = 4;
 
     /** Lower bound of the idle timeout, so that users who repeat requests every few seconds keep their connection. */
-    private static final int MIN_IDLE_MS = 20_000;
+    private static final int MIN_IDLE_TIMEOUT_MS = 20_000;
 
     private final EventLoop loop;
     private final CommandQueue commands;
     private final NetworkEnvironment environment;
     private final Undertow apiServer;
     private final Undertow peerServer;
-    private final int idleMs;
-    private ConnectorStatistics statistics;
+    private final int idleTimeoutMs;
+    private ConnectorStatistics apiConnectionStatistics;
 
     /**
      * Opens the listeners and starts the controller. The IO thread does all of this while the caller waits: on simulated
@@ -57,23 +57,23 @@
 
     private ControllerServer(Settings settings, Features features, EventLoop loop) {
         this.loop = loop;
-        idleMs = (int) Math.max(
-                MIN_IDLE_MS,
+        idleTimeoutMs = (int) Math.max(
+                MIN_IDLE_TIMEOUT_MS,
                 IDLE_HEARTBEAT_INTERVALS * 1000 * settings.workers().heartbeatIntervalS());
-        SocketBudget sockets = settings.socketBudget();
+        SocketBudget socketBudget = settings.socketBudget();
         commands = new CommandQueue(loop.ioThread());
-        environment = new NetworkEnvironment(commands, loop, sockets.forwards());
+        environment = new NetworkEnvironment(commands, loop, socketBudget.forwards());
         Coordinator coordinator = new Coordinator(settings, features, environment);
         commands.afterBatch(coordinator::endOfBatch);
-        peerServer = buildServer(settings.peerListen(), sockets.peers(), new PeerServer(commands, coordinator));
+        peerServer = buildServer(settings.peerListen(), socketBudget.peers(), new PeerServer(commands, coordinator));
         apiServer = buildServer(
                 settings.clientListen(),
-                sockets.incoming(),
-                new ApiServer(commands, coordinator, ConcurrencyLimit.create(), sockets, this::openConnections));
+                socketBudget.incoming(),
+                new ApiServer(commands, coordinator, ConcurrencyLimit.create(), socketBudget, this::openConnections));
         try {
             peerServer.start();
             apiServer.start();
-            statistics = apiServer.getListenerInfo().get(0).getConnectorStatistics();
+            apiConnectionStatistics = apiServer.getListenerInfo().get(0).getConnectorStatistics();
         } catch (RuntimeException e) { // broad catch: thrown if an address is in use
             close(); // a failed start must leave neither the other listener nor the threads behind
             throw e;
@@ -84,12 +84,12 @@
     @SuppressWarnings("deprecation") // the listener supports no other option for statistics
     private Undertow buildServer(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
         return Undertow.builder()
-                .setWorker(loop.worker())
+                .setWorker(loop.xnioWorker())
                 .setByteBufferPool(loop.buffers())
                 .addHttpListener(listen.getPort(), listen.getAddress().getHostAddress())
-                .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, idleMs / 4)
+                .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleTimeoutMs)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleTimeoutMs)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, idleTimeoutMs / 4)
                 .setServerOption(UndertowOptions.ENABLE_CONNECTOR_STATISTICS, true)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
@@ -104,7 +104,7 @@
 
     /** Returns how many connections of users, workers and health checks are open now. */
     private long openConnections() {
-        return statistics.getActiveConnections();
+        return apiConnectionStatistics.getActiveConnections();
     }
 
     @Override
--- a/src/main/java/stileferry/transport/EventLoop.java
+++ b/src/main/java/stileferry/transport/EventLoop.java
@@ -16,7 +16,7 @@
     private static final int MAX_POOLED_BUFFERS = 256;
     private static final int BUFFERS_PER_THREAD = 4;
 
-    private final XnioWorker worker;
+    private final XnioWorker xnioWorker;
     private final XnioIoThread ioThread;
     private final ByteBufferPool buffers =
             new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
@@ -33,19 +33,19 @@
      * @param sourceAddress local address of outgoing connections; null: chosen by the operating system
      */
     EventLoop(int maxIdleConnections, InetAddress sourceAddress) throws IOException {
-        worker = Xnio.getInstance()
+        xnioWorker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
                         .set(Options.WORKER_TASK_CORE_THREADS, 0)
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        ioThread = worker.getIoThread();
+        ioThread = xnioWorker.getIoThread();
         httpClient = new HttpClient(ioThread, buffers, maxIdleConnections, sourceAddress);
     }
 
-    XnioWorker worker() {
-        return worker;
+    XnioWorker xnioWorker() {
+        return xnioWorker;
     }
 
     XnioIoThread ioThread() {
@@ -62,6 +62,6 @@
 
     @Override
     public void close() {
-        worker.shutdownNow();
+        xnioWorker.shutdownNow();
     }
 }
--- a/src/main/java/stileferry/transport/HttpCall.java
+++ b/src/main/java/stileferry/transport/HttpCall.java
@@ -28,7 +28,7 @@
     private final HttpClient client;
     private final Request request;
     private final HttpClient.ResponseHandler responseHandler;
-    private final ByteArrayOutputStream received = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
+    private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     private XnioExecutor.Key timeout;
     private ClientConnection connection;
     private State state = State.CONNECTING;
@@ -177,8 +177,8 @@
     private void append(ByteBuffer buffer, int count) {
         byte[] chunk = new byte[count];
         buffer.get(chunk);
-        received.writeBytes(chunk);
-        if (received.size() > MAX_RESPONSE_BYTES) {
+        responseBody.writeBytes(chunk);
+        if (responseBody.size() > MAX_RESPONSE_BYTES) {
             fail();
         }
     }
@@ -190,7 +190,7 @@
         state = State.COMPLETED;
         timeout.remove();
         client.idleConnections().release(request.address(), connection);
-        responseHandler.onResponse(status, received.toByteArray());
+        responseHandler.onResponse(status, responseBody.toByteArray());
     }
 
     private void fail() {
--- a/src/main/java/stileferry/transport/StandInServer.java
+++ b/src/main/java/stileferry/transport/StandInServer.java
@@ -109,7 +109,7 @@
         this.cloud = new Cloud(
                 MACHINE_TYPE, 8, 32, 1, List.of("a", "b"), size.machines() / 4, 500, workers::boot, workers::remove);
         Undertow.Builder builder = Undertow.builder()
-                .setWorker(loop.worker())
+                .setWorker(loop.xnioWorker())
                 .setByteBufferPool(loop.buffers())
                 .setHandler(this::handle);
         builder.addHttpListener(port, LOOPBACK);
--- a/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
+++ b/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
@@ -9,51 +9,53 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Puts the limiter in front of a simulated server with a fixed service time. Guards against a limit that grows under
- * overload, so that accepted requests wait longer and longer.
+ * Puts the limiter in front of a simulated server with a fixed service time. Guards against accepting
+ * so much under overload that accepted requests wait longer and longer.
  */
 class ConcurrencyLimitTest {
     private static final long SERVICE_TIME_NANOS = 5_000_000;
 
-    private record AcceptedRequest(long at, Limiter.Listener slot) {}
+    private record AcceptedRequest(long acceptedAtNanos, Limiter.Listener slot) {}
 
-    private long nanos = 1;
+    private long nowNanos = 1;
 
     /** Numbers of accepted and rejected requests, and the longest response time in the second half of the run. */
-    private record Outcome(long accepted, long rejected, long longestWaitMs) {}
+    private record Outcome(long accepted, long rejected, long longestResponseTimeMs) {}
 
     /** Sends requests at a mean rate, at random times, to a server that can process 200 per second. */
     private Outcome simulate(double requestsPerSecond, int durationS) {
-        Limiter<Void> limiter = ConcurrencyLimit.create(() -> nanos);
+        Limiter<Void> limiter = ConcurrencyLimit.create(() -> nowNanos);
         SplittableRandom random = new SplittableRandom(3);
         ArrayDeque<AcceptedRequest> queue = new ArrayDeque<>();
-        long freeAt = 0;
+        long serverFreeAtNanos = 0;
         long accepted = 0;
         long rejected = 0;
-        long longestWaitMs = 0;
-        long endTime = nanos + durationS * 1_000_000_000L;
-        long halfTime = nanos + durationS * 500_000_000L;
-        while (nanos < endTime) {
-            nanos += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
-            while (!queue.isEmpty() && Math.max(freeAt, queue.peek().at) + SERVICE_TIME_NANOS <= nanos) {
-                AcceptedRequest done = queue.poll();
-                long now = nanos;
-                freeAt = Math.max(freeAt, done.at) + SERVICE_TIME_NANOS;
-                nanos = freeAt;
-                done.slot.onSuccess();
-                nanos = now;
-                longestWaitMs =
-                        freeAt > halfTime ? Math.max(longestWaitMs, (freeAt - done.at) / 1_000_000) : longestWaitMs;
+        long longestResponseTimeMs = 0;
+        long endNanos = nowNanos + durationS * 1_000_000_000L;
+        long halfTimeNanos = nowNanos + durationS * 500_000_000L;
+        while (nowNanos < endNanos) {
+            nowNanos += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
+            while (!queue.isEmpty()
+                    && Math.max(serverFreeAtNanos, queue.peek().acceptedAtNanos) + SERVICE_TIME_NANOS <= nowNanos) {
+                AcceptedRequest completed = queue.poll();
+                long arrivalNanos = nowNanos;
+                serverFreeAtNanos = Math.max(serverFreeAtNanos, completed.acceptedAtNanos) + SERVICE_TIME_NANOS;
+                nowNanos = serverFreeAtNanos;
+                completed.slot.onSuccess();
+                nowNanos = arrivalNanos;
+                longestResponseTimeMs = serverFreeAtNanos > halfTimeNanos
+                        ? Math.max(longestResponseTimeMs, (serverFreeAtNanos - completed.acceptedAtNanos) / 1_000_000)
+                        : longestResponseTimeMs;
             }
             var slot = limiter.acquire(null);
             if (slot.isPresent()) {
                 accepted++;
-                queue.add(new AcceptedRequest(nanos, slot.get()));
+                queue.add(new AcceptedRequest(nowNanos, slot.get()));
             } else {
                 rejected++;
             }
         }
-        return new Outcome(accepted, rejected, longestWaitMs);
+        return new Outcome(accepted, rejected, longestResponseTimeMs);
     }
 
     @Test
@@ -72,7 +74,8 @@
                 doubledOverload.accepted > 0.9 * overload.accepted,
                 "accepted under doubled overload: " + doubledOverload.accepted + ", before: " + overload.accepted);
         assertTrue(
-                overload.longestWaitMs < 2000 && doubledOverload.longestWaitMs < 2000,
-                "waits of " + overload.longestWaitMs + " and " + doubledOverload.longestWaitMs + " ms");
+                overload.longestResponseTimeMs < 2000 && doubledOverload.longestResponseTimeMs < 2000,
+                "longest response times: " + overload.longestResponseTimeMs + " and "
+                        + doubledOverload.longestResponseTimeMs + " ms");
     }
 }
