--- a/src/main/java/stileferry/standin/ChangeLog.java
+++ b/src/main/java/stileferry/standin/ChangeLog.java
@@ -39,7 +39,7 @@
         changes.add(new Change(key, true, revision));
     }
 
-    /** Replies with the changes after a revision as soon as there are any, or without changes once the watch expires. */
+    /** Replies with the changes after a revision as soon as there are any, or without any when the watch expires. */
     void watch(String prefix, long afterRevision, long expiresAt, Environment.ResponseHandler reply) {
         ObjectNode response = changesSince(prefix, afterRevision);
         if (response.path(EVENTS).isEmpty()) {
--- a/src/main/java/stileferry/standin/Cloud.java
+++ b/src/main/java/stileferry/standin/Cloud.java
@@ -48,11 +48,11 @@
         private long removedAt;
         private Worker worker;
 
-        Instance(String zone, boolean spot, long createdAt, long bootsAt) {
+        Instance(String zone, boolean spot, long createdAt, long bootedAt) {
             this.zone = zone;
             this.spot = spot;
             this.createdAt = createdAt;
-            this.bootedAt = bootsAt;
+            this.bootedAt = bootedAt;
         }
     }
 
@@ -60,7 +60,7 @@
      * Creates a cloud without machines.
      *
      * @param machinesPerPool largest number of machines in a zone, for spot instances and on-demand machines each
-     * @param listLagMs age of the state that the list of machines shows
+     * @param listLagMs how long it takes until the list shows that a machine was created or removed
      * @param workerStarter starts the worker of a machine that has booted
      * @param workerRemover removes the worker of a machine that is gone
      */
@@ -187,7 +187,7 @@
         return names;
     }
 
-    /** Lists the machines whose names follow a given one, with the lag of the list. */
+    /** Lists the machines that existed {@code listLagMs} ago and whose names follow a given one. */
     private ObjectNode listMachines(String afterName) {
         ObjectNode response = MessageCodec.map().put("more", false);
         ArrayNode machines = response.putArray(WireNames.MACHINES);
--- a/src/main/java/stileferry/standin/GangSimulation.java
+++ b/src/main/java/stileferry/standin/GangSimulation.java
@@ -9,8 +9,8 @@
 import stileferry.protocol.JobSpec;
 
 /**
- * Simulates what the tasks of a gang know of each other, for all workers of one deployment and as the published protocol
- * demands: they start together, save their checkpoints together, and exit when one of them is lost.
+ * Simulates what the tasks of a gang know of each other, for all workers of one deployment and as the published
+ * protocol demands: they start together, save their checkpoints together, and exit when one of them is lost.
  */
 public final class GangSimulation {
     private static final long NEVER = -1;
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Discards the progress of a gang that lost a task since its last periodic checkpoint. */
+    /** Discards the progress that a gang made after its last periodic checkpoint, since it lost a task. */
     private void rollBackToPeriodicCheckpoint(Gang gang, long now) {
         long intervalMs = Math.round(1000 * gang.spec.checkpointIntervalS());
         long progressMs = savedProgressMs.getOrDefault(gang.spec.id(), 0L) + gang.progressEnd(now) - gang.startedAt;
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -123,7 +123,7 @@
         faulty = value;
     }
 
-    /** Makes the worker ignore the end of its lease, as a defective one might; tests of the invariant checks use this. */
+    /** Makes the worker ignore the end of its lease, as a defective one might; for tests of the invariant checks. */
     public void ignoreLeaseExpiry() {
         ignoresLease = true;
     }
--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -81,7 +81,7 @@
     }
 
     private static void closeAfterResponse(HttpServerExchange exchange) {
-        exchange.setPersistent(false); // at the connection limit nobody could connect any more
+        exchange.setPersistent(false); // at the connection limit no client could connect any more
         exchange.addExchangeCompleteListener((completed, next) -> {
             IoUtils.safeClose(completed.getConnection()); // does not wait for the client to close its side
             next.proceed();
--- a/src/main/java/stileferry/transport/CommandQueue.java
+++ b/src/main/java/stileferry/transport/CommandQueue.java
@@ -7,7 +7,7 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Queue of commands for the coordinator. They run in batches on the single IO thread, which owns the coordinator's
+ * Queue of commands for the coordinator. Commands run in batches on the single IO thread, which owns the coordinator's
  * state.
  */
 final class CommandQueue {
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -32,9 +32,9 @@
     private ConnectorStatistics apiConnectionStatistics;
 
     /**
-     * Opens the listeners and starts the controller. The IO thread does all of this while the caller waits: on simulated
-     * machines, which rewrite system calls in the running process, the JVM can crash if one thread loads classes while
-     * another reads from its sockets.
+     * Opens the listeners and starts the controller. The IO thread does all of this while the caller waits: on
+     * simulated machines, which rewrite system calls in the running process, the JVM can crash if one thread loads
+     * classes while another reads from its sockets.
      *
      * @param sourceAddress local address of outgoing connections; null: chosen by the operating system
      * @throws IOException if a listener can't be opened, or if the caller is interrupted
--- a/src/main/java/stileferry/transport/HttpCall.java
+++ b/src/main/java/stileferry/transport/HttpCall.java
@@ -19,7 +19,7 @@
 
 /** One outgoing HTTP request, from the choice of a connection to the response. */
 final class HttpCall implements ClientCallback<ClientExchange> {
-    /** Larger than any response that this service requests, except for that of a watch, which has no limit of its own. */
+    /** Larger than any response that this service requests, except that of a watch, which has no limit of its own. */
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
     private static final int INITIAL_BUFFER_BYTES = 256;
@@ -77,8 +77,8 @@
         }
     }
 
-    private void send(ClientConnection openConnection) {
-        connection = openConnection;
+    private void send(ClientConnection chosenConnection) {
+        connection = chosenConnection;
         state = State.SENT;
         ClientRequest message =
                 new ClientRequest().setMethod(new HttpString(request.method())).setPath(request.path());
@@ -87,7 +87,7 @@
         if (request.body().length > 0) {
             message.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/msgpack");
         }
-        openConnection.sendRequest(message, this);
+        chosenConnection.sendRequest(message, this);
     }
 
     @Override
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -56,7 +56,11 @@
         }
     }
 
-    /** Creates no workers yet; {@code jobSpecs} returns the spec of a job by its id, or null if there is none. */
+    /**
+     * Creates an empty set of workers.
+     *
+     * @param jobSpecs returns the spec of a job by its id; null if there is no such job
+     */
     StandInWorkers(
             EventLoop loop,
             Config config,
--- a/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
+++ b/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Puts the limiter in front of a simulated server with a fixed service time. Guards against accepting
- * so much under overload that accepted requests wait longer and longer.
+ * Puts the limiter in front of a simulated server with a fixed service time. Guards against accepting so much under
+ * overload that accepted requests wait longer and longer.
  */
 class ConcurrencyLimitTest {
     private static final long SERVICE_TIME_NANOS = 5_000_000;
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void doublingOverloadKeepsThroughputAndBoundsWaitTimes() {
+    void doublingOverloadKeepsThroughputAndBoundsResponseTimes() {
         Outcome overload = simulate(400, 20);
         Outcome doubledOverload = simulate(800, 20);
         assertTrue(
