--- a/src/main/java/stileferry/standin/Cloud.java
+++ b/src/main/java/stileferry/standin/Cloud.java
@@ -13,7 +13,7 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.WireNames;
 
-/** A stand-in for the cloud with one machine type, after the published protocol. Time comes from outside. */
+/** Stand-in for a cloud with one machine type; implements the published protocol. The caller passes in the time. */
 public final class Cloud {
     private final String type;
     private final double cpus;
@@ -22,47 +22,47 @@
     private final List<String> zones;
     private final int machinesPerPool;
     private final long listLagMs;
-    private final WorkerBoot workerBoot;
-    private final Consumer<Worker> removeWorker;
+    private final WorkerStarter workerStarter;
+    private final Consumer<Worker> workerRemover;
     private final TreeMap<String, Instance> instances = new TreeMap<>();
 
-    /** Instances that are gone and may still be listed. */
-    private final Map<String, Instance> goneInstances = new HashMap<>();
+    /** Removed instances, which the list still shows for a while. */
+    private final Map<String, Instance> removedInstances = new HashMap<>();
 
-    private final Map<String, List<String>> namesByRequest = new HashMap<>();
-    private int createdInstances;
-    private int deletionRequests;
+    private final Map<String, List<String>> namesByRequestId = new HashMap<>();
+    private int createdInstanceCount;
+    private int deletionRequestCount;
     private long now;
 
-    /** Starts the worker of a machine that has booted. */
-    public interface WorkerBoot {
-        /** A machine of this name has booted. */
-        Worker boot(String machine, String zone, boolean spot);
+    /** Starts the workers of machines that have booted. */
+    public interface WorkerStarter {
+        /** Starts and returns the worker of a machine that has just booted. */
+        Worker start(String machine, String zone, boolean spot);
     }
 
     private static final class Instance {
         private final String zone;
         private final boolean spot;
         private final long createdAt;
-        private final long bootsAt;
-        private long goneAt;
+        private final long bootedAt;
+        private long removedAt;
         private Worker worker;
 
-        Instance(String zone, boolean spot, long createdAt, long bootsAt) {
+        Instance(String zone, boolean spot, long createdAt, long bootedAt) {
             this.zone = zone;
             this.spot = spot;
             this.createdAt = createdAt;
-            this.bootsAt = bootsAt;
+            this.bootedAt = bootedAt;
         }
     }
 
     /**
-     * A cloud without machines.
+     * Creates a cloud without machines.
      *
-     * @param machinesPerPool machines that can be had in each zone, as spot instances and on demand each
-     * @param listLagMs by how much the list of machines lags
-     * @param workerBoot starts the worker of a machine that has booted
-     * @param removeWorker ends the worker of a machine that is gone
+     * @param machinesPerPool largest number of machines in a zone, for spot instances and on-demand machines each
+     * @param listLagMs how long it takes until the list shows that a machine was created or removed
+     * @param workerStarter starts the worker of a machine that has booted
+     * @param workerRemover removes the worker of a machine that is gone
      */
     public Cloud(
             String type,
@@ -72,8 +72,8 @@
             List<String> zones,
             int machinesPerPool,
             long listLagMs,
-            WorkerBoot workerBoot,
-            Consumer<Worker> removeWorker) {
+            WorkerStarter workerStarter,
+            Consumer<Worker> workerRemover) {
         this.type = type;
         this.cpus = cpus;
         this.memoryGb = memoryGb;
@@ -81,38 +81,38 @@
         this.zones = zones;
         this.machinesPerPool = machinesPerPool;
         this.listLagMs = listLagMs;
-        this.workerBoot = workerBoot;
-        this.removeWorker = removeWorker;
+        this.workerStarter = workerStarter;
+        this.workerRemover = workerRemover;
     }
 
-    /** Lets time pass: machines boot. */
+    /** Advances the time: machines finish booting. */
     public void tick(long time) {
         now = time;
         instances.forEach((name, instance) -> {
-            if (instance.worker == null && now >= instance.bootsAt) {
-                instance.worker = workerBoot.boot(name, instance.zone, instance.spot);
+            if (instance.worker == null && now >= instance.bootedAt) {
+                instance.worker = workerStarter.start(name, instance.zone, instance.spot);
             }
         });
     }
 
-    /** Takes a machine away without notice. */
+    /** Removes a machine without notice; does nothing if there is no such machine. */
     public void reclaim(String name) {
         Instance instance = instances.remove(name);
         if (instance != null) {
-            instance.goneAt = now;
-            goneInstances.put(name, instance);
+            instance.removedAt = now;
+            removedInstances.put(name, instance);
             if (instance.worker != null) {
-                removeWorker.accept(instance.worker);
+                workerRemover.accept(instance.worker);
             }
         }
     }
 
-    /** How many deletions were requested. */
-    public int deletionRequests() {
-        return deletionRequests;
+    /** Returns how many deletion requests were received. */
+    public int deletionRequestCount() {
+        return deletionRequestCount;
     }
 
-    /** Names of the machines that have booted. */
+    /** Returns the names of the machines that have booted and still exist. */
     public List<String> runningMachines() {
         return instances.entrySet().stream()
                 .filter(entry -> entry.getValue().worker != null)
@@ -120,26 +120,26 @@
                 .toList();
     }
 
-    /** Carries a request out. */
-    public void request(String method, String path, JsonNode body, Environment.ResponseHandler reply) {
+    /** Handles a request to the cloud. */
+    public void handleRequest(String method, String path, JsonNode body, Environment.ResponseHandler reply) {
         if (path.equals("/machine_types")) {
             reply.onResponse(200, machineTypes());
         } else if (path.equals("/hosts")) {
             create(body, reply);
         } else if (path.equals("/hosts/delete")) {
-            deletionRequests++;
+            deletionRequestCount++;
             body.path(WireNames.MACHINES).forEach(name -> reclaim(name.asText()));
             reply.onResponse(200, MessageCodec.map());
         } else if (path.startsWith("/hosts?")) {
-            reply.onResponse(200, list(QueryString.of(path).text("from")));
+            reply.onResponse(200, listMachines(QueryString.of(path).text("from")));
         } else {
             reply.onResponse(400, null);
         }
     }
 
     private ObjectNode machineTypes() {
-        ObjectNode answer = MessageCodec.map();
-        ObjectNode machineType = answer.putArray(WireNames.MACHINE_TYPES)
+        ObjectNode response = MessageCodec.map();
+        ObjectNode machineType = response.putArray(WireNames.MACHINE_TYPES)
                 .addObject()
                 .put(WireNames.MACHINE_TYPE_NAME, type)
                 .put(WireNames.CPUS, cpus)
@@ -151,13 +151,13 @@
                 .put(WireNames.SPOT_PRICE, 0.4)
                 .put(WireNames.BOOT_S, bootS);
         zones.forEach(machineType.putArray(WireNames.ZONES)::add);
-        return answer;
+        return response;
     }
 
-    /** Creates machines once for each request's id, and answers a repeated request the same. */
+    /** Creates machines once for each request id; a repeated request gets the same response. */
     private void create(JsonNode body, Environment.ResponseHandler reply) {
-        String request = body.path(WireNames.SCALE_OUT_REQUEST).asText();
-        List<String> names = namesByRequest.get(request);
+        String requestId = body.path(WireNames.SCALE_OUT_REQUEST).asText();
+        List<String> names = namesByRequestId.get(requestId);
         if (names == null) {
             names = createInstances(
                     body.path(WireNames.ZONE).asText(),
@@ -167,36 +167,36 @@
                 reply.onResponse(503, MessageCodec.map().put(WireNames.ERROR, "no capacity"));
                 return;
             }
-            namesByRequest.put(request, names);
+            namesByRequestId.put(requestId, names);
         }
-        ObjectNode answer = MessageCodec.map();
-        names.forEach(answer.putArray(WireNames.MACHINES)::add);
-        reply.onResponse(200, answer);
+        ObjectNode response = MessageCodec.map();
+        names.forEach(response.putArray(WireNames.MACHINES)::add);
+        reply.onResponse(200, response);
     }
 
     private List<String> createInstances(String zone, boolean spot, int count) {
         List<String> names = new ArrayList<>();
-        long existing = instances.values().stream()
+        long machinesInPool = instances.values().stream()
                 .filter(instance -> instance.zone.equals(zone) && instance.spot == spot)
                 .count();
-        for (int i = 0; i < count && existing + i < machinesPerPool; i++) {
-            String name = String.format("host-%06d", createdInstances++);
+        for (int i = 0; i < count && machinesInPool + i < machinesPerPool; i++) {
+            String name = String.format("host-%06d", createdInstanceCount++);
             instances.put(name, new Instance(zone, spot, now, now + Math.round(bootS * 1000)));
             names.add(name);
         }
         return names;
     }
 
-    /** All machines after this one, as they were before the list's lag. */
-    private ObjectNode list(String from) {
-        ObjectNode answer = MessageCodec.map().put("more", false);
-        ArrayNode list = answer.putArray(WireNames.MACHINES);
-        goneInstances.values().removeIf(instance -> now - instance.goneAt > listLagMs);
-        TreeMap<String, Instance> listed = new TreeMap<>(instances);
-        listed.putAll(goneInstances);
-        listed.tailMap(from, false).forEach((name, instance) -> {
+    /** Lists the machines that existed {@code listLagMs} ago and whose names follow a given one. */
+    private ObjectNode listMachines(String afterName) {
+        ObjectNode response = MessageCodec.map().put("more", false);
+        ArrayNode machines = response.putArray(WireNames.MACHINES);
+        removedInstances.values().removeIf(instance -> now - instance.removedAt > listLagMs);
+        TreeMap<String, Instance> visible = new TreeMap<>(instances);
+        visible.putAll(removedInstances);
+        visible.tailMap(afterName, false).forEach((name, instance) -> {
             if (now - instance.createdAt >= listLagMs) {
-                list.addObject()
+                machines.addObject()
                         .put(WireNames.NAME_ID, name)
                         .put(WireNames.ADDRESS, instance.worker == null ? "" : instance.worker.address())
                         .put(WireNames.MACHINE_TYPE, type)
@@ -206,6 +206,6 @@
                         .put(WireNames.AGE_S, (now - instance.createdAt) / 1000.0);
             }
         });
-        return answer;
+        return response;
     }
 }
--- a/src/main/java/stileferry/standin/GangSimulation.java
+++ b/src/main/java/stileferry/standin/GangSimulation.java
@@ -8,15 +8,18 @@
 import stileferry.protocol.Heartbeat.TaskPhase;
 import stileferry.protocol.JobSpec;
 
-/** What the tasks of gangs know of each other, for all workers of one deployment, after the published protocol. */
+/**
+ * Simulates what the tasks of a gang know of each other, for all workers of one deployment and as the published
+ * protocol demands: they start together, save their checkpoints together, and exit when one of them is lost.
+ */
 public final class GangSimulation {
     private static final long NEVER = -1;
 
-    private final long waitMs;
-    private final long peerMs;
+    private final long assemblyTimeoutMs;
+    private final long lossDetectionMs;
     private final Map<String, Gang> gangs = new HashMap<>();
 
-    /** Saved progress of jobs, in milliseconds. */
+    /** Saved progress of each job in milliseconds of run time, by job id. */
     private final Map<String, Long> savedProgressMs = new HashMap<>();
 
     /** One attempt of a gang. */
@@ -25,11 +28,11 @@
         private final Map<String, WorkerTask> members = new HashMap<>();
         private long startedAt = NEVER;
 
-        /** When the first task was lost whose progress had not been saved. */
+        /** When the first task was lost without a saved checkpoint. */
         private long memberLostAt = NEVER;
 
-        /** When the first task began to save. */
-        private long saveBegunAt = NEVER;
+        /** When the first task began to save its checkpoint. */
+        private long saveStartedAt = NEVER;
 
         private int savingTasks;
 
@@ -46,33 +49,33 @@
         }
 
         boolean saving() {
-            return saveBegunAt != NEVER;
+            return saveStartedAt != NEVER;
         }
 
         boolean complete() {
             return members.size() == spec.taskCount();
         }
 
-        /** Whether all tasks save, and none is lost, so that the save succeeds. */
+        /** Returns whether all tasks are saving and none is lost, so that the checkpoint will be complete. */
         boolean allSaving() {
             return savingTasks == spec.taskCount() && !memberLost();
         }
 
-        /** When progress ended: when the save began, if one has begun. */
-        long progressEndedAt(long now) {
-            return saving() ? saveBegunAt : now;
+        /** Returns until when the gang has made progress: the time when it began to save, else now. */
+        long progressEnd(long now) {
+            return saving() ? saveStartedAt : now;
         }
     }
 
     /**
-     * Gangs of one deployment.
+     * Creates a simulation without gangs.
      *
-     * @param waitS seconds that a task waits for the others
-     * @param peerS seconds within which a task notices that another one is lost
+     * @param assemblyTimeoutS seconds for which a task waits for the gang's other tasks
+     * @param lossDetectionS seconds within which a task detects that another one is lost
      */
-    public GangSimulation(double waitS, double peerS) {
-        waitMs = Math.round(1000 * waitS);
-        peerMs = Math.round(1000 * peerS);
+    public GangSimulation(double assemblyTimeoutS, double lossDetectionS) {
+        assemblyTimeoutMs = Math.round(1000 * assemblyTimeoutS);
+        lossDetectionMs = Math.round(1000 * lossDetectionS);
     }
 
     private static String key(WorkerTask task) {
@@ -83,33 +86,33 @@
         return gangs.computeIfAbsent(key(task), key -> new Gang(task.spec()));
     }
 
-    /** A task has its image; it waits, and when it is the last, all of them start. */
+    /** Handles a task whose image has been pulled: it waits for its gang; the last one makes all of them start. */
     void imagePulled(WorkerTask task, long now) {
         Gang gang = gangOf(task);
         gang.members.put(task.taskId(), task);
-        task.enter(TaskPhase.WAITING_FOR_GANG, now + waitMs);
+        task.enter(TaskPhase.WAITING_FOR_GANG, now + assemblyTimeoutMs);
         if (gang.complete() && !gang.started()) {
             gang.startedAt = now;
             for (WorkerTask member : gang.members.values()) {
                 member.enter(TaskPhase.RUNNING);
-                member.worker().markChanged();
+                member.worker().markHeartbeatDue();
             }
         }
     }
 
-    /** Lets time pass for a task that has its image; the reason for which it exits now, or null. */
+    /** Advances the time for a task whose image has been pulled; returns why it exits now, or null if it does not. */
     ExitReason tick(WorkerTask task, long now) {
         Gang gang = gangOf(task);
         if (!gang.started()) {
             return now >= task.phaseEndsAt() ? ExitReason.GANG_INCOMPLETE : null;
         }
         if (gang.saving()) {
-            return tickSaving(gang, task, now);
+            return tickCheckpointSave(gang, task, now);
         }
         if (gang.memberLost()) {
-            return noticedLoss(gang, now) ? ExitReason.GANG_MEMBER_LOST : null;
+            return lossDetected(gang, now) ? ExitReason.GANG_MEMBER_LOST : null;
         }
-        if (now >= gang.startedAt + remainingMs(gang.spec)) {
+        if (now >= gang.startedAt + remainingRunTimeMs(gang.spec)) {
             for (WorkerTask member : new ArrayList<>(gang.members.values())) {
                 member.worker().exit(member, ExitReason.COMPLETED);
             }
@@ -117,61 +120,61 @@
         return null;
     }
 
-    private ExitReason tickSaving(Gang gang, WorkerTask task, long now) {
+    private ExitReason tickCheckpointSave(Gang gang, WorkerTask task, long now) {
         if (!gang.allSaving()) {
-            return now >= gang.saveBegunAt + peerMs ? ExitReason.GANG_MEMBER_LOST : null;
+            return now >= gang.saveStartedAt + lossDetectionMs ? ExitReason.GANG_MEMBER_LOST : null;
         }
         if (task.phase() == TaskPhase.SAVING_CHECKPOINT && now >= task.phaseEndsAt()) {
-            savedProgressMs.merge(gang.spec.id(), gang.saveBegunAt - gang.startedAt, Long::sum);
-            gang.startedAt = gang.saveBegunAt; // so that the other tasks add nothing
+            savedProgressMs.merge(gang.spec.id(), gang.saveStartedAt - gang.startedAt, Long::sum);
+            gang.startedAt = gang.saveStartedAt; // so that the other tasks do not add this progress again
             task.markCheckpointSaved();
             return ExitReason.STOPPED;
         }
         return null;
     }
 
-    private long remainingMs(JobSpec spec) {
+    private long remainingRunTimeMs(JobSpec spec) {
         return Math.round(1000 * spec.estimateS()) - savedProgressMs.getOrDefault(spec.id(), 0L);
     }
 
-    private boolean noticedLoss(Gang gang, long now) {
-        return gang.memberLost() && now >= gang.memberLostAt + peerMs / 2;
+    private boolean lossDetected(Gang gang, long now) {
+        return gang.memberLost() && now >= gang.memberLostAt + lossDetectionMs / 2;
     }
 
-    /** A running task is to save its checkpoint; whether it does so. */
-    boolean beginSave(WorkerTask task, long now) {
+    /** Makes a running task save its checkpoint; returns false if its gang has not started or has detected a loss. */
+    boolean tryBeginSave(WorkerTask task, long now) {
         Gang gang = gangOf(task);
-        if (!gang.started() || noticedLoss(gang, now)) {
+        if (!gang.started() || lossDetected(gang, now)) {
             return false;
         }
-        gang.saveBegunAt = gang.progressEndedAt(now);
+        gang.saveStartedAt = gang.progressEnd(now);
         gang.savingTasks++;
         return true;
     }
 
-    /** A task that had its image has exited. */
+    /** Handles the exit of a task whose image had been pulled. */
     void memberExited(WorkerTask task, long now) {
         Gang gang = gangOf(task);
         gang.members.remove(task.taskId(), task);
         boolean completed = task.exitReason() == ExitReason.COMPLETED;
         if (gang.started() && !completed && !task.checkpointSaved() && !gang.memberLost()) {
             gang.memberLostAt = now;
-            keepRegularCheckpoints(gang, now);
+            rollBackToPeriodicCheckpoint(gang, now);
         }
         if (gang.members.isEmpty()) {
             gangs.remove(key(task));
         }
     }
 
-    /** Of a gang that lost a task only the progress up to its last regular checkpoint is kept. */
-    private void keepRegularCheckpoints(Gang gang, long now) {
+    /** Discards the progress that a gang made after its last periodic checkpoint, since it lost a task. */
+    private void rollBackToPeriodicCheckpoint(Gang gang, long now) {
         long intervalMs = Math.round(1000 * gang.spec.checkpointIntervalS());
-        long progressMs = savedProgressMs.getOrDefault(gang.spec.id(), 0L) + gang.progressEndedAt(now) - gang.startedAt;
+        long progressMs = savedProgressMs.getOrDefault(gang.spec.id(), 0L) + gang.progressEnd(now) - gang.startedAt;
         savedProgressMs.put(gang.spec.id(), intervalMs > 0 ? progressMs / intervalMs * intervalMs : 0);
     }
 
-    /** Jobs with tasks of more than one attempt at a time, which must never be. */
-    public List<String> jobsWithMixedAttempts() {
+    /** Returns the ids of jobs that have tasks of more than one attempt now, which must never happen. */
+    public List<String> jobsWithConcurrentAttempts() {
         Map<String, Integer> attemptsByJob = new HashMap<>();
         gangs.values().stream()
                 .filter(gang -> !gang.members.isEmpty())
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -15,36 +15,40 @@
 import stileferry.protocol.Settings;
 import stileferry.protocol.SocketBudget;
 
-/** One controller's sockets: both servers and the client share one worker with one IO thread. */
+/** Servers and HTTP client of one controller, which share one XNIO worker with a single IO thread. */
 public final class ControllerServer implements AutoCloseable {
-    /** Heartbeat intervals without a word after which a connection is closed: its machine may be gone. */
-    private static final double IDLE_HEARTBEATS = 4;
+    /** Heartbeat intervals without traffic after which a connection is closed, as its machine may be gone. */
+    private static final double IDLE_HEARTBEAT_INTERVALS = 4;
 
-    /** At least this long: users ask again within some seconds. */
-    private static final int MIN_IDLE_MS = 20_000;
+    /** Lower bound of the idle timeout, so that users who repeat requests every few seconds keep their connection. */
+    private static final int MIN_IDLE_TIMEOUT_MS = 20_000;
 
     private final EventLoop loop;
     private final CommandQueue commands;
     private final NetworkEnvironment environment;
     private final Undertow apiServer;
     private final Undertow peerServer;
-    private final int idleMs;
-    private ConnectorStatistics statistics;
+    private final int idleTimeoutMs;
+    private ConnectorStatistics apiConnectionStatistics;
 
     /**
-     * Opens the addresses and begins to work. All of it is done by the IO thread while the caller waits: on simulated
-     * machines, which rewrite system calls in the running process, a thread that loads classes while another reads from
-     * its sockets can end the runtime.
+     * Opens the listeners and starts the controller. The IO thread does all of this while the caller waits: on
+     * simulated machines, which rewrite system calls in the running process, the JVM can crash if one thread loads
+     * classes while another reads from its sockets.
+     *
+     * @param sourceAddress local address of outgoing connections; null: chosen by the operating system
+     * @throws IOException if a listener can't be opened, or if the caller is interrupted
      */
-    public static ControllerServer open(Settings settings, Features features, InetAddress source) throws IOException {
-        EventLoop loop = new EventLoop(settings.socketBudget().idle(), source);
+    public static ControllerServer open(Settings settings, Features features, InetAddress sourceAddress)
+            throws IOException {
+        EventLoop loop = new EventLoop(settings.socketBudget().idle(), sourceAddress);
         FutureTask<ControllerServer> opening = new FutureTask<>(() -> new ControllerServer(settings, features, loop));
-        loop.thread().execute(opening);
+        loop.ioThread().execute(opening);
         try {
             return opening.get();
         } catch (ExecutionException e) {
-            Throwable problem = e.getCause();
-            throw new IOException(problem.getCause() == null ? problem : problem.getCause());
+            Throwable cause = e.getCause();
+            throw new IOException(cause.getCause() == null ? cause : cause.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting");
@@ -53,38 +57,39 @@
 
     private ControllerServer(Settings settings, Features features, EventLoop loop) {
         this.loop = loop;
-        idleMs = (int) Math.max(
-                MIN_IDLE_MS, IDLE_HEARTBEATS * 1000 * settings.workers().heartbeatIntervalS());
-        SocketBudget sockets = settings.socketBudget();
-        commands = new CommandQueue(loop.thread());
-        environment = new NetworkEnvironment(commands, loop, sockets.forwards());
+        idleTimeoutMs = (int) Math.max(
+                MIN_IDLE_TIMEOUT_MS,
+                IDLE_HEARTBEAT_INTERVALS * 1000 * settings.workers().heartbeatIntervalS());
+        SocketBudget socketBudget = settings.socketBudget();
+        commands = new CommandQueue(loop.ioThread());
+        environment = new NetworkEnvironment(commands, loop, socketBudget.forwards());
         Coordinator coordinator = new Coordinator(settings, features, environment);
         commands.afterBatch(coordinator::endOfBatch);
-        peerServer = server(settings.peerListen(), sockets.peers(), new PeerServer(commands, coordinator));
-        apiServer = server(
+        peerServer = buildServer(settings.peerListen(), socketBudget.peers(), new PeerServer(commands, coordinator));
+        apiServer = buildServer(
                 settings.clientListen(),
-                sockets.incoming(),
-                new ApiServer(commands, coordinator, ConcurrencyLimit.create(), sockets, this::openConnections));
+                socketBudget.incoming(),
+                new ApiServer(commands, coordinator, ConcurrencyLimit.create(), socketBudget, this::openConnections));
         try {
             peerServer.start();
             apiServer.start();
-            statistics = apiServer.getListenerInfo().get(0).getConnectorStatistics();
-        } catch (RuntimeException e) { // broad catch: an address in use comes as one
-            close(); // the other address and the threads must not outlive a failed start
+            apiConnectionStatistics = apiServer.getListenerInfo().get(0).getConnectorStatistics();
+        } catch (RuntimeException e) { // broad catch: thrown if an address is in use
+            close(); // a failed start must leave neither the other listener nor the threads behind
             throw e;
         }
         commands.submit(coordinator::start);
     }
 
-    @SuppressWarnings("deprecation") // the listener reads no other option for its statistics
-    private Undertow server(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
+    @SuppressWarnings("deprecation") // the listener supports no other option for statistics
+    private Undertow buildServer(InetSocketAddress listen, int maxConnections, HttpHandler handler) {
         return Undertow.builder()
-                .setWorker(loop.worker())
+                .setWorker(loop.xnioWorker())
                 .setByteBufferPool(loop.buffers())
                 .addHttpListener(listen.getPort(), listen.getAddress().getHostAddress())
-                .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, idleMs / 4)
+                .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleTimeoutMs)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleTimeoutMs)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, idleTimeoutMs / 4)
                 .setServerOption(UndertowOptions.ENABLE_CONNECTOR_STATISTICS, true)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
@@ -97,9 +102,9 @@
                 .build();
     }
 
-    /** Connections of users, workers and health checks that are open now. */
+    /** Returns how many connections of users, workers and health checks are open now. */
     private long openConnections() {
-        return statistics.getActiveConnections();
+        return apiConnectionStatistics.getActiveConnections();
     }
 
     @Override
--- a/src/main/java/stileferry/transport/EventLoop.java
+++ b/src/main/java/stileferry/transport/EventLoop.java
@@ -10,53 +10,58 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The one worker with its one IO thread and its buffers, which servers and clients of a process share. */
+/** XNIO worker with a single IO thread, a buffer pool and an HTTP client; the servers of a process share it. */
 final class EventLoop implements AutoCloseable {
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int MAX_POOLED_BUFFERS = 256;
-    private static final int THREAD_LOCAL_BUFFERS = 4;
+    private static final int BUFFERS_PER_THREAD = 4;
 
-    private final XnioWorker worker;
-    private final XnioIoThread thread;
+    private final XnioWorker xnioWorker;
+    private final XnioIoThread ioThread;
     private final ByteBufferPool buffers =
-            new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, THREAD_LOCAL_BUFFERS);
-    private final HttpClient http;
+            new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
+    private final HttpClient httpClient;
 
-    EventLoop(int idleConnections) throws IOException {
-        this(idleConnections, null);
+    EventLoop(int maxIdleConnections) throws IOException {
+        this(maxIdleConnections, null);
     }
 
-    /** An event loop whose outgoing connections come from this address; null: the system chooses. */
-    EventLoop(int idleConnections, InetAddress source) throws IOException {
-        worker = Xnio.getInstance()
+    /**
+     * Starts an event loop.
+     *
+     * @param maxIdleConnections outgoing connections that are kept for reuse
+     * @param sourceAddress local address of outgoing connections; null: chosen by the operating system
+     */
+    EventLoop(int maxIdleConnections, InetAddress sourceAddress) throws IOException {
+        xnioWorker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
                         .set(Options.WORKER_TASK_CORE_THREADS, 0)
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        thread = worker.getIoThread();
-        http = new HttpClient(thread, buffers, idleConnections, source);
+        ioThread = xnioWorker.getIoThread();
+        httpClient = new HttpClient(ioThread, buffers, maxIdleConnections, sourceAddress);
     }
 
-    XnioWorker worker() {
-        return worker;
+    XnioWorker xnioWorker() {
+        return xnioWorker;
     }
 
-    XnioIoThread thread() {
-        return thread;
+    XnioIoThread ioThread() {
+        return ioThread;
     }
 
     ByteBufferPool buffers() {
         return buffers;
     }
 
-    HttpClient http() {
-        return http;
+    HttpClient httpClient() {
+        return httpClient;
     }
 
     @Override
     public void close() {
-        worker.shutdownNow();
+        xnioWorker.shutdownNow();
     }
 }
--- a/src/main/java/stileferry/transport/HttpCall.java
+++ b/src/main/java/stileferry/transport/HttpCall.java
@@ -17,31 +17,31 @@
 import org.xnio.channels.StreamSourceChannel;
 import stileferry.protocol.Environment;
 
-/** One request from its connection to its response. */
+/** One outgoing HTTP request, from the choice of a connection to the response. */
 final class HttpCall implements ClientCallback<ClientExchange> {
-    /** No response that this service asks for is larger, but for a watch's, which has no limit of its own. */
+    /** Larger than any response that this service requests, except that of a watch, which has no limit of its own. */
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-    private static final int INITIAL_BYTES = 256;
+    private static final int INITIAL_BUFFER_BYTES = 256;
     private static final byte[] NO_BODY = new byte[0];
 
     private final HttpClient client;
     private final Request request;
     private final HttpClient.ResponseHandler responseHandler;
-    private final ByteArrayOutputStream received = new ByteArrayOutputStream(INITIAL_BYTES);
+    private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     private XnioExecutor.Key timeout;
     private ClientConnection connection;
     private State state = State.CONNECTING;
 
-    /** What is asked for, and where. */
+    /** The request line, server address and body of a call. */
     record Request(String address, String method, String path, byte[] body) {}
 
     private enum State {
         CONNECTING,
-        /** Given to a connection, so the other side may have it. */
+        /** Passed to a connection, so the server may have received it. */
         SENT,
-        /** The handler was told the response, or that there is none. */
-        OVER
+        /** The handler was called with the response or with a failure. */
+        COMPLETED
     }
 
     HttpCall(HttpClient client, Request request, HttpClient.ResponseHandler responseHandler) {
@@ -51,23 +51,23 @@
     }
 
     void start(long timeoutMs) {
-        timeout = client.thread().executeAfter(this::fail, timeoutMs, TimeUnit.MILLISECONDS);
+        timeout = client.ioThread().executeAfter(this::fail, timeoutMs, TimeUnit.MILLISECONDS);
         ClientConnection idle = client.idleConnections().take(request.address());
         if (idle != null) {
             send(idle);
         } else {
-            client.connect(request.address(), new ConnectCallback());
+            client.openConnection(request.address(), new ConnectCallback());
         }
     }
 
-    /** Told of a new connection. */
+    /** Called when a new connection is open or has failed. */
     private final class ConnectCallback implements ClientCallback<ClientConnection> {
         @Override
-        public void completed(ClientConnection connected) {
-            if (state == State.OVER) {
-                IoUtils.safeClose(connected);
+        public void completed(ClientConnection newConnection) {
+            if (state == State.COMPLETED) {
+                IoUtils.safeClose(newConnection);
             } else {
-                send(connected);
+                send(newConnection);
             }
         }
 
@@ -77,8 +77,8 @@
         }
     }
 
-    private void send(ClientConnection over) {
-        connection = over;
+    private void send(ClientConnection chosenConnection) {
+        connection = chosenConnection;
         state = State.SENT;
         ClientRequest message =
                 new ClientRequest().setMethod(new HttpString(request.method())).setPath(request.path());
@@ -87,7 +87,7 @@
         if (request.body().length > 0) {
             message.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/msgpack");
         }
-        over.sendRequest(message, this);
+        chosenConnection.sendRequest(message, this);
     }
 
     @Override
@@ -101,7 +101,7 @@
         fail();
     }
 
-    /** Told of the head of the response. */
+    /** Called when the headers of the response have arrived or the exchange has failed. */
     private final class ResponseCallback implements ClientCallback<ClientExchange> {
         @Override
         public void completed(ClientExchange exchange) {
@@ -155,7 +155,7 @@
     private void read(StreamSourceChannel in, int status) {
         try (PooledByteBuffer pooled = client.buffers().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            while (state != State.OVER) {
+            while (state != State.COMPLETED) {
                 buffer.clear();
                 int count = in.read(buffer);
                 if (count == 0) {
@@ -167,38 +167,38 @@
                     return;
                 }
                 buffer.flip();
-                keep(buffer, count);
+                append(buffer, count);
             }
         } catch (IOException e) {
             fail();
         }
     }
 
-    private void keep(ByteBuffer buffer, int count) {
+    private void append(ByteBuffer buffer, int count) {
         byte[] chunk = new byte[count];
         buffer.get(chunk);
-        received.writeBytes(chunk);
-        if (received.size() > MAX_RESPONSE_BYTES) {
+        responseBody.writeBytes(chunk);
+        if (responseBody.size() > MAX_RESPONSE_BYTES) {
             fail();
         }
     }
 
     private void finish(int status) {
-        if (state == State.OVER) {
+        if (state == State.COMPLETED) {
             return;
         }
-        state = State.OVER;
+        state = State.COMPLETED;
         timeout.remove();
-        client.idleConnections().keep(request.address(), connection);
-        responseHandler.onResponse(status, received.toByteArray());
+        client.idleConnections().release(request.address(), connection);
+        responseHandler.onResponse(status, responseBody.toByteArray());
     }
 
     private void fail() {
-        if (state == State.OVER) {
+        if (state == State.COMPLETED) {
             return;
         }
         int status = state == State.SENT ? Environment.NO_ANSWER : Environment.NOT_SENT;
-        state = State.OVER;
+        state = State.COMPLETED;
         timeout.remove();
         IoUtils.safeClose(connection);
         responseHandler.onResponse(status, NO_BODY);
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -14,19 +14,19 @@
 import stileferry.protocol.PeerMessageCodec;
 import stileferry.protocol.Settings;
 
-/** The real outside: sockets, clocks and timers, with replies put into the owner's queue. */
+/** Environment of a running controller: system clocks, timers and sockets. Timers and replies use the command queue. */
 final class NetworkEnvironment implements Environment {
     static final String PEER_PATH = "/peer";
 
     private static final byte[] NO_BODY = new byte[0];
 
     private final CommandQueue commands;
-    private final XnioIoThread thread;
-    private final HttpClient http;
+    private final XnioIoThread ioThread;
+    private final HttpClient httpClient;
     private final RandomGenerator random = new SplittableRandom();
     private final int maxForwards;
 
-    /** Requests that were forwarded to a controller and have no answer yet, by its address. */
+    /** Forwarded requests without a response yet, by the address of the peer. */
     private final Map<String, Integer> forwardsInFlight = new HashMap<>();
 
     private volatile boolean closed;
@@ -34,8 +34,8 @@
     NetworkEnvironment(CommandQueue commands, EventLoop loop, int maxForwards) {
         this.maxForwards = maxForwards;
         this.commands = commands;
-        this.thread = loop.thread();
-        this.http = loop.http();
+        this.ioThread = loop.ioThread();
+        this.httpClient = loop.httpClient();
     }
 
     void close() {
@@ -65,10 +65,10 @@
     @Override
     public void schedule(long delayMs, Runnable task) {
         if (!closed) {
-            thread.executeAfter(
+            ioThread.executeAfter(
                     () -> {
                         if (!commands.offer(task)) {
-                            commands.submit(task); // never lost: it goes behind what is queued
+                            commands.submit(task); // the queue is full; a timer must not be lost
                         }
                     },
                     Math.max(1, delayMs),
@@ -79,7 +79,7 @@
     @Override
     public void request(
             String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler handler) {
-        http.request(
+        httpClient.request(
                 address,
                 method,
                 path,
@@ -93,13 +93,13 @@
     public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {
         boolean isForward = message instanceof PeerMessage.ForwardedRequest;
         if (isForward && forwardsInFlight.getOrDefault(peer.address(), 0) >= maxForwards) {
-            commands.submit(() -> reply.accept(null)); // a controller that stands still must not take all sockets
+            commands.submit(() -> reply.accept(null)); // an unresponsive peer must not use up all sockets
             return;
         }
         if (isForward) {
             forwardsInFlight.merge(peer.address(), 1, Integer::sum);
         }
-        http.request(
+        httpClient.request(
                 peer.address(),
                 "POST",
                 PEER_PATH,
--- a/src/main/java/stileferry/transport/RequestBodyReader.java
+++ b/src/main/java/stileferry/transport/RequestBodyReader.java
@@ -3,22 +3,22 @@
 import io.undertow.server.HttpServerExchange;
 import java.util.function.Consumer;
 
-/** Reads request bodies up to a limit, without waiting and without reading what is too long. */
+/** Reads request bodies without blocking; a longer body is rejected with 413 and not read to its end. */
 final class RequestBodyReader {
     private RequestBodyReader() {}
 
     static void read(HttpServerExchange exchange, int maxBytes, Consumer<byte[]> handler) {
         if (exchange.getRequestContentLength() > maxBytes) {
-            tooLarge(exchange);
+            rejectTooLarge(exchange);
             return;
         }
-        exchange.setMaxEntitySize(maxBytes); // also for bodies in chunks, whose length nobody announces
+        exchange.setMaxEntitySize(maxBytes); // covers chunked bodies, which have no Content-Length
         exchange.getRequestReceiver()
-                .receiveFullBytes((received, body) -> handler.accept(body), (failed, problem) -> tooLarge(failed));
+                .receiveFullBytes((received, body) -> handler.accept(body), (failed, cause) -> rejectTooLarge(failed));
     }
 
-    private static void tooLarge(HttpServerExchange exchange) {
+    private static void rejectTooLarge(HttpServerExchange exchange) {
         exchange.setPersistent(false);
-        ApiServer.refuse(exchange, 413, "the body is too large");
+        ApiServer.reject(exchange, 413, "the body is too large");
     }
 }
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -14,84 +14,103 @@
 import stileferry.standin.LinkFaults;
 import stileferry.standin.Worker;
 
-/** The stand-ins of workers: boots them, and sends their heartbeats to controllers as a real worker would. */
+/** The stand-in workers: starts them, and sends their heartbeats to controllers as a real worker does. */
 final class StandInWorkers {
-    /** How long a worker waits for an answer, and then until it tries the next controller. */
-    private static final long PATIENCE_MS = 4000;
+    /** How long a worker waits for the response to a heartbeat. */
+    private static final long RESPONSE_TIMEOUT_MS = 4000;
 
-    private static final long NEXT_CONTROLLER_MS = 1000;
+    /** Delay after a failed heartbeat until the worker tries the next controller. */
+    private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
 
-    /** After a redirect a worker tries the named controller so soon. */
-    private static final long REDIRECT_MS = 50;
+    /** Delay after a redirect until the worker tries the named controller. */
+    private static final long REDIRECT_DELAY_MS = 50;
 
     private static final double CPUS = 8;
     private static final double MEMORY_GB = 32;
 
-    /** Addresses of workers in one block of loopback addresses. */
-    private static final int ADDRESSES_IN_BLOCK = 250;
+    /** Worker addresses in each block of loopback addresses that differ only in their last byte. */
+    private static final int ADDRESSES_PER_BLOCK = 250;
 
     private final EventLoop loop;
     private final Config config;
     private final LinkFaults faults;
-    private final Worker.Watcher watcher;
-    private final Function<String, JobSpec> jobs;
-    private final GangSimulation gangs = new GangSimulation(StandInHost.GANG_WAIT_S, StandInHost.GANG_PEER_S);
+    private final Worker.TaskListener taskListener;
+    private final Function<String, JobSpec> jobSpecs;
+    private final GangSimulation gangs =
+            new GangSimulation(StandInServer.GANG_ASSEMBLY_TIMEOUT_S, StandInServer.GANG_LOSS_DETECTION_S);
     private final Map<String, Worker> byAddress = new HashMap<>();
-    private int booted;
+    private int bootedWorkers;
     private volatile boolean closed;
 
-    /** Where workers and controllers are: the port of all workers, and the controllers' addresses and names. */
-    record Config(int port, StandInHost.Size size, List<String> controllers, List<String> names) {
-        /** Copies the lists. */
+    /**
+     * Configuration of the workers.
+     *
+     * @param port port of all workers
+     * @param controllerAddresses client addresses of the controllers
+     * @param controllerNames names of the controllers, in the order of their addresses
+     */
+    record Config(int port, StandInServer.Size size, List<String> controllerAddresses, List<String> controllerNames) {
         Config {
-            controllers = List.copyOf(controllers);
-            names = List.copyOf(names);
+            controllerAddresses = List.copyOf(controllerAddresses);
+            controllerNames = List.copyOf(controllerNames);
         }
     }
 
-    /** {@code jobs} finds a job's description by its id; null: there is none. */
+    /**
+     * Creates an empty set of workers.
+     *
+     * @param jobSpecs returns the spec of a job by its id; null if there is no such job
+     */
     StandInWorkers(
-            EventLoop loop, Config config, LinkFaults faults, Worker.Watcher watcher, Function<String, JobSpec> jobs) {
+            EventLoop loop,
+            Config config,
+            LinkFaults faults,
+            Worker.TaskListener taskListener,
+            Function<String, JobSpec> jobSpecs) {
         this.loop = loop;
         this.config = config;
         this.faults = faults;
-        this.watcher = watcher;
-        this.jobs = jobs;
+        this.taskListener = taskListener;
+        this.jobSpecs = jobSpecs;
     }
 
-    /** The loopback address of a worker by its number, from 1. */
-    static String host(int number) {
-        return "127.0." + (1 + number / ADDRESSES_IN_BLOCK) + "." + (1 + number % ADDRESSES_IN_BLOCK);
+    /**
+     * Returns the loopback address of a worker.
+     *
+     * @param number the worker's number, from 1
+     */
+    static String loopbackAddress(int number) {
+        return "127.0." + (1 + number / ADDRESSES_PER_BLOCK) + "." + (1 + number % ADDRESSES_PER_BLOCK);
     }
 
-    /** The worker at an address; null: there is none. */
-    Worker at(String host) {
-        return byAddress.get(host + ":" + config.port());
+    /** Returns the worker at a loopback address; null if there is none. */
+    Worker workerAt(String ipAddress) {
+        return byAddress.get(ipAddress + ":" + config.port());
     }
 
     void tick() {
-        List.copyOf(byAddress.values()).forEach(worker -> worker.tick(StandInHost.now()));
+        List.copyOf(byAddress.values()).forEach(worker -> worker.tick(StandInServer.now()));
     }
 
     void close() {
         closed = true;
     }
 
-    /** Boots a worker. */
+    /** Starts the worker of a machine that has booted, and sends its first heartbeat. */
     Worker boot(String machine, String zone, boolean spot) {
-        String address = host(1 + booted++ % config.size().machines()) + ":" + config.port();
+        String address = loopbackAddress(1 + bootedWorkers++ % config.size().machines()) + ":" + config.port();
         Worker worker = new Worker(
                 machine,
                 address,
-                StandInHost.TYPE,
+                StandInServer.MACHINE_TYPE,
                 zone,
                 spot,
                 CPUS,
                 MEMORY_GB,
                 config.size().leaseMs(),
-                StandInHost.now(),
-                jobs,
-                watcher,
+                StandInServer.now(),
+                jobSpecs,
+                taskListener,
                 gangs);
         byAddress.put(address, worker);
         sendHeartbeat(worker, 0);
@@ -103,60 +122,68 @@
         worker.destroy();
     }
 
-    /** Sends a heartbeat to a controller, by its number, as far as the link lets it. */
-    private void sendHeartbeat(Worker worker, int controller) {
+    /** Sends a heartbeat to a controller, given by its index, with the fault that the link has, if any. */
+    private void sendHeartbeat(Worker worker, int controllerIndex) {
         if (closed || byAddress.get(worker.address()) != worker) {
             return;
         }
-        LinkFaults.Effect effect = faults.of(worker.machine(), config.names().get(controller));
+        LinkFaults.Effect effect =
+                faults.effectOn(worker.machine(), config.controllerNames().get(controllerIndex));
         switch (effect) {
-            case NONE -> request(worker, controller, false);
-            case REFUSED -> sendLater(NEXT_CONTROLLER_MS, worker, next(controller));
-            case REQUEST_LOST -> sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
-            case ANSWER_LOST -> request(worker, controller, true);
+            case NONE -> postHeartbeat(worker, controllerIndex, false);
+            case REFUSED -> sendHeartbeatLater(NEXT_CONTROLLER_DELAY_MS, worker, nextController(controllerIndex));
+            case REQUEST_LOST ->
+                sendHeartbeatLater(
+                        RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS, worker, nextController(controllerIndex));
+            case ANSWER_LOST -> postHeartbeat(worker, controllerIndex, true);
             case SLOW ->
-                loop.thread()
+                loop.ioThread()
                         .executeAfter(
-                                () -> request(worker, controller, false), StandInHost.SLOW_MS, TimeUnit.MILLISECONDS);
+                                () -> postHeartbeat(worker, controllerIndex, false),
+                                StandInServer.SLOW_LINK_DELAY_MS,
+                                TimeUnit.MILLISECONDS);
         }
     }
 
-    private void request(Worker worker, int controller, boolean answerLost) {
-        long sentAt = StandInHost.now();
+    private void postHeartbeat(Worker worker, int controllerIndex, boolean responseLost) {
+        long sentAt = StandInServer.now();
         long incarnation = worker.incarnation();
-        loop.http()
+        loop.httpClient()
                 .request(
-                        config.controllers().get(controller),
+                        config.controllerAddresses().get(controllerIndex),
                         "POST",
                         ApiPaths.HEARTBEATS,
                         MessageCodec.encode(worker.heartbeat()),
-                        PATIENCE_MS,
+                        RESPONSE_TIMEOUT_MS,
                         (status, bytes) -> {
                             JsonNode body = bytes.length == 0 ? null : MessageCodec.decode(bytes);
-                            int redirect = redirect(body);
-                            if (answerLost) {
-                                sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
+                            int redirectIndex = redirectTarget(body);
+                            if (responseLost) {
+                                sendHeartbeatLater(
+                                        RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS,
+                                        worker,
+                                        nextController(controllerIndex));
                             } else if (status == 200) {
-                                worker.heartbeatAnswered(body, incarnation, sentAt);
-                                sendLater(config.size().heartbeatIntervalMs(), worker, controller);
-                            } else if (status == 421 && redirect >= 0 && redirect != controller) {
-                                sendLater(REDIRECT_MS, worker, redirect);
+                                worker.handleHeartbeatResponse(body, incarnation, sentAt);
+                                sendHeartbeatLater(config.size().heartbeatIntervalMs(), worker, controllerIndex);
+                            } else if (status == 421 && redirectIndex >= 0 && redirectIndex != controllerIndex) {
+                                sendHeartbeatLater(REDIRECT_DELAY_MS, worker, redirectIndex);
                             } else {
-                                sendLater(NEXT_CONTROLLER_MS, worker, next(controller));
+                                sendHeartbeatLater(NEXT_CONTROLLER_DELAY_MS, worker, nextController(controllerIndex));
                             }
                         });
     }
 
-    /** The number of the controller that an answer names; -1: none that is known. */
-    private int redirect(JsonNode body) {
-        return body == null ? -1 : config.names().indexOf(WorkerMessages.redirectedTo(body));
+    /** Returns the index of the controller that a response redirects to; -1 if it names none that is known. */
+    private int redirectTarget(JsonNode body) {
+        return body == null ? -1 : config.controllerNames().indexOf(WorkerMessages.redirectedTo(body));
     }
 
-    private int next(int controller) {
-        return (controller + 1) % config.controllers().size();
+    private int nextController(int controllerIndex) {
+        return (controllerIndex + 1) % config.controllerAddresses().size();
     }
 
-    private void sendLater(long delayMs, Worker worker, int controller) {
-        loop.thread().executeAfter(() -> sendHeartbeat(worker, controller), delayMs, TimeUnit.MILLISECONDS);
+    private void sendHeartbeatLater(long delayMs, Worker worker, int controllerIndex) {
+        loop.ioThread().executeAfter(() -> sendHeartbeat(worker, controllerIndex), delayMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -97,7 +97,7 @@
             simulation.runFor(1);
         }
         int machines = simulation.cloud.runningMachines().size();
-        long keysWrittenBefore = simulation.store.writtenKeys();
+        long keysWrittenBefore = simulation.store.writtenKeyCount();
         simulation.faults.partitionZone("za", 45_000);
         simulation.runFor(12);
         ControllerNode leader = simulation.leader();
@@ -118,7 +118,7 @@
                 simulation.users.values().stream()
                         .allMatch(user -> user.spec.service() || "done".equals(user.endState)),
                 "some jobs are not done");
-        long keysWritten = simulation.store.writtenKeys() - keysWrittenBefore;
+        long keysWritten = simulation.store.writtenKeyCount() - keysWrittenBefore;
         assertTrue(keysWritten < 213 * 50 / 2, keysWritten + " keys written in 213 s, at a limit of 50 per second");
     }
 
@@ -153,8 +153,8 @@
                 "some jobs are not done");
         assertTrue(simulation.tasks.starts > 5000, simulation.tasks.starts + " starts");
         assertTrue(
-                simulation.store.writtenKeys() < simulation.tasks.starts,
-                simulation.store.writtenKeys() + " keys written for " + simulation.tasks.starts
+                simulation.store.writtenKeyCount() < simulation.tasks.starts,
+                simulation.store.writtenKeyCount() + " keys written for " + simulation.tasks.starts
                         + " task starts and as many ends");
     }
 }
--- a/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
+++ b/src/test/java/stileferry/transport/ConcurrencyLimitTest.java
@@ -8,65 +8,74 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A simulated server with a fixed rate behind the limit: what is taken in must not wait ever longer. */
+/**
+ * Puts the limiter in front of a simulated server with a fixed service time. Guards against accepting so much under
+ * overload that accepted requests wait longer and longer.
+ */
 class ConcurrencyLimitTest {
-    private static final long SERVICE_NANOS = 5_000_000;
+    private static final long SERVICE_TIME_NANOS = 5_000_000;
 
-    private record Accepted(long at, Limiter.Listener slot) {}
+    private record AcceptedRequest(long acceptedAtNanos, Limiter.Listener slot) {}
 
-    private long nanos = 1;
+    private long nowNanos = 1;
 
-    /** How many requests were accepted and refused, and the longest wait in the second half of the time. */
-    private record Outcome(long accepted, long refused, long longestWaitMs) {}
+    /** Numbers of accepted and rejected requests, and the longest response time in the second half of the run. */
+    private record Outcome(long accepted, long rejected, long longestResponseTimeMs) {}
 
-    /** Offers so many requests a second to a server that does 200. */
-    private Outcome offer(double perSecond, int seconds) {
-        Limiter<Void> limit = ConcurrencyLimit.create(() -> nanos);
+    /** Sends requests at a mean rate, at random times, to a server that can process 200 per second. */
+    private Outcome simulate(double requestsPerSecond, int durationS) {
+        Limiter<Void> limiter = ConcurrencyLimit.create(() -> nowNanos);
         SplittableRandom random = new SplittableRandom(3);
-        ArrayDeque<Accepted> queue = new ArrayDeque<>();
-        long freeAt = 0;
+        ArrayDeque<AcceptedRequest> queue = new ArrayDeque<>();
+        long serverFreeAtNanos = 0;
         long accepted = 0;
-        long refused = 0;
-        long longestWaitMs = 0;
-        long end = nanos + seconds * 1_000_000_000L;
-        long half = nanos + seconds * 500_000_000L;
-        while (nanos < end) {
-            nanos += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
-            while (!queue.isEmpty() && Math.max(freeAt, queue.peek().at) + SERVICE_NANOS <= nanos) {
-                Accepted done = queue.poll();
-                long now = nanos;
-                freeAt = Math.max(freeAt, done.at) + SERVICE_NANOS;
-                nanos = freeAt;
-                done.slot.onSuccess();
-                nanos = now;
-                longestWaitMs = freeAt > half ? Math.max(longestWaitMs, (freeAt - done.at) / 1_000_000) : longestWaitMs;
+        long rejected = 0;
+        long longestResponseTimeMs = 0;
+        long endNanos = nowNanos + durationS * 1_000_000_000L;
+        long halfTimeNanos = nowNanos + durationS * 500_000_000L;
+        while (nowNanos < endNanos) {
+            nowNanos += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
+            while (!queue.isEmpty()
+                    && Math.max(serverFreeAtNanos, queue.peek().acceptedAtNanos) + SERVICE_TIME_NANOS <= nowNanos) {
+                AcceptedRequest completed = queue.poll();
+                long arrivalNanos = nowNanos;
+                serverFreeAtNanos = Math.max(serverFreeAtNanos, completed.acceptedAtNanos) + SERVICE_TIME_NANOS;
+                nowNanos = serverFreeAtNanos;
+                completed.slot.onSuccess();
+                nowNanos = arrivalNanos;
+                longestResponseTimeMs = serverFreeAtNanos > halfTimeNanos
+                        ? Math.max(longestResponseTimeMs, (serverFreeAtNanos - completed.acceptedAtNanos) / 1_000_000)
+                        : longestResponseTimeMs;
             }
-            var slot = limit.acquire(null);
+            var slot = limiter.acquire(null);
             if (slot.isPresent()) {
                 accepted++;
-                queue.add(new Accepted(nanos, slot.get()));
+                queue.add(new AcceptedRequest(nowNanos, slot.get()));
             } else {
-                refused++;
+                rejected++;
             }
         }
-        return new Outcome(accepted, refused, longestWaitMs);
+        return new Outcome(accepted, rejected, longestResponseTimeMs);
     }
 
     @Test
-    void ordinaryLoadIsNeverRefused() {
-        assertEquals(0, offer(100, 20).refused);
+    void loadBelowCapacityIsNeverRejected() {
+        assertEquals(0, simulate(100, 20).rejected);
     }
 
     @Test
-    void whatIsAcceptedKeepsItsTimesAsTheLoadDoubles() {
-        Outcome full = offer(400, 20);
-        Outcome twice = offer(800, 20);
-        assertTrue(full.refused > 0 && twice.refused > full.refused, "more is refused");
+    void doublingOverloadKeepsThroughputAndBoundsResponseTimes() {
+        Outcome overload = simulate(400, 20);
+        Outcome doubledOverload = simulate(800, 20);
         assertTrue(
-                twice.accepted > 0.9 * full.accepted,
-                "and as much is taken: " + twice.accepted + " of " + full.accepted);
+                overload.rejected > 0 && doubledOverload.rejected > overload.rejected,
+                "doubled overload must be rejected more often");
         assertTrue(
-                full.longestWaitMs < 2000 && twice.longestWaitMs < 2000,
-                "waits of " + full.longestWaitMs + " and " + twice.longestWaitMs + " ms");
+                doubledOverload.accepted > 0.9 * overload.accepted,
+                "accepted under doubled overload: " + doubledOverload.accepted + ", before: " + overload.accepted);
+        assertTrue(
+                overload.longestResponseTimeMs < 2000 && doubledOverload.longestResponseTimeMs < 2000,
+                "longest response times: " + overload.longestResponseTimeMs + " and "
+                        + doubledOverload.longestResponseTimeMs + " ms");
     }
 }
