--- a/src/test/java/stileferry/architecture/ArchitectureTest.java
+++ b/src/test/java/stileferry/architecture/ArchitectureTest.java
@@ -13,9 +13,15 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** What docs/architecture.md says of packages: layers, no cycles, and a state owner without I/O, threads or clocks. */
+/**
+ * Enforces the package rules of docs/architecture.md: layers, no cyclic dependencies, and no I/O, threads or clocks in
+ * the packages that own the controller's state.
+ */
 class ArchitectureTest {
-    /** Packages of the state owner: they decide, and reach the world only through the environment. */
+    /**
+     * Packages whose code runs on the event loop and owns the controller's state. They make all decisions, and do I/O
+     * and read the time only through {@code Environment}.
+     */
     private static final String[] EVENT_LOOP_PACKAGES = {
         "stileferry.protocol..",
         "stileferry.storage..",
@@ -42,7 +48,7 @@
                 .importPackages("stileferry");
     }
 
-    /** Packages by layer, the lowest first: each depends only on itself and on lower layers. */
+    /** The packages by layer, lowest first. A package may depend only on itself and on packages of lower layers. */
     private static final List<List<String>> LAYERS = List.of(
             List.of("validation"),
             List.of("protocol", "admission", "connectivity"),
@@ -83,7 +89,7 @@
                 .check(productionClasses);
     }
 
-    /** A package that stands in no layer would be held by no rule. */
+    /** Guards against a new package that no layer lists: the layer rule would not check its dependencies. */
     @Test
     void everyPackageBelongsToALayer() {
         Set<String> packages = productionClasses.stream()
--- a/src/test/java/stileferry/architecture/WireNamesTest.java
+++ b/src/test/java/stileferry/architecture/WireNamesTest.java
@@ -12,15 +12,18 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The themed field names of the published protocol stand in one place; everything else uses the field's terms. */
+/**
+ * Checks that field names of the published protocol that differ from the usual terms appear only in the classes that
+ * translate them. All other code uses the usual terms.
+ */
 class WireNamesTest {
     private static final Path SOURCE_ROOT = Path.of("src/main/java/stileferry");
 
-    /** The classes that map wire names to the code's terms. */
+    /** The source files that map the protocol's field names to the terms used in the code. */
     private static final Set<String> TRANSLATING_FILES =
             Set.of("protocol/WireNames.java", "protocol/KeyValueStoreProtocol.java");
 
-    /** Field names of the wire that are no words of the code. */
+    /** Matches field names, as string literals, that are used on the wire only. */
     private static final Pattern WIRE_ONLY_NAME = Pattern.compile("\"(name_id|tide|helm|harbors?|harbormaster|"
             + "passengers?|launch|berth|crew|cargo|voyage|mooring|ashore_s|vessel|charter|hulls?|craft|precedence|"
             + "same_place|tender|crossing_s|waypoint_s|stow_s|moor_by_s|pull_gb|recall_s|landing_cause|log_seq|"
@@ -31,21 +34,21 @@
         assertEquals(Set.of(), filesContainingWireOnlyNames(false));
     }
 
-    /** The edge does name them, so that the check above sees what it looks for. */
+    /** Guards against a pattern that matches nothing, with which the check above would always pass. */
     @Test
     void translatingFilesContainWireOnlyNames() throws IOException {
         assertEquals(TRANSLATING_FILES, filesContainingWireOnlyNames(true));
         assertTrue(WIRE_ONLY_NAME.matcher("map.put(\"helm\", term)").find());
     }
 
-    private static Set<String> filesContainingWireOnlyNames(boolean atTheEdge) throws IOException {
+    private static Set<String> filesContainingWireOnlyNames(boolean inTranslatingFiles) throws IOException {
         Set<String> files = new TreeSet<>();
-        try (Stream<Path> sources = Files.walk(SOURCE_ROOT)) {
-            for (Path source :
-                    (Iterable<Path>) sources.filter(path -> path.toString().endsWith(".java"))::iterator) {
-                String name = SOURCE_ROOT.relativize(source).toString();
-                if (TRANSLATING_FILES.contains(name) == atTheEdge
-                        && WIRE_ONLY_NAME.matcher(Files.readString(source)).find()) {
+        try (Stream<Path> sourceFiles = Files.walk(SOURCE_ROOT)) {
+            for (Path sourceFile :
+                    (Iterable<Path>) sourceFiles.filter(path -> path.toString().endsWith(".java"))::iterator) {
+                String name = SOURCE_ROOT.relativize(sourceFile).toString();
+                if (TRANSLATING_FILES.contains(name) == inTranslatingFiles
+                        && WIRE_ONLY_NAME.matcher(Files.readString(sourceFile)).find()) {
                     files.add(name);
                 }
             }
--- a/src/test/java/stileferry/golden/CommandLineRunner.java
+++ b/src/test/java/stileferry/golden/CommandLineRunner.java
@@ -13,19 +13,20 @@
 import stileferry.cli.Main;
 
 /**
- * Runs commands inside this process and keeps what they print. The only golden class that knows the class of the
- * command line; the method that makes the commands is found by what it returns, so that its name is free.
+ * Runs commands of the command line in this process and captures what they print. It is the only golden test class that
+ * refers to the command line's main class. It finds the factory method by its return type, so that the method may be
+ * renamed freely.
  */
 final class CommandLineRunner {
     private CommandLineRunner() {}
 
-    /** What a command left behind; each line of the two texts is without blanks at its end. */
+    /** The exit code of a command, and its standard output and standard error without trailing blanks on each line. */
     record Outcome(int exitCode, String out, String err) {}
 
-    /** Runs one command. */
+    /** Runs a command, redirecting the standard streams of the whole process meanwhile. */
     static Outcome run(String... args) {
-        PrintStream outBefore = System.out;
-        PrintStream errBefore = System.err;
+        PrintStream originalOut = System.out;
+        PrintStream originalErr = System.err;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
@@ -33,8 +34,8 @@
         try {
             return new Outcome(newCommandLine().execute(args), outputText(out), outputText(err));
         } finally {
-            System.setOut(outBefore);
-            System.setErr(errBefore);
+            System.setOut(originalOut);
+            System.setErr(originalErr);
         }
     }
 
@@ -44,16 +45,16 @@
                 try {
                     method.setAccessible(true);
                     return (CommandLine) method.invoke(null);
-                } catch (ReflectiveOperationException problem) {
-                    throw new IllegalStateException(problem);
+                } catch (ReflectiveOperationException e) {
+                    throw new IllegalStateException(e);
                 }
             }
         }
-        throw new IllegalStateException("nothing in " + Main.class + " makes a command line");
+        throw new IllegalStateException("no static method of " + Main.class + " returns a CommandLine");
     }
 
-    private static String outputText(ByteArrayOutputStream bytes) {
-        return withoutTrailingBlanks(bytes.toString(StandardCharsets.UTF_8));
+    private static String outputText(ByteArrayOutputStream output) {
+        return withoutTrailingBlanks(output.toString(StandardCharsets.UTF_8));
     }
 
     private static String withoutTrailingBlanks(String text) {
@@ -63,15 +64,15 @@
                 .stripTrailing();
     }
 
-    /** A file of literal expectations. */
+    /** Returns the text of a golden file, without trailing blanks on each line. */
     static String goldenFile(String name) {
         try (InputStream stream = CommandLineRunner.class.getResourceAsStream("/golden/" + name)) {
             if (stream == null) {
-                throw new IllegalStateException("no golden file " + name);
+                throw new IllegalStateException("golden file not found: " + name);
             }
             return withoutTrailingBlanks(new String(stream.readAllBytes(), StandardCharsets.UTF_8));
-        } catch (IOException problem) {
-            throw new IllegalStateException(problem);
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
         }
     }
 }
--- a/src/test/java/stileferry/golden/ControllerFixture.java
+++ b/src/test/java/stileferry/golden/ControllerFixture.java
@@ -20,8 +20,8 @@
 import stileferry.protocol.SettingsReader;
 
 /**
- * One real controller, n0, with a scripted world around it: a clock that only the test moves, chance that is always
- * the same, and a key-value store that notes what is written.
+ * A controller named n0 in a simulated environment: a clock that only the test advances, a constant random number, a
+ * {@link FakeKeyValueStore}, {@link FakeWorker}s, a cloud without capacity, and scripted peers.
  */
 final class ControllerFixture implements Environment {
     static final long START_TIME_OF_DAY_MS = 1_700_000_000_000L;
@@ -32,10 +32,10 @@
 
     final FakeKeyValueStore store;
 
-    /** What was sent to other controllers, as the name of the receiver and the bytes in hex. */
+    /** The messages sent to other controllers: the name of the receiver, a blank, and the bytes in hexadecimal. */
     final List<String> sentToPeers = new ArrayList<>();
 
-    /** What other controllers answer; null: nothing. */
+    /** Returns the response of another controller to a message; null for none. */
     Function<PeerMessage, PeerMessage> peerResponses = ControllerFixture::acknowledgeTerm;
 
     final Coordinator coordinator;
@@ -51,37 +51,41 @@
         }
     }
 
-    /** A user's answer. */
+    /** A response to a user or an operator. */
     record Response(int status, JsonNode body) {}
 
-    /** A controller that has not started yet, with this store. */
+    /**
+     * Creates a controller without starting it.
+     *
+     * @param valueKb the largest value that the store accepts, in KiB
+     */
     ControllerFixture(FakeKeyValueStore store, Features features, double valueKb) {
         this.store = store;
         this.coordinator = new Coordinator(settings(valueKb), features, this);
     }
 
-    /** A controller that has come to lead, with all optional parts off. */
+    /** Starts a controller that becomes the leader, with all optional features off. */
     static ControllerFixture startLeader(FakeKeyValueStore store) {
         return startLeader(store, Features.NONE);
     }
 
-    /** A controller that has come to lead. */
+    /** Starts a controller that becomes the leader. */
     static ControllerFixture startLeader(FakeKeyValueStore store, Features features) {
         ControllerFixture fixture = new ControllerFixture(store, features, 8);
         fixture.start();
         return fixture;
     }
 
-    /** Starts the controller, and waits until it leads or follows. */
+    /** Starts the controller and lets 1,000 ms pass, in which it becomes leader or follower. */
     ControllerFixture start() {
         runTask(coordinator::start);
         advance(1000);
         return this;
     }
 
-    /** A leader in its term acknowledges nothing itself; everybody else acknowledges the term that it hears. */
-    private static PeerMessage acknowledgeTerm(PeerMessage record) {
-        return record instanceof PeerMessage.TermAnnouncement term
+    /** Responds as a peer that acknowledges the term of an announcement and does not answer other messages. */
+    private static PeerMessage acknowledgeTerm(PeerMessage message) {
+        return message instanceof PeerMessage.TermAnnouncement term
                 ? new PeerMessage.TermAnnouncement(term.term(), "", false)
                 : null;
     }
@@ -103,20 +107,20 @@
                 .settings();
     }
 
-    // ---- time
+    // ---- clock and timers
 
-    /** Lets so many milliseconds pass. */
+    /** Advances the clock by some milliseconds, running the timers that become due. */
     void advance(long ms) {
-        long end = nowMs + ms;
-        while (!timers.isEmpty() && timers.peek().dueAtMs <= end) {
-            Timer next = timers.poll();
-            nowMs = next.dueAtMs;
-            runTask(next.task);
+        long endMs = nowMs + ms;
+        while (!timers.isEmpty() && timers.peek().dueAtMs <= endMs) {
+            Timer timer = timers.poll();
+            nowMs = timer.dueAtMs;
+            runTask(timer.task);
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 
-    /** Carries something out on the owner's turn. */
+    /** Runs a task as the controller's event loop would, as a batch of its own. */
     void runTask(Runnable task) {
         task.run();
         coordinator.endOfBatch();
@@ -145,21 +149,22 @@
         timers.add(new Timer(nowMs + Math.max(0, delayMs), nextTimerNumber++, task));
     }
 
-    // ---- what the controller sends
+    // ---- requests and messages from the controller
 
     @Override
-    public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
-        JsonNode sent = body == null ? null : MessageCodec.decode(MessageCodec.encode(body));
-        if (addr.equals(STORE_ADDRESS)) {
-            FakeKeyValueStore.Response answer = store.request(method, path, sent);
-            if (answer != null) {
-                schedule(1, () -> reply.onResponse(answer.status(), answer.body()));
+    public void request(
+            String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
+        JsonNode sentBody = body == null ? null : MessageCodec.decode(MessageCodec.encode(body));
+        if (address.equals(STORE_ADDRESS)) {
+            FakeKeyValueStore.Response response = store.request(method, path, sentBody);
+            if (response != null) {
+                schedule(1, () -> reply.onResponse(response.status(), response.body()));
             }
-        } else if (addr.equals(CLOUD_ADDRESS)) {
+        } else if (address.equals(CLOUD_ADDRESS)) {
             respondAsCloud(path, reply);
-        } else if (workers.containsKey(addr)) {
-            workers.get(addr).execute(sent);
-            schedule(1, () -> reply.onResponse(200, workers.get(addr).nextHeartbeat()));
+        } else if (workers.containsKey(address)) {
+            workers.get(address).execute(sentBody);
+            schedule(1, () -> reply.onResponse(200, workers.get(address).nextHeartbeat()));
         } else {
             schedule(1, () -> reply.onResponse(NOT_SENT, null));
         }
@@ -183,49 +188,56 @@
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        byte[] bytes = PeerMessageCodec.encode(record);
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {
+        byte[] bytes = PeerMessageCodec.encode(message);
         sentToPeers.add(peer.name() + " " + HexFormat.of().formatHex(bytes));
-        PeerMessage answer = peerResponses.apply(PeerMessageCodec.decode(bytes));
-        schedule(1, () -> reply.accept(answer));
+        PeerMessage response = peerResponses.apply(PeerMessageCodec.decode(bytes));
+        schedule(1, () -> reply.accept(response));
     }
 
-    // ---- who asks the controller
+    // ---- requests to the controller
 
-    /** Has a worker report; it does what the answer says, and the status is returned. */
+    /**
+     * Sends a worker's next heartbeat, and lets the worker execute the commands in the response.
+     *
+     * @return the HTTP status of the response; 0 if there was none within the time that passes, 100 ms
+     */
     int sendHeartbeat(FakeWorker worker) {
         workers.put(worker.address, worker);
-        int[] told = new int[1];
+        int[] statuses = new int[1];
         runTask(() -> coordinator.handleHeartbeat(MessageCodec.encode(worker.nextHeartbeat()), (status, body) -> {
-            told[0] = status;
+            statuses[0] = status;
             if (status == 200) {
                 worker.execute(MessageCodec.decode(body));
             }
         }));
         advance(100);
-        return told[0];
+        return statuses[0];
     }
 
-    /** Asks as a user, and waits for the answer. */
-    Response userRequest(PeerMessage.RequestKind ask, String id, String body) {
-        Response[] told = new Response[1];
+    /** Sends a request as a user; returns the response, or null if there was none within the 100 ms that pass. */
+    Response userRequest(PeerMessage.RequestKind kind, String id, String body) {
+        Response[] responses = new Response[1];
         byte[] bytes = body.isEmpty() ? new byte[0] : MessageCodec.encode(FakeKeyValueStore.parse(body));
         runTask(() -> coordinator.handleUserRequest(
-                ask, id, bytes, answer -> told[0] = new Response(answer.status(), MessageCodec.decode(answer.body()))));
+                kind,
+                id,
+                bytes,
+                response -> responses[0] = new Response(response.status(), MessageCodec.decode(response.body()))));
         advance(100);
-        return told[0];
+        return responses[0];
     }
 
-    /** Asks as an operator, and waits for the answer. */
+    /** Sends a request as an operator; returns the response, or null if there was none within the 100 ms that pass. */
     Response operatorRequest(String method, String path, String body) {
-        Response[] told = new Response[1];
+        Response[] responses = new Response[1];
         byte[] bytes = body.isEmpty() ? new byte[0] : MessageCodec.encode(FakeKeyValueStore.parse(body));
         runTask(() -> coordinator.handleAdministrationRequest(
                 method,
                 path,
                 bytes,
-                answer -> told[0] = new Response(answer.status(), MessageCodec.decode(answer.body()))));
+                response -> responses[0] = new Response(response.status(), MessageCodec.decode(response.body()))));
         advance(100);
-        return told[0];
+        return responses[0];
     }
 }
--- a/src/test/java/stileferry/golden/FakeKeyValueStore.java
+++ b/src/test/java/stileferry/golden/FakeKeyValueStore.java
@@ -11,23 +11,26 @@
 import java.util.TreeMap;
 import stileferry.protocol.Environment;
 
-/** A key-value store after the published protocol, in the protocol's own words, which notes every transaction. */
+/**
+ * An in-memory key-value store that implements the published protocol and records every request. It uses the protocol's
+ * field names literally instead of the constants of the code under test.
+ */
 final class FakeKeyValueStore {
-    /** The leases are given out from this number on. */
+    /** The id of the first lease; later ones are numbered consecutively. */
     private static final long FIRST_LEASE_ID = 7;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Every body that was sent to {@code /commit}, whatever became of it. */
+    /** The bodies of all requests to {@code /commit}, whether the transaction was applied or not. */
     final List<JsonNode> commits = new ArrayList<>();
 
-    /** Every request but those to {@code /commit}, as method and path. */
+    /** All other requests, as method and path. */
     final List<String> requests = new ArrayList<>();
 
-    /** Transactions, counted from the next one, that are carried out while their answers are lost. */
+    /** How many of the next transactions are applied although their responses are lost. */
     int responsesToLose;
 
-    /** The prefix of which reads are not answered; empty: all are. */
+    /** The key prefix whose scans get no response; if empty, all scans get one. */
     String unansweredScanPrefix = "";
 
     private final Map<String, Row> rows = new TreeMap<>();
@@ -36,51 +39,54 @@
 
     private record Row(JsonNode value, long revision) {}
 
-    /** An answer; a status of {@link Environment#NO_ANSWER} stands for a lost one. */
+    /** A response; the status {@link Environment#NO_ANSWER} stands for a response that was lost. */
     record Response(int status, JsonNode body) {}
 
-    /** Reads JSON text. */
-    static JsonNode parse(String text) {
+    /** Parses JSON text; throws {@link IllegalArgumentException} if it is malformed. */
+    static JsonNode parse(String json) {
         try {
-            return JSON.readTree(text);
+            return JSON.readTree(json);
         } catch (java.io.IOException e) {
-            throw new IllegalArgumentException(text, e);
+            throw new IllegalArgumentException(json, e);
         }
     }
 
-    /** Stores a value as if it had been written before; each gets a revision of its own. */
+    /** Stores a value in a transaction of its own, which is not recorded in {@link #commits}. */
     FakeKeyValueStore withValue(String key, String value) {
         rows.put(key, new Row(parse(value), ++revision));
         return this;
     }
 
-    /** Has the first so many transactions of another leader applied, whose lease has ended since. */
+    /**
+     * Applies the first transactions of a previous leader and removes its leader key, as happens when its lease ends.
+     * They are not recorded in {@link #commits}.
+     */
     FakeKeyValueStore afterTransactions(List<String> transactions, int count) {
-        transactions.subList(0, count).forEach(text -> commit(parse(text)));
+        transactions.subList(0, count).forEach(transaction -> commit(parse(transaction)));
         rows.remove("a/lead");
         return this;
     }
 
-    /** The value of a key as JSON text; null: it does not exist. */
+    /** Returns the value of a key as JSON text, or null if the key does not exist. */
     String value(String key) {
         Row row = rows.get(key);
         return row == null ? null : row.value.toString();
     }
 
-    /** The keys that exist. */
+    /** Returns all existing keys. */
     List<String> keys() {
         return List.copyOf(rows.keySet());
     }
 
-    /** Answers a request; null: it waits. */
+    /** Handles a request; returns null if it gets no response: watches, and scans of {@link #unansweredScanPrefix}. */
     Response request(String method, String path, JsonNode body) {
         if (path.equals("/commit")) {
             commits.add(body.deepCopy());
             return commit(body);
         }
         requests.add(method + " " + path);
-        boolean held = !unansweredScanPrefix.isEmpty() && path.startsWith("/kv?starts=" + unansweredScanPrefix);
-        if (path.startsWith("/watch") || held) {
+        boolean unanswered = !unansweredScanPrefix.isEmpty() && path.startsWith("/kv?starts=" + unansweredScanPrefix);
+        if (path.startsWith("/watch") || unanswered) {
             return null;
         }
         if (path.startsWith("/leases")) {
@@ -99,9 +105,9 @@
         if (row == null) {
             return new Response(404, newObject().put("ledger_rev", revision));
         }
-        ObjectNode found = newObject().put("path", key);
-        found.set("v", row.value);
-        return new Response(200, found.put("entry_rev", row.revision));
+        ObjectNode response = newObject().put("path", key);
+        response.set("v", row.value);
+        return new Response(200, response.put("entry_rev", row.revision));
     }
 
     private Response scan(String prefix) {
@@ -124,9 +130,9 @@
             }
         }
         if (!failed.isEmpty()) {
-            ObjectNode refusal = newObject().put("ledger_rev", revision);
-            refusal.set("failed", failed);
-            return new Response(409, refusal);
+            ObjectNode conflict = newObject().put("ledger_rev", revision);
+            conflict.set("failed", failed);
+            return new Response(409, conflict);
         }
         revision++;
         for (JsonNode change : body.path("apply")) {
--- a/src/test/java/stileferry/golden/FakeWorker.java
+++ b/src/test/java/stileferry/golden/FakeWorker.java
@@ -5,7 +5,10 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** A worker after the published protocol, in the protocol's own words, whose tasks end when a test says so. */
+/**
+ * An in-memory worker that implements the published protocol, with tasks that exit when the test says so or a command
+ * stops them. It uses the protocol's field names literally instead of the constants of the code under test.
+ */
 final class FakeWorker {
     final String address;
 
@@ -21,16 +24,20 @@
         this.zone = zone;
     }
 
-    /** The next report. */
+    /** Returns the next heartbeat, with a higher sequence number than the one before. */
     ObjectNode nextHeartbeat() {
-        ObjectNode report = JsonNodeFactory.instance.objectNode();
-        report.put("vessel", name).put("addr", address).put("hull", "box").put("harbor", zone);
-        report.put("tender", false).put("voyage", 1).put("log_seq", ++sequence).put("helm", fencingToken);
-        report.set("passengers", tasks.deepCopy());
-        return report;
+        ObjectNode heartbeat = JsonNodeFactory.instance.objectNode();
+        heartbeat.put("vessel", name).put("addr", address).put("hull", "box").put("harbor", zone);
+        heartbeat
+                .put("tender", false)
+                .put("voyage", 1)
+                .put("log_seq", ++sequence)
+                .put("helm", fencingToken);
+        heartbeat.set("passengers", tasks.deepCopy());
+        return heartbeat;
     }
 
-    /** Carries out what a response or a direct command asks for. */
+    /** Executes the commands of a heartbeat response or a direct message, unless its fencing token is outdated. */
     void execute(JsonNode message) {
         if (message.path("helm").asLong() < fencingToken) {
             return;
@@ -46,18 +53,18 @@
         }
     }
 
-    /** Has a task without telling anybody why. */
+    /** Starts a task unless it is there already. Tests use it for tasks of which the controller sent no command. */
     void startTask(String task, long attempt) {
         if (findTask(task) == null) {
             tasks.addObject().put("passenger", task).put("launch", attempt).put("tide", "running");
         }
     }
 
-    /** Ends a task. */
-    void endTask(String task, String why) {
+    /** Lets a task exit for a reason, a word of the protocol; does nothing if the task is unknown or has exited. */
+    void endTask(String task, String reason) {
         ObjectNode found = findTask(task);
         if (found != null && !found.path("tide").asText().equals("exited")) {
-            found.put("tide", "exited").put("landing_cause", why);
+            found.put("tide", "exited").put("landing_cause", reason);
         }
     }
 
@@ -70,9 +77,9 @@
     }
 
     private ObjectNode findTask(String task) {
-        for (JsonNode one : tasks) {
-            if (one.path("passenger").asText().equals(task)) {
-                return (ObjectNode) one;
+        for (JsonNode candidate : tasks) {
+            if (candidate.path("passenger").asText().equals(task)) {
+                return (ObjectNode) candidate;
             }
         }
         return null;
--- a/src/test/java/stileferry/golden/GoldenFile.java
+++ b/src/test/java/stileferry/golden/GoldenFile.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import stileferry.protocol.MessageCodec;
 
-/** The golden files: one body a line, lines that begin with # are remarks. Nothing ever writes them. */
+/** Reads golden files with one message body per line and comments after {@code #}. No code writes these files. */
 final class GoldenFile {
     private GoldenFile() {}
 
-    /** The lines of a golden file. */
+    /** Returns the lines of a golden file without comments and empty lines. */
     static List<String> lines(String name) {
         try (InputStream in = GoldenFile.class.getResourceAsStream("/golden/" + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8)
@@ -27,21 +27,21 @@
         }
     }
 
-    /** Compares transactions with those of a golden file, as text, field by field in their order. */
+    /** Asserts that transactions equal those of a golden file as JSON text, including the order of the fields. */
     static void assertText(String name, List<JsonNode> commits) {
         assertEquals(
                 String.join("\n", lines(name)),
                 String.join("\n", commits.stream().map(JsonNode::toString).toList()));
     }
 
-    /** Compares transactions with those of a golden file, as the bytes that travel. */
+    /** Asserts that transactions equal those of a golden file as the MessagePack bytes sent over the wire. */
     static void assertBytes(String name, List<JsonNode> commits) {
         assertEquals(
                 String.join("\n", lines(name)),
                 String.join(
                         "\n",
                         commits.stream()
-                                .map(body -> HexFormat.of().formatHex(MessageCodec.encode(body)))
+                                .map(commit -> HexFormat.of().formatHex(MessageCodec.encode(commit)))
                                 .toList()));
     }
 }
--- a/src/test/java/stileferry/golden/JsonShape.java
+++ b/src/test/java/stileferry/golden/JsonShape.java
@@ -5,25 +5,30 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Writes down the field names of an answer in their order, each with the kind of its value, and no figures. */
+/** Describes the structure of a JSON document: field names in order and the types of their values, but no values. */
 final class JsonShape {
     private JsonShape() {}
 
-    /** One line a field; the entries of lists and of the named maps count as one, whose names are written as '*'. */
-    static String describe(JsonNode answer, Set<String> mapsOfAnyNames) {
+    /**
+     * Returns one line for each field, with its path and type. All elements of a list share one path, and so do all
+     * entries of a map with dynamic keys, whose keys are replaced by '*'.
+     *
+     * @param mapsWithDynamicKeys paths of the objects that are maps with dynamic keys
+     */
+    static String describe(JsonNode document, Set<String> mapsWithDynamicKeys) {
         Set<String> lines = new LinkedHashSet<>();
-        addLines("", answer, mapsOfAnyNames, lines);
+        addLines("", document, mapsWithDynamicKeys, lines);
         return String.join("\n", lines);
     }
 
-    private static void addLines(String path, JsonNode node, Set<String> maps, Set<String> lines) {
+    private static void addLines(String path, JsonNode node, Set<String> dynamicMaps, Set<String> lines) {
         if (node.isObject()) {
             for (Map.Entry<String, JsonNode> field : node.properties()) {
-                String name = maps.contains(path) ? "*" : field.getKey();
-                addLines(path.isEmpty() ? name : path + "." + name, field.getValue(), maps, lines);
+                String name = dynamicMaps.contains(path) ? "*" : field.getKey();
+                addLines(path.isEmpty() ? name : path + "." + name, field.getValue(), dynamicMaps, lines);
             }
         } else if (node.isArray()) {
-            node.forEach(entry -> addLines(path + "[]", entry, maps, lines));
+            node.forEach(element -> addLines(path + "[]", element, dynamicMaps, lines));
         } else {
             lines.add(path + ": " + valueType(node));
         }
--- a/src/test/java/stileferry/golden/ProcessCluster.java
+++ b/src/test/java/stileferry/golden/ProcessCluster.java
@@ -18,8 +18,9 @@
 import java.util.function.Predicate;
 
 /**
- * Real controllers and stand-ins on loopback, each a process started by its command, and asked over HTTP: nothing of
- * the code under test is called. Bodies are written and read by the MessagePack library itself.
+ * Runs real controllers, and stand-ins for the services they depend on, on the loopback interface. Each is a process
+ * started by its command line and is addressed over HTTP, so no code under test is called directly. Request and
+ * response bodies are converted with the MessagePack library itself.
  */
 final class ProcessCluster implements AutoCloseable {
     private static final int PORT_COUNT = 7;
@@ -34,35 +35,38 @@
     private final Path directory;
     private final int basePort;
 
-    /** An answer: its status, its body as JSON (empty: none), and two of its headers (empty: none). */
+    /** An HTTP response: status, body as JSON, and two headers. Body and headers are empty if absent. */
     record Response(int status, String body, String contentType, String retryAfter) {
         JsonNode json() throws IOException {
             return StubController.JSON.readTree(body);
         }
     }
 
-    /** Starts stand-ins only. */
+    /** Starts the stand-ins and waits until they have written the settings files; starts no controller. */
     ProcessCluster(Path dir) throws Exception {
         this.directory = dir;
         this.basePort = findFreePortRange();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> processes.forEach(Process::destroy)));
         startProcess(MAIN_CLASS, "stand-ins", "--dir", dir.toString(), "--port", "" + basePort, "--report-s", "1");
-        long until = System.currentTimeMillis() + AWAIT_TIMEOUT_MS;
-        while (!Files.exists(dir.resolve("node-2.json")) && System.currentTimeMillis() < until) {
+        long deadlineMs = System.currentTimeMillis() + AWAIT_TIMEOUT_MS;
+        while (!Files.exists(dir.resolve("node-2.json")) && System.currentTimeMillis() < deadlineMs) {
             Thread.sleep(20);
         }
     }
 
-    /** The first of so many ports in a row that are free just now; others may look at the same time. */
+    /**
+     * Returns the first of {@link #PORT_COUNT} consecutive ports that are free at the moment. Another process may still
+     * take one of them before they are used.
+     */
     private static int findFreePortRange() throws IOException {
         for (int attempt = 0; attempt < 100; attempt++) {
-            int first = ThreadLocalRandom.current().nextInt(MIN_BASE_PORT, BASE_PORT_LIMIT);
-            int free = 0;
-            while (free < PORT_COUNT && isFree(first + free)) {
-                free++;
+            int firstPort = ThreadLocalRandom.current().nextInt(MIN_BASE_PORT, BASE_PORT_LIMIT);
+            int freeCount = 0;
+            while (freeCount < PORT_COUNT && isFree(firstPort + freeCount)) {
+                freeCount++;
             }
-            if (free == PORT_COUNT) {
-                return first;
+            if (freeCount == PORT_COUNT) {
+                return firstPort;
             }
         }
         throw new IOException("no free ports");
@@ -71,27 +75,27 @@
     private static boolean isFree(int port) {
         try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
             return socket.isBound();
-        } catch (IOException problem) {
+        } catch (IOException e) {
             return false;
         }
     }
 
     private void startProcess(String... command) throws IOException {
-        List<String> whole = new ArrayList<>(List.of(
+        List<String> fullCommand = new ArrayList<>(List.of(
                 ProcessHandle.current().info().command().orElse("java"),
                 "-XX:TieredStopAtLevel=1",
                 "-XX:+UseSerialGC",
                 "-cp",
                 System.getProperty("java.class.path")));
-        whole.addAll(Arrays.asList(command));
-        ProcessBuilder builder = new ProcessBuilder(whole).redirectErrorStream(true);
-        builder.environment().remove("LOG_LEVEL"); // that of whoever runs the tests says nothing here
+        fullCommand.addAll(Arrays.asList(command));
+        ProcessBuilder builder = new ProcessBuilder(fullCommand).redirectErrorStream(true);
+        builder.environment().remove("LOG_LEVEL"); // the log level of the test run's own environment must not apply
         builder.redirectOutput(
                 directory.resolve("process-" + processes.size() + ".log").toFile());
         processes.add(builder.start());
     }
 
-    /** Starts a controller; the features file may be null. */
+    /** Starts a controller; without a features file (null) all optional features are off. */
     void startController(int controller, String features) throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 MAIN_CLASS, "serve", "--config", settingsFile(controller).toString()));
@@ -101,17 +105,21 @@
         startProcess(command.toArray(String[]::new));
     }
 
-    /** The settings file that the stand-ins wrote for a controller. */
+    /** Returns the settings file that the stand-ins wrote for a controller. */
     Path settingsFile(int controller) {
         return directory.resolve("node-" + controller + ".json");
     }
 
-    /** What a process has printed so far, both outputs in one; 0: the stand-ins, then the controllers as started. */
+    /**
+     * Returns the standard output and standard error of a process so far, merged.
+     *
+     * @param process 0 for the stand-ins, from 1 on the controllers in the order in which they were started
+     */
     String outputOf(int process) throws IOException {
         return Files.readString(directory.resolve("process-" + process + ".log"));
     }
 
-    /** Ends the stand-ins: state service, cloud and workers are gone. */
+    /** Stops the stand-ins, so that the key-value store, the cloud and the workers can no longer be reached. */
     void stopStandIns() throws InterruptedException {
         stop(processes.get(0));
     }
@@ -128,12 +136,12 @@
         }
     }
 
-    /** The client address of a controller. */
+    /** Returns the address at which a controller listens for clients. */
     String clientAddress(int controller) {
         return "127.0.0.1:" + (basePort + 1 + controller);
     }
 
-    /** Asks once; the body is JSON (null: none) and goes as MessagePack. */
+    /** Sends one request without retries. The body is JSON, or null for none, and is sent as MessagePack. */
     Response send(int controller, String method, String path, String body) throws Exception {
         byte[] bytes = body == null
                 ? new byte[0]
@@ -142,12 +150,12 @@
                 .method(method, HttpRequest.BodyPublishers.ofByteArray(bytes))
                 .build();
         HttpResponse<byte[]> response = httpClient.send(request, HttpResponse.BodyHandlers.ofByteArray());
-        String text = response.body().length == 0
+        String json = response.body().length == 0
                 ? ""
                 : StubController.MESSAGE_PACK.readTree(response.body()).toString();
         return new Response(
                 response.statusCode(),
-                text,
+                json,
                 response.headers().firstValue("Content-Type").orElse(""),
                 response.headers().firstValue("Retry-After").orElse(""));
     }
@@ -156,28 +164,32 @@
         return send(controller, "GET", path, null);
     }
 
-    /** Asks again and again until the answer fits; the last answer if none does in time. */
-    Response awaitResponse(int controller, String path, Predicate<Response> fits) throws Exception {
-        long until = System.currentTimeMillis() + AWAIT_TIMEOUT_MS;
-        Response answer = new Response(0, "", "", "");
+    /**
+     * Repeats a GET request until its response is accepted, for at most {@link #AWAIT_TIMEOUT_MS}.
+     *
+     * @return the first accepted response, or the last one if none was accepted in time; status 0 if there was none
+     */
+    Response awaitResponse(int controller, String path, Predicate<Response> accepted) throws Exception {
+        long deadlineMs = System.currentTimeMillis() + AWAIT_TIMEOUT_MS;
+        Response lastResponse = new Response(0, "", "", "");
         do {
             try {
-                answer = get(controller, path);
-                if (fits.test(answer)) {
-                    return answer;
+                lastResponse = get(controller, path);
+                if (accepted.test(lastResponse)) {
+                    return lastResponse;
                 }
-            } catch (IOException problem) {
-                answer = new Response(0, problem.toString(), "", ""); // not yet listening
+            } catch (IOException e) {
+                lastResponse = new Response(0, e.toString(), "", ""); // the controller does not listen yet
             }
             Thread.sleep(50);
-        } while (System.currentTimeMillis() < until);
-        return answer;
+        } while (System.currentTimeMillis() < deadlineMs);
+        return lastResponse;
     }
 
     @Override
     public void close() {
-        for (int last = processes.size() - 1; last >= 0; last--) {
-            stop(processes.get(last));
+        for (int index = processes.size() - 1; index >= 0; index--) {
+            stop(processes.get(index));
         }
     }
 }
--- a/src/test/java/stileferry/golden/RecordingEnvironment.java
+++ b/src/test/java/stileferry/golden/RecordingEnvironment.java
@@ -19,8 +19,8 @@
 import stileferry.protocol.Settings;
 
 /**
- * A world with a clock of its own around one controller: it records every request that the controller sends, as the
- * exact bytes, and answers with literal messages. What has no scripted answer is not answered.
+ * The environment of one controller, with a simulated clock: records the exact bytes of every request that the
+ * controller sends, and responds with literal messages. Requests without a scripted response time out.
  */
 final class RecordingEnvironment implements Environment {
     private static final long START_MS = 1_000_000;
@@ -41,55 +41,68 @@
         }
     }
 
-    /** One request of the controller, with its method and path in one line. */
+    /**
+     * A request that the controller sent.
+     *
+     * @param line method and path, including the query
+     */
     record SentRequest(String address, String line, byte[] body) {}
 
+    /** Sets what runs after each task, as the event loop does after each batch of commands. */
     void afterTask(Runnable action) {
         afterTask = action;
     }
 
-    /** From now on requests with this line get this answer; several are given in turn, the last one for good. */
-    void respondTo(String line, GoldenMessages.Message... answers) {
-        responses.put(line, new ArrayDeque<>(List.of(answers)));
+    /**
+     * Sets the responses to further requests with this method and path. They are returned in order, and the last one is
+     * repeated for all requests after it.
+     */
+    void respondTo(String line, GoldenMessages.Message... scripted) {
+        responses.put(line, new ArrayDeque<>(List.of(scripted)));
     }
 
-    /** All requests with this line so far, query included. */
+    /** Returns the requests with this method and path that were sent so far, in order. */
     List<SentRequest> sentRequests(String line) {
         return sentRequests.stream()
                 .filter(request -> request.line.equals(line))
                 .toList();
     }
 
-    /** All requests so far. */
+    /** Returns all requests that were sent so far, in order. */
     List<SentRequest> sentRequests() {
         return List.copyOf(sentRequests);
     }
 
-    /** Carries something out on the owner's turn. */
+    /** Runs a task as the controller's event loop would, followed by the action set with {@link #afterTask}. */
     void runTask(Runnable task) {
         task.run();
         afterTask.run();
     }
 
-    /** Lets so much time pass. */
+    /** Advances the clock by some milliseconds, running the timers that become due. */
     void advance(long ms) {
-        long end = nowMs + ms;
-        while (!timers.isEmpty() && timers.peek().dueAtMs <= end) {
+        long endMs = nowMs + ms;
+        while (!timers.isEmpty() && timers.peek().dueAtMs <= endMs) {
             Timer timer = timers.poll();
             nowMs = timer.dueAtMs;
             runTask(timer.task);
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 
-    /** Lets time pass until a request with this line has been sent so many times. */
-    SentRequest awaitRequest(String line, int count, long mostMs) {
-        long end = nowMs + mostMs;
-        while (sentRequests(line).size() < count && !timers.isEmpty() && timers.peek().dueAtMs <= end) {
+    /**
+     * Advances the clock until a request with this method and path has been sent {@code count} times in all.
+     *
+     * @param maxMs milliseconds after which the test fails
+     * @return the last of these requests
+     */
+    SentRequest awaitRequest(String line, int count, long maxMs) {
+        long endMs = nowMs + maxMs;
+        while (sentRequests(line).size() < count && !timers.isEmpty() && timers.peek().dueAtMs <= endMs) {
             advance(timers.peek().dueAtMs - nowMs);
         }
         if (sentRequests(line).size() < count) {
-            fail("not sent: " + line + "; sent: "
+            fail("request not sent: " + line + "; sent: "
                     + sentRequests.stream().map(SentRequest::line).distinct().toList());
         }
         return sentRequests(line).get(count - 1);
@@ -119,21 +132,25 @@
     }
 
     @Override
-    public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
+    public void request(
+            String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler handler) {
         String line = method + " " + path;
-        sentRequests.add(new SentRequest(addr, line, body == null ? new byte[0] : MessageCodec.encode(body)));
-        Deque<GoldenMessages.Message> answers = responses.get(line);
-        if (answers == null) {
-            schedule(timeoutMs, () -> reply.onResponse(Environment.NO_ANSWER, null));
+        sentRequests.add(new SentRequest(address, line, body == null ? new byte[0] : MessageCodec.encode(body)));
+        Deque<GoldenMessages.Message> scripted = responses.get(line);
+        if (scripted == null) {
+            schedule(timeoutMs, () -> handler.onResponse(Environment.NO_ANSWER, null));
             return;
         }
-        GoldenMessages.Message answer = answers.size() > 1 ? answers.poll() : answers.peek();
-        byte[] bytes = answer.body();
-        schedule(1, () -> reply.onResponse(answer.status(), bytes.length == 0 ? null : MessageCodec.decode(bytes)));
+        GoldenMessages.Message response = scripted.size() > 1 ? scripted.poll() : scripted.peek();
+        byte[] responseBytes = response.body();
+        schedule(
+                1,
+                () -> handler.onResponse(
+                        response.status(), responseBytes.length == 0 ? null : MessageCodec.decode(responseBytes)));
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        schedule(timeoutMs, () -> reply.accept(null)); // the other controllers say nothing
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> handler) {
+        schedule(timeoutMs, () -> handler.accept(null)); // no other controller ever responds
     }
 }
--- a/src/test/java/stileferry/golden/ScriptedCluster.java
+++ b/src/test/java/stileferry/golden/ScriptedCluster.java
@@ -4,8 +4,8 @@
 import stileferry.golden.SimulatedController.PendingResponse;
 
 /**
- * One controller whose state service, cloud and workers answer with literal messages, as far as most tests need them
- * to; what a test adds replaces that.
+ * One controller whose key-value store, cloud and workers respond with literal messages. The constructor scripts the
+ * responses that most tests need; a test may replace them or add others.
  */
 final class ScriptedCluster {
     static final GoldenMessages STORE = GoldenMessages.load("state.txt");
@@ -13,13 +13,13 @@
     static final GoldenMessages USERS = GoldenMessages.load("users.txt");
     static final GoldenMessages WORKERS = GoldenMessages.load("workers.txt");
 
-    /** The worker that reports in most tests. */
+    /** The address of the agent that sends heartbeats in most tests. */
     static final String WORKER_ADDRESS = "10.1.0.232:9000";
 
-    /** Long enough for the controller to lead and to have read everything; short of its first report round's end. */
+    /** Time in which the controller is elected and reads the store; less than its first heartbeat interval. */
     private static final long STARTUP_MS = 1000;
 
-    /** Longer than answers, and what is gathered before it is sent, take. */
+    /** Time in which a response arrives, including the time for which changes are batched before they are sent. */
     private static final long RESPONSE_MS = 200;
 
     final RecordingEnvironment environment = new RecordingEnvironment();
@@ -48,38 +48,38 @@
         return messages;
     }
 
-    /** What the state service answers from now on: several answers in turn, the last one for good. */
+    /** Sets the key-value store's further responses, returned in order; the last one is repeated. */
     void storeResponds(String line, String... names) {
         environment.respondTo(line, messages(STORE, names));
     }
 
-    /** What the cloud answers from now on. */
+    /** Sets the cloud's further responses, returned in order; the last one is repeated. */
     void cloudResponds(String line, String... names) {
         environment.respondTo(line, messages(CLOUD, names));
     }
 
-    /** What workers answer from now on. */
+    /** Sets the workers' further responses, returned in order; the last one is repeated. */
     void workersRespond(String line, String... names) {
         environment.respondTo(line, messages(WORKERS, names));
     }
 
-    /** Starts the only controller, which then leads. */
+    /** Starts the controller as the only one, so that it becomes the leader. */
     ScriptedCluster startLeader() {
         return start(SimulatedController.single(environment));
     }
 
-    /** Starts the only controller with the watching of links turned on. */
+    /** Starts the controller as the only one, with the feature {@code partial_cuts} on. */
     ScriptedCluster startLeaderWithPartialCuts() {
         return start(SimulatedController.singleWithPartialCuts(environment));
     }
 
-    /** Starts the only controller with fair admission turned on. */
+    /** Starts the controller as the only one, with the feature {@code fair_admission} on. */
     ScriptedCluster startLeaderWithFairAdmission() {
         storeResponds("GET /kv?starts=n/&most=500", "no rows");
         return start(SimulatedController.singleWithFairAdmission(environment));
     }
 
-    /** Starts one of two controllers, which follows the other. */
+    /** Starts the controller as one of two, so that it follows the other one. */
     ScriptedCluster startFollower() {
         storeResponds("GET /kv?starts=a/&most=500", "leader prefix, another leads");
         return start(SimulatedController.withPeer(environment));
@@ -91,55 +91,55 @@
         return this;
     }
 
-    /** Sends a literal heartbeat and returns the answer, which a controller may give a little later. */
+    /** Sends a literal heartbeat and lets time pass for the response, which need not be immediate. */
     PendingResponse heartbeat(String name) {
-        PendingResponse heard = controller.heartbeat(WORKERS.body(name));
+        PendingResponse response = controller.heartbeat(WORKERS.body(name));
         environment.advance(RESPONSE_MS);
-        return heard;
+        return response;
     }
 
-    /** Sends a heartbeat and returns the answer. */
+    /** Sends a heartbeat without letting time pass. */
     PendingResponse heartbeat(byte[] body) {
         return controller.heartbeat(body);
     }
 
-    /** Sends a literal submission and returns the answer. */
+    /** Submits a literal job and lets time pass for the response. */
     PendingResponse submit(String name) {
         return submit(USERS.body(name));
     }
 
-    /** Sends a submission and returns the answer. */
+    /** Submits a job and lets time pass for the response. */
     PendingResponse submit(byte[] body) {
-        PendingResponse heard = controller.submit(body);
+        PendingResponse response = controller.submit(body);
         environment.advance(RESPONSE_MS);
-        return heard;
+        return response;
     }
 
-    /** Sends a submission that is not waited for. */
+    /** Submits a job without letting time pass. */
     PendingResponse submitWithoutWaiting(byte[] body) {
         return controller.submit(body);
     }
 
-    /** Asks for the job of the literal submissions. */
+    /** Requests the status of the job that the literal submissions describe. */
     PendingResponse status() {
-        PendingResponse heard = controller.status("job-000412");
+        PendingResponse response = controller.status("job-000412");
         environment.advance(RESPONSE_MS);
-        return heard;
+        return response;
     }
 
-    /** The JSON form of what the controller tells operators in one of its views. */
+    /** Returns one of the controller's administration views as JSON. */
     String view(String name) {
         return GoldenMessages.toJson(controller.view(name).body());
     }
 
-    /** Withdraws the job of the literal submissions. */
+    /** Cancels the job that the literal submissions describe. */
     PendingResponse cancel() {
-        PendingResponse heard = controller.cancel("job-000412");
+        PendingResponse response = controller.cancel("job-000412");
         environment.advance(RESPONSE_MS);
-        return heard;
+        return response;
     }
 
-    /** Leads, with one worker that is to run both tasks of a job and has not been heard since. */
+    /** Starts a leader that has assigned both tasks of a job to a worker and has had no heartbeat from it since. */
     ScriptedCluster startLeaderWithAssignedTasks(String submission) {
         startLeader();
         heartbeat("heartbeat");
@@ -148,7 +148,7 @@
         return this;
     }
 
-    /** Leads, with one worker that runs both tasks of a job. */
+    /** Starts a leader with one worker that runs both tasks of a job. */
     ScriptedCluster startLeaderWithRunningTasks() {
         workersRespond("POST /commands", "answer to direct run");
         startLeaderWithAssignedTasks("submission");
@@ -156,30 +156,30 @@
         return this;
     }
 
-    /** The request of this line that was sent last. */
+    /** Returns the last request with this method and path; fails the test if there was none. */
     SentRequest lastRequest(String line) {
-        var all = environment.sentRequests(line);
-        if (all.isEmpty()) {
-            throw new AssertionError("not sent: " + line);
+        var requests = environment.sentRequests(line);
+        if (requests.isEmpty()) {
+            throw new AssertionError("request not sent: " + line);
         }
-        return all.get(all.size() - 1);
+        return requests.get(requests.size() - 1);
     }
 
-    /** Checks a request of the controller: its address, first line, JSON form and exact bytes. */
+    /** Asserts that a request of the controller equals a literal one: address, first line, JSON form and bytes. */
     static void assertRequest(GoldenMessages golden, String name, String address, SentRequest sent) {
         if (!sent.address().equals(address)) {
-            throw new AssertionError(name + " went to " + sent.address());
+            throw new AssertionError(name + " was sent to " + sent.address());
         }
         golden.assertMatches(name, sent.line(), sent.body());
     }
 
-    /** Checks an answer of the controller to a worker. */
-    static void assertWorkerResponse(String name, PendingResponse heard) {
-        WORKERS.assertMatches(name, heard.firstLine(), heard.body());
+    /** Asserts that a response of the controller to a worker equals a literal one. */
+    static void assertWorkerResponse(String name, PendingResponse response) {
+        WORKERS.assertMatches(name, response.firstLine(), response.body());
     }
 
-    /** Checks an answer of the controller to a user. */
-    static void assertUserResponse(String name, PendingResponse heard) {
-        USERS.assertMatches(name, heard.firstLine(), heard.body());
+    /** Asserts that a response of the controller to a user equals a literal one. */
+    static void assertUserResponse(String name, PendingResponse response) {
+        USERS.assertMatches(name, response.firstLine(), response.body());
     }
 }
--- a/src/test/java/stileferry/golden/SimulatedController.java
+++ b/src/test/java/stileferry/golden/SimulatedController.java
@@ -8,7 +8,7 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.SettingsReader;
 
-/** One controller in a {@link RecordingEnvironment}, asked from its outer edges with literal bytes. */
+/** A controller in a {@link RecordingEnvironment} that takes and returns the literal bytes of messages. */
 final class SimulatedController {
     static final String STORE_ADDRESS = "10.2.0.1:2379";
     static final String CLOUD_ADDRESS = "10.2.0.2:8443";
@@ -29,16 +29,19 @@
     private final RecordingEnvironment environment;
     private final Coordinator coordinator;
 
-    /** An answer of the controller, with its status and, to users, the headers that go with it as its line. */
+    /**
+     * A response of the controller that may arrive later. Its first line is the HTTP status and, in responses to users,
+     * the headers.
+     */
     static final class PendingResponse {
         private String firstLine;
         private byte[] body;
 
-        private void completeWithHeaders(PeerMessage.Response answer) {
-            int retryAfterS = answer.retryAfterS();
-            firstLine =
-                    answer.status() + " application/msgpack" + (retryAfterS > 0 ? " Retry-After: " + retryAfterS : "");
-            body = answer.body();
+        private void completeWithHeaders(PeerMessage.Response response) {
+            int retryAfterS = response.retryAfterS();
+            firstLine = response.status() + " application/msgpack"
+                    + (retryAfterS > 0 ? " Retry-After: " + retryAfterS : "");
+            body = response.body();
         }
 
         private void complete(int status, byte[] bytes) {
@@ -51,84 +54,84 @@
         }
 
         String firstLine() {
-            assertNotNull(firstLine, "not answered yet");
+            assertNotNull(firstLine, "no response yet");
             return firstLine;
         }
 
         byte[] body() {
-            assertNotNull(body, "not answered yet");
+            assertNotNull(body, "no response yet");
             return body;
         }
     }
 
     private SimulatedController(RecordingEnvironment environment, String seeds, String features) {
         this.environment = environment;
-        SettingsReader.Result read = SettingsReader.read(SETTINGS.formatted(seeds));
-        assertNotNull(read.settings(), read.problems().toString());
-        coordinator = new Coordinator(read.settings(), Features.read(features).features(), environment);
+        SettingsReader.Result parsed = SettingsReader.read(SETTINGS.formatted(seeds));
+        assertNotNull(parsed.settings(), parsed.problems().toString());
+        coordinator = new Coordinator(parsed.settings(), Features.read(features).features(), environment);
         environment.afterTask(coordinator::endOfBatch);
     }
 
-    /** The only controller there is. */
+    /** Returns a controller without peers. */
     static SimulatedController single(RecordingEnvironment environment) {
         return new SimulatedController(environment, "", "{}");
     }
 
-    /** The only controller there is, with the watching of links turned on. */
+    /** Returns a controller without peers, with the feature {@code partial_cuts} on. */
     static SimulatedController singleWithPartialCuts(RecordingEnvironment environment) {
         return new SimulatedController(environment, "", "{\"partial_cuts\":true}");
     }
 
-    /** The only controller there is, with fair admission turned on. */
+    /** Returns a controller without peers, with the feature {@code fair_admission} on. */
     static SimulatedController singleWithFairAdmission(RecordingEnvironment environment) {
         return new SimulatedController(environment, "", "{\"fair_admission\":true}");
     }
 
-    /** One of two controllers, the other of which is {@code iskele-2}. */
+    /** Returns a controller with one peer, {@code iskele-2}. */
     static SimulatedController withPeer(RecordingEnvironment environment) {
         return new SimulatedController(environment, PEER, "{}");
     }
 
-    /** Starts it and lets it settle for so long. */
+    /** Starts the controller and advances the clock by some milliseconds. */
     void start(long ms) {
         environment.runTask(coordinator::start);
         environment.advance(ms);
     }
 
-    /** A worker's report. */
+    /** Delivers a worker's heartbeat. */
     PendingResponse heartbeat(byte[] body) {
-        PendingResponse heard = new PendingResponse();
-        environment.runTask(() -> coordinator.handleHeartbeat(body, heard::complete));
-        return heard;
+        PendingResponse pending = new PendingResponse();
+        environment.runTask(() -> coordinator.handleHeartbeat(body, pending::complete));
+        return pending;
     }
 
-    /** A user's submission. */
+    /** Delivers a user's submission. */
     PendingResponse submit(byte[] body) {
         return userRequest(PeerMessage.RequestKind.SUBMIT, "", body);
     }
 
-    /** A user's question about a job. */
+    /** Delivers a user's request for the status of a job. */
     PendingResponse status(String id) {
         return userRequest(PeerMessage.RequestKind.STATUS, id, new byte[0]);
     }
 
-    /** A user's withdrawal of a job. */
+    /** Delivers a user's request to cancel a job. */
     PendingResponse cancel(String id) {
         return userRequest(PeerMessage.RequestKind.CANCEL, id, new byte[0]);
     }
 
-    /** What the controller tells operators in one of its views. */
+    /** Delivers an operator's request for an administration view. */
     PendingResponse view(String name) {
-        PendingResponse heard = new PendingResponse();
+        PendingResponse pending = new PendingResponse();
         environment.runTask(
-                () -> coordinator.handleAdministrationRequest("GET", name, new byte[0], heard::completeWithHeaders));
-        return heard;
+                () -> coordinator.handleAdministrationRequest("GET", name, new byte[0], pending::completeWithHeaders));
+        return pending;
     }
 
-    private PendingResponse userRequest(PeerMessage.RequestKind ask, String id, byte[] body) {
-        PendingResponse heard = new PendingResponse();
-        Consumer<PeerMessage.Response> reply = answer -> heard.completeWithHeaders(answer);
-        environment.runTask(() -> coordinator.handleUserRequest(ask, id, body, reply));
-        return heard;
+    private PendingResponse userRequest(PeerMessage.RequestKind kind, String id, byte[] body) {
+        PendingResponse pending = new PendingResponse();
+        Consumer<PeerMessage.Response> reply = response -> pending.completeWithHeaders(response);
+        environment.runTask(() -> coordinator.handleUserRequest(kind, id, body, reply));
+        return pending;
     }
 }
--- a/src/test/java/stileferry/golden/StubController.java
+++ b/src/test/java/stileferry/golden/StubController.java
@@ -13,14 +13,15 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Stands for a controller towards the command line: gives one literal answer and keeps what was asked. Bodies are
- * written and read by the MessagePack library itself, not by the code under test.
+ * An HTTP server that takes a controller's place in tests of the command line: it returns one literal response to every
+ * request and records the requests. Bodies are converted with the MessagePack library itself, not by the code under
+ * test.
  */
 final class StubController implements AutoCloseable {
-    /** Bodies as they go over the wire. */
+    /** Converts bodies from and to the form used on the wire. */
     static final ObjectMapper MESSAGE_PACK = new ObjectMapper(new MessagePackFactory());
 
-    /** Bodies as people read them. */
+    /** Converts bodies from and to the form used in the tests. */
     static final ObjectMapper JSON = new ObjectMapper();
 
     private final HttpServer server;
@@ -34,32 +35,33 @@
         server.start();
     }
 
-    /** Where it listens, as commands name it. */
+    /** Returns the address of the server, in the form that the {@code --node} flag takes. */
     String address() {
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    /** Sets the status and the body (JSON; empty: none) of the answers from now on, and forgets what was asked. */
+    /** Sets the status and JSON body (empty for none) of all further responses, and clears the recorded requests. */
     void respondWith(int newStatus, String json) {
         status = newStatus;
         responseJson = json;
         requests.clear();
     }
 
-    /** What was asked: method, path with query, and the body as JSON, one text each. */
+    /** Returns each recorded request as one line: method, path with query, and the body as JSON if there is one. */
     List<String> requests() {
         return List.copyOf(requests);
     }
 
     private void handle(HttpExchange exchange) throws IOException {
-        byte[] asked = exchange.getRequestBody().readAllBytes();
-        JsonNode body = asked.length == 0 ? null : MESSAGE_PACK.readTree(asked);
-        requests.add(exchange.getRequestMethod() + " " + exchange.getRequestURI() + (body == null ? "" : " " + body));
-        byte[] bytes =
+        byte[] requestBytes = exchange.getRequestBody().readAllBytes();
+        JsonNode requestBody = requestBytes.length == 0 ? null : MESSAGE_PACK.readTree(requestBytes);
+        requests.add(exchange.getRequestMethod() + " " + exchange.getRequestURI()
+                + (requestBody == null ? "" : " " + requestBody));
+        byte[] responseBytes =
                 responseJson.isEmpty() ? new byte[0] : MESSAGE_PACK.writeValueAsBytes(JSON.readTree(responseJson));
-        exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
-        if (bytes.length > 0) {
-            exchange.getResponseBody().write(bytes);
+        exchange.sendResponseHeaders(status, responseBytes.length == 0 ? -1 : responseBytes.length);
+        if (responseBytes.length > 0) {
+            exchange.getResponseBody().write(responseBytes);
         }
         exchange.close();
     }
--- a/src/test/java/stileferry/golden/StubStoreAndCloud.java
+++ b/src/test/java/stileferry/golden/StubStoreAndCloud.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** The state service and the cloud in one on a loopback address: records requests and answers with literal messages. */
+/** An HTTP server that acts as key-value store and cloud: records requests and responds with literal messages. */
 final class StubStoreAndCloud implements AutoCloseable {
     private final HttpServer server;
     private final Map<String, GoldenMessages.Message> responses = new ConcurrentHashMap<>();
     private final List<ReceivedRequest> receivedRequests = new CopyOnWriteArrayList<>();
 
-    /** One request as it arrived, with the header that names its body's format (null: none). */
+    /** A request as it was received; the {@code Content-Type} header is null if absent. */
     record ReceivedRequest(String line, String contentType, byte[] body) {}
 
     StubStoreAndCloud() throws IOException {
@@ -29,17 +29,17 @@
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    /** From now on requests with this line get this answer; all others get 404 without a body. */
-    void respondTo(String line, GoldenMessages.Message answer) {
-        responses.put(line, answer);
+    /** Sets the response to requests with this method and path; all others get status 404 without a body. */
+    void respondTo(String line, GoldenMessages.Message response) {
+        responses.put(line, response);
     }
 
-    /** The first request with this line. */
+    /** Returns the first request with this method and path; fails the test if there was none. */
     ReceivedRequest firstRequest(String line) {
         return receivedRequests.stream()
                 .filter(request -> request.line.equals(line))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("not received: " + line));
+                .orElseThrow(() -> new AssertionError("request not received: " + line));
     }
 
     private void handle(HttpExchange exchange) throws IOException {
@@ -47,10 +47,11 @@
         String line = exchange.getRequestMethod() + " " + exchange.getRequestURI();
         receivedRequests.add(
                 new ReceivedRequest(line, exchange.getRequestHeaders().getFirst("Content-Type"), body));
-        GoldenMessages.Message answer = responses.get(line);
-        byte[] bytes = answer == null ? new byte[0] : answer.body();
-        exchange.sendResponseHeaders(answer == null ? 404 : answer.status(), bytes.length == 0 ? -1 : bytes.length);
-        exchange.getResponseBody().write(bytes);
+        GoldenMessages.Message response = responses.get(line);
+        byte[] responseBytes = response == null ? new byte[0] : response.body();
+        exchange.sendResponseHeaders(
+                response == null ? 404 : response.status(), responseBytes.length == 0 ? -1 : responseBytes.length);
+        exchange.getResponseBody().write(responseBytes);
         exchange.close();
     }
 
