--- a/src/test/java/stileferry/golden/GoldenDeploymentFilesTest.java
+++ b/src/test/java/stileferry/golden/GoldenDeploymentFilesTest.java
@@ -72,19 +72,21 @@
 
     @Test
     void everyClassNamedInTheFilesExists() throws Exception {
-        Pattern name = Pattern.compile("stileferry(?:\\.[a-z]+)+\\.[A-Z][A-Za-z]+");
-        List<String> found = new ArrayList<>();
+        Pattern classNamePattern = Pattern.compile("stileferry(?:\\.[a-z]+)+\\.[A-Z][A-Za-z]+");
+        List<String> classNames = new ArrayList<>();
         for (Path file : List.of(DEPLOY_FILE, Path.of("pom.xml"))) {
-            name.matcher(Files.readString(file))
+            classNamePattern
+                    .matcher(Files.readString(file))
                     .results()
                     .map(MatchResult::group)
-                    .forEach(found::add);
+                    .forEach(classNames::add);
         }
-        assertEquals(3, found.size(), found.toString());
-        for (String each : found) {
+        assertEquals(3, classNames.size(), classNames.toString());
+        for (String className : classNames) {
             assertTrue(
-                    Class.forName(each, false, getClass().getClassLoader()).getMethod("main", String[].class) != null,
-                    each);
+                    Class.forName(className, false, getClass().getClassLoader()).getMethod("main", String[].class)
+                            != null,
+                    className);
         }
     }
 
@@ -103,19 +105,20 @@
                 "stileferry.cli.Main|--version|0|stileferry 0.1.0",
                 "stileferry.cli.Main||2|stileferry: a command is missing (see --help)"
             })
-    void bothMainClassesStart(String name, String args, int exitCode, String line) throws Exception {
+    void bothMainClassesStart(String mainClass, String arguments, int exitCode, String expectedOutput)
+            throws Exception {
         List<String> command = new ArrayList<>(List.of(
                 ProcessHandle.current().info().command().orElse("java"),
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
-                name));
-        command.addAll(args == null ? List.of() : List.of(args.split(" ")));
+                mainClass));
+        command.addAll(arguments == null ? List.of() : List.of(arguments.split(" ")));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         try {
             String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the process did not exit by itself");
-            assertEquals(line, printed.strip());
+            assertEquals(expectedOutput, printed.strip());
             assertEquals(exitCode, process.exitValue());
         } finally {
             process.destroy();
@@ -158,9 +161,9 @@
                 "{\"fair_admission\":true,\"partial_cuts\":true}|partial_cuts, fair_admission",
                 "{\"fair_admission\":false,\"partial_cuts\":false}|none"
             })
-    void featuresAreEnabledByName(String json, String on) throws IOException {
+    void featuresAreEnabledByName(String json, String enabledFeatures) throws IOException {
         assertEquals(
-                new CommandLineRunner.Outcome(0, "settings are usable\nfeatures on: " + on, ""),
+                new CommandLineRunner.Outcome(0, "settings are usable\nfeatures on: " + enabledFeatures, ""),
                 checkConfigWithFeatures(Files.writeString(dir.resolve("features.json"), json)));
     }
 
--- a/src/test/java/stileferry/golden/GoldenStoredEventLogTest.java
+++ b/src/test/java/stileferry/golden/GoldenStoredEventLogTest.java
@@ -52,13 +52,16 @@
 
     @Test
     void recordLargerThanTheValueLimitIsCopiedToAnOverflowRecord() {
-        StringBuilder claims = new StringBuilder();
+        StringBuilder assignmentEvents = new StringBuilder();
         for (int task = 0; task < 30; task++) {
-            claims.append(task == 0 ? "" : ",").append("[0,\"job-104\",").append(task);
-            claims.append(",").append(4294967298L + task).append(",\"host-000231\",1]");
+            assignmentEvents
+                    .append(task == 0 ? "" : ",")
+                    .append("[0,\"job-104\",")
+                    .append(task);
+            assignmentEvents.append(",").append(4294967298L + task).append(",\"host-000231\",1]");
         }
         FakeKeyValueStore store = storeWithJob(31)
-                .withValue("l/1", "{\"n\":1,\"e\":[" + claims + "],\"x\":\"1-1\"}")
+                .withValue("l/1", "{\"n\":1,\"e\":[" + assignmentEvents + "],\"x\":\"1-1\"}")
                 .withValue("l/0", "{\"n\":1024,\"e\":[],\"x\":\"1-2\"}");
         ControllerFixture fixture = new ControllerFixture(store, Features.NONE, 2).start();
         fixture.sendHeartbeat(new FakeWorker("host-000232", "10.1.0.2:9000", "za"));
--- a/src/test/java/stileferry/golden/GoldenWorkerMessagesTest.java
+++ b/src/test/java/stileferry/golden/GoldenWorkerMessagesTest.java
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void cancellationIsConfirmedAtOnceIfTheTaskWaitsForItsGang() {
+    void cancellationIsConfirmedAtOnceIfTheTaskWaitsWithItsImage() {
         cluster.startLeaderWithAssignedTasks("submission").heartbeat("heartbeat, waiting");
         assertTrue(cluster.cancel().isComplete());
     }
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Each value is an exit reason and the bounds of its restart delay: milliseconds from the exit of the tasks until
-     * the record of their next start is committed.
+     * Each value is an exit reason and the bounds of its restart delay ("never": no restart within 5 s). The delay is in
+     * milliseconds, from the heartbeat that reports the exit until the commit that records the next start is sent.
      */
     @ParameterizedTest
     @ValueSource(
--- a/src/test/java/stileferry/golden/ScriptedCluster.java
+++ b/src/test/java/stileferry/golden/ScriptedCluster.java
@@ -16,7 +16,7 @@
     /** The address of the agent that sends heartbeats in most tests. */
     static final String WORKER_ADDRESS = "10.1.0.232:9000";
 
-    /** Time in which the controller is elected and reads the store; less than its first heartbeat interval. */
+    /** Time in which the controller is elected and reads the store; ends before the first heartbeat interval does. */
     private static final long STARTUP_MS = 1000;
 
     /** Time in which a response arrives, including the time for which changes are batched before they are sent. */
