--- a/src/test/java/stileferry/golden/GoldenWorkerMessagesTest.java
+++ b/src/test/java/stileferry/golden/GoldenWorkerMessagesTest.java
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Each value is an exit reason and the bounds of its restart delay ("never": no restart within 5 s). The delay is in
-     * milliseconds, from the heartbeat that reports the exit until the commit that records the next start is sent.
+     * Each value is an exit reason and the bounds of its restart delay, or "never" for no restart within 5 s. The delay
+     * is in milliseconds, from the heartbeat that reports the exit until the commit of the next start is sent.
      */
     @ParameterizedTest
     @ValueSource(
