--- a/src/test/java/stileferry/golden/RecordingEnvironment.java
+++ b/src/test/java/stileferry/golden/RecordingEnvironment.java
@@ -19,88 +19,103 @@
 import stileferry.protocol.Settings;
 
 /**
- * A world with a clock of its own around one controller: it records every request that the controller sends, as the
- * exact bytes, and answers with literal messages. What has no scripted answer is not answered.
+ * The environment of one controller, with a simulated clock: records the exact bytes of every request that the
+ * controller sends, and responds with literal messages. Requests without a scripted response time out.
  */
 final class RecordingEnvironment implements Environment {
     private static final long START_MS = 1_000_000;
-    private static final long TIME_OF_DAY_MS = 1_700_000_000_000L;
+    private static final long WALL_CLOCK_MS = 1_700_000_000_000L;
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final Map<String, Deque<GoldenMessages.Message>> script = new HashMap<>();
+    private final Map<String, Deque<GoldenMessages.Message>> responses = new HashMap<>();
     private final RandomGenerator random = new SplittableRandom(1);
-    private final List<Sent> sent = new ArrayList<>();
-    private long now = START_MS;
-    private long timerIds;
-    private Runnable afterTurn = () -> {};
+    private final List<SentRequest> sentRequests = new ArrayList<>();
+    private long nowMs = START_MS;
+    private long nextTimerId;
+    private Runnable afterTask = () -> {};
 
-    private record Timer(long at, long id, Runnable task) implements Comparable<Timer> {
+    private record Timer(long dueAtMs, long id, Runnable task) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(id, other.id);
+            return dueAtMs != other.dueAtMs ? Long.compare(dueAtMs, other.dueAtMs) : Long.compare(id, other.id);
         }
     }
 
-    /** One request of the controller, with its method and path in one line. */
-    record Sent(String address, String line, byte[] body) {}
+    /**
+     * A request that the controller sent.
+     *
+     * @param line method and path, including the query
+     */
+    record SentRequest(String address, String line, byte[] body) {}
 
-    void afterTurn(Runnable action) {
-        afterTurn = action;
+    /** Sets what runs after each task, as the event loop does after each batch of commands. */
+    void afterTask(Runnable action) {
+        afterTask = action;
     }
 
-    /** From now on requests with this line get this answer; several are given in turn, the last one for good. */
-    void answer(String line, GoldenMessages.Message... answers) {
-        script.put(line, new ArrayDeque<>(List.of(answers)));
+    /**
+     * Sets the responses to further requests with this method and path. They are returned in order, and the last one is
+     * repeated for all requests after it.
+     */
+    void respondTo(String line, GoldenMessages.Message... scripted) {
+        responses.put(line, new ArrayDeque<>(List.of(scripted)));
     }
 
-    /** All requests with this line so far, query included. */
-    List<Sent> sent(String line) {
-        return sent.stream().filter(request -> request.line.equals(line)).toList();
+    /** Returns the requests with this method and path that were sent so far, in order. */
+    List<SentRequest> sentRequests(String line) {
+        return sentRequests.stream()
+                .filter(request -> request.line.equals(line))
+                .toList();
     }
 
-    /** All requests so far. */
-    List<Sent> sent() {
-        return List.copyOf(sent);
+    /** Returns all requests that were sent so far, in order. */
+    List<SentRequest> sentRequests() {
+        return List.copyOf(sentRequests);
     }
 
-    /** Carries something out on the owner's turn. */
-    void turn(Runnable task) {
+    /** Runs a task as the controller's event loop would, followed by the action set with {@link #afterTask}. */
+    void runTask(Runnable task) {
         task.run();
-        afterTurn.run();
+        afterTask.run();
     }
 
-    /** Lets so much time pass. */
-    void play(long ms) {
-        long end = now + ms;
-        while (!timers.isEmpty() && timers.peek().at <= end) {
+    /** Advances the clock by some milliseconds, running the timers that become due. */
+    void advance(long ms) {
+        long endMs = nowMs + ms;
+        while (!timers.isEmpty() && timers.peek().dueAtMs <= endMs) {
             Timer timer = timers.poll();
-            now = timer.at;
-            turn(timer.task);
+            nowMs = timer.dueAtMs;
+            runTask(timer.task);
         }
-        now = end;
+        nowMs = endMs;
     }
 
-    /** Lets time pass until a request with this line has been sent so many times. */
-    Sent awaitSent(String line, int count, long mostMs) {
-        long end = now + mostMs;
-        while (sent(line).size() < count && !timers.isEmpty() && timers.peek().at <= end) {
-            play(timers.peek().at - now);
+    /**
+     * Advances the clock until a request with this method and path has been sent {@code count} times in all.
+     *
+     * @param maxMs milliseconds after which the test fails
+     * @return the last of these requests
+     */
+    SentRequest awaitRequest(String line, int count, long maxMs) {
+        long endMs = nowMs + maxMs;
+        while (sentRequests(line).size() < count && !timers.isEmpty() && timers.peek().dueAtMs <= endMs) {
+            advance(timers.peek().dueAtMs - nowMs);
         }
-        if (sent(line).size() < count) {
-            fail("not sent: " + line + "; sent: "
-                    + sent.stream().map(Sent::line).distinct().toList());
+        if (sentRequests(line).size() < count) {
+            fail("request not sent: " + line + "; sent: "
+                    + sentRequests.stream().map(SentRequest::line).distinct().toList());
         }
-        return sent(line).get(count - 1);
+        return sentRequests(line).get(count - 1);
     }
 
     @Override
     public long now() {
-        return now;
+        return nowMs;
     }
 
     @Override
     public long timeOfDay() {
-        return TIME_OF_DAY_MS;
+        return WALL_CLOCK_MS;
     }
 
     @Override
@@ -113,25 +128,29 @@
 
     @Override
     public void schedule(long delayMs, Runnable task) {
-        timers.add(new Timer(now + Math.max(0, delayMs), timerIds++, task));
+        timers.add(new Timer(nowMs + Math.max(0, delayMs), nextTimerId++, task));
     }
 
     @Override
-    public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
+    public void request(
+            String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler handler) {
         String line = method + " " + path;
-        sent.add(new Sent(addr, line, body == null ? new byte[0] : MessageCodec.encode(body)));
-        Deque<GoldenMessages.Message> answers = script.get(line);
-        if (answers == null) {
-            schedule(timeoutMs, () -> reply.onResponse(Environment.NO_ANSWER, null));
+        sentRequests.add(new SentRequest(address, line, body == null ? new byte[0] : MessageCodec.encode(body)));
+        Deque<GoldenMessages.Message> scripted = responses.get(line);
+        if (scripted == null) {
+            schedule(timeoutMs, () -> handler.onResponse(Environment.NO_ANSWER, null));
             return;
         }
-        GoldenMessages.Message answer = answers.size() > 1 ? answers.poll() : answers.peek();
-        byte[] bytes = answer.body();
-        schedule(1, () -> reply.onResponse(answer.status(), bytes.length == 0 ? null : MessageCodec.decode(bytes)));
+        GoldenMessages.Message response = scripted.size() > 1 ? scripted.poll() : scripted.peek();
+        byte[] responseBytes = response.body();
+        schedule(
+                1,
+                () -> handler.onResponse(
+                        response.status(), responseBytes.length == 0 ? null : MessageCodec.decode(responseBytes)));
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        schedule(timeoutMs, () -> reply.accept(null)); // the other controllers say nothing
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> handler) {
+        schedule(timeoutMs, () -> handler.accept(null)); // no other controller ever responds
     }
 }
