--- a/src/test/java/stileferry/coordination/AdmissionHistory.java
+++ b/src/test/java/stileferry/coordination/AdmissionCountCheck.java
@@ -16,47 +16,47 @@
  * Checks the count of admissions against the store and against what users heard: at every moment the shards add up to
  * the jobs that the store knows, and several controllers tell the same totals of one revision.
  */
-final class AdmissionHistory {
-    private static final long LOOK_MS = 250;
-    private static final long ASK_MS = 2000;
+final class AdmissionCountCheck {
+    private static final long CHECK_INTERVAL_MS = 250;
+    private static final long QUERY_INTERVAL_MS = 2000;
 
     final List<String> problems = new ArrayList<>();
     private final SimulatedCluster cluster;
-    private final Map<Long, String> toldAt = new TreeMap<>();
-    private final Map<String, Long> lastTold = new TreeMap<>();
-    private final Map<String, Long> minutes = new TreeMap<>();
-    private final Set<String> jobs = new HashSet<>();
-    int answers;
+    private final Map<Long, String> totalsByRevision = new TreeMap<>();
+    private final Map<String, Long> lastRevisionByController = new TreeMap<>();
+    private final Map<String, Long> admissionCounts = new TreeMap<>();
+    private final Set<String> jobIds = new HashSet<>();
+    int responseCount;
 
-    AdmissionHistory(SimulatedCluster cluster) {
+    AdmissionCountCheck(SimulatedCluster cluster) {
         this.cluster = cluster;
-        cluster.after(LOOK_MS, this::look);
-        cluster.after(ASK_MS, this::ask);
+        cluster.after(CHECK_INTERVAL_MS, this::checkCount);
+        cluster.after(QUERY_INTERVAL_MS, this::queryControllers);
     }
 
-    private JsonNode rows(String prefix, String from) {
+    private JsonNode readRows(String prefix, String from) {
         JsonNode[] answer = new JsonNode[1];
         cluster.store.request(
                 "GET", "/kv?starts=" + prefix + "&from=" + from + "&most=1000", null, (s, body) -> answer[0] = body);
         return answer[0];
     }
 
-    private void addJobs(String prefix) {
+    private void addJobIds(String prefix) {
         String from = "";
         JsonNode page;
         do {
-            page = rows(prefix, from);
+            page = readRows(prefix, from);
             for (JsonNode row : page.path("rows")) {
                 from = row.path("path").asText();
-                jobs.add(from.substring(prefix.length()));
+                jobIds.add(from.substring(prefix.length()));
             }
         } while (page.path("more").asBoolean());
     }
 
     /** The count as the store holds it. */
-    long counted() {
+    long countedAdmissions() {
         long sum = 0;
-        for (JsonNode row : rows(AdmissionCountShards.PREFIX, "").path("rows")) {
+        for (JsonNode row : readRows(AdmissionCountShards.PREFIX, "").path("rows")) {
             for (JsonNode team : row.path("v").path("counts")) {
                 for (JsonNode cell : team) {
                     sum += cell.asLong();
@@ -67,57 +67,58 @@
     }
 
     /** The jobs that the store knows. */
-    long known() {
-        jobs.clear();
-        addJobs(Job.PREFIX);
-        addJobs(Job.completedKey(""));
-        return jobs.size();
+    long storedJobs() {
+        jobIds.clear();
+        addJobIds(Job.PREFIX);
+        addJobIds(Job.completedKey(""));
+        return jobIds.size();
     }
 
-    private void look() {
-        cluster.after(LOOK_MS, this::look);
-        long counted = counted();
-        long known = known();
+    private void checkCount() {
+        cluster.after(CHECK_INTERVAL_MS, this::checkCount);
+        long counted = countedAdmissions();
+        long known = storedJobs();
         if (counted != known) {
             problems.add("at " + cluster.now + " " + counted + " are counted, " + known + " are known");
         }
     }
 
-    private void ask() {
-        cluster.after(ASK_MS, this::ask);
+    private void queryControllers() {
+        cluster.after(QUERY_INTERVAL_MS, this::queryControllers);
         for (ControllerNode node : cluster.controllers.values()) {
             if (node.up()) {
-                node.environment.turn(() -> node.coordinator.handleAdministrationRequest(
-                        "GET", "admission", new byte[0], answer -> told(node.name(), answer)));
+                node.environment.execute(() -> node.coordinator.handleAdministrationRequest(
+                        "GET", "admission", new byte[0], answer -> checkTotals(node.name(), answer)));
             }
         }
     }
 
-    private void told(String node, PeerMessage.Response answer) {
+    private void checkTotals(String node, PeerMessage.Response answer) {
         if (answer.status() != 200) {
             return;
         }
-        answers++;
+        responseCount++;
         JsonNode totals = MessageCodec.decode(answer.body()).path("totals");
         long revision = totals.path("revision").asLong();
-        String before = toldAt.putIfAbsent(revision, totals.path("admissions").toString());
+        String before =
+                totalsByRevision.putIfAbsent(revision, totals.path("admissions").toString());
         if (before != null && !before.equals(totals.path("admissions").toString())) {
             problems.add("revision " + revision + " has " + before + " and " + totals);
         }
-        if (revision < lastTold.getOrDefault(node, 0L)) {
-            problems.add(node + " tells of revision " + revision + " after " + lastTold.get(node));
+        if (revision < lastRevisionByController.getOrDefault(node, 0L)) {
+            problems.add(node + " tells of revision " + revision + " after " + lastRevisionByController.get(node));
         }
-        lastTold.put(node, revision);
+        lastRevisionByController.put(node, revision);
     }
 
     /** Counts what users heard, by team and minute. */
     Map<String, Long> admissionsByTeamAndMinute(long from) {
-        minutes.clear();
+        admissionCounts.clear();
         for (SimulatedUser user : cluster.users.values()) {
             if (user.accepted && user.acceptedAt >= from) {
-                minutes.merge(user.spec.team() + " " + (user.acceptedAt - from) / 60_000, 1L, Long::sum);
+                admissionCounts.merge(user.spec.team() + " " + (user.acceptedAt - from) / 60_000, 1L, Long::sum);
             }
         }
-        return minutes;
+        return admissionCounts;
     }
 }
--- a/src/test/java/stileferry/coordination/AdmissionLoad.java
+++ b/src/test/java/stileferry/coordination/AdmissionLoad.java
@@ -9,7 +9,7 @@
 
 /** More jobs than can be admitted: a small cluster, and users that flood it. */
 final class AdmissionLoad {
-    static final Features ON = new Features(false, true);
+    static final Features FAIR_ADMISSION = new Features(false, true);
 
     /** Changes a second that the key-value store takes: five admissions a second, if nothing else is to be stored. */
     private static final double WRITES_PER_S = 12;
@@ -54,7 +54,7 @@
         return number;
     }
 
-    static void check(SimulatedCluster cluster, AdmissionHistory history) {
+    static void assertConsistent(SimulatedCluster cluster, AdmissionCountCheck history) {
         assertEquals(List.of(), cluster.violations);
         assertEquals(List.of(), history.problems);
     }
--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -16,13 +16,18 @@
 final class AdmissionMeasurement {
     private static final int SEEDS = 3;
     private static final int FLOOD_S = 120;
-    private static final long LONGEST_MS = 120_000;
+    private static final long MAX_WAIT_MS = 120_000;
 
     private AdmissionMeasurement() {}
 
     /** What one flood led to. */
     private record Outcome(
-            double jain, double changesEach, double refusalsEach, double done, double smallTeams, double waitP95S) {}
+            double jain,
+            double writesPerJob,
+            double retriesPerJob,
+            double completedJobs,
+            double smallTeamsAdmittedShare,
+            double waitP95S) {}
 
     private static double admittedShare(SimulatedCluster cluster, String team) {
         long asked = cluster.users.values().stream()
@@ -58,21 +63,21 @@
                 .count();
     }
 
-    private static Outcome play(long seed, Features features) {
+    private static Outcome measure(long seed, Features features) {
         SimulatedCluster cluster = AdmissionLoad.smallCluster(seed, features);
         cluster.runFor(20);
         long changes = cluster.store.writtenKeys();
         AdmissionLoad.flood(cluster, 100, FLOOD_S);
-        Histogram waits = new Histogram(LONGEST_MS, 2);
+        Histogram waits = new Histogram(MAX_WAIT_MS, 2);
         cluster.users.values().stream()
                 .filter(u -> u.accepted)
-                .forEach(u -> waits.recordValue(Math.min(LONGEST_MS, u.acceptedAt - u.submittedAt)));
+                .forEach(u -> waits.recordValue(Math.min(MAX_WAIT_MS, u.acceptedAt - u.submittedAt)));
         double accepted = waits.getTotalCount();
         return new Outcome(
                 jain(cluster),
                 (cluster.store.writtenKeys() - changes) / accepted,
                 cluster.users.values().stream()
-                        .mapToInt(u -> u.rejections)
+                        .mapToInt(u -> u.retries)
                         .average()
                         .orElse(0),
                 cluster.users.values().stream().filter(u -> u.endState != null).count(),
@@ -84,19 +89,19 @@
         LogLevel.start("error");
         System.out.println("Jain's index, changes for each accepted job (its end included), refusals of each job,"
                 + " jobs done, share of the small teams' jobs accepted, 95th percentile of the wait in s");
-        for (Features features : List.of(Features.NONE, AdmissionLoad.ON)) {
+        for (Features features : List.of(Features.NONE, AdmissionLoad.FAIR_ADMISSION)) {
             LongStream.range(0, SEEDS).forEach(seed -> {
-                Outcome outcome = play(300 + seed, features);
+                Outcome outcome = measure(300 + seed, features);
                 System.out.println(String.format(
                         Locale.ROOT,
                         "%-20s seed %d: %.2f %.2f %.2f %.0f %.2f %.1f",
                         features.on(),
                         300 + seed,
                         outcome.jain(),
-                        outcome.changesEach(),
-                        outcome.refusalsEach(),
-                        outcome.done(),
-                        outcome.smallTeams(),
+                        outcome.writesPerJob(),
+                        outcome.retriesPerJob(),
+                        outcome.completedJobs(),
+                        outcome.smallTeamsAdmittedShare(),
                         outcome.waitP95S()));
             });
         }
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -25,25 +25,25 @@
  * crash at any moment; a transaction is answered, carried out while its answer is lost, carried out late, or never.
  */
 final class AdmissionModel {
-    private static final int MOST_JOBS = 3;
+    private static final int MAX_JOBS = 3;
 
     /** What may happen next. */
     enum Event {
-        ACCEPT_A_JOB,
-        ANSWER_A_REQUEST,
-        CARRY_OUT_BUT_LOSE_THE_ANSWER,
-        LOSE_A_REQUEST,
-        CARRY_OUT_LATE,
-        CHANGE_THE_LEADER
+        ACCEPT_JOB,
+        SERVE_REQUEST,
+        LOSE_RESPONSE,
+        LOSE_REQUEST,
+        EXECUTE_LATE,
+        CHANGE_LEADER
     }
 
     /**
      * Whether the count is written in the transaction that stores the job, or, as a planted fault, in another one after
      * that was answered.
      */
-    enum Count {
-        WITH_THE_JOB,
-        AFTER_THE_ANSWER
+    enum CountMode {
+        SAME_TRANSACTION,
+        SEPARATE_TRANSACTION
     }
 
     /** A request on its way to the key-value store. */
@@ -53,15 +53,15 @@
     final ArrayDeque<Request> requests = new ArrayDeque<>();
     final List<Request> unanswered = new ArrayList<>();
     final TreeMap<Long, List<Runnable>> timers = new TreeMap<>();
-    final LoadShedder door = new LoadShedder(AdmissionSettings.config(settings()), 10);
-    final Count count;
+    final LoadShedder loadShedder = new LoadShedder(AdmissionSettings.config(settings()), 10);
+    final CountMode countMode;
     long now = 1;
     long term;
-    int jobs;
+    int jobCount;
     AdmissionModelLeader leader;
 
-    AdmissionModel(Count count) {
-        this.count = count;
+    AdmissionModel(CountMode count) {
+        this.countMode = count;
         changeLeader();
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Runs all timers that are due within two seconds. */
-    void settle() {
+    void runDueTimers() {
         for (int i = 0; i < 100 && !timers.isEmpty() && timers.firstKey() <= now + 2000; i++) {
             var due = timers.pollFirstEntry();
             now = Math.max(now, due.getKey());
@@ -83,43 +83,43 @@
             leader.commits.close();
         }
         term++;
-        putOutsideOfCommits(LeaderElection.LEADER_KEY, MessageCodec.map().put("term", term));
+        putDirectly(LeaderElection.LEADER_KEY, MessageCodec.map().put("term", term));
         leader = new AdmissionModelLeader(this);
-        door.observeTerm(term);
+        loadShedder.observeTerm(term);
     }
 
-    boolean play(Event event) {
+    boolean apply(Event event) {
         switch (event) {
-            case ACCEPT_A_JOB -> {
-                if (jobs == MOST_JOBS) {
+            case ACCEPT_JOB -> {
+                if (jobCount == MAX_JOBS) {
                     return false;
                 }
-                leader.accept("job-" + jobs++);
+                leader.acceptJob("job-" + jobCount++);
             }
-            case ANSWER_A_REQUEST, CARRY_OUT_BUT_LOSE_THE_ANSWER, LOSE_A_REQUEST -> {
+            case SERVE_REQUEST, LOSE_RESPONSE, LOSE_REQUEST -> {
                 if (requests.isEmpty()) {
                     return false;
                 }
-                answer(requests.poll(), event);
+                serve(requests.poll(), event);
             }
-            case CARRY_OUT_LATE -> {
+            case EXECUTE_LATE -> {
                 if (unanswered.isEmpty()) {
                     return false;
                 }
                 Request late = unanswered.remove(0);
                 store.request(late.method, late.path, late.body, (s, b) -> {});
             }
-            case CHANGE_THE_LEADER -> changeLeader();
+            case CHANGE_LEADER -> changeLeader();
         }
-        settle();
+        runDueTimers();
         return true;
     }
 
-    private void answer(Request request, Event event) {
-        if (event == Event.ANSWER_A_REQUEST) {
+    private void serve(Request request, Event event) {
+        if (event == Event.SERVE_REQUEST) {
             store.request(request.method, request.path, request.body, request.reply);
         } else {
-            if (event == Event.CARRY_OUT_BUT_LOSE_THE_ANSWER) {
+            if (event == Event.LOSE_RESPONSE) {
                 store.request(request.method, request.path, request.body, (s, b) -> {});
             } else if (request.path.equals("/commit")) {
                 unanswered.add(request);
@@ -138,7 +138,7 @@
         return rows;
     }
 
-    long counted() {
+    long countedAdmissions() {
         return AdmissionTotals.of(AdmissionCountShards.read(rows(AdmissionCountShards.PREFIX)), 1, 0)
                 .counts()
                 .total();
@@ -146,7 +146,7 @@
 
     /** Identifies this state, apart from times and revisions. */
     String signature() {
-        StringBuilder text = new StringBuilder().append(jobs).append('|').append(counted());
+        StringBuilder text = new StringBuilder().append(jobCount).append('|').append(countedAdmissions());
         rows(Job.PREFIX).forEach(row -> text.append(row.key()));
         text.append('|').append(leader.commits.inFlight()).append(leader.commits.backlog());
         requests.forEach(request -> text.append(request.method.charAt(0)).append(keys(request)));
@@ -164,7 +164,7 @@
     }
 
     /** Writes a key outside of the controllers' transactions. */
-    private void putOutsideOfCommits(String key, JsonNode value) {
+    private void putDirectly(String key, JsonNode value) {
         var transaction = MessageCodec.map();
         transaction.putArray("if");
         transaction.putArray("apply").addObject().put("put", key).set("v", value);
--- a/src/test/java/stileferry/coordination/AdmissionModelLeader.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelLeader.java
@@ -19,7 +19,7 @@
 
 /** The leader of a model of admission, with the real queue of commits and count. */
 final class AdmissionModelLeader implements Environment {
-    private static final AdmissionCounts.TeamClass CELL = new AdmissionCounts.TeamClass("red", "*");
+    private static final AdmissionCounts.TeamClass TEAM_CLASS = new AdmissionCounts.TeamClass("red", "*");
 
     private final AdmissionModel model;
     final CommitQueue commits;
@@ -33,19 +33,19 @@
         commits = new CommitQueue(
                 this, client, LeaderElection.LEADER_KEY, fence, model.term, () -> lostLeadership = true);
         countShards = new AdmissionCountShards(model.rows(AdmissionCountShards.PREFIX), 1, 8);
-        if (model.count == AdmissionModel.Count.WITH_THE_JOB) {
+        if (model.countMode == AdmissionModel.CountMode.SAME_TRANSACTION) {
             commits.setTransactionCounter(countShards);
         }
     }
 
-    void accept(String id) {
+    void acceptJob(String id) {
         StoredEntry job = new StoredEntry(Job.key(id), 0, MessageCodec::map);
-        if (model.count == AdmissionModel.Count.WITH_THE_JOB) {
-            countShards.count(job, CELL);
+        if (model.countMode == AdmissionModel.CountMode.SAME_TRANSACTION) {
+            countShards.count(job, TEAM_CLASS);
             commits.put(job, null);
         } else {
             commits.put(job, () -> {
-                countShards.count(job, CELL);
+                countShards.count(job, TEAM_CLASS);
                 commits.put(countShards.count(List.of(job)), null);
                 commits.flush();
             });
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -16,7 +16,7 @@
 import stileferry.admission.Flow;
 import stileferry.admission.LoadShedder;
 import stileferry.cluster.Job;
-import stileferry.coordination.AdmissionModel.Count;
+import stileferry.coordination.AdmissionModel.CountMode;
 import stileferry.coordination.AdmissionModel.Event;
 import stileferry.overload.AdmissionSettings;
 
@@ -29,15 +29,15 @@
     private static final Flow FLOW = new Flow("red", "*", 2);
 
     /** What a search found: the first sequence that breaks the invariant, if any, and how many states it saw. */
-    private record Found(List<Event> broken, int states) {}
+    private record SearchResult(List<Event> violatingSequence, int stateCount) {}
 
-    private static AdmissionModel replay(Count count, List<Event> events) {
+    private static AdmissionModel replay(CountMode count, List<Event> events) {
         AdmissionModel model = new AdmissionModel(count);
-        events.forEach(model::play);
+        events.forEach(model::apply);
         return model;
     }
 
-    private static Found search(Count count) {
+    private static SearchResult search(CountMode count) {
         Set<String> seen = new HashSet<>();
         ArrayDeque<List<Event>> open = new ArrayDeque<>();
         open.add(List.of());
@@ -45,40 +45,40 @@
             List<Event> events = open.poll();
             for (Event event : Event.values()) {
                 AdmissionModel model = replay(count, events);
-                if (!model.play(event)) {
+                if (!model.apply(event)) {
                     continue;
                 }
                 List<Event> longer = new ArrayList<>(events);
                 longer.add(event);
-                if (model.counted() != model.rows(Job.PREFIX).size()) {
-                    return new Found(longer, seen.size());
+                if (model.countedAdmissions() != model.rows(Job.PREFIX).size()) {
+                    return new SearchResult(longer, seen.size());
                 }
                 if (seen.add(model.signature()) && longer.size() < DEPTH) {
                     open.add(longer);
                 }
             }
         }
-        return new Found(null, seen.size());
+        return new SearchResult(null, seen.size());
     }
 
     @Test
     void noSequenceOfEventsDoublesOrLosesACount() {
-        Found found = search(Count.WITH_THE_JOB);
-        assertEquals(null, found.broken());
-        assertTrue(found.states() > 300, "states: " + found.states());
+        SearchResult found = search(CountMode.SAME_TRANSACTION);
+        assertEquals(null, found.violatingSequence());
+        assertTrue(found.stateCount() > 300, "states: " + found.stateCount());
     }
 
     @Test
-    void aCountWrittenApartFromItsJobIsDetected() {
-        Found found = search(Count.AFTER_THE_ANSWER);
-        assertFalse(found.broken() == null, "not found in " + found.states() + " states");
+    void aCountWrittenInASeparateTransactionIsDetected() {
+        SearchResult found = search(CountMode.SEPARATE_TRANSACTION);
+        assertFalse(found.violatingSequence() == null, "not found in " + found.stateCount() + " states");
     }
 
     /**
      * Tables of two terms in every order, some twice, with the terms learnt in between: none of a former term holds.
      */
     @Test
-    void noTurnTableOfAFormerTermHoldsInAnyOrder() {
+    void noWindowTableOfAFormerTermIsUsedInAnyOrder() {
         List<AdmissionWindowTable> tables = new ArrayList<>();
         for (long[] number : new long[][] {{1, 1}, {1, 2}, {2, 1}, {2, 2}}) {
             tables.add(new AdmissionWindowTable(
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.AdmissionLoad.ON;
+import static stileferry.coordination.AdmissionLoad.FAIR_ADMISSION;
 import static stileferry.coordination.AdmissionLoad.TEAMS;
-import static stileferry.coordination.AdmissionLoad.check;
+import static stileferry.coordination.AdmissionLoad.assertConsistent;
 import static stileferry.coordination.AdmissionLoad.flood;
 import static stileferry.coordination.AdmissionLoad.smallCluster;
 import static stileferry.coordination.AdmissionLoad.submit;
@@ -41,8 +41,9 @@
         String name = leader.name();
         switch (fault) {
             case LEADER_CRASHES -> cluster.faults.restart(leader, 4000);
-            case LEADER_PAUSES -> leader.environment.freeze(8000);
-            case LEADER_LOSES_THE_STORE -> cluster.network.blockBoth(name, SimulatedCluster.STORE, LinkFault.LOST);
+            case LEADER_PAUSES -> leader.environment.pause(8000);
+            case LEADER_LOSES_THE_STORE ->
+                cluster.network.injectFaultBothWays(name, SimulatedCluster.STORE, LinkFault.LOST);
             case STORE_REJECTS_THE_LEADER -> cluster.faults.rejectedByStore.add(name);
             case ALL_CONTROLLERS_CRASH ->
                 cluster.controllers.values().forEach(node -> cluster.faults.restart(node, 3000));
@@ -57,13 +58,13 @@
                 cluster.controllers.keySet().stream()
                         .filter(other -> !other.equals(name))
                         .findFirst()
-                        .ifPresent(other -> cluster.network.blockBoth(name, other, LinkFault.LOST));
+                        .ifPresent(other -> cluster.network.injectFaultBothWays(name, other, LinkFault.LOST));
             case COMMIT_RESPONSES_LOST -> cluster.faults.unansweredCommitRate = 0.3;
             case COMMITS_ARE_LATE -> cluster.faults.lateCommitRate = 0.2;
         }
     }
 
-    private static void mend(SimulatedCluster cluster) {
+    private static void clearFaults(SimulatedCluster cluster) {
         cluster.network.restoreAll();
         cluster.faults.rejectedByStore.clear();
         cluster.faults.storeResponseDelayMs = 0;
@@ -75,24 +76,26 @@
     @ParameterizedTest
     @EnumSource(Fault.class)
     void countsStayExactThroughAFaultDuringABurst(Fault fault) {
-        SimulatedCluster cluster = smallCluster(40 + fault.ordinal(), ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+        SimulatedCluster cluster = smallCluster(40 + fault.ordinal(), FAIR_ADMISSION);
+        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         int next = flood(cluster, 100, 20);
         inject(cluster, fault);
         next = flood(cluster, next, 40);
-        mend(cluster);
+        clearFaults(cluster);
         cluster.runFor(25);
         long from = cluster.now;
         flood(cluster, next, 60);
         cluster.runFor(90);
-        check(cluster, history);
+        assertConsistent(cluster, history);
         var minutes = history.admissionsByTeamAndMinute(from);
         TEAMS.forEach(team -> assertTrue(minutes.getOrDefault(team + " 0", 0L) > 0, team + ": " + minutes));
-        assertEquals(history.known(), history.counted());
+        assertEquals(history.storedJobs(), history.countedAdmissions());
         long heard = cluster.users.values().stream().filter(u -> u.accepted).count();
-        assertTrue(history.counted() >= heard, heard + " users heard, " + history.counted() + " are counted");
-        assertTrue(history.answers > 50, "totals were told " + history.answers + " times only");
+        assertTrue(
+                history.countedAdmissions() >= heard,
+                heard + " users heard, " + history.countedAdmissions() + " are counted");
+        assertTrue(history.responseCount > 50, "totals were told " + history.responseCount + " times only");
     }
 
     private static LongStream seeds() {
@@ -103,8 +106,8 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void everyTeamIsAdmittedUnderTripleLoadWithFaults(long seed) {
-        SimulatedCluster cluster = smallCluster(seed, ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+        SimulatedCluster cluster = smallCluster(seed, FAIR_ADMISSION);
+        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
         SplittableRandom random = cluster.random.split();
         cluster.runFor(20);
         long from = cluster.now;
@@ -121,7 +124,7 @@
                 Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
                 if (cluster.leader() != null && fault != Fault.STORE_OUTAGE_OF_A_MINUTE) {
                     inject(cluster, fault);
-                    cluster.after(15_000, () -> mend(cluster));
+                    cluster.after(15_000, () -> clearFaults(cluster));
                 }
             }
             cluster.runFor(1);
@@ -134,12 +137,12 @@
                 calm = false;
             }
         }
-        check(cluster, history);
+        assertConsistent(cluster, history);
         assertTrue(calmMinutes.size() >= 8, "minutes with a leader: " + calmMinutes);
-        everyTeamIsAdmitted(history, from, calmMinutes);
+        assertEveryTeamAdmitted(history, from, calmMinutes);
     }
 
-    private static void everyTeamIsAdmitted(AdmissionHistory history, long from, List<Integer> minutes) {
+    private static void assertEveryTeamAdmitted(AdmissionCountCheck history, long from, List<Integer> minutes) {
         var admissions = history.admissionsByTeamAndMinute(from);
         for (int minute : minutes) {
             TEAMS.forEach(team -> assertTrue(
@@ -148,7 +151,7 @@
         }
     }
 
-    private static LongStream seedsOfDays() {
+    private static LongStream randomFaultSeeds() {
         return LongStream.range(0, Integer.getInteger("days", 8)).map(i -> 2000 + i);
     }
 
@@ -156,9 +159,9 @@
      * Runs with all faults at random, on some of them with controllers of older versions, or with link monitoring too.
      */
     @ParameterizedTest
-    @MethodSource("seedsOfDays")
+    @MethodSource("randomFaultSeeds")
     void invariantsHoldWithFairAdmissionUnderRandomFaults(long seed) {
-        ChaosRun.assertAllJobsEnded(ChaosRun.play(
+        ChaosRun.assertAllJobsEnded(ChaosRun.run(
                 seed, 120, cluster -> ChaosRun.mixVersions(cluster, seed, new Features(seed % 4 == 0, true))));
     }
 }
--- a/src/test/java/stileferry/coordination/BusyCluster.java
+++ b/src/test/java/stileferry/coordination/BusyCluster.java
@@ -37,7 +37,7 @@
         return cluster;
     }
 
-    private static JobSpecBuilder sized(JobSpecBuilder job, int number) {
+    private static JobSpecBuilder withVariedRequirements(JobSpecBuilder job, int number) {
         boolean bound = number % 5 == 0;
         return job.team(TEAMS.get(number % 3))
                 .tasks(2 + number % 2)
@@ -48,13 +48,13 @@
     }
 
     private static JobSpec service(int number) {
-        return sized(JobSpecBuilder.service(number), number)
+        return withVariedRequirements(JobSpecBuilder.service(number), number)
                 .spreadAcrossZones(number % 5 != 0)
                 .build();
     }
 
     private static JobSpec array(int number) {
-        return sized(JobSpecBuilder.array(number), number)
+        return withVariedRequirements(JobSpecBuilder.array(number), number)
                 .priority(number % 2 == 0 ? JobSpec.Priority.NORMAL : JobSpec.Priority.IDLE)
                 .allowsSpot(number % 7 != 0)
                 .runS(3 + number % 10 * 4)
--- a/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
@@ -51,7 +51,7 @@
                 .findFirst()
                 .orElseThrow();
         if (second == SecondFault.STOPS_ARE_LOST) {
-            loseStops(cluster, 6000);
+            loseStopCommands(cluster, 6000);
         }
         cancelArrays(cluster);
         cluster.runFor(1.2);
@@ -80,7 +80,7 @@
     }
 
     /** Stops do not arrive; heartbeats do. */
-    private static void loseStops(SimulatedCluster cluster, long ms) {
+    private static void loseStopCommands(SimulatedCluster cluster, long ms) {
         for (SimulatedUser user : cluster.users.values()) {
             cluster.tasks.machinesOf(user).forEach(m -> cluster.faults.inboundLoss.add(SimulatedMachines.address(m)));
         }
--- a/src/test/java/stileferry/coordination/ChaosFaults.java
+++ b/src/test/java/stileferry/coordination/ChaosFaults.java
@@ -28,15 +28,15 @@
         switch (random.nextInt(32)) {
             case 0, 1 -> faults.restart(controller, random.nextBoolean() ? 300 : 5000);
             case 2 -> all.forEach(each -> faults.restart(each, 1000 + random.nextLong(4000)));
-            case 3 -> faults.partition(name, upTo(20_000));
-            case 4 -> faults.partition(addr, upTo(20_000));
-            case 5 -> faults.storeOutage(upTo(15_000));
-            case 6 -> during(faults.rejectedByStore, name, upTo(20_000));
+            case 3 -> faults.partition(name, randomDurationMs(20_000));
+            case 4 -> faults.partition(addr, randomDurationMs(20_000));
+            case 5 -> faults.storeOutage(randomDurationMs(15_000));
+            case 6 -> addTemporarily(faults.rejectedByStore, name, randomDurationMs(20_000));
             case 7 -> reclaimWithoutNotice(machine);
             case 8 -> failTasksOn(addr);
-            case 9 -> during(faults.inboundLoss, addr, upTo(40_000));
-            case 10 -> during(faults.partitionedFromControlPlane, name, upTo(30_000));
-            case 11 -> refusePeers();
+            case 9 -> addTemporarily(faults.inboundLoss, addr, randomDurationMs(40_000));
+            case 10 -> addTemporarily(faults.partitionedFromControlPlane, name, randomDurationMs(30_000));
+            case 11 -> refusePeerConnections();
             case 12 -> delayInbound(name);
             case 13 -> delayStoreResponses();
             case 14 -> restartAllAtOnce(all, controller);
@@ -44,8 +44,8 @@
             case 18, 19 -> throttle(random.nextBoolean() ? all : List.of(controller));
             case 20 -> delayCommits();
             case 21 -> loseCommitResponses();
-            case 22 -> during(faults.heartbeatLoss, addr, upTo(30_000));
-            case 23 -> faults.hang(addr, upTo(25_000));
+            case 22 -> addTemporarily(faults.heartbeatLoss, addr, randomDurationMs(30_000));
+            case 23 -> faults.hang(addr, randomDurationMs(25_000));
             case 24 -> replayHeartbeats();
             case 25 -> rejectLeaderThenEverybody();
             case 26 -> all.forEach(each -> faults.restart(each, 5000 + random.nextLong(12_000))); // over a lease
@@ -56,11 +56,11 @@
     }
 
     /** A second at least, and so many milliseconds more at most. */
-    private long upTo(long ms) {
+    private long randomDurationMs(long ms) {
         return 1000 + random.nextLong(ms);
     }
 
-    private void during(Set<String> affected, String host, long ms) {
+    private void addTemporarily(Set<String> affected, String host, long ms) {
         affected.add(host);
         cluster.after(ms, () -> affected.remove(host));
     }
@@ -79,19 +79,19 @@
         }
     }
 
-    private void refusePeers() {
+    private void refusePeerConnections() {
         faults.peerConnectionsRefused = true;
-        cluster.after(upTo(20_000), () -> faults.peerConnectionsRefused = false);
+        cluster.after(randomDurationMs(20_000), () -> faults.peerConnectionsRefused = false);
     }
 
     private void delayInbound(String name) {
         faults.inboundDelayMs.put(name, 400L);
-        cluster.after(upTo(20_000), () -> faults.inboundDelayMs.remove(name));
+        cluster.after(randomDurationMs(20_000), () -> faults.inboundDelayMs.remove(name));
     }
 
     private void delayStoreResponses() {
         faults.storeResponseDelayMs = 30 * 20;
-        cluster.after(upTo(30_000), () -> faults.storeResponseDelayMs = 0);
+        cluster.after(randomDurationMs(30_000), () -> faults.storeResponseDelayMs = 0);
     }
 
     /** All are back at once, and one restarts again while the others may just be electing a leader. */
@@ -102,7 +102,7 @@
 
     /** A zone is partitioned, and the leader may crash meanwhile. */
     private void partitionZoneAndRestartLeader() {
-        faults.partitionZone(random.nextBoolean() ? "za" : "zb", upTo(25_000));
+        faults.partitionZone(random.nextBoolean() ? "za" : "zb", randomDurationMs(25_000));
         ControllerNode leader = cluster.leader();
         if (leader != null && random.nextBoolean()) {
             cluster.after(random.nextLong(15_000), () -> faults.restart(leader, random.nextBoolean() ? 200 : 5000));
@@ -112,24 +112,24 @@
     /** Controllers are given little processor time. */
     private void throttle(List<ControllerNode> throttled) {
         for (ControllerNode each : throttled) {
-            faults.eventLoopTurnMs.put(each.name(), 5 + random.nextLong(60));
+            faults.eventLoopTaskMs.put(each.name(), 5 + random.nextLong(60));
         }
-        cluster.after(upTo(30_000), faults.eventLoopTurnMs::clear);
+        cluster.after(randomDurationMs(30_000), faults.eventLoopTaskMs::clear);
     }
 
     private void delayCommits() {
         faults.lateCommitRate = 0.1 + 0.4 * random.nextDouble();
-        cluster.after(upTo(15_000), () -> faults.lateCommitRate = 0);
+        cluster.after(randomDurationMs(15_000), () -> faults.lateCommitRate = 0);
     }
 
     private void loseCommitResponses() {
         faults.unansweredCommitRate = 0.1 + 0.4 * random.nextDouble();
-        cluster.after(upTo(15_000), () -> faults.unansweredCommitRate = 0);
+        cluster.after(randomDurationMs(15_000), () -> faults.unansweredCommitRate = 0);
     }
 
     private void replayHeartbeats() {
         faults.replayHeartbeatsToNextLeader = true;
-        cluster.after(upTo(30_000), () -> faults.replayHeartbeatsToNextLeader = false);
+        cluster.after(randomDurationMs(30_000), () -> faults.replayHeartbeatsToNextLeader = false);
     }
 
     private void loseResponses() {
@@ -144,10 +144,10 @@
             return;
         }
         faults.rejectedByStore.add(leader.name());
-        cancelSome();
+        cancelRandomJobs();
         cluster.after(1000 + random.nextLong(4000), () -> {
             faults.storeDown = true;
-            cancelSome();
+            cancelRandomJobs();
             cluster.after(15_000 + random.nextLong(15_000), faults::endStoreOutage);
         });
         cluster.after(14_000, () -> faults.rejectedByStore.remove(leader.name()));
@@ -156,12 +156,12 @@
     private void cancelDuringFailover() {
         ControllerNode leader = cluster.leader();
         if (leader != null) {
-            cancelSome();
+            cancelRandomJobs();
             cluster.after(random.nextLong(300), () -> faults.restart(leader, random.nextBoolean() ? 300 : 5000));
         }
     }
 
-    private void cancelSome() {
+    private void cancelRandomJobs() {
         List<SimulatedUser> open = cluster.users.values().stream()
                 .filter(u -> u.accepted && u.endState == null && !u.cancelRequested)
                 .toList();
@@ -184,17 +184,17 @@
         SimulatedNetwork.LinkFault fault = SimulatedNetwork.LinkFault.values()[random.nextInt(3)];
         int directions = random.nextInt(3);
         int times = random.nextInt(3) == 0 ? 4 : 1;
-        long periodMs = times == 1 ? upTo(30_000) : upTo(6000);
+        long periodMs = times == 1 ? randomDurationMs(30_000) : randomDurationMs(6000);
         for (int i = 0; i < times; i++) {
             cluster.after(2 * i * periodMs, () -> {
                 if (directions != 1) {
-                    cluster.network.block(controller, end, fault);
+                    cluster.network.injectFault(controller, end, fault);
                 }
                 if (directions != 2) {
-                    cluster.network.block(end, controller, fault);
+                    cluster.network.injectFault(end, controller, fault);
                 }
             });
-            cluster.after((2 * i + 1) * periodMs, () -> cluster.network.restoreBoth(controller, end));
+            cluster.after((2 * i + 1) * periodMs, () -> cluster.network.restoreBothWays(controller, end));
         }
     }
 }
--- a/src/test/java/stileferry/coordination/ChaosRun.java
+++ b/src/test/java/stileferry/coordination/ChaosRun.java
@@ -12,19 +12,19 @@
 final class ChaosRun {
     private ChaosRun() {}
 
-    static SimulatedCluster play(long seed, double seconds) {
-        return play(seed, seconds, cluster -> {});
+    static SimulatedCluster run(long seed, double seconds) {
+        return run(seed, seconds, cluster -> {});
     }
 
     /** Plays so many seconds with faults, and then until all jobs should be over. */
-    static SimulatedCluster play(long seed, double seconds, Consumer<SimulatedCluster> prepare) {
+    static SimulatedCluster run(long seed, double seconds, Consumer<SimulatedCluster> prepare) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
         prepare.accept(cluster);
         SplittableRandom random = cluster.random.split();
         cluster.faults.duplicateHeartbeatRate = seed % 2 == 0 ? 0.1 : 0;
         cluster.after(random.nextLong(Math.round(1000 * seconds)), () -> cluster.store.setLimits(4, 2));
         cluster.runFor(3);
-        playFaults(cluster, random, seconds);
+        runWithFaults(cluster, random, seconds);
         cluster.faults.clear();
         cluster.after(45_000, cluster.network::restoreAll); // links that flap
         cluster.faults.endedAt = cluster.now;
@@ -38,7 +38,7 @@
         return cluster;
     }
 
-    private static void playFaults(SimulatedCluster cluster, SplittableRandom random, double seconds) {
+    private static void runWithFaults(SimulatedCluster cluster, SplittableRandom random, double seconds) {
         ChaosFaults faults = new ChaosFaults(cluster, random);
         int jobs = 0;
         for (double at = 0; at < seconds && cluster.violations.isEmpty(); at += 2) {
@@ -46,7 +46,7 @@
                 cluster.submit(Workloads.random(jobs++, random));
             }
             if (random.nextInt(8) == 0) {
-                cancelAny(cluster, random);
+                cancelRandomJob(cluster, random);
             }
             if (random.nextInt(5) == 0) {
                 faults.inject();
@@ -55,7 +55,7 @@
         }
     }
 
-    private static void cancelAny(SimulatedCluster cluster, SplittableRandom random) {
+    private static void cancelRandomJob(SimulatedCluster cluster, SplittableRandom random) {
         List<SimulatedUser> open = cluster.users.values().stream()
                 .filter(u -> u.accepted && !u.cancelRequested)
                 .toList();
@@ -74,7 +74,7 @@
             cluster.controllersWithoutFeatures.add("n" + seed % 2);
         }
         if (seed % 5 == 0) {
-            cluster.formerRecordFormat.add("n2");
+            cluster.controllersWithOldMessageFormat.add("n2");
             cluster.controllersWithoutFeatures.add("n2");
         }
     }
--- a/src/test/java/stileferry/coordination/CommitRetriesTest.java
+++ b/src/test/java/stileferry/coordination/CommitRetriesTest.java
@@ -12,7 +12,7 @@
 /** Transactions that are answered late or not at all apply once. */
 class CommitRetriesTest {
     /** One-task jobs, four a second, a quarter of them cancelled, some at once. */
-    private static void oneTaskJobs(SimulatedCluster cluster, int from, double seconds) {
+    private static void runOneTaskJobs(SimulatedCluster cluster, int from, double seconds) {
         SplittableRandom random = cluster.random.split();
         for (int i = 0; i < seconds * 4; i++) {
             SimulatedUser user = cluster.submit(array(from + i, 1, 1 + random.nextInt(3)));
@@ -34,7 +34,7 @@
         SimulatedCluster cluster = BusyCluster.withLongJobs(seed);
         cluster.faults.lateCommitRate = late;
         cluster.faults.unansweredCommitRate = unanswered;
-        oneTaskJobs(cluster, 100, 40);
+        runOneTaskJobs(cluster, 100, 40);
         cluster.faults.lateCommitRate = 0;
         cluster.faults.unansweredCommitRate = 0;
         cluster.runFor(15);
--- a/src/test/java/stileferry/coordination/ControllerNode.java
+++ b/src/test/java/stileferry/coordination/ControllerNode.java
@@ -26,12 +26,12 @@
                 settings,
                 cluster.controllersWithoutFeatures.contains(name()) ? Features.NONE : cluster.features,
                 environment);
-        environment.turn(coordinator::start);
+        environment.execute(coordinator::start);
     }
 
     /** Ends the process without a word to anybody. */
     public void crash() {
-        environment.dead = true;
+        environment.crashed = true;
         coordinator = null;
     }
 
--- a/src/test/java/stileferry/coordination/EventLoopLagTest.java
+++ b/src/test/java/stileferry/coordination/EventLoopLagTest.java
@@ -21,15 +21,15 @@
             cluster.submit(array(1, 8, 1));
             cluster.runFor(25);
             if (lagging == 1) {
-                cluster.controllers.keySet().forEach(name -> cluster.faults.eventLoopTurnMs.put(name, 70L));
+                cluster.controllers.keySet().forEach(name -> cluster.faults.eventLoopTaskMs.put(name, 70L));
             }
             cluster.runFor(5);
-            int before = cluster.directCommands;
+            int before = cluster.directCommandCount;
             for (int i = 10; i < 16; i++) {
                 cluster.submit(array(i, 4, 3));
             }
             cluster.runFor(120);
-            commands[lagging] = cluster.directCommands - before;
+            commands[lagging] = cluster.directCommandCount - before;
             assertEquals(List.of(), cluster.violations);
             for (SimulatedUser user : cluster.users.values()) {
                 assertEquals("done", user.endState, user.spec.id());
--- a/src/test/java/stileferry/coordination/FailoverTest.java
+++ b/src/test/java/stileferry/coordination/FailoverTest.java
@@ -61,6 +61,6 @@
         cluster.faults.endedAt = cluster.now;
         cluster.runFor(100);
         assertEquals(List.of(), cluster.violations);
-        assertTrue(cluster.now - cluster.users.get("job-1").lastAnswerAt < 10_000, "nobody answers for it");
+        assertTrue(cluster.now - cluster.users.get("job-1").lastResponseAt < 10_000, "nobody answers for it");
     }
 }
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.AdmissionLoad.ON;
+import static stileferry.coordination.AdmissionLoad.FAIR_ADMISSION;
 import static stileferry.coordination.AdmissionLoad.TEAMS;
-import static stileferry.coordination.AdmissionLoad.check;
+import static stileferry.coordination.AdmissionLoad.assertConsistent;
 import static stileferry.coordination.AdmissionLoad.flood;
 import static stileferry.coordination.AdmissionLoad.job;
 import static stileferry.coordination.AdmissionLoad.smallCluster;
@@ -25,21 +25,21 @@
 
 /** Admission while more is asked for than can be admitted: shares, turns, totals. */
 class FairAdmissionTest {
-    private static long accepted(SimulatedCluster cluster, String team) {
+    private static long acceptedJobs(SimulatedCluster cluster, String team) {
         return cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
     }
 
-    private static long submitted(SimulatedCluster cluster, String team) {
+    private static long submittedJobs(SimulatedCluster cluster, String team) {
         return cluster.users.values().stream()
                 .filter(u -> u.spec.team().equals(team))
                 .count();
     }
 
-    private static JsonNode view(SimulatedCluster cluster, ControllerNode node) {
+    private static JsonNode admissionView(SimulatedCluster cluster, ControllerNode node) {
         PeerMessage.Response[] answer = new PeerMessage.Response[1];
-        node.environment.turn(() ->
+        node.environment.execute(() ->
                 node.coordinator.handleAdministrationRequest("GET", "admission", new byte[0], a -> answer[0] = a));
         cluster.runFor(2);
         return answer[0] == null || answer[0].status() != 200 ? null : MessageCodec.decode(answer[0].body());
@@ -47,43 +47,47 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aFloodingTeamTakesNothingFromTheOthers(long seed) {
-        SimulatedCluster cluster = smallCluster(seed, ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+    void aFloodingTeamDoesNotReduceAdmissionsOfOtherTeams(long seed) {
+        SimulatedCluster cluster = smallCluster(seed, FAIR_ADMISSION);
+        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         flood(cluster, 100, 60);
         cluster.runFor(70);
-        check(cluster, history);
-        assertTrue(accepted(cluster, "blue") >= 0.9 * submitted(cluster, "blue"), "blue " + accepted(cluster, "blue"));
-        assertTrue(accepted(cluster, "free") >= 0.9 * submitted(cluster, "free"), "free " + accepted(cluster, "free"));
-        assertTrue(accepted(cluster, "red") > 30, "red " + accepted(cluster, "red"));
-        assertTrue(accepted(cluster, "red") < submitted(cluster, "red"), "more was asked than could be taken");
+        assertConsistent(cluster, history);
+        assertTrue(
+                acceptedJobs(cluster, "blue") >= 0.9 * submittedJobs(cluster, "blue"),
+                "blue " + acceptedJobs(cluster, "blue"));
+        assertTrue(
+                acceptedJobs(cluster, "free") >= 0.9 * submittedJobs(cluster, "free"),
+                "free " + acceptedJobs(cluster, "free"));
+        assertTrue(acceptedJobs(cluster, "red") > 30, "red " + acceptedJobs(cluster, "red"));
+        assertTrue(acceptedJobs(cluster, "red") < submittedJobs(cluster, "red"), "more was asked than could be taken");
     }
 
     /** The same ids submitted repeatedly, at every controller, count as one demand, and each is admitted once. */
     @Test
     void concurrentSubmissionsOfOneIdAreAdmittedOnce() {
-        SimulatedCluster cluster = smallCluster(4, ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+        SimulatedCluster cluster = smallCluster(4, FAIR_ADMISSION);
+        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         cluster.faults.usersRepeatRequests = true;
         for (int i = 0; i < 10; i++) {
             SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
             for (ControllerNode node : cluster.controllers.values()) {
-                cluster.after(cluster.random.nextLong(5), () -> cluster.users.submitAt(user, node));
+                cluster.after(cluster.random.nextLong(5), () -> cluster.users.submitTo(user, node));
             }
             cluster.runFor(0.5);
         }
         cluster.runFor(60);
-        check(cluster, history);
-        assertEquals(10, history.counted());
+        assertConsistent(cluster, history);
+        assertEquals(10, history.countedAdmissions());
     }
 
     /** Jobs that can never fit are rejected, and take no share from those that can. */
     @Test
     void unschedulableJobsAreRejectedAndNotCounted() {
-        SimulatedCluster cluster = smallCluster(5, ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+        SimulatedCluster cluster = smallCluster(5, FAIR_ADMISSION);
+        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         JobSpec good = job(50, "blue", JobSpec.Priority.NORMAL, 2);
         byte[] tooLarge = MessageCodec.encode(
@@ -91,16 +95,16 @@
         int[] refused = new int[1];
         for (int i = 0; i < 40; i++) {
             ControllerNode node = cluster.controllers.get("n" + i % 3);
-            node.environment.turn(() -> node.coordinator.handleUserRequest(
+            node.environment.execute(() -> node.coordinator.handleUserRequest(
                     PeerMessage.RequestKind.SUBMIT, "", tooLarge, a -> refused[0] += a.status() == 422 ? 1 : 0));
             cluster.runFor(0.2);
         }
         SimulatedUser user = cluster.submit(good);
         cluster.runFor(5);
-        check(cluster, history);
+        assertConsistent(cluster, history);
         assertTrue(user.accepted);
         assertTrue(refused[0] > 0);
-        assertEquals(1, history.counted());
+        assertEquals(1, history.countedAdmissions());
     }
 
     /** Services wait no longer for their admission than without all the arrays. */
@@ -108,7 +112,7 @@
     void servicesAreAdmittedBeforeArrays() {
         long[] worstMs = new long[2];
         for (int burst = 0; burst < 2; burst++) {
-            SimulatedCluster cluster = smallCluster(90, ON);
+            SimulatedCluster cluster = smallCluster(90, FAIR_ADMISSION);
             cluster.runFor(20);
             List<SimulatedUser> services = new ArrayList<>();
             int number = 1000;
@@ -138,16 +142,16 @@
      * Accepted work is done meanwhile, at 0.9 of the rate without fair admission or more.
      */
     @Test
-    void rejectedUsersRetryAtTheirTurns() {
+    void rejectedUsersRetryWhenTold() {
         double[] refusals = new double[2];
         long[] done = new long[2];
         for (int on = 0; on < 2; on++) {
-            SimulatedCluster cluster = smallCluster(91, on == 1 ? ON : Features.NONE);
+            SimulatedCluster cluster = smallCluster(91, on == 1 ? FAIR_ADMISSION : Features.NONE);
             cluster.runFor(20);
             flood(cluster, 100, 120);
             assertEquals(List.of(), cluster.violations);
             refusals[on] = cluster.users.values().stream()
-                    .mapToInt(u -> u.rejections)
+                    .mapToInt(u -> u.retries)
                     .average()
                     .orElse(0);
             done[on] = cluster.users.values().stream()
@@ -160,8 +164,8 @@
 
     /** A follower must not reject by the turn table of a leader that is gone: the next one may decide otherwise. */
     @Test
-    void noTurnTableOfAFormerTermIsHonoured() {
-        SimulatedCluster cluster = smallCluster(92, ON);
+    void noWindowTableOfAFormerTermIsUsed() {
+        SimulatedCluster cluster = smallCluster(92, FAIR_ADMISSION);
         cluster.runFor(20);
         flood(cluster, 100, 20);
         ControllerNode former = cluster.leader();
@@ -169,15 +173,19 @@
                 .filter(n -> n != former)
                 .findFirst()
                 .orElseThrow();
-        assertTrue(view(cluster, follower).path("here").path("holds_table").asBoolean());
-        long term = view(cluster, follower).path("here").path("table_term").asLong();
+        assertTrue(admissionView(cluster, follower)
+                .path("here")
+                .path("holds_table")
+                .asBoolean());
+        long term =
+                admissionView(cluster, follower).path("here").path("table_term").asLong();
         former.crash();
         for (int i = 0; i < 30 && (cluster.leader() == null || cluster.leader() == former); i++) {
             cluster.runFor(0.5);
         }
         for (ControllerNode node : cluster.controllers.values()) {
             if (node.up()) {
-                JsonNode here = view(cluster, node).path("here");
+                JsonNode here = admissionView(cluster, node).path("here");
                 boolean old = here.path("table_term").asLong() == term;
                 assertFalse(old && here.path("holds_table").asBoolean(), here.toString());
             }
@@ -187,7 +195,7 @@
     /** Once a controller without the feature has led, totals are marked incomplete, and are never wrong. */
     @Test
     void totalsAreIncompleteOnceAnOlderVersionHasLed() {
-        SimulatedCluster cluster = smallCluster(93, ON);
+        SimulatedCluster cluster = smallCluster(93, FAIR_ADMISSION);
         cluster.controllersWithoutFeatures.add("n0");
         cluster.runFor(20);
         int number = 100;
@@ -200,7 +208,7 @@
             cluster.runFor(6);
             for (ControllerNode node : cluster.controllers.values()) {
                 if (node.up() && !node.name().equals("n0")) {
-                    JsonNode seen = view(cluster, node);
+                    JsonNode seen = admissionView(cluster, node);
                     JsonNode totals = seen == null ? MessageCodec.map() : seen.path("totals");
                     if (totals.path("complete").asBoolean(true)) {
                         assertTrue(seen == null || complete, "complete again: " + totals);
@@ -219,15 +227,15 @@
         cluster.runFor(70);
         assertEquals(List.of(), cluster.violations);
         assertFalse(complete, "no older version ever led");
-        AdmissionHistory history = new AdmissionHistory(cluster);
-        assertTrue(history.counted() <= history.known(), "more is counted than there is");
+        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
+        assertTrue(history.countedAdmissions() <= history.storedJobs(), "more is counted than there is");
     }
 
     /** A job that is cancelled while it is being admitted is counted once, like any other. */
     @Test
     void jobsCancelledDuringAdmissionAreCountedOnce() {
-        SimulatedCluster cluster = smallCluster(94, ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+        SimulatedCluster cluster = smallCluster(94, FAIR_ADMISSION);
+        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         for (int i = 0; i < 20; i++) {
             SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
@@ -236,19 +244,19 @@
             cluster.runFor(1);
         }
         cluster.runFor(90);
-        check(cluster, history);
-        assertTrue(history.counted() >= 20, "counted " + history.counted());
+        assertConsistent(cluster, history);
+        assertTrue(history.countedAdmissions() >= 20, "counted " + history.countedAdmissions());
     }
 
     /** The checks must be able to fail: a doubled count and a team without admissions are detected. */
     @Test
     void aDoubledCountAndAStarvedTeamAreDetected() {
-        SimulatedCluster cluster = smallCluster(95, ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+        SimulatedCluster cluster = smallCluster(95, FAIR_ADMISSION);
+        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         submit(cluster, 100, "red");
         cluster.runFor(10);
-        check(cluster, history);
+        assertConsistent(cluster, history);
         JsonNode shard = cluster.store.value("n/0").deepCopy();
         ((ObjectNode) shard.path("counts").path("red")).put("*", 2);
         var transaction = MessageCodec.map();
--- a/src/test/java/stileferry/coordination/FaultInjection.java
+++ b/src/test/java/stileferry/coordination/FaultInjection.java
@@ -46,7 +46,7 @@
     boolean peerConnectionsRefused;
 
     /** Controllers that have little processor time, with the milliseconds that each turn of their event loop takes. */
-    final Map<String, Long> eventLoopTurnMs = new HashMap<>();
+    final Map<String, Long> eventLoopTaskMs = new HashMap<>();
 
     /** Machines whose heartbeats reach nobody, while commands reach them. */
     final Set<String> heartbeatLoss = new TreeSet<>();
@@ -130,7 +130,7 @@
         inboundDelayMs.clear();
         peerConnectionsRefused = false;
         storeResponseDelayMs = 0;
-        eventLoopTurnMs.clear();
+        eventLoopTaskMs.clear();
         responseLossRate = 0;
         lateCommitRate = 0;
         unansweredCommitRate = 0;
--- a/src/test/java/stileferry/coordination/FaultScenario.java
+++ b/src/test/java/stileferry/coordination/FaultScenario.java
@@ -5,17 +5,17 @@
 /** Scenarios in which two or more faults overlap, with work that is submitted and cancelled meanwhile. */
 enum FaultScenario {
     QUOTAS_WHILE_MACHINES_ARE_PARTITIONED(steps -> {
-        steps.partitionMachines(2, 16_000);
+        steps.partitionEveryNthMachine(2, 16_000);
         steps.runFor(1);
-        steps.cancelEvery(3);
+        steps.cancelEveryNth(3);
         steps.runFor(1);
         steps.faults.restartLeader(500);
         steps.submitArrays(100, 8);
         steps.runFor(15);
     }),
     QUOTAS_WHILE_MACHINES_HANG(steps -> {
-        steps.hangMachines(2, 7000);
-        steps.cancelEvery(2);
+        steps.hangEveryNthMachine(2, 7000);
+        steps.cancelEveryNth(2);
         steps.runFor(2);
         steps.faults.restartLeader(4000);
         steps.submitArrays(100, 8);
@@ -32,21 +32,21 @@
     CANCELLATION_AS_THE_STORE_REJECTS_THE_LEADER(steps -> {
         ControllerNode leader = steps.cluster.leader();
         steps.cluster.after(steps.random.nextLong(40), () -> steps.faults.rejectedByStore.add(leader.name()));
-        steps.cancelEvery(2);
+        steps.cancelEveryNth(2);
         steps.runFor(1);
         steps.faults.storeOutage(28_000);
         steps.runFor(35);
     }),
     STORE_SLOW_THEN_REJECTING_THEN_DOWN(steps -> {
         steps.faults.storeResponseDelayMs = 900;
-        steps.cancelEvery(4);
+        steps.cancelEveryNth(4);
         steps.runFor(5);
         ControllerNode leader = steps.cluster.leader();
         steps.faults.rejectedByStore.add(leader == null ? "n0" : leader.name());
-        steps.cancelEvery(3);
+        steps.cancelEveryNth(3);
         steps.runFor(3);
         steps.faults.storeOutage(25_000);
-        steps.cancelEvery(2);
+        steps.cancelEveryNth(2);
         steps.runFor(30);
     }),
     OLD_HEARTBEATS_AFTER_NEWER(steps -> {
@@ -55,19 +55,19 @@
             steps.submitArrays(100 + 5 * i, 5);
             steps.runFor(6);
             steps.faults.restartLeader(i % 2 == 0 ? 200 : 5000);
-            steps.partitionMachines(3, 12_000); // so that incarnations end
+            steps.partitionEveryNthMachine(3, 12_000); // so that incarnations end
             steps.runFor(8);
         }
     }),
     MACHINES_DO_NOT_HEAR_THE_NEXT_LEADER(steps -> {
-        steps.faults.inboundLoss.addAll(steps.machines(2));
-        steps.partitionMachines(3, 20_000);
-        steps.cancelEvery(5);
+        steps.faults.inboundLoss.addAll(steps.everyNthMachine(2));
+        steps.partitionEveryNthMachine(3, 20_000);
+        steps.cancelEveryNth(5);
         steps.faults.restartLeader(5000);
         steps.runFor(22);
     }),
     ALL_CONTROLLERS_DOWN_FOR_LONGER_THAN_A_LEASE(steps -> {
-        steps.cancelEvery(3);
+        steps.cancelEveryNth(3);
         steps.runFor(0.3);
         steps.cluster
                 .controllers
@@ -79,7 +79,7 @@
         steps.faults.unansweredCommitRate = 0.6;
         steps.faults.usersRepeatRequests = true;
         steps.submitArrays(100, 20);
-        steps.cancelEvery(3);
+        steps.cancelEveryNth(3);
         steps.runFor(8);
         steps.faults.restartLeader(300);
         steps.runFor(12);
@@ -88,12 +88,12 @@
         steps.faults.partitionZone("za", 24_000);
         steps.faults.partition(steps.cluster.leader().name(), 24_000);
         steps.runFor(4);
-        steps.cancelEvery(3);
+        steps.cancelEveryNth(3);
         steps.runFor(26);
     }),
     HEARTBEATS_LOST_DURING_FAILOVER(steps -> {
-        steps.faults.heartbeatLoss.addAll(steps.machines(2));
-        steps.cancelEvery(4);
+        steps.faults.heartbeatLoss.addAll(steps.everyNthMachine(2));
+        steps.cancelEveryNth(4);
         steps.runFor(4);
         steps.faults.restartLeader(1000);
         steps.submitArrays(100, 6);
@@ -104,7 +104,7 @@
             steps.submitArrays(100 + 6 * i, 6);
             steps.runFor(3);
             steps.faults.restartLeader(200 + 900 * i);
-            steps.cluster.after(steps.random.nextLong(2500), () -> steps.cancelEvery(3));
+            steps.cluster.after(steps.random.nextLong(2500), () -> steps.cancelEveryNth(3));
             steps.runFor(4);
         }
     }),
@@ -115,7 +115,7 @@
             steps.faults.restartLeader(100);
             steps.runFor(2);
             steps.faults.restartLeader(100);
-            steps.cancelEvery(4);
+            steps.cancelEveryNth(4);
             steps.runFor(0.3);
             steps.cluster.controllers.values().forEach(ControllerNode::crash);
             ControllerNode first = steps.cluster.controllers.get("n" + i % 3);
@@ -133,7 +133,7 @@
     }),
     TEN_FAILOVERS_AND_A_STORE_OUTAGE(steps -> {
         for (int i = 0; i < 10; i++) {
-            steps.cancelEvery(11 - i);
+            steps.cancelEveryNth(11 - i);
             steps.faults.restartLeader(i % 2 == 0 ? 500 : 5000);
             if (i == 4) {
                 steps.faults.storeOutage(24_000);
@@ -147,10 +147,10 @@
         for (int i = 0; i < 4; i++) {
             steps.submitArrays(100 + 6 * i, 6);
             steps.runFor(6);
-            steps.machines(3).forEach(steps.cluster.cloud::reclaim);
-            steps.partitionMachines(2, 11_000);
+            steps.everyNthMachine(3).forEach(steps.cluster.cloud::reclaim);
+            steps.partitionEveryNthMachine(2, 11_000);
             steps.faults.restartLeader(3000);
-            steps.cancelEvery(5);
+            steps.cancelEveryNth(5);
             steps.runFor(7);
         }
     }),
@@ -167,8 +167,8 @@
     COMMANDS_DELAYED_BY_HANGING_MACHINES(steps -> {
         for (int i = 0; i < 5; i++) {
             steps.submitArrays(100 + 8 * i, 8);
-            steps.cluster.after(100 + steps.random.nextLong(400), () -> steps.hangMachines(2, 6000));
-            steps.cluster.after(700, () -> steps.cancelEvery(2));
+            steps.cluster.after(100 + steps.random.nextLong(400), () -> steps.hangEveryNthMachine(2, 6000));
+            steps.cluster.after(700, () -> steps.cancelEveryNth(2));
             steps.runFor(9);
         }
     }),
@@ -188,7 +188,7 @@
         this.script = script;
     }
 
-    void play(SimulatedCluster cluster) {
+    void run(SimulatedCluster cluster) {
         script.accept(new ScenarioSteps(cluster));
     }
 }
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -49,9 +49,9 @@
     }
 
     @Test
-    void aGangThatLosesAMachineRestartsWhole() {
+    void aGangThatLosesAMachineRestartsAsAWhole() {
         SimulatedCluster cluster = withRunning(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
-        cluster.cloud.reclaim(cluster.tasks.machineInUse());
+        cluster.cloud.reclaim(cluster.tasks.busyMachine());
         assertTrue(cluster.tasks.running() < 6);
         cluster.runFor(25);
         assertEquals(6, cluster.tasks.running(), "it runs again");
@@ -91,7 +91,7 @@
         SimulatedCluster cluster = withRunning(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         cluster.runFor(40);
         int ended = cluster.tasks.ends;
-        Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.machineInUse()));
+        Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.busyMachine()));
         worker.reclaimNotice(12);
         cluster.runFor(6);
         assertEquals(ended + 6, cluster.tasks.ends, "all have stopped");
@@ -104,7 +104,7 @@
 
     /** Where one machine can't be reached, the others can't save; they do not wait for it. */
     @Test
-    void aStopThatNotAllTasksCanHearSkipsTheCheckpoint() {
+    void theCheckpointIsSkippedIfAStopCannotReachAllTasks() {
         SimulatedCluster cluster = withRunning(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         List<String> machines = List.copyOf(cluster.tasks.machinesOf(cluster.users.get("job-1")));
         cluster.faults.partition(SimulatedMachines.address(machines.get(0)), 7000);
@@ -122,7 +122,7 @@
     /** When one task is done all are, and no leader may start the others alone. */
     @ParameterizedTest
     @ValueSource(ints = {0, 20, 60, 150, 400, 900})
-    void aGangCompletesWholeDespiteAFailover(int afterMs) {
+    void aCompletedGangIsNotPartlyRestartedAfterAFailover(int afterMs) {
         SimulatedCluster cluster = withRunning(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
         List<String> machines = List.copyOf(cluster.tasks.machinesOf(cluster.users.get("job-1")));
         for (int i = 0; i < 600 && cluster.tasks.running() == 6; i++) {
--- a/src/test/java/stileferry/coordination/InvariantChecks.java
+++ b/src/test/java/stileferry/coordination/InvariantChecks.java
@@ -24,13 +24,13 @@
  * </ul>
  */
 final class InvariantChecks {
-    private static final double FORGOTTEN_S = 75;
-    private static final double UNSCHEDULED_S = 90;
+    private static final double MAX_UNANSWERED_S = 75;
+    private static final double MAX_UNSCHEDULED_S = 90;
 
     /** Within this time a user hears that a request can't be answered now. */
-    private static final long LONGEST_503_MS = 4500;
+    private static final long MAX_503_LATENCY_MS = 4500;
 
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final SimulatedCluster cluster;
     private final List<String> violations;
@@ -55,7 +55,7 @@
         if (endedAt > 0
                 && user.accepted
                 && user.endState == null
-                && cluster.now - Math.max(endedAt, user.lastAnswerAt) > FORGOTTEN_S * 1000) {
+                && cluster.now - Math.max(endedAt, user.lastResponseAt) > MAX_UNANSWERED_S * 1000) {
             violations.add("forgotten: " + user.spec.id() + " is not answered for");
         }
     }
@@ -64,7 +64,7 @@
         if (user.cancelConfirmedAt > 0
                 && cluster.now - user.cancelConfirmedAt > SimulatedCluster.CANCEL_S * 1000
                 && cluster.tasks.running(user) > 0) {
-            for (String task : cluster.tasks.places().keySet()) {
+            for (String task : cluster.tasks.placements().keySet()) {
                 if (task.startsWith(user.spec.id() + "/")) {
                     violations.add("ran_cancelled: " + task);
                 }
@@ -80,40 +80,40 @@
                 || user.cancelRequested
                 || cluster.tasks.running(user) > 0
                 || user.spec.gang()
-                || !roomFor(user.spec)) {
+                || !hasCapacityFor(user.spec)) {
             user.unscheduledSince = 0;
         } else if (user.unscheduledSince == 0) {
             user.unscheduledSince = cluster.now;
-        } else if (cluster.now - user.unscheduledSince > UNSCHEDULED_S * 1000) {
+        } else if (cluster.now - user.unscheduledSince > MAX_UNSCHEDULED_S * 1000) {
             violations.add("waiting: " + user.spec.id() + " beside free room");
         }
     }
 
-    private boolean roomFor(JobSpec spec) {
+    private boolean hasCapacityFor(JobSpec spec) {
         double max = cluster.team(spec.team()).cpusMax();
-        return (max == 0 || cluster.tasks.cpusOf(spec.team()) + spec.cpus() <= max + ROUNDING)
+        return (max == 0 || cluster.tasks.cpusInUse(spec.team()) + spec.cpus() <= max + ROUNDING_TOLERANCE)
                 && cluster.workers.values().stream()
                         .anyMatch(worker -> (spec.allowsSpot() || !worker.spot())
                                 && (spec.zone() == null || spec.zone().equals(worker.zone()))
-                                && roomOn(worker, spec));
+                                && fitsOn(worker, spec));
     }
 
-    private boolean roomOn(Worker worker, JobSpec spec) {
+    private boolean fitsOn(Worker worker, JobSpec spec) {
         double cpus = SimulatedMachines.CPUS - spec.cpus();
         double memory = SimulatedMachines.MEMORY_GB - spec.memoryGb();
-        for (Map.Entry<String, String> on : cluster.tasks.places().entrySet()) {
+        for (Map.Entry<String, String> on : cluster.tasks.placements().entrySet()) {
             if (on.getValue().startsWith(worker.machine() + "|")) {
-                JobSpec there = cluster.users.get(RunningTasks.jobOf(on.getKey())).spec;
+                JobSpec there = cluster.users.get(RunningTasks.jobIdOf(on.getKey())).spec;
                 cpus -= there.cpus();
                 memory -= there.memoryGb();
             }
         }
-        return cpus >= -ROUNDING && memory >= -ROUNDING;
+        return cpus >= -ROUNDING_TOLERANCE && memory >= -ROUNDING_TOLERANCE;
     }
 
     /** Checks a task that starts, before it is known to run. */
     void checkStart(SimulatedUser user, String task, Worker worker) {
-        String place = cluster.tasks.places().get(task);
+        String place = cluster.tasks.placements().get(task);
         if (place != null) {
             violations.add("ran_twice: " + task + " on " + place + " and " + worker.machine());
         }
@@ -129,7 +129,7 @@
             violations.add("wrong_place: " + task + " on " + worker.machine());
         }
         long inZone = 1;
-        for (Map.Entry<String, String> entry : cluster.tasks.places().entrySet()) {
+        for (Map.Entry<String, String> entry : cluster.tasks.placements().entrySet()) {
             if (entry.getKey().startsWith(spec.id() + "/")) {
                 boolean same = entry.getValue().endsWith("|" + worker.zone());
                 inZone += same ? 1 : 0;
@@ -145,15 +145,15 @@
 
     void checkQuota(String name) {
         Settings.Team team = cluster.team(name);
-        double sum = cluster.tasks.cpusOf(name);
-        if (team.cpusMax() > 0 && sum > team.cpusMax() + ROUNDING) {
+        double sum = cluster.tasks.cpusInUse(name);
+        if (team.cpusMax() > 0 && sum > team.cpusMax() + ROUNDING_TOLERANCE) {
             violations.add("quota: " + name + " uses " + sum);
         }
     }
 
     /** A 503 must come in time and say when to come back. */
     void checkResponse(PeerMessage.RequestKind kind, PeerMessage.Response response, long waitedMs) {
-        if (response.status() == 503 && (response.retryAfterS() < 1 || waitedMs > LONGEST_503_MS)) {
+        if (response.status() == 503 && (response.retryAfterS() < 1 || waitedMs > MAX_503_LATENCY_MS)) {
             violations.add(
                     "held back: " + kind + " for " + waitedMs + " ms, come back in " + response.retryAfterS() + " s");
         }
@@ -167,7 +167,7 @@
     }
 
     /** What a user hears must agree with what it heard before, and with what was done. */
-    void checkAnswer(SimulatedUser user, String phase, JsonNode body) {
+    void checkJobState(SimulatedUser user, String phase, JsonNode body) {
         String id = user.spec.id();
         if (user.endState != null && !user.endState.equals(phase)) {
             violations.add("went_back: " + id + " was " + user.endState + " and is " + phase);
--- a/src/test/java/stileferry/coordination/InvariantChecksTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksTest.java
@@ -118,7 +118,7 @@
         SimulatedCluster cluster = clusterWith(spec(9, "free", 1, null, false));
         JobSpec gang = JobSpecBuilder.gang(10).tasks(2).runS(5).build();
         List<String> detected = new ArrayList<>();
-        new StoredAssignments(cluster.store, id -> gang)
+        new GangStartCheck(cluster.store, id -> gang)
                 .checkStarts(
                         WorkerMessages.directCommands(
                                 HIGH_TERM, 1, List.of(new WorkerCommand(WorkerCommand.Kind.RUN, "job-10/0", 1, 0))),
@@ -131,10 +131,10 @@
     void aJobStateThatGoesBackIsDetected() {
         SimulatedCluster cluster = clusterWith(spec(9, "free", 2, null, false));
         SimulatedUser user = cluster.users.get("job-9");
-        cluster.users.receiveAnswer(
+        cluster.users.handleResponse(
                 user, RequestKind.STATUS, cluster.now, 200, UserMessages.jobState("job-9", "done", 2, 0));
         assertEquals(List.of(), cluster.violations);
-        cluster.users.receiveAnswer(
+        cluster.users.handleResponse(
                 user, RequestKind.STATUS, cluster.now + 1, 200, UserMessages.jobState("job-9", "running", 1, 1));
         assertDetected(cluster, "went_back");
     }
@@ -142,7 +142,7 @@
     @Test
     void aJobReportedDoneTooEarlyIsDetected() {
         SimulatedCluster cluster = clusterWith(spec(9, "free", 2, null, false));
-        cluster.users.receiveAnswer(
+        cluster.users.handleResponse(
                 cluster.users.get("job-9"),
                 RequestKind.STATUS,
                 cluster.now,
@@ -157,7 +157,7 @@
         stopAll(cluster);
         SimulatedUser user = cluster.users.get("job-9");
         user.cancelRequested = true;
-        cluster.users.receiveAnswer(
+        cluster.users.handleResponse(
                 user, RequestKind.CANCEL, cluster.now, 200, UserMessages.jobState("job-9", "cancelled", 0, 0));
         start(cluster, machineIn(cluster, "za", 0), "job-9/0");
         assertDetected(cluster, "ran_cancelled");
@@ -172,7 +172,7 @@
         user.accepted = true;
         cluster.faults.endedAt = cluster.now;
         for (int i = 0; i < 100 && cluster.violations.isEmpty(); i++) {
-            user.lastAnswerAt = cluster.now;
+            user.lastResponseAt = cluster.now;
             cluster.runFor(1);
         }
         assertDetected(cluster, "waiting");
--- a/src/test/java/stileferry/coordination/InvariantChecksUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksUnderFaultsTest.java
@@ -30,7 +30,7 @@
         SimulatedCluster cluster = SimulatedCluster.started(100, 9, 2, 40);
         Workloads.submitServices(cluster, 12);
         cluster.runFor(15);
-        Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.machineInUse()));
+        Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.busyMachine()));
         worker.ignoreLease();
         cluster.faults.partitionZone(worker.zone(), 60_000); // a single machine would be replaced and deleted
         cluster.runFor(40);
--- a/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
@@ -14,7 +14,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void invariantsHoldAndAllJobsEndUnderRandomFaults(long seed) {
-        ChaosRun.assertAllJobsEnded(ChaosRun.play(seed, 120));
+        ChaosRun.assertAllJobsEnded(ChaosRun.run(seed, 120));
     }
 
     /** The same with link monitoring, on some runs by two controllers only, the third being of the version before. */
@@ -22,7 +22,7 @@
     @MethodSource("seedsWithLinkMonitoring")
     void invariantsHoldWithLinkMonitoring(long seed) {
         ChaosRun.assertAllJobsEnded(
-                ChaosRun.play(seed, 120, cluster -> ChaosRun.mixVersions(cluster, seed, new Features(true, false))));
+                ChaosRun.run(seed, 120, cluster -> ChaosRun.mixVersions(cluster, seed, new Features(true, false))));
     }
 
     private static LongStream seedsWithLinkMonitoring() {
@@ -30,9 +30,9 @@
     }
 
     @Test
-    void theSameSeedPlaysTheSameRun() {
-        SimulatedCluster first = ChaosRun.play(77, 60);
-        SimulatedCluster second = ChaosRun.play(77, 60);
+    void theSameSeedReproducesTheSameRun() {
+        SimulatedCluster first = ChaosRun.run(77, 60);
+        SimulatedCluster second = ChaosRun.run(77, 60);
         assertEquals(first.tasks.starts, second.tasks.starts);
         assertEquals(first.users.completedJobs, second.users.completedJobs);
         assertEquals(first.now, second.now);
--- a/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
+++ b/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
@@ -20,7 +20,7 @@
         Workloads.submitServices(cluster, 4);
         cluster.runFor(25);
         assertEquals(8, cluster.tasks.running());
-        String zone = cluster.machines.zoneOf(cluster.tasks.machineInUse());
+        String zone = cluster.machines.zoneOf(cluster.tasks.busyMachine());
         cluster.faults.partitionZone(zone, 30_000);
         cluster.runFor(5);
         ControllerNode first = cluster.leader();
@@ -82,7 +82,7 @@
         SimulatedCluster cluster = SimulatedCluster.started(40, 9, 2, 40);
         Workloads.submitServices(cluster, 14);
         cluster.runFor(25);
-        String zone = cluster.machines.zoneOf(cluster.tasks.machineInUse());
+        String zone = cluster.machines.zoneOf(cluster.tasks.busyMachine());
         int ended = cluster.tasks.ends;
         cluster.faults.partitionZone(zone, 7000);
         cluster.runFor(9.5);
@@ -104,7 +104,7 @@
         SimulatedCluster cluster = SimulatedCluster.started(43, 9, 2, 40);
         Workloads.submitServices(cluster, 14);
         cluster.runFor(25);
-        cluster.faults.partitionZone(cluster.machines.zoneOf(cluster.tasks.machineInUse()), 7000);
+        cluster.faults.partitionZone(cluster.machines.zoneOf(cluster.tasks.busyMachine()), 7000);
         cluster.runFor(4.5); // their silence is recorded by now
         cluster.faults.storeDown = true; // so nothing can be recorded any more
         cluster.runFor(12);
--- a/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
+++ b/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
@@ -43,7 +43,7 @@
         assertTrue(cancelled.cancelConfirmedAt > 0, "not confirmed");
         cluster.faults.storeDown = true;
         cluster.runFor(1);
-        crashing(cluster, crash).forEach(n -> cluster.faults.restart(n, 4000));
+        controllersToCrash(cluster, crash).forEach(n -> cluster.faults.restart(n, 4000));
         cluster.runFor(2);
         cluster.faults.inboundLoss.clear();
         cluster.runFor(58); // six leases
@@ -68,7 +68,7 @@
         return cluster;
     }
 
-    private static List<ControllerNode> crashing(SimulatedCluster cluster, Crash crash) {
+    private static List<ControllerNode> controllersToCrash(SimulatedCluster cluster, Crash crash) {
         ControllerNode leader = cluster.leader();
         List<ControllerNode> all = List.copyOf(cluster.controllers.values());
         List<ControllerNode> followers = all.stream().filter(n -> n != leader).toList();
--- a/src/test/java/stileferry/coordination/LinkFaultCluster.java
+++ b/src/test/java/stileferry/coordination/LinkFaultCluster.java
@@ -8,7 +8,7 @@
 /** What tests of links between controllers, workers and the key-value store begin with, measure, and end with. */
 final class LinkFaultCluster {
     /** Links are monitored, and leadership is handed over where they break. */
-    static final Features ON = new Features(true, false);
+    static final Features LINK_MONITORING = new Features(true, false);
 
     private LinkFaultCluster() {}
 
@@ -28,7 +28,7 @@
     }
 
     /** After the faults all that was submitted runs or is done, and no invariant is violated. */
-    static void checkRecovered(SimulatedCluster cluster) {
+    static void assertRecovered(SimulatedCluster cluster) {
         cluster.network.restoreAll();
         cluster.faults.endedAt = cluster.now;
         cluster.runFor(90);
--- a/src/test/java/stileferry/coordination/OperatorSettingsTest.java
+++ b/src/test/java/stileferry/coordination/OperatorSettingsTest.java
@@ -53,7 +53,7 @@
         body.putObject("change").put("log_level", "debug").put("spare_share", 0.4);
         PeerMessage.Response[] answer = new PeerMessage.Response[1];
         ControllerNode any = cluster.controllers.get("n1");
-        any.environment.turn(() -> any.coordinator.handleAdministrationRequest(
+        any.environment.execute(() -> any.coordinator.handleAdministrationRequest(
                 "POST", "settings", MessageCodec.encode(body), a -> answer[0] = a));
         cluster.runFor(2);
         assertEquals(200, answer[0].status());
@@ -64,13 +64,13 @@
         cluster.runFor(12);
         cluster.controllers.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.name()));
         ControllerNode again = cluster.controllers.get("n2");
-        again.environment.turn(() ->
+        again.environment.execute(() ->
                 again.coordinator.handleAdministrationRequest("GET", "settings", new byte[0], a -> answer[0] = a));
         cluster.runFor(1);
         assertEquals(1, MessageCodec.decode(answer[0].body()).path("revision").asLong());
         cluster.faults.storeDown = true;
         cluster.runFor(6);
-        again.environment.turn(() ->
+        again.environment.execute(() ->
                 again.coordinator.handleAdministrationRequest("GET", "settings", new byte[0], a -> answer[0] = a));
         cluster.runFor(5);
         assertEquals(503, answer[0].status(), "nothing is told while nobody is sure to lead");
--- a/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
+++ b/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
@@ -20,7 +20,7 @@
         for (long seed : SEEDS) {
             SimulatedCluster cluster = BusyCluster.withTeamsAtTheirQuotas(seed);
             int before = cluster.tasks.starts;
-            scenario.play(cluster);
+            scenario.run(cluster);
             assertEquals(List.of(), cluster.violations, "seed " + seed);
             cluster.faults.clear();
             cluster.faults.duplicateHeartbeatRate = 0;
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialPartitionTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.LinkFaultCluster.ON;
-import static stileferry.coordination.LinkFaultCluster.checkRecovered;
+import static stileferry.coordination.LinkFaultCluster.LINK_MONITORING;
+import static stileferry.coordination.LinkFaultCluster.assertRecovered;
 import static stileferry.coordination.LinkFaultCluster.secondsToStart;
 import static stileferry.coordination.LinkFaultCluster.taskEndsDuring;
 import static stileferry.coordination.LinkFaultCluster.withLongJobs;
@@ -22,24 +22,24 @@
 import stileferry.protocol.PeerMessage;
 
 /** Partial partitions: links between controllers, workers and the key-value store break in one direction or both. */
-class PartialCutsTest {
+class PartialPartitionTest {
     /** The bound of releases of leadership by each controller: two at once, and one more in two leases of 10 s. */
-    private static final long BOUND_AT_ONCE = 2;
+    private static final long RELEASE_BURST = 2;
 
-    private static final double BOUND_REST_S = 20;
+    private static final double RELEASE_INTERVAL_S = 20;
 
     @ParameterizedTest
     @EnumSource(LinkFault.class)
-    void theLeaderLosesTheStoreButKeepsWorkersAndPeers(LinkFault fault) {
-        SimulatedCluster cluster = withLongJobs(501, ON);
+    void noTaskIsLostIfTheLeaderLosesOnlyTheStore(LinkFault fault) {
+        SimulatedCluster cluster = withLongJobs(501, LINK_MONITORING);
         ControllerNode old = cluster.leader();
-        cluster.network.blockBoth(old.name(), SimulatedCluster.STORE, fault);
+        cluster.network.injectFaultBothWays(old.name(), SimulatedCluster.STORE, fault);
         assertEquals(0, taskEndsDuring(cluster, 15), "no task is lost");
         if (fault != LinkFault.DELAYED) {
             assertTrue(cluster.leader() != null && cluster.leader() != old, "another controller leads");
         }
         assertTrue(secondsToStart(cluster, 50, 20) < 20, "work goes on");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     /** Such a leader must not stay leader, with its followers passing it every heartbeat. */
@@ -47,80 +47,80 @@
     @EnumSource(
             value = LinkFault.class,
             names = {"LOST", "REFUSED"})
-    void theLeaderKeepsTheStoreButReachesNoWorker(LinkFault fault) {
-        SimulatedCluster cluster = withLongJobs(502, ON);
+    void aLeaderThatReachesNoWorkerHandsLeadershipOver(LinkFault fault) {
+        SimulatedCluster cluster = withLongJobs(502, LINK_MONITORING);
         ControllerNode old = cluster.leader();
-        cluster.network.blockBoth(old.name(), WORKERS, fault);
+        cluster.network.injectFaultBothWays(old.name(), WORKERS, fault);
         assertEquals(0, taskEndsDuring(cluster, 30), "no task is lost");
         assertNotEquals(old, cluster.leader(), "the leadership went to a controller that reaches the workers");
         assertEquals(2, cluster.term());
         assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     /** Such a leader must not renew the leader key while every worker's lease expires. */
     @Test
     void aLeaderThatReachesOnlyTheStoreReleasesLeadership() {
-        SimulatedCluster cluster = withLongJobs(503, ON);
+        SimulatedCluster cluster = withLongJobs(503, LINK_MONITORING);
         ControllerNode old = cluster.leader();
-        cluster.network.blockBoth(old.name(), WORKERS, LinkFault.LOST);
-        cluster.others(old).forEach(n -> cluster.network.blockBoth(old.name(), n.name(), LinkFault.LOST));
+        cluster.network.injectFaultBothWays(old.name(), WORKERS, LinkFault.LOST);
+        cluster.peersOf(old).forEach(n -> cluster.network.injectFaultBothWays(old.name(), n.name(), LinkFault.LOST));
         cluster.runFor(25);
         assertEquals(List.of(), cluster.violations);
         assertNotEquals(old, cluster.leader());
         assertTrue(secondsToStart(cluster, 50, 20) < 20, "work goes on");
         assertEquals(2, cluster.term());
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     @Test
-    void theLeaderReachesHalfTheWorkersAndAPeerTheOtherHalf() {
-        SimulatedCluster cluster = withLongJobs(504, ON);
+    void theLeaderStaysIfAPeerReachesOnlyTheOtherHalfOfTheWorkers() {
+        SimulatedCluster cluster = withLongJobs(504, LINK_MONITORING);
         ControllerNode old = cluster.leader();
-        ControllerNode peer = cluster.others(old).get(0);
-        ControllerNode third = cluster.others(old).get(1);
+        ControllerNode peer = cluster.peersOf(old).get(0);
+        ControllerNode third = cluster.peersOf(old).get(1);
         int number = 0;
         for (String addr : List.copyOf(cluster.workers.keySet())) {
-            cluster.network.blockBoth(number % 2 == 1 ? old.name() : peer.name(), addr, LinkFault.REFUSED);
-            cluster.network.blockBoth(third.name(), addr, LinkFault.REFUSED);
+            cluster.network.injectFaultBothWays(number % 2 == 1 ? old.name() : peer.name(), addr, LinkFault.REFUSED);
+            cluster.network.injectFaultBothWays(third.name(), addr, LinkFault.REFUSED);
             number++;
         }
         assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost: heartbeats go by way of the peer");
         assertEquals(old, cluster.leader(), "nobody is clearly better, so the leader stays");
         assertEquals(1, cluster.term());
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     @Test
-    void theLeaderReceivesHeartbeatsWhileItsAnswersAndCommandsAreLost() {
-        SimulatedCluster cluster = withLongJobs(505, ON);
+    void aLeaderWhoseResponsesAndCommandsAreLostIsReplaced() {
+        SimulatedCluster cluster = withLongJobs(505, LINK_MONITORING);
         ControllerNode old = cluster.leader();
-        cluster.network.block(old.name(), WORKERS, LinkFault.LOST);
+        cluster.network.injectFault(old.name(), WORKERS, LinkFault.LOST);
         cluster.runFor(40);
         assertEquals(List.of(), cluster.violations);
         assertNotEquals(old, cluster.leader());
         assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     @Test
-    void theLeaderReceivesNoHeartbeatsWhileItsCommandsArrive() {
-        SimulatedCluster cluster = withLongJobs(506, ON);
+    void aLeaderThatReceivesNoHeartbeatsIsReplaced() {
+        SimulatedCluster cluster = withLongJobs(506, LINK_MONITORING);
         ControllerNode old = cluster.leader();
-        cluster.network.block(WORKERS, old.name(), LinkFault.REFUSED);
+        cluster.network.injectFault(WORKERS, old.name(), LinkFault.REFUSED);
         assertEquals(0, taskEndsDuring(cluster, 80), "no task is lost");
         assertNotEquals(old, cluster.leader());
         assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     @ParameterizedTest
     @EnumSource(LinkFault.class)
     void controllersPartitionedFromOneAnotherKeepTheirLeader(LinkFault fault) {
-        SimulatedCluster cluster = withLongJobs(507, ON);
+        SimulatedCluster cluster = withLongJobs(507, LINK_MONITORING);
         ControllerNode old = cluster.leader();
         for (ControllerNode node : cluster.controllers.values()) {
-            cluster.others(node).forEach(b -> cluster.network.block(node.name(), b.name(), fault));
+            cluster.peersOf(node).forEach(b -> cluster.network.injectFault(node.name(), b.name(), fault));
         }
         assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost");
         assertEquals(old, cluster.leader());
@@ -128,20 +128,20 @@
         SimulatedUser user = cluster.submit(service(60, 1, 1));
         cluster.runFor(25);
         assertTrue(user.startedAt > 0, "no start is withheld");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     /** A request that a follower knows it can't pass on to the leader is answered at once. */
     @Test
-    void aFollowerThatCannotReachTheLeaderAnswersUsersAtOnce() {
-        SimulatedCluster cluster = withLongJobs(508, ON);
+    void aFollowerThatCannotReachTheLeaderRejectsRequestsAtOnce() {
+        SimulatedCluster cluster = withLongJobs(508, LINK_MONITORING);
         ControllerNode leader = cluster.leader();
-        cluster.others(leader).forEach(n -> cluster.network.block(n.name(), leader.name(), LinkFault.LOST));
+        cluster.peersOf(leader).forEach(n -> cluster.network.injectFault(n.name(), leader.name(), LinkFault.LOST));
         cluster.runFor(8);
-        ControllerNode follower = cluster.others(leader).get(0);
+        ControllerNode follower = cluster.peersOf(leader).get(0);
         long asked = cluster.now;
         long[] took = {-1};
-        follower.environment.turn(() ->
+        follower.environment.execute(() ->
                 follower.coordinator.handleUserRequest(PeerMessage.RequestKind.STATUS, "job-6", new byte[0], answer -> {
                     assertEquals(503, answer.status());
                     assertTrue(answer.retryAfterS() > 0);
@@ -149,7 +149,7 @@
                 }));
         cluster.runFor(5);
         assertTrue(took[0] >= 0 && took[0] < 100, "answered after " + took[0] + " ms");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     /** A link that flaps, alone or with another one: leadership does not flap, and work goes on. */
@@ -174,7 +174,7 @@
         "10,state+peers"
     })
     void leadershipDoesNotFlapWithAFlappingLink(int periodS, String links) {
-        SimulatedCluster cluster = withLongJobs(510 + periodS, ON);
+        SimulatedCluster cluster = withLongJobs(510 + periodS, LINK_MONITORING);
         ControllerNode old = cluster.leader();
         long before = cluster.term();
         double seconds = 80;
@@ -183,7 +183,7 @@
             boolean broken = (int) Math.round(at / periodS) % 2 == 0;
             cluster.network.restoreAll();
             if (broken) {
-                cut(cluster, old, links);
+                breakLinks(cluster, old, links);
             }
             if (done < 8) {
                 cluster.submit(array(100 + done++, 1, 1));
@@ -194,9 +194,9 @@
         long changes = cluster.term() - before;
         double bound = links.contains("state")
                 ? seconds / periodS // each lost lease is an election, whatever links say
-                : 3 * (BOUND_AT_ONCE + seconds / BOUND_REST_S);
+                : 3 * (RELEASE_BURST + seconds / RELEASE_INTERVAL_S);
         assertTrue(changes <= bound, changes + " changes of leadership, bound " + bound);
-        checkRecovered(cluster);
+        assertRecovered(cluster);
         for (SimulatedUser user : cluster.users.values()) {
             assertTrue(
                     user.spec.estimateS() > 1 || user.spec.service() || "done".equals(user.endState),
@@ -204,45 +204,49 @@
         }
     }
 
-    private static void cut(SimulatedCluster cluster, ControllerNode node, String links) {
+    private static void breakLinks(SimulatedCluster cluster, ControllerNode node, String links) {
         for (String link : links.split("\\+")) {
             switch (link) {
-                case "workers" -> cluster.network.blockBoth(node.name(), WORKERS, LinkFault.LOST);
-                case "state" -> cluster.network.blockBoth(node.name(), SimulatedCluster.STORE, LinkFault.LOST);
+                case "workers" -> cluster.network.injectFaultBothWays(node.name(), WORKERS, LinkFault.LOST);
+                case "state" ->
+                    cluster.network.injectFaultBothWays(node.name(), SimulatedCluster.STORE, LinkFault.LOST);
                 default ->
-                    cluster.others(node).forEach(n -> cluster.network.blockBoth(node.name(), n.name(), LinkFault.LOST));
+                    cluster.peersOf(node)
+                            .forEach(n -> cluster.network.injectFaultBothWays(node.name(), n.name(), LinkFault.LOST));
             }
         }
     }
 
     @Test
-    void threeControllersEachWithAnotherBrokenLink() {
-        SimulatedCluster cluster = withLongJobs(530, ON);
+    void theOnlyControllerThatReachesStoreAndWorkersLeads() {
+        SimulatedCluster cluster = withLongJobs(530, LINK_MONITORING);
         ControllerNode leader = cluster.leader();
-        ControllerNode second = cluster.others(leader).get(0);
-        ControllerNode third = cluster.others(leader).get(1);
-        cluster.network.blockBoth(leader.name(), WORKERS, LinkFault.LOST);
-        cluster.network.blockBoth(second.name(), SimulatedCluster.STORE, LinkFault.LOST);
-        cluster.network.blockBoth(third.name(), second.name(), LinkFault.LOST);
+        ControllerNode second = cluster.peersOf(leader).get(0);
+        ControllerNode third = cluster.peersOf(leader).get(1);
+        cluster.network.injectFaultBothWays(leader.name(), WORKERS, LinkFault.LOST);
+        cluster.network.injectFaultBothWays(second.name(), SimulatedCluster.STORE, LinkFault.LOST);
+        cluster.network.injectFaultBothWays(third.name(), second.name(), LinkFault.LOST);
         assertEquals(0, taskEndsDuring(cluster, 40), "no task is lost");
         assertEquals(third, cluster.leader(), "the only one with the state service and the workers");
         assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     /** Where no controller reaches the workers, the leader stays and serves users. */
     @Test
-    void noControllerReachesAnyWorker() {
-        SimulatedCluster cluster = withLongJobs(531, ON);
+    void theLeaderStaysIfNoControllerReachesAnyWorker() {
+        SimulatedCluster cluster = withLongJobs(531, LINK_MONITORING);
         ControllerNode leader = cluster.leader();
-        cluster.controllers.values().forEach(n -> cluster.network.blockBoth(n.name(), WORKERS, LinkFault.LOST));
+        cluster.controllers
+                .values()
+                .forEach(n -> cluster.network.injectFaultBothWays(n.name(), WORKERS, LinkFault.LOST));
         cluster.runFor(60);
         assertEquals(List.of(), cluster.violations);
         assertEquals(leader, cluster.leader(), "nobody is better");
         SimulatedUser user = cluster.submit(array(70, 1, 1));
         cluster.runFor(5);
         assertTrue(user.accepted, "users are served");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     /**
@@ -252,28 +256,28 @@
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void aMachineUnreachableFromOneControllerOnlyIsNotDeleted(boolean on) {
-        SimulatedCluster cluster = withLongJobs(570, on ? ON : Features.NONE);
+        SimulatedCluster cluster = withLongJobs(570, on ? LINK_MONITORING : Features.NONE);
         ControllerNode leader = cluster.leader();
-        String machine = cluster.tasks.machineInUse();
+        String machine = cluster.tasks.busyMachine();
         String addr = SimulatedMachines.address(machine);
-        cluster.network.blockBoth(leader.name(), addr, LinkFault.LOST);
-        cluster.others(leader).forEach(n -> cluster.network.block(addr, n.name(), LinkFault.REFUSED));
+        cluster.network.injectFaultBothWays(leader.name(), addr, LinkFault.LOST);
+        cluster.peersOf(leader).forEach(n -> cluster.network.injectFault(addr, n.name(), LinkFault.REFUSED));
         int deletions = cluster.cloud.deletionRequests();
         cluster.runFor(9.5);
         assertEquals(
                 on ? deletions : deletions + 1, cluster.cloud.deletionRequests(), "deletions before the lease's end");
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 
     /** Link views and heartbeats that come over a lease late are ignored, whatever they say. */
     @Test
     void duplicatedHeartbeatsChangeNothing() {
-        SimulatedCluster cluster = withLongJobs(580, ON);
+        SimulatedCluster cluster = withLongJobs(580, LINK_MONITORING);
         cluster.faults.duplicateHeartbeatRate = 0.5;
         ControllerNode leader = cluster.leader();
         assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost");
         assertEquals(leader, cluster.leader());
         assertEquals(1, cluster.term());
-        checkRecovered(cluster);
+        assertRecovered(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/RollingUpgradeTest.java
+++ b/src/test/java/stileferry/coordination/RollingUpgradeTest.java
@@ -19,12 +19,12 @@
  * version's form of records between controllers; the stored forms are the same.
  */
 class RollingUpgradeTest {
-    private static final int LOWER_OPERATIONS = 4;
-    private static final double LOWER_VALUE_KB = 2;
+    private static final int LOWERED_TXN_OPS = 4;
+    private static final double LOWERED_VALUE_KB = 2;
 
-    private static SimulatedCluster servedByTheFormerVersion(long seed) {
+    private static SimulatedCluster withFirstVersionControllers(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
-        cluster.formerRecordFormat.addAll(cluster.controllers.keySet());
+        cluster.controllersWithOldMessageFormat.addAll(cluster.controllers.keySet());
         cluster.runFor(3);
         cluster.submit(service(1, 2, 2));
         cluster.submit(service(2, 2, 2));
@@ -51,22 +51,22 @@
         if (node.up()) {
             node.crash();
             cluster.after(afterMs, () -> {
-                if (!cluster.formerRecordFormat.remove(name)) {
-                    cluster.formerRecordFormat.add(name);
+                if (!cluster.controllersWithOldMessageFormat.remove(name)) {
+                    cluster.controllersWithOldMessageFormat.add(name);
                 }
                 node.start();
             });
         }
     }
 
-    private static void workAndCancellations(SimulatedCluster cluster, int from, SplittableRandom random) {
+    private static void submitJobsAndCancelOne(SimulatedCluster cluster, int from, SplittableRandom random) {
         cluster.submit(gang(from, 2 + random.nextInt(4), 2 + random.nextInt(8)));
         cluster.submit(array(from + 1, 1 + random.nextInt(20), 3));
         SimulatedUser cancelled = cluster.submit(gang(from + 2, 3, 60));
         cluster.after(random.nextLong(8000), () -> cluster.cancel(cancelled));
     }
 
-    private static void finishAll(SimulatedCluster cluster) {
+    private static void assertAllJobsFinish(SimulatedCluster cluster) {
         cluster.faults.endedAt = cluster.now;
         cluster.runFor(60);
         cluster.users.values().stream().filter(u -> u.spec.service()).toList().forEach(cluster::cancel);
@@ -83,16 +83,16 @@
     /** The upgrade and the way back, with processes that crash before their turn and restart as they were. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void leadershipAlternatesBetweenVersions(long seed) {
-        SimulatedCluster cluster = servedByTheFormerVersion(seed);
+    void jobsFinishWhileLeadershipAlternatesBetweenVersions(long seed) {
+        SimulatedCluster cluster = withFirstVersionControllers(seed);
         SplittableRandom random = cluster.random.split();
         Set<String> ledBy = new TreeSet<>();
         List<ControllerNode> nodes = List.copyOf(cluster.controllers.values());
         for (int step = 0; step < 12; step++) {
-            workAndCancellations(cluster, 100 + 10 * step, random);
+            submitJobsAndCancelOne(cluster, 100 + 10 * step, random);
             ControllerNode leader = cluster.leader();
             if (leader != null) {
-                ledBy.add(cluster.formerRecordFormat.contains(leader.name()) ? "former" : "this");
+                ledBy.add(cluster.controllersWithOldMessageFormat.contains(leader.name()) ? "former" : "this");
             }
             if (random.nextInt(4) == 0 && leader != null) {
                 cluster.faults.restart(leader, random.nextBoolean() ? 200 : 3000);
@@ -105,28 +105,28 @@
             cluster.runFor(5 + random.nextInt(5));
         }
         assertEquals(Set.of("former", "this"), ledBy);
-        finishAll(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /** The key-value store lowers its limits at once, also before the last process was replaced. */
     @ParameterizedTest
     @ValueSource(ints = {0, 3, 6, 10, 14, 20})
-    void storeLimitsAreLoweredDuringOrAfterTheUpgrade(int afterS) {
-        SimulatedCluster cluster = servedByTheFormerVersion(20 + afterS);
+    void jobsFinishIfStoreLimitsAreLoweredDuringOrAfterTheUpgrade(int afterS) {
+        SimulatedCluster cluster = withFirstVersionControllers(20 + afterS);
         SplittableRandom random = cluster.random.split();
-        cluster.after(1000L * afterS, () -> cluster.store.setLimits(LOWER_OPERATIONS, LOWER_VALUE_KB));
+        cluster.after(1000L * afterS, () -> cluster.store.setLimits(LOWERED_TXN_OPS, LOWERED_VALUE_KB));
         int step = 0;
         for (ControllerNode node : cluster.controllers.values()) {
-            workAndCancellations(cluster, 100 + 10 * step++, random);
+            submitJobsAndCancelOne(cluster, 100 + 10 * step++, random);
             replace(cluster, node, 1500);
             cluster.runFor(5);
         }
-        assertTrue(cluster.formerRecordFormat.isEmpty());
+        assertTrue(cluster.controllersWithOldMessageFormat.isEmpty());
         for (int i = 0; i < 4; i++) {
-            workAndCancellations(cluster, 200 + 10 * i, random);
+            submitJobsAndCancelOne(cluster, 200 + 10 * i, random);
             cluster.runFor(3);
         }
         cluster.faults.restart(cluster.leader(), 300);
-        finishAll(cluster);
+        assertAllJobsFinish(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/ScenarioSteps.java
+++ b/src/test/java/stileferry/coordination/ScenarioSteps.java
@@ -27,7 +27,7 @@
     }
 
     /** Cancels one of so many of the jobs that run. */
-    void cancelEvery(int share) {
+    void cancelEveryNth(int share) {
         cluster.users.values().stream()
                 .filter(u -> u.accepted && u.endState == null && cluster.tasks.running(u) > 0)
                 .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % share == 0)
@@ -36,19 +36,19 @@
     }
 
     /** The addresses of one of so many of the machines. */
-    List<String> machines(int share) {
+    List<String> everyNthMachine(int share) {
         return cluster.cloud.runningMachines().stream()
                 .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % share == 0)
                 .map(SimulatedMachines::address)
                 .toList();
     }
 
-    void partitionMachines(int share, long ms) {
-        machines(share).forEach(addr -> faults.partition(addr, ms));
+    void partitionEveryNthMachine(int share, long ms) {
+        everyNthMachine(share).forEach(addr -> faults.partition(addr, ms));
     }
 
-    void hangMachines(int share, long ms) {
-        machines(share).forEach(addr -> faults.hang(addr, ms));
+    void hangEveryNthMachine(int share, long ms) {
+        everyNthMachine(share).forEach(addr -> faults.hang(addr, ms));
     }
 
     void startAllControllers() {
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -25,12 +25,12 @@
 public final class SimulatedCluster {
     static final String STORE = "10.9.0.1:1";
     public static final String CLOUD = "10.9.0.2:1";
-    static final int CONTROLLERS = 3;
+    static final int CONTROLLER_COUNT = 3;
     static final double CANCEL_S = 20;
-    private static final double REPORT_S = 2;
+    private static final double HEARTBEAT_INTERVAL_S = 2;
     private static final double WRITES_PER_S = 50;
-    private static final long TICK_MS = 50;
-    private static final double START_S = 3;
+    private static final long TICK_INTERVAL_MS = 50;
+    private static final double LEADER_ELECTION_S = 3;
 
     public final SplittableRandom random;
     public final List<String> violations = new ArrayList<>();
@@ -49,7 +49,7 @@
     final SimulatedMachines machines = new SimulatedMachines(this);
     final SimulatedNetwork network = new SimulatedNetwork(this);
     final InvariantChecks invariants = new InvariantChecks(this);
-    final StoredAssignments storedAssignments = new StoredAssignments(store, id -> users.get(id).spec);
+    final GangStartCheck gangStartCheck = new GangStartCheck(store, id -> users.get(id).spec);
 
     public long now = 1_000_000;
 
@@ -63,26 +63,26 @@
      * Controllers whose records to other controllers have the form of the first version, f7fe539, which neither writes
      * nor reads what they know of cancellations.
      */
-    final Set<String> formerRecordFormat = new TreeSet<>();
+    final Set<String> controllersWithOldMessageFormat = new TreeSet<>();
 
     /** Direct commands that reached a worker and ask for something. */
-    int directCommands;
+    int directCommandCount;
 
-    final long reportMs;
+    final long heartbeatIntervalMs;
     final long leaseMs;
-    private final Settings template;
+    private final Settings settingsTemplate;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long eventIds;
+    private long nextEventId;
 
-    private record Event(long at, long id, Runnable task) implements Comparable<Event> {
+    private record Event(long dueAt, long id, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event event) {
-            return at != event.at ? Long.compare(at, event.at) : Long.compare(id, event.id);
+            return dueAt != event.dueAt ? Long.compare(dueAt, event.dueAt) : Long.compare(id, event.id);
         }
     }
 
     public SimulatedCluster(long seed) {
-        this(seed, 5, REPORT_S, 40);
+        this(seed, 5, HEARTBEAT_INTERVAL_S, 40);
     }
 
     /** A cluster with so many machines of each kind in each of two zones, and a limit for the team that has one. */
@@ -93,9 +93,9 @@
     /** A cluster whose key-value store takes so many changes a second. */
     SimulatedCluster(long seed, int machineLimit, double reportS, double redMax, double writesPerS) {
         random = new SplittableRandom(seed);
-        reportMs = Math.round(reportS * 1000);
-        leaseMs = 5 * reportMs;
-        template = SimulatedSettings.of("n0", reportS, redMax, writesPerS);
+        heartbeatIntervalMs = Math.round(reportS * 1000);
+        leaseMs = 5 * heartbeatIntervalMs;
+        settingsTemplate = SimulatedSettings.of("n0", reportS, redMax, writesPerS);
         cloud = new Cloud(
                 "box",
                 SimulatedMachines.CPUS,
@@ -106,38 +106,38 @@
                 3000,
                 machines::boot,
                 machines::remove);
-        for (int i = 0; i < CONTROLLERS; i++) {
+        for (int i = 0; i < CONTROLLER_COUNT; i++) {
             Settings settings = SimulatedSettings.of("n" + i, reportS, redMax, writesPerS);
             controllers.put("n" + i, new ControllerNode(this, settings));
         }
         controllers.values().forEach(controller -> after(random.nextLong(500), controller::start));
-        after(TICK_MS, this::tick);
+        after(TICK_INTERVAL_MS, this::tick);
     }
 
     /** A cluster after its first seconds, in which a leader is elected. */
     public static SimulatedCluster started(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
-        cluster.runFor(START_S);
+        cluster.runFor(LEADER_ELECTION_S);
         return cluster;
     }
 
     /** The same with so many machines of each kind in each zone, and a limit for the team that has one. */
     public static SimulatedCluster started(long seed, int machineLimit, double reportS, double redMax) {
         SimulatedCluster cluster = new SimulatedCluster(seed, machineLimit, reportS, redMax);
-        cluster.runFor(START_S);
+        cluster.runFor(LEADER_ELECTION_S);
         return cluster;
     }
 
     public void after(long ms, Runnable task) {
-        events.add(new Event(now + Math.max(0, ms), eventIds++, task));
+        events.add(new Event(now + Math.max(0, ms), nextEventId++, task));
     }
 
     /** Plays so many seconds and stops at the first invariant that is violated. */
     public void runFor(double seconds) {
         long end = now + Math.round(seconds * 1000);
-        while (violations.isEmpty() && !events.isEmpty() && events.peek().at <= end) {
+        while (violations.isEmpty() && !events.isEmpty() && events.peek().dueAt <= end) {
             Event event = events.poll();
-            now = event.at;
+            now = event.dueAt;
             event.task.run();
         }
         now = Math.max(now, end);
@@ -151,9 +151,9 @@
         for (Worker worker : List.copyOf(workers.values())) {
             worker.tick(now);
         }
-        machines.replayKeptHeartbeats();
+        machines.replayRecordedHeartbeats();
         invariants.tick();
-        after(TICK_MS, this::tick);
+        after(TICK_INTERVAL_MS, this::tick);
     }
 
     public SimulatedUser submit(JobSpec spec) {
@@ -165,14 +165,14 @@
     }
 
     Settings.Team team(String name) {
-        return template.team(name);
+        return settingsTemplate.team(name);
     }
 
-    ControllerNode anyController() {
-        return controllers.get("n" + random.nextInt(CONTROLLERS));
+    ControllerNode randomController() {
+        return controllers.get("n" + random.nextInt(CONTROLLER_COUNT));
     }
 
-    List<ControllerNode> others(ControllerNode controller) {
+    List<ControllerNode> peersOf(ControllerNode controller) {
         return controllers.values().stream().filter(n -> n != controller).toList();
     }
 
--- a/src/test/java/stileferry/coordination/SimulatedEnvironment.java
+++ b/src/test/java/stileferry/coordination/SimulatedEnvironment.java
@@ -14,41 +14,41 @@
 public final class SimulatedEnvironment implements Environment {
     private final SimulatedCluster cluster;
     private final ControllerNode controller;
-    private final long clockStart;
+    private final long clockOffsetMs;
     private final long clockSkewMs;
-    boolean dead;
+    boolean crashed;
     String logLevel = "default";
 
     private long busyUntil;
-    long frozenUntil;
+    long pausedUntil;
 
     SimulatedEnvironment(SimulatedCluster cluster, ControllerNode controller) {
         this.cluster = cluster;
         this.controller = controller;
-        this.clockStart = cluster.random.nextLong(1_000_000);
+        this.clockOffsetMs = cluster.random.nextLong(1_000_000);
         this.clockSkewMs = cluster.random.nextLong(-20, 21);
     }
 
     /** Carries a command out; a slow event loop is busy for a while with each, and the next ones wait. */
-    void turn(Runnable command) {
-        long takes = cluster.faults.eventLoopTurnMs.getOrDefault(controller.name(), 0L);
+    void execute(Runnable command) {
+        long takes = cluster.faults.eventLoopTaskMs.getOrDefault(controller.name(), 0L);
         long wait = Math.max(0, busyUntil - cluster.now);
         busyUntil = cluster.now + wait + takes;
         if (wait > 0) {
-            cluster.after(wait, () -> carryOut(command));
+            cluster.after(wait, () -> run(command));
         } else {
-            carryOut(command);
+            run(command);
         }
     }
 
     /** The process stands still; what reaches it waits. */
-    void freeze(long ms) {
-        frozenUntil = cluster.now + ms;
-        busyUntil = Math.max(busyUntil, frozenUntil);
+    void pause(long ms) {
+        pausedUntil = cluster.now + ms;
+        busyUntil = Math.max(busyUntil, pausedUntil);
     }
 
-    private void carryOut(Runnable command) {
-        if (!dead) {
+    private void run(Runnable command) {
+        if (!crashed) {
             command.run();
             controller.coordinator.endOfBatch();
         }
@@ -56,7 +56,7 @@
 
     @Override
     public long now() {
-        return cluster.now + clockStart;
+        return cluster.now + clockOffsetMs;
     }
 
     @Override
@@ -76,21 +76,21 @@
 
     @Override
     public void schedule(long delayMs, Runnable task) {
-        cluster.after(delayMs, () -> turn(task));
+        cluster.after(delayMs, () -> execute(task));
     }
 
     @Override
     public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
-        JsonNode sent = body == null ? null : copyOf(body);
+        JsonNode sent = body == null ? null : roundTrip(body);
         ResponseHandler inTurn =
-                (status, answer) -> turn(() -> reply.onResponse(status, answer == null ? null : copyOf(answer)));
+                (status, answer) -> execute(() -> reply.onResponse(status, answer == null ? null : roundTrip(answer)));
         if (addr.equals(SimulatedCluster.STORE)) {
             cluster.network.exchange(
                     controller.name(),
                     addr,
                     timeoutMs,
                     true,
-                    served -> serveByStore(method, path, sent, served),
+                    served -> serveStoreRequest(method, path, sent, served),
                     inTurn);
         } else if (addr.equals(SimulatedCluster.CLOUD)) {
             callCloud(method, path, sent, timeoutMs, inTurn);
@@ -103,7 +103,7 @@
     }
 
     /** A message as the other side reads it. */
-    private static JsonNode copyOf(JsonNode message) {
+    private static JsonNode roundTrip(JsonNode message) {
         return MessageCodec.decode(MessageCodec.encode(message));
     }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    private void serveByStore(String method, String path, JsonNode body, ResponseHandler reply) {
+    private void serveStoreRequest(String method, String path, JsonNode body, ResponseHandler reply) {
         FaultInjection faults = cluster.faults;
         boolean commit = path.equals("/commit");
         boolean rejects = faults.storeDown || faults.rejectedByStore.contains(controller.name());
@@ -137,13 +137,13 @@
             cluster.store.request(method, path, body, (status, answer) -> {});
         } else if (commit && faults.commitDelayMs > 0) {
             cluster.after(
-                    cluster.random.nextLong(faults.commitDelayMs), () -> requestOfStore(method, path, body, reply));
+                    cluster.random.nextLong(faults.commitDelayMs), () -> forwardToStore(method, path, body, reply));
         } else {
-            requestOfStore(method, path, body, reply);
+            forwardToStore(method, path, body, reply);
         }
     }
 
-    private void requestOfStore(String method, String path, JsonNode body, ResponseHandler reply) {
+    private void forwardToStore(String method, String path, JsonNode body, ResponseHandler reply) {
         cluster.store.request(method, path, body, (status, answer) -> {
             if (path.equals("/commit")
                     && status == 400
@@ -158,18 +158,18 @@
         String me = controller.name();
         Worker worker = cluster.workers.get(addr);
         if (body != null) {
-            cluster.storedAssignments.checkStarts(body, cluster.violations);
+            cluster.gangStartCheck.checkStarts(body, cluster.violations);
         }
         cluster.network.exchange(
                 me,
                 addr,
                 timeoutMs,
-                worker != null && cluster.network.heldUntil(me, addr) <= cluster.now,
+                worker != null && cluster.network.partitionEndsAt(me, addr) <= cluster.now,
                 served -> {
                     if (cluster.workers.get(addr) == worker && path.equals("/inspect")) {
                         served.onResponse(200, worker.heartbeat());
                     } else if (cluster.workers.get(addr) == worker) {
-                        cluster.directCommands += body.path("signals").isEmpty() ? 0 : 1;
+                        cluster.directCommandCount += body.path("signals").isEmpty() ? 0 : 1;
                         int status = worker.receiveCommands(body);
                         served.onResponse(status, status == 400 ? null : worker.heartbeat());
                     }
@@ -188,39 +188,40 @@
                 timeoutMs,
                 !cluster.faults.peerConnectionsRefused
                         && other.up()
-                        && cluster.network.heldUntil(me, peer.name()) <= cluster.now,
+                        && cluster.network.partitionEndsAt(me, peer.name()) <= cluster.now,
                 served -> {
                     if (other.up()) {
-                        boolean former = cluster.formerRecordFormat.contains(me)
-                                || cluster.formerRecordFormat.contains(peer.name());
-                        if (unknownToOlder(record) && older(peer.name())) {
+                        boolean former = cluster.controllersWithOldMessageFormat.contains(me)
+                                || cluster.controllersWithOldMessageFormat.contains(peer.name());
+                        if (requiresFeatures(record) && predatesFeatures(peer.name())) {
                             served.onResponse(400, null); // not a record to it
                             return;
                         }
-                        other.environment.turn(
-                                () -> other.coordinator.handlePeerMessage(carried(record, former), response -> {
-                                    answer[0] = carried(response, former);
+                        other.environment.execute(
+                                () -> other.coordinator.handlePeerMessage(transcode(record, former), response -> {
+                                    answer[0] = transcode(response, former);
                                     served.onResponse(200, null);
                                 }));
                     }
                 },
-                (status, body) -> turn(() -> reply.accept(status == 200 ? answer[0] : null)));
+                (status, body) -> execute(() -> reply.accept(status == 200 ? answer[0] : null)));
     }
 
     /** Whether a controller is of a version before the views of links. */
-    private boolean older(String node) {
-        return cluster.formerRecordFormat.contains(node) || cluster.controllersWithoutFeatures.contains(node);
+    private boolean predatesFeatures(String node) {
+        return cluster.controllersWithOldMessageFormat.contains(node)
+                || cluster.controllersWithoutFeatures.contains(node);
     }
 
     /** Whether a record is of a kind that versions before the features can't read. */
-    private static boolean unknownToOlder(PeerMessage record) {
+    private static boolean requiresFeatures(PeerMessage record) {
         return record instanceof PeerMessage.LinkView
                 || record instanceof PeerMessage.AdmissionExchange
                 || record instanceof PeerMessage.RequestBatch;
     }
 
     /** A record as the other side reads it, where one of the two may have the former version's form. */
-    private static PeerMessage carried(PeerMessage record, boolean former) {
+    private static PeerMessage transcode(PeerMessage record, boolean former) {
         PeerMessage read = PeerMessageCodec.decode(PeerMessageCodec.encode(record));
         return former && read instanceof PeerMessage.TermAnnouncement announcement
                 ? new PeerMessage.TermAnnouncement(announcement.term(), announcement.leader(), announcement.leading())
--- a/src/test/java/stileferry/coordination/SimulatedMachines.java
+++ b/src/test/java/stileferry/coordination/SimulatedMachines.java
@@ -11,11 +11,11 @@
 final class SimulatedMachines {
     static final double CPUS = 8;
     static final double MEMORY_GB = 32;
-    private static final long TIMEOUT_MS = 4000;
+    private static final long REQUEST_TIMEOUT_MS = 4000;
 
     private final SimulatedCluster cluster;
-    private final List<JsonNode> keptHeartbeats = new ArrayList<>();
-    private ControllerNode heartbeatsKeptFrom;
+    private final List<JsonNode> recordedHeartbeats = new ArrayList<>();
+    private ControllerNode leaderWhenRecordingBegan;
 
     SimulatedMachines(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -42,7 +42,7 @@
                 cluster.tasks,
                 cluster.gangs);
         cluster.workers.put(worker.address(), worker);
-        sendHeartbeats(worker, cluster.anyController().name());
+        sendHeartbeats(worker, cluster.randomController().name());
         return worker;
     }
 
@@ -69,44 +69,46 @@
         long incarnation = worker.incarnation();
         worker.pollChanged();
         JsonNode heartbeat = MessageCodec.decode(MessageCodec.encode(worker.heartbeat()));
-        copyHeartbeat(heartbeat);
+        recordAndDuplicate(heartbeat);
         ControllerNode controller = cluster.controllers.get(to);
         cluster.network.exchange(
                 worker.address(),
                 to,
-                TIMEOUT_MS,
+                REQUEST_TIMEOUT_MS,
                 controller.up()
                         && !cluster.faults.heartbeatLoss.contains(worker.address())
-                        && cluster.network.heldUntil(worker.address(), to) <= cluster.now,
+                        && cluster.network.partitionEndsAt(worker.address(), to) <= cluster.now,
                 reply -> deliver(heartbeat, controller, reply),
                 (status, body) -> {
                     if (exists(worker)) {
-                        receiveAnswer(worker, to, status, body, incarnation, sentAt);
+                        handleResponse(worker, to, status, body, incarnation, sentAt);
                     }
                 });
     }
 
     private void deliver(JsonNode heartbeat, ControllerNode controller, Environment.ResponseHandler reply) {
         if (controller.up()) {
-            controller.environment.turn(
+            controller.environment.execute(
                     () -> controller.coordinator.handleHeartbeat(MessageCodec.encode(heartbeat), (status, bytes) -> {
                         JsonNode answer = MessageCodec.decode(bytes);
-                        cluster.storedAssignments.checkStarts(answer, cluster.violations);
+                        cluster.gangStartCheck.checkStarts(answer, cluster.violations);
                         reply.onResponse(status, answer);
                     }));
         }
     }
 
-    private void receiveAnswer(Worker worker, String from, int status, JsonNode body, long incarnation, long sentAt) {
+    private void handleResponse(Worker worker, String from, int status, JsonNode body, long incarnation, long sentAt) {
         String leader = status == 421 ? body.path("harbormaster").asText() : null;
         if (status == 200) {
             worker.heartbeatAnswered(MessageCodec.decode(MessageCodec.encode(body)), incarnation, sentAt);
-            long latest = cluster.now + cluster.reportMs * 3 / 4 + cluster.random.nextLong(cluster.reportMs / 2);
+            long latest = cluster.now
+                    + cluster.heartbeatIntervalMs * 3 / 4
+                    + cluster.random.nextLong(cluster.heartbeatIntervalMs / 2);
             awaitNextHeartbeat(worker, from, latest, cluster.now + 500);
         } else if (leader != null && cluster.controllers.containsKey(leader)) {
             cluster.after(cluster.random.nextLong(500), () -> sendHeartbeats(worker, leader));
         } else {
-            String next = "n" + (Integer.parseInt(from.substring(1)) + 1) % SimulatedCluster.CONTROLLERS;
+            String next = "n" + (Integer.parseInt(from.substring(1)) + 1) % SimulatedCluster.CONTROLLER_COUNT;
             cluster.after(1000, () -> sendHeartbeats(worker, next));
         }
     }
@@ -121,12 +123,12 @@
 
     // ---- duplicated heartbeats
 
-    private void copyHeartbeat(JsonNode heartbeat) {
-        if (heartbeatsKeptFrom != null && cluster.random.nextInt(4) == 0) {
-            keptHeartbeats.add(heartbeat);
+    private void recordAndDuplicate(JsonNode heartbeat) {
+        if (leaderWhenRecordingBegan != null && cluster.random.nextInt(4) == 0) {
+            recordedHeartbeats.add(heartbeat);
         }
         if (cluster.random.nextDouble() < cluster.faults.duplicateHeartbeatRate) {
-            ControllerNode any = cluster.anyController();
+            ControllerNode any = cluster.randomController();
             cluster.after(1000 + cluster.random.nextLong(3 * cluster.leaseMs), () -> deliverDuplicate(heartbeat, any));
         }
     }
@@ -134,25 +136,25 @@
     /** A copy of a heartbeat arrives; nobody waits for its answer. */
     void deliverDuplicate(JsonNode heartbeat, ControllerNode controller) {
         if (controller.up()) {
-            controller.environment.turn(
+            controller.environment.execute(
                     () -> controller.coordinator.handleHeartbeat(MessageCodec.encode(heartbeat), (status, body) -> {}));
         }
     }
 
     /** If copies are kept for the next leader, they reach every controller once there is one. */
-    void replayKeptHeartbeats() {
+    void replayRecordedHeartbeats() {
         ControllerNode leader = cluster.leader();
         boolean keeping = cluster.faults.replayHeartbeatsToNextLeader;
-        if (keeping && heartbeatsKeptFrom == null) {
-            heartbeatsKeptFrom = leader;
-        } else if (heartbeatsKeptFrom != null && leader != null && leader != heartbeatsKeptFrom) {
-            for (JsonNode heartbeat : keptHeartbeats) {
+        if (keeping && leaderWhenRecordingBegan == null) {
+            leaderWhenRecordingBegan = leader;
+        } else if (leaderWhenRecordingBegan != null && leader != null && leader != leaderWhenRecordingBegan) {
+            for (JsonNode heartbeat : recordedHeartbeats) {
                 for (ControllerNode controller : cluster.controllers.values()) {
                     cluster.after(cluster.random.nextLong(1500), () -> deliverDuplicate(heartbeat, controller));
                 }
             }
-            keptHeartbeats.clear();
-            heartbeatsKeptFrom = keeping ? leader : null;
+            recordedHeartbeats.clear();
+            leaderWhenRecordingBegan = keeping ? leader : null;
         }
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -12,14 +12,14 @@
     /** Stands for every worker where a link is named. */
     static final String WORKERS = "workers";
 
-    private static final long DELAY_MS = 2500;
+    private static final long MAX_DELAY_MS = 2500;
 
     private final SimulatedCluster cluster;
 
     /** Hosts that can't reach others, or be reached, until the time given; packets in between come late. */
     private final Map<String, Long> partitionedUntil = new HashMap<>();
 
-    private final Set<Rule> rules = new LinkedHashSet<>();
+    private final Set<FaultRule> faultRules = new LinkedHashSet<>();
 
     /** How a link is broken. */
     enum LinkFault {
@@ -34,12 +34,12 @@
     }
 
     /** One broken direction. */
-    private record Rule(String from, String to, LinkFault fault) {
-        boolean covers(String sender, String receiver) {
-            return names(from, sender) && names(to, receiver);
+    private record FaultRule(String from, String to, LinkFault fault) {
+        boolean appliesTo(String sender, String receiver) {
+            return matches(from, sender) && matches(to, receiver);
         }
 
-        private static boolean names(String name, String host) {
+        private static boolean matches(String name, String host) {
             return name.equals(host) || name.equals(WORKERS) && host.startsWith("w-");
         }
     }
@@ -49,60 +49,63 @@
     }
 
     /** Breaks one direction of a link until it is restored. */
-    void block(String from, String to, LinkFault fault) {
-        rules.add(new Rule(from, to, fault));
+    void injectFault(String from, String to, LinkFault fault) {
+        faultRules.add(new FaultRule(from, to, fault));
     }
 
     /** Breaks both directions. */
-    void blockBoth(String first, String second, LinkFault fault) {
-        block(first, second, fault);
-        block(second, first, fault);
+    void injectFaultBothWays(String first, String second, LinkFault fault) {
+        injectFault(first, second, fault);
+        injectFault(second, first, fault);
     }
 
     /** Mends one direction of a link. */
     void restore(String from, String to) {
-        rules.removeIf(rule -> rule.from.equals(from) && rule.to.equals(to));
+        faultRules.removeIf(rule -> rule.from.equals(from) && rule.to.equals(to));
     }
 
     /** Mends both directions. */
-    void restoreBoth(String first, String second) {
+    void restoreBothWays(String first, String second) {
         restore(first, second);
         restore(second, first);
     }
 
-    /** Mends all links that {@link #block} broke. */
+    /** Mends all links that {@link #injectFault} broke. */
     void restoreAll() {
-        rules.clear();
+        faultRules.clear();
     }
 
     void partition(String host, long ms) {
         partitionedUntil.put(host, cluster.now + ms);
     }
 
-    long heldUntil(String first, String second) {
+    long partitionEndsAt(String first, String second) {
         return Math.max(partitionedUntil.getOrDefault(first, 0L), partitionedUntil.getOrDefault(second, 0L));
     }
 
-    private boolean broken(String from, String to, LinkFault fault) {
-        return !rules.isEmpty() && rules.stream().anyMatch(rule -> rule.fault == fault && rule.covers(from, to));
+    private boolean hasFault(String from, String to, LinkFault fault) {
+        return !faultRules.isEmpty()
+                && faultRules.stream().anyMatch(rule -> rule.fault == fault && rule.appliesTo(from, to));
     }
 
     private void deliver(String from, String to, Runnable task) {
-        if (cluster.faults.inboundLoss.contains(to) || partitioned(from, to) || broken(from, to, LinkFault.LOST)) {
+        if (cluster.faults.inboundLoss.contains(to)
+                || partitionedFromControlPlane(from, to)
+                || hasFault(from, to, LinkFault.LOST)) {
             return;
         }
-        long held = Math.max(0, heldUntil(from, to) - cluster.now);
+        long held = Math.max(0, partitionEndsAt(from, to) - cluster.now);
         long late = cluster.faults.inboundDelayMs.containsKey(to)
                 ? cluster.random.nextLong(cluster.faults.inboundDelayMs.get(to))
                 : 0;
         late += from.equals(SimulatedCluster.STORE) && cluster.faults.storeResponseDelayMs > 0
                 ? cluster.random.nextLong(cluster.faults.storeResponseDelayMs)
                 : 0;
-        late += broken(from, to, LinkFault.DELAYED) ? cluster.random.nextLong(DELAY_MS) : 0;
+        late += hasFault(from, to, LinkFault.DELAYED) ? cluster.random.nextLong(MAX_DELAY_MS) : 0;
         cluster.after(held + late + 1 + cluster.random.nextLong(6), task);
     }
 
-    private boolean partitioned(String from, String to) {
+    private boolean partitionedFromControlPlane(String from, String to) {
         boolean inside = cluster.controllers.containsKey(from) && cluster.controllers.containsKey(to)
                 || from.equals(SimulatedCluster.STORE)
                 || to.equals(SimulatedCluster.STORE);
@@ -120,7 +123,7 @@
             Consumer<Environment.ResponseHandler> serve,
             Environment.ResponseHandler reply) {
         boolean[] over = new boolean[1];
-        if (!connects || broken(from, to, LinkFault.REFUSED)) {
+        if (!connects || hasFault(from, to, LinkFault.REFUSED)) {
             cluster.after(2, () -> reply.onResponse(Environment.NOT_SENT, null));
             return;
         }
--- a/src/test/java/stileferry/coordination/SimulatedSettings.java
+++ b/src/test/java/stileferry/coordination/SimulatedSettings.java
@@ -6,7 +6,7 @@
 /** The settings of the three controllers of a simulated cluster: two zones, three teams, lower limits announced. */
 final class SimulatedSettings {
     /** The part of the changes that the key-value store still takes once its limits are lowered. */
-    private static final double LOWER_WRITES = 0.8;
+    private static final double LOWERED_WRITE_RATE_FACTOR = 0.8;
 
     private static final String SETTINGS =
             """
@@ -34,7 +34,7 @@
                 5 * reportS,
                 SimulatedCluster.CANCEL_S,
                 writesPerS,
-                LOWER_WRITES * writesPerS);
+                LOWERED_WRITE_RATE_FACTOR * writesPerS);
         SettingsReader.Result read = SettingsReader.read(text);
         if (read.settings() == null) {
             throw new IllegalStateException(read.problems().toString());
@@ -44,7 +44,7 @@
 
     private static String seedsWithout(String controller) {
         StringBuilder seeds = new StringBuilder();
-        for (int i = 0; i < SimulatedCluster.CONTROLLERS; i++) {
+        for (int i = 0; i < SimulatedCluster.CONTROLLER_COUNT; i++) {
             if (!controller.equals("n" + i)) {
                 seeds.append(seeds.isEmpty() ? "" : ",")
                         .append("{\"host_name\":\"n")
--- a/src/test/java/stileferry/coordination/SimulatedUser.java
+++ b/src/test/java/stileferry/coordination/SimulatedUser.java
@@ -20,9 +20,9 @@
     final Set<Integer> tasksDone = new TreeSet<>();
 
     /** Its requests that got no final answer. */
-    int rejections;
+    int retries;
 
-    long lastAnswerAt;
+    long lastResponseAt;
     long completedAt;
     long startedAt;
 
--- a/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -25,7 +25,7 @@
             cluster.submit(service(i, 2, 3));
         }
         cluster.runFor(25);
-        String machine = cluster.tasks.machineInUse();
+        String machine = cluster.tasks.busyMachine();
         Worker unreachable = cluster.workers.get(SimulatedMachines.address(machine));
         List<SimulatedUser> there = cluster.users.values().stream()
                 .filter(u -> cluster.tasks.machinesOf(u).contains(machine))
@@ -57,7 +57,7 @@
         SimulatedCluster cluster = SimulatedCluster.started(32);
         cluster.submit(service(1, 2, 3));
         cluster.runFor(20);
-        String machine = cluster.tasks.machineInUse();
+        String machine = cluster.tasks.busyMachine();
         var report = cluster.workers.get(SimulatedMachines.address(machine)).heartbeat();
         ControllerNode first = cluster.leader();
         cluster.cloud.reclaim(machine);
@@ -104,7 +104,7 @@
         cluster.submit(array(1, 12, 200));
         cluster.runFor(25);
         assertEquals(12, cluster.tasks.running());
-        String machine = cluster.tasks.machineInUse();
+        String machine = cluster.tasks.busyMachine();
         cluster.cloud.reclaim(machine);
         int left = cluster.tasks.running();
         assertTrue(left < 12);
@@ -122,7 +122,7 @@
         cluster.submit(service(1, 8, 2));
         cluster.runFor(50);
         assertEquals(8, cluster.tasks.running());
-        cluster.cloud.reclaim(cluster.tasks.machineInUse());
+        cluster.cloud.reclaim(cluster.tasks.busyMachine());
         assertTrue(cluster.tasks.running() < 8);
         cluster.runFor(24); // the lease is 30 s, and another boots for 5 s
         assertEquals(8, cluster.tasks.running(), "the lost replicas run again");
@@ -135,7 +135,7 @@
         SimulatedCluster cluster = SimulatedCluster.started(38);
         cluster.submit(array(1, 12, 200));
         cluster.runFor(25);
-        String machine = cluster.tasks.machineInUse();
+        String machine = cluster.tasks.busyMachine();
         cluster.faults.partition(SimulatedMachines.address(machine), 3000);
         int ended = cluster.tasks.ends;
         cluster.runFor(20);
