--- a/src/test/java/stileferry/coordination/ControllerNode.java
+++ b/src/test/java/stileferry/coordination/ControllerNode.java
@@ -3,7 +3,7 @@
 import stileferry.protocol.Features;
 import stileferry.protocol.Settings;
 
-/** A controller of the simulated cluster, with a process that comes and goes. */
+/** A controller of the simulated cluster, whose process can crash and be started again. */
 public final class ControllerNode {
     private final SimulatedCluster cluster;
     public final Settings settings;
@@ -19,7 +19,7 @@
         return settings.controllerName();
     }
 
-    /** Starts a process, with nothing of a former one. */
+    /** Starts a new process, without any state of an earlier one. */
     public void start() {
         environment = new SimulatedEnvironment(cluster, this);
         coordinator = new Coordinator(
@@ -29,7 +29,7 @@
         environment.execute(coordinator::start);
     }
 
-    /** Ends the process without a word to anybody. */
+    /** Ends the process at once, without releasing or announcing anything. */
     public void crash() {
         environment.crashed = true;
         coordinator = null;
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -18,9 +18,9 @@
 import stileferry.standin.Worker;
 
 /**
- * Real controllers in a simulated cluster: one clock, one queue of events, one seeded source of randomness, and
- * stand-ins for all outside systems. The same seed plays the same events in the same order. The invariants are checked
- * whenever something happens that could break one.
+ * A simulated cluster that runs real controllers: one clock, one event queue, one seeded random generator, and stand-ins
+ * for all external systems. The same seed produces the same events in the same order. The invariants are checked
+ * whenever something happens that could violate one of them.
  */
 public final class SimulatedCluster {
     static final String STORE = "10.9.0.1:1";
@@ -36,7 +36,7 @@
     public final List<String> violations = new ArrayList<>();
     public final Map<String, ControllerNode> controllers = new LinkedHashMap<>();
 
-    /** The agents of all machines that are up, by address. */
+    /** The agents of all running machines, by address. */
     final Map<String, Worker> workers = new HashMap<>();
 
     public final KeyValueStore store = new KeyValueStore(12, 8);
@@ -53,19 +53,19 @@
 
     public long now = 1_000_000;
 
-    /** What the controllers that start from now on have turned on. */
+    /** The features with which controllers are started from now on. */
     Features features = Features.NONE;
 
-    /** Controllers of a version that has no features, whatever is turned on. */
+    /** Controllers that run a version without optional features, whatever {@link #features} says. */
     final Set<String> controllersWithoutFeatures = new TreeSet<>();
 
     /**
-     * Controllers whose records to other controllers have the form of the first version, f7fe539, which neither writes
-     * nor reads what they know of cancellations.
+     * Controllers that exchange peer messages in the format of the first version, f7fe539, which neither writes nor
+     * reads the sender's knowledge of cancellations.
      */
     final Set<String> controllersWithOldMessageFormat = new TreeSet<>();
 
-    /** Direct commands that reached a worker and ask for something. */
+    /** The number of direct commands that reached a worker and contained at least one command for a task. */
     int directCommandCount;
 
     final long heartbeatIntervalMs;
@@ -81,66 +81,75 @@
         }
     }
 
+    /** Creates a cluster with 5 machines per pool, the default heartbeat interval and a limit of 40 CPUs for red. */
     public SimulatedCluster(long seed) {
         this(seed, 5, HEARTBEAT_INTERVAL_S, 40);
     }
 
-    /** A cluster with so many machines of each kind in each of two zones, and a limit for the team that has one. */
-    public SimulatedCluster(long seed, int machineLimit, double reportS, double redMax) {
-        this(seed, machineLimit, reportS, redMax, WRITES_PER_S);
+    /**
+     * Creates a cluster.
+     *
+     * @param machinesPerPool machines available in each of the two zones, as spot instances and on demand each
+     * @param heartbeatIntervalS the heartbeat interval of the workers, in seconds; their lease is five times as long
+     * @param redMaxCpus the CPU limit of team red; 0: unlimited
+     */
+    public SimulatedCluster(long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus) {
+        this(seed, machinesPerPool, heartbeatIntervalS, redMaxCpus, WRITES_PER_S);
     }
 
-    /** A cluster whose key-value store takes so many changes a second. */
-    SimulatedCluster(long seed, int machineLimit, double reportS, double redMax, double writesPerS) {
+    /** Creates a cluster whose key-value store accepts {@code writesPerS} writes a second. */
+    SimulatedCluster(long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus, double writesPerS) {
         random = new SplittableRandom(seed);
-        heartbeatIntervalMs = Math.round(reportS * 1000);
+        heartbeatIntervalMs = Math.round(heartbeatIntervalS * 1000);
         leaseMs = 5 * heartbeatIntervalMs;
-        settingsTemplate = SimulatedSettings.of("n0", reportS, redMax, writesPerS);
+        settingsTemplate = SimulatedSettings.of("n0", heartbeatIntervalS, redMaxCpus, writesPerS);
         cloud = new Cloud(
                 "box",
                 SimulatedMachines.CPUS,
                 SimulatedMachines.MEMORY_GB,
                 5,
                 List.of("za", "zb"),
-                machineLimit,
+                machinesPerPool,
                 3000,
                 machines::boot,
                 machines::remove);
         for (int i = 0; i < CONTROLLER_COUNT; i++) {
-            Settings settings = SimulatedSettings.of("n" + i, reportS, redMax, writesPerS);
+            Settings settings = SimulatedSettings.of("n" + i, heartbeatIntervalS, redMaxCpus, writesPerS);
             controllers.put("n" + i, new ControllerNode(this, settings));
         }
         controllers.values().forEach(controller -> after(random.nextLong(500), controller::start));
         after(TICK_INTERVAL_MS, this::tick);
     }
 
-    /** A cluster after its first seconds, in which a leader is elected. */
+    /** Returns a cluster that has run for the first 3 seconds, in which a leader is elected. */
     public static SimulatedCluster started(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
         cluster.runFor(LEADER_ELECTION_S);
         return cluster;
     }
 
-    /** The same with so many machines of each kind in each zone, and a limit for the team that has one. */
-    public static SimulatedCluster started(long seed, int machineLimit, double reportS, double redMax) {
-        SimulatedCluster cluster = new SimulatedCluster(seed, machineLimit, reportS, redMax);
+    /** Like {@link #started(long)}, with the parameters of the constructor. */
+    public static SimulatedCluster started(
+            long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, machinesPerPool, heartbeatIntervalS, redMaxCpus);
         cluster.runFor(LEADER_ELECTION_S);
         return cluster;
     }
 
+    /** Runs a task after a delay in milliseconds of simulated time; a negative delay counts as 0. */
     public void after(long ms, Runnable task) {
         events.add(new Event(now + Math.max(0, ms), nextEventId++, task));
     }
 
-    /** Plays so many seconds and stops at the first invariant that is violated. */
+    /** Runs the simulation for the given simulated time; stops early at the first violation of an invariant. */
     public void runFor(double seconds) {
-        long end = now + Math.round(seconds * 1000);
-        while (violations.isEmpty() && !events.isEmpty() && events.peek().dueAt <= end) {
+        long endAt = now + Math.round(seconds * 1000);
+        while (violations.isEmpty() && !events.isEmpty() && events.peek().dueAt <= endAt) {
             Event event = events.poll();
             now = event.dueAt;
             event.task.run();
         }
-        now = Math.max(now, end);
+        now = Math.max(now, endAt);
     }
 
     private void tick() {
@@ -156,6 +165,7 @@
         after(TICK_INTERVAL_MS, this::tick);
     }
 
+    /** Submits a job at a random controller; its user retries until it gets a final response or gives up. */
     public SimulatedUser submit(JobSpec spec) {
         return users.submit(spec);
     }
@@ -176,12 +186,12 @@
         return controllers.values().stream().filter(n -> n != controller).toList();
     }
 
-    /** The highest term in the key-value store. */
+    /** Returns the highest term in the key-value store. */
     long term() {
         return store.value("a/term").path("term").asLong();
     }
 
-    /** The controller that leads and has read all state, or null. */
+    /** Returns the controller that leads and has recovered all state, or null if there is none. */
     public ControllerNode leader() {
         for (ControllerNode controller : controllers.values()) {
             if (controller.up() && controller.coordinator.ready() && controller.coordinator.leads()) {
--- a/src/test/java/stileferry/coordination/SimulatedEnvironment.java
+++ b/src/test/java/stileferry/coordination/SimulatedEnvironment.java
@@ -10,7 +10,7 @@
 import stileferry.protocol.Settings;
 import stileferry.standin.Worker;
 
-/** What one controller's process sees of the simulated cluster: its clocks, its event loop and its calls. */
+/** The environment of one controller process in the simulated cluster: its clocks, event loop and outgoing calls. */
 public final class SimulatedEnvironment implements Environment {
     private final SimulatedCluster cluster;
     private final ControllerNode controller;
@@ -29,11 +29,14 @@
         this.clockSkewMs = cluster.random.nextLong(-20, 21);
     }
 
-    /** Carries a command out; a slow event loop is busy for a while with each, and the next ones wait. */
+    /**
+     * Executes a command on the event loop. A slow event loop is busy for some time with each command, and later commands
+     * wait.
+     */
     void execute(Runnable command) {
-        long takes = cluster.faults.eventLoopTaskMs.getOrDefault(controller.name(), 0L);
+        long taskMs = cluster.faults.eventLoopTaskMs.getOrDefault(controller.name(), 0L);
         long wait = Math.max(0, busyUntil - cluster.now);
-        busyUntil = cluster.now + wait + takes;
+        busyUntil = cluster.now + wait + taskMs;
         if (wait > 0) {
             cluster.after(wait, () -> run(command));
         } else {
@@ -41,7 +44,7 @@
         }
     }
 
-    /** The process stands still; what reaches it waits. */
+    /** Pauses the process for some time; commands that reach it meanwhile wait. */
     void pause(long ms) {
         pausedUntil = cluster.now + ms;
         busyUntil = Math.max(busyUntil, pausedUntil);
@@ -81,28 +84,28 @@
 
     @Override
     public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
-        JsonNode sent = body == null ? null : roundTrip(body);
-        ResponseHandler inTurn =
-                (status, answer) -> execute(() -> reply.onResponse(status, answer == null ? null : roundTrip(answer)));
+        JsonNode sentBody = body == null ? null : roundTrip(body);
+        ResponseHandler onEventLoop = (status, response) ->
+                execute(() -> reply.onResponse(status, response == null ? null : roundTrip(response)));
         if (addr.equals(SimulatedCluster.STORE)) {
             cluster.network.exchange(
                     controller.name(),
                     addr,
                     timeoutMs,
                     true,
-                    served -> serveStoreRequest(method, path, sent, served),
-                    inTurn);
+                    respond -> serveStoreRequest(method, path, sentBody, respond),
+                    onEventLoop);
         } else if (addr.equals(SimulatedCluster.CLOUD)) {
-            callCloud(method, path, sent, timeoutMs, inTurn);
+            callCloud(method, path, sentBody, timeoutMs, onEventLoop);
         } else if (cluster.faults.workerCallsHang != null) {
             cluster.faults.workerCallsHang.accept(timeoutMs);
-            cluster.after(timeoutMs, () -> inTurn.onResponse(NO_ANSWER, null));
+            cluster.after(timeoutMs, () -> onEventLoop.onResponse(NO_ANSWER, null));
         } else {
-            callWorker(addr, path, sent, timeoutMs, inTurn);
+            callWorker(addr, path, sentBody, timeoutMs, onEventLoop);
         }
     }
 
-    /** A message as the other side reads it. */
+    /** Encodes and decodes a message, so that the receiver gets what it would read from the network. */
     private static JsonNode roundTrip(JsonNode message) {
         return MessageCodec.decode(MessageCodec.encode(message));
     }
@@ -116,7 +119,7 @@
                     SimulatedCluster.CLOUD,
                     timeoutMs,
                     true,
-                    served -> cluster.cloud.request(method, path, body, served),
+                    respond -> cluster.cloud.request(method, path, body, respond),
                     reply);
         }
     }
@@ -130,11 +133,11 @@
         } else if (commit && cluster.random.nextDouble() < faults.lateCommitRate) {
             cluster.after(2000 + cluster.random.nextLong(10_000), () -> {
                 if (!faults.storeDown) {
-                    cluster.store.request(method, path, body, (status, answer) -> {});
+                    cluster.store.request(method, path, body, (status, response) -> {});
                 }
             });
         } else if (commit && cluster.random.nextDouble() < faults.unansweredCommitRate) {
-            cluster.store.request(method, path, body, (status, answer) -> {});
+            cluster.store.request(method, path, body, (status, response) -> {});
         } else if (commit && faults.commitDelayMs > 0) {
             cluster.after(
                     cluster.random.nextLong(faults.commitDelayMs), () -> forwardToStore(method, path, body, reply));
@@ -144,86 +147,90 @@
     }
 
     private void forwardToStore(String method, String path, JsonNode body, ResponseHandler reply) {
-        cluster.store.request(method, path, body, (status, answer) -> {
+        cluster.store.request(method, path, body, (status, response) -> {
             if (path.equals("/commit")
                     && status == 400
-                    && !answer.path("error").asText().equals("no such lease")) {
-                cluster.violations.add("malformed: " + body + " " + answer);
+                    && !response.path("error").asText().equals("no such lease")) {
+                cluster.violations.add("malformed: " + body + " " + response);
             }
-            reply.onResponse(status, answer);
+            reply.onResponse(status, response);
         });
     }
 
     private void callWorker(String addr, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
-        String me = controller.name();
+        String sender = controller.name();
         Worker worker = cluster.workers.get(addr);
         if (body != null) {
             cluster.gangStartCheck.checkStarts(body, cluster.violations);
         }
         cluster.network.exchange(
-                me,
+                sender,
                 addr,
                 timeoutMs,
-                worker != null && cluster.network.partitionEndsAt(me, addr) <= cluster.now,
-                served -> {
+                worker != null && cluster.network.partitionEndsAt(sender, addr) <= cluster.now,
+                respond -> {
                     if (cluster.workers.get(addr) == worker && path.equals("/inspect")) {
-                        served.onResponse(200, worker.heartbeat());
+                        respond.onResponse(200, worker.heartbeat());
                     } else if (cluster.workers.get(addr) == worker) {
                         cluster.directCommandCount += body.path("signals").isEmpty() ? 0 : 1;
                         int status = worker.receiveCommands(body);
-                        served.onResponse(status, status == 400 ? null : worker.heartbeat());
+                        respond.onResponse(status, status == 400 ? null : worker.heartbeat());
                     }
                 },
                 reply);
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        String me = controller.name();
-        ControllerNode other = cluster.controllers.get(peer.name());
-        PeerMessage[] answer = new PeerMessage[1];
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {
+        String sender = controller.name();
+        ControllerNode receiver = cluster.controllers.get(peer.name());
+        PeerMessage[] received = new PeerMessage[1];
         cluster.network.exchange(
-                me,
+                sender,
                 peer.name(),
                 timeoutMs,
                 !cluster.faults.peerConnectionsRefused
-                        && other.up()
-                        && cluster.network.partitionEndsAt(me, peer.name()) <= cluster.now,
-                served -> {
-                    if (other.up()) {
-                        boolean former = cluster.controllersWithOldMessageFormat.contains(me)
+                        && receiver.up()
+                        && cluster.network.partitionEndsAt(sender, peer.name()) <= cluster.now,
+                respond -> {
+                    if (receiver.up()) {
+                        boolean oldFormat = cluster.controllersWithOldMessageFormat.contains(sender)
                                 || cluster.controllersWithOldMessageFormat.contains(peer.name());
-                        if (requiresFeatures(record) && predatesFeatures(peer.name())) {
-                            served.onResponse(400, null); // not a record to it
+                        if (requiresFeatures(message) && predatesFeatures(peer.name())) {
+                            respond.onResponse(400, null); // such a version can't decode the message
                             return;
                         }
-                        other.environment.execute(
-                                () -> other.coordinator.handlePeerMessage(transcode(record, former), response -> {
-                                    answer[0] = transcode(response, former);
-                                    served.onResponse(200, null);
+                        receiver.environment.execute(() ->
+                                receiver.coordinator.handlePeerMessage(transcode(message, oldFormat), response -> {
+                                    received[0] = transcode(response, oldFormat);
+                                    respond.onResponse(200, null);
                                 }));
                     }
                 },
-                (status, body) -> execute(() -> reply.accept(status == 200 ? answer[0] : null)));
+                (status, body) -> execute(() -> reply.accept(status == 200 ? received[0] : null)));
     }
 
-    /** Whether a controller is of a version before the views of links. */
+    /** Whether a controller runs a version that has no optional features, such as link views. */
     private boolean predatesFeatures(String node) {
         return cluster.controllersWithOldMessageFormat.contains(node)
                 || cluster.controllersWithoutFeatures.contains(node);
     }
 
-    /** Whether a record is of a kind that versions before the features can't read. */
-    private static boolean requiresFeatures(PeerMessage record) {
-        return record instanceof PeerMessage.LinkView
-                || record instanceof PeerMessage.AdmissionExchange
-                || record instanceof PeerMessage.RequestBatch;
+    /** Whether a message is of a kind that versions without optional features can't read. */
+    private static boolean requiresFeatures(PeerMessage message) {
+        return message instanceof PeerMessage.LinkView
+                || message instanceof PeerMessage.AdmissionExchange
+                || message instanceof PeerMessage.RequestBatch;
     }
 
-    /** A record as the other side reads it, where one of the two may have the former version's form. */
-    private static PeerMessage transcode(PeerMessage record, boolean former) {
-        PeerMessage read = PeerMessageCodec.decode(PeerMessageCodec.encode(record));
-        return former && read instanceof PeerMessage.TermAnnouncement announcement
+    /**
+     * Returns a message as the receiver decodes it.
+     *
+     * @param oldFormat whether the sender or the receiver uses the message format of the first version
+     */
+    private static PeerMessage transcode(PeerMessage message, boolean oldFormat) {
+        PeerMessage read = PeerMessageCodec.decode(PeerMessageCodec.encode(message));
+        return oldFormat && read instanceof PeerMessage.TermAnnouncement announcement
                 ? new PeerMessage.TermAnnouncement(announcement.term(), announcement.leader(), announcement.leading())
                 : read;
     }
--- a/src/test/java/stileferry/coordination/SimulatedMachines.java
+++ b/src/test/java/stileferry/coordination/SimulatedMachines.java
@@ -7,7 +7,7 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.standin.Worker;
 
-/** The machines of a simulated cluster, each with a stand-in for its agent, and their heartbeats. */
+/** The machines of a simulated cluster, each with a stand-in for its agent, and the delivery of their heartbeats. */
 final class SimulatedMachines {
     static final double CPUS = 8;
     static final double MEMORY_GB = 32;
@@ -21,12 +21,12 @@
         this.cluster = cluster;
     }
 
-    /** The address of a machine's agent. */
+    /** Returns the address of a machine's agent. */
     static String address(String machine) {
         return "w-" + machine + ":1";
     }
 
-    /** A machine that the cloud has booted. */
+    /** Adds a machine that the cloud has booted, and starts its heartbeats at a random controller. */
     Worker boot(String machine, String zone, boolean spot) {
         Worker worker = new Worker(
                 machine,
@@ -46,7 +46,7 @@
         return worker;
     }
 
-    /** A machine that the cloud has taken back. */
+    /** Removes a machine that the cloud has deleted or reclaimed; its tasks end. */
     void remove(Worker worker) {
         cluster.workers.remove(worker.address());
         worker.destroy();
@@ -60,7 +60,10 @@
         return cluster.workers.get(worker.address()) == worker;
     }
 
-    /** Sends a heartbeat to a controller, and the next ones to whom its answer names, for as long as there is one. */
+    /**
+     * Sends a heartbeat to a controller and schedules the next one, for as long as the machine exists. The next heartbeat
+     * goes to the same controller, to the leader that the response names, or after a failure to the next controller.
+     */
     private void sendHeartbeats(Worker worker, String to) {
         if (!exists(worker)) {
             return;
@@ -90,9 +93,9 @@
         if (controller.up()) {
             controller.environment.execute(
                     () -> controller.coordinator.handleHeartbeat(MessageCodec.encode(heartbeat), (status, bytes) -> {
-                        JsonNode answer = MessageCodec.decode(bytes);
-                        cluster.gangStartCheck.checkStarts(answer, cluster.violations);
-                        reply.onResponse(status, answer);
+                        JsonNode response = MessageCodec.decode(bytes);
+                        cluster.gangStartCheck.checkStarts(response, cluster.violations);
+                        reply.onResponse(status, response);
                     }));
         }
     }
@@ -101,10 +104,10 @@
         String leader = status == 421 ? body.path("harbormaster").asText() : null;
         if (status == 200) {
             worker.heartbeatAnswered(MessageCodec.decode(MessageCodec.encode(body)), incarnation, sentAt);
-            long latest = cluster.now
+            long latestAt = cluster.now
                     + cluster.heartbeatIntervalMs * 3 / 4
                     + cluster.random.nextLong(cluster.heartbeatIntervalMs / 2);
-            awaitNextHeartbeat(worker, from, latest, cluster.now + 500);
+            awaitNextHeartbeat(worker, from, latestAt, cluster.now + 500);
         } else if (leader != null && cluster.controllers.containsKey(leader)) {
             cluster.after(cluster.random.nextLong(500), () -> sendHeartbeats(worker, leader));
         } else {
@@ -113,27 +116,27 @@
         }
     }
 
-    private void awaitNextHeartbeat(Worker worker, String to, long latest, long earliest) {
-        if (cluster.now >= latest || cluster.now >= earliest && worker.pollChanged()) {
+    private void awaitNextHeartbeat(Worker worker, String to, long latestAt, long earliestAt) {
+        if (cluster.now >= latestAt || cluster.now >= earliestAt && worker.pollChanged()) {
             sendHeartbeats(worker, to);
         } else {
-            cluster.after(100, () -> awaitNextHeartbeat(worker, to, latest, earliest));
+            cluster.after(100, () -> awaitNextHeartbeat(worker, to, latestAt, earliestAt));
         }
     }
 
-    // ---- duplicated heartbeats
-
+    /** Records a copy of some heartbeats for the next leader, and delivers a late duplicate of others. */
     private void recordAndDuplicate(JsonNode heartbeat) {
         if (leaderWhenRecordingBegan != null && cluster.random.nextInt(4) == 0) {
             recordedHeartbeats.add(heartbeat);
         }
         if (cluster.random.nextDouble() < cluster.faults.duplicateHeartbeatRate) {
-            ControllerNode any = cluster.randomController();
-            cluster.after(1000 + cluster.random.nextLong(3 * cluster.leaseMs), () -> deliverDuplicate(heartbeat, any));
+            ControllerNode receiver = cluster.randomController();
+            cluster.after(
+                    1000 + cluster.random.nextLong(3 * cluster.leaseMs), () -> deliverDuplicate(heartbeat, receiver));
         }
     }
 
-    /** A copy of a heartbeat arrives; nobody waits for its answer. */
+    /** Delivers a copy of a heartbeat to a controller; the response is dropped. */
     void deliverDuplicate(JsonNode heartbeat, ControllerNode controller) {
         if (controller.up()) {
             controller.environment.execute(
@@ -141,11 +144,11 @@
         }
     }
 
-    /** If copies are kept for the next leader, they reach every controller once there is one. */
+    /** Delivers the recorded heartbeats to every controller once another leader is elected. */
     void replayRecordedHeartbeats() {
         ControllerNode leader = cluster.leader();
-        boolean keeping = cluster.faults.replayHeartbeatsToNextLeader;
-        if (keeping && leaderWhenRecordingBegan == null) {
+        boolean recording = cluster.faults.replayHeartbeatsToNextLeader;
+        if (recording && leaderWhenRecordingBegan == null) {
             leaderWhenRecordingBegan = leader;
         } else if (leaderWhenRecordingBegan != null && leader != null && leader != leaderWhenRecordingBegan) {
             for (JsonNode heartbeat : recordedHeartbeats) {
@@ -154,7 +157,7 @@
                 }
             }
             recordedHeartbeats.clear();
-            leaderWhenRecordingBegan = keeping ? leader : null;
+            leaderWhenRecordingBegan = recording ? leader : null;
         }
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -7,33 +7,33 @@
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
 
-/** The links of the simulated cluster: what passes, what is lost, refused or delayed, in each direction apart. */
+/** The network of the simulated cluster: delivers, loses, refuses or delays messages, separately in each direction. */
 final class SimulatedNetwork {
-    /** Stands for every worker where a link is named. */
+    /** Stands for all workers as one end of a link. */
     static final String WORKERS = "workers";
 
     private static final long MAX_DELAY_MS = 2500;
 
     private final SimulatedCluster cluster;
 
-    /** Hosts that can't reach others, or be reached, until the time given; packets in between come late. */
+    /** By partitioned host, when the partition ends; messages from and to the host are delayed until then. */
     private final Map<String, Long> partitionedUntil = new HashMap<>();
 
     private final Set<FaultRule> faultRules = new LinkedHashSet<>();
 
-    /** How a link is broken. */
+    /** A fault of one direction of a link. */
     enum LinkFault {
-        /** Messages in this direction vanish. */
+        /** Messages in this direction are lost. */
         LOST,
 
         /** Connections in this direction are refused. */
         REFUSED,
 
-        /** Messages in this direction come late. */
+        /** Messages in this direction are delayed by up to {@link #MAX_DELAY_MS}. */
         DELAYED
     }
 
-    /** One broken direction. */
+    /** A fault in force on one direction of a link. */
     private record FaultRule(String from, String to, LinkFault fault) {
         boolean appliesTo(String sender, String receiver) {
             return matches(from, sender) && matches(to, receiver);
@@ -48,37 +48,39 @@
         this.cluster = cluster;
     }
 
-    /** Breaks one direction of a link until it is restored. */
+    /** Injects a fault into one direction of a link, until it is restored. */
     void injectFault(String from, String to, LinkFault fault) {
         faultRules.add(new FaultRule(from, to, fault));
     }
 
-    /** Breaks both directions. */
+    /** Injects a fault into both directions of a link, until they are restored. */
     void injectFaultBothWays(String first, String second, LinkFault fault) {
         injectFault(first, second, fault);
         injectFault(second, first, fault);
     }
 
-    /** Mends one direction of a link. */
+    /** Removes all faults of one direction of a link. */
     void restore(String from, String to) {
         faultRules.removeIf(rule -> rule.from.equals(from) && rule.to.equals(to));
     }
 
-    /** Mends both directions. */
+    /** Removes all faults of both directions of a link. */
     void restoreBothWays(String first, String second) {
         restore(first, second);
         restore(second, first);
     }
 
-    /** Mends all links that {@link #injectFault} broke. */
+    /** Removes the faults of all links; partitions of hosts stay. */
     void restoreAll() {
         faultRules.clear();
     }
 
+    /** Delays all messages from and to a host until the given time has passed. */
     void partition(String host, long ms) {
         partitionedUntil.put(host, cluster.now + ms);
     }
 
+    /** Returns when neither of two hosts is partitioned any more; a time in the past or 0: neither is now. */
     long partitionEndsAt(String first, String second) {
         return Math.max(partitionedUntil.getOrDefault(first, 0L), partitionedUntil.getOrDefault(second, 0L));
     }
@@ -94,27 +96,34 @@
                 || hasFault(from, to, LinkFault.LOST)) {
             return;
         }
-        long held = Math.max(0, partitionEndsAt(from, to) - cluster.now);
-        long late = cluster.faults.inboundDelayMs.containsKey(to)
+        long partitionMs = Math.max(0, partitionEndsAt(from, to) - cluster.now);
+        long delayMs = cluster.faults.inboundDelayMs.containsKey(to)
                 ? cluster.random.nextLong(cluster.faults.inboundDelayMs.get(to))
                 : 0;
-        late += from.equals(SimulatedCluster.STORE) && cluster.faults.storeResponseDelayMs > 0
+        delayMs += from.equals(SimulatedCluster.STORE) && cluster.faults.storeResponseDelayMs > 0
                 ? cluster.random.nextLong(cluster.faults.storeResponseDelayMs)
                 : 0;
-        late += hasFault(from, to, LinkFault.DELAYED) ? cluster.random.nextLong(MAX_DELAY_MS) : 0;
-        cluster.after(held + late + 1 + cluster.random.nextLong(6), task);
+        delayMs += hasFault(from, to, LinkFault.DELAYED) ? cluster.random.nextLong(MAX_DELAY_MS) : 0;
+        cluster.after(partitionMs + delayMs + 1 + cluster.random.nextLong(6), task);
     }
 
     private boolean partitionedFromControlPlane(String from, String to) {
-        boolean inside = cluster.controllers.containsKey(from) && cluster.controllers.containsKey(to)
+        boolean withinControlPlane = cluster.controllers.containsKey(from) && cluster.controllers.containsKey(to)
                 || from.equals(SimulatedCluster.STORE)
                 || to.equals(SimulatedCluster.STORE);
-        return inside
+        return withinControlPlane
                 && (cluster.faults.partitionedFromControlPlane.contains(from)
                         || cluster.faults.partitionedFromControlPlane.contains(to));
     }
 
-    /** A request with its answer; the caller gives up in time, but what was sent arrives all the same. */
+    /**
+     * Sends a request and returns its response to the caller. After the timeout the caller gets
+     * {@link Environment#NO_ANSWER}, but the request may still be delivered.
+     *
+     * @param connects whether a connection can be opened; if not, the caller gets {@link Environment#NOT_SENT}
+     * @param serve handles the request at the receiver
+     * @param reply receives the response, or how the request failed; called once
+     */
     void exchange(
             String from,
             String to,
@@ -122,14 +131,14 @@
             boolean connects,
             Consumer<Environment.ResponseHandler> serve,
             Environment.ResponseHandler reply) {
-        boolean[] over = new boolean[1];
+        boolean[] completed = new boolean[1];
         if (!connects || hasFault(from, to, LinkFault.REFUSED)) {
             cluster.after(2, () -> reply.onResponse(Environment.NOT_SENT, null));
             return;
         }
         cluster.after(timeoutMs, () -> {
-            if (!over[0]) {
-                over[0] = true;
+            if (!completed[0]) {
+                completed[0] = true;
                 reply.onResponse(Environment.NO_ANSWER, null);
             }
         });
@@ -141,8 +150,8 @@
                         return;
                     }
                     deliver(to, from, () -> {
-                        if (!over[0]) {
-                            over[0] = true;
+                        if (!completed[0]) {
+                            completed[0] = true;
                             reply.onResponse(status, body);
                         }
                     });
--- a/src/test/java/stileferry/coordination/SimulatedSettings.java
+++ b/src/test/java/stileferry/coordination/SimulatedSettings.java
@@ -3,9 +3,12 @@
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
 
-/** The settings of the three controllers of a simulated cluster: two zones, three teams, lower limits announced. */
+/**
+ * The settings of the three controllers of a simulated cluster, with two zones and three teams; lower limits of the
+ * key-value store are announced.
+ */
 final class SimulatedSettings {
-    /** The part of the changes that the key-value store still takes once its limits are lowered. */
+    /** The announced write rate of the key-value store, as a share of the present one. */
     private static final double LOWERED_WRITE_RATE_FACTOR = 0.8;
 
     private static final String SETTINGS =
@@ -22,24 +25,24 @@
 
     private SimulatedSettings() {}
 
-    /** One controller's settings. */
-    static Settings of(String controller, double reportS, double redMax, double writesPerS) {
+    /** Returns the settings of one controller. */
+    static Settings of(String controller, double heartbeatIntervalS, double redMaxCpus, double writesPerS) {
         String text = SETTINGS.formatted(
                 controller,
                 seedsWithout(controller),
                 SimulatedCluster.CLOUD,
                 SimulatedCluster.STORE,
-                redMax,
-                reportS,
-                5 * reportS,
+                redMaxCpus,
+                heartbeatIntervalS,
+                5 * heartbeatIntervalS,
                 SimulatedCluster.CANCEL_S,
                 writesPerS,
                 LOWERED_WRITE_RATE_FACTOR * writesPerS);
-        SettingsReader.Result read = SettingsReader.read(text);
-        if (read.settings() == null) {
-            throw new IllegalStateException(read.problems().toString());
+        SettingsReader.Result result = SettingsReader.read(text);
+        if (result.settings() == null) {
+            throw new IllegalStateException(result.problems().toString());
         }
-        return read.settings();
+        return result.settings();
     }
 
     private static String seedsWithout(String controller) {
--- a/src/test/java/stileferry/coordination/SimulatedUsers.java
+++ b/src/test/java/stileferry/coordination/SimulatedUsers.java
@@ -9,12 +9,12 @@
 import stileferry.protocol.PeerMessage.RequestKind;
 import stileferry.protocol.PeerMessage.Response;
 
-/** The users of a simulated cluster: they submit, ask and cancel at any controller until they are answered. */
+/** The users of a simulated cluster, who send requests to random controllers and retry until a final response. */
 public final class SimulatedUsers {
-    /** Users come back after so many seconds at most, whatever they are told. */
+    /** The longest delay before a user retries, whatever Retry-After says. */
     private static final int MAX_RETRY_DELAY_S = 30;
 
-    /** A user gives up what was not answered for so long. */
+    /** A user gives up a request that got no final response for this long. */
     private static final long GIVE_UP_AFTER_MS = 60_000;
 
     private static final long REQUEST_TIMEOUT_MS = 5000;
@@ -22,17 +22,19 @@
     private final SimulatedCluster cluster;
     private final Map<String, SimulatedUser> userByJobId = new LinkedHashMap<>();
 
-    /** Jobs of whose end their users have been told. */
+    /** The number of jobs whose users have been told of their end. */
     int completedJobs;
 
     SimulatedUsers(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
-    public SimulatedUser get(String job) {
-        return userByJobId.get(job);
+    /** Returns the user of a job, or null if nobody submitted that job id. */
+    public SimulatedUser get(String jobId) {
+        return userByJobId.get(jobId);
     }
 
+    /** Returns all users, in the order in which they were added. */
     public Collection<SimulatedUser> values() {
         return userByJobId.values();
     }
@@ -41,7 +43,7 @@
         return userByJobId.isEmpty();
     }
 
-    /** Adds a user that has asked for nothing yet. */
+    /** Adds a user that has not sent any request yet. */
     SimulatedUser add(JobSpec spec) {
         SimulatedUser user = new SimulatedUser(spec, cluster.now);
         userByJobId.put(spec.id(), user);
@@ -54,7 +56,7 @@
         return user;
     }
 
-    /** Submits a job once more, at one controller. */
+    /** Submits a job again, at one given controller and without retries. */
     void submitTo(SimulatedUser user, ControllerNode controller) {
         sendRequest(user, RequestKind.SUBMIT, 0, controller);
     }
@@ -64,15 +66,15 @@
         sendRequest(user, RequestKind.CANCEL, cluster.now + GIVE_UP_AFTER_MS);
     }
 
-    /** Asks any controller and repeats until there is an answer. */
-    private void sendRequest(SimulatedUser user, RequestKind kind, long until) {
-        sendRequest(user, kind, until, cluster.randomController());
+    /** Sends a request to a random controller, and retries until a final response or until {@code retryUntil}. */
+    private void sendRequest(SimulatedUser user, RequestKind kind, long retryUntil) {
+        sendRequest(user, kind, retryUntil, cluster.randomController());
     }
 
-    private void sendRequest(SimulatedUser user, RequestKind kind, long until, ControllerNode controller) {
+    private void sendRequest(SimulatedUser user, RequestKind kind, long retryUntil, ControllerNode controller) {
         byte[] body = kind == RequestKind.SUBMIT ? MessageCodec.encode(user.spec.write()) : new byte[0];
-        Response[] answer = new Response[1];
-        long asked = cluster.now;
+        Response[] received = new Response[1];
+        long sentAt = cluster.now;
         cluster.network.exchange(
                 "user",
                 controller.name(),
@@ -81,30 +83,32 @@
                 reply -> {
                     if (controller.up()) {
                         long arrived = cluster.now;
-                        SimulatedEnvironment process = controller.environment;
-                        process.execute(
+                        SimulatedEnvironment environment = controller.environment;
+                        environment.execute(
                                 () -> controller.coordinator.handleUserRequest(kind, user.spec.id(), body, response -> {
-                                    long since = Math.max(arrived, process.pausedUntil); // it stood still until then
-                                    cluster.invariants.checkResponse(kind, response, cluster.now - since);
-                                    answer[0] = response;
+                                    // a paused process handles nothing until it continues
+                                    long handledFrom = Math.max(arrived, environment.pausedUntil);
+                                    cluster.invariants.checkResponse(kind, response, cluster.now - handledFrom);
+                                    received[0] = response;
                                     reply.onResponse(response.status(), null);
                                 }));
                     }
                 },
-                (status, none) -> {
+                (status, noBody) -> {
                     if (isFinal(status)) {
-                        handleResponse(user, kind, asked, status, MessageCodec.decode(answer[0].body()));
-                    } else if (cluster.now < until) {
-                        retryLater(user, kind, until, answer[0]);
+                        handleResponse(user, kind, sentAt, status, MessageCodec.decode(received[0].body()));
+                    } else if (cluster.now < retryUntil) {
+                        retryLater(user, kind, retryUntil, received[0]);
                     }
                 });
     }
 
-    private void retryLater(SimulatedUser user, RequestKind kind, long until, Response response) {
+    private void retryLater(SimulatedUser user, RequestKind kind, long retryUntil, Response response) {
         user.retries++;
         int retryAfterS = response == null ? 1 : response.retryAfterS();
         cluster.after(
-                1000L * Math.max(1, Math.min(MAX_RETRY_DELAY_S, retryAfterS)), () -> sendRequest(user, kind, until));
+                1000L * Math.max(1, Math.min(MAX_RETRY_DELAY_S, retryAfterS)),
+                () -> sendRequest(user, kind, retryUntil));
     }
 
     private static boolean isFinal(int status) {
@@ -115,23 +119,23 @@
         return status == 404 || status == 400 || status == 422;
     }
 
-    /** A final answer to a request that was sent at the time given. */
-    void handleResponse(SimulatedUser user, RequestKind kind, long asked, int status, JsonNode body) {
+    /** Handles the final response to a request that was sent at {@code sentAt}. */
+    void handleResponse(SimulatedUser user, RequestKind kind, long sentAt, int status, JsonNode body) {
         user.lastResponseAt = cluster.now;
         if (isRejection(status)) {
             cluster.invariants.checkRejection(user, kind, status);
             return;
         }
-        String phase = body.path("tide").asText();
-        if (user.endState != null && !user.endState.equals(phase) && asked < user.completedAt) {
-            return; // asked before the end was told, and answered for that moment, but slow to arrive
+        String state = body.path("tide").asText();
+        if (user.endState != null && !user.endState.equals(state) && sentAt < user.completedAt) {
+            return; // a late response to a request that was sent before the user was told of the end
         }
-        cluster.invariants.checkJobState(user, phase, body);
-        if (phase.equals("cancelled") && user.cancelConfirmedAt == 0) {
+        cluster.invariants.checkJobState(user, state, body);
+        if (state.equals("cancelled") && user.cancelConfirmedAt == 0) {
             user.cancelConfirmedAt = cluster.now;
         }
-        if (phase.equals("done") || phase.equals("cancelled")) {
-            recordEnd(user, phase);
+        if (state.equals("done") || state.equals("cancelled")) {
+            recordEnd(user, state);
         }
         if (kind == RequestKind.SUBMIT && !user.accepted) {
             user.accepted = true;
@@ -141,17 +145,20 @@
         }
     }
 
-    private void recordEnd(SimulatedUser user, String phase) {
-        boolean first = user.endState == null;
-        user.endState = phase;
-        if (first) {
+    private void recordEnd(SimulatedUser user, String state) {
+        boolean firstTold = user.endState == null;
+        user.endState = state;
+        if (firstTold) {
             completedJobs++;
             user.completedAt = cluster.now;
             repeatRequests(user);
         }
     }
 
-    /** If users repeat their requests, one that has heard something new asks all controllers at once. */
+    /**
+     * Repeats the user's requests at all controllers at once, if {@link FaultInjection#usersRepeatRequests} is set.
+     * Called when the user has learnt that the job was accepted or has ended.
+     */
     private void repeatRequests(SimulatedUser user) {
         if (cluster.faults.usersRepeatRequests) {
             sendToAllControllers(user, RequestKind.STATUS);
