--- a/src/test/java/stileferry/coordination/AdmissionCountCheck.java
+++ b/src/test/java/stileferry/coordination/AdmissionCountCheck.java
@@ -13,8 +13,8 @@
 import stileferry.protocol.PeerMessage;
 
 /**
- * Checks the count of admissions against the store and against what users heard: at every moment the shards add up to
- * the jobs that the store knows, and several controllers tell the same totals of one revision.
+ * Checks the durable count of admissions: at any time the shards must add up to the number of jobs in the store, all
+ * controllers must report the same totals for one revision, and no controller may report an older revision than before.
  */
 final class AdmissionCountCheck {
     private static final long CHECK_INTERVAL_MS = 250;
@@ -35,10 +35,10 @@
     }
 
     private JsonNode readRows(String prefix, String from) {
-        JsonNode[] answer = new JsonNode[1];
+        JsonNode[] response = new JsonNode[1];
         cluster.store.request(
-                "GET", "/kv?starts=" + prefix + "&from=" + from + "&most=1000", null, (s, body) -> answer[0] = body);
-        return answer[0];
+                "GET", "/kv?starts=" + prefix + "&from=" + from + "&most=1000", null, (s, body) -> response[0] = body);
+        return response[0];
     }
 
     private void addJobIds(String prefix) {
@@ -53,7 +53,7 @@
         } while (page.path("more").asBoolean());
     }
 
-    /** The count as the store holds it. */
+    /** Returns the sum of the stored shards of the admission count. */
     long countedAdmissions() {
         long sum = 0;
         for (JsonNode row : readRows(AdmissionCountShards.PREFIX, "").path("rows")) {
@@ -66,7 +66,7 @@
         return sum;
     }
 
-    /** The jobs that the store knows. */
+    /** Returns the number of stored jobs, pending, running and completed. */
     long storedJobs() {
         jobIds.clear();
         addJobIds(Job.PREFIX);
@@ -79,7 +79,7 @@
         long counted = countedAdmissions();
         long known = storedJobs();
         if (counted != known) {
-            problems.add("at " + cluster.now + " " + counted + " are counted, " + known + " are known");
+            problems.add("at " + cluster.now + " ms: counted admissions " + counted + ", stored jobs " + known);
         }
     }
 
@@ -88,30 +88,30 @@
         for (ControllerNode node : cluster.controllers.values()) {
             if (node.up()) {
                 node.environment.execute(() -> node.coordinator.handleAdministrationRequest(
-                        "GET", "admission", new byte[0], answer -> checkTotals(node.name(), answer)));
+                        "GET", "admission", new byte[0], response -> checkTotals(node.name(), response)));
             }
         }
     }
 
-    private void checkTotals(String node, PeerMessage.Response answer) {
-        if (answer.status() != 200) {
+    private void checkTotals(String node, PeerMessage.Response response) {
+        if (response.status() != 200) {
             return;
         }
         responseCount++;
-        JsonNode totals = MessageCodec.decode(answer.body()).path("totals");
+        JsonNode totals = MessageCodec.decode(response.body()).path("totals");
         long revision = totals.path("revision").asLong();
         String before =
                 totalsByRevision.putIfAbsent(revision, totals.path("admissions").toString());
         if (before != null && !before.equals(totals.path("admissions").toString())) {
-            problems.add("revision " + revision + " has " + before + " and " + totals);
+            problems.add("different totals for revision " + revision + ": " + before + " and " + totals);
         }
         if (revision < lastRevisionByController.getOrDefault(node, 0L)) {
-            problems.add(node + " tells of revision " + revision + " after " + lastRevisionByController.get(node));
+            problems.add(node + " reports revision " + revision + " after " + lastRevisionByController.get(node));
         }
         lastRevisionByController.put(node, revision);
     }
 
-    /** Counts what users heard, by team and minute. */
+    /** Counts the jobs that users know to be accepted, by team and minute since {@code from}; keys are {@code team minute}. */
     Map<String, Long> admissionsByTeamAndMinute(long from) {
         admissionCounts.clear();
         for (SimulatedUser user : cluster.users.values()) {
--- a/src/test/java/stileferry/coordination/AdmissionLoad.java
+++ b/src/test/java/stileferry/coordination/AdmissionLoad.java
@@ -7,11 +7,11 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.JobSpecBuilder;
 
-/** More jobs than can be admitted: a small cluster, and users that flood it. */
+/** A small cluster, and users that submit more jobs than it can admit. */
 final class AdmissionLoad {
     static final Features FAIR_ADMISSION = new Features(false, true);
 
-    /** Changes a second that the key-value store takes: five admissions a second, if nothing else is to be stored. */
+    /** The write rate of the key-value store: enough for five admissions a second if nothing else is written. */
     private static final double WRITES_PER_S = 12;
 
     static final List<String> TEAMS = List.of("red", "blue", "free");
@@ -38,9 +38,13 @@
         return cluster.submit(job(number, team, JobSpec.Priority.NORMAL, 2));
     }
 
-    /** Fifteen jobs a second of one team and one every two seconds of each other team. */
-    static int flood(SimulatedCluster cluster, int from, int seconds) {
-        int number = from;
+    /**
+     * Submits fifteen jobs a second for team red and one every two seconds for each other team.
+     *
+     * @return the number of the next job
+     */
+    static int flood(SimulatedCluster cluster, int firstNumber, int seconds) {
+        int number = firstNumber;
         for (int second = 0; second < seconds; second++) {
             for (int i = 0; i < 15; i++) {
                 submit(cluster, number++, "red");
@@ -54,8 +58,9 @@
         return number;
     }
 
-    static void assertConsistent(SimulatedCluster cluster, AdmissionCountCheck history) {
+    /** Asserts that no invariant is violated and the count of admissions was consistent so far. */
+    static void assertConsistent(SimulatedCluster cluster, AdmissionCountCheck countCheck) {
         assertEquals(List.of(), cluster.violations);
-        assertEquals(List.of(), history.problems);
+        assertEquals(List.of(), countCheck.problems);
     }
 }
--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -8,10 +8,10 @@
 import stileferry.transport.LogLevel;
 
 /**
- * Measures fair admission in the simulated cluster, on and off in pairs of the same seed:
- * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.AdmissionMeasurement}, with
- * JUnit's API on the class path. Two minutes of fifteen jobs a second of one team and one every two seconds of two
- * others.
+ * Measures fair admission in the simulated cluster, with the feature off and on for each seed. The load is two minutes
+ * of fifteen jobs a second from one team and one job every two seconds from each of two others. To run it, with JUnit's
+ * API on the class path as well:
+ * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.AdmissionMeasurement}.
  */
 final class AdmissionMeasurement {
     private static final int SEEDS = 3;
@@ -20,7 +20,7 @@
 
     private AdmissionMeasurement() {}
 
-    /** What one flood led to. */
+    /** The results of one run. */
     private record Outcome(
             double jain,
             double writesPerJob,
@@ -30,29 +30,29 @@
             double waitP95S) {}
 
     private static double admittedShare(SimulatedCluster cluster, String team) {
-        long asked = cluster.users.values().stream()
+        long submitted = cluster.users.values().stream()
                 .filter(u -> u.spec.team().equals(team))
                 .count();
         long accepted = cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
-        return asked == 0 ? 0 : (double) accepted / asked;
+        return submitted == 0 ? 0 : (double) accepted / submitted;
     }
 
-    /** Jain's index of what the teams were given, where a team that was given all counts as one that has the mean. */
+    /** Returns Jain's index of the teams' admissions; a team whose jobs were all admitted counts with at least the mean. */
     private static double jain(SimulatedCluster cluster) {
-        long least = AdmissionLoad.TEAMS.stream()
+        long mean = AdmissionLoad.TEAMS.stream()
                         .mapToLong(team -> accepted(cluster, team))
                         .sum()
                 / AdmissionLoad.TEAMS.size();
         double sum = 0;
         double squares = 0;
         for (String team : AdmissionLoad.TEAMS) {
-            double given = admittedShare(cluster, team) > 0.99
-                    ? Math.max(least, accepted(cluster, team))
+            double admitted = admittedShare(cluster, team) > 0.99
+                    ? Math.max(mean, accepted(cluster, team))
                     : accepted(cluster, team);
-            sum += given;
-            squares += given * given;
+            sum += admitted;
+            squares += admitted * admitted;
         }
         return squares == 0 ? 0 : sum * sum / (AdmissionLoad.TEAMS.size() * squares);
     }
@@ -66,7 +66,7 @@
     private static Outcome measure(long seed, Features features) {
         SimulatedCluster cluster = AdmissionLoad.smallCluster(seed, features);
         cluster.runFor(20);
-        long changes = cluster.store.writtenKeys();
+        long writesBefore = cluster.store.writtenKeys();
         AdmissionLoad.flood(cluster, 100, FLOOD_S);
         Histogram waits = new Histogram(MAX_WAIT_MS, 2);
         cluster.users.values().stream()
@@ -75,7 +75,7 @@
         double accepted = waits.getTotalCount();
         return new Outcome(
                 jain(cluster),
-                (cluster.store.writtenKeys() - changes) / accepted,
+                (cluster.store.writtenKeys() - writesBefore) / accepted,
                 cluster.users.values().stream()
                         .mapToInt(u -> u.retries)
                         .average()
@@ -87,8 +87,9 @@
 
     public static void main(String[] args) {
         LogLevel.start("error");
-        System.out.println("Jain's index, changes for each accepted job (its end included), refusals of each job,"
-                + " jobs done, share of the small teams' jobs accepted, 95th percentile of the wait in s");
+        System.out.println(
+                "Jain's index, writes per accepted job (including its end), retries per job,"
+                        + " completed jobs, share of the small teams' jobs that were accepted, 95th percentile of the wait in s");
         for (Features features : List.of(Features.NONE, AdmissionLoad.FAIR_ADMISSION)) {
             LongStream.range(0, SEEDS).forEach(seed -> {
                 Outcome outcome = measure(300 + seed, features);
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -21,13 +21,14 @@
 import stileferry.standin.KeyValueStore;
 
 /**
- * One run of the model of admission: a key-value store, the leader, and the requests on their way between them. Leaders
- * crash at any moment; a transaction is answered, carried out while its answer is lost, carried out late, or never.
+ * One run of the admission model: a key-value store, a leader, and the requests in flight between them. Leaders may
+ * crash at any time. A transaction is executed and answered, executed while its response is lost, executed late, or
+ * never executed.
  */
 final class AdmissionModel {
     private static final int MAX_JOBS = 3;
 
-    /** What may happen next. */
+    /** The possible next events. */
     enum Event {
         ACCEPT_JOB,
         SERVE_REQUEST,
@@ -38,15 +39,15 @@
     }
 
     /**
-     * Whether the count is written in the transaction that stores the job, or, as a planted fault, in another one after
-     * that was answered.
+     * Whether the count is written in the transaction that stores the job, or, as a deliberate bug, in a separate one
+     * after the response to the first.
      */
     enum CountMode {
         SAME_TRANSACTION,
         SEPARATE_TRANSACTION
     }
 
-    /** A request on its way to the key-value store. */
+    /** A request in flight to the key-value store. */
     record Request(String method, String path, JsonNode body, Environment.ResponseHandler reply) {}
 
     final KeyValueStore store = new KeyValueStore(12, 8);
@@ -69,7 +70,7 @@
         timers.computeIfAbsent(now + Math.max(1, ms), t -> new ArrayList<>()).add(task);
     }
 
-    /** Runs all timers that are due within two seconds. */
+    /** Runs the timers that are due within two seconds, at most 100 batches of them. */
     void runDueTimers() {
         for (int i = 0; i < 100 && !timers.isEmpty() && timers.firstKey() <= now + 2000; i++) {
             var due = timers.pollFirstEntry();
@@ -88,6 +89,7 @@
         loadShedder.observeTerm(term);
     }
 
+    /** Applies an event; returns false if it is not possible in this state. */
     boolean apply(Event event) {
         switch (event) {
             case ACCEPT_JOB -> {
@@ -144,7 +146,7 @@
                 .total();
     }
 
-    /** Identifies this state, apart from times and revisions. */
+    /** Returns a string that identifies this state, apart from times and revisions. */
     String signature() {
         StringBuilder text = new StringBuilder().append(jobCount).append('|').append(countedAdmissions());
         rows(Job.PREFIX).forEach(row -> text.append(row.key()));
@@ -163,7 +165,7 @@
         return keys.toString();
     }
 
-    /** Writes a key outside of the controllers' transactions. */
+    /** Writes a key directly, not in a transaction of a leader. */
     private void putDirectly(String key, JsonNode value) {
         var transaction = MessageCodec.map();
         transaction.putArray("if");
--- a/src/test/java/stileferry/coordination/AdmissionModelLeader.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelLeader.java
@@ -17,7 +17,7 @@
 import stileferry.storage.KeyValueStoreClient;
 import stileferry.storage.StoredEntry;
 
-/** The leader of a model of admission, with the real queue of commits and count. */
+/** The leader in the admission model, with the real commit queue and admission count. */
 final class AdmissionModelLeader implements Environment {
     private static final AdmissionCounts.TeamClass TEAM_CLASS = new AdmissionCounts.TeamClass("red", "*");
 
@@ -28,18 +28,18 @@
 
     AdmissionModelLeader(AdmissionModel model) {
         this.model = model;
-        long fence = model.rows(LeaderElection.LEADER_KEY).get(0).revision();
+        long leaderKeyRevision = model.rows(LeaderElection.LEADER_KEY).get(0).revision();
         KeyValueStoreClient client = new KeyValueStoreClient(this, AdmissionModel.settings());
         commits = new CommitQueue(
-                this, client, LeaderElection.LEADER_KEY, fence, model.term, () -> lostLeadership = true);
+                this, client, LeaderElection.LEADER_KEY, leaderKeyRevision, model.term, () -> lostLeadership = true);
         countShards = new AdmissionCountShards(model.rows(AdmissionCountShards.PREFIX), 1, 8);
         if (model.countMode == AdmissionModel.CountMode.SAME_TRANSACTION) {
             commits.setTransactionCounter(countShards);
         }
     }
 
-    void acceptJob(String id) {
-        StoredEntry job = new StoredEntry(Job.key(id), 0, MessageCodec::map);
+    void acceptJob(String jobId) {
+        StoredEntry job = new StoredEntry(Job.key(jobId), 0, MessageCodec::map);
         if (model.countMode == AdmissionModel.CountMode.SAME_TRANSACTION) {
             countShards.count(job, TEAM_CLASS);
             commits.put(job, null);
@@ -82,5 +82,5 @@
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {}
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {}
 }
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -21,14 +21,14 @@
 import stileferry.overload.AdmissionSettings;
 
 /**
- * A model check of the count of admissions, with the real queue of commits, count and door: every sequence of events up
- * to a depth is played in {@link AdmissionModel}. States that were seen before are not explored again.
+ * A model check of the admission count, with the real commit queue, count and load shedder: explores all sequences of
+ * events in {@link AdmissionModel} up to a fixed depth, except those that continue from a state seen before.
  */
 class AdmissionModelTest {
     private static final int DEPTH = 7;
     private static final Flow FLOW = new Flow("red", "*", 2);
 
-    /** What a search found: the first sequence that breaks the invariant, if any, and how many states it saw. */
+    /** The result of a search: the first sequence that violates the invariant or null, and the number of states seen. */
     private record SearchResult(List<Event> violatingSequence, int stateCount) {}
 
     private static AdmissionModel replay(CountMode count, List<Event> events) {
@@ -38,68 +38,71 @@
     }
 
     private static SearchResult search(CountMode count) {
-        Set<String> seen = new HashSet<>();
-        ArrayDeque<List<Event>> open = new ArrayDeque<>();
-        open.add(List.of());
-        while (!open.isEmpty()) {
-            List<Event> events = open.poll();
+        Set<String> seenStates = new HashSet<>();
+        ArrayDeque<List<Event>> frontier = new ArrayDeque<>();
+        frontier.add(List.of());
+        while (!frontier.isEmpty()) {
+            List<Event> events = frontier.poll();
             for (Event event : Event.values()) {
                 AdmissionModel model = replay(count, events);
                 if (!model.apply(event)) {
                     continue;
                 }
-                List<Event> longer = new ArrayList<>(events);
-                longer.add(event);
+                List<Event> extended = new ArrayList<>(events);
+                extended.add(event);
                 if (model.countedAdmissions() != model.rows(Job.PREFIX).size()) {
-                    return new SearchResult(longer, seen.size());
+                    return new SearchResult(extended, seenStates.size());
                 }
-                if (seen.add(model.signature()) && longer.size() < DEPTH) {
-                    open.add(longer);
+                if (seenStates.add(model.signature()) && extended.size() < DEPTH) {
+                    frontier.add(extended);
                 }
             }
         }
-        return new SearchResult(null, seen.size());
+        return new SearchResult(null, seenStates.size());
     }
 
     @Test
     void noSequenceOfEventsDoublesOrLosesACount() {
-        SearchResult found = search(CountMode.SAME_TRANSACTION);
-        assertEquals(null, found.violatingSequence());
-        assertTrue(found.stateCount() > 300, "states: " + found.stateCount());
+        SearchResult result = search(CountMode.SAME_TRANSACTION);
+        assertEquals(null, result.violatingSequence());
+        assertTrue(result.stateCount() > 300, "too few states: " + result.stateCount());
     }
 
     @Test
     void aCountWrittenInASeparateTransactionIsDetected() {
-        SearchResult found = search(CountMode.SEPARATE_TRANSACTION);
-        assertFalse(found.violatingSequence() == null, "not found in " + found.stateCount() + " states");
+        SearchResult result = search(CountMode.SEPARATE_TRANSACTION);
+        assertFalse(result.violatingSequence() == null, "no violation found in " + result.stateCount() + " states");
     }
 
     /**
-     * Tables of two terms in every order, some twice, with the terms learnt in between: none of a former term holds.
+     * Admission window tables of two terms arrive in every order, some repeatedly, while terms are learnt in between. A
+     * table of an earlier term than the highest known one must not be used.
      */
     @Test
     void noWindowTableOfAFormerTermIsUsedInAnyOrder() {
         List<AdmissionWindowTable> tables = new ArrayList<>();
-        for (long[] number : new long[][] {{1, 1}, {1, 2}, {2, 1}, {2, 2}}) {
+        for (long[] termAndSequence : new long[][] {{1, 1}, {1, 2}, {2, 1}, {2, 2}}) {
             tables.add(new AdmissionWindowTable(
-                    number[0], number[1], new TreeMap<>(java.util.Map.of(FLOW, new AdmissionWindow(0.5, 0.01)))));
+                    termAndSequence[0],
+                    termAndSequence[1],
+                    new TreeMap<>(java.util.Map.of(FLOW, new AdmissionWindow(0.5, 0.01)))));
         }
         int orders = 0;
-        int events = tables.size() + 2; // a table arrives, or a term is learnt
+        int events = tables.size() + 2; // an arriving table, or term 1 or 2 being learnt
         for (int code = 0; code < Math.pow(events, 5); code++) {
-            LoadShedder door = new LoadShedder(AdmissionSettings.config(AdmissionModel.settings()), 10);
-            long known = 0;
-            for (int rest = code, i = 0; i < 5; i++, rest /= events) {
-                int event = rest % events;
+            LoadShedder loadShedder = new LoadShedder(AdmissionSettings.config(AdmissionModel.settings()), 10);
+            long knownTerm = 0;
+            for (int remainingCode = code, i = 0; i < 5; i++, remainingCode /= events) {
+                int event = remainingCode % events;
                 if (event < tables.size()) {
-                    known = Math.max(known, tables.get(event).term());
-                    door.updateTable(tables.get(event), 1, 1);
+                    knownTerm = Math.max(knownTerm, tables.get(event).term());
+                    loadShedder.updateTable(tables.get(event), 1, 1);
                 } else {
-                    known = Math.max(known, event - tables.size() + 1);
-                    door.observeTerm(known);
+                    knownTerm = Math.max(knownTerm, event - tables.size() + 1);
+                    loadShedder.observeTerm(knownTerm);
                 }
-                if (door.hasValidTable(2)) {
-                    assertEquals(known, door.lastTable().term());
+                if (loadShedder.hasValidTable(2)) {
+                    assertEquals(knownTerm, loadShedder.lastTable().term());
                 }
             }
             orders++;
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -19,9 +19,9 @@
 import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
 
-/** Admission while controllers, the key-value store or links fail in the middle of a burst. */
+/** Admission while controllers, the key-value store or links fail during a burst of submissions. */
 class AdmissionUnderFaultsTest {
-    /** What fails in the middle of a burst. */
+    /** A fault during a burst of submissions. */
     enum Fault {
         LEADER_CRASHES,
         LEADER_PAUSES,
@@ -72,53 +72,54 @@
         cluster.faults.lateCommitRate = 0;
     }
 
-    /** No count is doubled or lost, no invariant violated, and every team is admitted afterwards, whatever happened. */
+    /** No admission is counted twice or not at all, no invariant is violated, and jobs of every team are admitted afterwards. */
     @ParameterizedTest
     @EnumSource(Fault.class)
     void countsStayExactThroughAFaultDuringABurst(Fault fault) {
         SimulatedCluster cluster = smallCluster(40 + fault.ordinal(), FAIR_ADMISSION);
-        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
-        int next = flood(cluster, 100, 20);
+        int nextNumber = flood(cluster, 100, 20);
         inject(cluster, fault);
-        next = flood(cluster, next, 40);
+        nextNumber = flood(cluster, nextNumber, 40);
         clearFaults(cluster);
         cluster.runFor(25);
         long from = cluster.now;
-        flood(cluster, next, 60);
+        flood(cluster, nextNumber, 60);
         cluster.runFor(90);
-        assertConsistent(cluster, history);
-        var minutes = history.admissionsByTeamAndMinute(from);
+        assertConsistent(cluster, countCheck);
+        var minutes = countCheck.admissionsByTeamAndMinute(from);
         TEAMS.forEach(team -> assertTrue(minutes.getOrDefault(team + " 0", 0L) > 0, team + ": " + minutes));
-        assertEquals(history.storedJobs(), history.countedAdmissions());
-        long heard = cluster.users.values().stream().filter(u -> u.accepted).count();
+        assertEquals(countCheck.storedJobs(), countCheck.countedAdmissions());
+        long toldAccepted =
+                cluster.users.values().stream().filter(u -> u.accepted).count();
         assertTrue(
-                history.countedAdmissions() >= heard,
-                heard + " users heard, " + history.countedAdmissions() + " are counted");
-        assertTrue(history.responseCount > 50, "totals were told " + history.responseCount + " times only");
+                countCheck.countedAdmissions() >= toldAccepted,
+                toldAccepted + " users were told of acceptance, counted admissions: " + countCheck.countedAdmissions());
+        assertTrue(countCheck.responseCount > 50, "too few responses with totals: " + countCheck.responseCount);
     }
 
     private static LongStream seeds() {
         return LongStream.range(0, Integer.getInteger("days", 2)).map(i -> 70 + i);
     }
 
-    /** Ten minutes of three times what can be admitted, with one fault after the other. */
+    /** Ten minutes of submissions at three times the admission capacity, with a random fault in each minute. */
     @ParameterizedTest
     @MethodSource("seeds")
     void everyTeamIsAdmittedUnderTripleLoadWithFaults(long seed) {
         SimulatedCluster cluster = smallCluster(seed, FAIR_ADMISSION);
-        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         SplittableRandom random = cluster.random.split();
         cluster.runFor(20);
         long from = cluster.now;
-        int number = 100;
+        int jobNumber = 100;
         long leaderSince = 0;
-        List<Integer> calmMinutes = new ArrayList<>();
-        boolean calm = true;
+        List<Integer> stableMinutes = new ArrayList<>();
+        boolean stableLeader = true;
         for (int second = 0; second < 600; second++) {
             for (int i = 0; i < 15; i++) {
-                submit(cluster, number, TEAMS.get(number % 10 < 8 ? 0 : number % 2 + 1));
-                number++;
+                submit(cluster, jobNumber, TEAMS.get(jobNumber % 10 < 8 ? 0 : jobNumber % 2 + 1));
+                jobNumber++;
             }
             if (second % 60 == 20) {
                 Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
@@ -129,25 +130,25 @@
             }
             cluster.runFor(1);
             leaderSince = cluster.leader() == null ? 0 : leaderSince == 0 ? cluster.now : leaderSince;
-            calm |= leaderSince > 0 && cluster.now - leaderSince > 15_000;
+            stableLeader |= leaderSince > 0 && cluster.now - leaderSince > 15_000;
             if (second % 60 == 59) {
-                if (calm) {
-                    calmMinutes.add(second / 60);
+                if (stableLeader) {
+                    stableMinutes.add(second / 60);
                 }
-                calm = false;
+                stableLeader = false;
             }
         }
-        assertConsistent(cluster, history);
-        assertTrue(calmMinutes.size() >= 8, "minutes with a leader: " + calmMinutes);
-        assertEveryTeamAdmitted(history, from, calmMinutes);
+        assertConsistent(cluster, countCheck);
+        assertTrue(stableMinutes.size() >= 8, "minutes with a stable leader: " + stableMinutes);
+        assertEveryTeamAdmitted(countCheck, from, stableMinutes);
     }
 
-    private static void assertEveryTeamAdmitted(AdmissionCountCheck history, long from, List<Integer> minutes) {
-        var admissions = history.admissionsByTeamAndMinute(from);
+    private static void assertEveryTeamAdmitted(AdmissionCountCheck countCheck, long from, List<Integer> minutes) {
+        var admissions = countCheck.admissionsByTeamAndMinute(from);
         for (int minute : minutes) {
             TEAMS.forEach(team -> assertTrue(
                     admissions.getOrDefault(team + " " + minute, 0L) > 0,
-                    team + " has nothing in minute " + minute + ": " + admissions));
+                    team + " has no admissions in minute " + minute + ": " + admissions));
         }
     }
 
@@ -156,7 +157,8 @@
     }
 
     /**
-     * Runs with all faults at random, on some of them with controllers of older versions, or with link monitoring too.
+     * Runs with random faults of all kinds. In some of them controllers run older versions, in some link monitoring is on
+     * as well.
      */
     @ParameterizedTest
     @MethodSource("randomFaultSeeds")
--- a/src/test/java/stileferry/coordination/BusyCluster.java
+++ b/src/test/java/stileferry/coordination/BusyCluster.java
@@ -7,13 +7,13 @@
 import stileferry.protocol.JobSpec;
 import stileferry.protocol.JobSpecBuilder;
 
-/** Simulated clusters that are at work when the faults of a test begin, and what must hold after these. */
+/** Creates simulated clusters with running work for tests to inject faults into, and checks recovery afterwards. */
 final class BusyCluster {
     private static final List<String> TEAMS = List.of("red", "blue", "free");
 
     private BusyCluster() {}
 
-    /** Eight jobs of long tasks that run. */
+    /** Returns a cluster that runs six long job arrays and two services, of two tasks each. */
     static SimulatedCluster withLongJobs(long seed) {
         SimulatedCluster cluster = SimulatedCluster.started(seed);
         for (int i = 0; i < 6; i++) {
@@ -26,24 +26,27 @@
         return cluster;
     }
 
-    /** Two teams at their quotas and a third one, with services, arrays of a few tasks and jobs bound to one zone. */
+    /**
+     * Returns a cluster with work of three teams, two of them at their quotas: services, job arrays of a few tasks, and
+     * jobs bound to one zone.
+     */
     static SimulatedCluster withTeamsAtTheirQuotas(long seed) {
         SimulatedCluster cluster = SimulatedCluster.started(seed);
         for (int i = 0; i < 24; i++) {
             cluster.submit(i % 4 == 3 ? service(i) : array(i));
         }
         cluster.runFor(25);
-        assertTrue(cluster.tasks.running() > 20, cluster.tasks.running() + " tasks run");
+        assertTrue(cluster.tasks.running() > 20, cluster.tasks.running() + " tasks run, expected more than 20");
         return cluster;
     }
 
     private static JobSpecBuilder withVariedRequirements(JobSpecBuilder job, int number) {
-        boolean bound = number % 5 == 0;
+        boolean boundToZone = number % 5 == 0;
         return job.team(TEAMS.get(number % 3))
                 .tasks(2 + number % 2)
                 .cpus(2)
                 .image("img" + number % 3)
-                .zone(bound ? number % 2 == 0 ? "za" : "zb" : null)
+                .zone(boundToZone ? number % 2 == 0 ? "za" : "zb" : null)
                 .oneZone(number % 6 == 0);
     }
 
@@ -61,11 +64,11 @@
                 .build();
     }
 
-    /** After the faults no invariant is violated, and what nobody cancelled runs on or again. */
+    /** Runs the cluster for 90 s after the last fault; asserts that no invariant is violated and at least four tasks run. */
     static void assertRecovers(SimulatedCluster cluster) {
         cluster.faults.endedAt = cluster.now;
         cluster.runFor(90);
         assertEquals(List.of(), cluster.violations);
-        assertTrue(cluster.tasks.running() >= 4, "what nobody cancelled runs on or again: " + cluster.tasks.running());
+        assertTrue(cluster.tasks.running() >= 4, "tasks that were not cancelled must run: " + cluster.tasks.running());
     }
 }
--- a/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Cancellations that one leader confirmed hold whatever happens to the controllers and the key-value store then. */
+/** Confirmed cancellations hold through later failures of controllers and of the key-value store. */
 class CancellationUnderFaultsTest {
-    /** What cuts the first leader off, so that another one is elected. */
+    /** The fault that isolates the first leader, so that another one is elected. */
     enum LeaderFault {
         REJECTED_BY_STORE,
         REJECTED_BY_STORE_AND_PEERS,
         PARTITIONED
     }
 
-    /** What happens besides the outage of the key-value store. */
+    /** A second fault, in addition to the outage of the key-value store. */
     enum SecondFault {
         NONE,
         NEXT_LEADER_RESTARTS,
@@ -24,10 +24,10 @@
     }
 
     /**
-     * The key-value store alone rejects the leader, or the leader reaches neither it nor the other controllers; another
-     * one confirms cancellations; then the store is down for longer than cancel_s, while workers send their heartbeats
-     * to the controller that they sent them to before. Guards against an old leader that renews leases without knowing
-     * of the cancellations, and a new one that, not sure to lead any more, sends no stops.
+     * The key-value store rejects the leader, or the leader reaches neither the store nor the other controllers. A new
+     * leader confirms cancellations; then the store is down for longer than cancel_s, while workers still send heartbeats
+     * to the same controller as before. Guards against an old leader that renews leases without knowing of the
+     * cancellations, and against a new one that sends no stop commands because it is no longer sure to lead.
      */
     @ParameterizedTest
     @CsvSource({
@@ -40,25 +40,26 @@
         "107,REJECTED_BY_STORE,STOPS_ARE_LOST",
         "108,REJECTED_BY_STORE_AND_PEERS,NEXT_LEADER_RESTARTS"
     })
-    void cancellationsConfirmedByANewLeaderHoldThroughAStoreOutage(long seed, LeaderFault first, SecondFault second) {
+    void cancellationsConfirmedByANewLeaderHoldThroughAStoreOutage(
+            long seed, LeaderFault leaderFault, SecondFault secondFault) {
         SimulatedCluster cluster = BusyCluster.withLongJobs(seed);
         FaultInjection faults = cluster.faults;
-        ControllerNode old = cluster.leader();
-        isolate(cluster, old, first);
+        ControllerNode oldLeader = cluster.leader();
+        isolate(cluster, oldLeader, leaderFault);
         cluster.runFor(4);
-        ControllerNode next = cluster.controllers.values().stream()
-                .filter(n -> n != old && n.coordinator.leads())
+        ControllerNode newLeader = cluster.controllers.values().stream()
+                .filter(n -> n != oldLeader && n.coordinator.leads())
                 .findFirst()
                 .orElseThrow();
-        if (second == SecondFault.STOPS_ARE_LOST) {
+        if (secondFault == SecondFault.STOPS_ARE_LOST) {
             loseStopCommands(cluster, 6000);
         }
         cancelArrays(cluster);
         cluster.runFor(1.2);
-        checkConfirmations(cluster, first);
+        checkConfirmations(cluster, leaderFault);
         faults.storeOutage(30_000);
-        if (second == SecondFault.NEXT_LEADER_RESTARTS) {
-            faults.restart(next, 3000);
+        if (secondFault == SecondFault.NEXT_LEADER_RESTARTS) {
+            faults.restart(newLeader, 3000);
         }
         cluster.after(14_000, () -> {
             faults.rejectedByStore.clear();
@@ -79,7 +80,7 @@
         }
     }
 
-    /** Stops do not arrive; heartbeats do. */
+    /** Loses all messages to machines with tasks, stop commands included; their heartbeats still arrive. */
     private static void loseStopCommands(SimulatedCluster cluster, long ms) {
         for (SimulatedUser user : cluster.users.values()) {
             cluster.tasks.machinesOf(user).forEach(m -> cluster.faults.inboundLoss.add(SimulatedMachines.address(m)));
@@ -93,7 +94,7 @@
         }
     }
 
-    /** Where no other controller could be told, only what has no task any more is confirmed. */
+    /** If the other controllers could not be informed, only cancellations of jobs without running tasks are confirmed. */
     private static void checkConfirmations(SimulatedCluster cluster, LeaderFault fault) {
         List<SimulatedUser> confirmed = cluster.users.values().stream()
                 .filter(u -> u.cancelConfirmedAt > 0)
@@ -101,7 +102,7 @@
         if (fault == LeaderFault.REJECTED_BY_STORE_AND_PEERS) {
             confirmed.forEach(u -> assertEquals(0, cluster.tasks.running(u), u.spec.id()));
         } else {
-            assertTrue(!confirmed.isEmpty(), "nothing was confirmed");
+            assertTrue(!confirmed.isEmpty(), "no cancellation was confirmed");
         }
     }
 }
--- a/src/test/java/stileferry/coordination/FaultInjection.java
+++ b/src/test/java/stileferry/coordination/FaultInjection.java
@@ -8,99 +8,102 @@
 import java.util.function.Function;
 import java.util.function.LongConsumer;
 
-/** The faults in force in a simulated cluster, apart from single links, which {@link SimulatedNetwork} breaks. */
+/** The faults in force in a simulated cluster, except those of single links, for which see {@link SimulatedNetwork}. */
 public final class FaultInjection {
     private final SimulatedCluster cluster;
 
-    /** The key-value store answers 503 to everybody. */
+    /** The key-value store responds with 503 to all requests but watches. */
     boolean storeDown;
 
-    /** Controllers that the key-value store answers 503. */
+    /** Controllers to which the key-value store responds with 503, except to watches. */
     final Set<String> rejectedByStore = new TreeSet<>();
 
-    /** The delay of the key-value store's answers, at most. */
+    /** The maximum delay of responses of the key-value store, in milliseconds; 0: none. */
     long storeResponseDelayMs;
 
-    /** The delay of transactions on their way to the key-value store, at most; so they arrive in any order. */
+    /** The maximum delay of transactions before the key-value store executes them, so that they may be reordered; 0: none. */
     long commitDelayMs;
 
-    /** The share of transactions that get no answer and are carried out later, after newer ones. */
+    /** The share of transactions that get no response and are executed seconds later, possibly after newer ones. */
     double lateCommitRate;
 
-    /** The share of transactions that are carried out at once, while their answers are lost. */
+    /** The share of transactions that are executed at once but get no response. */
     double unansweredCommitRate;
 
-    /** The share of all answers that are lost. */
+    /** The share of responses of any kind that are lost. */
     double responseLossRate;
 
-    /** One-way loss: hosts whose messages arrive, while nothing reaches them. */
+    /** Hosts with one-way loss: nothing reaches them, but their own messages are delivered. */
     final Set<String> inboundLoss = new TreeSet<>();
 
-    /** By host, the delay of whatever reaches it, in milliseconds at most. */
+    /** By host, the maximum delay of messages to it, in milliseconds. */
     final Map<String, Long> inboundDelayMs = new HashMap<>();
 
-    /** Controllers cut off from the key-value store and the other controllers, but not from workers and users. */
+    /** Controllers partitioned from the key-value store and the other controllers, but not from workers and users. */
     final Set<String> partitionedFromControlPlane = new TreeSet<>();
 
-    /** Controllers refuse each other's connections. */
+    /** Whether controllers refuse each other's connections. */
     boolean peerConnectionsRefused;
 
-    /** Controllers that have little processor time, with the milliseconds that each turn of their event loop takes. */
+    /** For controllers short of CPU time, how long their event loop is busy with each command, in milliseconds. */
     final Map<String, Long> eventLoopTaskMs = new HashMap<>();
 
-    /** Machines whose heartbeats reach nobody, while commands reach them. */
+    /** Addresses of agents whose heartbeats can't be sent, while commands still reach them. */
     final Set<String> heartbeatLoss = new TreeSet<>();
 
-    /** The share of heartbeats of which a copy arrives once more, seconds to well over a lease later, anywhere. */
+    /** The share of heartbeats of which a duplicate reaches a random controller, from 1 s to over three leases later. */
     double duplicateHeartbeatRate;
 
-    /** Copies of heartbeats are kept until the next leader has begun, and then reach every controller. */
+    /** Whether copies of some heartbeats are recorded and delivered to every controller after the next election. */
     boolean replayHeartbeatsToNextLeader;
 
-    /** Users ask at all controllers at once, and repeat their submission, whenever they have heard something new. */
+    /** Whether users repeat requests, submissions included, at all controllers when a job was accepted or has ended. */
     boolean usersRepeatRequests;
 
-    /** If set, calls to workers are not answered; it is given the time limit of each. */
+    /** If not null, calls to workers time out, and this receives the timeout of each in milliseconds. */
     public LongConsumer workerCallsHang;
 
-    /** If set, it answers requests for the list of machines instead of the stand-in of the cloud, by their paths. */
+    /** If not null, responds to requests for the cloud's list of machines, given the request path, in place of the cloud. */
     public Function<String, JsonNode> cloudListing;
 
-    /** Since when the faults are over; 0: they are not. From then on every job must be answered for. */
+    /** When the last fault ended; 0: faults may go on. From then on users must get responses about every job. */
     public long endedAt;
 
     FaultInjection(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Ends a controller's process; another one starts after so long. */
-    void restart(ControllerNode controller, long afterMs) {
+    /** Crashes a controller's process if it is up, and starts a new one after a delay in milliseconds. */
+    void restart(ControllerNode controller, long delayMs) {
         if (controller.up()) {
             controller.crash();
-            cluster.after(afterMs, controller::start);
+            cluster.after(delayMs, controller::start);
         }
     }
 
-    /** Restarts the leader, if there is one. */
-    void restartLeader(long afterMs) {
+    /** Crashes the leader, if there is one, and starts its process again after a delay in milliseconds. */
+    void restartLeader(long delayMs) {
         if (cluster.leader() != null) {
-            restart(cluster.leader(), afterMs);
+            restart(cluster.leader(), delayMs);
         }
     }
 
-    /** The key-value store is down for so long. */
+    /** Takes the key-value store down for some milliseconds. */
     void storeOutage(long ms) {
         storeDown = true;
         cluster.after(ms, this::endStoreOutage);
     }
 
-    /** The key-value store is back, with all its leases renewed. */
+    /** Brings the key-value store back, with all its leases renewed. */
     void endStoreOutage() {
         storeDown = false;
         cluster.store.renewAllLeases(cluster.now);
     }
 
-    /** A machine hangs: it computes nothing, hears and says nothing, and goes on later with what reached it. */
+    /**
+     * Makes a machine hang: its tasks make no progress, and messages from and to it are delayed until the end of the
+     * hang.
+     */
     void hang(String addr, long ms) {
         if (cluster.workers.containsKey(addr)) {
             cluster.workers.get(addr).hangUntil(cluster.now + ms);
@@ -108,19 +111,22 @@
         }
     }
 
-    /** Nothing passes from or to a host for so long; what was sent meanwhile comes late. */
+    /** Partitions a host for some milliseconds; messages sent meanwhile are delivered afterwards. */
     void partition(String host, long ms) {
         cluster.network.partition(host, ms);
     }
 
-    /** Cuts all machines of a zone off; the controllers are elsewhere. */
+    /** Partitions all machines of a zone for some milliseconds; no controller is affected. */
     public void partitionZone(String zone, long ms) {
         cluster.workers.values().stream()
                 .filter(worker -> worker.zone().equals(zone))
                 .forEach(worker -> partition(worker.address(), ms));
     }
 
-    /** Ends all faults but duplicated heartbeats; what was scheduled still comes. */
+    /**
+     * Ends most faults. Duplicated heartbeats, delays of commits, repeated requests and timed partitions stay, and faults
+     * that are already scheduled still happen.
+     */
     void clear() {
         storeDown = false;
         cluster.network.restoreAll();
--- a/src/test/java/stileferry/coordination/GangStartCheck.java
+++ b/src/test/java/stileferry/coordination/GangStartCheck.java
@@ -8,7 +8,7 @@
 import stileferry.protocol.JobSpec;
 import stileferry.standin.KeyValueStore;
 
-/** Checks that the assignments of all tasks of a gang are stored before any of them is started. */
+/** Checks that the assignments of all tasks of a gang are stored before any of its tasks is started. */
 final class GangStartCheck {
     private static final int ASSIGNED_EVENT = 0;
 
@@ -16,17 +16,23 @@
     private final Function<String, JobSpec> specByJobId;
     private final Set<String> checkedAttempts = new HashSet<>();
 
-    GangStartCheck(KeyValueStore store, Function<String, JobSpec> specs) {
+    GangStartCheck(KeyValueStore store, Function<String, JobSpec> specByJobId) {
         this.store = store;
-        this.specByJobId = specs;
+        this.specByJobId = specByJobId;
     }
 
-    /** Looks at the commands in what a controller sends; only the first start of each gang's attempt is checked. */
-    void checkStarts(JsonNode sent, List<String> violations) {
-        if (sent == null) {
+    /**
+     * Checks the commands in a message that a controller sends to a worker. Only the first start in each attempt of a gang
+     * is checked.
+     *
+     * @param sent the message; may be null
+     * @param violations where a violation is added
+     */
+    void checkStarts(JsonNode message, List<String> violations) {
+        if (message == null) {
             return;
         }
-        for (JsonNode signal : sent.path("signals")) {
+        for (JsonNode signal : message.path("signals")) {
             String task = signal.path("passenger").asText();
             long attempt = signal.path("launch").asLong();
             JobSpec spec = specByJobId.apply(task.substring(0, task.indexOf('/')));
@@ -34,35 +40,36 @@
             if (starts && checkedAttempts.add(spec.id() + "#" + attempt)) {
                 Set<Integer> assigned = assignedTasks(spec.id(), attempt);
                 if (assigned.size() < spec.taskCount()) {
-                    violations.add("started_early: " + task + " with stored assignments of " + assigned);
+                    violations.add("started_early: " + task + " while only the tasks " + assigned
+                            + " have stored assignments");
                 }
             }
         }
     }
 
-    private Set<Integer> assignedTasks(String id, long attempt) {
+    private Set<Integer> assignedTasks(String jobId, long attempt) {
         Set<Integer> assigned = new HashSet<>();
         String from = "";
         do {
-            JsonNode page = readPage(from);
-            page.path("rows").forEach(row -> addAssignments(row.path("v").path("e"), id, attempt, assigned));
-            JsonNode last = page.path("rows").path(page.path("rows").size() - 1);
-            from = page.path("more").asBoolean() ? last.path("path").asText() : "";
+            JsonNode rowsPage = readPage(from);
+            rowsPage.path("rows").forEach(row -> addAssignments(row.path("v").path("e"), jobId, attempt, assigned));
+            JsonNode lastRow = rowsPage.path("rows").path(rowsPage.path("rows").size() - 1);
+            from = rowsPage.path("more").asBoolean() ? lastRow.path("path").asText() : "";
         } while (!from.isEmpty());
         return assigned;
     }
 
     private JsonNode readPage(String from) {
-        JsonNode[] answer = new JsonNode[1];
+        JsonNode[] response = new JsonNode[1];
         String path = "/kv?starts=l/&most=1000" + (from.isEmpty() ? "" : "&from=" + from);
-        store.request("GET", path, null, (status, body) -> answer[0] = body);
-        return answer[0];
+        store.request("GET", path, null, (status, body) -> response[0] = body);
+        return response[0];
     }
 
-    private static void addAssignments(JsonNode events, String id, long attempt, Set<Integer> assigned) {
+    private static void addAssignments(JsonNode events, String jobId, long attempt, Set<Integer> assigned) {
         for (JsonNode event : events) {
             if (event.path(0).asInt() == ASSIGNED_EVENT
-                    && event.path(1).asText().equals(id)
+                    && event.path(1).asText().equals(jobId)
                     && event.path(3).asLong() == attempt) {
                 assigned.add(event.path(2).asInt());
             }
--- a/src/test/java/stileferry/coordination/LinkFaultCluster.java
+++ b/src/test/java/stileferry/coordination/LinkFaultCluster.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import stileferry.protocol.Features;
 
-/** What tests of links between controllers, workers and the key-value store begin with, measure, and end with. */
+/** Set-up, measurements and final checks for tests of link faults between controllers, workers and the store. */
 final class LinkFaultCluster {
-    /** Links are monitored, and leadership is handed over where they break. */
+    /** Controllers monitor their links, and a leader with broken links hands leadership over. */
     static final Features LINK_MONITORING = new Features(true, false);
 
     private LinkFaultCluster() {}
 
-    /** Services and long arrays run, and somebody leads. */
+    /** Returns a cluster with an elected leader that runs services and long job arrays, 12 tasks in all. */
     static SimulatedCluster withLongJobs(long seed, Features features) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
         cluster.features = features;
@@ -27,7 +27,7 @@
         return cluster;
     }
 
-    /** After the faults all that was submitted runs or is done, and no invariant is violated. */
+    /** Restores all links and asserts that 90 s later all accepted work runs or is done, and no invariant is violated. */
     static void assertRecovered(SimulatedCluster cluster) {
         cluster.network.restoreAll();
         cluster.faults.endedAt = cluster.now;
@@ -38,27 +38,27 @@
                 assertEquals(
                         user.spec.taskCount() - user.tasksDone.size(),
                         cluster.tasks.running(user),
-                        user.spec.id() + " runs whole");
+                        user.spec.id() + ": all tasks that are not done must run");
             }
         }
     }
 
-    /** How many tasks end in so many seconds. */
+    /** Runs the cluster for some seconds and returns the number of tasks that ended meanwhile. */
     static int taskEndsDuring(SimulatedCluster cluster, double seconds) {
-        int before = cluster.tasks.ends;
+        int endsBefore = cluster.tasks.ends;
         cluster.runFor(seconds);
         assertEquals(List.of(), cluster.violations);
-        return cluster.tasks.ends - before;
+        return cluster.tasks.ends - endsBefore;
     }
 
-    /** How long it takes until a new job runs, in seconds, at most so many. */
-    static double secondsToStart(SimulatedCluster cluster, int number, double most) {
+    /** Submits a job and returns the seconds until it runs, or {@code maxS} if it does not run within that time. */
+    static double secondsToStart(SimulatedCluster cluster, int number, double maxS) {
         SimulatedUser user = cluster.submit(Workloads.service(number, 1, 1));
-        long from = cluster.now;
-        while (user.startedAt == 0 && cluster.now - from < most * 1000 && cluster.violations.isEmpty()) {
+        long submittedAt = cluster.now;
+        while (user.startedAt == 0 && cluster.now - submittedAt < maxS * 1000 && cluster.violations.isEmpty()) {
             cluster.runFor(0.1);
         }
         assertEquals(List.of(), cluster.violations);
-        return user.startedAt == 0 ? most : (user.startedAt - from) / 1000.0;
+        return user.startedAt == 0 ? maxS : (user.startedAt - submittedAt) / 1000.0;
     }
 }
--- a/src/test/java/stileferry/coordination/RunningTasks.java
+++ b/src/test/java/stileferry/coordination/RunningTasks.java
@@ -8,20 +8,20 @@
 import stileferry.protocol.JobSpec;
 import stileferry.standin.Worker;
 
-/** Which task runs on which machine, as the machines themselves know it. */
+/** Tracks which task runs on which machine, as reported by the simulated machines and not by the controllers. */
 public final class RunningTasks implements Worker.Watcher {
     private final SimulatedCluster cluster;
 
-    /** Machine and zone of each task. */
+    /** By running task, its machine and zone, joined by a vertical bar. */
     private final Map<String, String> placementByTask = new HashMap<>();
 
-    /** Tasks on machines, by job: with thousands of tasks they can't be counted at every tick. */
+    /** The number of running tasks by job; counting thousands of tasks anew at every tick would be too slow. */
     private final Map<String, Integer> taskCountByJob = new HashMap<>();
 
-    /** Starts of tasks since the beginning. */
+    /** The number of task starts since the simulation began. */
     public int starts;
 
-    /** Ends of tasks since the beginning. */
+    /** The number of task ends since the simulation began, for any reason. */
     int ends;
 
     RunningTasks(SimulatedCluster cluster) {
@@ -56,46 +56,46 @@
         ends++;
     }
 
-    /** Machine and zone of each running task. */
+    /** Returns the machine and zone of each running task, as {@code machine|zone}, by task id. */
     Map<String, String> placements() {
         return placementByTask;
     }
 
-    /** The machines that have a task of this job. */
+    /** Returns the machines on which tasks of a job run. */
     Set<String> machinesOf(SimulatedUser user) {
         Set<String> names = new TreeSet<>();
-        placementByTask.forEach((task, on) -> {
+        placementByTask.forEach((task, placement) -> {
             if (task.startsWith(user.spec.id() + "/")) {
-                names.add(on.substring(0, on.indexOf('|')));
+                names.add(placement.substring(0, placement.indexOf('|')));
             }
         });
         return names;
     }
 
-    /** Tasks of this job that are on machines. */
+    /** Returns the number of running tasks of a job. */
     public long running(SimulatedUser user) {
         return taskCountByJob.getOrDefault(user.spec.id(), 0);
     }
 
-    /** Tasks that are on one machine now. */
+    /** Returns the number of tasks that run on a machine. */
     long runningOn(String machine) {
         return placementByTask.values().stream()
-                .filter(on -> on.startsWith(machine + "|"))
+                .filter(placement -> placement.startsWith(machine + "|"))
                 .count();
     }
 
-    /** Tasks that are on machines now. */
+    /** Returns the number of running tasks in the cluster. */
     int running() {
         return placementByTask.size();
     }
 
-    /** A machine with a task on it. */
+    /** Returns the machine of the running task with the lowest id; a task must be running. */
     String busyMachine() {
-        String on = new TreeMap<>(placementByTask).firstEntry().getValue();
-        return on.substring(0, on.indexOf('|'));
+        String placement = new TreeMap<>(placementByTask).firstEntry().getValue();
+        return placement.substring(0, placement.indexOf('|'));
     }
 
-    /** The CPUs that a team's running tasks use. */
+    /** Returns the CPUs that the running tasks of a team take. */
     double cpusInUse(String team) {
         double sum = 0;
         for (String task : placementByTask.keySet()) {
--- a/src/test/java/stileferry/coordination/ScenarioSteps.java
+++ b/src/test/java/stileferry/coordination/ScenarioSteps.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The steps that the scenarios of {@link FaultScenario} are made of. */
+/** The steps of which the scenarios of {@link FaultScenario} consist. */
 final class ScenarioSteps {
     final SimulatedCluster cluster;
     final FaultInjection faults;
@@ -19,36 +19,36 @@
         cluster.runFor(seconds);
     }
 
-    /** Submits arrays of normal priority, numbered from here. */
-    void submitArrays(int from, int jobs) {
-        for (int i = from; i < from + jobs; i++) {
+    /** Submits job arrays of normal priority with consecutive numbers. */
+    void submitArrays(int firstNumber, int jobs) {
+        for (int i = firstNumber; i < firstNumber + jobs; i++) {
             cluster.submit(Workloads.array(i, 1 + i % 3, 3 + i % 9));
         }
     }
 
-    /** Cancels one of so many of the jobs that run. */
-    void cancelEveryNth(int share) {
+    /** Cancels the running jobs whose number is a multiple of {@code n}. */
+    void cancelEveryNth(int n) {
         cluster.users.values().stream()
                 .filter(u -> u.accepted && u.endState == null && cluster.tasks.running(u) > 0)
-                .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % share == 0)
+                .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % n == 0)
                 .toList()
                 .forEach(cluster::cancel);
     }
 
-    /** The addresses of one of so many of the machines. */
-    List<String> everyNthMachine(int share) {
+    /** Returns the agent addresses of the running machines whose number is a multiple of {@code n}. */
+    List<String> everyNthMachine(int n) {
         return cluster.cloud.runningMachines().stream()
-                .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % share == 0)
+                .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % n == 0)
                 .map(SimulatedMachines::address)
                 .toList();
     }
 
-    void partitionEveryNthMachine(int share, long ms) {
-        everyNthMachine(share).forEach(addr -> faults.partition(addr, ms));
+    void partitionEveryNthMachine(int n, long ms) {
+        everyNthMachine(n).forEach(addr -> faults.partition(addr, ms));
     }
 
-    void hangEveryNthMachine(int share, long ms) {
-        everyNthMachine(share).forEach(addr -> faults.hang(addr, ms));
+    void hangEveryNthMachine(int n, long ms) {
+        everyNthMachine(n).forEach(addr -> faults.hang(addr, ms));
     }
 
     void startAllControllers() {
--- a/src/test/java/stileferry/coordination/Workloads.java
+++ b/src/test/java/stileferry/coordination/Workloads.java
@@ -15,14 +15,14 @@
         return JobSpecBuilder.service(number).tasks(tasks).cpus(cpus).build();
     }
 
-    /** Submits so many services of two tasks of two CPUs each. */
+    /** Submits services of two tasks with two CPUs each. */
     static void submitServices(SimulatedCluster cluster, int jobs) {
         for (int i = 0; i < jobs; i++) {
             cluster.submit(service(i, 2, 2));
         }
     }
 
-    /** An array whose tasks take two CPUs each and may be on spot instances. */
+    /** Returns a job array whose tasks take two CPUs each and may run on spot instances. */
     static JobSpec array(int number, String jobClass, JobSpec.Priority priority, int tasks, double runS) {
         return JobSpecBuilder.array(number)
                 .jobClass(jobClass)
@@ -34,12 +34,12 @@
                 .build();
     }
 
-    /** An array of normal priority and any class. */
+    /** Returns a job array of normal priority in the class "any". */
     static JobSpec array(int number, int tasks, double runS) {
         return array(number, "any", JobSpec.Priority.NORMAL, tasks, runS);
     }
 
-    /** A job of any kind, team, size and constraints. */
+    /** Returns a job of random kind, team, size and constraints. */
     static JobSpec random(int number, SplittableRandom random) {
         JobSpec.Kind kind = random.nextInt(5) == 0
                 ? JobSpec.Kind.SERVICE
@@ -49,7 +49,7 @@
         if (!service) {
             job.priority(random.nextBoolean() ? JobSpec.Priority.NORMAL : JobSpec.Priority.IDLE);
         }
-        boolean saves = random.nextBoolean();
+        boolean savesCheckpoints = random.nextBoolean();
         return job.tasks(service ? 1 + random.nextInt(3) : 1 + random.nextInt(8))
                 .cpus(1 + random.nextInt(4))
                 .memoryGb(1 + random.nextInt(8))
@@ -59,7 +59,7 @@
                 .spreadAcrossZones(random.nextInt(3) == 0)
                 .allowsSpot(kind == JobSpec.Kind.ARRAY && random.nextBoolean())
                 .runS(service ? 0 : 2 + random.nextInt(20))
-                .checkpoints(saves ? 3 : 0, saves ? 1 : 0)
+                .checkpoints(savesCheckpoints ? 3 : 0, savesCheckpoints ? 1 : 0)
                 .build();
     }
 }
