--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -39,7 +39,7 @@
         return submitted == 0 ? 0 : (double) accepted / submitted;
     }
 
-    /** Returns Jain's index of the teams' admissions; a team whose jobs were all admitted counts with at least the mean. */
+    /** Returns Jain's index of the teams' admissions; a team with over 99 % admitted counts with at least the mean. */
     private static double jain(SimulatedCluster cluster) {
         long mean = AdmissionLoad.TEAMS.stream()
                         .mapToLong(team -> accepted(cluster, team))
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -103,7 +103,7 @@
         return LongStream.range(0, Integer.getInteger("days", 2)).map(i -> 70 + i);
     }
 
-    /** Ten minutes of submissions at three times the admission capacity, with a random fault in each minute. */
+    /** Ten minutes of submissions at three times the admission capacity, with a random fault in most minutes. */
     @ParameterizedTest
     @MethodSource("seeds")
     void everyTeamIsAdmittedUnderTripleLoadWithFaults(long seed) {
--- a/src/test/java/stileferry/coordination/ChaosFaults.java
+++ b/src/test/java/stileferry/coordination/ChaosFaults.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import stileferry.standin.Worker;
 
-/** Injects faults at random, each for a random time: crashes, partitions, losses, delays, outages. */
+/** Injects random faults, most of them of random duration: crashes, partitions, losses, delays and outages. */
 final class ChaosFaults {
     private final SimulatedCluster cluster;
     private final FaultInjection faults;
@@ -17,17 +17,17 @@
         this.random = random;
     }
 
-    /** Injects one fault. */
+    /** Injects one random fault. */
     void inject() {
-        List<ControllerNode> all = List.copyOf(cluster.controllers.values());
-        ControllerNode controller = all.get(random.nextInt(3));
+        List<ControllerNode> nodes = List.copyOf(cluster.controllers.values());
+        ControllerNode controller = nodes.get(random.nextInt(3));
         String name = controller.name();
         List<String> machines = cluster.cloud.runningMachines();
         String machine = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
         String addr = SimulatedMachines.address(machine);
         switch (random.nextInt(32)) {
             case 0, 1 -> faults.restart(controller, random.nextBoolean() ? 300 : 5000);
-            case 2 -> all.forEach(each -> faults.restart(each, 1000 + random.nextLong(4000)));
+            case 2 -> nodes.forEach(node -> faults.restart(node, 1000 + random.nextLong(4000)));
             case 3 -> faults.partition(name, randomDurationMs(20_000));
             case 4 -> faults.partition(addr, randomDurationMs(20_000));
             case 5 -> faults.storeOutage(randomDurationMs(15_000));
@@ -39,30 +39,31 @@
             case 11 -> refusePeerConnections();
             case 12 -> delayInbound(name);
             case 13 -> delayStoreResponses();
-            case 14 -> restartAllAtOnce(all, controller);
+            case 14 -> restartAllAtOnce(nodes, controller);
             case 16, 17 -> partitionZoneAndRestartLeader();
-            case 18, 19 -> throttle(random.nextBoolean() ? all : List.of(controller));
+            case 18, 19 -> throttle(random.nextBoolean() ? nodes : List.of(controller));
             case 20 -> delayCommits();
             case 21 -> loseCommitResponses();
             case 22 -> addTemporarily(faults.heartbeatLoss, addr, randomDurationMs(30_000));
             case 23 -> faults.hang(addr, randomDurationMs(25_000));
             case 24 -> replayHeartbeats();
             case 25 -> rejectLeaderThenEverybody();
-            case 26 -> all.forEach(each -> faults.restart(each, 5000 + random.nextLong(12_000))); // over a lease
+            case 26 ->
+                nodes.forEach(node -> faults.restart(node, 5000 + random.nextLong(12_000))); // about a lease or longer
             case 27 -> cancelDuringFailover();
             case 28, 29, 30, 31 -> breakLink();
             default -> loseResponses();
         }
     }
 
-    /** A second at least, and so many milliseconds more at most. */
+    /** Returns a random duration of at least one second, and less than {@code ms} milliseconds more. */
     private long randomDurationMs(long ms) {
         return 1000 + random.nextLong(ms);
     }
 
-    private void addTemporarily(Set<String> affected, String host, long ms) {
-        affected.add(host);
-        cluster.after(ms, () -> affected.remove(host));
+    private void addTemporarily(Set<String> affectedHosts, String host, long ms) {
+        affectedHosts.add(host);
+        cluster.after(ms, () -> affectedHosts.remove(host));
     }
 
     private void reclaimWithoutNotice(String machine) {
@@ -94,13 +95,13 @@
         cluster.after(randomDurationMs(30_000), () -> faults.storeResponseDelayMs = 0);
     }
 
-    /** All are back at once, and one restarts again while the others may just be electing a leader. */
-    private void restartAllAtOnce(List<ControllerNode> all, ControllerNode again) {
-        all.forEach(each -> faults.restart(each, 100 + random.nextLong(200)));
-        cluster.after(500 + random.nextLong(2000), () -> faults.restart(again, 100));
+    /** Restarts all controllers, and one of them again while the others may be electing a leader. */
+    private void restartAllAtOnce(List<ControllerNode> nodes, ControllerNode restartedTwice) {
+        nodes.forEach(node -> faults.restart(node, 100 + random.nextLong(200)));
+        cluster.after(500 + random.nextLong(2000), () -> faults.restart(restartedTwice, 100));
     }
 
-    /** A zone is partitioned, and the leader may crash meanwhile. */
+    /** Partitions a zone and with probability 1/2 restarts the leader meanwhile. */
     private void partitionZoneAndRestartLeader() {
         faults.partitionZone(random.nextBoolean() ? "za" : "zb", randomDurationMs(25_000));
         ControllerNode leader = cluster.leader();
@@ -109,10 +110,10 @@
         }
     }
 
-    /** Controllers are given little processor time. */
-    private void throttle(List<ControllerNode> throttled) {
-        for (ControllerNode each : throttled) {
-            faults.eventLoopTaskMs.put(each.name(), 5 + random.nextLong(60));
+    /** Makes the event loops of controllers slow, as if they were short of CPU time. */
+    private void throttle(List<ControllerNode> slowNodes) {
+        for (ControllerNode node : slowNodes) {
+            faults.eventLoopTaskMs.put(node.name(), 5 + random.nextLong(60));
         }
         cluster.after(randomDurationMs(30_000), faults.eventLoopTaskMs::clear);
     }
@@ -137,7 +138,7 @@
         cluster.after(4000, () -> faults.responseLossRate = 0);
     }
 
-    /** The store rejects the leader, and then everybody for longer than a cancellation may take. */
+    /** The store rejects the leader and then everybody, for 15 to 30 s, while jobs are cancelled. */
     private void rejectLeaderThenEverybody() {
         ControllerNode leader = cluster.leader();
         if (leader == null) {
@@ -162,39 +163,39 @@
     }
 
     private void cancelRandomJobs() {
-        List<SimulatedUser> open = cluster.users.values().stream()
+        List<SimulatedUser> openJobs = cluster.users.values().stream()
                 .filter(u -> u.accepted && u.endState == null && !u.cancelRequested)
                 .toList();
-        for (int i = 0; i < Math.min(3, open.size()); i++) {
-            cluster.cancel(open.get(random.nextInt(open.size())));
+        for (int i = 0; i < Math.min(3, openJobs.size()); i++) {
+            cluster.cancel(openJobs.get(random.nextInt(openJobs.size())));
         }
     }
 
-    /** One direction of a link, or both, or a link that flaps. */
+    /** Breaks one or both directions of a random link, once or, as a flapping link, four times. */
     private void breakLink() {
         String controller = "n" + random.nextInt(3);
         List<String> machines = cluster.cloud.runningMachines();
-        List<String> ends = List.of(
+        List<String> otherEnds = List.of(
                 SimulatedCluster.STORE,
                 SimulatedNetwork.WORKERS,
                 SimulatedNetwork.WORKERS,
                 "n" + random.nextInt(3),
                 SimulatedMachines.address(machines.isEmpty() ? "none" : machines.get(0)));
-        String end = ends.get(random.nextInt(ends.size()));
+        String peerOrHost = otherEnds.get(random.nextInt(otherEnds.size()));
         SimulatedNetwork.LinkFault fault = SimulatedNetwork.LinkFault.values()[random.nextInt(3)];
         int directions = random.nextInt(3);
-        int times = random.nextInt(3) == 0 ? 4 : 1;
-        long periodMs = times == 1 ? randomDurationMs(30_000) : randomDurationMs(6000);
-        for (int i = 0; i < times; i++) {
+        int repetitions = random.nextInt(3) == 0 ? 4 : 1;
+        long periodMs = repetitions == 1 ? randomDurationMs(30_000) : randomDurationMs(6000);
+        for (int i = 0; i < repetitions; i++) {
             cluster.after(2 * i * periodMs, () -> {
                 if (directions != 1) {
-                    cluster.network.injectFault(controller, end, fault);
+                    cluster.network.injectFault(controller, peerOrHost, fault);
                 }
                 if (directions != 2) {
-                    cluster.network.injectFault(end, controller, fault);
+                    cluster.network.injectFault(peerOrHost, controller, fault);
                 }
             });
-            cluster.after((2 * i + 1) * periodMs, () -> cluster.network.restoreBothWays(controller, end));
+            cluster.after((2 * i + 1) * periodMs, () -> cluster.network.restoreBothWays(controller, peerOrHost));
         }
     }
 }
--- a/src/test/java/stileferry/coordination/ChaosRun.java
+++ b/src/test/java/stileferry/coordination/ChaosRun.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import stileferry.protocol.Features;
 
-/** A seeded run of a simulated cluster with users at work and random faults, until all is quiet again at the end. */
+/** A seeded run of a simulated cluster with random jobs and random faults, followed by a recovery period. */
 final class ChaosRun {
     private ChaosRun() {}
 
@@ -16,7 +16,11 @@
         return run(seed, seconds, cluster -> {});
     }
 
-    /** Plays so many seconds with faults, and then until all jobs should be over. */
+    /**
+     * Runs a cluster with faults for some seconds, and then without until all jobs should have ended.
+     *
+     * @param prepare is applied to the cluster before it runs
+     */
     static SimulatedCluster run(long seed, double seconds, Consumer<SimulatedCluster> prepare) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
         prepare.accept(cluster);
@@ -26,9 +30,9 @@
         cluster.runFor(3);
         runWithFaults(cluster, random, seconds);
         cluster.faults.clear();
-        cluster.after(45_000, cluster.network::restoreAll); // links that flap
+        cluster.after(45_000, cluster.network::restoreAll); // links that flap may break again until then
         cluster.faults.endedAt = cluster.now;
-        cluster.runFor(90); // until every submission has been answered or given up
+        cluster.runFor(90); // until every submission has a final response or was given up
         for (SimulatedUser user : List.copyOf(cluster.users.values())) {
             if (user.spec.service() && user.accepted && !user.cancelRequested) {
                 cluster.cancel(user);
@@ -56,17 +60,17 @@
     }
 
     private static void cancelRandomJob(SimulatedCluster cluster, SplittableRandom random) {
-        List<SimulatedUser> open = cluster.users.values().stream()
+        List<SimulatedUser> openJobs = cluster.users.values().stream()
                 .filter(u -> u.accepted && !u.cancelRequested)
                 .toList();
-        if (!open.isEmpty()) {
-            cluster.cancel(open.get(random.nextInt(open.size())));
+        if (!openJobs.isEmpty()) {
+            cluster.cancel(openJobs.get(random.nextInt(openJobs.size())));
         }
     }
 
     /**
-     * Turns features on; on some runs one controller has none, and on some the third one has the first version's form
-     * of records.
+     * Turns features on. For some seeds one controller has none of them, and for some the third one also uses the peer
+     * message format of the first version.
      */
     static void mixVersions(SimulatedCluster cluster, long seed, Features features) {
         cluster.features = features;
@@ -79,14 +83,15 @@
         }
     }
 
-    /** No invariant was violated, and nothing is left to do. */
+    /** Asserts that no invariant was violated and all accepted jobs have ended, after a run with enough task starts. */
     static void assertAllJobsEnded(SimulatedCluster cluster) {
         assertEquals(List.of(), cluster.violations);
-        List<String> open = cluster.users.values().stream()
+        List<String> openJobs = cluster.users.values().stream()
                 .filter(u -> u.accepted && u.endState == null)
                 .map(u -> u.spec.toString())
                 .toList();
-        assertEquals(List.of(), open, "jobs that are neither done nor cancelled long after the last fault");
-        assertTrue(cluster.tasks.starts > 20, "too little happened: " + cluster.tasks.starts + " starts");
+        assertEquals(
+                List.of(), openJobs, "accepted jobs that are neither done nor cancelled long after the last fault");
+        assertTrue(cluster.tasks.starts > 20, "too few task starts: " + cluster.tasks.starts);
     }
 }
--- a/src/test/java/stileferry/coordination/CommitRetriesTest.java
+++ b/src/test/java/stileferry/coordination/CommitRetriesTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Transactions that are answered late or not at all apply once. */
+/** Transactions that are executed late or whose response is lost take effect exactly once. */
 class CommitRetriesTest {
-    /** One-task jobs, four a second, a quarter of them cancelled, some at once. */
-    private static void runOneTaskJobs(SimulatedCluster cluster, int from, double seconds) {
+    /** Submits four one-task jobs a second and cancels a quarter of them within 3 s. */
+    private static void runOneTaskJobs(SimulatedCluster cluster, int firstNumber, double seconds) {
         SplittableRandom random = cluster.random.split();
         for (int i = 0; i < seconds * 4; i++) {
-            SimulatedUser user = cluster.submit(array(from + i, 1, 1 + random.nextInt(3)));
+            SimulatedUser user = cluster.submit(array(firstNumber + i, 1, 1 + random.nextInt(3)));
             if (i % 4 == 3) {
                 cluster.after(random.nextLong(3000), () -> cluster.cancel(user));
             }
@@ -24,16 +24,16 @@
     }
 
     /**
-     * Transactions without an answer are carried out late, after newer ones, or at once with only the answer lost,
-     * while one-task jobs come four a second. Guards against a late acceptance that is carried out once more after its
-     * job has ended, so that the next leader takes the job for a pending one.
+     * Some transactions are executed late, after newer ones, or at once with their response lost, while four one-task jobs
+     * a second are submitted. Guards against a late transaction that stores a job's acceptance again after the job has
+     * ended, so that the next leader takes the job for a pending one.
      */
     @ParameterizedTest
     @CsvSource({"201,0.4,0", "202,0.4,0", "203,0.2,0.2", "204,0,0.4", "205,0.5,0"})
-    void lateAndUnansweredCommitsApplyOnce(long seed, double late, double unanswered) {
+    void lateAndUnansweredCommitsApplyOnce(long seed, double lateRate, double unansweredRate) {
         SimulatedCluster cluster = BusyCluster.withLongJobs(seed);
-        cluster.faults.lateCommitRate = late;
-        cluster.faults.unansweredCommitRate = unanswered;
+        cluster.faults.lateCommitRate = lateRate;
+        cluster.faults.unansweredCommitRate = unansweredRate;
         runOneTaskJobs(cluster, 100, 40);
         cluster.faults.lateCommitRate = 0;
         cluster.faults.unansweredCommitRate = 0;
@@ -41,7 +41,7 @@
         cluster.faults.restart(cluster.leader(), 300);
         cluster.runFor(40);
         assertEquals(List.of(), cluster.violations);
-        assertTrue(cluster.users.completedJobs > 100, cluster.users.completedJobs + " jobs are over");
+        assertTrue(cluster.users.completedJobs > 100, "too few completed jobs: " + cluster.users.completedJobs);
         BusyCluster.assertRecovers(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/EventLoopLagTest.java
+++ b/src/test/java/stileferry/coordination/EventLoopLagTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A leader whose event loop is behind saves work that is not urgent. */
+/** A leader whose event loop lags sends fewer direct commands. */
 class EventLoopLagTest {
     /**
-     * A leader that is behind leaves starts to the answers of machines' next heartbeats instead of sending a command
-     * for each, which would put it further behind in a burst. Critical tasks still start at once.
+     * A lagging leader starts tasks in the responses to the machines' next heartbeats instead of sending a direct command
+     * for each, which would increase the lag in a burst. Critical tasks still start at once.
      */
     @Test
     void aLaggingLeaderSendsFewerDirectCommands() {
@@ -24,12 +24,12 @@
                 cluster.controllers.keySet().forEach(name -> cluster.faults.eventLoopTaskMs.put(name, 70L));
             }
             cluster.runFor(5);
-            int before = cluster.directCommandCount;
+            int commandsBefore = cluster.directCommandCount;
             for (int i = 10; i < 16; i++) {
                 cluster.submit(array(i, 4, 3));
             }
             cluster.runFor(120);
-            commands[lagging] = cluster.directCommandCount - before;
+            commands[lagging] = cluster.directCommandCount - commandsBefore;
             assertEquals(List.of(), cluster.violations);
             for (SimulatedUser user : cluster.users.values()) {
                 assertEquals("done", user.endState, user.spec.id());
--- a/src/test/java/stileferry/coordination/FailoverTest.java
+++ b/src/test/java/stileferry/coordination/FailoverTest.java
@@ -10,22 +10,22 @@
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.MessageCodec;
 
-/** Leadership in a healthy cluster, after a crash, and with a record that the next leader cannot read. */
+/** Leadership in a healthy cluster and after crashes, also with a stored record that the next leader can't read. */
 class FailoverTest {
     @Test
     void aNewLeaderIsElectedWithinSecondsOfACrash() {
         SimulatedCluster cluster = new SimulatedCluster(5);
         cluster.runFor(10);
-        ControllerNode first = cluster.leader();
-        assertTrue(first != null, "nobody leads");
-        first.crash();
+        ControllerNode firstLeader = cluster.leader();
+        assertTrue(firstLeader != null, "no leader was elected");
+        firstLeader.crash();
         cluster.runFor(5);
-        ControllerNode second = cluster.leader();
-        assertTrue(second != null && second != first, "nobody else leads after 5 s");
-        assertFalse(first.up());
+        ControllerNode secondLeader = cluster.leader();
+        assertTrue(secondLeader != null && secondLeader != firstLeader, "no other leader was elected within 5 s");
+        assertFalse(firstLeader.up());
     }
 
-    /** Guards against a commit that fails because its record was deleted while the last change was under way. */
+    /** Guards against a commit that fails because its record was deleted while the previous commit was in flight. */
     @Test
     void aHealthyLeaderKeepsItsTerm() {
         SimulatedCluster cluster = new SimulatedCluster(6);
@@ -39,7 +39,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A record that can't be read is still a job that somebody was told is accepted. */
+    /** A job whose record can't be read was still accepted, so its user must get responses about it. */
     @Test
     void aJobWithAnUnreadableRecordStaysKnownAfterFailover() {
         SimulatedCluster cluster = SimulatedCluster.started(34);
@@ -61,6 +61,7 @@
         cluster.faults.endedAt = cluster.now;
         cluster.runFor(100);
         assertEquals(List.of(), cluster.violations);
-        assertTrue(cluster.now - cluster.users.get("job-1").lastResponseAt < 10_000, "nobody answers for it");
+        assertTrue(
+                cluster.now - cluster.users.get("job-1").lastResponseAt < 10_000, "no response about the job for 10 s");
     }
 }
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -23,7 +23,7 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
 
-/** Admission while more is asked for than can be admitted: shares, turns, totals. */
+/** Admission under overload: fair shares, admission windows and the totals of admissions. */
 class FairAdmissionTest {
     private static long acceptedJobs(SimulatedCluster cluster, String team) {
         return cluster.users.values().stream()
@@ -38,22 +38,22 @@
     }
 
     private static JsonNode admissionView(SimulatedCluster cluster, ControllerNode node) {
-        PeerMessage.Response[] answer = new PeerMessage.Response[1];
-        node.environment.execute(() ->
-                node.coordinator.handleAdministrationRequest("GET", "admission", new byte[0], a -> answer[0] = a));
+        PeerMessage.Response[] response = new PeerMessage.Response[1];
+        node.environment.execute(() -> node.coordinator.handleAdministrationRequest(
+                "GET", "admission", new byte[0], answered -> response[0] = answered));
         cluster.runFor(2);
-        return answer[0] == null || answer[0].status() != 200 ? null : MessageCodec.decode(answer[0].body());
+        return response[0] == null || response[0].status() != 200 ? null : MessageCodec.decode(response[0].body());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aFloodingTeamDoesNotReduceAdmissionsOfOtherTeams(long seed) {
         SimulatedCluster cluster = smallCluster(seed, FAIR_ADMISSION);
-        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         flood(cluster, 100, 60);
         cluster.runFor(70);
-        assertConsistent(cluster, history);
+        assertConsistent(cluster, countCheck);
         assertTrue(
                 acceptedJobs(cluster, "blue") >= 0.9 * submittedJobs(cluster, "blue"),
                 "blue " + acceptedJobs(cluster, "blue"));
@@ -61,14 +61,16 @@
                 acceptedJobs(cluster, "free") >= 0.9 * submittedJobs(cluster, "free"),
                 "free " + acceptedJobs(cluster, "free"));
         assertTrue(acceptedJobs(cluster, "red") > 30, "red " + acceptedJobs(cluster, "red"));
-        assertTrue(acceptedJobs(cluster, "red") < submittedJobs(cluster, "red"), "more was asked than could be taken");
+        assertTrue(
+                acceptedJobs(cluster, "red") < submittedJobs(cluster, "red"),
+                "the load must exceed the admission capacity");
     }
 
-    /** The same ids submitted repeatedly, at every controller, count as one demand, and each is admitted once. */
+    /** Job ids that are submitted repeatedly, at every controller, are each admitted and counted once. */
     @Test
     void concurrentSubmissionsOfOneIdAreAdmittedOnce() {
         SimulatedCluster cluster = smallCluster(4, FAIR_ADMISSION);
-        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         cluster.faults.usersRepeatRequests = true;
         for (int i = 0; i < 10; i++) {
@@ -79,38 +81,41 @@
             cluster.runFor(0.5);
         }
         cluster.runFor(60);
-        assertConsistent(cluster, history);
-        assertEquals(10, history.countedAdmissions());
+        assertConsistent(cluster, countCheck);
+        assertEquals(10, countCheck.countedAdmissions());
     }
 
-    /** Jobs that can never fit are rejected, and take no share from those that can. */
+    /** Jobs that can never fit are rejected, are not counted, and don't prevent the admission of other jobs. */
     @Test
     void unschedulableJobsAreRejectedAndNotCounted() {
         SimulatedCluster cluster = smallCluster(5, FAIR_ADMISSION);
-        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
-        JobSpec good = job(50, "blue", JobSpec.Priority.NORMAL, 2);
-        byte[] tooLarge = MessageCodec.encode(
+        JobSpec schedulableJob = job(50, "blue", JobSpec.Priority.NORMAL, 2);
+        byte[] oversizedJob = MessageCodec.encode(
                 job(51, "free", JobSpec.Priority.NORMAL, 2).write().put("cores", 1000.0));
-        int[] refused = new int[1];
+        int[] rejectedCount = new int[1];
         for (int i = 0; i < 40; i++) {
             ControllerNode node = cluster.controllers.get("n" + i % 3);
             node.environment.execute(() -> node.coordinator.handleUserRequest(
-                    PeerMessage.RequestKind.SUBMIT, "", tooLarge, a -> refused[0] += a.status() == 422 ? 1 : 0));
+                    PeerMessage.RequestKind.SUBMIT,
+                    "",
+                    oversizedJob,
+                    answered -> rejectedCount[0] += answered.status() == 422 ? 1 : 0));
             cluster.runFor(0.2);
         }
-        SimulatedUser user = cluster.submit(good);
+        SimulatedUser user = cluster.submit(schedulableJob);
         cluster.runFor(5);
-        assertConsistent(cluster, history);
+        assertConsistent(cluster, countCheck);
         assertTrue(user.accepted);
-        assertTrue(refused[0] > 0);
-        assertEquals(1, history.countedAdmissions());
+        assertTrue(rejectedCount[0] > 0);
+        assertEquals(1, countCheck.countedAdmissions());
     }
 
-    /** Services wait no longer for their admission than without all the arrays. */
+    /** A burst of job arrays delays the admission of services by two heartbeat intervals at most. */
     @Test
     void servicesAreAdmittedBeforeArrays() {
-        long[] worstMs = new long[2];
+        long[] longestWaitMs = new long[2];
         for (int burst = 0; burst < 2; burst++) {
             SimulatedCluster cluster = smallCluster(90, FAIR_ADMISSION);
             cluster.runFor(20);
@@ -127,50 +132,56 @@
             }
             cluster.runFor(60);
             assertEquals(List.of(), cluster.violations);
-            assertTrue(services.stream().allMatch(u -> u.accepted), "a service was not accepted");
-            worstMs[burst] = services.stream()
+            assertTrue(services.stream().allMatch(u -> u.accepted), "not all services were accepted");
+            longestWaitMs[burst] = services.stream()
                     .mapToLong(u -> u.acceptedAt - u.submittedAt)
                     .max()
                     .orElse(0);
         }
-        // a margin of two heartbeat intervals: the store has a transaction of arrays to carry out before
-        assertTrue(worstMs[1] <= worstMs[0] + 4000, worstMs[0] + " ms alone, " + worstMs[1] + " ms in the burst");
+        // a margin of two heartbeat intervals: the store may have to execute a transaction of arrays first
+        assertTrue(
+                longestWaitMs[1] <= longestWaitMs[0] + 4000,
+                "longest wait: " + longestWaitMs[0] + " ms alone, " + longestWaitMs[1] + " ms during the burst");
     }
 
     /**
-     * A rejected user is told when to retry, and does so about then: far fewer requests than one a second each.
-     * Accepted work is done meanwhile, at 0.9 of the rate without fair admission or more.
+     * Rejected users are told when to retry and send fewer than half of the retries that they send without fair admission.
+     * Meanwhile accepted jobs are completed at 0.9 of the rate without fair admission or more.
      */
     @Test
     void rejectedUsersRetryWhenTold() {
-        double[] refusals = new double[2];
-        long[] done = new long[2];
+        double[] retriesPerJob = new double[2];
+        long[] completedJobs = new long[2];
         for (int on = 0; on < 2; on++) {
             SimulatedCluster cluster = smallCluster(91, on == 1 ? FAIR_ADMISSION : Features.NONE);
             cluster.runFor(20);
             flood(cluster, 100, 120);
             assertEquals(List.of(), cluster.violations);
-            refusals[on] = cluster.users.values().stream()
+            retriesPerJob[on] = cluster.users.values().stream()
                     .mapToInt(u -> u.retries)
                     .average()
                     .orElse(0);
-            done[on] = cluster.users.values().stream()
+            completedJobs[on] = cluster.users.values().stream()
                     .filter(u -> u.endState != null)
                     .count();
         }
-        assertTrue(refusals[1] < refusals[0] / 2, refusals[0] + " refusals each without, " + refusals[1] + " with");
-        assertTrue(done[1] >= 0.9 * done[0], done[0] + " done without, " + done[1] + " with");
+        assertTrue(
+                retriesPerJob[1] < retriesPerJob[0] / 2,
+                "retries per job: " + retriesPerJob[0] + " without, " + retriesPerJob[1] + " with");
+        assertTrue(
+                completedJobs[1] >= 0.9 * completedJobs[0],
+                "completed jobs: " + completedJobs[0] + " without, " + completedJobs[1] + " with");
     }
 
-    /** A follower must not reject by the turn table of a leader that is gone: the next one may decide otherwise. */
+    /** A follower must not reject jobs by the admission window table of an earlier leader; the next may decide otherwise. */
     @Test
     void noWindowTableOfAFormerTermIsUsed() {
         SimulatedCluster cluster = smallCluster(92, FAIR_ADMISSION);
         cluster.runFor(20);
         flood(cluster, 100, 20);
-        ControllerNode former = cluster.leader();
+        ControllerNode formerLeader = cluster.leader();
         ControllerNode follower = cluster.controllers.values().stream()
-                .filter(n -> n != former)
+                .filter(n -> n != formerLeader)
                 .findFirst()
                 .orElseThrow();
         assertTrue(admissionView(cluster, follower)
@@ -179,20 +190,20 @@
                 .asBoolean());
         long term =
                 admissionView(cluster, follower).path("here").path("table_term").asLong();
-        former.crash();
-        for (int i = 0; i < 30 && (cluster.leader() == null || cluster.leader() == former); i++) {
+        formerLeader.crash();
+        for (int i = 0; i < 30 && (cluster.leader() == null || cluster.leader() == formerLeader); i++) {
             cluster.runFor(0.5);
         }
         for (ControllerNode node : cluster.controllers.values()) {
             if (node.up()) {
                 JsonNode here = admissionView(cluster, node).path("here");
-                boolean old = here.path("table_term").asLong() == term;
-                assertFalse(old && here.path("holds_table").asBoolean(), here.toString());
+                boolean ofFormerTerm = here.path("table_term").asLong() == term;
+                assertFalse(ofFormerTerm && here.path("holds_table").asBoolean(), here.toString());
             }
         }
     }
 
-    /** Once a controller without the feature has led, totals are marked incomplete, and are never wrong. */
+    /** Once a controller without the feature has led, totals are marked incomplete and stay so, and never exceed the jobs. */
     @Test
     void totalsAreIncompleteOnceAnOlderVersionHasLed() {
         SimulatedCluster cluster = smallCluster(93, FAIR_ADMISSION);
@@ -200,7 +211,7 @@
         cluster.runFor(20);
         int number = 100;
         boolean complete = true;
-        long incompleteFrom = -1;
+        long incompleteFromRevision = -1;
         for (int step = 0; step < 12; step++) {
             for (int i = 0; i < 4; i++) {
                 submit(cluster, number++, TEAMS.get(i % 3));
@@ -208,15 +219,17 @@
             cluster.runFor(6);
             for (ControllerNode node : cluster.controllers.values()) {
                 if (node.up() && !node.name().equals("n0")) {
-                    JsonNode seen = admissionView(cluster, node);
-                    JsonNode totals = seen == null ? MessageCodec.map() : seen.path("totals");
+                    JsonNode shownView = admissionView(cluster, node);
+                    JsonNode totals = shownView == null ? MessageCodec.map() : shownView.path("totals");
                     if (totals.path("complete").asBoolean(true)) {
-                        assertTrue(seen == null || complete, "complete again: " + totals);
+                        assertTrue(shownView == null || complete, "totals are complete again: " + totals);
                     } else {
                         complete = false;
-                        long from = totals.path("incomplete_from_revision").asLong();
-                        assertTrue(incompleteFrom < 0 || from == incompleteFrom, "another revision: " + totals);
-                        incompleteFrom = from;
+                        long revision = totals.path("incomplete_from_revision").asLong();
+                        assertTrue(
+                                incompleteFromRevision < 0 || revision == incompleteFromRevision,
+                                "another incomplete_from_revision than before: " + totals);
+                        incompleteFromRevision = revision;
                     }
                 }
             }
@@ -226,16 +239,18 @@
         }
         cluster.runFor(70);
         assertEquals(List.of(), cluster.violations);
-        assertFalse(complete, "no older version ever led");
-        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
-        assertTrue(history.countedAdmissions() <= history.storedJobs(), "more is counted than there is");
+        assertFalse(complete, "the controller without the feature never led");
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
+        assertTrue(
+                countCheck.countedAdmissions() <= countCheck.storedJobs(),
+                "more admissions are counted than jobs are stored");
     }
 
-    /** A job that is cancelled while it is being admitted is counted once, like any other. */
+    /** A job that is cancelled while it is being admitted is counted exactly once. */
     @Test
     void jobsCancelledDuringAdmissionAreCountedOnce() {
         SimulatedCluster cluster = smallCluster(94, FAIR_ADMISSION);
-        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         for (int i = 0; i < 20; i++) {
             SimulatedUser user = submit(cluster, 100 + i, TEAMS.get(i % 3));
@@ -244,27 +259,28 @@
             cluster.runFor(1);
         }
         cluster.runFor(90);
-        assertConsistent(cluster, history);
-        assertTrue(history.countedAdmissions() >= 20, "counted " + history.countedAdmissions());
+        assertConsistent(cluster, countCheck);
+        assertTrue(
+                countCheck.countedAdmissions() >= 20, "too few counted admissions: " + countCheck.countedAdmissions());
     }
 
-    /** The checks must be able to fail: a doubled count and a team without admissions are detected. */
+    /** Tests the checks themselves: they detect a doubled count and a team without admissions. */
     @Test
     void aDoubledCountAndAStarvedTeamAreDetected() {
         SimulatedCluster cluster = smallCluster(95, FAIR_ADMISSION);
-        AdmissionCountCheck history = new AdmissionCountCheck(cluster);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
         submit(cluster, 100, "red");
         cluster.runFor(10);
-        assertConsistent(cluster, history);
+        assertConsistent(cluster, countCheck);
         JsonNode shard = cluster.store.value("n/0").deepCopy();
         ((ObjectNode) shard.path("counts").path("red")).put("*", 2);
         var transaction = MessageCodec.map();
         transaction.putArray("if");
         transaction.putArray("apply").addObject().put("put", "n/0").set("v", shard);
-        cluster.store.request("POST", "/commit", transaction, (s, b) -> {});
+        cluster.store.request("POST", "/commit", transaction, (status, body) -> {});
         cluster.runFor(5);
-        assertFalse(history.problems.isEmpty(), "a doubled count was not seen");
-        assertEquals(0L, history.admissionsByTeamAndMinute(0).getOrDefault("blue 0", 0L));
+        assertFalse(countCheck.problems.isEmpty(), "a doubled count was not detected");
+        assertEquals(0L, countCheck.admissionsByTeamAndMinute(0).getOrDefault("blue 0", 0L));
     }
 }
--- a/src/test/java/stileferry/coordination/FairShareUnderOverloadTest.java
+++ b/src/test/java/stileferry/coordination/FairShareUnderOverloadTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.JobSpec;
 
-/** More work than the machines can do. */
+/** Fair shares while demand exceeds capacity. */
 class FairShareUnderOverloadTest {
-    /** Twice as much work as capacity for five minutes, and more of the urgent class than all machines can do. */
+    /** For five minutes demand is twice the capacity, and the class of higher priority alone exceeds the capacity. */
     @Test
     void noJobStarvesWhenDemandExceedsCapacity() {
         SimulatedCluster cluster = new SimulatedCluster(36);
@@ -19,9 +19,9 @@
         cluster.runFor(3);
         int jobs = 0;
         for (int second = 0; second < 300; second += 5) {
-            boolean large = jobs % 12 == 0;
-            cluster.submit(array(jobs++, "day", JobSpec.Priority.NORMAL, large ? 40 : 8 + random.nextInt(6), 40));
-            cluster.submit(array(jobs++, "night", JobSpec.Priority.IDLE, large ? 30 : 1 + random.nextInt(4), 40));
+            boolean largeJob = jobs % 12 == 0;
+            cluster.submit(array(jobs++, "day", JobSpec.Priority.NORMAL, largeJob ? 40 : 8 + random.nextInt(6), 40));
+            cluster.submit(array(jobs++, "night", JobSpec.Priority.IDLE, largeJob ? 30 : 1 + random.nextInt(4), 40));
             cluster.runFor(5);
         }
         cluster.runFor(240);
@@ -29,7 +29,7 @@
             assertTrue(
                     user.startedAt > 0 && user.startedAt - user.submittedAt < 240_000,
                     user.spec.id() + " of " + user.spec.jobClass() + " with " + user.spec.taskCount()
-                            + " tasks began after " + (user.startedAt - user.submittedAt) / 1000 + " s");
+                            + " tasks started after " + (user.startedAt - user.submittedAt) / 1000 + " s");
         }
         assertEquals(List.of(), cluster.violations);
     }
--- a/src/test/java/stileferry/coordination/PartialPartitionMeasurement.java
+++ b/src/test/java/stileferry/coordination/PartialPartitionMeasurement.java
@@ -11,10 +11,10 @@
 import stileferry.transport.LogLevel;
 
 /**
- * Measures what link monitoring is worth in the simulated cluster, with the feature on and off in pairs of runs with
- * the same seed:
- * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.PartialPartitionMeasurement}, with JUnit's API
- * on the class path. A cut lasts 40 s; one task is asked for every second meanwhile.
+ * Measures the effect of link monitoring under partial partitions in the simulated cluster, with the feature off and on
+ * for the same seeds. A partition lasts 40 s, during which one single-task job is submitted every second. To run it,
+ * with JUnit's API on the class path as well:
+ * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.PartialPartitionMeasurement}.
  */
 final class PartialPartitionMeasurement {
     private static final int SEEDS = 10;
@@ -25,7 +25,7 @@
 
     private PartialPartitionMeasurement() {}
 
-    /** What one cut led to. */
+    /** The results of one run with a partition. */
     private record Outcome(double longestWaitS, int lateStarts, int restartedTasks, long newTerms) {}
 
     private static void breakPeerLinks(SimulatedCluster cluster, ControllerNode leader, LinkFault fault) {
@@ -34,34 +34,35 @@
                 .forEach(n -> cluster.network.injectFaultBothWays(leader.name(), n.name(), fault));
     }
 
-    private static Outcome measure(long seed, Features features, BiConsumer<SimulatedCluster, ControllerNode> cut) {
+    private static Outcome measure(
+            long seed, Features features, BiConsumer<SimulatedCluster, ControllerNode> injection) {
         SimulatedCluster cluster = LinkFaultCluster.withLongJobs(seed, features);
-        cut.accept(cluster, cluster.leader());
-        long terms = cluster.term();
+        injection.accept(cluster, cluster.leader());
+        long termBefore = cluster.term();
         List<SimulatedUser> users = new ArrayList<>();
-        int starts = cluster.tasks.starts;
+        int startsBefore = cluster.tasks.starts;
         for (int i = 0; i < PARTITION_S; i++) {
             users.add(cluster.submit(Workloads.array(100 + i, 1, 1)));
             cluster.runFor(1);
         }
-        long changed = cluster.term() - terms;
+        long termChanges = cluster.term() - termBefore;
         cluster.network.restoreAll();
         cluster.runFor(60);
         double[] waits = users.stream()
                 .mapToDouble(u -> u.startedAt == 0 ? PARTITION_S + 60 : (u.startedAt - u.submittedAt) / 1000.0)
                 .toArray();
-        int restarted = cluster.tasks.starts
-                - starts
+        int restartCount = cluster.tasks.starts
+                - startsBefore
                 - (int) users.stream().filter(u -> u.startedAt > 0).count();
-        int late = (int) Arrays.stream(waits).filter(s -> s > LATE_START_S).count();
-        return new Outcome(Arrays.stream(waits).max().orElse(0), late, restarted, changed);
+        int lateCount = (int) Arrays.stream(waits).filter(s -> s > LATE_START_S).count();
+        return new Outcome(Arrays.stream(waits).max().orElse(0), lateCount, restartCount, termChanges);
     }
 
-    private static void compare(String title, BiConsumer<SimulatedCluster, ControllerNode> cut) {
+    private static void compare(String title, BiConsumer<SimulatedCluster, ControllerNode> injection) {
         StringBuilder line = new StringBuilder(String.format("%-44s", title));
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
             List<Outcome> outcomes = LongStream.range(0, SEEDS)
-                    .mapToObj(seed -> measure(700 + seed, features, cut))
+                    .mapToObj(seed -> measure(700 + seed, features, injection))
                     .toList();
             line.append(String.format(
                     Locale.ROOT,
@@ -80,20 +81,24 @@
         System.out.println(line);
     }
 
-    /** False suspicions and changes of leadership in an hour without cuts, on a quiet or an overloaded process. */
-    private static void measureHourWithoutFaults(long turnMs) {
+    /**
+     * Prints the new terms, and with link monitoring the counters of suspicions, in an hour without partitions.
+     *
+     * @param taskMs how long the event loops are busy with each command, in milliseconds; 0: not simulated
+     */
+    private static void measureHourWithoutFaults(long taskMs) {
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
             SimulatedCluster cluster = LinkFaultCluster.withLongJobs(800, features);
-            if (turnMs > 0) {
-                cluster.controllers.keySet().forEach(node -> cluster.faults.eventLoopTaskMs.put(node, turnMs));
+            if (taskMs > 0) {
+                cluster.controllers.keySet().forEach(node -> cluster.faults.eventLoopTaskMs.put(node, taskMs));
             }
-            long terms = cluster.term();
+            long termBefore = cluster.term();
             for (int i = 0; i < 360; i++) {
                 cluster.submit(Workloads.array(1000 + i, 1, 1));
                 cluster.runFor(10);
             }
-            System.out.println("an hour without cuts, turns of " + turnMs + " ms, features " + features.on()
-                    + ": new terms " + (cluster.term() - terms));
+            System.out.println("an hour without partitions, event loop busy for " + taskMs
+                    + " ms per command, features " + features.on() + ": new terms " + (cluster.term() - termBefore));
             if (features.partialCuts()) {
                 cluster.controllers
                         .values()
@@ -105,11 +110,11 @@
 
     public static void main(String[] args) {
         LogLevel.start("error");
-        System.out.println("worst wait (s), tasks of " + PARTITION_S
-                + " that waited over 5 s, tasks started again, new terms; off | on");
+        System.out.println("longest wait (s), tasks of " + PARTITION_S
+                + " that waited over 5 s, restarted tasks, new terms; off | on");
         compare("none", (cluster, leader) -> {});
         compare(
-                "leader - state service",
+                "leader - key-value store",
                 (cluster, leader) ->
                         cluster.network.injectFaultBothWays(leader.name(), SimulatedCluster.STORE, LinkFault.LOST));
         compare(
@@ -133,7 +138,7 @@
             cluster.network.injectFaultBothWays(leader.name(), SimulatedNetwork.WORKERS, LinkFault.LOST);
             breakPeerLinks(cluster, leader, LinkFault.LOST);
         });
-        compare("leader - state service and controllers", (cluster, leader) -> {
+        compare("leader - key-value store and controllers", (cluster, leader) -> {
             cluster.network.injectFaultBothWays(leader.name(), SimulatedCluster.STORE, LinkFault.LOST);
             breakPeerLinks(cluster, leader, LinkFault.LOST);
         });
