--- a/src/test/java/stileferry/coordination/AdmissionCountCheck.java
+++ b/src/test/java/stileferry/coordination/AdmissionCountCheck.java
@@ -79,7 +79,8 @@
         long counted = countedAdmissions();
         long known = storedJobs();
         if (counted != known) {
-            problems.add("at " + cluster.now + " ms: counted admissions " + counted + ", stored jobs " + known);
+            problems.add("at " + cluster.now + " ms " + counted + " admissions are counted, but " + known
+                    + " jobs are stored");
         }
     }
 
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -95,8 +95,9 @@
                 cluster.users.values().stream().filter(u -> u.accepted).count();
         assertTrue(
                 countCheck.countedAdmissions() >= toldAccepted,
-                toldAccepted + " users were told of acceptance, counted admissions: " + countCheck.countedAdmissions());
-        assertTrue(countCheck.responseCount > 50, "too few responses with totals: " + countCheck.responseCount);
+                toldAccepted + " users were told of acceptance, but only " + countCheck.countedAdmissions()
+                        + " admissions are counted");
+        assertTrue(countCheck.responseCount > 50, "only " + countCheck.responseCount + " responses had totals");
     }
 
     private static LongStream seeds() {
--- a/src/test/java/stileferry/coordination/ChaosRun.java
+++ b/src/test/java/stileferry/coordination/ChaosRun.java
@@ -92,6 +92,6 @@
                 .toList();
         assertEquals(
                 List.of(), openJobs, "accepted jobs that are neither done nor cancelled long after the last fault");
-        assertTrue(cluster.tasks.starts > 20, "too few task starts: " + cluster.tasks.starts);
+        assertTrue(cluster.tasks.starts > 20, "too little happened: " + cluster.tasks.starts + " task starts");
     }
 }
--- a/src/test/java/stileferry/coordination/CommitRetriesTest.java
+++ b/src/test/java/stileferry/coordination/CommitRetriesTest.java
@@ -41,7 +41,7 @@
         cluster.faults.restart(cluster.leader(), 300);
         cluster.runFor(40);
         assertEquals(List.of(), cluster.violations);
-        assertTrue(cluster.users.completedJobs > 100, "too few completed jobs: " + cluster.users.completedJobs);
+        assertTrue(cluster.users.completedJobs > 100, cluster.users.completedJobs + " completed jobs are too few");
         BusyCluster.assertRecovers(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -141,12 +141,12 @@
         // a margin of two heartbeat intervals: the store may have to execute a transaction of arrays first
         assertTrue(
                 longestWaitMs[1] <= longestWaitMs[0] + 4000,
-                "longest wait: " + longestWaitMs[0] + " ms alone, " + longestWaitMs[1] + " ms during the burst");
+                longestWaitMs[0] + " ms longest wait alone, " + longestWaitMs[1] + " ms during the burst");
     }
 
     /**
-     * Rejected users are told when to retry and send fewer than half of the retries that they send without fair admission.
-     * Meanwhile accepted jobs are completed at 0.9 of the rate without fair admission or more.
+     * Rejected users are told when to retry and wait until then instead of retrying every second, so they need fewer than
+     * half of the retries. Meanwhile at least 0.9 times as many jobs are completed as without fair admission.
      */
     @Test
     void rejectedUsersRetryWhenTold() {
@@ -167,10 +167,10 @@
         }
         assertTrue(
                 retriesPerJob[1] < retriesPerJob[0] / 2,
-                "retries per job: " + retriesPerJob[0] + " without, " + retriesPerJob[1] + " with");
+                retriesPerJob[0] + " retries per job without fair admission, " + retriesPerJob[1] + " with it");
         assertTrue(
                 completedJobs[1] >= 0.9 * completedJobs[0],
-                "completed jobs: " + completedJobs[0] + " without, " + completedJobs[1] + " with");
+                completedJobs[0] + " jobs completed without fair admission, " + completedJobs[1] + " with it");
     }
 
     /** A follower must not reject jobs by the admission window table of an earlier leader; the next may decide otherwise. */
--- a/src/test/java/stileferry/coordination/FaultScenario.java
+++ b/src/test/java/stileferry/coordination/FaultScenario.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** Scenarios in which two or more faults overlap, with work that is submitted and cancelled meanwhile. */
+/** Scenarios in which two or more faults overlap while jobs are submitted and cancelled. */
 enum FaultScenario {
     QUOTAS_WHILE_MACHINES_ARE_PARTITIONED(steps -> {
         steps.partitionEveryNthMachine(2, 16_000);
@@ -55,7 +55,7 @@
             steps.submitArrays(100 + 5 * i, 5);
             steps.runFor(6);
             steps.faults.restartLeader(i % 2 == 0 ? 200 : 5000);
-            steps.partitionEveryNthMachine(3, 12_000); // so that incarnations end
+            steps.partitionEveryNthMachine(3, 12_000); // longer than a lease, so that incarnations end
             steps.runFor(8);
         }
     }),
@@ -158,7 +158,7 @@
         steps.faults.usersRepeatRequests = true;
         for (int i = 100; i < 160; i++) {
             SimulatedUser user = steps.cluster.submit(Workloads.array(i, 1, 2));
-            if (i % 2 == 0) { // it runs 2 s from when it has its image
+            if (i % 2 == 0) { // the task runs for 2 s once it has its image
                 steps.cluster.after(2500 + steps.random.nextLong(800), () -> steps.cluster.cancel(user));
             }
             steps.runFor(0.5);
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -18,7 +18,7 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.standin.Worker;
 
-/** Jobs whose tasks run all at the same time or not at all. */
+/** Gangs: jobs whose tasks run all at the same time or not at all. */
 class GangSchedulingTest {
     private static JobSpec gang(int number, JobSpec.Priority priority, int tasks, boolean oneZone, double runS) {
         return JobSpecBuilder.gang(number)
@@ -31,7 +31,7 @@
                 .build();
     }
 
-    /** A gang of so many tasks that their assignments need more than one record. */
+    /** Returns a gang of one-CPU tasks, enough of which need more than one stored record for their assignments. */
     private static JobSpec gangOfSmallTasks(int number, int tasks, double runS) {
         return JobSpecBuilder.gang(number)
                 .tasks(tasks)
@@ -44,7 +44,7 @@
         SimulatedCluster cluster = SimulatedCluster.started(seed);
         cluster.submit(spec);
         cluster.runFor(20);
-        assertEquals(spec.taskCount(), cluster.tasks.running(), "all of it runs");
+        assertEquals(spec.taskCount(), cluster.tasks.running(), "all tasks run");
         return cluster;
     }
 
@@ -54,15 +54,15 @@
         cluster.cloud.reclaim(cluster.tasks.busyMachine());
         assertTrue(cluster.tasks.running() < 6);
         cluster.runFor(25);
-        assertEquals(6, cluster.tasks.running(), "it runs again");
+        assertEquals(6, cluster.tasks.running(), "the whole gang runs again");
         cluster.runFor(60);
         assertEquals("done", cluster.users.get("job-1").endState);
         assertEquals(List.of(), cluster.violations);
     }
 
     /**
-     * A task is gone before the others have noticed. They can't save a checkpoint without it, and told to do so they
-     * would hold their machines until they give up, while the whole gang waits to start again.
+     * A task has failed and its peers have not noticed yet. They can't save a checkpoint without it; if they were told to,
+     * they would occupy their machines until they give up, and the restart of the gang would have to wait.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -74,35 +74,35 @@
                 cluster.workers.values().stream().map(Worker::machine).sorted().toList();
         cluster.workers
                 .get(SimulatedMachines.address(machines.get(1)))
-                .setFaulty(true); // has room for the fifth task, the last one to begin
-        int ended = cluster.tasks.ends;
+                .setFaulty(true); // has capacity for the fifth task, the last one to start
+        int endsBefore = cluster.tasks.ends;
         cluster.submit(gang(2, JobSpec.Priority.URGENT, 5, true, 100));
-        for (int i = 0; i < 400 && cluster.tasks.ends == ended; i++) {
+        for (int i = 0; i < 400 && cluster.tasks.ends == endsBefore; i++) {
             cluster.runFor(0.02);
         }
         cluster.runFor(1);
-        assertEquals(0, cluster.tasks.running(), "a task has failed, the others are gone");
+        assertEquals(0, cluster.tasks.running(), "the peers of the failed task must have stopped");
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Its tasks save together or not at all, so all of them hear of a reclaim notice for one machine. */
+    /** A gang's tasks save a checkpoint together or not at all, so a reclaim notice for one machine stops all of them. */
     @Test
     void aReclaimNoticeForOneMachineCheckpointsTheWholeGang() {
         SimulatedCluster cluster = withRunning(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         cluster.runFor(40);
-        int ended = cluster.tasks.ends;
+        int endsBefore = cluster.tasks.ends;
         Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.busyMachine()));
         worker.reclaimNotice(12);
         cluster.runFor(6);
-        assertEquals(ended + 6, cluster.tasks.ends, "all have stopped");
+        assertEquals(endsBefore + 6, cluster.tasks.ends, "all tasks must have stopped");
         cluster.runFor(20);
         assertEquals(6, cluster.tasks.running());
-        cluster.runFor(65); // 50 s of work were saved
+        cluster.runFor(65); // the checkpoint holds 50 s of work
         assertEquals("done", cluster.users.get("job-1").endState);
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Where one machine can't be reached, the others can't save; they do not wait for it. */
+    /** If one task can't be told to stop, the others can't save a checkpoint, and stop without waiting for it. */
     @Test
     void theCheckpointIsSkippedIfAStopCannotReachAllTasks() {
         SimulatedCluster cluster = withRunning(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
@@ -111,15 +111,16 @@
         cluster.runFor(5);
         assertEquals(6, cluster.tasks.running());
         Worker other = cluster.workers.get(SimulatedMachines.address(machines.get(1)));
-        long there = cluster.tasks.runningOn(other.machine());
+        long tasksOnOther = cluster.tasks.runningOn(other.machine());
         other.reclaimNotice(12);
         cluster.runFor(1.2);
-        assertEquals(6 - there, cluster.tasks.running(), "what hears the stop is gone");
+        assertEquals(
+                6 - tasksOnOther, cluster.tasks.running(), "the tasks that receive the stop command must have ended");
         cluster.runFor(60);
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** When one task is done all are, and no leader may start the others alone. */
+    /** Once one task of a gang is done, all of them are: a new leader must not start the others alone. */
     @ParameterizedTest
     @ValueSource(ints = {0, 20, 60, 150, 400, 900})
     void aCompletedGangIsNotPartlyRestartedAfterAFailover(int afterMs) {
@@ -137,7 +138,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** The leader crashes while a gang's assignments become durable: the next one finishes that attempt or ends it. */
+    /** The leader crashes while a gang's assignments become durable; the next leader completes the attempt or ends it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void aFailoverDuringAGangStartLeavesNoPartialGang(long seed) {
@@ -157,59 +158,60 @@
     }
 
     /**
-     * An attempt is given up before it was stored in full, and the next one begins at once: what of the first becomes
-     * durable later must not let the second start before all of the second is durable.
+     * An attempt is abandoned before all its assignments are durable, and the next attempt begins at once. Assignments of
+     * the first attempt that become durable later must not let the second start before all of its own are durable.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void anAbandonedAttemptDoesNotLetTheNextOneStartEarly(long seed) {
         SimulatedCluster cluster = SimulatedCluster.started(60 + seed);
         cluster.submit(gangOfSmallTasks(1, 80, 2));
-        cluster.runFor(25); // all machines are up and free again
-        SimulatedUser second = cluster.submit(gangOfSmallTasks(2, 40, 5));
-        for (int i = 0; i < 100 && !second.accepted; i++) {
+        cluster.runFor(25); // all machines have booted and are free again
+        SimulatedUser secondGang = cluster.submit(gangOfSmallTasks(2, 40, 5));
+        for (int i = 0; i < 100 && !secondGang.accepted; i++) {
             cluster.runFor(0.02);
         }
         cluster.faults.commitDelayMs = 700;
         cluster.runFor(0.05);
-        Worker first = cluster.workers.values().stream()
+        Worker firstWorker = cluster.workers.values().stream()
                 .min(Comparator.comparing(Worker::machine))
                 .orElseThrow();
-        first.reclaimNotice(3);
+        firstWorker.reclaimNotice(3);
         cluster.machines.deliverDuplicate(
-                MessageCodec.decode(MessageCodec.encode(first.heartbeat())), cluster.leader());
+                MessageCodec.decode(MessageCodec.encode(firstWorker.heartbeat())), cluster.leader());
         cluster.runFor(10);
         cluster.faults.commitDelayMs = 0;
         cluster.runFor(60);
         assertEquals(List.of(), cluster.violations);
-        assertEquals("done", second.endState);
+        assertEquals("done", secondGang.endState);
     }
 
     /**
-     * A version before started a gang's tasks one by one, so that a leader may find assignments of several attempts.
+     * An earlier version started the tasks of a gang one by one, so a leader may find stored assignments of different
+     * attempts.
      */
     @Test
     void assignmentsOfMixedAttemptsAreStoppedAndTheGangRestarts() {
         SimulatedCluster cluster = withRunning(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
         cluster.controllers.values().forEach(ControllerNode::crash);
-        int changed = 0;
+        int changedEvents = 0;
         for (int slot = 0; slot < 1024; slot++) {
             JsonNode record = cluster.store.value("l/" + slot);
             for (JsonNode event : record == null ? List.<JsonNode>of() : record.path("e")) {
                 if (event.path(0).asInt() == 0 && event.path(2).asInt() == 5) {
                     ((ArrayNode) event).set(3, event.path(3).asLong() + 7);
-                    changed++;
+                    changedEvents++;
                 }
             }
         }
-        assertEquals(1, changed);
+        assertEquals(1, changedEvents);
         cluster.controllers.values().forEach(ControllerNode::start);
         cluster.runFor(90);
         assertEquals(List.of(), cluster.violations);
         assertEquals("done", cluster.users.get("job-1").endState);
     }
 
-    /** Room is made for all its tasks at once, in the one zone where it may be. */
+    /** Preemption frees capacity for all tasks of a gang at once, in a single zone. */
     @Test
     void preemptionMakesRoomForTheWholeGang() {
         SimulatedCluster cluster = SimulatedCluster.started(30);
@@ -217,25 +219,31 @@
             cluster.submit(array(100 + i, "any", JobSpec.Priority.IDLE, 4, 400));
         }
         cluster.runFor(60);
-        int full = cluster.tasks.running();
+        int runningBefore = cluster.tasks.running();
         cluster.submit(gang(1, JobSpec.Priority.URGENT, 8, true, 10));
         cluster.runFor(14);
-        assertTrue(cluster.users.get("job-1").startedAt > 0, "it waits, with " + full + " tasks of less urgent work");
+        assertTrue(
+                cluster.users.get("job-1").startedAt > 0,
+                "the gang still waits, with " + runningBefore + " tasks of lower priority running before");
         assertEquals(List.of(), cluster.violations);
     }
 
     @Test
     void anUnschedulableGangIsRejected() {
         SimulatedCluster cluster = SimulatedCluster.started(31);
-        cluster.submit(
-                JobSpecBuilder.gang(1).team("blue").tasks(13).cpus(2).runS(5).build()); // 26 CPUs of 24
+        cluster.submit(JobSpecBuilder.gang(1)
+                .team("blue")
+                .tasks(13)
+                .cpus(2)
+                .runS(5)
+                .build()); // 26 CPUs, above the team's limit of 24
         cluster.submit(JobSpecBuilder.gang(2)
                 .tasks(4)
                 .cpus(2)
                 .oneZone(true)
                 .spreadAcrossZones(true)
                 .runS(5)
-                .build()); // in one zone, with at most half of it in each
+                .build()); // all tasks in one zone, but at most half of them in any zone
         cluster.runFor(10);
         for (SimulatedUser user : cluster.users.values()) {
             assertFalse(user.accepted, user.spec.id());
--- a/src/test/java/stileferry/coordination/GangStartCheck.java
+++ b/src/test/java/stileferry/coordination/GangStartCheck.java
@@ -40,8 +40,7 @@
             if (starts && checkedAttempts.add(spec.id() + "#" + attempt)) {
                 Set<Integer> assigned = assignedTasks(spec.id(), attempt);
                 if (assigned.size() < spec.taskCount()) {
-                    violations.add("started_early: " + task + " while only the tasks " + assigned
-                            + " have stored assignments");
+                    violations.add("started_early: " + task + " with stored assignments only of the tasks " + assigned);
                 }
             }
         }
--- a/src/test/java/stileferry/coordination/HandoverTest.java
+++ b/src/test/java/stileferry/coordination/HandoverTest.java
@@ -16,59 +16,59 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.coordination.SimulatedNetwork.LinkFault;
 
-/** Leadership handovers in which a step is the last, comes late, or meets an older version. */
+/** Leadership handovers that are interrupted, delayed, or involve controllers of an older version. */
 class HandoverTest {
-    /** Brings the leader to hand over, and plays until the nominee has been asked. */
+    /** Returns a cluster whose leader has lost its workers and has just begun to hand leadership over. */
     private static SimulatedCluster withHandoverInProgress(long seed) {
         SimulatedCluster cluster = withLongJobs(seed, LINK_MONITORING);
         cluster.network.injectFaultBothWays(cluster.leader().name(), WORKERS, LinkFault.LOST);
-        ControllerNode old = cluster.leader();
-        for (int i = 0; i < 3000 && !old.coordinator.links().handingOver(); i++) {
+        ControllerNode oldLeader = cluster.leader();
+        for (int i = 0; i < 3000 && !oldLeader.coordinator.links().handingOver(); i++) {
             cluster.runFor(0.01);
         }
-        assertTrue(old.coordinator.links().handingOver(), "no handover began");
+        assertTrue(oldLeader.coordinator.links().handingOver(), "no handover began");
         return cluster;
     }
 
     @Test
     void workContinuesIfPeersLoseTheStoreDuringAHandover() {
         SimulatedCluster cluster = withHandoverInProgress(540);
-        ControllerNode old = cluster.leader();
-        cluster.peersOf(old)
+        ControllerNode oldLeader = cluster.leader();
+        cluster.peersOf(oldLeader)
                 .forEach(n -> cluster.network.injectFaultBothWays(n.name(), SimulatedCluster.STORE, LinkFault.LOST));
         cluster.runFor(8);
         assertEquals(List.of(), cluster.violations);
-        cluster.peersOf(old).forEach(n -> cluster.network.restoreBothWays(n.name(), SimulatedCluster.STORE));
+        cluster.peersOf(oldLeader).forEach(n -> cluster.network.restoreBothWays(n.name(), SimulatedCluster.STORE));
         cluster.runFor(25);
-        assertTrue(secondsToStart(cluster, 50, 30) < 30, "somebody leads and work goes on");
+        assertTrue(secondsToStart(cluster, 50, 30) < 30, "new work must start");
         assertRecovered(cluster);
     }
 
-    /** Each step may be the last: the leader's process pauses before, within or after its release. */
+    /** The leader's process may pause before, during or after the release of its leadership. */
     @ParameterizedTest
     @ValueSource(ints = {0, 5, 20, 60, 120, 300, 1000})
     void workContinuesIfTheLeaderPausesAroundItsRelease(int afterMs) {
         SimulatedCluster cluster = withHandoverInProgress(541);
-        ControllerNode old = cluster.leader();
+        ControllerNode oldLeader = cluster.leader();
         cluster.runFor(afterMs / 1000.0);
-        old.environment.pause(12_000);
+        oldLeader.environment.pause(12_000);
         cluster.runFor(32);
         assertEquals(List.of(), cluster.violations);
-        assertTrue(cluster.leader() != null, "somebody leads");
-        assertTrue(secondsToStart(cluster, 50, 30) < 30, "work goes on");
+        assertTrue(cluster.leader() != null, "a leader is elected");
+        assertTrue(secondsToStart(cluster, 50, 30) < 30, "new work must start");
         assertRecovered(cluster);
     }
 
     @ParameterizedTest
     @CsvSource({"0,100", "30,100", "100,200", "500,100"})
-    void workContinuesIfAControllerRestartsDuringAHandover(int afterMs, int awayMs) {
-        for (int who = 0; who < 3; who++) {
-            SimulatedCluster cluster = withHandoverInProgress(550 + who);
+    void workContinuesIfAControllerRestartsDuringAHandover(int afterMs, int restartDelayMs) {
+        for (int index = 0; index < 3; index++) {
+            SimulatedCluster cluster = withHandoverInProgress(550 + index);
             cluster.runFor(afterMs / 1000.0);
-            cluster.faults.restart(List.copyOf(cluster.controllers.values()).get(who), awayMs);
+            cluster.faults.restart(List.copyOf(cluster.controllers.values()).get(index), restartDelayMs);
             cluster.runFor(30);
             assertEquals(List.of(), cluster.violations);
-            assertTrue(secondsToStart(cluster, 50, 30) < 30, "work goes on");
+            assertTrue(secondsToStart(cluster, 50, 30) < 30, "new work must start");
             assertRecovered(cluster);
         }
     }
@@ -86,11 +86,11 @@
         cluster.faults.endStoreOutage();
         cluster.runFor(25);
         assertEquals(List.of(), cluster.violations);
-        assertTrue(secondsToStart(cluster, 50, 30) < 30, "work goes on");
+        assertTrue(secondsToStart(cluster, 50, 30) < 30, "new work must start");
         assertRecovered(cluster);
     }
 
-    /** A version that knows nothing of link views is neither sent any nor handed anything over to. */
+    /** Controllers of a version without link views are sent none, and leadership is not handed over to them. */
     @Test
     void olderVersionsTakeNoPartInHandovers() {
         SimulatedCluster cluster = new SimulatedCluster(590);
@@ -103,7 +103,7 @@
         cluster.network.injectFaultBothWays(leader.name(), WORKERS, LinkFault.LOST);
         cluster.runFor(40);
         assertEquals(List.of(), cluster.violations);
-        assertEquals(leader, cluster.leader(), "as before");
+        assertEquals(leader, cluster.leader(), "leadership must not have moved");
         assertRecovered(cluster);
     }
 }
--- a/src/test/java/stileferry/coordination/InvariantChecks.java
+++ b/src/test/java/stileferry/coordination/InvariantChecks.java
@@ -9,25 +9,25 @@
 import stileferry.standin.Worker;
 
 /**
- * The invariants of the scheduler, checked whenever something happens that could break one. Each violation begins with
- * the invariant's name:
+ * Checks the invariants of the scheduler whenever something happens that could violate one. The text of each violation
+ * begins with the name of the invariant:
  *
  * <ul>
  *   <li>ran_twice: two attempts of a task, or of a gang, run at the same time
  *   <li>ran_cancelled: a task starts after its cancellation was confirmed, or runs for longer than cancel_s after it
- *   <li>wrong_place: a task is where its zones or its machine's kind forbid it
- *   <li>quota: a team uses more than its limit
- *   <li>forgotten: a job that was accepted is unknown, or nobody answers for it
- *   <li>went_back, not_done: what users hear contradicts what they heard before, or what was done
- *   <li>waiting: a job waits beside a machine with room for it long after the last fault
- *   <li>held back: a 503 comes late, or does not say when to come back
+ *   <li>wrong_place: a task runs in a zone or on a spot instance that its job does not allow
+ *   <li>quota: a team uses more CPUs than its limit
+ *   <li>forgotten: an accepted job is unknown or invalid to a controller, or its user gets no response any more
+ *   <li>went_back, not_done: the state in a response contradicts an earlier response, or the tasks that are done
+ *   <li>waiting: a job has no running task long after the last fault, although a machine has capacity for one
+ *   <li>late_503: a 503 response is late, or does not say when to retry
  * </ul>
  */
 final class InvariantChecks {
     private static final double MAX_UNANSWERED_S = 75;
     private static final double MAX_UNSCHEDULED_S = 90;
 
-    /** Within this time a user hears that a request can't be answered now. */
+    /** The longest time until a user gets a 503 response. */
     private static final long MAX_503_LATENCY_MS = 4500;
 
     private static final double ROUNDING_TOLERANCE = 1e-6;
@@ -40,9 +40,9 @@
         this.violations = cluster.violations;
     }
 
-    /** What is checked as time passes. */
+    /** Checks the invariants that can be violated by the passing of time; called at every tick. */
     void tick() {
-        cluster.gangs.jobsWithMixedAttempts().forEach(id -> violations.add("ran_twice: two attempts of " + id));
+        cluster.gangs.jobsWithMixedAttempts().forEach(jobId -> violations.add("ran_twice: two attempts of " + jobId));
         for (SimulatedUser user : cluster.users.values()) {
             checkNotForgotten(user);
             checkScheduled(user);
@@ -56,7 +56,7 @@
                 && user.accepted
                 && user.endState == null
                 && cluster.now - Math.max(endedAt, user.lastResponseAt) > MAX_UNANSWERED_S * 1000) {
-            violations.add("forgotten: " + user.spec.id() + " is not answered for");
+            violations.add("forgotten: " + user.spec.id() + " gets no responses");
         }
     }
 
@@ -72,7 +72,10 @@
         }
     }
 
-    /** Once the faults are over no job is left waiting beside a machine that fits, with its team under its limit. */
+    /**
+     * Checks that after the last fault no job, except gangs, waits long for its first task while a machine has capacity and
+     * its team is under its limit.
+     */
     private void checkScheduled(SimulatedUser user) {
         if (cluster.faults.endedAt == 0
                 || !user.accepted
@@ -85,7 +88,7 @@
         } else if (user.unscheduledSince == 0) {
             user.unscheduledSince = cluster.now;
         } else if (cluster.now - user.unscheduledSince > MAX_UNSCHEDULED_S * 1000) {
-            violations.add("waiting: " + user.spec.id() + " beside free room");
+            violations.add("waiting: " + user.spec.id() + " although there is capacity");
         }
     }
 
@@ -101,17 +104,17 @@
     private boolean fitsOn(Worker worker, JobSpec spec) {
         double cpus = SimulatedMachines.CPUS - spec.cpus();
         double memory = SimulatedMachines.MEMORY_GB - spec.memoryGb();
-        for (Map.Entry<String, String> on : cluster.tasks.placements().entrySet()) {
-            if (on.getValue().startsWith(worker.machine() + "|")) {
-                JobSpec there = cluster.users.get(RunningTasks.jobIdOf(on.getKey())).spec;
-                cpus -= there.cpus();
-                memory -= there.memoryGb();
+        for (Map.Entry<String, String> running : cluster.tasks.placements().entrySet()) {
+            if (running.getValue().startsWith(worker.machine() + "|")) {
+                JobSpec runningSpec = cluster.users.get(RunningTasks.jobIdOf(running.getKey())).spec;
+                cpus -= runningSpec.cpus();
+                memory -= runningSpec.memoryGb();
             }
         }
         return cpus >= -ROUNDING_TOLERANCE && memory >= -ROUNDING_TOLERANCE;
     }
 
-    /** Checks a task that starts, before it is known to run. */
+    /** Checks a task that starts, before it is recorded as running. */
     void checkStart(SimulatedUser user, String task, Worker worker) {
         String place = cluster.tasks.placements().get(task);
         if (place != null) {
@@ -119,7 +122,8 @@
         }
         checkPlacement(user.spec, task, worker);
         if (user.cancelConfirmedAt > 0) {
-            violations.add("ran_cancelled: " + task + " began " + (cluster.now - user.cancelConfirmedAt) + " ms after");
+            violations.add("ran_cancelled: " + task + " started " + (cluster.now - user.cancelConfirmedAt)
+                    + " ms after its cancellation was confirmed");
         }
     }
 
@@ -131,52 +135,53 @@
         long inZone = 1;
         for (Map.Entry<String, String> entry : cluster.tasks.placements().entrySet()) {
             if (entry.getKey().startsWith(spec.id() + "/")) {
-                boolean same = entry.getValue().endsWith("|" + worker.zone());
-                inZone += same ? 1 : 0;
-                if (spec.oneZone() && !same) {
-                    violations.add("wrong_place: " + task + " away from its zone");
+                boolean sameZone = entry.getValue().endsWith("|" + worker.zone());
+                inZone += sameZone ? 1 : 0;
+                if (spec.oneZone() && !sameZone) {
+                    violations.add("wrong_place: " + task + " outside the zone of the job's other tasks");
                 }
             }
         }
         if (spec.spreadAcrossZones() && inZone > (spec.taskCount() + 1) / 2) {
-            violations.add("wrong_place: " + task + " with too many in " + worker.zone());
+            violations.add("wrong_place: " + task + " is one task too many in " + worker.zone());
         }
     }
 
-    void checkQuota(String name) {
-        Settings.Team team = cluster.team(name);
-        double sum = cluster.tasks.cpusInUse(name);
-        if (team.cpusMax() > 0 && sum > team.cpusMax() + ROUNDING_TOLERANCE) {
-            violations.add("quota: " + name + " uses " + sum);
+    /** Checks that the running tasks of a team don't exceed its CPU limit. */
+    void checkQuota(String teamName) {
+        Settings.Team team = cluster.team(teamName);
+        double cpusInUse = cluster.tasks.cpusInUse(teamName);
+        if (team.cpusMax() > 0 && cpusInUse > team.cpusMax() + ROUNDING_TOLERANCE) {
+            violations.add("quota: " + teamName + " uses this many CPUs: " + cpusInUse);
         }
     }
 
-    /** A 503 must come in time and say when to come back. */
+    /** Checks that a 503 response is in time and says when to retry. */
     void checkResponse(PeerMessage.RequestKind kind, PeerMessage.Response response, long waitedMs) {
         if (response.status() == 503 && (response.retryAfterS() < 1 || waitedMs > MAX_503_LATENCY_MS)) {
             violations.add(
-                    "held back: " + kind + " for " + waitedMs + " ms, come back in " + response.retryAfterS() + " s");
+                    "late_503: " + kind + " took " + waitedMs + " ms, retry after " + response.retryAfterS() + " s");
         }
     }
 
-    /** An accepted job is not unknown or invalid later. */
+    /** Checks that the rejected request is not about an accepted job, which can't become unknown or invalid. */
     void checkRejection(SimulatedUser user, PeerMessage.RequestKind kind, int status) {
         if (user.accepted) {
-            violations.add("forgotten: " + user.spec.id() + " is answered " + status + " to " + kind);
+            violations.add("forgotten: " + user.spec.id() + " gets status " + status + " to " + kind);
         }
     }
 
-    /** What a user hears must agree with what it heard before, and with what was done. */
-    void checkJobState(SimulatedUser user, String phase, JsonNode body) {
-        String id = user.spec.id();
-        if (user.endState != null && !user.endState.equals(phase)) {
-            violations.add("went_back: " + id + " was " + user.endState + " and is " + phase);
+    /** Checks that the state in a response agrees with earlier responses and with the number of tasks that are done. */
+    void checkJobState(SimulatedUser user, String state, JsonNode body) {
+        String jobId = user.spec.id();
+        if (user.endState != null && !user.endState.equals(state)) {
+            violations.add("went_back: " + jobId + " was " + user.endState + " and is " + state);
         }
-        if (phase.equals("cancelled") && !user.cancelRequested) {
-            violations.add("went_back: " + id + " is cancelled by nobody");
+        if (state.equals("cancelled") && !user.cancelRequested) {
+            violations.add("went_back: " + jobId + " is cancelled though its user did not ask for it");
         }
-        if (phase.equals("done") && body.path("done").asInt() != user.spec.taskCount()) {
-            violations.add("not_done: " + id + " with " + body.path("done"));
+        if (state.equals("done") && body.path("done").asInt() != user.spec.taskCount()) {
+            violations.add("not_done: " + jobId + " is done with completed tasks " + body.path("done"));
         }
     }
 }
--- a/src/test/java/stileferry/coordination/InvariantChecksTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksTest.java
@@ -16,7 +16,7 @@
 import stileferry.protocol.WorkerMessages;
 import stileferry.standin.Worker;
 
-/** The checks of the invariants must be able to fail. */
+/** Tests that the invariant checks detect violations. */
 class InvariantChecksTest {
     private static final long HIGH_TERM = 1L << 40;
 
@@ -31,7 +31,7 @@
                 .build();
     }
 
-    /** A cluster with machines up, and a job that nobody but the test will start. */
+    /** Returns a cluster with booted machines and no controllers, so that only the test starts tasks of the given job. */
     private static SimulatedCluster clusterWith(JobSpec spec) {
         SimulatedCluster cluster = SimulatedCluster.started(1);
         cluster.submit(service(1, 8, 8));
@@ -56,7 +56,7 @@
                 List.of(
                         new WorkerCommand(WorkerCommand.Kind.KILL, "job-1/0", 0, 0),
                         new WorkerCommand(WorkerCommand.Kind.RUN, task, 1, 0))));
-        cluster.runFor(0.95); // it has its image, and leases stand
+        cluster.runFor(0.95); // the task has its image by then, and no lease has expired
     }
 
     private static void stopAll(SimulatedCluster cluster) {
@@ -70,10 +70,10 @@
         }
     }
 
-    private static void assertDetected(SimulatedCluster cluster, String rule) {
+    private static void assertDetected(SimulatedCluster cluster, String invariant) {
         assertTrue(
-                cluster.violations.stream().anyMatch(v -> v.startsWith(rule)),
-                rule + " not detected: " + cluster.violations);
+                cluster.violations.stream().anyMatch(v -> v.startsWith(invariant)),
+                invariant + " was not detected, violations: " + cluster.violations);
     }
 
     @Test
@@ -96,7 +96,8 @@
 
     @Test
     void aTeamOverItsLimitIsDetected() {
-        SimulatedCluster cluster = clusterWith(spec(9, "blue", 7, null, false)); // 28 CPUs of 24
+        SimulatedCluster cluster =
+                clusterWith(spec(9, "blue", 7, null, false)); // 28 CPUs, above the team's limit of 24
         stopAll(cluster);
         for (int i = 0; i < 7 && cluster.violations.isEmpty(); i++) {
             start(cluster, machineIn(cluster, i % 4 < 2 ? "za" : "zb", i % 2), "job-9/" + i);
@@ -168,7 +169,8 @@
         SimulatedCluster cluster = SimulatedCluster.started(1);
         cluster.submit(service(1, 1, 2));
         cluster.runFor(30);
-        SimulatedUser user = cluster.users.add(spec(9, "free", 1, null, false)); // as if its acceptance had been lost
+        SimulatedUser user = cluster.users.add(
+                spec(9, "free", 1, null, false)); // no controller knows the job, as if its record were lost
         user.accepted = true;
         cluster.faults.endedAt = cluster.now;
         for (int i = 0; i < 100 && cluster.violations.isEmpty(); i++) {
--- a/src/test/java/stileferry/coordination/InvariantChecksUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksUnderFaultsTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 import stileferry.standin.Worker;
 
-/** The checks of the invariants must be able to fail: controllers that are gone, workers that keep no lease. */
+/** Tests that the invariant checks detect violations by crashed controllers and by workers that ignore their leases. */
 class InvariantChecksUnderFaultsTest {
-    /** With all controllers gone nobody answers for a job. */
+    /** After all controllers have crashed, users get no responses about their jobs. */
     @Test
     void aForgottenJobIsDetected() {
         SimulatedCluster cluster = SimulatedCluster.started(35);
@@ -24,7 +24,7 @@
         assertTrue(cluster.violations.stream().anyMatch(v -> v.startsWith("forgotten")), "not detected");
     }
 
-    /** A worker that keeps its tasks after its lease has expired breaks what the controllers rely on. */
+    /** A worker keeps its tasks after its lease has expired, although controllers rely on their end. */
     @Test
     void aTaskThatOutlivesItsLeaseIsDetected() {
         SimulatedCluster cluster = SimulatedCluster.started(100, 9, 2, 40);
@@ -32,20 +32,22 @@
         cluster.runFor(15);
         Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.busyMachine()));
         worker.ignoreLease();
-        cluster.faults.partitionZone(worker.zone(), 60_000); // a single machine would be replaced and deleted
+        cluster.faults.partitionZone(
+                worker.zone(), 60_000); // the whole zone, since a single lost machine would be replaced and deleted
         cluster.runFor(40);
         assertTrue(
                 cluster.violations.stream().anyMatch(v -> v.startsWith("ran_twice")),
-                "not detected: " + cluster.violations);
+                "ran_twice was not detected, violations: " + cluster.violations);
     }
 
-    /** A worker that minds neither its lease nor commands keeps a cancelled task. */
+    /** Workers that ignore their leases and receive no commands keep a cancelled task. */
     @Test
     void aTaskThatOutlivesItsCancellationIsDetected() {
         SimulatedCluster cluster = BusyCluster.withLongJobs(301);
         SimulatedUser user = cluster.users.get("job-0");
         cluster.workers.values().forEach(Worker::ignoreLease);
-        cluster.faults.partitionZone("za", 60_000); // single machines would be replaced and deleted
+        cluster.faults.partitionZone(
+                "za", 60_000); // whole zones, since single lost machines would be replaced and deleted
         cluster.faults.partitionZone("zb", 60_000);
         cluster.cancel(user);
         cluster.runFor(SimulatedCluster.CANCEL_S - 1);
--- a/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.protocol.Features;
 
-/** Seeded runs with random faults; every invariant is checked whenever something happens. */
+/** Seeded runs with random faults, in which all invariants are checked continuously. */
 class InvariantsUnderFaultsTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
@@ -17,7 +17,7 @@
         ChaosRun.assertAllJobsEnded(ChaosRun.run(seed, 120));
     }
 
-    /** The same with link monitoring, on some runs by two controllers only, the third being of the version before. */
+    /** The same with link monitoring; for some seeds one or two controllers run an older version without it. */
     @ParameterizedTest
     @MethodSource("seedsWithLinkMonitoring")
     void invariantsHoldWithLinkMonitoring(long seed) {
--- a/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
+++ b/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.JobSpec;
 
-/** Failovers during a partition: what the former leader recorded of last heartbeats proves that leases expired. */
+/** Failovers during a partition: the last heartbeats that the former leader journalled prove that leases expired. */
 class LastHeartbeatJournalTest {
     /**
-     * The leader crashes while a zone is partitioned: the new leader must not wait for the leases of the zone's
-     * machines from the beginning, as their services run nowhere for that long.
+     * The leader crashes while a zone is partitioned. The new leader must not wait for a full lease of the zone's machines
+     * again, since their services would run nowhere for that long.
      */
     @Test
     void aFailoverDuringAZonePartitionDoesNotRestartLeases() {
@@ -23,37 +23,37 @@
         String zone = cluster.machines.zoneOf(cluster.tasks.busyMachine());
         cluster.faults.partitionZone(zone, 30_000);
         cluster.runFor(5);
-        ControllerNode first = cluster.leader();
-        cluster.faults.restart(first, 5000);
-        // the lease is 10 s and counts from the last heartbeat that was answered; then a machine has to boot
+        ControllerNode firstLeader = cluster.leader();
+        cluster.faults.restart(firstLeader, 5000);
+        // the lease of 10 s counts from the last heartbeat with a response; then another machine has to boot
         cluster.runFor(13);
-        assertTrue(cluster.leader() != first);
-        assertEquals(8, cluster.tasks.running(), "services of the zone run elsewhere");
+        assertTrue(cluster.leader() != firstLeader);
+        assertEquals(8, cluster.tasks.running(), "the zone's services must run in the other zone");
         cluster.runFor(30);
         assertEquals(8, cluster.tasks.running());
         assertEquals(List.of(), cluster.violations);
     }
 
     /**
-     * A new leader that has never heard the machines of a partitioned zone must not take them for ones that never came
-     * up, delete them all, and scale out in the zone that nobody can reach.
+     * A new leader that has received no heartbeat from the machines of a partitioned zone must not take them for machines
+     * that failed to boot, delete them all, and scale out in the unreachable zone.
      */
     @Test
     void aNewLeaderKeepsTheMachinesOfAPartitionedZone() {
         SimulatedCluster cluster = SimulatedCluster.started(41, 9, 2, 40);
         Workloads.submitServices(cluster, 14);
         cluster.runFor(60);
-        List<String> all = cluster.cloud.runningMachines();
-        String zone = all.stream()
+        List<String> runningMachines = cluster.cloud.runningMachines();
+        String zone = runningMachines.stream()
                                 .filter(m -> cluster.machines.zoneOf(m).equals("za"))
                                 .count()
-                        > all.size() / 2
+                        > runningMachines.size() / 2
                 ? "za"
                 : "zb";
-        List<String> machines = all.stream()
+        List<String> machines = runningMachines.stream()
                 .filter(m -> cluster.machines.zoneOf(m).equals(zone))
                 .toList();
-        assertTrue(machines.size() >= 3, all + " are up");
+        assertTrue(machines.size() >= 3, runningMachines + " are running, too few of them in one zone");
         cluster.faults.partitionZone(zone, 24_000);
         cluster.runFor(4);
         cluster.faults.restart(cluster.leader(), 5000);
@@ -63,41 +63,43 @@
         for (SimulatedUser user : cluster.users.values()) {
             assertTrue(
                     !user.spec.service() || !cluster.tasks.machinesOf(user).isEmpty(),
-                    "services of the zone run elsewhere");
+                    "the zone's services must run in the other zone");
         }
-        assertTrue(cluster.cloud.runningMachines().containsAll(machines), "they are there when the cut ends");
+        assertTrue(
+                cluster.cloud.runningMachines().containsAll(machines),
+                "the machines must still exist when the partition ends");
         assertEquals(
                 machines,
                 cluster.cloud.runningMachines().stream()
                         .filter(m -> cluster.machines.zoneOf(m).equals(zone))
                         .toList(),
-                "nothing was scaled out in a zone that nobody can reach");
+                "no scale-out in an unreachable zone");
         cluster.runFor(10);
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A machine that was silent and was answered again since has a new lease; the record of its silence is void. */
+    /** A machine that got a response after a silence has a new lease; the journalled last heartbeat is no longer valid. */
     @Test
     void aSilenceThatEndedProvesNoLeaseExpiry() {
         SimulatedCluster cluster = SimulatedCluster.started(40, 9, 2, 40);
         Workloads.submitServices(cluster, 14);
         cluster.runFor(25);
         String zone = cluster.machines.zoneOf(cluster.tasks.busyMachine());
-        int ended = cluster.tasks.ends;
+        int endsBefore = cluster.tasks.ends;
         cluster.faults.partitionZone(zone, 7000);
         cluster.runFor(9.5);
-        assertEquals(ended, cluster.tasks.ends, "nothing was lost so far");
+        assertEquals(endsBefore, cluster.tasks.ends, "no task may be lost in the first partition");
         cluster.faults.partitionZone(zone, 25_000);
         cluster.leader().crash();
         cluster.runFor(60);
         assertEquals(List.of(), cluster.violations);
-        assertTrue(cluster.tasks.ends > ended, "the second cut was longer than a lease");
+        assertTrue(cluster.tasks.ends > endsBefore, "the second partition is longer than a lease, so tasks must end");
         assertEquals(28, cluster.tasks.running());
     }
 
     /**
-     * An incarnation seen only in answers to commands, since no heartbeat could be answered, must not be taken for
-     * expired with the one before it.
+     * No heartbeat gets a response, so a new incarnation is seen only in responses to commands. Its lease must not be taken
+     * for expired together with that of the previous incarnation.
      */
     @Test
     void aNewIncarnationHasALeaseOfItsOwn() {
@@ -105,8 +107,8 @@
         Workloads.submitServices(cluster, 14);
         cluster.runFor(25);
         cluster.faults.partitionZone(cluster.machines.zoneOf(cluster.tasks.busyMachine()), 7000);
-        cluster.runFor(4.5); // their silence is recorded by now
-        cluster.faults.storeDown = true; // so nothing can be recorded any more
+        cluster.runFor(4.5); // the last heartbeats are journalled by now
+        cluster.faults.storeDown = true; // so nothing can be journalled any more
         cluster.runFor(12);
         cluster.faults.endStoreOutage();
         cluster.runFor(20);
--- a/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
+++ b/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import stileferry.protocol.JobSpec;
 
-/** Leases of workers while the key-value store is down, so that nobody can be elected. */
+/** Renewal of workers' leases while the key-value store is down, so that no leader can be elected. */
 class LeaderlessLeaseRenewalTest {
-    /** Who crashes during the outage. */
+    /** The controllers that crash during the outage. */
     enum Crash {
         LEADER,
         FOLLOWER,
@@ -20,27 +20,27 @@
     }
 
     /**
-     * Two processes that know of every cancellation are enough to renew leases. When all have ended, nobody knows which
-     * jobs were cancelled, so leases must expire.
+     * Two controller processes that know all cancellations are enough to renew leases. After all processes have crashed,
+     * no controller knows which jobs were cancelled, so leases must expire.
      */
     @ParameterizedTest
     @EnumSource(Crash.class)
     void tasksSurviveAStoreOutageWithAControllerCrash(Crash crash) {
         SimulatedCluster cluster = withServices();
         int running = cluster.tasks.starts - cluster.tasks.ends;
-        int ended = cluster.tasks.ends;
-        assertTrue(running > 3, "too little runs: " + running);
+        int endsBefore = cluster.tasks.ends;
+        assertTrue(running > 3, "too few running tasks: " + running);
         SimulatedUser cancelled = cluster.users.values().stream()
                 .filter(u -> cluster.tasks.running(u) > 0)
                 .findFirst()
                 .orElseThrow();
-        long gone = cluster.tasks.running(cancelled);
-        cluster.tasks // so its stops come from another controller than the leader
+        long cancelledTasks = cluster.tasks.running(cancelled);
+        cluster.tasks // so that another controller than the leader sends the stop commands
                 .machinesOf(cancelled)
                 .forEach(m -> cluster.faults.inboundLoss.add(SimulatedMachines.address(m)));
         cluster.cancel(cancelled);
         cluster.runFor(0.5);
-        assertTrue(cancelled.cancelConfirmedAt > 0, "not confirmed");
+        assertTrue(cancelled.cancelConfirmedAt > 0, "the cancellation was not confirmed");
         cluster.faults.storeDown = true;
         cluster.runFor(1);
         controllersToCrash(cluster, crash).forEach(n -> cluster.faults.restart(n, 4000));
@@ -48,10 +48,13 @@
         cluster.faults.inboundLoss.clear();
         cluster.runFor(58); // six leases
         assertEquals(0, cluster.tasks.running(cancelled));
-        assertEquals(crash == Crash.ALL ? ended + running : ended + gone, cluster.tasks.ends, "tasks that ended");
+        assertEquals(
+                crash == Crash.ALL ? endsBefore + running : endsBefore + cancelledTasks,
+                cluster.tasks.ends,
+                "tasks that ended");
         cluster.faults.endStoreOutage();
         cluster.runFor(20);
-        assertEquals(running - gone, cluster.tasks.starts - cluster.tasks.ends);
+        assertEquals(running - cancelledTasks, cluster.tasks.starts - cluster.tasks.ends);
         assertEquals(List.of(), cluster.violations);
     }
 
--- a/src/test/java/stileferry/coordination/OperatorSettingsTest.java
+++ b/src/test/java/stileferry/coordination/OperatorSettingsTest.java
@@ -12,7 +12,7 @@
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.PeerMessage;
 
-/** The operators' settings: their bounds, and how they are stored. */
+/** Operator settings: validation, storage and distribution to the controllers. */
 class OperatorSettingsTest {
     @Test
     void aChangeIsAtomic() throws InvalidOperatorSettingException {
@@ -21,8 +21,8 @@
         assertEquals(1, changed.revision());
         assertEquals(0.5, changed.number(OperatorSettings.SPOT_SHARE));
         assertFalse(changed.flag(OperatorSettings.PREEMPTION));
-        ObjectNode half = MessageCodec.map().put("spot_share", 0.7).put("preemption", "maybe");
-        assertTrue(assertThrows(InvalidOperatorSettingException.class, () -> changed.with(half))
+        ObjectNode partlyInvalid = MessageCodec.map().put("spot_share", 0.7).put("preemption", "maybe");
+        assertTrue(assertThrows(InvalidOperatorSettingException.class, () -> changed.with(partlyInvalid))
                 .getMessage()
                 .startsWith("preemption:"));
         assertEquals(0.5, changed.number(OperatorSettings.SPOT_SHARE));
@@ -44,35 +44,35 @@
         assertEquals(0.2, read.number(OperatorSettings.SPARE_SHARE));
     }
 
-    /** Settings reach every controller without a restart, and outlive the loss of all of them. */
+    /** A change reaches every controller without a restart, and is still there after all of them have crashed. */
     @Test
     void settingsReachAllControllersAndSurviveRestarts() {
         SimulatedCluster cluster = new SimulatedCluster(9);
         cluster.runFor(5);
         ObjectNode body = MessageCodec.map().put("revision", 0);
         body.putObject("change").put("log_level", "debug").put("spare_share", 0.4);
-        PeerMessage.Response[] answer = new PeerMessage.Response[1];
-        ControllerNode any = cluster.controllers.get("n1");
-        any.environment.execute(() -> any.coordinator.handleAdministrationRequest(
-                "POST", "settings", MessageCodec.encode(body), a -> answer[0] = a));
+        PeerMessage.Response[] response = new PeerMessage.Response[1];
+        ControllerNode changedAt = cluster.controllers.get("n1");
+        changedAt.environment.execute(() -> changedAt.coordinator.handleAdministrationRequest(
+                "POST", "settings", MessageCodec.encode(body), answered -> response[0] = answered));
         cluster.runFor(2);
-        assertEquals(200, answer[0].status());
+        assertEquals(200, response[0].status());
         cluster.controllers.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.name()));
         cluster.controllers.values().forEach(ControllerNode::crash);
         cluster.runFor(1);
         cluster.controllers.values().forEach(ControllerNode::start);
         cluster.runFor(12);
         cluster.controllers.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.name()));
-        ControllerNode again = cluster.controllers.get("n2");
-        again.environment.execute(() ->
-                again.coordinator.handleAdministrationRequest("GET", "settings", new byte[0], a -> answer[0] = a));
+        ControllerNode asked = cluster.controllers.get("n2");
+        asked.environment.execute(() -> asked.coordinator.handleAdministrationRequest(
+                "GET", "settings", new byte[0], answered -> response[0] = answered));
         cluster.runFor(1);
-        assertEquals(1, MessageCodec.decode(answer[0].body()).path("revision").asLong());
+        assertEquals(1, MessageCodec.decode(response[0].body()).path("revision").asLong());
         cluster.faults.storeDown = true;
         cluster.runFor(6);
-        again.environment.execute(() ->
-                again.coordinator.handleAdministrationRequest("GET", "settings", new byte[0], a -> answer[0] = a));
+        asked.environment.execute(() -> asked.coordinator.handleAdministrationRequest(
+                "GET", "settings", new byte[0], answered -> response[0] = answered));
         cluster.runFor(5);
-        assertEquals(503, answer[0].status(), "nothing is told while nobody is sure to lead");
+        assertEquals(503, response[0].status(), "no settings are returned while no controller is sure to lead");
     }
 }
--- a/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
+++ b/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
@@ -8,18 +8,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Faults that overlap, each scenario brought about on purpose; every invariant is checked at every step. */
+/** Scripted scenarios of overlapping faults, in which all invariants are checked continuously. */
 class OverlappingFaultsTest {
     private static final long[] SEEDS =
             LongStream.range(1, 1 + Long.getLong("meetings", 2)).toArray();
 
-    /** Each scenario with two seeds; in the end every job that nobody cancelled has run. */
+    /** Runs each scenario with two seeds by default; afterwards all accepted jobs have ended or are fully running services. */
     @ParameterizedTest
     @EnumSource(FaultScenario.class)
     void invariantsHoldUnderOverlappingFaults(FaultScenario scenario) {
         for (long seed : SEEDS) {
             SimulatedCluster cluster = BusyCluster.withTeamsAtTheirQuotas(seed);
-            int before = cluster.tasks.starts;
+            int startsBefore = cluster.tasks.starts;
             scenario.run(cluster);
             assertEquals(List.of(), cluster.violations, "seed " + seed);
             cluster.faults.clear();
@@ -27,13 +27,13 @@
             cluster.faults.endedAt = cluster.now;
             cluster.runFor(150);
             assertEquals(List.of(), cluster.violations, "seed " + seed);
-            assertTrue(cluster.tasks.starts > before, "nothing happened");
+            assertTrue(cluster.tasks.starts > startsBefore, "no task started during the scenario");
             for (SimulatedUser user : cluster.users.values()) {
                 assertTrue(
                         !user.accepted
                                 || user.endState != null
                                 || cluster.tasks.running(user) == user.spec.taskCount() && user.spec.service(),
-                        user.spec + " waits after all faults with " + cluster.tasks.running(user) + " tasks, seed "
+                        user.spec + " waits after the last fault with " + cluster.tasks.running(user) + " tasks, seed "
                                 + seed);
             }
         }
--- a/src/test/java/stileferry/coordination/PartialPartitionTest.java
+++ b/src/test/java/stileferry/coordination/PartialPartitionTest.java
@@ -21,9 +21,9 @@
 import stileferry.protocol.Features;
 import stileferry.protocol.PeerMessage;
 
-/** Partial partitions: links between controllers, workers and the key-value store break in one direction or both. */
+/** Partial partitions: links between controllers, workers and the key-value store fail in one or both directions. */
 class PartialPartitionTest {
-    /** The bound of releases of leadership by each controller: two at once, and one more in two leases of 10 s. */
+    /** Each controller may release leadership twice in a burst, and once more for every two leases of 10 s. */
     private static final long RELEASE_BURST = 2;
 
     private static final double RELEASE_INTERVAL_S = 20;
@@ -32,43 +32,44 @@
     @EnumSource(LinkFault.class)
     void noTaskIsLostIfTheLeaderLosesOnlyTheStore(LinkFault fault) {
         SimulatedCluster cluster = withLongJobs(501, LINK_MONITORING);
-        ControllerNode old = cluster.leader();
-        cluster.network.injectFaultBothWays(old.name(), SimulatedCluster.STORE, fault);
-        assertEquals(0, taskEndsDuring(cluster, 15), "no task is lost");
+        ControllerNode oldLeader = cluster.leader();
+        cluster.network.injectFaultBothWays(oldLeader.name(), SimulatedCluster.STORE, fault);
+        assertEquals(0, taskEndsDuring(cluster, 15), "no task may be lost");
         if (fault != LinkFault.DELAYED) {
-            assertTrue(cluster.leader() != null && cluster.leader() != old, "another controller leads");
+            assertTrue(cluster.leader() != null && cluster.leader() != oldLeader, "another controller must lead");
         }
-        assertTrue(secondsToStart(cluster, 50, 20) < 20, "work goes on");
+        assertTrue(secondsToStart(cluster, 50, 20) < 20, "new work must start");
         assertRecovered(cluster);
     }
 
-    /** Such a leader must not stay leader, with its followers passing it every heartbeat. */
+    /** The leader must not stay in office with its followers forwarding every heartbeat to it. */
     @ParameterizedTest
     @EnumSource(
             value = LinkFault.class,
             names = {"LOST", "REFUSED"})
     void aLeaderThatReachesNoWorkerHandsLeadershipOver(LinkFault fault) {
         SimulatedCluster cluster = withLongJobs(502, LINK_MONITORING);
-        ControllerNode old = cluster.leader();
-        cluster.network.injectFaultBothWays(old.name(), WORKERS, fault);
-        assertEquals(0, taskEndsDuring(cluster, 30), "no task is lost");
-        assertNotEquals(old, cluster.leader(), "the leadership went to a controller that reaches the workers");
+        ControllerNode oldLeader = cluster.leader();
+        cluster.network.injectFaultBothWays(oldLeader.name(), WORKERS, fault);
+        assertEquals(0, taskEndsDuring(cluster, 30), "no task may be lost");
+        assertNotEquals(oldLeader, cluster.leader(), "leadership must move to a controller that reaches the workers");
         assertEquals(2, cluster.term());
-        assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
+        assertTrue(secondsToStart(cluster, 50, 20) < 6, "new work must start");
         assertRecovered(cluster);
     }
 
-    /** Such a leader must not renew the leader key while every worker's lease expires. */
+    /** The leader must not keep renewing the leader key while the leases of all workers expire. */
     @Test
     void aLeaderThatReachesOnlyTheStoreReleasesLeadership() {
         SimulatedCluster cluster = withLongJobs(503, LINK_MONITORING);
-        ControllerNode old = cluster.leader();
-        cluster.network.injectFaultBothWays(old.name(), WORKERS, LinkFault.LOST);
-        cluster.peersOf(old).forEach(n -> cluster.network.injectFaultBothWays(old.name(), n.name(), LinkFault.LOST));
+        ControllerNode oldLeader = cluster.leader();
+        cluster.network.injectFaultBothWays(oldLeader.name(), WORKERS, LinkFault.LOST);
+        cluster.peersOf(oldLeader)
+                .forEach(n -> cluster.network.injectFaultBothWays(oldLeader.name(), n.name(), LinkFault.LOST));
         cluster.runFor(25);
         assertEquals(List.of(), cluster.violations);
-        assertNotEquals(old, cluster.leader());
-        assertTrue(secondsToStart(cluster, 50, 20) < 20, "work goes on");
+        assertNotEquals(oldLeader, cluster.leader());
+        assertTrue(secondsToStart(cluster, 50, 20) < 20, "new work must start");
         assertEquals(2, cluster.term());
         assertRecovered(cluster);
     }
@@ -76,17 +77,18 @@
     @Test
     void theLeaderStaysIfAPeerReachesOnlyTheOtherHalfOfTheWorkers() {
         SimulatedCluster cluster = withLongJobs(504, LINK_MONITORING);
-        ControllerNode old = cluster.leader();
-        ControllerNode peer = cluster.peersOf(old).get(0);
-        ControllerNode third = cluster.peersOf(old).get(1);
-        int number = 0;
+        ControllerNode oldLeader = cluster.leader();
+        ControllerNode peerOfOtherHalf = cluster.peersOf(oldLeader).get(0);
+        ControllerNode third = cluster.peersOf(oldLeader).get(1);
+        int index = 0;
         for (String addr : List.copyOf(cluster.workers.keySet())) {
-            cluster.network.injectFaultBothWays(number % 2 == 1 ? old.name() : peer.name(), addr, LinkFault.REFUSED);
+            cluster.network.injectFaultBothWays(
+                    index % 2 == 1 ? oldLeader.name() : peerOfOtherHalf.name(), addr, LinkFault.REFUSED);
             cluster.network.injectFaultBothWays(third.name(), addr, LinkFault.REFUSED);
-            number++;
+            index++;
         }
-        assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost: heartbeats go by way of the peer");
-        assertEquals(old, cluster.leader(), "nobody is clearly better, so the leader stays");
+        assertEquals(0, taskEndsDuring(cluster, 60), "no task may be lost, since the peer forwards heartbeats");
+        assertEquals(oldLeader, cluster.leader(), "no peer reaches clearly more workers, so the leader stays");
         assertEquals(1, cluster.term());
         assertRecovered(cluster);
     }
@@ -94,23 +96,23 @@
     @Test
     void aLeaderWhoseResponsesAndCommandsAreLostIsReplaced() {
         SimulatedCluster cluster = withLongJobs(505, LINK_MONITORING);
-        ControllerNode old = cluster.leader();
-        cluster.network.injectFault(old.name(), WORKERS, LinkFault.LOST);
+        ControllerNode oldLeader = cluster.leader();
+        cluster.network.injectFault(oldLeader.name(), WORKERS, LinkFault.LOST);
         cluster.runFor(40);
         assertEquals(List.of(), cluster.violations);
-        assertNotEquals(old, cluster.leader());
-        assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
+        assertNotEquals(oldLeader, cluster.leader());
+        assertTrue(secondsToStart(cluster, 50, 20) < 6, "new work must start");
         assertRecovered(cluster);
     }
 
     @Test
     void aLeaderThatReceivesNoHeartbeatsIsReplaced() {
         SimulatedCluster cluster = withLongJobs(506, LINK_MONITORING);
-        ControllerNode old = cluster.leader();
-        cluster.network.injectFault(WORKERS, old.name(), LinkFault.REFUSED);
-        assertEquals(0, taskEndsDuring(cluster, 80), "no task is lost");
-        assertNotEquals(old, cluster.leader());
-        assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
+        ControllerNode oldLeader = cluster.leader();
+        cluster.network.injectFault(WORKERS, oldLeader.name(), LinkFault.REFUSED);
+        assertEquals(0, taskEndsDuring(cluster, 80), "no task may be lost");
+        assertNotEquals(oldLeader, cluster.leader());
+        assertTrue(secondsToStart(cluster, 50, 20) < 6, "new work must start");
         assertRecovered(cluster);
     }
 
@@ -118,20 +120,20 @@
     @EnumSource(LinkFault.class)
     void controllersPartitionedFromOneAnotherKeepTheirLeader(LinkFault fault) {
         SimulatedCluster cluster = withLongJobs(507, LINK_MONITORING);
-        ControllerNode old = cluster.leader();
+        ControllerNode oldLeader = cluster.leader();
         for (ControllerNode node : cluster.controllers.values()) {
             cluster.peersOf(node).forEach(b -> cluster.network.injectFault(node.name(), b.name(), fault));
         }
-        assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost");
-        assertEquals(old, cluster.leader());
-        assertEquals(1, cluster.term(), "no election");
+        assertEquals(0, taskEndsDuring(cluster, 60), "no task may be lost");
+        assertEquals(oldLeader, cluster.leader());
+        assertEquals(1, cluster.term(), "no election may take place");
         SimulatedUser user = cluster.submit(service(60, 1, 1));
         cluster.runFor(25);
-        assertTrue(user.startedAt > 0, "no start is withheld");
+        assertTrue(user.startedAt > 0, "no task start may be withheld");
         assertRecovered(cluster);
     }
 
-    /** A request that a follower knows it can't pass on to the leader is answered at once. */
+    /** A follower that knows that it can't forward requests to the leader rejects them at once instead of timing out. */
     @Test
     void aFollowerThatCannotReachTheLeaderRejectsRequestsAtOnce() {
         SimulatedCluster cluster = withLongJobs(508, LINK_MONITORING);
@@ -139,20 +141,20 @@
         cluster.peersOf(leader).forEach(n -> cluster.network.injectFault(n.name(), leader.name(), LinkFault.LOST));
         cluster.runFor(8);
         ControllerNode follower = cluster.peersOf(leader).get(0);
-        long asked = cluster.now;
-        long[] took = {-1};
-        follower.environment.execute(() ->
-                follower.coordinator.handleUserRequest(PeerMessage.RequestKind.STATUS, "job-6", new byte[0], answer -> {
-                    assertEquals(503, answer.status());
-                    assertTrue(answer.retryAfterS() > 0);
-                    took[0] = cluster.now - asked;
+        long sentAt = cluster.now;
+        long[] tookMs = {-1};
+        follower.environment.execute(() -> follower.coordinator.handleUserRequest(
+                PeerMessage.RequestKind.STATUS, "job-6", new byte[0], response -> {
+                    assertEquals(503, response.status());
+                    assertTrue(response.retryAfterS() > 0);
+                    tookMs[0] = cluster.now - sentAt;
                 }));
         cluster.runFor(5);
-        assertTrue(took[0] >= 0 && took[0] < 100, "answered after " + took[0] + " ms");
+        assertTrue(tookMs[0] >= 0 && tookMs[0] < 100, "rejected after " + tookMs[0] + " ms");
         assertRecovered(cluster);
     }
 
-    /** A link that flaps, alone or with another one: leadership does not flap, and work goes on. */
+    /** One or two links flap; changes of leadership stay within the bound, and work continues. */
     @ParameterizedTest
     @CsvSource({
         "1,workers",
@@ -175,32 +177,32 @@
     })
     void leadershipDoesNotFlapWithAFlappingLink(int periodS, String links) {
         SimulatedCluster cluster = withLongJobs(510 + periodS, LINK_MONITORING);
-        ControllerNode old = cluster.leader();
-        long before = cluster.term();
+        ControllerNode oldLeader = cluster.leader();
+        long termBefore = cluster.term();
         double seconds = 80;
-        int done = 0;
+        int submitted = 0;
         for (double at = 0; at < seconds; at += periodS) {
-            boolean broken = (int) Math.round(at / periodS) % 2 == 0;
+            boolean linksBroken = (int) Math.round(at / periodS) % 2 == 0;
             cluster.network.restoreAll();
-            if (broken) {
-                breakLinks(cluster, old, links);
+            if (linksBroken) {
+                breakLinks(cluster, oldLeader, links);
             }
-            if (done < 8) {
-                cluster.submit(array(100 + done++, 1, 1));
+            if (submitted < 8) {
+                cluster.submit(array(100 + submitted++, 1, 1));
             }
             cluster.runFor(periodS);
             assertEquals(List.of(), cluster.violations);
         }
-        long changes = cluster.term() - before;
+        long changes = cluster.term() - termBefore;
         double bound = links.contains("state")
-                ? seconds / periodS // each lost lease is an election, whatever links say
+                ? seconds / periodS // each lost leader lease leads to an election, whatever the state of the links
                 : 3 * (RELEASE_BURST + seconds / RELEASE_INTERVAL_S);
-        assertTrue(changes <= bound, changes + " changes of leadership, bound " + bound);
+        assertTrue(changes <= bound, changes + " changes of leadership, allowed are " + bound);
         assertRecovered(cluster);
         for (SimulatedUser user : cluster.users.values()) {
             assertTrue(
                     user.spec.estimateS() > 1 || user.spec.service() || "done".equals(user.endState),
-                    user.spec.id() + " is done");
+                    user.spec.id() + " must be done");
         }
     }
 
@@ -226,13 +228,14 @@
         cluster.network.injectFaultBothWays(leader.name(), WORKERS, LinkFault.LOST);
         cluster.network.injectFaultBothWays(second.name(), SimulatedCluster.STORE, LinkFault.LOST);
         cluster.network.injectFaultBothWays(third.name(), second.name(), LinkFault.LOST);
-        assertEquals(0, taskEndsDuring(cluster, 40), "no task is lost");
-        assertEquals(third, cluster.leader(), "the only one with the state service and the workers");
-        assertTrue(secondsToStart(cluster, 50, 20) < 6, "work goes on");
+        assertEquals(0, taskEndsDuring(cluster, 40), "no task may be lost");
+        assertEquals(
+                third, cluster.leader(), "the only controller that reaches both the store and the workers must lead");
+        assertTrue(secondsToStart(cluster, 50, 20) < 6, "new work must start");
         assertRecovered(cluster);
     }
 
-    /** Where no controller reaches the workers, the leader stays and serves users. */
+    /** If no controller reaches the workers, the leader stays in office and serves users. */
     @Test
     void theLeaderStaysIfNoControllerReachesAnyWorker() {
         SimulatedCluster cluster = withLongJobs(531, LINK_MONITORING);
@@ -242,21 +245,21 @@
                 .forEach(n -> cluster.network.injectFaultBothWays(n.name(), WORKERS, LinkFault.LOST));
         cluster.runFor(60);
         assertEquals(List.of(), cluster.violations);
-        assertEquals(leader, cluster.leader(), "nobody is better");
+        assertEquals(leader, cluster.leader(), "no peer has better links");
         SimulatedUser user = cluster.submit(array(70, 1, 1));
         cluster.runFor(5);
-        assertTrue(user.accepted, "users are served");
+        assertTrue(user.accepted, "users must be served");
         assertRecovered(cluster);
     }
 
     /**
-     * A machine that the leader alone does not hear, as its heartbeats are refused there and passed on nowhere, is not
-     * deleted while another controller reaches it.
+     * A machine whose heartbeats don't reach the leader, directly or through a peer, is not deleted before its lease ends
+     * while another controller reaches it. Without link monitoring it is deleted.
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void aMachineUnreachableFromOneControllerOnlyIsNotDeleted(boolean on) {
-        SimulatedCluster cluster = withLongJobs(570, on ? LINK_MONITORING : Features.NONE);
+    void aMachineUnreachableFromOneControllerOnlyIsNotDeleted(boolean linkMonitoring) {
+        SimulatedCluster cluster = withLongJobs(570, linkMonitoring ? LINK_MONITORING : Features.NONE);
         ControllerNode leader = cluster.leader();
         String machine = cluster.tasks.busyMachine();
         String addr = SimulatedMachines.address(machine);
@@ -265,17 +268,19 @@
         int deletions = cluster.cloud.deletionRequests();
         cluster.runFor(9.5);
         assertEquals(
-                on ? deletions : deletions + 1, cluster.cloud.deletionRequests(), "deletions before the lease's end");
+                linkMonitoring ? deletions : deletions + 1,
+                cluster.cloud.deletionRequests(),
+                "deletion requests before the lease ends");
         assertRecovered(cluster);
     }
 
-    /** Link views and heartbeats that come over a lease late are ignored, whatever they say. */
+    /** Duplicated heartbeats that arrive up to more than a lease late are ignored, whatever they report. */
     @Test
     void duplicatedHeartbeatsChangeNothing() {
         SimulatedCluster cluster = withLongJobs(580, LINK_MONITORING);
         cluster.faults.duplicateHeartbeatRate = 0.5;
         ControllerNode leader = cluster.leader();
-        assertEquals(0, taskEndsDuring(cluster, 60), "no task is lost");
+        assertEquals(0, taskEndsDuring(cluster, 60), "no task may be lost");
         assertEquals(leader, cluster.leader());
         assertEquals(1, cluster.term());
         assertRecovered(cluster);
--- a/src/test/java/stileferry/coordination/RollingUpgradeTest.java
+++ b/src/test/java/stileferry/coordination/RollingUpgradeTest.java
@@ -15,8 +15,8 @@
 import stileferry.protocol.JobSpecBuilder;
 
 /**
- * Rolling upgrades and downgrades while the controllers serve. The older ones are this version's code with the first
- * version's form of records between controllers; the stored forms are the same.
+ * Rolling upgrades and downgrades under load. Controllers of the older version run this version's code with the first
+ * version's format of peer messages; the formats of stored data are the same.
  */
 class RollingUpgradeTest {
     private static final int LOWERED_TXN_OPS = 4;
@@ -45,12 +45,12 @@
                 .build();
     }
 
-    /** Ends a controller's process; the next one is of the other version. */
-    private static void replace(SimulatedCluster cluster, ControllerNode node, long afterMs) {
+    /** Crashes a controller's process and, after a delay, starts one of the other version. */
+    private static void replace(SimulatedCluster cluster, ControllerNode node, long delayMs) {
         String name = node.name();
         if (node.up()) {
             node.crash();
-            cluster.after(afterMs, () -> {
+            cluster.after(delayMs, () -> {
                 if (!cluster.controllersWithOldMessageFormat.remove(name)) {
                     cluster.controllersWithOldMessageFormat.add(name);
                 }
@@ -59,10 +59,10 @@
         }
     }
 
-    private static void submitJobsAndCancelOne(SimulatedCluster cluster, int from, SplittableRandom random) {
-        cluster.submit(gang(from, 2 + random.nextInt(4), 2 + random.nextInt(8)));
-        cluster.submit(array(from + 1, 1 + random.nextInt(20), 3));
-        SimulatedUser cancelled = cluster.submit(gang(from + 2, 3, 60));
+    private static void submitJobsAndCancelOne(SimulatedCluster cluster, int firstNumber, SplittableRandom random) {
+        cluster.submit(gang(firstNumber, 2 + random.nextInt(4), 2 + random.nextInt(8)));
+        cluster.submit(array(firstNumber + 1, 1 + random.nextInt(20), 3));
+        SimulatedUser cancelled = cluster.submit(gang(firstNumber + 2, 3, 60));
         cluster.after(random.nextLong(8000), () -> cluster.cancel(cancelled));
     }
 
@@ -80,19 +80,19 @@
                         .toList());
     }
 
-    /** The upgrade and the way back, with processes that crash before their turn and restart as they were. */
+    /** Upgrades and downgrades; in between, leaders crash and restart in their present version. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void jobsFinishWhileLeadershipAlternatesBetweenVersions(long seed) {
         SimulatedCluster cluster = withFirstVersionControllers(seed);
         SplittableRandom random = cluster.random.split();
-        Set<String> ledBy = new TreeSet<>();
+        Set<String> leaderVersions = new TreeSet<>();
         List<ControllerNode> nodes = List.copyOf(cluster.controllers.values());
         for (int step = 0; step < 12; step++) {
             submitJobsAndCancelOne(cluster, 100 + 10 * step, random);
             ControllerNode leader = cluster.leader();
             if (leader != null) {
-                ledBy.add(cluster.controllersWithOldMessageFormat.contains(leader.name()) ? "former" : "this");
+                leaderVersions.add(cluster.controllersWithOldMessageFormat.contains(leader.name()) ? "former" : "this");
             }
             if (random.nextInt(4) == 0 && leader != null) {
                 cluster.faults.restart(leader, random.nextBoolean() ? 200 : 3000);
@@ -104,11 +104,11 @@
             }
             cluster.runFor(5 + random.nextInt(5));
         }
-        assertEquals(Set.of("former", "this"), ledBy);
+        assertEquals(Set.of("former", "this"), leaderVersions);
         assertAllJobsFinish(cluster);
     }
 
-    /** The key-value store lowers its limits at once, also before the last process was replaced. */
+    /** The key-value store lowers its limits abruptly, in some runs before the last process was replaced. */
     @ParameterizedTest
     @ValueSource(ints = {0, 3, 6, 10, 14, 20})
     void jobsFinishIfStoreLimitsAreLoweredDuringOrAfterTheUpgrade(int afterS) {
--- a/src/test/java/stileferry/coordination/ScaleInTest.java
+++ b/src/test/java/stileferry/coordination/ScaleInTest.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Machines that nobody needs are deleted, once each. */
+/** Idle machines are deleted, each with a single request. */
 class ScaleInTest {
-    /** Guards against deleted machines that the lagging list still names and that then count as booting. */
+    /** Guards against counting deleted machines as booting because the cloud's lagging list still names them. */
     @Test
     void aDeletedMachineIsNotCountedAsBooting() {
         SimulatedCluster cluster = new SimulatedCluster(8);
@@ -17,10 +17,10 @@
         cluster.runFor(3);
         cluster.submit(Workloads.random(1, random));
         cluster.runFor(200);
-        assertEquals(List.of(), cluster.cloud.runningMachines(), "nothing to do, so all machines are returned");
+        assertEquals(List.of(), cluster.cloud.runningMachines(), "all idle machines must be deleted");
         int deletions = cluster.cloud.deletionRequests();
         cluster.runFor(60);
-        assertEquals(deletions, cluster.cloud.deletionRequests(), "what is gone is returned once");
+        assertEquals(deletions, cluster.cloud.deletionRequests(), "deleted machines must not be deleted again");
         assertTrue(deletions > 0 && deletions <= 5, deletions + " deletions");
     }
 }
--- a/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.standin.Worker;
 
-/** Machines and controllers that are dead, partitioned, or reached in one direction only. */
+/** Machines and controllers that have crashed, are partitioned, or are reachable in one direction only. */
 class UnreachableMachinesTest {
     /**
-     * Heartbeats arrive, but answers and commands do not: the machine gets no more work, its services run elsewhere,
-     * then it is deleted.
+     * The machine's heartbeats arrive, but responses and commands don't reach it: it gets no new work, its services are
+     * restarted elsewhere, and it is deleted.
      */
     @Test
     void aMachineWithInboundLossIsCordonedAndDeleted() {
@@ -27,53 +27,55 @@
         cluster.runFor(25);
         String machine = cluster.tasks.busyMachine();
         Worker unreachable = cluster.workers.get(SimulatedMachines.address(machine));
-        List<SimulatedUser> there = cluster.users.values().stream()
+        List<SimulatedUser> usersOnMachine = cluster.users.values().stream()
                 .filter(u -> cluster.tasks.machinesOf(u).contains(machine))
                 .toList();
-        assertFalse(there.isEmpty());
+        assertFalse(usersOnMachine.isEmpty());
         cluster.faults.inboundLoss.add(unreachable.address());
-        cluster.cancel(there.get(0));
-        cluster.runFor(10); // the worker's own lease
+        cluster.cancel(usersOnMachine.get(0));
+        cluster.runFor(10); // until the worker's lease has expired
         for (int i = 10; i < 16; i++) {
             cluster.submit(service(i, 1, 1));
         }
         cluster.runFor(20);
         for (SimulatedUser user : cluster.users.values()) {
             assertFalse(
-                    cluster.tasks.machinesOf(user).contains(machine),
-                    user.spec.id() + " is on a machine that hears nothing");
+                    cluster.tasks.machinesOf(user).contains(machine), user.spec.id() + " is on an unreachable machine");
             assertTrue(
                     user.cancelRequested || !cluster.tasks.machinesOf(user).isEmpty(),
-                    user.spec.id() + " runs nowhere");
+                    user.spec.id() + " has no running task");
         }
         cluster.runFor(50);
-        assertFalse(cluster.cloud.runningMachines().contains(machine), "it is of no use and costs money");
+        assertFalse(
+                cluster.cloud.runningMachines().contains(machine),
+                "an unusable machine must be deleted, since it costs money");
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A copy of a heartbeat is no sign of life: its machine may be gone, and a new leader can't know that. */
+    /** A duplicated heartbeat is no sign of life: its machine may be gone, which a new leader can't know. */
     @Test
     void duplicatedHeartbeatsDoNotKeepADeadMachineAlive() {
         SimulatedCluster cluster = SimulatedCluster.started(32);
         cluster.submit(service(1, 2, 3));
         cluster.runFor(20);
         String machine = cluster.tasks.busyMachine();
-        var report = cluster.workers.get(SimulatedMachines.address(machine)).heartbeat();
-        ControllerNode first = cluster.leader();
+        var heartbeat = cluster.workers.get(SimulatedMachines.address(machine)).heartbeat();
+        ControllerNode firstLeader = cluster.leader();
         cluster.cloud.reclaim(machine);
-        first.crash();
+        firstLeader.crash();
         cluster.runFor(6);
-        ControllerNode second = cluster.leader();
-        assertTrue(second != null && second != first);
+        ControllerNode secondLeader = cluster.leader();
+        assertTrue(secondLeader != null && secondLeader != firstLeader);
         for (int i = 0; i < 30; i++) {
-            cluster.machines.deliverDuplicate(report, second);
+            cluster.machines.deliverDuplicate(heartbeat, secondLeader);
             cluster.runFor(1);
         }
-        assertEquals(2, cluster.tasks.running(), "copies kept tasks waiting for a dead machine");
+        assertEquals(
+                2, cluster.tasks.running(), "duplicated heartbeats must not keep tasks assigned to a dead machine");
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Whether it led or not, it starts nothing, says so at once, and its workers go to the next leader. */
+    /** A partitioned controller, leader or follower, loses no tasks: its workers move to another leader. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aPartitionedControllerHandsItsWorkersOver(boolean leads) {
@@ -84,20 +86,20 @@
                 .filter(n -> n.coordinator.leads() == leads)
                 .findFirst()
                 .orElseThrow();
-        int ended = cluster.tasks.ends;
+        int endsBefore = cluster.tasks.ends;
         cluster.faults.partitionedFromControlPlane.add(node.name());
         cluster.runFor(60); // six leases
-        assertEquals(ended, cluster.tasks.ends, "no task was lost");
-        assertFalse(node.coordinator.leads(), "it learns from its workers that another leads");
-        ControllerNode other = cluster.leader();
-        assertTrue(other != null && other != node);
+        assertEquals(endsBefore, cluster.tasks.ends, "no task may be lost");
+        assertFalse(node.coordinator.leads(), "it must learn from its workers that another controller leads");
+        ControllerNode newLeader = cluster.leader();
+        assertTrue(newLeader != null && newLeader != node);
         cluster.submit(array(2, 6, 3));
         cluster.runFor(40);
-        assertEquals("done", cluster.users.get("job-2").endState, "the others serve on");
+        assertEquals("done", cluster.users.get("job-2").endState, "the other controllers must go on serving");
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Tasks of a spot instance that was reclaimed without notice need not wait for its whole lease. */
+    /** A spot instance that was reclaimed without notice is replaced before its lease expires. */
     @Test
     void aSpotInstanceReclaimedWithoutNoticeIsReplacedBeforeLeaseExpiry() {
         SimulatedCluster cluster = SimulatedCluster.started(37);
@@ -106,16 +108,16 @@
         assertEquals(12, cluster.tasks.running());
         String machine = cluster.tasks.busyMachine();
         cluster.cloud.reclaim(machine);
-        int left = cluster.tasks.running();
-        assertTrue(left < 12);
-        cluster.runFor(9); // the lease is 10 s, and the expiry is noticed a little later
+        int remaining = cluster.tasks.running();
+        assertTrue(remaining < 12);
+        cluster.runFor(9); // the lease is 10 s, and its expiry would be noticed a little later still
         assertFalse(cluster.cloud.runningMachines().contains(machine));
-        cluster.runFor(5.5); // another boots for 5 s
-        assertEquals(12, cluster.tasks.running(), "the lost tasks run again");
+        cluster.runFor(5.5); // the replacement takes 5 s to boot
+        assertEquals(12, cluster.tasks.running(), "the lost tasks must run again");
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Services of an on-demand machine that died need not wait for its whole lease either. */
+    /** A dead on-demand machine is replaced before its lease expires, too. */
     @Test
     void aDeadOnDemandMachineIsReplacedBeforeLeaseExpiry() {
         SimulatedCluster cluster = SimulatedCluster.started(42, 5, 6, 40);
@@ -124,12 +126,12 @@
         assertEquals(8, cluster.tasks.running());
         cluster.cloud.reclaim(cluster.tasks.busyMachine());
         assertTrue(cluster.tasks.running() < 8);
-        cluster.runFor(24); // the lease is 30 s, and another boots for 5 s
-        assertEquals(8, cluster.tasks.running(), "the lost replicas run again");
+        cluster.runFor(24); // the lease is 30 s, and the replacement takes 5 s to boot
+        assertEquals(8, cluster.tasks.running(), "the lost replicas must run again");
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A machine that reaches the leader by way of another controller, after a short partition, is kept. */
+    /** A machine that after a short partition reaches the leader through another controller is kept. */
     @Test
     void aShortPartitionCostsNoMachine() {
         SimulatedCluster cluster = SimulatedCluster.started(38);
@@ -137,9 +139,9 @@
         cluster.runFor(25);
         String machine = cluster.tasks.busyMachine();
         cluster.faults.partition(SimulatedMachines.address(machine), 3000);
-        int ended = cluster.tasks.ends;
+        int endsBefore = cluster.tasks.ends;
         cluster.runFor(20);
-        assertEquals(ended, cluster.tasks.ends);
+        assertEquals(endsBefore, cluster.tasks.ends);
         assertTrue(cluster.cloud.runningMachines().contains(machine));
     }
 }
