--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -130,7 +130,7 @@
         }
     }
 
-    List<KeyValue> rows(String prefix) {
+    List<KeyValue> readRows(String prefix) {
         List<KeyValue> rows = new ArrayList<>();
         store.request("GET", "/kv?starts=" + prefix + "&most=1000", null, (s, body) -> body.path("rows")
                 .forEach(row -> rows.add(new KeyValue(
@@ -141,7 +141,7 @@
     }
 
     long countedAdmissions() {
-        return AdmissionTotals.of(AdmissionCountShards.read(rows(AdmissionCountShards.PREFIX)), 1, 0)
+        return AdmissionTotals.of(AdmissionCountShards.read(readRows(AdmissionCountShards.PREFIX)), 1, 0)
                 .counts()
                 .total();
     }
@@ -149,7 +149,7 @@
     /** Returns a string that identifies this state, apart from times and revisions. */
     String signature() {
         StringBuilder text = new StringBuilder().append(jobCount).append('|').append(countedAdmissions());
-        rows(Job.PREFIX).forEach(row -> text.append(row.key()));
+        readRows(Job.PREFIX).forEach(row -> text.append(row.key()));
         text.append('|').append(leader.commits.inFlight()).append(leader.commits.backlog());
         requests.forEach(request -> text.append(request.method.charAt(0)).append(keys(request)));
         unanswered.forEach(request -> text.append('L').append(keys(request)));
--- a/src/test/java/stileferry/coordination/AdmissionModelLeader.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelLeader.java
@@ -28,11 +28,12 @@
 
     AdmissionModelLeader(AdmissionModel model) {
         this.model = model;
-        long leaderKeyRevision = model.rows(LeaderElection.LEADER_KEY).get(0).revision();
+        long leaderKeyRevision =
+                model.readRows(LeaderElection.LEADER_KEY).get(0).revision();
         KeyValueStoreClient client = new KeyValueStoreClient(this, AdmissionModel.settings());
         commits = new CommitQueue(
                 this, client, LeaderElection.LEADER_KEY, leaderKeyRevision, model.term, () -> lostLeadership = true);
-        countShards = new AdmissionCountShards(model.rows(AdmissionCountShards.PREFIX), 1, 8);
+        countShards = new AdmissionCountShards(model.readRows(AdmissionCountShards.PREFIX), 1, 8);
         if (model.countMode == AdmissionModel.CountMode.SAME_TRANSACTION) {
             commits.setTransactionCounter(countShards);
         }
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -50,7 +50,7 @@
                 }
                 List<Event> extended = new ArrayList<>(events);
                 extended.add(event);
-                if (model.countedAdmissions() != model.rows(Job.PREFIX).size()) {
+                if (model.countedAdmissions() != model.readRows(Job.PREFIX).size()) {
                     return new SearchResult(extended, seenStates.size());
                 }
                 if (seenStates.add(model.signature()) && extended.size() < DEPTH) {
--- a/src/test/java/stileferry/coordination/FaultScenario.java
+++ b/src/test/java/stileferry/coordination/FaultScenario.java
@@ -120,7 +120,7 @@
             steps.cluster.controllers.values().forEach(ControllerNode::crash);
             ControllerNode first = steps.cluster.controllers.get("n" + i % 3);
             steps.cluster.after(150, first::start);
-            steps.cluster.after(2500, steps::startAllControllers);
+            steps.cluster.after(2500, steps::startStoppedControllers);
             steps.runFor(6);
         }
     }),
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -40,7 +40,7 @@
                 .build();
     }
 
-    private static SimulatedCluster withRunning(long seed, JobSpec spec) {
+    private static SimulatedCluster runningGang(long seed, JobSpec spec) {
         SimulatedCluster cluster = SimulatedCluster.started(seed);
         cluster.submit(spec);
         cluster.runFor(20);
@@ -50,7 +50,7 @@
 
     @Test
     void aGangThatLosesAMachineRestartsAsAWhole() {
-        SimulatedCluster cluster = withRunning(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
+        SimulatedCluster cluster = runningGang(1, gang(1, JobSpec.Priority.URGENT, 6, true, 40));
         cluster.cloud.reclaim(cluster.tasks.busyMachine());
         assertTrue(cluster.tasks.running() < 6);
         cluster.runFor(25);
@@ -88,7 +88,7 @@
     /** A gang's tasks save a checkpoint together or not at all, so a reclaim notice for one machine stops all of them. */
     @Test
     void aReclaimNoticeForOneMachineCheckpointsTheWholeGang() {
-        SimulatedCluster cluster = withRunning(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
+        SimulatedCluster cluster = runningGang(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         cluster.runFor(40);
         int endsBefore = cluster.tasks.ends;
         Worker worker = cluster.workers.get(SimulatedMachines.address(cluster.tasks.busyMachine()));
@@ -105,7 +105,7 @@
     /** If one task can't be told to stop, the others can't save a checkpoint, and stop without waiting for it. */
     @Test
     void theCheckpointIsSkippedIfAStopCannotReachAllTasks() {
-        SimulatedCluster cluster = withRunning(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
+        SimulatedCluster cluster = runningGang(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
         List<String> machines = List.copyOf(cluster.tasks.machinesOf(cluster.users.get("job-1")));
         cluster.faults.partition(SimulatedMachines.address(machines.get(0)), 7000);
         cluster.runFor(5);
@@ -124,7 +124,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 20, 60, 150, 400, 900})
     void aCompletedGangIsNotPartlyRestartedAfterAFailover(int afterMs) {
-        SimulatedCluster cluster = withRunning(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
+        SimulatedCluster cluster = runningGang(3, gang(1, JobSpec.Priority.URGENT, 6, false, 20));
         List<String> machines = List.copyOf(cluster.tasks.machinesOf(cluster.users.get("job-1")));
         for (int i = 0; i < 600 && cluster.tasks.running() == 6; i++) {
             cluster.runFor(0.05);
@@ -142,7 +142,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void aFailoverDuringAGangStartLeavesNoPartialGang(long seed) {
-        SimulatedCluster cluster = withRunning(10 + seed, gang(1, JobSpec.Priority.NORMAL, 2, false, 200));
+        SimulatedCluster cluster = runningGang(10 + seed, gang(1, JobSpec.Priority.NORMAL, 2, false, 200));
         cluster.faults.storeResponseDelayMs = 100;
         for (int i = 2; i < 8; i++) {
             cluster.submit(gang(i, JobSpec.Priority.NORMAL, 7, i % 2 == 0, 5));
@@ -192,7 +192,7 @@
      */
     @Test
     void assignmentsOfMixedAttemptsAreStoppedAndTheGangRestarts() {
-        SimulatedCluster cluster = withRunning(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
+        SimulatedCluster cluster = runningGang(40, gang(1, JobSpec.Priority.URGENT, 6, true, 30));
         cluster.controllers.values().forEach(ControllerNode::crash);
         int changedEvents = 0;
         for (int slot = 0; slot < 1024; slot++) {
--- a/src/test/java/stileferry/coordination/PartialPartitionTest.java
+++ b/src/test/java/stileferry/coordination/PartialPartitionTest.java
@@ -258,7 +258,7 @@
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void aMachineUnreachableFromOneControllerOnlyIsNotDeleted(boolean linkMonitoring) {
+    void aMachineThatOnlyTheLeaderCannotReachIsNotDeleted(boolean linkMonitoring) {
         SimulatedCluster cluster = withLongJobs(570, linkMonitoring ? LINK_MONITORING : Features.NONE);
         ControllerNode leader = cluster.leader();
         String machine = cluster.tasks.busyMachine();
--- a/src/test/java/stileferry/coordination/RunningTasks.java
+++ b/src/test/java/stileferry/coordination/RunningTasks.java
@@ -16,7 +16,7 @@
     private final Map<String, String> placementByTask = new HashMap<>();
 
     /** The number of running tasks by job; counting thousands of tasks anew at every tick would be too slow. */
-    private final Map<String, Integer> taskCountByJob = new HashMap<>();
+    private final Map<String, Integer> taskCountByJobId = new HashMap<>();
 
     /** The number of task starts since the simulation began. */
     public int starts;
@@ -43,7 +43,7 @@
         user.startedAt = user.startedAt == 0 ? cluster.now : user.startedAt;
         cluster.invariants.checkStart(user, task, worker);
         if (placementByTask.put(task, placement(worker)) == null) {
-            taskCountByJob.merge(user.spec.id(), 1, Integer::sum);
+            taskCountByJobId.merge(user.spec.id(), 1, Integer::sum);
         }
         cluster.invariants.checkQuota(user.spec.team());
     }
@@ -51,7 +51,7 @@
     @Override
     public void ended(String task, Worker worker) {
         if (placementByTask.remove(task, placement(worker))) {
-            taskCountByJob.merge(jobIdOf(task), -1, Integer::sum);
+            taskCountByJobId.merge(jobIdOf(task), -1, Integer::sum);
         }
         ends++;
     }
@@ -74,7 +74,7 @@
 
     /** Returns the number of running tasks of a job. */
     public long running(SimulatedUser user) {
-        return taskCountByJob.getOrDefault(user.spec.id(), 0);
+        return taskCountByJobId.getOrDefault(user.spec.id(), 0);
     }
 
     /** Returns the number of tasks that run on a machine. */
--- a/src/test/java/stileferry/coordination/ScenarioSteps.java
+++ b/src/test/java/stileferry/coordination/ScenarioSteps.java
@@ -51,7 +51,7 @@
         everyNthMachine(n).forEach(addr -> faults.hang(addr, ms));
     }
 
-    void startAllControllers() {
+    void startStoppedControllers() {
         cluster.controllers.values().stream().filter(node -> !node.up()).forEach(ControllerNode::start);
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -92,7 +92,7 @@
 
     private void deliver(String from, String to, Runnable task) {
         if (cluster.faults.inboundLoss.contains(to)
-                || partitionedFromControlPlane(from, to)
+                || crossesControlPlanePartition(from, to)
                 || hasFault(from, to, LinkFault.LOST)) {
             return;
         }
@@ -107,7 +107,7 @@
         cluster.after(partitionMs + delayMs + 1 + cluster.random.nextLong(6), task);
     }
 
-    private boolean partitionedFromControlPlane(String from, String to) {
+    private boolean crossesControlPlanePartition(String from, String to) {
         boolean withinControlPlane = cluster.controllers.containsKey(from) && cluster.controllers.containsKey(to)
                 || from.equals(SimulatedCluster.STORE)
                 || to.equals(SimulatedCluster.STORE);
