--- a/src/test/java/stileferry/coordination/AdmissionCountCheck.java
+++ b/src/test/java/stileferry/coordination/AdmissionCountCheck.java
@@ -37,7 +37,10 @@
     private JsonNode readRows(String prefix, String from) {
         JsonNode[] response = new JsonNode[1];
         cluster.store.request(
-                "GET", "/kv?starts=" + prefix + "&from=" + from + "&most=1000", null, (s, body) -> response[0] = body);
+                "GET",
+                "/kv?starts=" + prefix + "&from=" + from + "&most=1000",
+                null,
+                (status, body) -> response[0] = body);
         return response[0];
     }
 
@@ -77,9 +80,9 @@
     private void checkCount() {
         cluster.after(CHECK_INTERVAL_MS, this::checkCount);
         long counted = countedAdmissions();
-        long known = storedJobs();
-        if (counted != known) {
-            problems.add("at " + cluster.now + " ms " + counted + " admissions are counted, but " + known
+        long stored = storedJobs();
+        if (counted != stored) {
+            problems.add("at " + cluster.now + " ms " + counted + " admissions are counted, but " + stored
                     + " jobs are stored");
         }
     }
@@ -112,7 +115,11 @@
         lastRevisionByController.put(node, revision);
     }
 
-    /** Counts the jobs that users know to be accepted, by team and minute since {@code from}; keys are {@code team minute}. */
+    /**
+     * Counts the jobs whose users were told of acceptance at {@code from} or later, by team and minute since then.
+     *
+     * @return the counts; the key is the team, a blank and the number of the minute
+     */
     Map<String, Long> admissionsByTeamAndMinute(long from) {
         admissionCounts.clear();
         for (SimulatedUser user : cluster.users.values()) {
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -61,8 +61,8 @@
     int jobCount;
     AdmissionModelLeader leader;
 
-    AdmissionModel(CountMode count) {
-        this.countMode = count;
+    AdmissionModel(CountMode countMode) {
+        this.countMode = countMode;
         changeLeader();
     }
 
@@ -73,9 +73,9 @@
     /** Runs the timers that are due within two seconds, at most 100 batches of them. */
     void runDueTimers() {
         for (int i = 0; i < 100 && !timers.isEmpty() && timers.firstKey() <= now + 2000; i++) {
-            var due = timers.pollFirstEntry();
-            now = Math.max(now, due.getKey());
-            due.getValue().forEach(Runnable::run);
+            var dueTimers = timers.pollFirstEntry();
+            now = Math.max(now, dueTimers.getKey());
+            dueTimers.getValue().forEach(Runnable::run);
         }
     }
 
--- a/src/test/java/stileferry/coordination/ChaosFaults.java
+++ b/src/test/java/stileferry/coordination/ChaosFaults.java
@@ -49,7 +49,8 @@
             case 24 -> replayHeartbeats();
             case 25 -> rejectLeaderThenEverybody();
             case 26 ->
-                nodes.forEach(node -> faults.restart(node, 5000 + random.nextLong(12_000))); // about a lease or longer
+                nodes.forEach(node ->
+                        faults.restart(node, 5000 + random.nextLong(12_000))); // for up to 17 s, longer than a lease
             case 27 -> cancelDuringFailover();
             case 28, 29, 30, 31 -> breakLink();
             default -> loseResponses();
@@ -138,7 +139,7 @@
         cluster.after(4000, () -> faults.responseLossRate = 0);
     }
 
-    /** The store rejects the leader and then everybody, for 15 to 30 s, while jobs are cancelled. */
+    /** The store rejects the leader and then everybody, for up to longer than cancel_s, while jobs are cancelled. */
     private void rejectLeaderThenEverybody() {
         ControllerNode leader = cluster.leader();
         if (leader == null) {
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -40,7 +40,7 @@
     private static JsonNode admissionView(SimulatedCluster cluster, ControllerNode node) {
         PeerMessage.Response[] response = new PeerMessage.Response[1];
         node.environment.execute(() -> node.coordinator.handleAdministrationRequest(
-                "GET", "admission", new byte[0], answered -> response[0] = answered));
+                "GET", "admission", new byte[0], received -> response[0] = received));
         cluster.runFor(2);
         return response[0] == null || response[0].status() != 200 ? null : MessageCodec.decode(response[0].body());
     }
@@ -101,7 +101,7 @@
                     PeerMessage.RequestKind.SUBMIT,
                     "",
                     oversizedJob,
-                    answered -> rejectedCount[0] += answered.status() == 422 ? 1 : 0));
+                    received -> rejectedCount[0] += received.status() == 422 ? 1 : 0));
             cluster.runFor(0.2);
         }
         SimulatedUser user = cluster.submit(schedulableJob);
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -31,7 +31,7 @@
                 .build();
     }
 
-    /** Returns a gang of one-CPU tasks, enough of which need more than one stored record for their assignments. */
+    /** Returns a gang of so many small tasks that their assignments need more than one stored record. */
     private static JobSpec gangOfSmallTasks(int number, int tasks, double runS) {
         return JobSpecBuilder.gang(number)
                 .tasks(tasks)
--- a/src/test/java/stileferry/coordination/HandoverTest.java
+++ b/src/test/java/stileferry/coordination/HandoverTest.java
@@ -18,7 +18,7 @@
 
 /** Leadership handovers that are interrupted, delayed, or involve controllers of an older version. */
 class HandoverTest {
-    /** Returns a cluster whose leader has lost its workers and has just begun to hand leadership over. */
+    /** Returns a cluster whose leader has lost its workers and has asked a nominee to take leadership over. */
     private static SimulatedCluster withHandoverInProgress(long seed) {
         SimulatedCluster cluster = withLongJobs(seed, LINK_MONITORING);
         cluster.network.injectFaultBothWays(cluster.leader().name(), WORKERS, LinkFault.LOST);
--- a/src/test/java/stileferry/coordination/InvariantChecks.java
+++ b/src/test/java/stileferry/coordination/InvariantChecks.java
@@ -27,7 +27,7 @@
     private static final double MAX_UNANSWERED_S = 75;
     private static final double MAX_UNSCHEDULED_S = 90;
 
-    /** The longest time until a user gets a 503 response. */
+    /** A user must get a 503 response within this time. */
     private static final long MAX_503_LATENCY_MS = 4500;
 
     private static final double ROUNDING_TOLERANCE = 1e-6;
--- a/src/test/java/stileferry/coordination/OperatorSettingsTest.java
+++ b/src/test/java/stileferry/coordination/OperatorSettingsTest.java
@@ -54,7 +54,7 @@
         PeerMessage.Response[] response = new PeerMessage.Response[1];
         ControllerNode changedAt = cluster.controllers.get("n1");
         changedAt.environment.execute(() -> changedAt.coordinator.handleAdministrationRequest(
-                "POST", "settings", MessageCodec.encode(body), answered -> response[0] = answered));
+                "POST", "settings", MessageCodec.encode(body), received -> response[0] = received));
         cluster.runFor(2);
         assertEquals(200, response[0].status());
         cluster.controllers.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.name()));
@@ -65,13 +65,13 @@
         cluster.controllers.values().forEach(n -> assertEquals("debug", n.environment.logLevel, n.name()));
         ControllerNode asked = cluster.controllers.get("n2");
         asked.environment.execute(() -> asked.coordinator.handleAdministrationRequest(
-                "GET", "settings", new byte[0], answered -> response[0] = answered));
+                "GET", "settings", new byte[0], received -> response[0] = received));
         cluster.runFor(1);
         assertEquals(1, MessageCodec.decode(response[0].body()).path("revision").asLong());
         cluster.faults.storeDown = true;
         cluster.runFor(6);
         asked.environment.execute(() -> asked.coordinator.handleAdministrationRequest(
-                "GET", "settings", new byte[0], answered -> response[0] = answered));
+                "GET", "settings", new byte[0], received -> response[0] = received));
         cluster.runFor(5);
         assertEquals(503, response[0].status(), "no settings are returned while no controller is sure to lead");
     }
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -137,8 +137,8 @@
     }
 
     /** Runs a task after a delay in milliseconds of simulated time; a negative delay counts as 0. */
-    public void after(long ms, Runnable task) {
-        events.add(new Event(now + Math.max(0, ms), nextEventId++, task));
+    public void after(long delayMs, Runnable task) {
+        events.add(new Event(now + Math.max(0, delayMs), nextEventId++, task));
     }
 
     /** Runs the simulation for the given simulated time; stops early at the first violation of an invariant. */
--- a/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -75,7 +75,10 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A partitioned controller, leader or follower, loses no tasks: its workers move to another leader. */
+    /**
+     * A partitioned controller, leader or follower, starts no tasks and tells its workers so at once; they move to the
+     * next leader, and no task is lost.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aPartitionedControllerHandsItsWorkersOver(boolean leads) {
