--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -87,9 +87,8 @@
 
     public static void main(String[] args) {
         LogLevel.start("error");
-        System.out.println(
-                "Jain's index, writes per accepted job (including its end), retries per job,"
-                        + " completed jobs, share of the small teams' jobs that were accepted, 95th percentile of the wait in s");
+        System.out.println("Jain's index, writes per accepted job (including its end), retries per job,"
+                + " completed jobs, accepted share of the small teams' jobs, 95th percentile of the wait in s");
         for (Features features : List.of(Features.NONE, AdmissionLoad.FAIR_ADMISSION)) {
             LongStream.range(0, SEEDS).forEach(seed -> {
                 Outcome outcome = measure(300 + seed, features);
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -28,7 +28,9 @@
     private static final int DEPTH = 7;
     private static final Flow FLOW = new Flow("red", "*", 2);
 
-    /** The result of a search: the first sequence that violates the invariant or null, and the number of states seen. */
+    /**
+     * The result of a search: the first sequence that violates the invariant or null, and the number of states seen.
+     */
     private record SearchResult(List<Event> violatingSequence, int stateCount) {}
 
     private static AdmissionModel replay(CountMode count, List<Event> events) {
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -72,7 +72,10 @@
         cluster.faults.lateCommitRate = 0;
     }
 
-    /** No admission is counted twice or not at all, no invariant is violated, and jobs of every team are admitted afterwards. */
+    /**
+     * No admission is counted twice or not at all, no invariant is violated, and jobs of every team are admitted
+     * afterwards.
+     */
     @ParameterizedTest
     @EnumSource(Fault.class)
     void countsStayExactThroughAFaultDuringABurst(Fault fault) {
@@ -158,8 +161,8 @@
     }
 
     /**
-     * Runs with random faults of all kinds. In some of them controllers run older versions, in some link monitoring is on
-     * as well.
+     * Runs with random faults of all kinds. In some of them controllers run older versions, in some link monitoring is
+     * on as well.
      */
     @ParameterizedTest
     @MethodSource("randomFaultSeeds")
--- a/src/test/java/stileferry/coordination/BusyCluster.java
+++ b/src/test/java/stileferry/coordination/BusyCluster.java
@@ -64,7 +64,7 @@
                 .build();
     }
 
-    /** Runs the cluster for 90 s after the last fault; asserts that no invariant is violated and at least four tasks run. */
+    /** Runs for 90 s after the last fault; asserts that no invariant is violated and at least four tasks run. */
     static void assertRecovers(SimulatedCluster cluster) {
         cluster.faults.endedAt = cluster.now;
         cluster.runFor(90);
--- a/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
@@ -25,9 +25,9 @@
 
     /**
      * The key-value store rejects the leader, or the leader reaches neither the store nor the other controllers. A new
-     * leader confirms cancellations; then the store is down for longer than cancel_s, while workers still send heartbeats
-     * to the same controller as before. Guards against an old leader that renews leases without knowing of the
-     * cancellations, and against a new one that sends no stop commands because it is no longer sure to lead.
+     * leader confirms cancellations; then the store is down for longer than cancel_s, while workers still send
+     * heartbeats to the same controller as before. Guards against an old leader that renews leases without knowing of
+     * the cancellations, and against a new one that sends no stop commands because it is no longer sure to lead.
      */
     @ParameterizedTest
     @CsvSource({
@@ -94,7 +94,9 @@
         }
     }
 
-    /** If the other controllers could not be informed, only cancellations of jobs without running tasks are confirmed. */
+    /**
+     * If the other controllers could not be informed, only cancellations of jobs without running tasks are confirmed.
+     */
     private static void checkConfirmations(SimulatedCluster cluster, LeaderFault fault) {
         List<SimulatedUser> confirmed = cluster.users.values().stream()
                 .filter(u -> u.cancelConfirmedAt > 0)
--- a/src/test/java/stileferry/coordination/CommitRetriesTest.java
+++ b/src/test/java/stileferry/coordination/CommitRetriesTest.java
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Some transactions are executed late, after newer ones, or at once with their response lost, while four one-task jobs
-     * a second are submitted. Guards against a late transaction that stores a job's acceptance again after the job has
-     * ended, so that the next leader takes the job for a pending one.
+     * Some transactions are executed late, after newer ones, or at once with their response lost, while four one-task
+     * jobs a second are submitted. Guards against a late transaction that stores a job's acceptance again after the job
+     * has ended, so that the next leader takes the job for a pending one.
      */
     @ParameterizedTest
     @CsvSource({"201,0.4,0", "202,0.4,0", "203,0.2,0.2", "204,0,0.4", "205,0.5,0"})
--- a/src/test/java/stileferry/coordination/EventLoopLagTest.java
+++ b/src/test/java/stileferry/coordination/EventLoopLagTest.java
@@ -10,8 +10,8 @@
 /** A leader whose event loop lags sends fewer direct commands. */
 class EventLoopLagTest {
     /**
-     * A lagging leader starts tasks in the responses to the machines' next heartbeats instead of sending a direct command
-     * for each, which would increase the lag in a burst. Critical tasks still start at once.
+     * A lagging leader starts tasks in the responses to the machines' next heartbeats instead of sending a direct
+     * command for each, which would increase the lag in a burst. Critical tasks still start at once.
      */
     @Test
     void aLaggingLeaderSendsFewerDirectCommands() {
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -145,8 +145,8 @@
     }
 
     /**
-     * Rejected users are told when to retry and wait until then instead of retrying every second, so they need fewer than
-     * half of the retries. Meanwhile at least 0.9 times as many jobs are completed as without fair admission.
+     * Rejected users are told when to retry and wait until then instead of retrying every second, so they need fewer
+     * than half of the retries. Meanwhile at least 0.9 times as many jobs are completed as without fair admission.
      */
     @Test
     void rejectedUsersRetryWhenTold() {
@@ -173,7 +173,7 @@
                 completedJobs[0] + " jobs completed without fair admission, " + completedJobs[1] + " with it");
     }
 
-    /** A follower must not reject jobs by the admission window table of an earlier leader; the next may decide otherwise. */
+    /** A follower must not reject jobs by an earlier leader's window table; the next leader may decide otherwise. */
     @Test
     void noWindowTableOfAFormerTermIsUsed() {
         SimulatedCluster cluster = smallCluster(92, FAIR_ADMISSION);
@@ -203,7 +203,7 @@
         }
     }
 
-    /** Once a controller without the feature has led, totals are marked incomplete and stay so, and never exceed the jobs. */
+    /** Once a controller without the feature has led, totals stay marked as incomplete, and never exceed the jobs. */
     @Test
     void totalsAreIncompleteOnceAnOlderVersionHasLed() {
         SimulatedCluster cluster = smallCluster(93, FAIR_ADMISSION);
--- a/src/test/java/stileferry/coordination/FaultInjection.java
+++ b/src/test/java/stileferry/coordination/FaultInjection.java
@@ -21,7 +21,7 @@
     /** The maximum delay of responses of the key-value store, in milliseconds; 0: none. */
     long storeResponseDelayMs;
 
-    /** The maximum delay of transactions before the key-value store executes them, so that they may be reordered; 0: none. */
+    /** The maximum delay of transactions before the store executes them, which may reorder them; 0: none. */
     long commitDelayMs;
 
     /** The share of transactions that get no response and are executed seconds later, possibly after newer ones. */
@@ -51,7 +51,9 @@
     /** Addresses of agents whose heartbeats can't be sent, while commands still reach them. */
     final Set<String> heartbeatLoss = new TreeSet<>();
 
-    /** The share of heartbeats of which a duplicate reaches a random controller, from 1 s to over three leases later. */
+    /**
+     * The share of heartbeats of which a duplicate reaches a random controller, from 1 s to over three leases later.
+     */
     double duplicateHeartbeatRate;
 
     /** Whether copies of some heartbeats are recorded and delivered to every controller after the next election. */
@@ -63,7 +65,7 @@
     /** If not null, calls to workers time out, and this receives the timeout of each in milliseconds. */
     public LongConsumer workerCallsHang;
 
-    /** If not null, responds to requests for the cloud's list of machines, given the request path, in place of the cloud. */
+    /** If not null, responds in place of the cloud to requests for the list of machines, given their path. */
     public Function<String, JsonNode> cloudListing;
 
     /** When the last fault ended; 0: faults may go on. From then on users must get responses about every job. */
@@ -124,8 +126,8 @@
     }
 
     /**
-     * Ends most faults. Duplicated heartbeats, delays of commits, repeated requests and timed partitions stay, and faults
-     * that are already scheduled still happen.
+     * Ends most faults. Duplicated heartbeats, delays of commits, repeated requests and timed partitions stay, and
+     * faults that are already scheduled still happen.
      */
     void clear() {
         storeDown = false;
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * A task has failed and its peers have not noticed yet. They can't save a checkpoint without it; if they were told to,
-     * they would occupy their machines until they give up, and the restart of the gang would have to wait.
+     * A task has failed and its peers have not noticed yet. They can't save a checkpoint without it; if they were told
+     * to, they would occupy their machines until they give up, and the restart of the gang would have to wait.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -85,7 +85,9 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A gang's tasks save a checkpoint together or not at all, so a reclaim notice for one machine stops all of them. */
+    /**
+     * A gang's tasks save a checkpoint together or not at all, so a reclaim notice for one machine stops all of them.
+     */
     @Test
     void aReclaimNoticeForOneMachineCheckpointsTheWholeGang() {
         SimulatedCluster cluster = runningGang(2, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
@@ -138,7 +140,9 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** The leader crashes while a gang's assignments become durable; the next leader completes the attempt or ends it. */
+    /**
+     * The leader crashes while a gang's assignments become durable; the next leader completes the attempt or ends it.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void aFailoverDuringAGangStartLeavesNoPartialGang(long seed) {
@@ -158,8 +162,8 @@
     }
 
     /**
-     * An attempt is abandoned before all its assignments are durable, and the next attempt begins at once. Assignments of
-     * the first attempt that become durable later must not let the second start before all of its own are durable.
+     * An attempt is abandoned before all its assignments are durable, and the next attempt begins at once. Assignments
+     * of the first attempt that become durable later must not let the second start before all of its own are durable.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
--- a/src/test/java/stileferry/coordination/GangStartCheck.java
+++ b/src/test/java/stileferry/coordination/GangStartCheck.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Checks the commands in a message that a controller sends to a worker. Only the first start in each attempt of a gang
-     * is checked.
+     * Checks the commands in a message that a controller sends to a worker. Only the first start in each attempt of a
+     * gang is checked.
      *
      * @param sent the message; may be null
      * @param violations where a violation is added
@@ -50,10 +50,10 @@
         Set<Integer> assigned = new HashSet<>();
         String from = "";
         do {
-            JsonNode rowsPage = readPage(from);
-            rowsPage.path("rows").forEach(row -> addAssignments(row.path("v").path("e"), jobId, attempt, assigned));
-            JsonNode lastRow = rowsPage.path("rows").path(rowsPage.path("rows").size() - 1);
-            from = rowsPage.path("more").asBoolean() ? lastRow.path("path").asText() : "";
+            JsonNode page = readPage(from);
+            page.path("rows").forEach(row -> addAssignments(row.path("v").path("e"), jobId, attempt, assigned));
+            JsonNode lastRow = page.path("rows").path(page.path("rows").size() - 1);
+            from = page.path("more").asBoolean() ? lastRow.path("path").asText() : "";
         } while (!from.isEmpty());
         return assigned;
     }
--- a/src/test/java/stileferry/coordination/InvariantChecks.java
+++ b/src/test/java/stileferry/coordination/InvariantChecks.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Checks that after the last fault no job, except gangs, waits long for its first task while a machine has capacity and
-     * its team is under its limit.
+     * Checks that after the last fault no job, except gangs, waits long for its first task while a machine has capacity
+     * and its team is under its limit.
      */
     private void checkScheduled(SimulatedUser user) {
         if (cluster.faults.endedAt == 0
--- a/src/test/java/stileferry/coordination/InvariantChecksTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksTest.java
@@ -31,7 +31,9 @@
                 .build();
     }
 
-    /** Returns a cluster with booted machines and no controllers, so that only the test starts tasks of the given job. */
+    /**
+     * Returns a cluster with booted machines and no controllers, so that only the test starts tasks of the given job.
+     */
     private static SimulatedCluster clusterWith(JobSpec spec) {
         SimulatedCluster cluster = SimulatedCluster.started(1);
         cluster.submit(service(1, 8, 8));
--- a/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
+++ b/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
@@ -11,8 +11,8 @@
 /** Failovers during a partition: the last heartbeats that the former leader journalled prove that leases expired. */
 class LastHeartbeatJournalTest {
     /**
-     * The leader crashes while a zone is partitioned. The new leader must not wait for a full lease of the zone's machines
-     * again, since their services would run nowhere for that long.
+     * The leader crashes while a zone is partitioned. The new leader must not wait for a full lease of the zone's
+     * machines again, since their services would run nowhere for that long.
      */
     @Test
     void aFailoverDuringAZonePartitionDoesNotRestartLeases() {
@@ -35,8 +35,8 @@
     }
 
     /**
-     * A new leader that has received no heartbeat from the machines of a partitioned zone must not take them for machines
-     * that failed to boot, delete them all, and scale out in the unreachable zone.
+     * A new leader that has received no heartbeat from the machines of a partitioned zone must not take them for
+     * machines that failed to boot, delete them all, and scale out in the unreachable zone.
      */
     @Test
     void aNewLeaderKeepsTheMachinesOfAPartitionedZone() {
@@ -78,7 +78,9 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A machine that got a response after a silence has a new lease; the journalled last heartbeat is no longer valid. */
+    /**
+     * A machine that got a response after a silence has a new lease; the journalled last heartbeat is no longer valid.
+     */
     @Test
     void aSilenceThatEndedProvesNoLeaseExpiry() {
         SimulatedCluster cluster = SimulatedCluster.started(40, 9, 2, 40);
@@ -98,8 +100,8 @@
     }
 
     /**
-     * No heartbeat gets a response, so a new incarnation is seen only in responses to commands. Its lease must not be taken
-     * for expired together with that of the previous incarnation.
+     * No heartbeat gets a response, so a new incarnation is seen only in responses to commands. Its lease must not be
+     * taken for expired together with that of the previous incarnation.
      */
     @Test
     void aNewIncarnationHasALeaseOfItsOwn() {
--- a/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
+++ b/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Two controller processes that know all cancellations are enough to renew leases. After all processes have crashed,
-     * no controller knows which jobs were cancelled, so leases must expire.
+     * Two controller processes that know all cancellations are enough to renew leases. After all processes have
+     * crashed, no controller knows which jobs were cancelled, so leases must expire.
      */
     @ParameterizedTest
     @EnumSource(Crash.class)
--- a/src/test/java/stileferry/coordination/LinkFaultCluster.java
+++ b/src/test/java/stileferry/coordination/LinkFaultCluster.java
@@ -27,7 +27,9 @@
         return cluster;
     }
 
-    /** Restores all links and asserts that 90 s later all accepted work runs or is done, and no invariant is violated. */
+    /**
+     * Restores all links and asserts that 90 s later all accepted work runs or is done, and no invariant is violated.
+     */
     static void assertRecovered(SimulatedCluster cluster) {
         cluster.network.restoreAll();
         cluster.faults.endedAt = cluster.now;
--- a/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
+++ b/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
@@ -13,7 +13,10 @@
     private static final long[] SEEDS =
             LongStream.range(1, 1 + Long.getLong("meetings", 2)).toArray();
 
-    /** Runs each scenario with two seeds by default; afterwards all accepted jobs have ended or are fully running services. */
+    /**
+     * Runs each scenario with two seeds by default; afterwards all accepted jobs have ended or are fully running
+     * services.
+     */
     @ParameterizedTest
     @EnumSource(FaultScenario.class)
     void invariantsHoldUnderOverlappingFaults(FaultScenario scenario) {
--- a/src/test/java/stileferry/coordination/PartialPartitionTest.java
+++ b/src/test/java/stileferry/coordination/PartialPartitionTest.java
@@ -133,7 +133,9 @@
         assertRecovered(cluster);
     }
 
-    /** A follower that knows that it can't forward requests to the leader rejects them at once instead of timing out. */
+    /**
+     * A follower that knows that it can't forward requests to the leader rejects them at once instead of timing out.
+     */
     @Test
     void aFollowerThatCannotReachTheLeaderRejectsRequestsAtOnce() {
         SimulatedCluster cluster = withLongJobs(508, LINK_MONITORING);
@@ -253,8 +255,8 @@
     }
 
     /**
-     * A machine whose heartbeats don't reach the leader, directly or through a peer, is not deleted before its lease ends
-     * while another controller reaches it. Without link monitoring it is deleted.
+     * A machine whose heartbeats don't reach the leader, directly or through a peer, is not deleted before its lease
+     * ends while another controller reaches it. Without link monitoring it is deleted.
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
--- a/src/test/java/stileferry/coordination/ScenarioSteps.java
+++ b/src/test/java/stileferry/coordination/ScenarioSteps.java
@@ -26,29 +26,29 @@
         }
     }
 
-    /** Cancels the running jobs whose number is a multiple of {@code n}. */
-    void cancelEveryNth(int n) {
+    /** Cancels the running jobs whose number is a multiple of {@code step}. */
+    void cancelEveryNth(int step) {
         cluster.users.values().stream()
                 .filter(u -> u.accepted && u.endState == null && cluster.tasks.running(u) > 0)
-                .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % n == 0)
+                .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % step == 0)
                 .toList()
                 .forEach(cluster::cancel);
     }
 
-    /** Returns the agent addresses of the running machines whose number is a multiple of {@code n}. */
-    List<String> everyNthMachine(int n) {
+    /** Returns the agent addresses of the running machines whose number is a multiple of {@code step}. */
+    List<String> everyNthMachine(int step) {
         return cluster.cloud.runningMachines().stream()
-                .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % n == 0)
+                .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % step == 0)
                 .map(SimulatedMachines::address)
                 .toList();
     }
 
-    void partitionEveryNthMachine(int n, long ms) {
-        everyNthMachine(n).forEach(addr -> faults.partition(addr, ms));
+    void partitionEveryNthMachine(int step, long ms) {
+        everyNthMachine(step).forEach(addr -> faults.partition(addr, ms));
     }
 
-    void hangEveryNthMachine(int n, long ms) {
-        everyNthMachine(n).forEach(addr -> faults.hang(addr, ms));
+    void hangEveryNthMachine(int step, long ms) {
+        everyNthMachine(step).forEach(addr -> faults.hang(addr, ms));
     }
 
     void startStoppedControllers() {
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -18,9 +18,9 @@
 import stileferry.standin.Worker;
 
 /**
- * A simulated cluster that runs real controllers: one clock, one event queue, one seeded random generator, and stand-ins
- * for all external systems. The same seed produces the same events in the same order. The invariants are checked
- * whenever something happens that could violate one of them.
+ * A simulated cluster that runs real controllers: one clock, one event queue, one seeded random generator, and
+ * stand-ins for all external systems. The same seed produces the same events in the same order. The invariants are
+ * checked whenever something happens that could violate one of them.
  */
 public final class SimulatedCluster {
     static final String STORE = "10.9.0.1:1";
--- a/src/test/java/stileferry/coordination/SimulatedEnvironment.java
+++ b/src/test/java/stileferry/coordination/SimulatedEnvironment.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Executes a command on the event loop. A slow event loop is busy for some time with each command, and later commands
-     * wait.
+     * Executes a command on the event loop. A slow event loop is busy for some time with each command, and later
+     * commands wait.
      */
     void execute(Runnable command) {
         long taskMs = cluster.faults.eventLoopTaskMs.getOrDefault(controller.name(), 0L);
--- a/src/test/java/stileferry/coordination/SimulatedMachines.java
+++ b/src/test/java/stileferry/coordination/SimulatedMachines.java
@@ -61,8 +61,9 @@
     }
 
     /**
-     * Sends a heartbeat to a controller and schedules the next one, for as long as the machine exists. The next heartbeat
-     * goes to the same controller, to the leader that the response names, or after a failure to the next controller.
+     * Sends a heartbeat to a controller and schedules the next one, for as long as the machine exists. The next
+     * heartbeat goes to the same controller, to the leader that the response names, or after a failure to the next
+     * controller.
      */
     private void sendHeartbeats(Worker worker, String to) {
         if (!exists(worker)) {
--- a/src/test/java/stileferry/coordination/SimulatedUser.java
+++ b/src/test/java/stileferry/coordination/SimulatedUser.java
@@ -29,7 +29,9 @@
     /** When the first task of the job started; 0: none has. */
     long startedAt;
 
-    /** Since when, after the last fault, no task of the job runs although there is capacity for one; 0: not the case. */
+    /**
+     * Since when, after the last fault, no task of the job runs although there is capacity for one; 0: not the case.
+     */
     long unscheduledSince;
 
     final long submittedAt;
