--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -8,46 +8,51 @@
 import stileferry.transport.LogLevel;
 
 /**
- * Measures fair admission in the simulated cluster, on and off in pairs of the same seed:
- * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.AdmissionMeasurement}, with
- * JUnit's API on the class path. Two minutes of fifteen jobs a second of one team and one every two seconds of two
- * others.
+ * Measures fair admission in the simulated cluster, with the feature off and on for each seed. The load is two minutes
+ * of fifteen jobs a second from one team and one job every two seconds from each of two others. To run it, with JUnit's
+ * API on the class path as well:
+ * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.AdmissionMeasurement}.
  */
 final class AdmissionMeasurement {
     private static final int SEEDS = 3;
     private static final int FLOOD_S = 120;
-    private static final long LONGEST_MS = 120_000;
+    private static final long MAX_WAIT_MS = 120_000;
 
     private AdmissionMeasurement() {}
 
-    /** What one flood led to. */
+    /** The results of one run. */
     private record Outcome(
-            double jain, double changesEach, double refusalsEach, double done, double smallTeams, double waitP95S) {}
+            double jain,
+            double writesPerJob,
+            double retriesPerJob,
+            double completedJobs,
+            double smallTeamsAdmittedShare,
+            double waitP95S) {}
 
     private static double admittedShare(SimulatedCluster cluster, String team) {
-        long asked = cluster.users.values().stream()
+        long submitted = cluster.users.values().stream()
                 .filter(u -> u.spec.team().equals(team))
                 .count();
         long accepted = cluster.users.values().stream()
                 .filter(u -> u.accepted && u.spec.team().equals(team))
                 .count();
-        return asked == 0 ? 0 : (double) accepted / asked;
+        return submitted == 0 ? 0 : (double) accepted / submitted;
     }
 
-    /** Jain's index of what the teams were given, where a team that was given all counts as one that has the mean. */
+    /** Returns Jain's index of the teams' admissions; a team with over 99 % admitted counts with at least the mean. */
     private static double jain(SimulatedCluster cluster) {
-        long least = AdmissionLoad.TEAMS.stream()
+        long mean = AdmissionLoad.TEAMS.stream()
                         .mapToLong(team -> accepted(cluster, team))
                         .sum()
                 / AdmissionLoad.TEAMS.size();
         double sum = 0;
         double squares = 0;
         for (String team : AdmissionLoad.TEAMS) {
-            double given = admittedShare(cluster, team) > 0.99
-                    ? Math.max(least, accepted(cluster, team))
+            double admitted = admittedShare(cluster, team) > 0.99
+                    ? Math.max(mean, accepted(cluster, team))
                     : accepted(cluster, team);
-            sum += given;
-            squares += given * given;
+            sum += admitted;
+            squares += admitted * admitted;
         }
         return squares == 0 ? 0 : sum * sum / (AdmissionLoad.TEAMS.size() * squares);
     }
@@ -58,21 +63,21 @@
                 .count();
     }
 
-    private static Outcome play(long seed, Features features) {
+    private static Outcome measure(long seed, Features features) {
         SimulatedCluster cluster = AdmissionLoad.smallCluster(seed, features);
         cluster.runFor(20);
-        long changes = cluster.store.writtenKeyCount();
+        long writesBefore = cluster.store.writtenKeyCount();
         AdmissionLoad.flood(cluster, 100, FLOOD_S);
-        Histogram waits = new Histogram(LONGEST_MS, 2);
+        Histogram waits = new Histogram(MAX_WAIT_MS, 2);
         cluster.users.values().stream()
                 .filter(u -> u.accepted)
-                .forEach(u -> waits.recordValue(Math.min(LONGEST_MS, u.acceptedAt - u.submittedAt)));
+                .forEach(u -> waits.recordValue(Math.min(MAX_WAIT_MS, u.acceptedAt - u.submittedAt)));
         double accepted = waits.getTotalCount();
         return new Outcome(
                 jain(cluster),
-                (cluster.store.writtenKeyCount() - changes) / accepted,
+                (cluster.store.writtenKeyCount() - writesBefore) / accepted,
                 cluster.users.values().stream()
-                        .mapToInt(u -> u.rejections)
+                        .mapToInt(u -> u.retries)
                         .average()
                         .orElse(0),
                 cluster.users.values().stream().filter(u -> u.endState != null).count(),
@@ -82,21 +87,21 @@
 
     public static void main(String[] args) {
         LogLevel.initialize("error");
-        System.out.println("Jain's index, changes for each accepted job (its end included), refusals of each job,"
-                + " jobs done, share of the small teams' jobs accepted, 95th percentile of the wait in s");
-        for (Features features : List.of(Features.NONE, AdmissionLoad.ON)) {
+        System.out.println("Jain's index, writes per accepted job (including its end), retries per job,"
+                + " completed jobs, accepted share of the small teams' jobs, 95th percentile of the wait in s");
+        for (Features features : List.of(Features.NONE, AdmissionLoad.FAIR_ADMISSION)) {
             LongStream.range(0, SEEDS).forEach(seed -> {
-                Outcome outcome = play(300 + seed, features);
+                Outcome outcome = measure(300 + seed, features);
                 System.out.println(String.format(
                         Locale.ROOT,
                         "%-20s seed %d: %.2f %.2f %.2f %.0f %.2f %.1f",
                         features.on(),
                         300 + seed,
                         outcome.jain(),
-                        outcome.changesEach(),
-                        outcome.refusalsEach(),
-                        outcome.done(),
-                        outcome.smallTeams(),
+                        outcome.writesPerJob(),
+                        outcome.retriesPerJob(),
+                        outcome.completedJobs(),
+                        outcome.smallTeamsAdmittedShare(),
                         outcome.waitP95S()));
             });
         }
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -21,47 +21,48 @@
 import stileferry.standin.KeyValueStore;
 
 /**
- * One run of the model of admission: a key-value store, the leader, and the requests on their way between them. Leaders
- * crash at any moment; a transaction is answered, carried out while its answer is lost, carried out late, or never.
+ * One run of the admission model: a key-value store, a leader, and the requests in flight between them. Leaders may
+ * crash at any time. A transaction is executed and answered, executed while its response is lost, executed late, or
+ * never executed.
  */
 final class AdmissionModel {
-    private static final int MOST_JOBS = 3;
+    private static final int MAX_JOBS = 3;
 
-    /** What may happen next. */
+    /** The possible next events. */
     enum Event {
-        ACCEPT_A_JOB,
-        ANSWER_A_REQUEST,
-        CARRY_OUT_BUT_LOSE_THE_ANSWER,
-        LOSE_A_REQUEST,
-        CARRY_OUT_LATE,
-        CHANGE_THE_LEADER
+        ACCEPT_JOB,
+        SERVE_REQUEST,
+        LOSE_RESPONSE,
+        LOSE_REQUEST,
+        EXECUTE_LATE,
+        CHANGE_LEADER
     }
 
     /**
-     * Whether the count is written in the transaction that stores the job, or, as a planted fault, in another one after
-     * that was answered.
+     * Whether the count is written in the transaction that stores the job, or, as a deliberate bug, in a separate one
+     * after the response to the first.
      */
-    enum Count {
-        WITH_THE_JOB,
-        AFTER_THE_ANSWER
+    enum CountMode {
+        SAME_TRANSACTION,
+        SEPARATE_TRANSACTION
     }
 
-    /** A request on its way to the key-value store. */
+    /** A request in flight to the key-value store. */
     record Request(String method, String path, JsonNode body, Environment.ResponseHandler reply) {}
 
     final KeyValueStore store = new KeyValueStore(12, 8);
     final ArrayDeque<Request> requests = new ArrayDeque<>();
     final List<Request> unanswered = new ArrayList<>();
     final TreeMap<Long, List<Runnable>> timers = new TreeMap<>();
-    final LoadShedder door = new LoadShedder(AdmissionSettings.config(settings()), 10);
-    final Count count;
+    final LoadShedder loadShedder = new LoadShedder(AdmissionSettings.config(settings()), 10);
+    final CountMode countMode;
     long now = 1;
     long term;
-    int jobs;
+    int jobCount;
     AdmissionModelLeader leader;
 
-    AdmissionModel(Count count) {
-        this.count = count;
+    AdmissionModel(CountMode countMode) {
+        this.countMode = countMode;
         changeLeader();
     }
 
@@ -69,12 +70,12 @@
         timers.computeIfAbsent(now + Math.max(1, ms), t -> new ArrayList<>()).add(task);
     }
 
-    /** Runs all timers that are due within two seconds. */
-    void settle() {
+    /** Runs the timers that are due within two seconds, at most 100 batches of them. */
+    void runDueTimers() {
         for (int i = 0; i < 100 && !timers.isEmpty() && timers.firstKey() <= now + 2000; i++) {
-            var due = timers.pollFirstEntry();
-            now = Math.max(now, due.getKey());
-            due.getValue().forEach(Runnable::run);
+            var dueTimers = timers.pollFirstEntry();
+            now = Math.max(now, dueTimers.getKey());
+            dueTimers.getValue().forEach(Runnable::run);
         }
     }
 
@@ -83,43 +84,44 @@
             leader.commits.close();
         }
         term++;
-        putOutsideOfCommits(LeaderElection.LEADER_KEY, MessageCodec.map().put("term", term));
+        putDirectly(LeaderElection.LEADER_KEY, MessageCodec.map().put("term", term));
         leader = new AdmissionModelLeader(this);
-        door.observeTerm(term);
+        loadShedder.observeTerm(term);
     }
 
-    boolean play(Event event) {
+    /** Applies an event; returns false if it is not possible in this state. */
+    boolean apply(Event event) {
         switch (event) {
-            case ACCEPT_A_JOB -> {
-                if (jobs == MOST_JOBS) {
+            case ACCEPT_JOB -> {
+                if (jobCount == MAX_JOBS) {
                     return false;
                 }
-                leader.accept("job-" + jobs++);
+                leader.acceptJob("job-" + jobCount++);
             }
-            case ANSWER_A_REQUEST, CARRY_OUT_BUT_LOSE_THE_ANSWER, LOSE_A_REQUEST -> {
+            case SERVE_REQUEST, LOSE_RESPONSE, LOSE_REQUEST -> {
                 if (requests.isEmpty()) {
                     return false;
                 }
-                answer(requests.poll(), event);
+                serve(requests.poll(), event);
             }
-            case CARRY_OUT_LATE -> {
+            case EXECUTE_LATE -> {
                 if (unanswered.isEmpty()) {
                     return false;
                 }
                 Request late = unanswered.remove(0);
                 store.handleRequest(late.method, late.path, late.body, (s, b) -> {});
             }
-            case CHANGE_THE_LEADER -> changeLeader();
+            case CHANGE_LEADER -> changeLeader();
         }
-        settle();
+        runDueTimers();
         return true;
     }
 
-    private void answer(Request request, Event event) {
-        if (event == Event.ANSWER_A_REQUEST) {
+    private void serve(Request request, Event event) {
+        if (event == Event.SERVE_REQUEST) {
             store.handleRequest(request.method, request.path, request.body, request.reply);
         } else {
-            if (event == Event.CARRY_OUT_BUT_LOSE_THE_ANSWER) {
+            if (event == Event.LOSE_RESPONSE) {
                 store.handleRequest(request.method, request.path, request.body, (s, b) -> {});
             } else if (request.path.equals("/commit")) {
                 unanswered.add(request);
@@ -128,7 +130,7 @@
         }
     }
 
-    List<KeyValue> rows(String prefix) {
+    List<KeyValue> readRows(String prefix) {
         List<KeyValue> rows = new ArrayList<>();
         store.handleRequest("GET", "/kv?starts=" + prefix + "&most=1000", null, (s, body) -> body.path("rows")
                 .forEach(row -> rows.add(new KeyValue(
@@ -138,16 +140,16 @@
         return rows;
     }
 
-    long counted() {
-        return AdmissionTotals.of(AdmissionCountShards.read(rows(AdmissionCountShards.KEY_PREFIX)), 1, 0)
+    long countedAdmissions() {
+        return AdmissionTotals.of(AdmissionCountShards.read(readRows(AdmissionCountShards.KEY_PREFIX)), 1, 0)
                 .counts()
                 .total();
     }
 
-    /** Identifies this state, apart from times and revisions. */
+    /** Returns a string that identifies this state, apart from times and revisions. */
     String signature() {
-        StringBuilder text = new StringBuilder().append(jobs).append('|').append(counted());
-        rows(Job.KEY_PREFIX).forEach(row -> text.append(row.key()));
+        StringBuilder text = new StringBuilder().append(jobCount).append('|').append(countedAdmissions());
+        readRows(Job.KEY_PREFIX).forEach(row -> text.append(row.key()));
         text.append('|').append(leader.commits.inFlight()).append(leader.commits.backlog());
         requests.forEach(request -> text.append(request.method.charAt(0)).append(keys(request)));
         unanswered.forEach(request -> text.append('L').append(keys(request)));
@@ -163,8 +165,8 @@
         return keys.toString();
     }
 
-    /** Writes a key outside of the controllers' transactions. */
-    private void putOutsideOfCommits(String key, JsonNode value) {
+    /** Writes a key directly, not in a transaction of a leader. */
+    private void putDirectly(String key, JsonNode value) {
         var transaction = MessageCodec.map();
         transaction.putArray("if");
         transaction.putArray("apply").addObject().put("put", key).set("v", value);
--- a/src/test/java/stileferry/coordination/AdmissionModelLeader.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelLeader.java
@@ -17,9 +17,9 @@
 import stileferry.storage.KeyValueStoreClient;
 import stileferry.storage.StoredEntry;
 
-/** The leader of a model of admission, with the real queue of commits and count. */
+/** The leader in the admission model, with the real commit queue and admission count. */
 final class AdmissionModelLeader implements Environment {
-    private static final AdmissionCounts.TeamClass CELL = new AdmissionCounts.TeamClass("red", "*");
+    private static final AdmissionCounts.TeamClass TEAM_CLASS = new AdmissionCounts.TeamClass("red", "*");
 
     private final AdmissionModel model;
     final CommitQueue commits;
@@ -28,24 +28,25 @@
 
     AdmissionModelLeader(AdmissionModel model) {
         this.model = model;
-        long fence = model.rows(LeaderElection.LEADER_KEY).get(0).revision();
+        long leaderKeyRevision =
+                model.readRows(LeaderElection.LEADER_KEY).get(0).revision();
         KeyValueStoreClient client = new KeyValueStoreClient(this, AdmissionModel.settings());
         commits = new CommitQueue(
-                this, client, LeaderElection.LEADER_KEY, fence, model.term, () -> lostLeadership = true);
-        countShards = new AdmissionCountShards(model.rows(AdmissionCountShards.KEY_PREFIX), 1, 8);
-        if (model.count == AdmissionModel.Count.WITH_THE_JOB) {
+                this, client, LeaderElection.LEADER_KEY, leaderKeyRevision, model.term, () -> lostLeadership = true);
+        countShards = new AdmissionCountShards(model.readRows(AdmissionCountShards.KEY_PREFIX), 1, 8);
+        if (model.countMode == AdmissionModel.CountMode.SAME_TRANSACTION) {
             commits.setTransactionCounter(countShards);
         }
     }
 
-    void accept(String id) {
-        StoredEntry job = new StoredEntry(Job.key(id), 0, MessageCodec::map);
-        if (model.count == AdmissionModel.Count.WITH_THE_JOB) {
-            countShards.registerJob(job, CELL);
+    void acceptJob(String jobId) {
+        StoredEntry job = new StoredEntry(Job.key(jobId), 0, MessageCodec::map);
+        if (model.countMode == AdmissionModel.CountMode.SAME_TRANSACTION) {
+            countShards.registerJob(job, TEAM_CLASS);
             commits.put(job, null);
         } else {
             commits.put(job, () -> {
-                countShards.registerJob(job, CELL);
+                countShards.registerJob(job, TEAM_CLASS);
                 commits.put(countShards.count(List.of(job)), null);
                 commits.flush();
             });
@@ -82,5 +83,5 @@
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {}
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {}
 }
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stileferry.coordination.AdmissionLoad.ON;
+import static stileferry.coordination.AdmissionLoad.FAIR_ADMISSION;
 import static stileferry.coordination.AdmissionLoad.TEAMS;
-import static stileferry.coordination.AdmissionLoad.check;
+import static stileferry.coordination.AdmissionLoad.assertConsistent;
 import static stileferry.coordination.AdmissionLoad.flood;
 import static stileferry.coordination.AdmissionLoad.smallCluster;
 import static stileferry.coordination.AdmissionLoad.submit;
@@ -19,9 +19,9 @@
 import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
 
-/** Admission while controllers, the key-value store or links fail in the middle of a burst. */
+/** Admission while controllers, the key-value store or links fail during a burst of submissions. */
 class AdmissionUnderFaultsTest {
-    /** What fails in the middle of a burst. */
+    /** A fault during a burst of submissions. */
     enum Fault {
         LEADER_CRASHES,
         LEADER_PAUSES,
@@ -41,8 +41,9 @@
         String name = leader.name();
         switch (fault) {
             case LEADER_CRASHES -> cluster.faults.restart(leader, 4000);
-            case LEADER_PAUSES -> leader.environment.freeze(8000);
-            case LEADER_LOSES_THE_STORE -> cluster.network.blockBoth(name, SimulatedCluster.STORE, LinkFault.LOST);
+            case LEADER_PAUSES -> leader.environment.pause(8000);
+            case LEADER_LOSES_THE_STORE ->
+                cluster.network.injectFaultBothWays(name, SimulatedCluster.STORE, LinkFault.LOST);
             case STORE_REJECTS_THE_LEADER -> cluster.faults.rejectedByStore.add(name);
             case ALL_CONTROLLERS_CRASH ->
                 cluster.controllers.values().forEach(node -> cluster.faults.restart(node, 3000));
@@ -57,13 +58,13 @@
                 cluster.controllers.keySet().stream()
                         .filter(other -> !other.equals(name))
                         .findFirst()
-                        .ifPresent(other -> cluster.network.blockBoth(name, other, LinkFault.LOST));
+                        .ifPresent(other -> cluster.network.injectFaultBothWays(name, other, LinkFault.LOST));
             case COMMIT_RESPONSES_LOST -> cluster.faults.unansweredCommitRate = 0.3;
             case COMMITS_ARE_LATE -> cluster.faults.lateCommitRate = 0.2;
         }
     }
 
-    private static void mend(SimulatedCluster cluster) {
+    private static void clearFaults(SimulatedCluster cluster) {
         cluster.network.restoreAll();
         cluster.faults.rejectedByStore.clear();
         cluster.faults.storeResponseDelayMs = 0;
@@ -71,94 +72,102 @@
         cluster.faults.lateCommitRate = 0;
     }
 
-    /** No count is doubled or lost, no invariant violated, and every team is admitted afterwards, whatever happened. */
+    /**
+     * No admission is counted twice or not at all, no invariant is violated, and jobs of every team are admitted
+     * afterwards.
+     */
     @ParameterizedTest
     @EnumSource(Fault.class)
     void countsStayExactThroughAFaultDuringABurst(Fault fault) {
-        SimulatedCluster cluster = smallCluster(40 + fault.ordinal(), ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+        SimulatedCluster cluster = smallCluster(40 + fault.ordinal(), FAIR_ADMISSION);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         cluster.runFor(20);
-        int next = flood(cluster, 100, 20);
+        int nextNumber = flood(cluster, 100, 20);
         inject(cluster, fault);
-        next = flood(cluster, next, 40);
-        mend(cluster);
+        nextNumber = flood(cluster, nextNumber, 40);
+        clearFaults(cluster);
         cluster.runFor(25);
         long from = cluster.now;
-        flood(cluster, next, 60);
+        flood(cluster, nextNumber, 60);
         cluster.runFor(90);
-        check(cluster, history);
-        var minutes = history.admissionsByTeamAndMinute(from);
+        assertConsistent(cluster, countCheck);
+        var minutes = countCheck.admissionsByTeamAndMinute(from);
         TEAMS.forEach(team -> assertTrue(minutes.getOrDefault(team + " 0", 0L) > 0, team + ": " + minutes));
-        assertEquals(history.known(), history.counted());
-        long heard = cluster.users.values().stream().filter(u -> u.accepted).count();
-        assertTrue(history.counted() >= heard, heard + " users heard, " + history.counted() + " are counted");
-        assertTrue(history.answers > 50, "totals were told " + history.answers + " times only");
+        assertEquals(countCheck.storedJobs(), countCheck.countedAdmissions());
+        long toldAccepted =
+                cluster.users.values().stream().filter(u -> u.accepted).count();
+        assertTrue(
+                countCheck.countedAdmissions() >= toldAccepted,
+                toldAccepted + " users were told of acceptance, but only " + countCheck.countedAdmissions()
+                        + " admissions are counted");
+        assertTrue(countCheck.responseCount > 50, "only " + countCheck.responseCount + " responses had totals");
     }
 
     private static LongStream seeds() {
         return LongStream.range(0, Integer.getInteger("days", 2)).map(i -> 70 + i);
     }
 
-    /** Ten minutes of three times what can be admitted, with one fault after the other. */
+    /** Ten minutes of submissions at three times the admission capacity, with a random fault in most minutes. */
     @ParameterizedTest
     @MethodSource("seeds")
     void everyTeamIsAdmittedUnderTripleLoadWithFaults(long seed) {
-        SimulatedCluster cluster = smallCluster(seed, ON);
-        AdmissionHistory history = new AdmissionHistory(cluster);
+        SimulatedCluster cluster = smallCluster(seed, FAIR_ADMISSION);
+        AdmissionCountCheck countCheck = new AdmissionCountCheck(cluster);
         SplittableRandom random = cluster.random.split();
         cluster.runFor(20);
         long from = cluster.now;
-        int number = 100;
+        int jobNumber = 100;
         long leaderSince = 0;
-        List<Integer> calmMinutes = new ArrayList<>();
-        boolean calm = true;
+        List<Integer> stableMinutes = new ArrayList<>();
+        boolean stableLeader = true;
         for (int second = 0; second < 600; second++) {
             for (int i = 0; i < 15; i++) {
-                submit(cluster, number, TEAMS.get(number % 10 < 8 ? 0 : number % 2 + 1));
-                number++;
+                submit(cluster, jobNumber, TEAMS.get(jobNumber % 10 < 8 ? 0 : jobNumber % 2 + 1));
+                jobNumber++;
             }
             if (second % 60 == 20) {
                 Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
                 if (cluster.leader() != null && fault != Fault.STORE_OUTAGE_OF_A_MINUTE) {
                     inject(cluster, fault);
-                    cluster.after(15_000, () -> mend(cluster));
+                    cluster.after(15_000, () -> clearFaults(cluster));
                 }
             }
             cluster.runFor(1);
             leaderSince = cluster.leader() == null ? 0 : leaderSince == 0 ? cluster.now : leaderSince;
-            calm |= leaderSince > 0 && cluster.now - leaderSince > 15_000;
+            stableLeader |= leaderSince > 0 && cluster.now - leaderSince > 15_000;
             if (second % 60 == 59) {
-                if (calm) {
-                    calmMinutes.add(second / 60);
+                if (stableLeader) {
+                    stableMinutes.add(second / 60);
                 }
-                calm = false;
+                stableLeader = false;
             }
         }
-        check(cluster, history);
-        assertTrue(calmMinutes.size() >= 8, "minutes with a leader: " + calmMinutes);
-        everyTeamIsAdmitted(history, from, calmMinutes);
+        assertConsistent(cluster, countCheck);
+        assertTrue(stableMinutes.size() >= 8, "minutes with a stable leader: " + stableMinutes);
+        assertEveryTeamAdmitted(countCheck, from, stableMinutes);
     }
 
-    private static void everyTeamIsAdmitted(AdmissionHistory history, long from, List<Integer> minutes) {
-        var admissions = history.admissionsByTeamAndMinute(from);
+    private static void assertEveryTeamAdmitted(AdmissionCountCheck countCheck, long from, List<Integer> minutes) {
+        var admissions = countCheck.admissionsByTeamAndMinute(from);
         for (int minute : minutes) {
             TEAMS.forEach(team -> assertTrue(
                     admissions.getOrDefault(team + " " + minute, 0L) > 0,
-                    team + " has nothing in minute " + minute + ": " + admissions));
+                    team + " has no admissions in minute " + minute + ": " + admissions));
         }
     }
 
-    private static LongStream seedsOfDays() {
+    private static LongStream randomFaultSeeds() {
         return LongStream.range(0, Integer.getInteger("days", 8)).map(i -> 2000 + i);
     }
 
     /**
-     * Runs with all faults at random, on some of them with controllers of older versions, or with link monitoring too.
+     * Runs with random faults of all kinds. In some of them controllers run older versions, in some link monitoring is
+     * on as well.
      */
     @ParameterizedTest
-    @MethodSource("seedsOfDays")
+    @MethodSource("randomFaultSeeds")
     void invariantsHoldWithFairAdmissionUnderRandomFaults(long seed) {
-        ChaosRun.assertAllJobsEnded(ChaosRun.play(
+        ChaosRun.assertAllJobsEnded(ChaosRun.run(
                 seed, 120, cluster -> ChaosRun.mixVersions(cluster, seed, new Features(seed % 4 == 0, true))));
     }
 }
--- a/src/test/java/stileferry/coordination/ChaosRun.java
+++ b/src/test/java/stileferry/coordination/ChaosRun.java
@@ -8,27 +8,31 @@
 import java.util.function.Consumer;
 import stileferry.protocol.Features;
 
-/** A seeded run of a simulated cluster with users at work and random faults, until all is quiet again at the end. */
+/** A seeded run of a simulated cluster with random jobs and random faults, followed by a recovery period. */
 final class ChaosRun {
     private ChaosRun() {}
 
-    static SimulatedCluster play(long seed, double seconds) {
-        return play(seed, seconds, cluster -> {});
+    static SimulatedCluster run(long seed, double seconds) {
+        return run(seed, seconds, cluster -> {});
     }
 
-    /** Plays so many seconds with faults, and then until all jobs should be over. */
-    static SimulatedCluster play(long seed, double seconds, Consumer<SimulatedCluster> prepare) {
+    /**
+     * Runs a cluster with faults for some seconds, and then without until all jobs should have ended.
+     *
+     * @param prepare is applied to the cluster before it runs
+     */
+    static SimulatedCluster run(long seed, double seconds, Consumer<SimulatedCluster> prepare) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
         prepare.accept(cluster);
         SplittableRandom random = cluster.random.split();
         cluster.faults.duplicateHeartbeatRate = seed % 2 == 0 ? 0.1 : 0;
         cluster.after(random.nextLong(Math.round(1000 * seconds)), () -> cluster.store.setLimits(4, 2));
         cluster.runFor(3);
-        playFaults(cluster, random, seconds);
+        runWithFaults(cluster, random, seconds);
         cluster.faults.clear();
-        cluster.after(45_000, cluster.network::restoreAll); // links that flap
+        cluster.after(45_000, cluster.network::restoreAll); // links that flap may break again until then
         cluster.faults.endedAt = cluster.now;
-        cluster.runFor(90); // until every submission has been answered or given up
+        cluster.runFor(90); // until every submission has a final response or was given up
         for (SimulatedUser user : List.copyOf(cluster.users.values())) {
             if (user.spec.service() && user.accepted && !user.cancelRequested) {
                 cluster.cancel(user);
@@ -38,7 +42,7 @@
         return cluster;
     }
 
-    private static void playFaults(SimulatedCluster cluster, SplittableRandom random, double seconds) {
+    private static void runWithFaults(SimulatedCluster cluster, SplittableRandom random, double seconds) {
         ChaosFaults faults = new ChaosFaults(cluster, random);
         int jobs = 0;
         for (double at = 0; at < seconds && cluster.violations.isEmpty(); at += 2) {
@@ -46,7 +50,7 @@
                 cluster.submit(Workloads.random(jobs++, random));
             }
             if (random.nextInt(8) == 0) {
-                cancelAny(cluster, random);
+                cancelRandomJob(cluster, random);
             }
             if (random.nextInt(5) == 0) {
                 faults.inject();
@@ -55,18 +59,18 @@
         }
     }
 
-    private static void cancelAny(SimulatedCluster cluster, SplittableRandom random) {
-        List<SimulatedUser> open = cluster.users.values().stream()
+    private static void cancelRandomJob(SimulatedCluster cluster, SplittableRandom random) {
+        List<SimulatedUser> openJobs = cluster.users.values().stream()
                 .filter(u -> u.accepted && !u.cancelRequested)
                 .toList();
-        if (!open.isEmpty()) {
-            cluster.cancel(open.get(random.nextInt(open.size())));
+        if (!openJobs.isEmpty()) {
+            cluster.cancel(openJobs.get(random.nextInt(openJobs.size())));
         }
     }
 
     /**
-     * Turns features on; on some runs one controller has none, and on some the third one has the first version's form
-     * of records.
+     * Turns features on. For some seeds one controller has none of them, and for some the third one also uses the peer
+     * message format of the first version.
      */
     static void mixVersions(SimulatedCluster cluster, long seed, Features features) {
         cluster.features = features;
@@ -74,19 +78,20 @@
             cluster.controllersWithoutFeatures.add("n" + seed % 2);
         }
         if (seed % 5 == 0) {
-            cluster.formerRecordFormat.add("n2");
+            cluster.controllersWithOldMessageFormat.add("n2");
             cluster.controllersWithoutFeatures.add("n2");
         }
     }
 
-    /** No invariant was violated, and nothing is left to do. */
+    /** Asserts that no invariant was violated and all accepted jobs have ended, after a run with enough task starts. */
     static void assertAllJobsEnded(SimulatedCluster cluster) {
         assertEquals(List.of(), cluster.violations);
-        List<String> open = cluster.users.values().stream()
+        List<String> openJobs = cluster.users.values().stream()
                 .filter(u -> u.accepted && u.endState == null)
                 .map(u -> u.spec.toString())
                 .toList();
-        assertEquals(List.of(), open, "jobs that are neither done nor cancelled long after the last fault");
-        assertTrue(cluster.tasks.starts > 20, "too little happened: " + cluster.tasks.starts + " starts");
+        assertEquals(
+                List.of(), openJobs, "accepted jobs that are neither done nor cancelled long after the last fault");
+        assertTrue(cluster.tasks.starts > 20, "too little happened: " + cluster.tasks.starts + " task starts");
     }
 }
--- a/src/test/java/stileferry/coordination/InvariantChecksTest.java
+++ b/src/test/java/stileferry/coordination/InvariantChecksTest.java
@@ -16,7 +16,7 @@
 import stileferry.protocol.WorkerMessages;
 import stileferry.standin.Worker;
 
-/** The checks of the invariants must be able to fail. */
+/** Tests that the invariant checks detect violations. */
 class InvariantChecksTest {
     private static final long HIGH_TERM = 1L << 40;
 
@@ -31,7 +31,9 @@
                 .build();
     }
 
-    /** A cluster with machines up, and a job that nobody but the test will start. */
+    /**
+     * Returns a cluster with booted machines and no controllers, so that only the test starts tasks of the given job.
+     */
     private static SimulatedCluster clusterWith(JobSpec spec) {
         SimulatedCluster cluster = SimulatedCluster.started(1);
         cluster.submit(service(1, 8, 8));
@@ -56,7 +58,7 @@
                 List.of(
                         new WorkerCommand(WorkerCommand.Kind.KILL, "job-1/0", 0, 0),
                         new WorkerCommand(WorkerCommand.Kind.RUN, task, 1, 0))));
-        cluster.runFor(0.95); // it has its image, and leases stand
+        cluster.runFor(0.95); // the task has its image by then, and no lease has expired
     }
 
     private static void stopAll(SimulatedCluster cluster) {
@@ -70,10 +72,10 @@
         }
     }
 
-    private static void assertDetected(SimulatedCluster cluster, String rule) {
+    private static void assertDetected(SimulatedCluster cluster, String invariant) {
         assertTrue(
-                cluster.violations.stream().anyMatch(v -> v.startsWith(rule)),
-                rule + " not detected: " + cluster.violations);
+                cluster.violations.stream().anyMatch(v -> v.startsWith(invariant)),
+                invariant + " was not detected, violations: " + cluster.violations);
     }
 
     @Test
@@ -96,7 +98,8 @@
 
     @Test
     void aTeamOverItsLimitIsDetected() {
-        SimulatedCluster cluster = clusterWith(spec(9, "blue", 7, null, false)); // 28 CPUs of 24
+        SimulatedCluster cluster =
+                clusterWith(spec(9, "blue", 7, null, false)); // 28 CPUs, above the team's limit of 24
         stopAll(cluster);
         for (int i = 0; i < 7 && cluster.violations.isEmpty(); i++) {
             start(cluster, machineIn(cluster, i % 4 < 2 ? "za" : "zb", i % 2), "job-9/" + i);
@@ -118,7 +121,7 @@
         SimulatedCluster cluster = clusterWith(spec(9, "free", 1, null, false));
         JobSpec gang = JobSpecBuilder.gang(10).tasks(2).runS(5).build();
         List<String> detected = new ArrayList<>();
-        new StoredAssignments(cluster.store, id -> gang)
+        new GangStartCheck(cluster.store, id -> gang)
                 .checkStarts(
                         WorkerMessages.directCommands(
                                 HIGH_TERM, 1, List.of(new WorkerCommand(WorkerCommand.Kind.RUN, "job-10/0", 1, 0))),
@@ -131,10 +134,10 @@
     void aJobStateThatGoesBackIsDetected() {
         SimulatedCluster cluster = clusterWith(spec(9, "free", 2, null, false));
         SimulatedUser user = cluster.users.get("job-9");
-        cluster.users.receiveAnswer(
+        cluster.users.handleResponse(
                 user, RequestKind.STATUS, cluster.now, 200, UserMessages.jobState("job-9", "done", 2, 0));
         assertEquals(List.of(), cluster.violations);
-        cluster.users.receiveAnswer(
+        cluster.users.handleResponse(
                 user, RequestKind.STATUS, cluster.now + 1, 200, UserMessages.jobState("job-9", "running", 1, 1));
         assertDetected(cluster, "went_back");
     }
@@ -142,7 +145,7 @@
     @Test
     void aJobReportedDoneTooEarlyIsDetected() {
         SimulatedCluster cluster = clusterWith(spec(9, "free", 2, null, false));
-        cluster.users.receiveAnswer(
+        cluster.users.handleResponse(
                 cluster.users.get("job-9"),
                 RequestKind.STATUS,
                 cluster.now,
@@ -157,7 +160,7 @@
         stopAll(cluster);
         SimulatedUser user = cluster.users.get("job-9");
         user.cancelRequested = true;
-        cluster.users.receiveAnswer(
+        cluster.users.handleResponse(
                 user, RequestKind.CANCEL, cluster.now, 200, UserMessages.jobState("job-9", "cancelled", 0, 0));
         start(cluster, machineIn(cluster, "za", 0), "job-9/0");
         assertDetected(cluster, "ran_cancelled");
@@ -168,11 +171,12 @@
         SimulatedCluster cluster = SimulatedCluster.started(1);
         cluster.submit(service(1, 1, 2));
         cluster.runFor(30);
-        SimulatedUser user = cluster.users.add(spec(9, "free", 1, null, false)); // as if its acceptance had been lost
+        SimulatedUser user = cluster.users.add(
+                spec(9, "free", 1, null, false)); // no controller knows the job, as if its record were lost
         user.accepted = true;
         cluster.faults.endedAt = cluster.now;
         for (int i = 0; i < 100 && cluster.violations.isEmpty(); i++) {
-            user.lastAnswerAt = cluster.now;
+            user.lastResponseAt = cluster.now;
             cluster.runFor(1);
         }
         assertDetected(cluster, "waiting");
--- a/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.protocol.Features;
 
-/** Seeded runs with random faults; every invariant is checked whenever something happens. */
+/** Seeded runs with random faults, in which all invariants are checked continuously. */
 class InvariantsUnderFaultsTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void invariantsHoldAndAllJobsEndUnderRandomFaults(long seed) {
-        ChaosRun.assertAllJobsEnded(ChaosRun.play(seed, 120));
+        ChaosRun.assertAllJobsEnded(ChaosRun.run(seed, 120));
     }
 
-    /** The same with link monitoring, on some runs by two controllers only, the third being of the version before. */
+    /** The same with link monitoring; for some seeds one or two controllers run an older version without it. */
     @ParameterizedTest
     @MethodSource("seedsWithLinkMonitoring")
     void invariantsHoldWithLinkMonitoring(long seed) {
         ChaosRun.assertAllJobsEnded(
-                ChaosRun.play(seed, 120, cluster -> ChaosRun.mixVersions(cluster, seed, new Features(true, false))));
+                ChaosRun.run(seed, 120, cluster -> ChaosRun.mixVersions(cluster, seed, new Features(true, false))));
     }
 
     private static LongStream seedsWithLinkMonitoring() {
@@ -30,9 +30,9 @@
     }
 
     @Test
-    void theSameSeedPlaysTheSameRun() {
-        SimulatedCluster first = ChaosRun.play(77, 60);
-        SimulatedCluster second = ChaosRun.play(77, 60);
+    void theSameSeedReproducesTheSameRun() {
+        SimulatedCluster first = ChaosRun.run(77, 60);
+        SimulatedCluster second = ChaosRun.run(77, 60);
         assertEquals(first.tasks.starts, second.tasks.starts);
         assertEquals(first.users.completedJobs, second.users.completedJobs);
         assertEquals(first.now, second.now);
--- a/src/test/java/stileferry/coordination/RunningTasks.java
+++ b/src/test/java/stileferry/coordination/RunningTasks.java
@@ -8,98 +8,98 @@
 import stileferry.protocol.JobSpec;
 import stileferry.standin.Worker;
 
-/** Which task runs on which machine, as the machines themselves know it. */
+/** Tracks which task runs on which machine, as reported by the simulated machines and not by the controllers. */
 public final class RunningTasks implements Worker.TaskListener {
     private final SimulatedCluster cluster;
 
-    /** Machine and zone of each task. */
-    private final Map<String, String> placeOf = new HashMap<>();
+    /** By running task, its machine and zone, joined by a vertical bar. */
+    private final Map<String, String> placementByTask = new HashMap<>();
 
-    /** Tasks on machines, by job: with thousands of tasks they can't be counted at every tick. */
-    private final Map<String, Integer> countOf = new HashMap<>();
+    /** The number of running tasks by job; counting thousands of tasks anew at every tick would be too slow. */
+    private final Map<String, Integer> taskCountByJobId = new HashMap<>();
 
-    /** Starts of tasks since the beginning. */
+    /** The number of task starts since the simulation began. */
     public int starts;
 
-    /** Ends of tasks since the beginning. */
+    /** The number of task ends since the simulation began, for any reason. */
     int ends;
 
     RunningTasks(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
-    static String jobOf(String task) {
+    static String jobIdOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
 
-    private static String place(Worker worker) {
+    private static String placement(Worker worker) {
         return worker.machine() + "|" + worker.zone();
     }
 
     @Override
     public void taskStarted(String task, Worker worker) {
         starts++;
-        SimulatedUser user = cluster.users.get(jobOf(task));
+        SimulatedUser user = cluster.users.get(jobIdOf(task));
         user.startedAt = user.startedAt == 0 ? cluster.now : user.startedAt;
         cluster.invariants.checkStart(user, task, worker);
-        if (placeOf.put(task, place(worker)) == null) {
-            countOf.merge(user.spec.id(), 1, Integer::sum);
+        if (placementByTask.put(task, placement(worker)) == null) {
+            taskCountByJobId.merge(user.spec.id(), 1, Integer::sum);
         }
         cluster.invariants.checkQuota(user.spec.team());
     }
 
     @Override
     public void taskEnded(String task, Worker worker) {
-        if (placeOf.remove(task, place(worker))) {
-            countOf.merge(jobOf(task), -1, Integer::sum);
+        if (placementByTask.remove(task, placement(worker))) {
+            taskCountByJobId.merge(jobIdOf(task), -1, Integer::sum);
         }
         ends++;
     }
 
-    /** Machine and zone of each running task. */
-    Map<String, String> places() {
-        return placeOf;
+    /** Returns the machine and zone of each running task, as {@code machine|zone}, by task id. */
+    Map<String, String> placements() {
+        return placementByTask;
     }
 
-    /** The machines that have a task of this job. */
+    /** Returns the machines on which tasks of a job run. */
     Set<String> machinesOf(SimulatedUser user) {
         Set<String> names = new TreeSet<>();
-        placeOf.forEach((task, on) -> {
+        placementByTask.forEach((task, placement) -> {
             if (task.startsWith(user.spec.id() + "/")) {
-                names.add(on.substring(0, on.indexOf('|')));
+                names.add(placement.substring(0, placement.indexOf('|')));
             }
         });
         return names;
     }
 
-    /** Tasks of this job that are on machines. */
+    /** Returns the number of running tasks of a job. */
     public long running(SimulatedUser user) {
-        return countOf.getOrDefault(user.spec.id(), 0);
+        return taskCountByJobId.getOrDefault(user.spec.id(), 0);
     }
 
-    /** Tasks that are on one machine now. */
+    /** Returns the number of tasks that run on a machine. */
     long runningOn(String machine) {
-        return placeOf.values().stream()
-                .filter(on -> on.startsWith(machine + "|"))
+        return placementByTask.values().stream()
+                .filter(placement -> placement.startsWith(machine + "|"))
                 .count();
     }
 
-    /** Tasks that are on machines now. */
+    /** Returns the number of running tasks in the cluster. */
     int running() {
-        return placeOf.size();
+        return placementByTask.size();
     }
 
-    /** A machine with a task on it. */
-    String machineInUse() {
-        String on = new TreeMap<>(placeOf).firstEntry().getValue();
-        return on.substring(0, on.indexOf('|'));
+    /** Returns the machine of the running task with the lowest id; a task must be running. */
+    String busyMachine() {
+        String placement = new TreeMap<>(placementByTask).firstEntry().getValue();
+        return placement.substring(0, placement.indexOf('|'));
     }
 
-    /** The CPUs that a team's running tasks use. */
-    double cpusOf(String team) {
+    /** Returns the CPUs that the running tasks of a team take. */
+    double cpusInUse(String team) {
         double sum = 0;
-        for (String task : placeOf.keySet()) {
-            JobSpec spec = cluster.users.get(jobOf(task)).spec;
+        for (String task : placementByTask.keySet()) {
+            JobSpec spec = cluster.users.get(jobIdOf(task)).spec;
             sum += spec.team().equals(team) ? spec.cpus() : 0;
         }
         return sum;
--- a/src/test/java/stileferry/coordination/ScenarioSteps.java
+++ b/src/test/java/stileferry/coordination/ScenarioSteps.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The steps that the scenarios of {@link FaultScenario} are made of. */
+/** The steps of which the scenarios of {@link FaultScenario} consist. */
 final class ScenarioSteps {
     final SimulatedCluster cluster;
     final FaultInjection faults;
@@ -19,39 +19,39 @@
         cluster.runFor(seconds);
     }
 
-    /** Submits arrays of normal priority, numbered from here. */
-    void submitArrays(int from, int jobs) {
-        for (int i = from; i < from + jobs; i++) {
+    /** Submits job arrays of normal priority with consecutive numbers. */
+    void submitArrays(int firstNumber, int jobs) {
+        for (int i = firstNumber; i < firstNumber + jobs; i++) {
             cluster.submit(Workloads.array(i, 1 + i % 3, 3 + i % 9));
         }
     }
 
-    /** Cancels one of so many of the jobs that run. */
-    void cancelEvery(int share) {
+    /** Cancels the running jobs whose number is a multiple of {@code step}. */
+    void cancelEveryNth(int step) {
         cluster.users.values().stream()
                 .filter(u -> u.accepted && u.endState == null && cluster.tasks.running(u) > 0)
-                .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % share == 0)
+                .filter(u -> Integer.parseInt(u.spec.id().substring(4)) % step == 0)
                 .toList()
                 .forEach(cluster::cancel);
     }
 
-    /** The addresses of one of so many of the machines. */
-    List<String> machines(int share) {
+    /** Returns the agent addresses of the running machines whose number is a multiple of {@code step}. */
+    List<String> everyNthMachine(int step) {
         return cluster.cloud.runningMachines().stream()
-                .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % share == 0)
+                .filter(m -> Integer.parseInt(m.substring(m.length() - 3)) % step == 0)
                 .map(SimulatedMachines::address)
                 .toList();
     }
 
-    void partitionMachines(int share, long ms) {
-        machines(share).forEach(addr -> faults.partition(addr, ms));
+    void partitionEveryNthMachine(int step, long ms) {
+        everyNthMachine(step).forEach(addr -> faults.partition(addr, ms));
     }
 
-    void hangMachines(int share, long ms) {
-        machines(share).forEach(addr -> faults.hang(addr, ms));
+    void hangEveryNthMachine(int step, long ms) {
+        everyNthMachine(step).forEach(addr -> faults.hang(addr, ms));
     }
 
-    void startAllControllers() {
+    void startStoppedControllers() {
         cluster.controllers.values().stream().filter(node -> !node.up()).forEach(ControllerNode::start);
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedEnvironment.java
+++ b/src/test/java/stileferry/coordination/SimulatedEnvironment.java
@@ -10,45 +10,48 @@
 import stileferry.protocol.Settings;
 import stileferry.standin.Worker;
 
-/** What one controller's process sees of the simulated cluster: its clocks, its event loop and its calls. */
+/** The environment of one controller process in the simulated cluster: its clocks, event loop and outgoing calls. */
 public final class SimulatedEnvironment implements Environment {
     private final SimulatedCluster cluster;
     private final ControllerNode controller;
-    private final long clockStart;
+    private final long clockOffsetMs;
     private final long clockSkewMs;
-    boolean dead;
+    boolean crashed;
     String logLevel = "default";
 
     private long busyUntil;
-    long frozenUntil;
+    long pausedUntil;
 
     SimulatedEnvironment(SimulatedCluster cluster, ControllerNode controller) {
         this.cluster = cluster;
         this.controller = controller;
-        this.clockStart = cluster.random.nextLong(1_000_000);
+        this.clockOffsetMs = cluster.random.nextLong(1_000_000);
         this.clockSkewMs = cluster.random.nextLong(-20, 21);
     }
 
-    /** Carries a command out; a slow event loop is busy for a while with each, and the next ones wait. */
-    void turn(Runnable command) {
-        long takes = cluster.faults.eventLoopTurnMs.getOrDefault(controller.name(), 0L);
+    /**
+     * Executes a command on the event loop. A slow event loop is busy for some time with each command, and later
+     * commands wait.
+     */
+    void execute(Runnable command) {
+        long taskMs = cluster.faults.eventLoopTaskMs.getOrDefault(controller.name(), 0L);
         long wait = Math.max(0, busyUntil - cluster.now);
-        busyUntil = cluster.now + wait + takes;
+        busyUntil = cluster.now + wait + taskMs;
         if (wait > 0) {
-            cluster.after(wait, () -> carryOut(command));
+            cluster.after(wait, () -> run(command));
         } else {
-            carryOut(command);
+            run(command);
         }
     }
 
-    /** The process stands still; what reaches it waits. */
-    void freeze(long ms) {
-        frozenUntil = cluster.now + ms;
-        busyUntil = Math.max(busyUntil, frozenUntil);
+    /** Pauses the process for some time; commands that reach it meanwhile wait. */
+    void pause(long ms) {
+        pausedUntil = cluster.now + ms;
+        busyUntil = Math.max(busyUntil, pausedUntil);
     }
 
-    private void carryOut(Runnable command) {
-        if (!dead) {
+    private void run(Runnable command) {
+        if (!crashed) {
             command.run();
             controller.coordinator.endOfBatch();
         }
@@ -56,7 +59,7 @@
 
     @Override
     public long now() {
-        return cluster.now + clockStart;
+        return cluster.now + clockOffsetMs;
     }
 
     @Override
@@ -76,34 +79,34 @@
 
     @Override
     public void schedule(long delayMs, Runnable task) {
-        cluster.after(delayMs, () -> turn(task));
+        cluster.after(delayMs, () -> execute(task));
     }
 
     @Override
     public void request(String addr, String method, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
-        JsonNode sent = body == null ? null : copyOf(body);
-        ResponseHandler inTurn =
-                (status, answer) -> turn(() -> reply.onResponse(status, answer == null ? null : copyOf(answer)));
+        JsonNode sentBody = body == null ? null : roundTrip(body);
+        ResponseHandler onEventLoop = (status, response) ->
+                execute(() -> reply.onResponse(status, response == null ? null : roundTrip(response)));
         if (addr.equals(SimulatedCluster.STORE)) {
             cluster.network.exchange(
                     controller.name(),
                     addr,
                     timeoutMs,
                     true,
-                    served -> serveByStore(method, path, sent, served),
-                    inTurn);
+                    respond -> serveStoreRequest(method, path, sentBody, respond),
+                    onEventLoop);
         } else if (addr.equals(SimulatedCluster.CLOUD)) {
-            callCloud(method, path, sent, timeoutMs, inTurn);
+            callCloud(method, path, sentBody, timeoutMs, onEventLoop);
         } else if (cluster.faults.workerCallsHang != null) {
             cluster.faults.workerCallsHang.accept(timeoutMs);
-            cluster.after(timeoutMs, () -> inTurn.onResponse(NO_ANSWER, null));
+            cluster.after(timeoutMs, () -> onEventLoop.onResponse(NO_ANSWER, null));
         } else {
-            callWorker(addr, path, sent, timeoutMs, inTurn);
+            callWorker(addr, path, sentBody, timeoutMs, onEventLoop);
         }
     }
 
-    /** A message as the other side reads it. */
-    private static JsonNode copyOf(JsonNode message) {
+    /** Encodes and decodes a message, so that the receiver gets what it would read from the network. */
+    private static JsonNode roundTrip(JsonNode message) {
         return MessageCodec.decode(MessageCodec.encode(message));
     }
 
@@ -116,12 +119,12 @@
                     SimulatedCluster.CLOUD,
                     timeoutMs,
                     true,
-                    served -> cluster.cloud.handleRequest(method, path, body, served),
+                    respond -> cluster.cloud.handleRequest(method, path, body, respond),
                     reply);
         }
     }
 
-    private void serveByStore(String method, String path, JsonNode body, ResponseHandler reply) {
+    private void serveStoreRequest(String method, String path, JsonNode body, ResponseHandler reply) {
         FaultInjection faults = cluster.faults;
         boolean commit = path.equals("/commit");
         boolean rejects = faults.storeDown || faults.rejectedByStore.contains(controller.name());
@@ -130,99 +133,104 @@
         } else if (commit && cluster.random.nextDouble() < faults.lateCommitRate) {
             cluster.after(2000 + cluster.random.nextLong(10_000), () -> {
                 if (!faults.storeDown) {
-                    cluster.store.handleRequest(method, path, body, (status, answer) -> {});
+                    cluster.store.handleRequest(method, path, body, (status, response) -> {});
                 }
             });
         } else if (commit && cluster.random.nextDouble() < faults.unansweredCommitRate) {
-            cluster.store.handleRequest(method, path, body, (status, answer) -> {});
+            cluster.store.handleRequest(method, path, body, (status, response) -> {});
         } else if (commit && faults.commitDelayMs > 0) {
             cluster.after(
-                    cluster.random.nextLong(faults.commitDelayMs), () -> requestOfStore(method, path, body, reply));
+                    cluster.random.nextLong(faults.commitDelayMs), () -> forwardToStore(method, path, body, reply));
         } else {
-            requestOfStore(method, path, body, reply);
+            forwardToStore(method, path, body, reply);
         }
     }
 
-    private void requestOfStore(String method, String path, JsonNode body, ResponseHandler reply) {
-        cluster.store.handleRequest(method, path, body, (status, answer) -> {
+    private void forwardToStore(String method, String path, JsonNode body, ResponseHandler reply) {
+        cluster.store.handleRequest(method, path, body, (status, response) -> {
             if (path.equals("/commit")
                     && status == 400
-                    && !answer.path("error").asText().equals("no such lease")) {
-                cluster.violations.add("malformed: " + body + " " + answer);
+                    && !response.path("error").asText().equals("no such lease")) {
+                cluster.violations.add("malformed: " + body + " " + response);
             }
-            reply.onResponse(status, answer);
+            reply.onResponse(status, response);
         });
     }
 
     private void callWorker(String addr, String path, JsonNode body, long timeoutMs, ResponseHandler reply) {
-        String me = controller.name();
+        String sender = controller.name();
         Worker worker = cluster.workers.get(addr);
         if (body != null) {
-            cluster.storedAssignments.checkStarts(body, cluster.violations);
+            cluster.gangStartCheck.checkStarts(body, cluster.violations);
         }
         cluster.network.exchange(
-                me,
+                sender,
                 addr,
                 timeoutMs,
-                worker != null && cluster.network.heldUntil(me, addr) <= cluster.now,
-                served -> {
+                worker != null && cluster.network.partitionEndsAt(sender, addr) <= cluster.now,
+                respond -> {
                     if (cluster.workers.get(addr) == worker && path.equals("/inspect")) {
-                        served.onResponse(200, worker.heartbeat());
+                        respond.onResponse(200, worker.heartbeat());
                     } else if (cluster.workers.get(addr) == worker) {
-                        cluster.directCommands += body.path("signals").isEmpty() ? 0 : 1;
+                        cluster.directCommandCount += body.path("signals").isEmpty() ? 0 : 1;
                         int status = worker.handleCommands(body);
-                        served.onResponse(status, status == 400 ? null : worker.heartbeat());
+                        respond.onResponse(status, status == 400 ? null : worker.heartbeat());
                     }
                 },
                 reply);
     }
 
     @Override
-    public void sendToPeer(Settings.Peer peer, PeerMessage record, long timeoutMs, Consumer<PeerMessage> reply) {
-        String me = controller.name();
-        ControllerNode other = cluster.controllers.get(peer.name());
-        PeerMessage[] answer = new PeerMessage[1];
+    public void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply) {
+        String sender = controller.name();
+        ControllerNode receiver = cluster.controllers.get(peer.name());
+        PeerMessage[] received = new PeerMessage[1];
         cluster.network.exchange(
-                me,
+                sender,
                 peer.name(),
                 timeoutMs,
                 !cluster.faults.peerConnectionsRefused
-                        && other.up()
-                        && cluster.network.heldUntil(me, peer.name()) <= cluster.now,
-                served -> {
-                    if (other.up()) {
-                        boolean former = cluster.formerRecordFormat.contains(me)
-                                || cluster.formerRecordFormat.contains(peer.name());
-                        if (unknownToOlder(record) && older(peer.name())) {
-                            served.onResponse(400, null); // not a record to it
+                        && receiver.up()
+                        && cluster.network.partitionEndsAt(sender, peer.name()) <= cluster.now,
+                respond -> {
+                    if (receiver.up()) {
+                        boolean oldFormat = cluster.controllersWithOldMessageFormat.contains(sender)
+                                || cluster.controllersWithOldMessageFormat.contains(peer.name());
+                        if (requiresFeatures(message) && predatesFeatures(peer.name())) {
+                            respond.onResponse(400, null); // such a version can't decode the message
                             return;
                         }
-                        other.environment.turn(
-                                () -> other.coordinator.handlePeerMessage(carried(record, former), response -> {
-                                    answer[0] = carried(response, former);
-                                    served.onResponse(200, null);
+                        receiver.environment.execute(() ->
+                                receiver.coordinator.handlePeerMessage(transcode(message, oldFormat), response -> {
+                                    received[0] = transcode(response, oldFormat);
+                                    respond.onResponse(200, null);
                                 }));
                     }
                 },
-                (status, body) -> turn(() -> reply.accept(status == 200 ? answer[0] : null)));
+                (status, body) -> execute(() -> reply.accept(status == 200 ? received[0] : null)));
     }
 
-    /** Whether a controller is of a version before the views of links. */
-    private boolean older(String node) {
-        return cluster.formerRecordFormat.contains(node) || cluster.controllersWithoutFeatures.contains(node);
+    /** Whether a controller runs a version that has no optional features, such as link views. */
+    private boolean predatesFeatures(String node) {
+        return cluster.controllersWithOldMessageFormat.contains(node)
+                || cluster.controllersWithoutFeatures.contains(node);
     }
 
-    /** Whether a record is of a kind that versions before the features can't read. */
-    private static boolean unknownToOlder(PeerMessage record) {
-        return record instanceof PeerMessage.LinkView
-                || record instanceof PeerMessage.AdmissionExchange
-                || record instanceof PeerMessage.RequestBatch;
+    /** Whether a message is of a kind that versions without optional features can't read. */
+    private static boolean requiresFeatures(PeerMessage message) {
+        return message instanceof PeerMessage.LinkView
+                || message instanceof PeerMessage.AdmissionExchange
+                || message instanceof PeerMessage.RequestBatch;
     }
 
-    /** A record as the other side reads it, where one of the two may have the former version's form. */
-    private static PeerMessage carried(PeerMessage record, boolean former) {
-        PeerMessage read = PeerMessageCodec.decode(PeerMessageCodec.encode(record));
-        return former && read instanceof PeerMessage.TermAnnouncement announcement
+    /**
+     * Returns a message as the receiver decodes it.
+     *
+     * @param oldFormat whether the sender or the receiver uses the message format of the first version
+     */
+    private static PeerMessage transcode(PeerMessage message, boolean oldFormat) {
+        PeerMessage read = PeerMessageCodec.decode(PeerMessageCodec.encode(message));
+        return oldFormat && read instanceof PeerMessage.TermAnnouncement announcement
                 ? new PeerMessage.TermAnnouncement(announcement.term(), announcement.leader(), announcement.leading())
                 : read;
     }
--- a/src/test/java/stileferry/coordination/SimulatedMachines.java
+++ b/src/test/java/stileferry/coordination/SimulatedMachines.java
@@ -7,26 +7,26 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.standin.Worker;
 
-/** The machines of a simulated cluster, each with a stand-in for its agent, and their heartbeats. */
+/** The machines of a simulated cluster, each with a stand-in for its agent, and the delivery of their heartbeats. */
 final class SimulatedMachines {
     static final double CPUS = 8;
     static final double MEMORY_GB = 32;
-    private static final long TIMEOUT_MS = 4000;
+    private static final long REQUEST_TIMEOUT_MS = 4000;
 
     private final SimulatedCluster cluster;
-    private final List<JsonNode> keptHeartbeats = new ArrayList<>();
-    private ControllerNode heartbeatsKeptFrom;
+    private final List<JsonNode> recordedHeartbeats = new ArrayList<>();
+    private ControllerNode leaderWhenRecordingBegan;
 
     SimulatedMachines(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
-    /** The address of a machine's agent. */
+    /** Returns the address of a machine's agent. */
     static String address(String machine) {
         return "w-" + machine + ":1";
     }
 
-    /** A machine that the cloud has booted. */
+    /** Adds a machine that the cloud has booted, and starts its heartbeats at a random controller. */
     Worker boot(String machine, String zone, boolean spot) {
         Worker worker = new Worker(
                 machine,
@@ -42,11 +42,11 @@
                 cluster.tasks,
                 cluster.gangs);
         cluster.workers.put(worker.address(), worker);
-        sendHeartbeats(worker, cluster.anyController().name());
+        sendHeartbeats(worker, cluster.randomController().name());
         return worker;
     }
 
-    /** A machine that the cloud has taken back. */
+    /** Removes a machine that the cloud has deleted or reclaimed; its tasks end. */
     void remove(Worker worker) {
         cluster.workers.remove(worker.address());
         worker.destroy();
@@ -60,7 +60,11 @@
         return cluster.workers.get(worker.address()) == worker;
     }
 
-    /** Sends a heartbeat to a controller, and the next ones to whom its answer names, for as long as there is one. */
+    /**
+     * Sends a heartbeat to a controller and schedules the next one, for as long as the machine exists. The next
+     * heartbeat goes to the same controller, to the leader that the response names, or after a failure to the next
+     * controller.
+     */
     private void sendHeartbeats(Worker worker, String to) {
         if (!exists(worker)) {
             return;
@@ -69,90 +73,92 @@
         long incarnation = worker.incarnation();
         worker.pollHeartbeatDue();
         JsonNode heartbeat = MessageCodec.decode(MessageCodec.encode(worker.heartbeat()));
-        copyHeartbeat(heartbeat);
+        recordAndDuplicate(heartbeat);
         ControllerNode controller = cluster.controllers.get(to);
         cluster.network.exchange(
                 worker.address(),
                 to,
-                TIMEOUT_MS,
+                REQUEST_TIMEOUT_MS,
                 controller.up()
                         && !cluster.faults.heartbeatLoss.contains(worker.address())
-                        && cluster.network.heldUntil(worker.address(), to) <= cluster.now,
+                        && cluster.network.partitionEndsAt(worker.address(), to) <= cluster.now,
                 reply -> deliver(heartbeat, controller, reply),
                 (status, body) -> {
                     if (exists(worker)) {
-                        receiveAnswer(worker, to, status, body, incarnation, sentAt);
+                        handleResponse(worker, to, status, body, incarnation, sentAt);
                     }
                 });
     }
 
     private void deliver(JsonNode heartbeat, ControllerNode controller, Environment.ResponseHandler reply) {
         if (controller.up()) {
-            controller.environment.turn(
+            controller.environment.execute(
                     () -> controller.coordinator.handleHeartbeat(MessageCodec.encode(heartbeat), (status, bytes) -> {
-                        JsonNode answer = MessageCodec.decode(bytes);
-                        cluster.storedAssignments.checkStarts(answer, cluster.violations);
-                        reply.onResponse(status, answer);
+                        JsonNode response = MessageCodec.decode(bytes);
+                        cluster.gangStartCheck.checkStarts(response, cluster.violations);
+                        reply.onResponse(status, response);
                     }));
         }
     }
 
-    private void receiveAnswer(Worker worker, String from, int status, JsonNode body, long incarnation, long sentAt) {
+    private void handleResponse(Worker worker, String from, int status, JsonNode body, long incarnation, long sentAt) {
         String leader = status == 421 ? body.path("harbormaster").asText() : null;
         if (status == 200) {
             worker.handleHeartbeatResponse(MessageCodec.decode(MessageCodec.encode(body)), incarnation, sentAt);
-            long latest = cluster.now + cluster.reportMs * 3 / 4 + cluster.random.nextLong(cluster.reportMs / 2);
-            awaitNextHeartbeat(worker, from, latest, cluster.now + 500);
+            long latestAt = cluster.now
+                    + cluster.heartbeatIntervalMs * 3 / 4
+                    + cluster.random.nextLong(cluster.heartbeatIntervalMs / 2);
+            awaitNextHeartbeat(worker, from, latestAt, cluster.now + 500);
         } else if (leader != null && cluster.controllers.containsKey(leader)) {
             cluster.after(cluster.random.nextLong(500), () -> sendHeartbeats(worker, leader));
         } else {
-            String next = "n" + (Integer.parseInt(from.substring(1)) + 1) % SimulatedCluster.CONTROLLERS;
+            String next = "n" + (Integer.parseInt(from.substring(1)) + 1) % SimulatedCluster.CONTROLLER_COUNT;
             cluster.after(1000, () -> sendHeartbeats(worker, next));
         }
     }
 
-    private void awaitNextHeartbeat(Worker worker, String to, long latest, long earliest) {
-        if (cluster.now >= latest || cluster.now >= earliest && worker.pollHeartbeatDue()) {
+    private void awaitNextHeartbeat(Worker worker, String to, long latestAt, long earliestAt) {
+        if (cluster.now >= latestAt || cluster.now >= earliestAt && worker.pollHeartbeatDue()) {
             sendHeartbeats(worker, to);
         } else {
-            cluster.after(100, () -> awaitNextHeartbeat(worker, to, latest, earliest));
+            cluster.after(100, () -> awaitNextHeartbeat(worker, to, latestAt, earliestAt));
         }
     }
 
-    // ---- duplicated heartbeats
-
-    private void copyHeartbeat(JsonNode heartbeat) {
-        if (heartbeatsKeptFrom != null && cluster.random.nextInt(4) == 0) {
-            keptHeartbeats.add(heartbeat);
+    /** Records a copy of some heartbeats for the next leader, and delivers a late duplicate of others. */
+    private void recordAndDuplicate(JsonNode heartbeat) {
+        if (leaderWhenRecordingBegan != null && cluster.random.nextInt(4) == 0) {
+            recordedHeartbeats.add(heartbeat);
         }
         if (cluster.random.nextDouble() < cluster.faults.duplicateHeartbeatRate) {
-            ControllerNode any = cluster.anyController();
-            cluster.after(1000 + cluster.random.nextLong(3 * cluster.leaseMs), () -> deliverDuplicate(heartbeat, any));
+            ControllerNode receiver = cluster.randomController();
+            cluster.after(
+                    1000 + cluster.random.nextLong(3 * cluster.leaseMs), () -> deliverDuplicate(heartbeat, receiver));
         }
     }
 
-    /** A copy of a heartbeat arrives; nobody waits for its answer. */
+    /** Delivers a copy of a heartbeat to a controller; the response is dropped. */
     void deliverDuplicate(JsonNode heartbeat, ControllerNode controller) {
         if (controller.up()) {
-            controller.environment.turn(
+            controller.environment.execute(
                     () -> controller.coordinator.handleHeartbeat(MessageCodec.encode(heartbeat), (status, body) -> {}));
         }
     }
 
-    /** If copies are kept for the next leader, they reach every controller once there is one. */
-    void replayKeptHeartbeats() {
+    /** Delivers the recorded heartbeats to every controller once another leader is elected. */
+    void replayRecordedHeartbeats() {
         ControllerNode leader = cluster.leader();
-        boolean keeping = cluster.faults.replayHeartbeatsToNextLeader;
-        if (keeping && heartbeatsKeptFrom == null) {
-            heartbeatsKeptFrom = leader;
-        } else if (heartbeatsKeptFrom != null && leader != null && leader != heartbeatsKeptFrom) {
-            for (JsonNode heartbeat : keptHeartbeats) {
+        boolean recording = cluster.faults.replayHeartbeatsToNextLeader;
+        if (recording && leaderWhenRecordingBegan == null) {
+            leaderWhenRecordingBegan = leader;
+        } else if (leaderWhenRecordingBegan != null && leader != null && leader != leaderWhenRecordingBegan) {
+            for (JsonNode heartbeat : recordedHeartbeats) {
                 for (ControllerNode controller : cluster.controllers.values()) {
                     cluster.after(cluster.random.nextLong(1500), () -> deliverDuplicate(heartbeat, controller));
                 }
             }
-            keptHeartbeats.clear();
-            heartbeatsKeptFrom = keeping ? leader : null;
+            recordedHeartbeats.clear();
+            leaderWhenRecordingBegan = recording ? leader : null;
         }
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -7,39 +7,39 @@
 import java.util.function.Consumer;
 import stileferry.protocol.Environment;
 
-/** The links of the simulated cluster: what passes, what is lost, refused or delayed, in each direction apart. */
+/** The network of the simulated cluster: delivers, loses, refuses or delays messages, separately in each direction. */
 final class SimulatedNetwork {
-    /** Stands for every worker where a link is named. */
+    /** Stands for all workers as one end of a link. */
     static final String WORKERS = "workers";
 
-    private static final long DELAY_MS = 2500;
+    private static final long MAX_DELAY_MS = 2500;
 
     private final SimulatedCluster cluster;
 
-    /** Hosts that can't reach others, or be reached, until the time given; packets in between come late. */
+    /** By partitioned host, when the partition ends; messages from and to the host are delayed until then. */
     private final Map<String, Long> partitionedUntil = new HashMap<>();
 
-    private final Set<Rule> rules = new LinkedHashSet<>();
+    private final Set<FaultRule> faultRules = new LinkedHashSet<>();
 
-    /** How a link is broken. */
+    /** A fault of one direction of a link. */
     enum LinkFault {
-        /** Messages in this direction vanish. */
+        /** Messages in this direction are lost. */
         LOST,
 
         /** Connections in this direction are refused. */
         REFUSED,
 
-        /** Messages in this direction come late. */
+        /** Messages in this direction are delayed by up to {@link #MAX_DELAY_MS}. */
         DELAYED
     }
 
-    /** One broken direction. */
-    private record Rule(String from, String to, LinkFault fault) {
-        boolean covers(String sender, String receiver) {
-            return names(from, sender) && names(to, receiver);
+    /** A fault in force on one direction of a link. */
+    private record FaultRule(String from, String to, LinkFault fault) {
+        boolean appliesTo(String sender, String receiver) {
+            return matches(from, sender) && matches(to, receiver);
         }
 
-        private static boolean names(String name, String host) {
+        private static boolean matches(String name, String host) {
             return name.equals(host) || name.equals(WORKERS) && host.startsWith("w-");
         }
     }
@@ -48,70 +48,82 @@
         this.cluster = cluster;
     }
 
-    /** Breaks one direction of a link until it is restored. */
-    void block(String from, String to, LinkFault fault) {
-        rules.add(new Rule(from, to, fault));
+    /** Injects a fault into one direction of a link, until it is restored. */
+    void injectFault(String from, String to, LinkFault fault) {
+        faultRules.add(new FaultRule(from, to, fault));
     }
 
-    /** Breaks both directions. */
-    void blockBoth(String first, String second, LinkFault fault) {
-        block(first, second, fault);
-        block(second, first, fault);
+    /** Injects a fault into both directions of a link, until they are restored. */
+    void injectFaultBothWays(String first, String second, LinkFault fault) {
+        injectFault(first, second, fault);
+        injectFault(second, first, fault);
     }
 
-    /** Mends one direction of a link. */
+    /** Removes all faults of one direction of a link. */
     void restore(String from, String to) {
-        rules.removeIf(rule -> rule.from.equals(from) && rule.to.equals(to));
+        faultRules.removeIf(rule -> rule.from.equals(from) && rule.to.equals(to));
     }
 
-    /** Mends both directions. */
-    void restoreBoth(String first, String second) {
+    /** Removes all faults of both directions of a link. */
+    void restoreBothWays(String first, String second) {
         restore(first, second);
         restore(second, first);
     }
 
-    /** Mends all links that {@link #block} broke. */
+    /** Removes the faults of all links; partitions of hosts stay. */
     void restoreAll() {
-        rules.clear();
+        faultRules.clear();
     }
 
+    /** Delays all messages from and to a host until the given time has passed. */
     void partition(String host, long ms) {
         partitionedUntil.put(host, cluster.now + ms);
     }
 
-    long heldUntil(String first, String second) {
+    /** Returns when neither of two hosts is partitioned any more; a time in the past or 0: neither is now. */
+    long partitionEndsAt(String first, String second) {
         return Math.max(partitionedUntil.getOrDefault(first, 0L), partitionedUntil.getOrDefault(second, 0L));
     }
 
-    private boolean broken(String from, String to, LinkFault fault) {
-        return !rules.isEmpty() && rules.stream().anyMatch(rule -> rule.fault == fault && rule.covers(from, to));
+    private boolean hasFault(String from, String to, LinkFault fault) {
+        return !faultRules.isEmpty()
+                && faultRules.stream().anyMatch(rule -> rule.fault == fault && rule.appliesTo(from, to));
     }
 
     private void deliver(String from, String to, Runnable task) {
-        if (cluster.faults.inboundLoss.contains(to) || partitioned(from, to) || broken(from, to, LinkFault.LOST)) {
+        if (cluster.faults.inboundLoss.contains(to)
+                || crossesControlPlanePartition(from, to)
+                || hasFault(from, to, LinkFault.LOST)) {
             return;
         }
-        long held = Math.max(0, heldUntil(from, to) - cluster.now);
-        long late = cluster.faults.inboundDelayMs.containsKey(to)
+        long partitionMs = Math.max(0, partitionEndsAt(from, to) - cluster.now);
+        long delayMs = cluster.faults.inboundDelayMs.containsKey(to)
                 ? cluster.random.nextLong(cluster.faults.inboundDelayMs.get(to))
                 : 0;
-        late += from.equals(SimulatedCluster.STORE) && cluster.faults.storeResponseDelayMs > 0
+        delayMs += from.equals(SimulatedCluster.STORE) && cluster.faults.storeResponseDelayMs > 0
                 ? cluster.random.nextLong(cluster.faults.storeResponseDelayMs)
                 : 0;
-        late += broken(from, to, LinkFault.DELAYED) ? cluster.random.nextLong(DELAY_MS) : 0;
-        cluster.after(held + late + 1 + cluster.random.nextLong(6), task);
+        delayMs += hasFault(from, to, LinkFault.DELAYED) ? cluster.random.nextLong(MAX_DELAY_MS) : 0;
+        cluster.after(partitionMs + delayMs + 1 + cluster.random.nextLong(6), task);
     }
 
-    private boolean partitioned(String from, String to) {
-        boolean inside = cluster.controllers.containsKey(from) && cluster.controllers.containsKey(to)
+    private boolean crossesControlPlanePartition(String from, String to) {
+        boolean withinControlPlane = cluster.controllers.containsKey(from) && cluster.controllers.containsKey(to)
                 || from.equals(SimulatedCluster.STORE)
                 || to.equals(SimulatedCluster.STORE);
-        return inside
+        return withinControlPlane
                 && (cluster.faults.partitionedFromControlPlane.contains(from)
                         || cluster.faults.partitionedFromControlPlane.contains(to));
     }
 
-    /** A request with its answer; the caller gives up in time, but what was sent arrives all the same. */
+    /**
+     * Sends a request and returns its response to the caller. After the timeout the caller gets
+     * {@link Environment#NO_ANSWER}, but the request may still be delivered.
+     *
+     * @param connects whether a connection can be opened; if not, the caller gets {@link Environment#NOT_SENT}
+     * @param serve handles the request at the receiver
+     * @param reply receives the response, or how the request failed; called once
+     */
     void exchange(
             String from,
             String to,
@@ -119,14 +131,14 @@
             boolean connects,
             Consumer<Environment.ResponseHandler> serve,
             Environment.ResponseHandler reply) {
-        boolean[] over = new boolean[1];
-        if (!connects || broken(from, to, LinkFault.REFUSED)) {
+        boolean[] completed = new boolean[1];
+        if (!connects || hasFault(from, to, LinkFault.REFUSED)) {
             cluster.after(2, () -> reply.onResponse(Environment.NOT_SENT, null));
             return;
         }
         cluster.after(timeoutMs, () -> {
-            if (!over[0]) {
-                over[0] = true;
+            if (!completed[0]) {
+                completed[0] = true;
                 reply.onResponse(Environment.NO_ANSWER, null);
             }
         });
@@ -138,8 +150,8 @@
                         return;
                     }
                     deliver(to, from, () -> {
-                        if (!over[0]) {
-                            over[0] = true;
+                        if (!completed[0]) {
+                            completed[0] = true;
                             reply.onResponse(status, body);
                         }
                     });
--- a/src/test/java/stileferry/coordination/SimulatedSettings.java
+++ b/src/test/java/stileferry/coordination/SimulatedSettings.java
@@ -3,10 +3,13 @@
 import stileferry.protocol.Settings;
 import stileferry.protocol.SettingsReader;
 
-/** The settings of the three controllers of a simulated cluster: two zones, three teams, lower limits announced. */
+/**
+ * The settings of the three controllers of a simulated cluster, with two zones and three teams; lower limits of the
+ * key-value store are announced.
+ */
 final class SimulatedSettings {
-    /** The part of the changes that the key-value store still takes once its limits are lowered. */
-    private static final double LOWER_WRITES = 0.8;
+    /** The announced write rate of the key-value store, as a share of the present one. */
+    private static final double LOWERED_WRITE_RATE_FACTOR = 0.8;
 
     private static final String SETTINGS =
             """
@@ -22,29 +25,29 @@
 
     private SimulatedSettings() {}
 
-    /** One controller's settings. */
-    static Settings of(String controller, double reportS, double redMax, double writesPerS) {
+    /** Returns the settings of one controller. */
+    static Settings of(String controller, double heartbeatIntervalS, double redMaxCpus, double writesPerS) {
         String text = SETTINGS.formatted(
                 controller,
                 seedsWithout(controller),
                 SimulatedCluster.CLOUD,
                 SimulatedCluster.STORE,
-                redMax,
-                reportS,
-                5 * reportS,
+                redMaxCpus,
+                heartbeatIntervalS,
+                5 * heartbeatIntervalS,
                 SimulatedCluster.CANCEL_S,
                 writesPerS,
-                LOWER_WRITES * writesPerS);
-        SettingsReader.Result read = SettingsReader.read(text);
-        if (read.settings() == null) {
-            throw new IllegalStateException(read.problems().toString());
+                LOWERED_WRITE_RATE_FACTOR * writesPerS);
+        SettingsReader.Result result = SettingsReader.read(text);
+        if (result.settings() == null) {
+            throw new IllegalStateException(result.problems().toString());
         }
-        return read.settings();
+        return result.settings();
     }
 
     private static String seedsWithout(String controller) {
         StringBuilder seeds = new StringBuilder();
-        for (int i = 0; i < SimulatedCluster.CONTROLLERS; i++) {
+        for (int i = 0; i < SimulatedCluster.CONTROLLER_COUNT; i++) {
             if (!controller.equals("n" + i)) {
                 seeds.append(seeds.isEmpty() ? "" : ",")
                         .append("{\"host_name\":\"n")
