--- a/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
@@ -124,7 +124,7 @@
     /**
      * Places tasks on machines that are already planned.
      *
-     * @param onlyZone the only zone to use; null: any
+     * @param onlyZone the only zone to use, or null if any zone may be used
      * @return the number of tasks placed
      */
     private int placeOnPlanned(JobSpec spec, int tasks, String onlyZone) {
@@ -184,7 +184,7 @@
     /**
      * Returns the cheapest machine that a task may run on and that may be requested now; null if there is none.
      *
-     * @param onlyZone the only zone to use; null: any
+     * @param onlyZone the only zone to use, or null if any zone may be used
      */
     private PlannedMachine cheapest(JobSpec spec, String onlyZone) {
         double spotShare = cluster.operatorSettings().number(OperatorSettings.SPOT_SHARE);
--- a/src/main/java/stileferry/cluster/InstanceState.java
+++ b/src/main/java/stileferry/cluster/InstanceState.java
@@ -111,7 +111,7 @@
         quarantined = true;
     }
 
-    /** Returns whether the instance is to be deleted at the cloud; its heartbeats are no longer answered. */
+    /** Returns whether the instance is to be deleted at the cloud; its heartbeats no longer receive a response. */
     public boolean terminating() {
         return terminating;
     }
--- a/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
+++ b/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
@@ -27,7 +27,7 @@
      *
      * @param condition its condition according to its failure detector
      * @param suspicionLevel the suspicion level (phi) of the current silence
-     * @param silentMs milliseconds since the last message or answer; -1 if there has never been one
+     * @param silentMs milliseconds since the last message or response, or -1 if there has never been one
      * @param consecutiveFailures number of requests that have failed since then
      * @param lastFailure how the last failed request failed; null if none has failed
      */
--- a/src/main/java/stileferry/connectivity/LinkEvidence.java
+++ b/src/main/java/stileferry/connectivity/LinkEvidence.java
@@ -5,7 +5,7 @@
  *
  * @param leading whether this controller leads
  * @param handingOver whether a handover is in progress
- * @param storeAnswerAgeMs milliseconds since the key-value store last answered; -1 if it never has
+ * @param storeAnswerAgeMs milliseconds since the key-value store last responded, or -1 if it never has
  * @param manySuspects whether half of all workers or more are suspect
  * @param manySuspectsMs milliseconds for which {@code manySuspects} has been true; 0 if it is false
  */
--- a/src/main/java/stileferry/coordination/AdmissionCounting.java
+++ b/src/main/java/stileferry/coordination/AdmissionCounting.java
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Returns whether a submission is written before all others and accepted even when others are refused. */
+    /** Returns whether a submission is written before all others and accepted even when others are rejected. */
     boolean bypassesBacklog(byte[] submission) {
         return started() && SubmissionHeader.isCritical(submission);
     }
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -185,7 +185,7 @@
         heartbeats.handle(body, reply);
     }
 
-    /** Handles a message from another controller; the reply is the message to answer it with. */
+    /** Handles a message from another controller; the result is the message to reply with. */
     public void handlePeerMessage(PeerMessage message, Consumer<PeerMessage> reply) {
         peerMessages.handle(message, reply);
     }
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -131,7 +131,7 @@
                 new SchedulingCallbacks());
     }
 
-    /** Ends the term and refuses the requests that have not been answered. */
+    /** Ends the term and rejects the requests that have not received a response. */
     void close() {
         closed = true;
         recovery.close();
@@ -249,7 +249,7 @@
 
     // ---- workers and other controllers
 
-    /** Answers a heartbeat; the reply is null if this leader may not answer it with 200. */
+    /** Responds to a heartbeat; the reply is null if this leader may not respond with status 200. */
     void receive(Heartbeat heartbeat, Consumer<byte[]> reply) {
         if (active()) {
             heartbeats.receive(heartbeat, reply);
@@ -293,12 +293,12 @@
                 || cluster.unreadableJobs().contains(id);
     }
 
-    /** Returns the handler of users' requests about jobs, which refuses them until recovery is complete. */
+    /** Returns the handler of users' requests about jobs, which rejects them until recovery is complete. */
     JobRequestHandler jobRequests() {
         return jobRequests;
     }
 
-    /** Answers an operator's request, or refuses it while this leader is not sure to lead or not yet active. */
+    /** Responds to an operator's request, or rejects it while this leader is not sure to lead or not yet active. */
     void administer(AdministrationRequest request, Consumer<PeerMessage.Response> reply) {
         if (!mayAnswer()) {
             reply.accept(Responses.noLeader());
--- a/src/main/java/stileferry/coordination/LocalAdministration.java
+++ b/src/main/java/stileferry/coordination/LocalAdministration.java
@@ -16,7 +16,10 @@
         this.metrics = metrics;
     }
 
-    /** Answers a request that needs no leader; returns false, without answering, if only the leader can answer it. */
+    /**
+     * Responds to a request that needs no leader; returns false, without responding, if only the leader can respond to
+     * it.
+     */
     boolean tryAnswer(String method, String path, Consumer<PeerMessage.Response> reply) {
         boolean isGet = method.equals("GET");
         if (path.equals("links")) {
--- a/src/main/java/stileferry/coordination/PeerMessageHandler.java
+++ b/src/main/java/stileferry/coordination/PeerMessageHandler.java
@@ -8,7 +8,7 @@
 import stileferry.requests.BatchResponder;
 import stileferry.requests.Responses;
 
-/** Dispatches and answers the messages that other controllers send. */
+/** Dispatches the messages that other controllers send, and replies to them. */
 final class PeerMessageHandler {
     private static final Logger LOG = LoggerFactory.getLogger("coordinator");
 
--- a/src/main/java/stileferry/coordination/UserRequestRouter.java
+++ b/src/main/java/stileferry/coordination/UserRequestRouter.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Answers a request that another controller has forwarded; refuses it if this controller does not lead. */
+    /** Responds to a request that another controller has forwarded; rejects it if this controller does not lead. */
     void handleForwarded(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
         Leader current = leader.get();
         if (current == null) {
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -19,7 +19,10 @@
  * commands.
  */
 public final class CommandDispatcher {
-    /** Timeout of a probe in heartbeat intervals. It is short, as many machines may be probed that can't answer. */
+    /**
+     * Timeout of a probe in heartbeat intervals. It is short, because many of the probed machines may be unable to
+     * respond.
+     */
     private static final double PROBE_TIMEOUT_HEARTBEATS = 0.25;
 
     /** Minimum timeout of a probe, as packets may get lost. */
@@ -48,7 +51,7 @@
 
     /** Receives the status that workers return in response to direct requests. */
     interface StatusListener {
-        /** Called when a worker has answered a direct request with its status. */
+        /** Called when a worker has responded to a direct request with its status. */
         void statusReceived(Machine machine, Heartbeat status);
     }
 
@@ -259,7 +262,7 @@
     }
 
     /**
-     * Marks the starts of a request as answered: they were carried out, refused or never sent, so none can arrive
+     * Marks the starts of a request as completed: they were carried out, rejected or never sent, so none can arrive
      * later.
      */
     private static void markStartsAnswered(DirectRequest request) {
--- a/src/main/java/stileferry/heartbeat/FailureDetector.java
+++ b/src/main/java/stileferry/heartbeat/FailureDetector.java
@@ -12,8 +12,8 @@
 import stileferry.protocol.Environment;
 
 /**
- * Decides which machines that missed heartbeats are presumed lost, and which zones the network has cut off. Missed
- * heartbeats prove nothing by themselves; only an expired lease does, see {@link LeaseExpiry}.
+ * Decides which machines that missed heartbeats are presumed lost, and which zones are separated by a network
+ * partition. Missed heartbeats prove nothing by themselves; only an expired lease does, see {@link LeaseExpiry}.
  */
 public final class FailureDetector {
     /**
@@ -24,7 +24,7 @@
 
     /**
      * Share of a lease without heartbeats after which a spot machine is presumed lost. Machines that only lost the link
-     * to the leader are heard by way of followers well before that.
+     * to the leader are heard from through followers well before that.
      */
     private static final double SPOT_LOST_AFTER_LEASES = 0.55;
 
@@ -146,7 +146,7 @@
 
     /**
      * Returns whether a zone was unreachable within the last lease duration. For that long after a partition its
-     * machines may still be reconnecting, some of them by way of followers.
+     * machines may still be reconnecting, some of them through followers.
      */
     private boolean recentlyUnreachable(String zone) {
         Long unreachableAt = zoneLastUnreachableAt.get(zone);
--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -22,11 +22,11 @@
 
     private static final long NEW_LEADER_CHECK_MS = 50;
 
-    /** Timeout for the leader's answer to a forwarded heartbeat; the worker's own timeout is 4 s. */
+    /** Timeout for the leader's reply to a forwarded heartbeat; the worker's own timeout is 4 s. */
     private static final long FORWARD_TIMEOUT_MS = 3000;
 
     /**
-     * A lease divided by this is the time without a leader for which heartbeats are refused; after that, leases are
+     * A lease divided by this is the time without a leader for which heartbeats are rejected; after that, leases are
      * renewed without a leader.
      */
     private static final int LEADERLESS_LEASE_DIVISOR = 8;
@@ -44,7 +44,7 @@
     /**
      * Creates the handler of this controller.
      *
-     * @param leaderHandler answers a heartbeat if this controller has become the leader in the meantime
+     * @param leaderHandler responds to a heartbeat if this controller has become the leader in the meantime
      */
     public FollowerHeartbeats(
             Settings settings,
--- a/src/main/java/stileferry/heartbeat/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -8,7 +8,7 @@
 
 /**
  * Decides whether a worker that sends its heartbeat to a follower is redirected to the leader, or has its heartbeat
- * forwarded. A worker that comes back after a redirect can't reach the leader; neither can one that the leader has
+ * forwarded. A worker that returns after a redirect can't reach the leader; neither can one that the leader has
  * heard from before. Such a worker is redirected again from time to time, as the fault may have passed.
  */
 final class WorkerRedirects {
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -41,7 +41,7 @@
     private final PeerCancellationState[] peers;
     private boolean informed;
 
-    // The fields below belong to the term in which this node leads.
+    // The fields below belong to the term in which this controller leads.
 
     /** By job: cancellations that are durable while tasks of the job may still be on machines. */
     private final Map<String, CancellationConfirmation> confirmations = new LinkedHashMap<>();
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Returns whether this process and the peers that replied in this node's term together know every cancellation
-     * confirmed before this term.
+     * Returns whether this process and the peers that replied in this controller's term together know every
+     * cancellation confirmed before this term.
      */
     public boolean knowsEarlierCancellations() {
         int informedProcesses = informed ? 1 : 0;
@@ -124,9 +124,9 @@
         return ascending[ascending.length - requiredPeers];
     }
 
-    // ---- the term in which this node leads
+    // ---- the term in which this controller leads
 
-    /** Called when this node becomes the leader, before it has read the stored cancellations. */
+    /** Called when this controller becomes the leader, before it has read the stored cancellations. */
     void beginTerm() {
         endTerm();
         for (PeerCancellationState peer : peers) {
@@ -143,7 +143,7 @@
         allCancelledJobsRead = true;
     }
 
-    /** Called when this node stops leading; pending cancellations are dropped without being confirmed. */
+    /** Called when this controller stops leading; pending cancellations are dropped without being confirmed. */
     void endTerm() {
         allCancelledJobsRead = false;
         confirmations.clear();
@@ -197,7 +197,7 @@
     /**
      * Returns what to announce to a peer.
      *
-     * @param leaseHeld whether this node certainly holds the leader's lease, so that no other node can lead
+     * @param leaseHeld whether this controller certainly holds the leader's lease, so that no other controller can lead
      */
     CancellationKnowledge knowledgeFor(int peer, boolean leaseHeld) {
         boolean complete = allCancelledJobsRead
@@ -243,7 +243,7 @@
     /**
      * Processes an announcement.
      *
-     * @param current whether the announced term is not lower than the highest term that this node knows
+     * @param current whether the announced term is not lower than the highest term that this controller knows
      */
     void receive(TermAnnouncement received, boolean current) {
         CancellationKnowledge knowledge = received.knowledge();
@@ -251,8 +251,8 @@
         if (knowledge == null) {
             return;
         }
-        // An announcement addressed to an earlier process of this node may lack cancellations that were confirmed after
-        // the sender composed it.
+        // An announcement addressed to an earlier process of this controller may lack cancellations that were confirmed
+        // after the sender composed it.
         informed |= current && received.leading() && knowledge.complete() && knowledge.addressee() == processId;
     }
 
@@ -266,7 +266,7 @@
     }
 
     /**
-     * Processes a peer's reply to an announcement of this node's term.
+     * Processes a peer's reply to an announcement of this controller's term.
      *
      * @param sentAt when the announcement was sent
      */
--- a/src/main/java/stileferry/leadership/LeaderCampaign.java
+++ b/src/main/java/stileferry/leadership/LeaderCampaign.java
@@ -12,8 +12,8 @@
 import stileferry.storage.ScanResult;
 
 /**
- * Watches the leader key while this node is a follower and campaigns for leadership when the key does not exist: it
- * writes the key, attached to a new lease, and the next term in one transaction. Each asynchronous step belongs to a
+ * Watches the leader key while this controller is a follower and campaigns for leadership when the key does not exist:
+ * it writes the key, attached to a new lease, and the next term in one transaction. Each asynchronous step belongs to a
  * generation and does nothing once a newer generation has begun.
  */
 final class LeaderCampaign {
@@ -22,7 +22,10 @@
     private static final long CAMPAIGN_LOST_RETRY_MS = 100;
     private static final long LEASE_REVOKED_RETRY_MS = 60;
 
-    /** Upper limit of the nominal delay between checks of the leader key while this node lets others campaign first. */
+    /**
+     * Upper limit of the nominal delay between checks of the leader key while this controller lets others campaign
+     * first.
+     */
     private static final long DELAYED_CAMPAIGN_CHECK_MS = 200;
 
     private final Environment environment;
@@ -36,7 +39,7 @@
 
     /** Implemented by the election, which tracks the highest term and decides whether a won campaign takes effect. */
     interface Listener {
-        /** Returns the highest term that this node knows. */
+        /** Returns the highest term that this controller knows. */
         long term();
 
         /** Called when a term has been read, with the name of its leader; empty if there is none. */
@@ -45,12 +48,12 @@
         /** Called when the stored operators' settings have been read. */
         void operatorSettings(OperatorSettings settings);
 
-        /** Called when this node has written the leader key. */
+        /** Called when this controller has written the leader key. */
         void won(Win win);
     }
 
     /**
-     * A campaign that this node has won.
+     * A campaign that this controller has won.
      *
      * @param revision the revision of the leader key
      * @param requestedAt when the lease was requested, in {@link Environment#now} time
@@ -79,7 +82,7 @@
         checkLeaderKey(++generation);
     }
 
-    /** Stops following the leader key because this node leads. */
+    /** Stops following the leader key because this controller leads. */
     void stop() {
         generation++;
     }
@@ -127,8 +130,8 @@
             listener.observeTerm(storedTerm.term(), "");
             campaignUnlessDelayed(stepGeneration, storedTerm);
         } else if (holder.node().equals(node)) {
-            // An earlier process of this node, or a campaign with an unknown outcome, left the key behind; nobody leads
-            // with it.
+            // An earlier process of this controller, or a campaign with an unknown outcome, left the key behind; nobody
+            // leads with it.
             store.revokeLease(holder.leaseId(), () -> checkLater(LEASE_REVOKED_RETRY_MS, stepGeneration));
         } else {
             listener.observeTerm(holder.term(), holder.node());
@@ -155,8 +158,8 @@
     }
 
     /**
-     * Campaigns, or lets other controllers campaign first for a while if their links are better or this node has just
-     * released the leadership.
+     * Campaigns, or lets other controllers campaign first for a while if their links are better or this controller has
+     * just released the leadership.
      */
     private void campaignUnlessDelayed(int stepGeneration, TermRecord storedTerm) {
         long delayMs = links.electionDelayMs();
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -10,10 +10,10 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /**
- * Elects the leader and tracks who leads, as far as this node knows. A leased key in the key-value store names the
- * leader, and a second key holds the highest term, which never decreases. {@link LeaderCampaign} watches and acquires
- * the leader key, {@link LeaderLease} renews its lease, and {@link PeerAnnouncements} announces the term to the other
- * controllers.
+ * Elects the leader and tracks who leads, as far as this controller knows. A leased key in the key-value store names
+ * the leader, and a second key holds the highest term, which never decreases. {@link LeaderCampaign} watches and
+ * acquires the leader key, {@link LeaderLease} renews its lease, and {@link PeerAnnouncements} announces the term to
+ * the other controllers.
  */
 public final class LeaderElection {
     /** Prefix of the keys below; followers watch it. */
@@ -50,10 +50,10 @@
 
     /** Receives changes of leadership; implemented by the coordinator. */
     public interface Listener {
-        /** Called when this node becomes the leader; {@code leaderRevision} is the revision of the leader key. */
+        /** Called when this controller becomes the leader; {@code leaderRevision} is the revision of the leader key. */
         void elected(long term, long leaderRevision);
 
-        /** Called when this node stops leading. */
+        /** Called when this controller stops leading. */
         void deposed();
 
         /** Called, on followers only, when the operators' settings have been read. */
@@ -118,7 +118,7 @@
         return LeaderLease.durationMs(settings);
     }
 
-    /** Starts to follow the leader key and, while this node leads, to announce its term periodically. */
+    /** Starts to follow the leader key and, while this controller leads, to announce its term periodically. */
     public void start() {
         campaign.start();
         announcements.announcePeriodically();
@@ -126,12 +126,12 @@
 
     // ---- current leader and term
 
-    /** Returns the highest term that this node knows. */
+    /** Returns the highest term that this controller knows. */
     public long term() {
         return term;
     }
 
-    /** Returns whether this node leads, as far as it knows; see {@link #leaseHeld} for certainty. */
+    /** Returns whether this controller leads, as far as it knows; see {@link #leaseHeld} for certainty. */
     public boolean leading() {
         return leading;
     }
@@ -141,7 +141,7 @@
         return leading ? settings.controllerName() : otherLeader;
     }
 
-    /** Returns the leader as a peer, or null if this node leads or the leader is unknown. */
+    /** Returns the leader as a peer, or null if this controller leads or the leader is unknown. */
     public Settings.Peer leaderPeer() {
         if (leading) {
             return null;
@@ -159,7 +159,7 @@
 
     /**
      * Returns the first term of the unbroken run of leaders that count admissions, up to the last term in which this
-     * node was elected; 0 if this node does not count them or was never elected.
+     * node was elected; 0 if this controller does not count them or was never elected.
      */
     public long admissionsCountedSince() {
         return admissionsCountedSince;
@@ -168,8 +168,8 @@
     // ---- rights of the leader
 
     /**
-     * Returns true while this node leads and its lease cannot have ended, where the lease counts from when its last
-     * successful request or renewal was sent.
+     * Returns true while this controller leads and its lease cannot have ended, where the lease counts from when its
+     * last successful request or renewal was sent.
      */
     public boolean leaseHeld() {
         return lease.held();
@@ -178,8 +178,8 @@
     /**
      * Returns whether this leader may renew workers' leases. While it holds its own lease, no other controller confirms
      * cancellations. Afterwards another leader may, and a task that it cancels must not keep running on a lease renewed
-     * by this node. So this node continues only while enough other controllers report that there is no other leader,
-     * and for as long as the leases that it renews still expire in time.
+     * by this controller. So this controller continues only while enough other controllers report that there is no
+     * other leader, and for as long as the leases that it renews still expire in time.
      */
     public boolean mayRenewWorkerLeases() {
         return leaseHeld() || lease.permitsWorkerRenewal(cancellations.noOtherConfirmationUntil());
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -8,8 +8,8 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /**
- * Renews the lease of the leader key while this node leads and determines until when the lease certainly has not ended.
- * That time counts from when a renewal was sent, since the time at which the store applied it is not known.
+ * Renews the lease of the leader key while this controller leads and determines until when the lease certainly has not
+ * ended. That time counts from when a renewal was sent, since the time at which the store applied it is not known.
  */
 final class LeaderLease {
     private static final Logger LOG = LoggerFactory.getLogger("leadership");
@@ -101,7 +101,7 @@
         environment.schedule(durationMs / RENEWALS_PER_LEASE, () -> renew(leaseGeneration));
     }
 
-    /** Stops renewals, because this node no longer leads. */
+    /** Stops renewals, because this controller no longer leads. */
     void end() {
         active = false;
         heldUntil = 0;
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -44,11 +44,11 @@
         this.cancellations = cancellations;
         this.acknowledgedAt = new long[settings.peers().size()];
         this.awaitingReply = new boolean[settings.peers().size()];
-        // An earlier process of this node may have consented at any time until now.
+        // An earlier process of this controller may have consented at any time until now.
         this.consentedToLeaderlessRenewalAt = environment.now();
     }
 
-    /** Announces the term to all peers now, if this node leads, and again after each interval. */
+    /** Announces the term to all peers now, if this controller leads, and again after each interval. */
     void announcePeriodically() {
         if (election.leading()) {
             announceToAll();
@@ -56,7 +56,7 @@
         environment.schedule(ANNOUNCEMENT_INTERVAL_MS, this::announcePeriodically);
     }
 
-    /** Called when this node becomes the leader; no peer has acknowledged its term yet. */
+    /** Called when this controller becomes the leader; no peer has acknowledged its term yet. */
     void beginTerm() {
         termBeganAt = environment.now();
         Arrays.fill(acknowledgedAt, NOT_ACKNOWLEDGED);
--- a/src/main/java/stileferry/leadership/PeerCancellationState.java
+++ b/src/main/java/stileferry/leadership/PeerCancellationState.java
@@ -4,7 +4,7 @@
 
 /** What a leader knows of one peer with regard to cancellations; replies received in the leader's term update it. */
 final class PeerCancellationState {
-    /** Which kind of reply the peer sent last in this node's term. */
+    /** Which kind of reply the peer sent last in this controller's term. */
     enum Version {
         /** The peer has not replied yet. */
         UNKNOWN,
@@ -14,15 +14,15 @@
         WITH_CANCELLATIONS
     }
 
-    /** Identifies the peer's process, as in its last reply; 0: unknown. */
+    /** Identifies the peer's process, as stated in its last reply, or 0 if it is unknown. */
     long processId;
 
     Version version = Version.UNKNOWN;
     boolean informed;
 
     /**
-     * The latest time at which an announcement was sent that the peer, being informed, answered with this node's term:
-     * it knew no higher term then.
+     * The latest time at which an announcement was sent that the peer, being informed, answered with this controller's
+     * term: it knew no higher term then.
      */
     long knewNoHigherTermAt = CancellationQuorum.NEVER;
 
--- a/src/main/java/stileferry/links/LeadershipHandover.java
+++ b/src/main/java/stileferry/links/LeadershipHandover.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Records that this node leads from now on.
+     * Records that this controller leads from now on.
      *
      * @param transactionsInFlight supplies the number of transactions without a known outcome, which delay a handover
      */
@@ -49,14 +49,14 @@
         releasing = false;
     }
 
-    /** Records that this node no longer leads; returns whether it released the leadership deliberately. */
+    /** Records that this controller no longer leads; returns whether it released the leadership deliberately. */
     boolean deposed() {
         boolean released = releasing;
         releasing = false;
         return released;
     }
 
-    /** Carries out an advice if this node leads; only logs a changed advice otherwise. */
+    /** Carries out an advice if this controller leads; only logs a changed advice otherwise. */
     void follow(LeadershipAdvice advice) {
         if (lastAction != advice.action()) {
             LOG.info("leadership advice changed: action={} reason=\"{}\"", advice.action(), advice.reason());
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -17,7 +17,7 @@
 
     /** The controller's side: what link monitoring reads from the controller and asks it to do. */
     interface Host {
-        /** Returns whether this node leads. */
+        /** Returns whether this controller leads. */
         boolean leading();
 
         /** Returns the highest known term. */
@@ -78,13 +78,13 @@
     default void workerRemoved(String machine) {}
 
     /**
-     * Records that this node leads from now on.
+     * Records that this controller leads from now on.
      *
      * @param changesInFlight supplies the number of transactions without a known outcome
      */
     default void elected(long term, IntSupplier changesInFlight) {}
 
-    /** Records that this node no longer leads. */
+    /** Records that this controller no longer leads. */
     default void deposed() {}
 
     // ---- announcements and views
@@ -134,7 +134,7 @@
         return false;
     }
 
-    /** Returns for how many more milliseconds this node leaves a vacant leadership to other controllers. */
+    /** Returns for how many more milliseconds this controller leaves a vacant leadership to other controllers. */
     default long electionDelayMs() {
         return 0;
     }
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -65,7 +65,10 @@
         next.accept(reply);
     }
 
-    /** Returns the seconds after which to retry a request beyond the limit on concurrent requests; 0: it is exempt. */
+    /**
+     * Returns after how many seconds to retry a request that exceeds the limit on concurrent requests, or 0 if the
+     * request is exempt.
+     */
     default int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
         return 1;
     }
@@ -90,8 +93,8 @@
     }
 
     /**
-     * Answers an operator's request for the view of admissions; returns false, without answering, if the feature is
-     * off.
+     * Responds to an operator's request for the view of admissions; returns false, without responding, if the feature
+     * is off.
      */
     default boolean describe(Consumer<PeerMessage.Response> reply) {
         return false;
--- a/src/main/java/stileferry/requests/AdministrationRequest.java
+++ b/src/main/java/stileferry/requests/AdministrationRequest.java
@@ -5,7 +5,7 @@
  *
  * @param method GET or POST
  * @param path the part of the path after the administration API's prefix, without the query
- * @param startAfter the name or position after which a long list continues; empty: from its start
+ * @param startAfter the name or position after which a long list continues, or an empty string to begin at its start
  */
 public record AdministrationRequest(String method, String path, String startAfter, byte[] body) {
     private static final String FROM_PARAMETER = "from=";
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -54,7 +54,7 @@
         /** Called once the acceptance of a job is durable. */
         void jobAccepted();
 
-        /** Cancels a job; its users are answered once that is durable. */
+        /** Cancels a job; its users receive the response once the cancellation is durable. */
         void cancel(Job job);
     }
 
@@ -117,7 +117,7 @@
 
     // ---- submissions
 
-    /** Accepts a job, or answers with the state of the existing job of this id. */
+    /** Accepts a job, or responds with the state of the existing job of this id. */
     public void submit(byte[] bytes, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
@@ -243,7 +243,7 @@
         });
     }
 
-    /** Cancels a job; answers once its cancellation, or its completion, is durable. */
+    /** Cancels a job; responds once its cancellation, or its completion, is durable. */
     public void cancel(String id, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
--- a/src/main/java/stileferry/requests/OperatorSettingsHandler.java
+++ b/src/main/java/stileferry/requests/OperatorSettingsHandler.java
@@ -11,7 +11,9 @@
 import stileferry.storage.CommitQueue;
 import stileferry.storage.StoredEntry;
 
-/** Shows and changes the operator settings. A change takes effect, and is answered, once it is durable. */
+/**
+ * Shows and changes the operator settings. A change takes effect, and the response is sent, once the change is durable.
+ */
 public final class OperatorSettingsHandler {
     private static final String REVISION = "revision";
 
--- a/src/main/java/stileferry/requests/PendingReplies.java
+++ b/src/main/java/stileferry/requests/PendingReplies.java
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Answers 503 to users that have waited too long, or to all of them if the leader may no longer answer. */
+    /** Responds with 503 to users that have waited too long, or to all of them if the leader may no longer respond. */
     void expireOverdue(boolean mayAnswer) {
         long now = environment.now();
         for (Job job : List.copyOf(waitersByJob.keySet())) {
--- a/src/main/java/stileferry/requests/Responses.java
+++ b/src/main/java/stileferry/requests/Responses.java
@@ -17,7 +17,7 @@
         return new PeerMessage.Response(status, 0, MessageCodec.encode(body));
     }
 
-    /** Returns the 503 response to a user's request that can't be answered now. */
+    /** Returns the 503 response to a user's request that can't be processed now. */
     public static PeerMessage.Response unavailable() {
         return unavailable("not available, try again");
     }
--- a/src/main/java/stileferry/standin/LinkFaults.java
+++ b/src/main/java/stileferry/standin/LinkFaults.java
@@ -16,7 +16,7 @@
         /** The request is processed and its response arrives. */
         NONE,
 
-        /** The request is refused at once. */
+        /** The connection is refused immediately. */
         REFUSED,
 
         /** The request is lost before it is processed. */
--- a/src/main/java/stileferry/transport/ControllerServer.java
+++ b/src/main/java/stileferry/transport/ControllerServer.java
@@ -36,7 +36,7 @@
      * simulated machines, which rewrite system calls in the running process, the JVM can crash if one thread loads
      * classes while another reads from its sockets.
      *
-     * @param sourceAddress local address of outgoing connections; null: chosen by the operating system
+     * @param sourceAddress local address of outgoing connections, or null if the operating system chooses it
      * @throws IOException if a listener can't be opened, or if the caller is interrupted
      */
     public static ControllerServer open(Settings settings, Features features, InetAddress sourceAddress)
--- a/src/main/java/stileferry/transport/EventLoop.java
+++ b/src/main/java/stileferry/transport/EventLoop.java
@@ -30,7 +30,7 @@
      * Starts an event loop.
      *
      * @param maxIdleConnections outgoing connections that are kept for reuse
-     * @param sourceAddress local address of outgoing connections; null: chosen by the operating system
+     * @param sourceAddress local address of outgoing connections, or null if the operating system chooses it
      */
     EventLoop(int maxIdleConnections, InetAddress sourceAddress) throws IOException {
         xnioWorker = Xnio.getInstance()
--- a/src/main/java/stileferry/transport/HttpClient.java
+++ b/src/main/java/stileferry/transport/HttpClient.java
@@ -18,7 +18,7 @@
     private final UndertowClient client = UndertowClient.getInstance();
     private final IdleConnections idleConnections;
 
-    /** Local address of outgoing connections; null: chosen by the operating system. */
+    /** Local address of outgoing connections, or null if the operating system chooses it. */
     private final InetSocketAddress sourceAddress;
 
     /** Receives the response to a request. */
