--- a/src/main/java/stileferry/admission/AdmissionDecision.java
+++ b/src/main/java/stileferry/admission/AdmissionDecision.java
@@ -4,7 +4,7 @@
  * The decision whether a job is admitted, and when to retry if not.
  *
  * @param admitted whether the job may be accepted now
- * @param retryAfterS seconds after which to retry; 0 if admitted
+ * @param retryAfterS seconds after which to retry, or 0 if the job is admitted
  */
 public record AdmissionDecision(boolean admitted, int retryAfterS) {
     /** The job may be accepted now. */
--- a/src/main/java/stileferry/admission/AdmissionTotals.java
+++ b/src/main/java/stileferry/admission/AdmissionTotals.java
@@ -33,8 +33,8 @@
      * Adds up shards.
      *
      * @param shards all shards as of the revision
-     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders that lasts until now; 0 if
-     *     the leader of the last term does not count
+     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders that lasts until now, or 0
+     *     if the leader of the last term does not count
      */
     public static AdmissionTotals of(Collection<Shard> shards, long countingSinceTerm, long revision) {
         AdmissionCounts counts = new AdmissionCounts();
--- a/src/main/java/stileferry/admission/AdmissionWindowTable.java
+++ b/src/main/java/stileferry/admission/AdmissionWindowTable.java
@@ -23,7 +23,8 @@
     }
 
     /**
-     * Returns the seconds until a job is in its flow's admission window; 0 if it is now or if the flow is not limited.
+     * Returns the seconds until a job is in its flow's admission window, or 0 if it is now or if the flow is not
+     * limited.
      *
      * @param ageS seconds since the table was computed
      */
--- a/src/main/java/stileferry/admission/FairShareAllocator.java
+++ b/src/main/java/stileferry/admission/FairShareAllocator.java
@@ -72,7 +72,9 @@
         return List.copyOf(groups.values());
     }
 
-    /** Returns the capacity reserved for each tier; 0 for the most urgent, which is served before all others. */
+    /**
+     * Returns the capacity reserved for each tier, which is 0 for the most urgent, which is served before all others.
+     */
     private static double[] minimums(double capacity, List<SortedMap<Flow, Double>> tiers) {
         double[] minimums = new double[tiers.size()];
         for (int tier = 1; tier < minimums.length; tier++) {
--- a/src/main/java/stileferry/admission/FlowDemandSketch.java
+++ b/src/main/java/stileferry/admission/FlowDemandSketch.java
@@ -27,7 +27,7 @@
         private final UpdateSketch requested = newSketch();
         private final UpdateSketch admitted = newSketch();
 
-        /** The union of what other controllers reported; null before the first report. */
+        /** The union of what other controllers reported, or null before the first report. */
         private Union merged;
 
         private int admissions;
--- a/src/main/java/stileferry/admission/FlowRateLimiter.java
+++ b/src/main/java/stileferry/admission/FlowRateLimiter.java
@@ -16,7 +16,7 @@
     private final TokenBucket bucket;
     private double position;
 
-    /** The speed of the admission window; 0 while the flow is not limited. */
+    /** The speed of the admission window, or 0 while the flow is not limited. */
     private double roundsPerS;
 
     private long updatedAt;
@@ -66,7 +66,7 @@
         return new AdmissionWindow(position, roundsPerS);
     }
 
-    /** Returns the seconds until a job is in the admission window; 0 if it is now or if the flow is not limited. */
+    /** Returns the seconds until a job is in the admission window, or 0 if it is now or if the flow is not limited. */
     double waitS(double jobPosition, long now) {
         return isLimiting() ? window().waitS(jobPosition, ageS(now)) : 0;
     }
--- a/src/main/java/stileferry/admission/LoadShedder.java
+++ b/src/main/java/stileferry/admission/LoadShedder.java
@@ -73,7 +73,7 @@
         return table != null && table.term() == highestTerm && now < tableValidUntil;
     }
 
-    /** Returns the last table, valid or not; null if there never was one. */
+    /** Returns the last table, valid or not, or null if there never was one. */
     public AdmissionWindowTable lastTable() {
         return table;
     }
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Records that this controller told a client of its job's acceptance. Requests about the job are let through from
-     * now on.
+     * Records that this controller informed a client of its job's acceptance. Requests about the job are let through
+     * from now on.
      */
     public void recordAccepted(String id) {
         acceptedJobs.put(id, Boolean.TRUE);
@@ -113,7 +113,7 @@
                 .retryAfterS();
     }
 
-    /** Returns the seconds after which to retry a request; 0 if it is let through. */
+    /** Returns the seconds after which to retry a request, or 0 if it is let through. */
     public int retryAfterS(Flow flow, String id, long now) {
         if (!mayReject(id, now)) {
             return 0;
--- a/src/main/java/stileferry/autoscaling/Autoscaler.java
+++ b/src/main/java/stileferry/autoscaling/Autoscaler.java
@@ -38,7 +38,7 @@
         this.scaleOut = new ScaleOut(cluster, environment, heartbeatHandler.failureDetector(), cloud, term);
     }
 
-    /** Ignores the answers to all calls in flight. */
+    /** Ignores the responses to all calls in flight. */
     public void close() {
         cloud.close();
     }
--- a/src/main/java/stileferry/autoscaling/CloudClient.java
+++ b/src/main/java/stileferry/autoscaling/CloudClient.java
@@ -23,7 +23,7 @@
         this.rateLimiter = new RateLimiter(environment, callsPerSecond * RATE_SHARE, BURST_S);
     }
 
-    /** Stops passing answers on. */
+    /** Stops passing responses on. */
     void close() {
         closed = true;
     }
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -23,7 +23,7 @@
 
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-    /** Time after which a request without an answer is sent again. */
+    /** Time after which a request without a response is sent again. */
     private static final long RESEND_AFTER_MS = 6000;
 
     private final ClusterState cluster;
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Handles the answer to a request. After any answer not handled here, nothing was done or the outcome is unknown,
-     * so the same request is sent again later.
+     * Handles the response to a request. After any response not handled here, nothing was done or the outcome is
+     * unknown, so the same request is sent again later.
      */
     private void receiveAnswer(ScaleOutRequest request, int status, JsonNode body) {
         if (status == OK && body != null) {
--- a/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
@@ -144,7 +144,7 @@
 
     /**
      * Returns the zone for a gang that must run in one zone: the one where most of its tasks fit soon, otherwise the
-     * one where the cheapest machine is available; null if there is none.
+     * one where the cheapest machine is available, or null if there is none.
      */
     private String gangZone(JobSpec spec, int tasks) {
         Map<String, Integer> fittingByZone = fittingTasksByZone(spec);
@@ -182,7 +182,7 @@
     }
 
     /**
-     * Returns the cheapest machine that a task may run on and that may be requested now; null if there is none.
+     * Returns the cheapest machine that a task may run on and that may be requested now, or null if there is none.
      *
      * @param onlyZone the only zone to use, or null if any zone may be used
      */
--- a/src/main/java/stileferry/cluster/AgentState.java
+++ b/src/main/java/stileferry/cluster/AgentState.java
@@ -201,7 +201,7 @@
 
     /**
      * Returns the highest incarnation whose lease is proven to have expired, or will have expired by the time the agent
-     * is heard from again; 0 if there is none.
+     * is heard from again, or 0 if there is none.
      */
     public long expiredIncarnation() {
         return expiredIncarnation;
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -60,7 +60,7 @@
         this(settings, LinkHealth.NONE);
     }
 
-    /** Creates an empty model; {@code linkHealth} is told which machines are gone. */
+    /** Creates an empty model; {@code linkHealth} is notified of machines that are gone. */
     public ClusterState(Settings settings, LinkHealth linkHealth) {
         this.settings = settings;
         this.linkHealth = linkHealth;
--- a/src/main/java/stileferry/cluster/CompletedTasks.java
+++ b/src/main/java/stileferry/cluster/CompletedTasks.java
@@ -9,7 +9,10 @@
     private final int taskCount;
     private int count;
 
-    /** The event log record number of each task's completion, 0 if there is none; null until the first one is set. */
+    /**
+     * The event log record number of each task's completion, or 0 if there is none; the array is null until the first
+     * one is set.
+     */
     private int[] recordNumbers;
 
     CompletedTasks(int taskCount) {
--- a/src/main/java/stileferry/cluster/InstanceState.java
+++ b/src/main/java/stileferry/cluster/InstanceState.java
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Returns the seconds of notice that the machine first reported before the cloud reclaims it; -1 if it has none.
+     * Returns the seconds of notice that the machine first reported before the cloud reclaims it, or -1 if it has none.
      */
     public double reclaimNoticeS() {
         return reclaimNoticeS;
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -53,7 +53,7 @@
      *
      * @param submissionOrder its position in the order of submissions
      * @param submittedAt the wall-clock time of its submission, in milliseconds since the epoch
-     * @param revision the revision of its stored record; 0 if it is not stored
+     * @param revision the revision of its stored record, or 0 if it is not stored
      */
     public Job(JobSpec spec, long submissionOrder, long submittedAt, long revision) {
         this.spec = spec;
--- a/src/main/java/stileferry/cluster/TaskAssignment.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -35,7 +35,7 @@
      *
      * @param index the index of the task in its job
      * @param incarnation the incarnation of the machine's agent that is to run the task
-     * @param assignedAt when this leader made the decision; 0 for an assignment read from the store
+     * @param assignedAt when this leader made the decision, or 0 for an assignment read from the store
      */
     public TaskAssignment(Job job, int index, long attempt, String machine, long incarnation, long assignedAt) {
         this.job = job;
@@ -84,7 +84,9 @@
         return (1 + lostWorkMs(now)) * (job.spec().gang() ? job.assignments().size() : 1);
     }
 
-    /** Returns for how long the task has been known to run, in milliseconds; 0 if it has not been reported running. */
+    /**
+     * Returns for how long the task has been known to run, in milliseconds, or 0 if it has not been reported running.
+     */
     public long runtimeMs(long now) {
         return runningSince == 0 ? 0 : now - runningSince;
     }
@@ -139,7 +141,7 @@
         return gangAttempt;
     }
 
-    /** Makes the assignment a part of a gang attempt; null if the job is not a gang. */
+    /** Makes the assignment a part of a gang attempt, which is null if the job is not a gang. */
     public void joinGangAttempt(GangAttempt attempt) {
         gangAttempt = attempt;
     }
--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -45,7 +45,7 @@
 
     // ---- observations: key-value store and controllers
 
-    /** Records that the key-value store answered a request. */
+    /** Records that the key-value store responded to a request. */
     public void storeAnswered(long time) {
         links.advance(time);
         links.store.succeeded(links.now());
@@ -58,7 +58,7 @@
         links.store.failed(kind);
     }
 
-    /** Records that another controller answered a request from this one. */
+    /** Records that another controller responded to a request from this one. */
     public void peerRequestAnswered(String peer, long time) {
         PeerLink link = links.peers.get(peer);
         links.advance(time);
@@ -108,7 +108,7 @@
         links.workers.relayedHeartbeatReceived(heartbeat, links.now());
     }
 
-    /** Records that the worker's last direct heartbeat was answered. */
+    /** Records that the worker's last direct heartbeat received a response. */
     public void heartbeatAnswered(String worker, long time) {
         requireNonEmptyName(worker, "worker");
         links.advance(time);
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Records that a worker answered a request.
+     * Records that a worker responded to a request.
      *
      * @param probe whether the request was a probe from {@link #takeDueProbes}
      */
@@ -128,7 +128,7 @@
     }
 
     /**
-     * Records that a worker did not answer a request.
+     * Records that a worker did not respond to a request.
      *
      * @param probe whether the request was a probe from {@link #takeDueProbes}
      */
@@ -196,7 +196,7 @@
     /**
      * Records that this controller no longer leads.
      *
-     * @param storeLost whether it lost the leadership because the key-value store did not answer it
+     * @param storeLost whether it lost the leadership because the key-value store did not respond
      */
     public void deposed(boolean storeLost, long time) {
         links.advance(time);
@@ -236,7 +236,7 @@
 
     /**
      * Returns whether the view of another controller lists a worker, provided that the view is fresh, the controller
-     * does not report event-loop lag, and no request to it has failed since its last answer.
+     * does not report event-loop lag, and no request to it has failed since its last response.
      */
     public boolean peerKnowsWorker(String peer, String worker, long time) {
         PeerLink link = links.peers.get(peer);
@@ -304,7 +304,7 @@
         return leadership.advise();
     }
 
-    /** Returns for how many more milliseconds this controller should not become a candidate; 0 if it may now. */
+    /** Returns for how many more milliseconds this controller should not become a candidate, or 0 if it may now. */
     public long electionDelayMs(long time) {
         links.advance(time);
         return leadership.electionDelayMs();
@@ -347,7 +347,7 @@
     /**
      * Advances the handover that is in progress, if any, and returns what the host has to do.
      *
-     * @param changesInFlight commits that the key-value store has not answered yet
+     * @param changesInFlight commits to which the key-value store has not responded yet
      */
     public HandoverAction advanceHandover(int changesInFlight, long time) {
         require(changesInFlight >= 0, "changesInFlight", "negative");
--- a/src/main/java/stileferry/connectivity/ConnectivityConfig.java
+++ b/src/main/java/stileferry/connectivity/ConnectivityConfig.java
@@ -13,7 +13,7 @@
  * @param self the name of this controller
  * @param peers the names of the other controllers
  * @param heartbeatIntervalMs nominal milliseconds between two heartbeats of a worker
- * @param workerLeaseMs milliseconds after which a worker whose heartbeats are not answered stops its tasks
+ * @param workerLeaseMs milliseconds after which a worker whose heartbeats receive no response stops its tasks
  * @param leaderLeaseMs duration of the leader key's lease in milliseconds
  */
 public record ConnectivityConfig(
@@ -78,7 +78,9 @@
         return heartbeatIntervalMs;
     }
 
-    /** Returns the age in milliseconds of the key-value store's last answer above which all decisions are withheld. */
+    /**
+     * Returns the age in milliseconds of the key-value store's last response above which all decisions are withheld.
+     */
     public long storeAnswerMaxAgeMs() {
         return leaderLeaseMs;
     }
--- a/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
+++ b/src/main/java/stileferry/connectivity/ConnectivitySnapshot.java
@@ -29,7 +29,7 @@
      * @param suspicionLevel the suspicion level (phi) of the current silence
      * @param silentMs milliseconds since the last message or response, or -1 if there has never been one
      * @param consecutiveFailures number of requests that have failed since then
-     * @param lastFailure how the last failed request failed; null if none has failed
+     * @param lastFailure how the last failed request failed, or null if none has failed
      */
     public record Link(
             LinkCondition condition,
@@ -43,10 +43,10 @@
      *
      * @param controller its name
      * @param inbound the direction in which its requests arrive
-     * @param outbound the direction in which it is sent requests, judged by its answers
-     * @param viewAgeMs the greatest possible age of its view in milliseconds; -1 if not known
+     * @param outbound the direction in which it is sent requests, judged by its responses
+     * @param viewAgeMs the greatest possible age of its view in milliseconds, or -1 if it is unknown
      * @param reachedWorkers number of workers that its requests reach, of those with a known recent outcome
-     * @param reachableShare estimated share of all workers that it reaches, from 0 to 1; -1 if not known
+     * @param reachableShare estimated share of all workers that it reaches, from 0 to 1, or -1 if it is unknown
      */
     public record Peer(
             String controller,
@@ -62,8 +62,8 @@
      * @param known number of known workers
      * @param direct number of workers whose heartbeats arrive directly at this controller
      * @param suspect number of workers with a suspect link
-     * @param reachableShare estimated share of all workers that the controller reaches, from 0 to 1; -1 if it does not
-     *     lead
+     * @param reachableShare estimated share of all workers that the controller reaches, from 0 to 1, or -1 if it does
+     *     not lead
      * @param suspicionTimeoutMs milliseconds of silence after which a worker is suspect
      */
     public record Workers(int known, int direct, int suspect, double reachableShare, double suspicionTimeoutMs) {}
--- a/src/main/java/stileferry/connectivity/DecisionGate.java
+++ b/src/main/java/stileferry/connectivity/DecisionGate.java
@@ -7,7 +7,7 @@
  * that this controller certainly leads, and that a task has certainly ended, is checked elsewhere.
  *
  * <ul>
- *   <li>Every decision requires that this controller leads, is not handing over, and has a recent answer from the
+ *   <li>Every decision requires that this controller leads, is not handing over, and has a recent response from the
  *       key-value store.
  *   <li>Scaling out and preempting also require that less than half of the workers are suspect. They are withheld only
  *       for the time in which a better connected controller would take over, so that the leader continues to serve if
--- a/src/main/java/stileferry/connectivity/ElectionDelay.java
+++ b/src/main/java/stileferry/connectivity/ElectionDelay.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Delays the candidacy because this controller lost the leadership when the key-value store did not answer it; the
+     * Delays the candidacy because this controller lost the leadership when the key-value store did not respond; the
      * delay grows with repeated losses.
      */
     void leadershipLost(long now) {
@@ -59,7 +59,7 @@
         delayedUntil = 0;
     }
 
-    /** Returns the remaining delay in milliseconds; 0 if there is none. */
+    /** Returns the remaining delay in milliseconds, or 0 if there is no delay. */
     long remainingMs(long now) {
         return Math.max(0, delayedUntil - now);
     }
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -66,7 +66,7 @@
     /**
      * Advances the handover and returns what the leader has to do now.
      *
-     * @param changesInFlight commits that the key-value store has not answered yet
+     * @param changesInFlight commits to which the key-value store has not responded yet
      * @param nomineeReady whether the nominee's view still reports that it could lead
      */
     HandoverAction advance(int changesInFlight, boolean nomineeReady, long now) {
--- a/src/main/java/stileferry/connectivity/LeaderCandidate.java
+++ b/src/main/java/stileferry/connectivity/LeaderCandidate.java
@@ -10,10 +10,10 @@
  * reachable controllers, and finally the name.
  *
  * @param controller its name
- * @param storeReachable whether the key-value store answers it
+ * @param storeReachable whether the key-value store responds to it
  * @param workerShare the share of workers that it reaches, from 0 to 1
  * @param lagging whether its event loop lags
- * @param reachablePeers number of other controllers whose messages or answers it receives
+ * @param reachablePeers number of other controllers whose messages or responses it receives
  */
 public record LeaderCandidate(
         String controller, boolean storeReachable, double workerShare, boolean lagging, int reachablePeers)
--- a/src/main/java/stileferry/connectivity/LeadershipAdvice.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvice.java
@@ -4,7 +4,7 @@
  * What a controller should do about the leadership.
  *
  * @param action what it should do
- * @param nominee the controller that should lead instead; null if there is none
+ * @param nominee the controller that should lead instead, or null if there is none
  * @param reason the reason, for operators
  */
 public record LeadershipAdvice(Action action, String nominee, String reason) {
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -68,7 +68,7 @@
     /**
      * Records that this controller no longer leads.
      *
-     * @param storeLost whether it lost the leadership because the key-value store did not answer it
+     * @param storeLost whether it lost the leadership because the key-value store did not respond
      */
     void deposed(boolean storeLost) {
         if (links.leading() && storeLost) {
@@ -79,7 +79,7 @@
 
     // ---- handovers of other controllers
 
-    /** Processes the handover notice in another controller's view; null if there is none. */
+    /** Processes the handover notice in another controller's view, which is null if there is none. */
     void handoverNoticeReceived(PeerLink peer, HandoverNotice notice) {
         HandoverNotice previous = peer.handover;
         peer.handover = notice;
@@ -150,7 +150,7 @@
         return advisor.advise(own, others, allPeersLost, links.now());
     }
 
-    /** Returns for how many more milliseconds this controller should not become a candidate; 0 for a leader. */
+    /** Returns for how many more milliseconds this controller should not become a candidate, or 0 if it leads. */
     long electionDelayMs() {
         return links.leading() ? 0 : electionDelay.remainingMs(links.now());
     }
--- a/src/main/java/stileferry/connectivity/LinkEvidence.java
+++ b/src/main/java/stileferry/connectivity/LinkEvidence.java
@@ -7,7 +7,7 @@
  * @param handingOver whether a handover is in progress
  * @param storeAnswerAgeMs milliseconds since the key-value store last responded, or -1 if it never has
  * @param manySuspects whether half of all workers or more are suspect
- * @param manySuspectsMs milliseconds for which {@code manySuspects} has been true; 0 if it is false
+ * @param manySuspectsMs milliseconds for which {@code manySuspects} has been true, or 0 if it is false
  */
 public record LinkEvidence(
         boolean leading, boolean handingOver, long storeAnswerAgeMs, boolean manySuspects, long manySuspectsMs) {}
--- a/src/main/java/stileferry/connectivity/LinkFailureDetector.java
+++ b/src/main/java/stileferry/connectivity/LinkFailureDetector.java
@@ -1,7 +1,7 @@
 package stileferry.connectivity;
 
 /**
- * An accrual failure detector for one direction of a link, based on regular traffic. Messages or answers in quick
+ * An accrual failure detector for one direction of a link, based on regular traffic. Messages or responses in quick
  * succession count as one sample, so that a normal pause after a burst does not become suspect.
  */
 final class LinkFailureDetector {
@@ -19,14 +19,14 @@
     private int consecutiveFailures;
     private FailureKind lastFailure;
 
-    /** Creates a detector for a link on which a message or an answer is expected every {@code expectedIntervalMs}. */
+    /** Creates a detector for a link on which a message or a response is expected every {@code expectedIntervalMs}. */
     LinkFailureDetector(long expectedIntervalMs, long now) {
         this.expectedIntervalMs = expectedIntervalMs;
         this.intervals = new PhiAccrualEstimator(expectedIntervalMs);
         this.startedAt = now;
     }
 
-    /** Records that a message or an answer arrived. */
+    /** Records that a message or a response arrived. */
     void succeeded(long now) {
         lastSuccessAt = Math.max(lastSuccessAt, now);
         consecutiveFailures = 0;
@@ -45,7 +45,7 @@
         lastFailure = kind;
     }
 
-    /** Returns when a message or an answer last arrived, or -1 if none ever has. */
+    /** Returns when a message or a response last arrived, or -1 if none ever has. */
     long lastSuccessAt() {
         return lastSuccessAt;
     }
--- a/src/main/java/stileferry/connectivity/ObservedLinks.java
+++ b/src/main/java/stileferry/connectivity/ObservedLinks.java
@@ -26,7 +26,9 @@
     private long laggingUntil = -1;
     private boolean leading;
 
-    /** Since when half of all workers or more, and at least one, have been suspect on a leader; -1 if they are not. */
+    /**
+     * Since when half of all workers or more, and at least one, have been suspect on a leader, or -1 if they are not.
+     */
     private long manySuspectsSince = -1;
 
     ObservedLinks(ConnectivityConfig config, long now) {
@@ -78,7 +80,7 @@
         }
     }
 
-    /** Returns whether the key-value store answers this controller. */
+    /** Returns whether the key-value store responds to this controller. */
     boolean storeReachable() {
         return store.condition(now, eventLoopLagMs) == LinkCondition.GOOD
                 && store.consecutiveFailures() < STORE_UNREACHABLE_FAILURES;
--- a/src/main/java/stileferry/connectivity/PeerLink.java
+++ b/src/main/java/stileferry/connectivity/PeerLink.java
@@ -13,7 +13,7 @@
     final LinkFailureDetector inbound;
     final LinkFailureDetector outbound;
 
-    /** Whether it has ever sent or answered a request. */
+    /** Whether it has ever sent or responded to a request. */
     private boolean everReachable;
 
     /** The version of this controller's worker state that it has acknowledged, within {@link #ackedEpoch}. */
@@ -21,7 +21,7 @@
 
     int ackedEpoch;
 
-    /** The handover notice in its last view; null if there was none. */
+    /** The handover notice in its last view, or null if there was none. */
     HandoverNotice handover;
 
     PeerLink(String name, ConnectivityConfig config, long now) {
@@ -30,7 +30,7 @@
         this.outbound = new LinkFailureDetector(config.exchangeIntervalMs(false), now);
     }
 
-    /** Records that it answered a request. */
+    /** Records that it responded to a request. */
     void requestAnswered(long now) {
         everReachable = true;
         outbound.succeeded(now);
@@ -49,7 +49,7 @@
         ackedEpoch = current ? header.ackedEpoch() : 0;
     }
 
-    /** Returns whether it has ever sent or answered a request. */
+    /** Returns whether it has ever sent or responded to a request. */
     boolean everReachable() {
         return everReachable;
     }
--- a/src/main/java/stileferry/connectivity/PeerView.java
+++ b/src/main/java/stileferry/connectivity/PeerView.java
@@ -20,7 +20,7 @@
     private boolean leading;
     private ControllerHealth senderHealth;
 
-    /** A lower bound of the time that the view describes; -1 if not known. */
+    /** A lower bound of the time that the view describes, or -1 if it is unknown. */
     private long validAt = -1;
 
     private int epoch;
@@ -32,7 +32,7 @@
     /**
      * Merges a view.
      *
-     * @param validFrom a lower bound of the time that the view describes; -1 if not known
+     * @param validFrom a lower bound of the time that the view describes, or -1 if it is unknown
      * @return false if the view is stale and was ignored
      */
     boolean merge(ReachabilityView view, long validFrom) {
--- a/src/main/java/stileferry/connectivity/ReachabilityView.java
+++ b/src/main/java/stileferry/connectivity/ReachabilityView.java
@@ -12,9 +12,9 @@
  * @param header the sender, its position in its own sequence of views, and its acknowledgements
  * @param senderHealth the health of the sender
  * @param workers changes of the sender's links to workers
- * @param probes workers that the receiver must probe; empty unless the sender leads
- * @param handover notice of the sender's last handover; null if there is none
- * @param acceptedHandoverId id of the receiver's handover that the sender accepts as nominee; 0 if none
+ * @param probes workers that the receiver must probe, or an empty list if the sender does not lead
+ * @param handover notice of the sender's last handover, or null if there is none
+ * @param acceptedHandoverId id of the receiver's handover that the sender accepts as nominee, or 0 if there is none
  */
 public record ReachabilityView(
         Header header,
@@ -36,9 +36,10 @@
      * @param incarnation the incarnation of the sender's process, higher for each later process
      * @param sequence the sequence number of the view, ascending within the incarnation
      * @param term the highest term that the sender knows
-     * @param leader the leader as far as the sender knows; empty if not known
-     * @param ackedIncarnation incarnation of the newest receiver view that the sender has merged; 0 if none
-     * @param ackedSequence sequence number of the newest receiver view that the sender has merged; 0 if none
+     * @param leader the leader as far as the sender knows, or an empty string if it is unknown
+     * @param ackedIncarnation incarnation of the newest receiver view that the sender has merged, or 0 if there is none
+     * @param ackedSequence sequence number of the newest receiver view that the sender has merged, or 0 if there is
+     *     none
      * @param ackedVersion version of the receiver's worker state that the sender has merged
      * @param ackedEpoch epoch of the receiver's worker ids to which that version belongs
      */
@@ -61,9 +62,9 @@
     /**
      * The health of a controller.
      *
-     * @param storeReachable whether the key-value store answers the controller
+     * @param storeReachable whether the key-value store responds to the controller
      * @param lagging whether its process is overloaded or was recently, so that its event loop lags
-     * @param reachablePeers names of the other controllers whose messages or answers it receives
+     * @param reachablePeers names of the other controllers whose messages or responses it receives
      */
     public record ControllerHealth(boolean storeReachable, boolean lagging, List<String> reachablePeers) {
         /** Makes a defensive copy of the names. */
--- a/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
+++ b/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
@@ -6,7 +6,9 @@
 
 /** Estimates the share of workers that a controller reaches, from the samples of suspect and healthy workers. */
 final class ReachableShareEstimator {
-    /** Worker leases for which a worker that answers probes counts as reached although its heartbeats are relayed. */
+    /**
+     * Worker leases for which a worker that responds to probes counts as reached although its heartbeats are relayed.
+     */
     private static final int MAX_RELAYED_WORKER_LEASES = 3;
 
     private final ConnectivityConfig config;
@@ -37,7 +39,7 @@
     }
 
     /**
-     * Returns whether a worker answered its last probe, unless its heartbeats have been relayed for so long that it
+     * Returns whether a worker responded to its last probe, unless its heartbeats have been relayed for so long that it
      * counts as not reached.
      */
     private boolean reached(WorkerLink link, long now) {
--- a/src/main/java/stileferry/connectivity/ViewSynchronizer.java
+++ b/src/main/java/stileferry/connectivity/ViewSynchronizer.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Returns a lower bound of the time that a view describes: when the view that it acknowledges was sent; -1 if not
-     * known.
+     * Returns a lower bound of the time that a view describes: when the view that it acknowledges was sent, or -1 if
+     * not known.
      */
     private long validFrom(Header header) {
         return header.ackedIncarnation() == incarnation ? sentViews.sentAt(header.ackedSequence()) : -1;
--- a/src/main/java/stileferry/connectivity/WorkerLink.java
+++ b/src/main/java/stileferry/connectivity/WorkerLink.java
@@ -26,15 +26,15 @@
     long relayedSince = -1;
 
     /**
-     * When a direct heartbeat was last answered. If this is before {@link #directHeartbeatAt}, the last direct
-     * heartbeat has not been answered.
+     * When a direct heartbeat last received a response. If this is before {@link #directHeartbeatAt}, the last direct
+     * heartbeat has received no response.
      */
     long heartbeatAnsweredAt = -1;
 
     /** When the outcome of a request to the worker was last observed. */
     long outboundObservedAt;
 
-    /** When the worker was added, or last sent a heartbeat, answered a request, or failed to answer a probe. */
+    /** When the worker was added, or last sent a heartbeat, responded to a request, or failed to respond to a probe. */
     long lastSeenAt;
 
     /** Since when the links have been suspect. */
@@ -45,7 +45,7 @@
 
     private int consecutiveLostRequests;
 
-    /** When the worker last answered a probe. */
+    /** When the worker last responded to a probe. */
     long probeAnsweredAt = -1;
 
     /** When a probe of the worker last failed. */
@@ -76,14 +76,14 @@
         return newer;
     }
 
-    /** Records that a request or the answer to a heartbeat reached the worker. */
+    /** Records that a request or the response to a heartbeat reached the worker. */
     void requestAnswered() {
         consecutiveLostRequests = 0;
     }
 
     /**
-     * Records the loss of a request or of the answer to a heartbeat; returns whether requests now count as not reaching
-     * the worker.
+     * Records the loss of a request or of the response to a heartbeat; returns whether requests now count as not
+     * reaching the worker.
      */
     boolean requestFailed() {
         consecutiveLostRequests++;
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Returns whether answers reach the worker according to a new direct heartbeat, and counts lost answers. If the
-     * previous direct heartbeat was answered but the worker has not accepted the term, that answer was lost.
+     * Returns whether responses reach the worker according to a new direct heartbeat, and counts lost responses. If the
+     * previous direct heartbeat received a response but the worker has not accepted the term, that response was lost.
      */
     boolean evaluateOutbound(WorkerHeartbeat heartbeat) {
         if (!lastHeartbeatAnswered()) {
@@ -111,7 +111,7 @@
 
     /**
      * Returns whether the worker now switches to another controller, which relays its heartbeats, although its last
-     * direct heartbeat was answered.
+     * direct heartbeat received a response.
      */
     boolean switchedToRelayDespiteAnswer() {
         return directHeartbeatAt >= 0 && lastHeartbeatAnswered() && relayedSince < 0;
--- a/src/main/java/stileferry/connectivity/WorkerLinks.java
+++ b/src/main/java/stileferry/connectivity/WorkerLinks.java
@@ -95,7 +95,7 @@
         update(link, link.reachability.withInbound(false).withOutbound(outbound), now);
     }
 
-    /** Records that the worker's last direct heartbeat was answered. */
+    /** Records that the worker's last direct heartbeat received a response. */
     void heartbeatAnswered(String name, long now) {
         WorkerLink link = byName.get(name);
         if (link != null) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Records that a request to the worker was answered. */
+    /** Records that a request to the worker received a response. */
     void requestAnswered(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
         if (link == null) {
@@ -119,8 +119,8 @@
     }
 
     /**
-     * Records that a request to the worker was not answered. One failed probe is enough for the worker to count as not
-     * reached; of other requests, single ones may get lost.
+     * Records that a request to the worker received no response. One failed probe is enough for the worker to count as
+     * not reached; of other requests, single ones may get lost.
      */
     void requestFailed(String name, boolean probe, long now) {
         WorkerLink link = byName.get(name);
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Returns after how many seconds a request that exceeds the limit on requests in progress should be retried; 0 if
-     * it may exceed the limit.
+     * Returns after how many seconds a request that exceeds the limit on requests in progress should be retried, or 0
+     * if it may exceed the limit.
      */
     public int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
         return admission.retryAfterS(kind, body);
--- a/src/main/java/stileferry/coordination/StateRecovery.java
+++ b/src/main/java/stileferry/coordination/StateRecovery.java
@@ -57,7 +57,7 @@
     /**
      * What was read besides jobs and task assignments.
      *
-     * @param operatorSettingsRevision the revision of the operators' settings; 0 if none are stored
+     * @param operatorSettingsRevision the revision of the operators' settings, or 0 if none are stored
      * @param assignments the number of task assignments that were read
      */
     record Recovered(
@@ -171,7 +171,7 @@
             try {
                 jobs.add(Job.read(row.value(), row.revision()));
             } catch (InvalidJobSpecException e) {
-                // The user was told that the job was accepted, so no user may be told that it is unknown.
+                // A user was informed that the job was accepted, so no response may say that it is unknown.
                 LOG.error("stored job is unreadable and can't run: key={} reason={}", row.key(), e.getMessage());
                 cluster.addUnreadableJob(jobId(row));
             }
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -179,7 +179,7 @@
         });
     }
 
-    /** Refuses heartbeats that have waited too long; their workers send them again. */
+    /** Rejects heartbeats that have waited too long; their workers send them again. */
     public void refuseExpired() {
         long receivedBefore = environment.now() - MAX_WAIT_MS;
         for (List<PendingHeartbeat> heartbeats : pendingByMachine.values()) {
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Refuses all waiting heartbeats. */
+    /** Rejects all waiting heartbeats. */
     public void close() {
         pendingByMachine.values().forEach(heartbeats -> heartbeats.forEach(heartbeat -> heartbeat.refuse.run()));
         pendingByMachine.clear();
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -19,7 +19,7 @@
  * confirmed; otherwise tasks of cancelled jobs would run past {@code cancel_s} on the leases that it renews.
  *
  * <p>With n controller processes, a leader confirms a cancellation to the user only when it and n/2 other processes
- * know it. A process is <em>informed</em> once a leader that held its lease has told it of every cancellation since the
+ * know it. A process is <em>informed</em> once a leader that held its lease has sent it every cancellation since the
  * process started. An informed process lacks a confirmed cancellation only if it is not among the processes that
  * acknowledged it, so any n - n/2 informed processes together know all confirmed cancellations (docs/design.md,
  * "Cancellations"). Only processes that report this state are counted.
@@ -174,7 +174,7 @@
         }
         int peersThatKnow = 0;
         for (int peer = 0; peer < peers.length; peer++) {
-            // A peer of an older version never becomes informed, so nobody relies on it to know a cancellation.
+            // A peer of an older version never becomes informed, so no controller relies on it to know a cancellation.
             boolean needsNoAcknowledgement = peers[peer].version == PeerCancellationState.Version.WITHOUT_CANCELLATIONS;
             peersThatKnow += needsNoAcknowledgement || confirmation.acknowledgedBy.contains(peer) ? 1 : 0;
         }
--- a/src/main/java/stileferry/leadership/LeaderCampaign.java
+++ b/src/main/java/stileferry/leadership/LeaderCampaign.java
@@ -42,7 +42,7 @@
         /** Returns the highest term that this controller knows. */
         long term();
 
-        /** Called when a term has been read, with the name of its leader; empty if there is none. */
+        /** Called when a term has been read, with the name of its leader, which is empty if there is none. */
         void observeTerm(long term, String leader);
 
         /** Called when the stored operators' settings have been read. */
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -43,7 +43,7 @@
     private long term;
     private long admissionsCountedSince;
 
-    /** Name of the other controller that leads in the current term; empty if not known. */
+    /** Name of the other controller that leads in the current term, or an empty string if it is unknown. */
     private String otherLeader = "";
 
     private long leaderLastHeardAt;
@@ -159,7 +159,7 @@
 
     /**
      * Returns the first term of the unbroken run of leaders that count admissions, up to the last term in which this
-     * node was elected; 0 if this controller does not count them or was never elected.
+     * controller was elected, or 0 if this controller does not count them or was never elected.
      */
     public long admissionsCountedSince() {
         return admissionsCountedSince;
@@ -241,7 +241,7 @@
      * Processes a term seen in any message, such as a worker's heartbeat; steps down if it is higher than this
      * leader's.
      *
-     * @param leader the name of the controller that leads in the term; empty if not known
+     * @param leader the name of the controller that leads in the term, or an empty string if it is unknown
      */
     public void observeTerm(long observedTerm, String leader) {
         if (observedTerm < term) {
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -132,7 +132,7 @@
         heldUntil = Math.max(heldUntil, sentAt + Math.round(durationMs * (1 - MAX_CLOCK_DRIFT_RATIO)) - TIMER_SLACK_MS);
     }
 
-    /** Renews even if the previous renewal has not been answered: a store that is slow at times is not down. */
+    /** Renews even if the previous renewal has received no response: a store that is slow at times is not down. */
     private void renew(int leaseGeneration) {
         if (!isCurrent(leaseGeneration)) {
             return;
--- a/src/main/java/stileferry/leadership/TermRecord.java
+++ b/src/main/java/stileferry/leadership/TermRecord.java
@@ -8,10 +8,10 @@
  * The stored record of the highest term. Leaders of older versions, and leaders that do not count admissions, write it
  * without {@code counting_since}, which ends an unbroken run of leaders that count admissions.
  *
- * @param term the term; 0 if there has been none
+ * @param term the term, or 0 if there has been none
  * @param admissionsCountedSince the first term of the unbroken run, up to this term, of leaders that count admissions;
  *     0 if the leader of this term does not count them
- * @param revision the revision of the key; 0 if the key does not exist
+ * @param revision the revision of the key, or 0 if the key does not exist
  */
 public record TermRecord(long term, long admissionsCountedSince, long revision) {
     /** Stands for a missing key. */
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -10,8 +10,8 @@
 import stileferry.storage.StoredEntry;
 
 /**
- * Completes and cancels jobs during one term. Users are told of a completion once it is durable, and of a cancellation
- * once enough controllers know of it too and no task of the job can start any more.
+ * Completes and cancels jobs during one term. Users are informed of a completion once it is durable, and of a
+ * cancellation once enough controllers know of it too and no task of the job can start any more.
  */
 public final class JobCompletion {
     private final ClusterState cluster;
@@ -21,7 +21,7 @@
     private final Listener listener;
     private final Consumer<TaskAssignment> stopTask;
 
-    /** Is notified of what users may be told. */
+    /** Is notified when users may be informed of a change. */
     public interface Listener {
         /** Called when the completion of a job is durable. */
         void jobCompleted(Job job, CompletedJob completed);
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -281,7 +281,7 @@
      * reports. This is stored at once, in the record of the job's completion, so that no leader restarts a part of the
      * gang.
      *
-     * @param first the assignment of the completed task, which the caller settles; null if there is none
+     * @param first the assignment of the completed task, which the caller settles, or null if there is none
      * @return the settled assignments, whose machines may not clear them before the job's completion is durable
      */
     public List<TaskAssignment> completeGang(Job job, TaskAssignment first) {
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -65,7 +65,7 @@
     default void heartbeatReceived(Heartbeat heartbeat) {}
 
     /**
-     * Records that the leader processed a heartbeat and answered it.
+     * Records that the leader processed a heartbeat and responded to it.
      *
      * @param relayed whether another controller forwarded the heartbeat
      */
@@ -97,7 +97,7 @@
     /** Processes the term announcement of another controller. */
     default void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {}
 
-    /** Processes a view and returns the reply; null if views are not exchanged or the view is malformed. */
+    /** Processes a view and returns the reply, or null if views are not exchanged or the view is malformed. */
     default PeerMessage receiveView(PeerMessage.LinkView view) {
         return null;
     }
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -25,7 +25,7 @@
     private static final long MIN_PROBE_TIMEOUT_MS = 500;
 
     /**
-     * The key-value store answers with this HTTP status if it serves no clients, or not this controller; counts as a
+     * The key-value store responds with this HTTP status if it serves no clients, or not this controller; counts as a
      * failure.
      */
     private static final int HTTP_SERVICE_UNAVAILABLE = 503;
@@ -201,7 +201,7 @@
     }
 
     /**
-     * Returns whether a request was answered: whether its status is an HTTP status and not one of
+     * Returns whether a request received a response, that is, whether its status is an HTTP status and not one of
      * {@link Environment}'s.
      */
     private static boolean answered(int status) {
--- a/src/main/java/stileferry/links/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -17,7 +17,7 @@
         /** Called with the outcome of a request to an address: an HTTP status, or one of {@link Environment}'s. */
         void requestCompleted(String address, int status);
 
-        /** Called when a message to another controller has been answered or has failed. */
+        /** Called when a message to another controller has received a reply or has failed. */
         void peerRequestCompleted(String controller, boolean answered);
     }
 
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -31,7 +31,7 @@
     /** The other controllers that exchange views. */
     private final Set<String> participants = new LinkedHashSet<>();
 
-    /** Controllers to which a view was sent that has neither been answered nor failed. */
+    /** Controllers to which a view was sent that has neither received a reply nor failed. */
     private final Set<String> awaitingReply = new HashSet<>();
 
     /** When a view was last sent to each controller, not counting replies. */
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -26,7 +26,10 @@
         /** Returns whether this controller, as the leader, knows a job. */
         boolean knowsJob(String id);
 
-        /** Returns the seconds that queued work needs at the key-value store's rate limits; 0 unless leading. */
+        /**
+         * Returns the seconds that queued work needs at the key-value store's rate limits, or 0 if this controller does
+         * not lead.
+         */
         double backlogS();
 
         /** Returns whether the event loop lags: there is more work than this process can do in time. */
--- a/src/main/java/stileferry/overload/FairAdmission.java
+++ b/src/main/java/stileferry/overload/FairAdmission.java
@@ -64,7 +64,7 @@
     private long lastExchangeAt = Long.MIN_VALUE / 2;
     private int limitedFlows;
 
-    /** The leader that answered the last exchange with a valid table, or empty; only this leader is sent batches. */
+    /** The leader that replied to the last exchange with a valid table, or empty; only this leader is sent batches. */
     private String tableLeader = "";
 
     /** Creates the fair admission of one controller; {@link #start} begins the periodic work. */
@@ -239,8 +239,8 @@
     }
 
     /**
-     * Status requests and cancellations that are forwarded in batches cost hardly more to answer than to reject, and
-     * the number of batches in flight bounds them.
+     * Status requests and cancellations that are forwarded in batches cost hardly more to respond to than to reject,
+     * and the number of batches in flight bounds them.
      */
     @Override
     public int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
--- a/src/main/java/stileferry/overload/RequestForwarder.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -25,7 +25,7 @@
     private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
     private int batchesInFlight;
 
-    /** A queued request with the time by which its user must be answered. */
+    /** A queued request with the time by which its user must receive a response. */
     private record QueuedRequest(
             Settings.Peer leader, PeerMessage.ForwardedRequest request, long deadlineMs, Consumer<PeerMessage> reply) {}
 
@@ -35,7 +35,7 @@
         this.maxBatchesInFlight = maxBatchesInFlight;
     }
 
-    /** Queues a request for the next batch; the reply is null if it was not answered in time or not sent. */
+    /** Queues a request for the next batch; the reply is null if no response arrived in time or it was not sent. */
     void send(Settings.Peer leader, PeerMessage.ForwardedRequest request, long timeoutMs, Consumer<PeerMessage> reply) {
         dropExpired();
         if (queue.size() >= MAX_QUEUED_REQUESTS) {
--- a/src/main/java/stileferry/requests/BatchResponder.java
+++ b/src/main/java/stileferry/requests/BatchResponder.java
@@ -12,14 +12,14 @@
  * 503 response, so that they don't delay the others.
  */
 public final class BatchResponder {
-    /** Most status requests are answered at once; one about a completed job may need a key-value store read. */
+    /** Most status requests receive a response at once; one about a completed job may need a key-value store read. */
     private static final long STATUS_TIMEOUT_MS = 500;
 
     private final PeerMessage.Response[] responses;
     private final Consumer<PeerMessage> reply;
     private int unanswered;
 
-    /** Passes each request of a batch to the handler, and replies as soon as all of them are answered. */
+    /** Passes each request of a batch to the handler, and replies as soon as all of them have responses. */
     public static void respondTo(
             List<PeerMessage.ForwardedRequest> requests,
             Environment environment,
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -18,8 +18,8 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /**
- * Handles users' requests about jobs in one term. Users are told that a job was accepted, cancelled or completed only
- * once that is durable.
+ * Handles users' requests about jobs in one term. Users are informed that a job was accepted, cancelled or completed
+ * only once that is durable.
  */
 public final class JobRequestHandler implements JobCompletion.Listener {
     /** Submissions are rejected while {@link #backlogS} is at least this many seconds. */
@@ -36,7 +36,7 @@
 
     /** Callbacks into the leader. */
     public interface LeaderCallbacks {
-        /** Returns whether requests may be answered now, including those that only read. */
+        /** Returns whether requests may be responded to now, including those that only read. */
         boolean mayAnswer();
 
         /** Returns whether submissions and cancellations may be accepted now. */
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Answers users whose change is not durable in time with 503 and a retry time, as its outcome is not known yet. If
-     * the leader may no longer answer, all waiting users get this response.
+     * Responds with 503 and a retry time to users whose change is not durable in time, as its outcome is not known yet.
+     * If the leader may no longer respond, all waiting users get this response.
      */
     public void expireOverdueReplies() {
         pendingReplies.expireOverdue(leader.mayAnswer());
@@ -149,7 +149,8 @@
     }
 
     /**
-     * Returns the seconds after which to retry a submission rejected for the backlog; 0 if the backlog is acceptable.
+     * Returns the seconds after which to retry a submission rejected for the backlog, or 0 if the backlog is
+     * acceptable.
      */
     private int retryAfterBacklogS() {
         double seconds = backlogS();
--- a/src/main/java/stileferry/requests/Responses.java
+++ b/src/main/java/stileferry/requests/Responses.java
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Returns the 503 response to an operator's request that only the leader can answer, when there is no leader or
+     * Returns the 503 response to an operator's request that only the leader can respond to, when there is no leader or
      * this controller is not certain to lead.
      */
     public static PeerMessage.Response noLeader() {
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -73,7 +73,9 @@
         return queueOrder.overdue(job, timeOfDay);
     }
 
-    /** Returns a machine for the next task of a job, or one for each task of a gang; empty if they don't fit. */
+    /**
+     * Returns a machine for the next task of a job, or one for each task of a gang, or an empty list if they don't fit.
+     */
     List<Machine> select(Job job, Predicate<Machine> usable, long now) {
         if (job.spec().gang()) {
             return gangPlacement.select(job, usable, now);
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -125,7 +125,7 @@
     /**
      * Frees capacity for as many pending tasks of a job as possible.
      *
-     * @param zone the only zone to use; null for any
+     * @param zone the only zone to use, or null if any zone may be used
      * @return the number of tasks for which capacity is freed
      */
     private int freeCapacity(Job job, String zone, long now, PreemptionPlan plan) {
--- a/src/main/java/stileferry/standin/KeyValueStore.java
+++ b/src/main/java/stileferry/standin/KeyValueStore.java
@@ -256,7 +256,7 @@
         return failed;
     }
 
-    /** Returns what is wrong with the first invalid operation; null if all are valid. */
+    /** Returns what is wrong with the first invalid operation, or null if all are valid. */
     private String firstValidationError(JsonNode operations) {
         for (JsonNode operation : operations) {
             if (operation.has(PUT) && operation.path(VALUE).toString().length() > maxValueBytes) {
--- a/src/main/java/stileferry/standin/QueryString.java
+++ b/src/main/java/stileferry/standin/QueryString.java
@@ -19,7 +19,7 @@
         return new QueryString(parameters);
     }
 
-    /** Returns a parameter's value; empty if the parameter is missing. */
+    /** Returns a parameter's value, or an empty string if the parameter is missing. */
     String text(String name) {
         return parameters.getOrDefault(name, "");
     }
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -41,7 +41,7 @@
     private double reclaimNoticeS = -1;
     private boolean heartbeatDue;
 
-    /** Is told when tasks start and end on a machine, whatever its heartbeats say. */
+    /** Is notified when tasks start and end on a machine, whatever its heartbeats say. */
     public interface TaskListener {
         /** Ignores all tasks. */
         TaskListener NO_OP = new TaskListener() {
@@ -63,7 +63,7 @@
      * Creates a worker that starts now, without tasks.
      *
      * @param leaseMs duration of the worker's lease, which begins now
-     * @param jobSpecs returns the spec of a job by its id; null if the job is unknown
+     * @param jobSpecs returns the spec of a job by its id, or null if the job is unknown
      */
     public Worker(
             String machine,
@@ -326,7 +326,7 @@
         task.setPhaseEndsAt(now + IMAGE_PULL_MS);
     }
 
-    /** Returns why a task can't start here; null if it can. */
+    /** Returns why a task can't start here, or null if it can. */
     private ExitReason startRejection(WorkerTask task) {
         JobSpec spec = task.spec();
         if (spec == null) {
--- a/src/main/java/stileferry/standin/WorkerTask.java
+++ b/src/main/java/stileferry/standin/WorkerTask.java
@@ -81,7 +81,7 @@
                 || phase == TaskPhase.SAVING_CHECKPOINT;
     }
 
-    /** Returns why the task has exited; null if it has not. */
+    /** Returns why the task has exited, or null if it has not. */
     ExitReason exitReason() {
         return exitReason;
     }
--- a/src/main/java/stileferry/storage/RateLimiter.java
+++ b/src/main/java/stileferry/storage/RateLimiter.java
@@ -43,7 +43,7 @@
         return permits >= Math.min(count, maxPermits) + maxPermits * reserveShare || permits >= maxPermits;
     }
 
-    /** Returns the number of whole permits available now; 0 if the bucket is overdrawn. */
+    /** Returns the number of whole permits available now, or 0 if the bucket is overdrawn. */
     public int availablePermits() {
         refill();
         return (int) Math.max(0, Math.floor(permits));
--- a/src/main/java/stileferry/storage/ScanResult.java
+++ b/src/main/java/stileferry/storage/ScanResult.java
@@ -7,7 +7,7 @@
 /**
  * The rows of all keys with a prefix, read in pages.
  *
- * @param rows the rows; null if the read failed
+ * @param rows the rows, or null if the read failed
  * @param revision the store's revision when the last page was read
  * @param firstRevision the store's revision when the first page was read; if no row is newer, all rows existed together
  *     at that revision
--- a/src/main/java/stileferry/storage/StoredEntry.java
+++ b/src/main/java/stileferry/storage/StoredEntry.java
@@ -13,7 +13,7 @@
 public final class StoredEntry {
     final String key;
 
-    /** The key's revision when last read or written; 0 if the key does not exist. */
+    /** The key's revision when last read or written, or 0 if the key does not exist. */
     long revision;
 
     /** Whether it waits to be packed into a transaction. It may be in flight with an older value at the same time. */
@@ -25,10 +25,10 @@
     /** Whether the key is to be deleted instead of put. */
     boolean markedForDeletion;
 
-    /** The entry that must be put or deleted in the same transaction; null if there is none. */
+    /** The entry that must be put or deleted in the same transaction, or null if there is none. */
     StoredEntry pairedEntry;
 
-    /** The entry whose revision is compared as well when this key is first written; null if there is none. */
+    /** The entry whose revision is compared as well when this key is first written, or null if there is none. */
     StoredEntry requiredUnchanged;
 
     /** Actions that run once the pending change is durable. */
@@ -39,7 +39,7 @@
     /**
      * Creates an entry that is not pending.
      *
-     * @param revision the key's revision when last read; 0 if the key does not exist
+     * @param revision the key's revision when last read, or 0 if the key does not exist
      * @param value generates the value whenever the key is written
      */
     public StoredEntry(String key, long revision, Supplier<ObjectNode> value) {
--- a/src/main/java/stileferry/storage/TransactionCounter.java
+++ b/src/main/java/stileferry/storage/TransactionCounter.java
@@ -7,8 +7,8 @@
     /**
      * Counts those entries of a transaction that are registered to be counted.
      *
-     * @return the entry that holds the count and is put in the same transaction, which must not be in flight; null if
-     *     none of the entries is counted
+     * @return the entry that holds the count and is put in the same transaction, which must not be in flight, or null
+     *     if none of the entries is counted
      */
     StoredEntry count(List<StoredEntry> entries);
 }
--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -26,7 +26,7 @@
 
     private static final byte[] OVERLOADED_BODY = MessageCodec.encode(UserMessages.error("too much to do, try again"));
 
-    /** For requests that are admitted above the concurrency limit; they do not influence it. */
+    /** Used for requests that are admitted above the concurrency limit; they do not influence it. */
     private static final Limiter.Listener NO_OP_LISTENER = new Limiter.Listener() {
         @Override
         public void onSuccess() {}
--- a/src/main/java/stileferry/transport/IdleConnections.java
+++ b/src/main/java/stileferry/transport/IdleConnections.java
@@ -21,7 +21,7 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Removes an open connection to an address from the pool and returns it; null if there is none. */
+    /** Removes an open connection to an address from the pool and returns it, or null if there is none. */
     ClientConnection take(String address) {
         ArrayDeque<ClientConnection> pooled = byAddress.get(address);
         while (pooled != null && !pooled.isEmpty()) {
--- a/src/main/java/stileferry/transport/StandInServer.java
+++ b/src/main/java/stileferry/transport/StandInServer.java
@@ -176,7 +176,10 @@
         }
     }
 
-    /** Returns the name of a request's destination as {@link LinkFaults} knows it; empty if there is no such worker. */
+    /**
+     * Returns the name of a request's destination as {@link LinkFaults} knows it, or an empty string if there is no
+     * such worker.
+     */
     private static String linkEndpoint(Request request) {
         return switch (request.destination()) {
             case CLOUD -> LinkFaults.CLOUD;
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -59,7 +59,7 @@
     /**
      * Creates an empty set of workers.
      *
-     * @param jobSpecs returns the spec of a job by its id; null if there is no such job
+     * @param jobSpecs returns the spec of a job by its id, or null if there is no such job
      */
     StandInWorkers(
             EventLoop loop,
@@ -83,7 +83,7 @@
         return "127.0." + (1 + number / ADDRESSES_PER_BLOCK) + "." + (1 + number % ADDRESSES_PER_BLOCK);
     }
 
-    /** Returns the worker at a loopback address; null if there is none. */
+    /** Returns the worker at a loopback address, or null if there is none. */
     Worker workerAt(String ipAddress) {
         return byAddress.get(ipAddress + ":" + config.port());
     }
@@ -174,7 +174,7 @@
                         });
     }
 
-    /** Returns the index of the controller that a response redirects to; -1 if it names none that is known. */
+    /** Returns the index of the controller that a response redirects to, or -1 if it names none that is known. */
     private int redirectTarget(JsonNode body) {
         return body == null ? -1 : config.controllerNames().indexOf(WorkerMessages.redirectedTo(body));
     }
