--- a/src/main/java/stileferry/admission/AdmissionCodec.java
+++ b/src/main/java/stileferry/admission/AdmissionCodec.java
@@ -111,7 +111,7 @@
         });
     }
 
-    /** Encodes a table of admission windows; unlike a demand report, it is never cut to a size limit. */
+    /** Encodes a table of admission windows; unlike a demand report, it is never truncated to a size limit. */
     public static byte[] encode(AdmissionWindowTable table) {
         return encode(out -> {
             out.writeLong(table.term());
--- a/src/main/java/stileferry/admission/AdmissionConfig.java
+++ b/src/main/java/stileferry/admission/AdmissionConfig.java
@@ -15,13 +15,16 @@
  */
 public record AdmissionConfig(
         Map<String, Double> weights, Set<String> classes, long intervalMs, double maxAdmissionsPerS) {
-    /** Stands for all job classes that the settings don't name. */
+    /** Represents all job classes that the settings don't name. */
     public static final String OTHER_CLASSES = "*";
 
     /** Clients stop retrying this many seconds after their first attempt (PROTOCOL, "POST /work"). */
     public static final double CLIENT_RETRY_TIMEOUT_S = 60;
 
-    /** Clients wait at most this many seconds before a retry, even if told to wait longer (PROTOCOL, "POST /work"). */
+    /**
+     * Clients wait at most this many seconds before a retry, even if a response asks for a longer wait (PROTOCOL, "POST
+     * /work").
+     */
     public static final int MAX_RETRY_AFTER_S = 30;
 
     /** Seconds that an admission window lasts: long enough for retry times in whole seconds and for slow requests. */
--- a/src/main/java/stileferry/admission/AdmissionCounts.java
+++ b/src/main/java/stileferry/admission/AdmissionCounts.java
@@ -34,7 +34,7 @@
     /**
      * Adds admissions to a counter.
      *
-     * @param number how many; above 0
+     * @param number the number of admissions, greater than 0
      */
     public void add(TeamClass teamClass, long number) {
         InvalidInputException.require(number > 0, "number", "must be above 0: " + number);
--- a/src/main/java/stileferry/admission/AdmissionTotals.java
+++ b/src/main/java/stileferry/admission/AdmissionTotals.java
@@ -9,8 +9,8 @@
  *
  * @param counts the admissions
  * @param revision the key-value store's revision that the totals refer to
- * @param completeUntilRevision the revision up to which nothing is missing; {@link #COMPLETE} if nothing is missing at
- *     all
+ * @param completeUntilRevision the revision up to which nothing is missing, or {@link #COMPLETE} if nothing is missing
+ *     at all
  */
 public record AdmissionTotals(AdmissionCounts counts, long revision, long completeUntilRevision) {
     /** Means that nothing is missing at any revision: every leader has counted the jobs that it accepted. */
--- a/src/main/java/stileferry/admission/AdmissionWindow.java
+++ b/src/main/java/stileferry/admission/AdmissionWindow.java
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Returns the seconds until a job is in the window, or 0 if it is now.
+     * Returns the seconds until a job is in the window, or 0 if it is in the window now.
      *
      * @param jobPosition the job's ring position, in [0, 1)
      * @param ageS seconds since the table was computed
--- a/src/main/java/stileferry/admission/FairShareAllocator.java
+++ b/src/main/java/stileferry/admission/FairShareAllocator.java
@@ -21,7 +21,7 @@
 
     private static final double DEFAULT_WEIGHT = 1;
 
-    /** Remaining capacity up to this counts as none, so that rounding errors are not divided. */
+    /** Remaining capacity of at most this value counts as none, so that rounding errors are not divided. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private FairShareAllocator() {}
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Returns the capacity reserved for each tier, which is 0 for the most urgent, which is served before all others.
+     * Returns the capacity reserved for each tier. It is 0 for the most urgent tier, which is served before all others.
      */
     private static double[] minimums(double capacity, List<SortedMap<Flow, Double>> tiers) {
         double[] minimums = new double[tiers.size()];
--- a/src/main/java/stileferry/admission/Flow.java
+++ b/src/main/java/stileferry/admission/Flow.java
@@ -8,8 +8,8 @@
  * shares are computed. Ordered by priority tier, the most urgent first, then by team and job class.
  *
  * @param team the team's name
- * @param jobClass the class of the jobs; {@link AdmissionConfig#OTHER_CLASSES} for those that are not distinguished
- * @param priorityTier 0 for the most urgent
+ * @param jobClass the class of the jobs, or {@link AdmissionConfig#OTHER_CLASSES} for those that are not distinguished
+ * @param priorityTier the priority tier, from 0 for the most urgent
  */
 public record Flow(String team, String jobClass, int priorityTier) implements Comparable<Flow> {
     private static final Comparator<Flow> ORDER = Comparator.comparingInt(Flow::priorityTier)
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -18,8 +18,8 @@
 /** The leader's model of the cluster in one term: jobs that are not completed, machines, and resource usage by team. */
 public final class ClusterState {
     /**
-     * The minimum number of deleted machines whose names are kept, whatever the size of the cluster, because outdated
-     * lists of the cloud and late heartbeats may still contain them.
+     * The minimum number of deleted machines whose names are kept, regardless of the size of the cluster, because
+     * outdated lists of the cloud and late heartbeats may still contain them.
      */
     private static final int MIN_DELETED_MACHINES_KEPT = 4096;
 
@@ -233,7 +233,7 @@
         return stoppingTasksView;
     }
 
-    /** Returns the machine types that the cloud offers; empty while they are unknown. */
+    /** Returns the machine types that the cloud offers, or an empty list while they are unknown. */
     public List<MachineType> machineTypes() {
         return machineTypes;
     }
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -344,7 +344,7 @@
         return false;
     }
 
-    /** Returns an unmodifiable view of the zones with assigned tasks; "" stands for machines whose zone is unknown. */
+    /** Returns an unmodifiable view of the zones with assigned tasks; "" represents machines whose zone is unknown. */
     public Set<String> zonesWithTasks() {
         return zonesWithTasksView;
     }
--- a/src/main/java/stileferry/cluster/Machine.java
+++ b/src/main/java/stileferry/cluster/Machine.java
@@ -59,7 +59,7 @@
         return agent.fencingToken() >= term;
     }
 
-    /** Returns whether the state of the machine permits new tasks to start on it, whatever capacity is free. */
+    /** Returns whether the state of the machine permits new tasks to start on it, regardless of its free capacity. */
     public boolean schedulable() {
         return agent.heardThisTerm()
                 && type != null
@@ -71,7 +71,7 @@
                 && agent.unreachableSince() == 0;
     }
 
-    /** Returns the tasks in the newest status of the agent; empty if there is none. */
+    /** Returns the tasks in the newest status of the agent, or an empty list if there is no status. */
     public List<Heartbeat.TaskStatus> reportedTasks() {
         return agent.lastHeartbeat() == null ? List.of() : agent.lastHeartbeat().tasks();
     }
--- a/src/main/java/stileferry/connectivity/ProbePlanner.java
+++ b/src/main/java/stileferry/connectivity/ProbePlanner.java
@@ -74,7 +74,7 @@
                 : List.of();
     }
 
-    /** Plans the next round and returns its sample; empty if the round is not due yet. */
+    /** Plans the next round and returns its sample, or an empty list if the round is not due yet. */
     private List<WorkerLink> planRound(WorkerLinks workers, long now) {
         boolean manySuspects = manySuspects(workers);
         if (lastPlannedAt >= 0 && now - lastPlannedAt < roundIntervalMs(workers, manySuspects)) {
--- a/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
+++ b/src/main/java/stileferry/connectivity/ReachableShareEstimator.java
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Returns the leader's own share: all healthy workers, and the share of the suspects that answers the leader's
+     * Returns the leader's own share: all healthy workers, and the share of the suspects that responds to the leader's
      * probes.
      */
     double ownShare(long now) {
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -128,7 +128,7 @@
 
     /**
      * Returns whether users' requests should be sent to this controller: it is the active leader or knows the leader,
-     * or did so a moment ago, and it does not shed load.
+     * or did so recently, and it does not shed load.
      */
     public boolean ready() {
         long now = environment.now();
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -298,7 +298,10 @@
         return jobRequests;
     }
 
-    /** Responds to an operator's request, or rejects it while this leader is not sure to lead or not yet active. */
+    /**
+     * Responds to an operator's request, or rejects it while it is not certain that this leader still leads, or while
+     * it is not yet active.
+     */
     void administer(AdministrationRequest request, Consumer<PeerMessage.Response> reply) {
         if (!mayAnswer()) {
             reply.accept(Responses.noLeader());
--- a/src/main/java/stileferry/coordination/MachineTypeCatalog.java
+++ b/src/main/java/stileferry/coordination/MachineTypeCatalog.java
@@ -24,7 +24,7 @@
         this.onRead = onRead;
     }
 
-    /** Returns the types as last read; empty if they have not been read yet. */
+    /** Returns the types as last read, or an empty list if they have not been read yet. */
     List<MachineType> types() {
         return types;
     }
--- a/src/main/java/stileferry/heartbeat/CommandDispatcher.java
+++ b/src/main/java/stileferry/heartbeat/CommandDispatcher.java
@@ -198,7 +198,7 @@
 
     /**
      * Returns whether another probe may be sent. Probes leave half of the connections to commands, as the probed
-     * machines may not answer.
+     * machines may not respond.
      */
     boolean mayProbe() {
         return inFlight.size() < Math.max(1, maxInFlight / 2);
--- a/src/main/java/stileferry/heartbeat/CommandPlanner.java
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -143,8 +143,8 @@
     }
 
     /**
-     * Adds kills for the tasks of durably cancelled jobs. Such a job stays cancelled whoever leads, so any controller
-     * may stop its tasks.
+     * Adds kills for the tasks of durably cancelled jobs. Such a job stays cancelled regardless of which controller
+     * leads, so any controller may stop its tasks.
      */
     private static void addKillsOfCancelledTasks(Machine machine, List<WorkerCommand> commands) {
         for (TaskAssignment assignment : machine.assignments().values()) {
--- a/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
+++ b/src/main/java/stileferry/heartbeat/FollowerHeartbeats.java
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Answers when no leader is known or reachable; after a short time the worker's lease has to be renewed without
+     * Responds when no leader is known or reachable; after a short time the worker's lease has to be renewed without
      * one.
      */
     private void answerWithoutLeader(Heartbeat heartbeat, BiConsumer<Integer, byte[]> reply) {
--- a/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/stileferry/heartbeat/HeartbeatHandler.java
@@ -16,7 +16,7 @@
 import stileferry.protocol.WorkerMessages;
 
 /**
- * Answers the workers' heartbeats during one term. Each response renews the worker's lease and carries the commands
+ * Responds to the workers' heartbeats during one term. Each response renews the worker's lease and carries the commands
  * that the worker needs.
  */
 public final class HeartbeatHandler {
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Handles a heartbeat and replies with the body of the response, or with null if the heartbeat must not be answered
+     * Handles a heartbeat and replies with the body of the response, or with null if the response must not be sent
      * with status 200. The reply may come later, once it is durable that the machine has resumed its heartbeats.
      */
     public void receive(Heartbeat heartbeat, Consumer<byte[]> reply) {
@@ -130,8 +130,8 @@
     }
 
     /**
-     * Answers a heartbeat before the assignments have been read from the store: renews the lease, and stops tasks of
-     * cancelled jobs.
+     * Responds to a heartbeat before the assignments have been read from the store: renews the lease, and stops tasks
+     * of cancelled jobs.
      *
      * @return the body of the response
      */
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -19,11 +19,11 @@
 /**
  * Records in the store when machines that missed heartbeats were last answered, so that the next leader need not wait
  * for their whole leases again. Before the next heartbeat of such a machine is answered, the invalidation of its record
- * is durable; so whoever reads a valid record knows that its writer has renewed nothing since.
+ * is durable; so a leader that reads a valid record knows that its writer has renewed nothing since.
  *
  * <p>Only the immediately following leader may rely on a record: every leader records for itself what it knows.
- * Leaderless renewal answers heartbeats without reading the records, but only with the consent of every controller's
- * process; so a process remembers when it last consented, or that it had not started yet.
+ * Leaderless renewal responds to heartbeats without reading the records, but only with the consent of every
+ * controller's process; so a process remembers when it last consented, or that it had not started yet.
  */
 public final class LastHeartbeatJournal {
     private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
@@ -40,7 +40,7 @@
      */
     private static final double RECORD_AFTER_HEARTBEATS = 1.5;
 
-    /** Maximum time for which a heartbeat waits to be answered: less than the 4 s that its worker waits. */
+    /** Maximum time for which a heartbeat waits for its response: less than the 4 s that its worker waits. */
     private static final long MAX_WAIT_MS = 3000;
 
     /** Maximum size in bytes of an event in JSON form, without the machine's name. */
@@ -161,7 +161,7 @@
     }
 
     /**
-     * Durably invalidates the record of a machine, and then answers its heartbeat.
+     * Durably invalidates the record of a machine, and then responds to its heartbeat.
      *
      * @param refuse runs instead of {@code answer} if that takes too long
      */
--- a/src/main/java/stileferry/heartbeat/LeaseExpiry.java
+++ b/src/main/java/stileferry/heartbeat/LeaseExpiry.java
@@ -83,7 +83,7 @@
      * #UNKNOWN}. An incarnation that was seen only in responses to direct requests has a lease of its own, which no
      * answered heartbeat has started.
      *
-     * @param termAcknowledgedAt when the last controller acknowledged this term; negative: not all of them have
+     * @param termAcknowledgedAt when the last controller acknowledged this term, or negative if not all of them have
      */
     private long latestPossibleRenewalAt(Machine machine, long incarnation, long termAcknowledgedAt) {
         AgentState agent = machine.agent();
--- a/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
+++ b/src/main/java/stileferry/heartbeat/LeaseRenewalPolicy.java
@@ -6,7 +6,7 @@
 import stileferry.leadership.LeaderElection;
 import stileferry.protocol.Heartbeat;
 
-/** Decides whether a heartbeat may be answered; the response renews the worker's lease. */
+/** Decides whether to respond to a heartbeat; the response renews the worker's lease. */
 final class LeaseRenewalPolicy {
     private final ClusterState cluster;
     private final LeaderElection leadership;
--- a/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
+++ b/src/main/java/stileferry/heartbeat/UnreachableAgentDetector.java
@@ -13,8 +13,8 @@
 
 /**
  * Suspects agents whose heartbeats arrive but which do not receive the responses. The signs are a lease that expires
- * although the agent was answered in time, and starts in a response that were neither carried out nor rejected. A
- * suspected machine gets no work until it has responded to a direct request.
+ * although responses were sent to the agent in time, and starts in a response that were neither carried out nor
+ * rejected. A suspected machine gets no work until it has responded to a direct request.
  */
 final class UnreachableAgentDetector {
     private static final Logger LOG = LoggerFactory.getLogger("heartbeat");
--- a/src/main/java/stileferry/heartbeat/WorkerRedirects.java
+++ b/src/main/java/stileferry/heartbeat/WorkerRedirects.java
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Returns whether the worker has sent nothing here for a lease, so that its state starts anew. That holds only
-     * where links are monitored, as it is then known whom the leader has heard from meanwhile; elsewhere a worker that
-     * came here may just have left.
+     * Returns whether the worker has sent nothing here for a lease, so that its state is started again. That holds only
+     * where links are monitored, because it is then known which workers the leader has heard from in the meantime;
+     * elsewhere a worker that sent heartbeats here may just have moved to another controller.
      */
     private boolean absentForALease(RedirectState state, long now) {
         return links.enabled() && now - state.lastHeartbeatAt > leaseMs;
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -19,9 +19,9 @@
  * confirmed; otherwise tasks of cancelled jobs would run past {@code cancel_s} on the leases that it renews.
  *
  * <p>With n controller processes, a leader confirms a cancellation to the user only when it and n/2 other processes
- * know it. A process is <em>informed</em> once a leader that held its lease has sent it every cancellation since the
- * process started. An informed process lacks a confirmed cancellation only if it is not among the processes that
- * acknowledged it, so any n - n/2 informed processes together know all confirmed cancellations (docs/design.md,
+ * know it. A process is <em>informed</em> once it has received, from a leader that held its lease, every cancellation
+ * since the process started. An informed process lacks a confirmed cancellation only if it is not among the processes
+ * that acknowledged it, so any n - n/2 informed processes together know all confirmed cancellations (docs/design.md,
  * "Cancellations"). Only processes that report this state are counted.
  */
 public final class CancellationQuorum {
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -70,7 +70,7 @@
 
     /**
      * Announces cancellations to the peers that have not acknowledged all of them. Nothing is sent to a peer whose
-     * reply is outstanding: cancellations that come up meanwhile are sent together afterwards.
+     * reply is outstanding: cancellations that are made in the meantime are sent together afterwards.
      */
     void announceCancellations() {
         for (int peer = 0; peer < acknowledgedAt.length && election.leading(); peer++) {
@@ -142,7 +142,7 @@
 
     /**
      * Processes the term of an announcement. The leader's name counts only if the leader itself sent the announcement,
-     * because a leader that others name may have gone long ago.
+     * because a leader that others name may have stopped leading long ago.
      */
     void observe(TermAnnouncement received) {
         election.observeTerm(received.term(), received.leading() ? received.leader() : "");
--- a/src/main/java/stileferry/leadership/PeerCancellationState.java
+++ b/src/main/java/stileferry/leadership/PeerCancellationState.java
@@ -21,7 +21,7 @@
     boolean informed;
 
     /**
-     * The latest time at which an announcement was sent that the peer, being informed, replied with this controller's
+     * The latest send time of an announcement to which the peer, while informed, replied with this controller's
      * term: it knew no higher term then.
      */
     long knewNoHigherTermAt = CancellationQuorum.NEVER;
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -50,7 +50,7 @@
         this.stopTask = stopTask;
     }
 
-    /** Completes the jobs that the former leader left to complete, and resumes cancellations, after a failover. */
+    /** Completes the jobs that have no unfinished tasks, and resumes cancellations, after a failover. */
     public void resumeAfterFailover() {
         for (Job job : List.copyOf(cluster.jobs().values())) {
             if (job.cancelled()) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Stops the tasks of a durably cancelled job, and tells the other controllers of the cancellation. */
+    /** Stops the tasks of a durably cancelled job, and announces the cancellation to the other controllers. */
     private void onCancellationDurable(Job job) {
         job.markCancellationDurable();
         List.copyOf(job.assignments().values()).forEach(stopTask);
--- a/src/main/java/stileferry/lifecycle/MachineQuarantine.java
+++ b/src/main/java/stileferry/lifecycle/MachineQuarantine.java
@@ -51,7 +51,7 @@
     /**
      * Returns how much the failures of a job on one machine count against the machine.
      *
-     * @param job null if the job has completed since
+     * @param job the job, or null if it has completed in the meantime
      */
     private static int failureWeight(Job job, int failures) {
         if (job == null) {
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -89,7 +89,10 @@
 
     // ---- announcements and views
 
-    /** Returns the controllers known to exchange views of their links, this one first; empty if this one does not. */
+    /**
+     * Returns the controllers known to exchange views of their links, this one first, or an empty list if this one does
+     * not.
+     */
     default List<String> controllersExchangingViews() {
         return List.of();
     }
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -18,8 +18,8 @@
 
 /**
  * Runs {@link Connectivity} for one controller: reports events to it, exchanges its views, sends its probes, and
- * answers from it what is permitted. It starts no tasks and never concludes that a task has ended; it only releases the
- * leadership or leaves it to other controllers.
+ * reports which decisions it permits. It starts no tasks and never concludes that a task has ended; it only releases
+ * the leadership or leaves it to other controllers.
  */
 public final class LinkMonitor implements LinkHealth, LinkObservingEnvironment.Observer {
     private static final long MIN_PROBE_TIMEOUT_MS = 500;
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -5,8 +5,8 @@
 import stileferry.protocol.Settings;
 
 /**
- * Hooks through which a controller applies fair admission under overload. In {@link #NONE}, which stands for the
- * feature being off, every submission is passed on and nothing is counted.
+ * Hooks through which a controller applies fair admission under overload. In {@link #NONE}, which is used when the
+ * feature is off, every submission is passed on and nothing is counted.
  */
 public interface AdmissionControl {
     /** Fair admission is off. */
--- a/src/main/java/stileferry/scheduling/PlacementConstraints.java
+++ b/src/main/java/stileferry/scheduling/PlacementConstraints.java
@@ -6,7 +6,7 @@
 import stileferry.protocol.JobSpec;
 
 /**
- * Decides on which machines a job's tasks may run, whatever capacity is free there: by machine type, zone, spot or
+ * Decides on which machines a job's tasks may run, regardless of free capacity: by machine type, zone, spot or
  * on-demand instance, the job's other tasks, and the machine's health.
  */
 final class PlacementConstraints {
--- a/src/main/java/stileferry/standin/LinkFaults.java
+++ b/src/main/java/stileferry/standin/LinkFaults.java
@@ -16,7 +16,7 @@
         /** The request is processed and its response arrives. */
         NONE,
 
-        /** The connection is refused immediately. */
+        /** The request fails immediately without being processed. */
         REFUSED,
 
         /** The request is lost before it is processed. */
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -41,7 +41,7 @@
     private double reclaimNoticeS = -1;
     private boolean heartbeatDue;
 
-    /** Is notified when tasks start and end on a machine, whatever its heartbeats say. */
+    /** Is notified when tasks start and end on a machine, regardless of what its heartbeats report. */
     public interface TaskListener {
         /** Ignores all tasks. */
         TaskListener NO_OP = new TaskListener() {
--- a/src/main/java/stileferry/storage/EventLog.java
+++ b/src/main/java/stileferry/storage/EventLog.java
@@ -133,7 +133,7 @@
     /**
      * Returns the next record to write, or null if the log has to wait for transactions in flight.
      *
-     * @param maxChanges the number of changes that the transaction has room for
+     * @param maxChanges the number of changes that the transaction can still hold
      */
     public Batch nextBatch(int maxChanges) {
         migrateStaleRecords();
