--- a/src/main/java/stileferry/admission/FlowDemandSketch.java
+++ b/src/main/java/stileferry/admission/FlowDemandSketch.java
@@ -11,8 +11,7 @@
 /**
  * The demand of one flow over a sliding window, as a ring buffer of time slices. Each slice holds a theta sketch of the
  * distinct job ids that were submitted and one of those that were admitted. Memory use is bounded regardless of the
- * number of jobs there are. Sketches of other controllers are merged as a union, so their order and repetition do not
- * matter.
+ * number of jobs. Sketches of other controllers are merged as a union, so their order and repetition do not matter.
  */
 final class FlowDemandSketch {
     /** Nominal entries of a sketch: it is exact up to this many ids, with a relative standard error of 1/16 beyond. */
--- a/src/main/java/stileferry/autoscaling/ScaleInPass.java
+++ b/src/main/java/stileferry/autoscaling/ScaleInPass.java
@@ -17,7 +17,7 @@
  * capacity for the next.
  */
 final class ScaleInPass {
-    /** Multiple of the nominal boot time after which a machine is considered one that never boots. */
+    /** Multiple of the nominal boot time after which a machine is considered unable to boot. */
     private static final double MAX_BOOT_TIME_MULTIPLE = 5;
 
     /**
@@ -26,7 +26,10 @@
      */
     private static final long MIN_AGE_MS = 55_000;
 
-    /** Lease durations after which a machine is given up that is empty and silent, or does not receive responses. */
+    /**
+     * Number of lease durations after which a machine is deleted that has no tasks and sends no heartbeats, or does not
+     * receive responses.
+     */
     private static final int GIVE_UP_AFTER_LEASES = 3;
 
     /** Share of the time limit of a cancellation after which the machine of a task that does not stop is deleted. */
--- a/src/main/java/stileferry/cluster/CancellationPhase.java
+++ b/src/main/java/stileferry/cluster/CancellationPhase.java
@@ -2,8 +2,8 @@
 
 /**
  * The phase of a job's cancellation. A cancellation never returns to an earlier phase, and it is independent of {@link
- * JobPhase}: a cancelled job is completing or completed as soon as none of its tasks is left, whatever phase its
- * cancellation has reached by then.
+ * JobPhase}: a cancelled job is completing or completed as soon as none of its tasks is left, regardless of the phase
+ * that its cancellation has reached by then.
  */
 enum CancellationPhase {
     /** The job is not cancelled. */
--- a/src/main/java/stileferry/cluster/InstanceState.java
+++ b/src/main/java/stileferry/cluster/InstanceState.java
@@ -58,7 +58,7 @@
         missingSince = now;
     }
 
-    /** Returns since when no task can be on the machine; meaningless while one may be. */
+    /** Returns since when no task can be on the machine; undefined while a task may be on it. */
     public long idleSince() {
         return idleSince;
     }
--- a/src/main/java/stileferry/coordination/AdmissionCounting.java
+++ b/src/main/java/stileferry/coordination/AdmissionCounting.java
@@ -9,7 +9,7 @@
 import stileferry.protocol.SubmissionHeader;
 import stileferry.storage.CommitQueue;
 
-/** Counts the jobs that a leader accepts if the controllers share out admissions under overload. */
+/** Counts the jobs that a leader accepts, if fair admission is enabled. */
 final class AdmissionCounting {
     private final Settings settings;
 
@@ -31,7 +31,7 @@
         commitQueue.setTransactionCounter(shards);
     }
 
-    /** Returns whether this leader counts the jobs that it accepts, and so shares out admissions. */
+    /** Returns whether this leader counts the jobs that it accepts, and so applies fair admission. */
     boolean started() {
         return shards != null;
     }
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Handles a user's request: locally if this controller leads, else by forwarding it to the leader. */
+    /** Handles a user's request: locally if this controller leads, otherwise by forwarding it to the leader. */
     public void handleUserRequest(
             PeerMessage.RequestKind kind, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
         userRequests.handle(new PeerMessage.ForwardedRequest(kind, id, body), reply);
--- a/src/main/java/stileferry/coordination/HeartbeatRouter.java
+++ b/src/main/java/stileferry/coordination/HeartbeatRouter.java
@@ -30,7 +30,7 @@
                 (heartbeat, reply) -> answer(heartbeat, false, reply));
     }
 
-    /** Answers a heartbeat received directly from its worker, with an HTTP status and a body. */
+    /** Responds to a heartbeat received directly from its worker, with an HTTP status and a body. */
     void handle(byte[] body, BiConsumer<Integer, byte[]> reply) {
         Leader current = leader.get();
         Heartbeat heartbeat = current == null ? Heartbeat.read(body) : Heartbeat.read(body, current::lastHeartbeat);
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Answers a heartbeat that another controller has forwarded; called only while this controller leads. */
+    /** Responds to a heartbeat that another controller has forwarded; called only while this controller leads. */
     void handleForwarded(byte[] body, Consumer<PeerMessage.Response> reply) {
         Heartbeat heartbeat = Heartbeat.read(body, leader.get()::lastHeartbeat);
         if (heartbeat == null) {
--- a/src/main/java/stileferry/coordination/LocalAdministration.java
+++ b/src/main/java/stileferry/coordination/LocalAdministration.java
@@ -6,7 +6,7 @@
 import stileferry.requests.RequestMetrics;
 import stileferry.requests.Responses;
 
-/** Answers the administration views that every controller provides from its own state, whether or not it leads. */
+/** Provides the administration views that every controller generates from its own state, whether or not it leads. */
 final class LocalAdministration {
     private final ControllerContext controller;
     private final RequestMetrics metrics;
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -25,7 +25,10 @@
  * "Cancellations"). Only processes that report this state are counted.
  */
 public final class CancellationQuorum {
-    /** A cancelled job is kept for this multiple of the time its tasks can still run after it was last reported. */
+    /**
+     * After it was last reported, a cancelled job is kept for this multiple of the time for which its tasks can still
+     * run.
+     */
     private static final int RETENTION_FACTOR = 2;
 
     /** Marks a point in time that has not been reached. */
@@ -106,7 +109,7 @@
 
     /**
      * Returns a time up to which no later leader can have confirmed a cancellation, because enough informed processes
-     * knew no higher term then; {@link #NEVER} if there is no such time. A later leader confirms only cancellations
+     * knew no higher term then, or {@link #NEVER} if there is no such time. A later leader confirms only cancellations
      * that n/2 other processes know, and a process that knows such a cancellation also knows the later leader's term.
      */
     long noOtherConfirmationUntil() {
--- a/src/main/java/stileferry/leadership/LeaderElection.java
+++ b/src/main/java/stileferry/leadership/LeaderElection.java
@@ -177,9 +177,9 @@
 
     /**
      * Returns whether this leader may renew workers' leases. While it holds its own lease, no other controller confirms
-     * cancellations. Afterwards another leader may, and a task that it cancels must not keep running on a lease renewed
-     * by this controller. So this controller continues only while enough other controllers report that there is no
-     * other leader, and for as long as the leases that it renews still expire in time.
+     * cancellations. Afterwards another leader may do so, and a task that it cancels must not keep running on a lease
+     * renewed by this controller. So this controller continues only while enough other controllers report that there is
+     * no other leader, and for as long as the leases that it renews still expire in time.
      */
     public boolean mayRenewWorkerLeases() {
         return leaseHeld() || lease.permitsWorkerRenewal(cancellations.noOtherConfirmationUntil());
@@ -225,7 +225,7 @@
     }
 
     /**
-     * Returns when this process last consented that heartbeats be answered without a leader; the start of the process
+     * Returns when this process last consented to responses to heartbeats without a leader; the start of the process
      * if it has not.
      */
     public long consentedToLeaderlessRenewalAt() {
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -18,12 +18,12 @@
  * Renews workers' leases while no controller can lead, for example when the key-value store is down and the leader has
  * crashed.
  *
- * <p>A heartbeat may be answered with the worker's own fencing token, and with no commands other than kills for tasks
- * of cancelled jobs, once every other controller has reported, after the heartbeat arrived, that it does not lead, and
- * enough controllers are informed to know every cancellation together ({@link CancellationQuorum}). The leader that
- * issued the token is then gone for good, because no controller resumes a term and later terms are higher; so no leader
- * relies on the expiry of the renewed lease. A later leader computes the expiry of a worker's lease only from when the
- * worker accepted its term or every controller acknowledged it.
+ * <p>A controller may respond to a heartbeat with the worker's own fencing token, and with no commands other than kills
+ * for tasks of cancelled jobs, once every other controller has reported, after the heartbeat arrived, that it does not
+ * lead, and enough controllers are informed to know every cancellation together ({@link CancellationQuorum}). The
+ * leader that issued the token then no longer leads and never will again, because no controller resumes a term and
+ * later terms are higher; so no leader relies on the expiry of the renewed lease. A later leader computes the expiry of
+ * a worker's lease only from when the worker accepted its term or every controller acknowledged it.
  */
 public final class LeaderlessLeaseRenewal {
     private static final Logger LOG = LoggerFactory.getLogger("renewal");
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -148,7 +148,7 @@
         election.observeTerm(received.term(), received.leading() ? received.leader() : "");
     }
 
-    /** Records the consent that heartbeats sent up to now may be answered without a leader. */
+    /** Records the consent to responses without a leader for heartbeats sent up to now. */
     void consentToLeaderlessRenewal() {
         consentedToLeaderlessRenewalAt = environment.now();
     }
--- a/src/main/java/stileferry/leadership/PeerCancellationState.java
+++ b/src/main/java/stileferry/leadership/PeerCancellationState.java
@@ -2,7 +2,10 @@
 
 import stileferry.protocol.PeerMessage.CancellationKnowledge;
 
-/** What a leader knows of one peer with regard to cancellations; replies received in the leader's term update it. */
+/**
+ * The knowledge that a leader has of one peer with regard to cancellations; replies received in the leader's term
+ * update it.
+ */
 final class PeerCancellationState {
     /** Which kind of reply the peer sent last in this controller's term. */
     enum Version {
--- a/src/main/java/stileferry/leadership/TermRecord.java
+++ b/src/main/java/stileferry/leadership/TermRecord.java
@@ -14,7 +14,7 @@
  * @param revision the revision of the key, or 0 if the key does not exist
  */
 public record TermRecord(long term, long admissionsCountedSince, long revision) {
-    /** Stands for a missing key. */
+    /** Represents a missing key. */
     static final TermRecord NONE = new TermRecord(0, 0, 0);
 
     private static final String TERM = "term";
--- a/src/main/java/stileferry/links/LeadershipHandover.java
+++ b/src/main/java/stileferry/links/LeadershipHandover.java
@@ -56,7 +56,7 @@
         return released;
     }
 
-    /** Carries out an advice if this controller leads; only logs a changed advice otherwise. */
+    /** Carries out the advice if this controller leads; otherwise only logs advice that has changed. */
     void follow(LeadershipAdvice advice) {
         if (lastAction != advice.action()) {
             LOG.info("leadership advice changed: action={} reason=\"{}\"", advice.action(), advice.reason());
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -8,8 +8,8 @@
 import stileferry.protocol.PeerMessage;
 
 /**
- * Tells the controller about the health of its links and which actions are permitted while some of them fail. If links
- * are not monitored ({@link #NONE}), nothing is known and everything is permitted.
+ * Informs the controller about the health of its links and about which actions are permitted while some of them fail.
+ * If links are not monitored ({@link #NONE}), nothing is known and everything is permitted.
  */
 public interface LinkHealth {
     /** The implementation for controllers that do not monitor their links. */
@@ -27,7 +27,8 @@
         String leader();
 
         /**
-         * Reports a term known to another controller; {@code leader} is that controller if it leads, otherwise empty.
+         * Reports a term known to another controller; {@code leader} is that controller if it leads, or else an empty
+         * string.
          */
         void observeTerm(long term, String leader);
 
@@ -37,7 +38,7 @@
         /** Releases the leadership. */
         void releaseLeadership();
 
-        /** Returns by how many milliseconds timers of this process are late. */
+        /** Returns by how many milliseconds the timers of this process fire late. */
         long eventLoopLagMs();
 
         /** Returns whether this process cannot keep up with its work. */
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -25,8 +25,8 @@
     private static final long MIN_PROBE_TIMEOUT_MS = 500;
 
     /**
-     * The key-value store responds with this HTTP status if it serves no clients, or not this controller; counts as a
-     * failure.
+     * The key-value store responds with this HTTP status if it serves no clients at all or not this controller; counts
+     * as a failure.
      */
     private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
--- a/src/main/java/stileferry/links/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -7,7 +7,7 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
-/** An environment that reports the outcome of every request, so that regular traffic tells whether links work. */
+/** An environment that reports the outcome of every request, so that regular traffic shows whether links work. */
 final class LinkObservingEnvironment implements Environment {
     private final Environment delegate;
     private final Observer observer;
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -18,7 +18,7 @@
 import stileferry.protocol.Settings;
 import stileferry.validation.InvalidInputException;
 
-/** Exchanges views of links with those other controllers that are known to take part. */
+/** Exchanges views of links with those other controllers that are known to take part in the exchange. */
 final class ViewExchange {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
--- a/src/main/java/stileferry/links/WorkerProber.java
+++ b/src/main/java/stileferry/links/WorkerProber.java
@@ -10,7 +10,10 @@
 
 /** Sends probes that test whether requests reach workers, with a limited number in flight. */
 final class WorkerProber {
-    /** Sockets for commands to workers per probe that may be in flight; at least one probe may be. */
+    /**
+     * Number of sockets for commands to workers for each probe that may be in flight; at least one probe is always
+     * allowed.
+     */
     private static final int COMMAND_SOCKETS_PER_PROBE = 4;
 
     private static final String PROBE_PATH = "/inspect";
--- a/src/main/java/stileferry/overload/AdmissionCountShards.java
+++ b/src/main/java/stileferry/overload/AdmissionCountShards.java
@@ -17,7 +17,7 @@
  * The durable count of admissions, for one term of a leader. Each transaction that makes accepted jobs durable also
  * writes one shard of the count: the first that no other transaction in flight writes. Shards are fenced, retried and
  * recognised as applied together with the transaction that holds them, so a job is counted exactly when it becomes
- * durable. Counting costs one write per transaction with accepted jobs, however many jobs it holds.
+ * durable. Counting costs one write per transaction with accepted jobs, regardless of the number of jobs.
  */
 public final class AdmissionCountShards implements TransactionCounter {
     /** The prefix of the shards' keys; older versions neither read nor write such keys. */
--- a/src/main/java/stileferry/overload/AdmissionTotalsReader.java
+++ b/src/main/java/stileferry/overload/AdmissionTotalsReader.java
@@ -16,7 +16,9 @@
  * term record, so that a leader elected in between makes the totals appear incomplete rather than wrongly complete.
  */
 final class AdmissionTotalsReader {
-    /** Scans of the shards before giving up, as shards that change between two pages make a scan inconsistent. */
+    /**
+     * Number of scans of the shards before giving up, as shards that change between two pages make a scan inconsistent.
+     */
     private static final int MAX_SCANS = 3;
 
     /** The first term of counting leaders if there was no leader yet. */
@@ -32,7 +34,8 @@
     /**
      * Reads the totals.
      *
-     * @param callback gets null if the totals can't be determined now or are older than those reported before
+     * @param callback receives the totals, or null if they can't be determined now or are older than those reported
+     *     before
      */
     void read(Consumer<AdmissionTotals> callback) {
         readShards(MAX_SCANS, callback);
--- a/src/main/java/stileferry/requests/AdministrationViews.java
+++ b/src/main/java/stileferry/requests/AdministrationViews.java
@@ -84,7 +84,7 @@
     /**
      * Returns the queued jobs after a position in the queue, as many as fit into one response.
      *
-     * @param startAfter the position, from 1; anything but up to nine digits means the start of the queue
+     * @param startAfter the position, from 1; any text other than one to nine digits selects the start of the queue
      */
     ObjectNode queue(String startAfter) {
         long now = environment.now();
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -76,7 +76,7 @@
         this.submissionCheck = new SubmissionCheck(cluster);
     }
 
-    /** Answers all waiting users with 503, as this handler will not learn the outcome of their requests. */
+    /** Responds with 503 to all waiting users, as this handler will not learn the outcome of their requests. */
     public void close() {
         for (Job job : cluster.jobs().values()) {
             pendingReplies.answer(job, Responses.unavailable());
@@ -223,7 +223,7 @@
 
     // ---- status and cancellation
 
-    /** Answers with the state of a live or completed job. */
+    /** Responds with the state of a live or completed job. */
     public void status(String id, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAnswer()) {
             reply.accept(Responses.unavailable());
@@ -273,7 +273,10 @@
 
     // ---- completed jobs
 
-    /** Answers if a job of this id has completed or if that can't be determined now, else runs {@code notCompleted}. */
+    /**
+     * Responds if a job of this id has completed or if that can't be determined now, otherwise runs
+     * {@code notCompleted}.
+     */
     private void answerIfCompleted(String id, Consumer<PeerMessage.Response> reply, Runnable notCompleted) {
         CompletedJob cached = completedJobs.get(id);
         if (cached != null) {
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -208,7 +208,7 @@
         }
     }
 
-    /** Notes that something changed that calls for a heartbeat before the next regular one. */
+    /** Records a change that requires a heartbeat before the next regular one. */
     void markHeartbeatDue() {
         heartbeatDue = true;
     }
--- a/src/main/java/stileferry/standin/WorkerTask.java
+++ b/src/main/java/stileferry/standin/WorkerTask.java
@@ -18,7 +18,7 @@
     /**
      * Creates a task that begins to pull its image.
      *
-     * @param spec null if the worker does not know the job
+     * @param spec the job's spec, or null if the worker does not know the job
      */
     WorkerTask(Worker worker, String taskId, long attempt, JobSpec spec) {
         this.worker = worker;
--- a/src/main/java/stileferry/transport/ApiClient.java
+++ b/src/main/java/stileferry/transport/ApiClient.java
@@ -10,7 +10,7 @@
 import stileferry.protocol.Environment;
 import stileferry.protocol.MessageCodec;
 
-/** Blocking API client for users and operators, with retries as the API protocol asks for. */
+/** Blocking API client for users and operators, with retries as the API protocol requires. */
 public final class ApiClient implements AutoCloseable {
     private static final long RESPONSE_TIMEOUT_MS = 5000;
     private static final long RETRY_INTERVAL_MS = 1000;
@@ -23,7 +23,7 @@
      * A response.
      *
      * @param status the HTTP status, {@link Environment#NO_ANSWER} or {@link Environment#NOT_SENT}
-     * @param body null if it is empty or not MessagePack
+     * @param body the decoded body, or null if the body is empty or not MessagePack
      */
     public record Response(int status, JsonNode body) {}
 
--- a/src/main/java/stileferry/transport/HttpCall.java
+++ b/src/main/java/stileferry/transport/HttpCall.java
@@ -38,7 +38,7 @@
 
     private enum State {
         CONNECTING,
-        /** Passed to a connection, so the server may have received it. */
+        /** The request was passed to a connection, so the server may have received it. */
         SENT,
         /** The handler was called with the response or with a failure. */
         COMPLETED
