--- a/src/main/java/stileferry/Controller.java
+++ b/src/main/java/stileferry/Controller.java
@@ -26,7 +26,7 @@
         return new Builder();
     }
 
-    /** Collects what a controller is created from. */
+    /** Collects the settings and options of a controller, and creates it. */
     public static final class Builder {
         private Settings settings;
         private Features features = Features.NONE;
@@ -40,7 +40,7 @@
             return this;
         }
 
-        /** Sets which optional features are on; by default none is. */
+        /** Sets which optional features are on; by default, all are off. */
         public Builder features(Features value) {
             features = value;
             return this;
@@ -49,7 +49,7 @@
         /**
          * Sets the local address of outgoing connections, for machines with several addresses.
          *
-         * @param value null (the default): chosen by the operating system
+         * @param value the address, or null (the default) if the operating system chooses it
          */
         public Builder sourceAddress(InetAddress value) {
             sourceAddress = value;
@@ -73,7 +73,7 @@
      * Opens the listeners, starts the controller on its own thread and returns.
      *
      * @throws IOException if a listener can't be opened
-     * @throws IllegalStateException if the controller runs already
+     * @throws IllegalStateException if the controller is already running
      */
     public synchronized void start() throws IOException {
         if (server != null) {
--- a/src/main/java/stileferry/connectivity/Connectivity.java
+++ b/src/main/java/stileferry/connectivity/Connectivity.java
@@ -29,7 +29,7 @@
      * Starts monitoring the links of one controller.
      *
      * @param incarnation a positive number that is higher for each process of the controller than for its earlier ones,
-     *     such as the time of day at the process start
+     *     such as the wall-clock time at the process start
      */
     public Connectivity(ConnectivityConfig config, long incarnation, long now) {
         require(config != null, "config", "missing");
@@ -161,7 +161,7 @@
     /**
      * Records the event-loop lag of this process.
      *
-     * @param lagMs by how many milliseconds timers are late
+     * @param lagMs by how many milliseconds timers fire late
      * @param overloaded whether this process cannot keep up with its work
      */
     public void eventLoopLagMeasured(long lagMs, boolean overloaded, long time) {
@@ -184,7 +184,7 @@
     /**
      * Records the newest term and its leader as far as this controller knows them.
      *
-     * @param leader the leader's name, or empty if it is not known
+     * @param leader the leader's name, or an empty string if it is unknown
      */
     public void leaderObserved(long term, String leader, long time) {
         require(term >= 0, "term", "negative");
@@ -249,8 +249,8 @@
     }
 
     /**
-     * Returns whether the view of another controller reports that its requests do not reach a worker, on the conditions
-     * of {@link #peerKnowsWorker}.
+     * Returns whether the view of another controller reports that its requests do not reach a worker, under the
+     * conditions of {@link #peerKnowsWorker}.
      */
     public boolean peerCannotReachWorker(String peer, String worker, long time) {
         PeerView view = links.peers.get(peer).view;
--- a/src/main/java/stileferry/connectivity/ElectionDelay.java
+++ b/src/main/java/stileferry/connectivity/ElectionDelay.java
@@ -16,7 +16,7 @@
     private String reason = "";
 
     /**
-     * Number of recent losses of the leadership because the key-value store did not answer; decays with a half-life of
+     * Number of recent losses of the leadership because the key-value store did not respond; decays with a half-life of
      * two worker leases.
      */
     private double recentStoreLosses;
--- a/src/main/java/stileferry/connectivity/FailureKind.java
+++ b/src/main/java/stileferry/connectivity/FailureKind.java
@@ -1,6 +1,6 @@
 package stileferry.connectivity;
 
-/** How a request failed, which tells whether it may have been executed. */
+/** How a request failed, which determines whether it may have been executed. */
 public enum FailureKind {
     /** The connection or the request was refused, so the request was not executed. */
     REFUSED,
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Waits for pending commits, but not longer than a leader lease: commits still unanswered after that either have
+     * Waits for pending commits, but not longer than a leader lease: commits without a response after that either have
      * been applied or fail their check of the leader key.
      */
     private HandoverAction awaitCommits(int changesInFlight, long now) {
--- a/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
+++ b/src/main/java/stileferry/connectivity/LeadershipAdvisor.java
@@ -14,7 +14,7 @@
     /** A leader that reaches no other controller and less than this share of workers is isolated and steps down. */
     private static final double ISOLATED_MAX_WORKER_SHARE = 0.5;
 
-    /** Stands for the nominee if the leader should step down without one; not a valid controller name. */
+    /** Represents the nominee if the leader should step down without one; it is not a valid controller name. */
     private static final String STEP_DOWN_WITHOUT_NOMINEE = "\0";
 
     private static final String NO_CHANGE = "";
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -5,7 +5,7 @@
 import java.util.OptionalDouble;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 
-/** Derives from the state of the links whether to keep the leadership, hand it over, or delay a candidacy. */
+/** Decides from the state of the links whether to keep the leadership, hand it over, or delay a candidacy. */
 final class LeadershipControl {
     /** Heartbeat intervals after an election within which all workers that reach the new leader send it a heartbeat. */
     private static final double WARM_UP_HEARTBEAT_INTERVALS = 2.5;
@@ -98,7 +98,10 @@
         }
     }
 
-    /** Returns the id of another controller's handover that this controller accepts as its nominee, or 0 if none. */
+    /**
+     * Returns the id of another controller's handover that this controller accepts as its nominee, or 0 if there is
+     * none.
+     */
     long acceptableHandoverId(PeerLink from, long incarnation) {
         HandoverNotice notice = from.handover;
         boolean ready = notice != null
--- a/src/main/java/stileferry/connectivity/LinkFailureDetector.java
+++ b/src/main/java/stileferry/connectivity/LinkFailureDetector.java
@@ -6,8 +6,8 @@
  */
 final class LinkFailureDetector {
     /**
-     * The suspicion level (phi) at and above which a link counts as failing; 5 stands for one false alarm in 100,000
-     * intervals.
+     * The suspicion level (phi) at and above which a link counts as failing; 5 corresponds to one false alarm in
+     * 100,000 intervals.
      */
     static final double SUSPICION_THRESHOLD = 5;
 
--- a/src/main/java/stileferry/connectivity/ViewSynchronizer.java
+++ b/src/main/java/stileferry/connectivity/ViewSynchronizer.java
@@ -85,7 +85,7 @@
 
     /**
      * Returns a lower bound of the time that a view describes: when the view that it acknowledges was sent, or -1 if
-     * not known.
+     * it is unknown.
      */
     private long validFrom(Header header) {
         return header.ackedIncarnation() == incarnation ? sentViews.sentAt(header.ackedSequence()) : -1;
--- a/src/main/java/stileferry/coordination/HeartbeatRouter.java
+++ b/src/main/java/stileferry/coordination/HeartbeatRouter.java
@@ -10,7 +10,9 @@
 import stileferry.protocol.UserMessages;
 import stileferry.requests.Responses;
 
-/** Routes workers' heartbeats to the leader's handler if this controller leads, else to {@link FollowerHeartbeats}. */
+/**
+ * Routes workers' heartbeats to the leader's handler if this controller leads, otherwise to {@link FollowerHeartbeats}.
+ */
 final class HeartbeatRouter {
     private static final String MALFORMED = "not a report";
 
--- a/src/main/java/stileferry/coordination/UserRequestRouter.java
+++ b/src/main/java/stileferry/coordination/UserRequestRouter.java
@@ -36,7 +36,9 @@
         this.metrics = metrics;
     }
 
-    /** Responds to a request received by this controller: locally if it leads, else by forwarding it to the leader. */
+    /**
+     * Responds to a request received by this controller: locally if it leads, otherwise by forwarding it to the leader.
+     */
     void handle(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
         long receivedAt = controller.environment().now();
         route(request, response -> {
