--- a/src/main/java/stileferry/Controller.java
+++ b/src/main/java/stileferry/Controller.java
@@ -63,7 +63,7 @@
          */
         public Controller build() {
             if (settings == null) {
-                throw new IllegalStateException("a controller needs settings");
+                throw new IllegalStateException("settings are required to create a controller");
             }
             return new Controller(this);
         }
@@ -77,7 +77,7 @@
      */
     public synchronized void start() throws IOException {
         if (server != null) {
-            throw new IllegalStateException("the controller runs already");
+            throw new IllegalStateException("the controller is already running");
         }
         server = ControllerServer.open(settings, features, sourceAddress);
     }
