--- a/src/main/java/stileferry/admission/AdmissionTotals.java
+++ b/src/main/java/stileferry/admission/AdmissionTotals.java
@@ -9,8 +9,8 @@
  *
  * @param counts the admissions
  * @param revision the key-value store's revision that the totals refer to
- * @param completeUntilRevision the revision up to which nothing is missing; {@link #COMPLETE} if nothing is missing at
- *     all
+ * @param completeUntilRevision the revision up to which nothing is missing, or {@link #COMPLETE} if nothing is missing
+ *     at all
  */
 public record AdmissionTotals(AdmissionCounts counts, long revision, long completeUntilRevision) {
     /** Means that nothing is missing at any revision: every leader has counted the jobs that it accepted. */
@@ -33,8 +33,8 @@
      * Adds up shards.
      *
      * @param shards all shards as of the revision
-     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders that lasts until now; 0 if
-     *     the leader of the last term does not count
+     * @param countingSinceTerm the first of the unbroken run of terms with counting leaders that lasts until now, or 0
+     *     if the leader of the last term does not count
      */
     public static AdmissionTotals of(Collection<Shard> shards, long countingSinceTerm, long revision) {
         AdmissionCounts counts = new AdmissionCounts();
--- a/src/main/java/stileferry/cluster/InstanceState.java
+++ b/src/main/java/stileferry/cluster/InstanceState.java
@@ -58,7 +58,7 @@
         missingSince = now;
     }
 
-    /** Returns since when no task can be on the machine; meaningless while one may be. */
+    /** Returns since when no task can be on the machine; undefined while a task may be on it. */
     public long idleSince() {
         return idleSince;
     }
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Returns the seconds of notice that the machine first reported before the cloud reclaims it; -1 if it has none.
+     * Returns the seconds of notice that the machine first reported before the cloud reclaims it, or -1 if it has none.
      */
     public double reclaimNoticeS() {
         return reclaimNoticeS;
@@ -111,7 +111,7 @@
         quarantined = true;
     }
 
-    /** Returns whether the instance is to be deleted at the cloud; its heartbeats are no longer answered. */
+    /** Returns whether the instance is to be deleted at the cloud; its heartbeats no longer receive a response. */
     public boolean terminating() {
         return terminating;
     }
--- a/src/main/java/stileferry/connectivity/Handover.java
+++ b/src/main/java/stileferry/connectivity/Handover.java
@@ -66,7 +66,7 @@
     /**
      * Advances the handover and returns what the leader has to do now.
      *
-     * @param changesInFlight commits that the key-value store has not answered yet
+     * @param changesInFlight commits to which the key-value store has not responded yet
      * @param nomineeReady whether the nominee's view still reports that it could lead
      */
     HandoverAction advance(int changesInFlight, boolean nomineeReady, long now) {
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Waits for pending commits, but not longer than a leader lease: commits still unanswered after that either have
+     * Waits for pending commits, but not longer than a leader lease: commits without a response after that either have
      * been applied or fail their check of the leader key.
      */
     private HandoverAction awaitCommits(int changesInFlight, long now) {
--- a/src/main/java/stileferry/connectivity/LeadershipControl.java
+++ b/src/main/java/stileferry/connectivity/LeadershipControl.java
@@ -5,7 +5,7 @@
 import java.util.OptionalDouble;
 import stileferry.connectivity.ReachabilityView.HandoverNotice;
 
-/** Derives from the state of the links whether to keep the leadership, hand it over, or delay a candidacy. */
+/** Decides from the state of the links whether to keep the leadership, hand it over, or delay a candidacy. */
 final class LeadershipControl {
     /** Heartbeat intervals after an election within which all workers that reach the new leader send it a heartbeat. */
     private static final double WARM_UP_HEARTBEAT_INTERVALS = 2.5;
@@ -68,7 +68,7 @@
     /**
      * Records that this controller no longer leads.
      *
-     * @param storeLost whether it lost the leadership because the key-value store did not answer it
+     * @param storeLost whether it lost the leadership because the key-value store did not respond
      */
     void deposed(boolean storeLost) {
         if (links.leading() && storeLost) {
@@ -79,7 +79,7 @@
 
     // ---- handovers of other controllers
 
-    /** Processes the handover notice in another controller's view; null if there is none. */
+    /** Processes the handover notice in another controller's view, which is null if there is none. */
     void handoverNoticeReceived(PeerLink peer, HandoverNotice notice) {
         HandoverNotice previous = peer.handover;
         peer.handover = notice;
@@ -98,7 +98,10 @@
         }
     }
 
-    /** Returns the id of another controller's handover that this controller accepts as its nominee, or 0 if none. */
+    /**
+     * Returns the id of another controller's handover that this controller accepts as its nominee, or 0 if there is
+     * none.
+     */
     long acceptableHandoverId(PeerLink from, long incarnation) {
         HandoverNotice notice = from.handover;
         boolean ready = notice != null
@@ -150,7 +153,7 @@
         return advisor.advise(own, others, allPeersLost, links.now());
     }
 
-    /** Returns for how many more milliseconds this controller should not become a candidate; 0 for a leader. */
+    /** Returns for how many more milliseconds this controller should not become a candidate, or 0 if it leads. */
     long electionDelayMs() {
         return links.leading() ? 0 : electionDelay.remainingMs(links.now());
     }
--- a/src/main/java/stileferry/coordination/AdmissionCounting.java
+++ b/src/main/java/stileferry/coordination/AdmissionCounting.java
@@ -9,7 +9,7 @@
 import stileferry.protocol.SubmissionHeader;
 import stileferry.storage.CommitQueue;
 
-/** Counts the jobs that a leader accepts if the controllers share out admissions under overload. */
+/** Counts the jobs that a leader accepts, if fair admission is enabled. */
 final class AdmissionCounting {
     private final Settings settings;
 
@@ -31,7 +31,7 @@
         commitQueue.setTransactionCounter(shards);
     }
 
-    /** Returns whether this leader counts the jobs that it accepts, and so shares out admissions. */
+    /** Returns whether this leader counts the jobs that it accepts, and so applies fair admission. */
     boolean started() {
         return shards != null;
     }
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Returns whether a submission is written before all others and accepted even when others are refused. */
+    /** Returns whether a submission is written before all others and accepted even when others are rejected. */
     boolean bypassesBacklog(byte[] submission) {
         return started() && SubmissionHeader.isCritical(submission);
     }
--- a/src/main/java/stileferry/coordination/Coordinator.java
+++ b/src/main/java/stileferry/coordination/Coordinator.java
@@ -128,7 +128,7 @@
 
     /**
      * Returns whether users' requests should be sent to this controller: it is the active leader or knows the leader,
-     * or did so a moment ago, and it does not shed load.
+     * or did so recently, and it does not shed load.
      */
     public boolean ready() {
         long now = environment.now();
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Handles a user's request: locally if this controller leads, else by forwarding it to the leader. */
+    /** Handles a user's request: locally if this controller leads, otherwise by forwarding it to the leader. */
     public void handleUserRequest(
             PeerMessage.RequestKind kind, String id, byte[] body, Consumer<PeerMessage.Response> reply) {
         userRequests.handle(new PeerMessage.ForwardedRequest(kind, id, body), reply);
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Returns after how many seconds a request that exceeds the limit on requests in progress should be retried; 0 if
-     * it may exceed the limit.
+     * Returns after how many seconds a request that exceeds the limit on requests in progress should be retried, or 0
+     * if it may exceed the limit.
      */
     public int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
         return admission.retryAfterS(kind, body);
@@ -185,7 +185,7 @@
         heartbeats.handle(body, reply);
     }
 
-    /** Handles a message from another controller; the reply is the message to answer it with. */
+    /** Handles a message from another controller; the result is the message to reply with. */
     public void handlePeerMessage(PeerMessage message, Consumer<PeerMessage> reply) {
         peerMessages.handle(message, reply);
     }
--- a/src/main/java/stileferry/coordination/HeartbeatRouter.java
+++ b/src/main/java/stileferry/coordination/HeartbeatRouter.java
@@ -10,7 +10,9 @@
 import stileferry.protocol.UserMessages;
 import stileferry.requests.Responses;
 
-/** Routes workers' heartbeats to the leader's handler if this controller leads, else to {@link FollowerHeartbeats}. */
+/**
+ * Routes workers' heartbeats to the leader's handler if this controller leads, otherwise to {@link FollowerHeartbeats}.
+ */
 final class HeartbeatRouter {
     private static final String MALFORMED = "not a report";
 
@@ -30,7 +32,7 @@
                 (heartbeat, reply) -> answer(heartbeat, false, reply));
     }
 
-    /** Answers a heartbeat received directly from its worker, with an HTTP status and a body. */
+    /** Responds to a heartbeat received directly from its worker, with an HTTP status and a body. */
     void handle(byte[] body, BiConsumer<Integer, byte[]> reply) {
         Leader current = leader.get();
         Heartbeat heartbeat = current == null ? Heartbeat.read(body) : Heartbeat.read(body, current::lastHeartbeat);
@@ -44,7 +46,7 @@
         }
     }
 
-    /** Answers a heartbeat that another controller has forwarded; called only while this controller leads. */
+    /** Responds to a heartbeat that another controller has forwarded; called only while this controller leads. */
     void handleForwarded(byte[] body, Consumer<PeerMessage.Response> reply) {
         Heartbeat heartbeat = Heartbeat.read(body, leader.get()::lastHeartbeat);
         if (heartbeat == null) {
--- a/src/main/java/stileferry/coordination/UserRequestRouter.java
+++ b/src/main/java/stileferry/coordination/UserRequestRouter.java
@@ -36,7 +36,9 @@
         this.metrics = metrics;
     }
 
-    /** Answers a request received by this controller: locally if it leads, else by forwarding it to the leader. */
+    /**
+     * Responds to a request received by this controller: locally if it leads, otherwise by forwarding it to the leader.
+     */
     void handle(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
         long receivedAt = controller.environment().now();
         route(request, response -> {
@@ -84,7 +86,7 @@
         }
     }
 
-    /** Answers a request that another controller has forwarded; refuses it if this controller does not lead. */
+    /** Responds to a request that another controller has forwarded; rejects it if this controller does not lead. */
     void handleForwarded(ForwardedRequest request, Consumer<PeerMessage.Response> reply) {
         Leader current = leader.get();
         if (current == null) {
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -19,13 +19,16 @@
  * confirmed; otherwise tasks of cancelled jobs would run past {@code cancel_s} on the leases that it renews.
  *
  * <p>With n controller processes, a leader confirms a cancellation to the user only when it and n/2 other processes
- * know it. A process is <em>informed</em> once a leader that held its lease has told it of every cancellation since the
- * process started. An informed process lacks a confirmed cancellation only if it is not among the processes that
- * acknowledged it, so any n - n/2 informed processes together know all confirmed cancellations (docs/design.md,
+ * know it. A process is <em>informed</em> once it has received, from a leader that held its lease, every cancellation
+ * since the process started. An informed process lacks a confirmed cancellation only if it is not among the processes
+ * that acknowledged it, so any n - n/2 informed processes together know all confirmed cancellations (docs/design.md,
  * "Cancellations"). Only processes that report this state are counted.
  */
 public final class CancellationQuorum {
-    /** A cancelled job is kept for this multiple of the time its tasks can still run after it was last reported. */
+    /**
+     * After it was last reported, a cancelled job is kept for this multiple of the time for which its tasks can still
+     * run.
+     */
     private static final int RETENTION_FACTOR = 2;
 
     /** Marks a point in time that has not been reached. */
@@ -41,7 +44,7 @@
     private final PeerCancellationState[] peers;
     private boolean informed;
 
-    // The fields below belong to the term in which this node leads.
+    // The fields below belong to the term in which this controller leads.
 
     /** By job: cancellations that are durable while tasks of the job may still be on machines. */
     private final Map<String, CancellationConfirmation> confirmations = new LinkedHashMap<>();
@@ -88,8 +91,8 @@
     }
 
     /**
-     * Returns whether this process and the peers that replied in this node's term together know every cancellation
-     * confirmed before this term.
+     * Returns whether this process and the peers that replied in this controller's term together know every
+     * cancellation confirmed before this term.
      */
     public boolean knowsEarlierCancellations() {
         int informedProcesses = informed ? 1 : 0;
@@ -106,7 +109,7 @@
 
     /**
      * Returns a time up to which no later leader can have confirmed a cancellation, because enough informed processes
-     * knew no higher term then; {@link #NEVER} if there is no such time. A later leader confirms only cancellations
+     * knew no higher term then, or {@link #NEVER} if there is no such time. A later leader confirms only cancellations
      * that n/2 other processes know, and a process that knows such a cancellation also knows the later leader's term.
      */
     long noOtherConfirmationUntil() {
@@ -124,9 +127,9 @@
         return ascending[ascending.length - requiredPeers];
     }
 
-    // ---- the term in which this node leads
+    // ---- the term in which this controller leads
 
-    /** Called when this node becomes the leader, before it has read the stored cancellations. */
+    /** Called when this controller becomes the leader, before it has read the stored cancellations. */
     void beginTerm() {
         endTerm();
         for (PeerCancellationState peer : peers) {
@@ -143,7 +146,7 @@
         allCancelledJobsRead = true;
     }
 
-    /** Called when this node stops leading; pending cancellations are dropped without being confirmed. */
+    /** Called when this controller stops leading; pending cancellations are dropped without being confirmed. */
     void endTerm() {
         allCancelledJobsRead = false;
         confirmations.clear();
@@ -174,7 +177,7 @@
         }
         int peersThatKnow = 0;
         for (int peer = 0; peer < peers.length; peer++) {
-            // A peer of an older version never becomes informed, so nobody relies on it to know a cancellation.
+            // A peer of an older version never becomes informed, so no controller relies on it to know a cancellation.
             boolean needsNoAcknowledgement = peers[peer].version == PeerCancellationState.Version.WITHOUT_CANCELLATIONS;
             peersThatKnow += needsNoAcknowledgement || confirmation.acknowledgedBy.contains(peer) ? 1 : 0;
         }
@@ -197,7 +200,7 @@
     /**
      * Returns what to announce to a peer.
      *
-     * @param leaseHeld whether this node certainly holds the leader's lease, so that no other node can lead
+     * @param leaseHeld whether this controller certainly holds the leader's lease, so that no other controller can lead
      */
     CancellationKnowledge knowledgeFor(int peer, boolean leaseHeld) {
         boolean complete = allCancelledJobsRead
@@ -243,7 +246,7 @@
     /**
      * Processes an announcement.
      *
-     * @param current whether the announced term is not lower than the highest term that this node knows
+     * @param current whether the announced term is not lower than the highest term that this controller knows
      */
     void receive(TermAnnouncement received, boolean current) {
         CancellationKnowledge knowledge = received.knowledge();
@@ -251,8 +254,8 @@
         if (knowledge == null) {
             return;
         }
-        // An announcement addressed to an earlier process of this node may lack cancellations that were confirmed after
-        // the sender composed it.
+        // An announcement addressed to an earlier process of this controller may lack cancellations that were confirmed
+        // after the sender composed it.
         informed |= current && received.leading() && knowledge.complete() && knowledge.addressee() == processId;
     }
 
@@ -266,7 +269,7 @@
     }
 
     /**
-     * Processes a peer's reply to an announcement of this node's term.
+     * Processes a peer's reply to an announcement of this controller's term.
      *
      * @param sentAt when the announcement was sent
      */
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -44,11 +44,11 @@
         this.cancellations = cancellations;
         this.acknowledgedAt = new long[settings.peers().size()];
         this.awaitingReply = new boolean[settings.peers().size()];
-        // An earlier process of this node may have consented at any time until now.
+        // An earlier process of this controller may have consented at any time until now.
         this.consentedToLeaderlessRenewalAt = environment.now();
     }
 
-    /** Announces the term to all peers now, if this node leads, and again after each interval. */
+    /** Announces the term to all peers now, if this controller leads, and again after each interval. */
     void announcePeriodically() {
         if (election.leading()) {
             announceToAll();
@@ -56,7 +56,7 @@
         environment.schedule(ANNOUNCEMENT_INTERVAL_MS, this::announcePeriodically);
     }
 
-    /** Called when this node becomes the leader; no peer has acknowledged its term yet. */
+    /** Called when this controller becomes the leader; no peer has acknowledged its term yet. */
     void beginTerm() {
         termBeganAt = environment.now();
         Arrays.fill(acknowledgedAt, NOT_ACKNOWLEDGED);
@@ -70,7 +70,7 @@
 
     /**
      * Announces cancellations to the peers that have not acknowledged all of them. Nothing is sent to a peer whose
-     * reply is outstanding: cancellations that come up meanwhile are sent together afterwards.
+     * reply is outstanding: cancellations that are made in the meantime are sent together afterwards.
      */
     void announceCancellations() {
         for (int peer = 0; peer < acknowledgedAt.length && election.leading(); peer++) {
@@ -142,13 +142,13 @@
 
     /**
      * Processes the term of an announcement. The leader's name counts only if the leader itself sent the announcement,
-     * because a leader that others name may have gone long ago.
+     * because a leader that others name may have stopped leading long ago.
      */
     void observe(TermAnnouncement received) {
         election.observeTerm(received.term(), received.leading() ? received.leader() : "");
     }
 
-    /** Records the consent that heartbeats sent up to now may be answered without a leader. */
+    /** Records the consent to responses without a leader for heartbeats sent up to now. */
     void consentToLeaderlessRenewal() {
         consentedToLeaderlessRenewalAt = environment.now();
     }
--- a/src/main/java/stileferry/lifecycle/JobCompletion.java
+++ b/src/main/java/stileferry/lifecycle/JobCompletion.java
@@ -10,8 +10,8 @@
 import stileferry.storage.StoredEntry;
 
 /**
- * Completes and cancels jobs during one term. Users are told of a completion once it is durable, and of a cancellation
- * once enough controllers know of it too and no task of the job can start any more.
+ * Completes and cancels jobs during one term. Users are informed of a completion once it is durable, and of a
+ * cancellation once enough controllers know of it too and no task of the job can start any more.
  */
 public final class JobCompletion {
     private final ClusterState cluster;
@@ -21,7 +21,7 @@
     private final Listener listener;
     private final Consumer<TaskAssignment> stopTask;
 
-    /** Is notified of what users may be told. */
+    /** Is notified when users may be informed of a change. */
     public interface Listener {
         /** Called when the completion of a job is durable. */
         void jobCompleted(Job job, CompletedJob completed);
@@ -50,7 +50,7 @@
         this.stopTask = stopTask;
     }
 
-    /** Completes the jobs that the former leader left to complete, and resumes cancellations, after a failover. */
+    /** Completes the jobs that have no unfinished tasks, and resumes cancellations, after a failover. */
     public void resumeAfterFailover() {
         for (Job job : List.copyOf(cluster.jobs().values())) {
             if (job.cancelled()) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Stops the tasks of a durably cancelled job, and tells the other controllers of the cancellation. */
+    /** Stops the tasks of a durably cancelled job, and announces the cancellation to the other controllers. */
     private void onCancellationDurable(Job job) {
         job.markCancellationDurable();
         List.copyOf(job.assignments().values()).forEach(stopTask);
--- a/src/main/java/stileferry/links/LinkHealth.java
+++ b/src/main/java/stileferry/links/LinkHealth.java
@@ -8,8 +8,8 @@
 import stileferry.protocol.PeerMessage;
 
 /**
- * Tells the controller about the health of its links and which actions are permitted while some of them fail. If links
- * are not monitored ({@link #NONE}), nothing is known and everything is permitted.
+ * Informs the controller about the health of its links and about which actions are permitted while some of them fail.
+ * If links are not monitored ({@link #NONE}), nothing is known and everything is permitted.
  */
 public interface LinkHealth {
     /** The implementation for controllers that do not monitor their links. */
@@ -17,7 +17,7 @@
 
     /** The controller's side: what link monitoring reads from the controller and asks it to do. */
     interface Host {
-        /** Returns whether this node leads. */
+        /** Returns whether this controller leads. */
         boolean leading();
 
         /** Returns the highest known term. */
@@ -27,7 +27,8 @@
         String leader();
 
         /**
-         * Reports a term known to another controller; {@code leader} is that controller if it leads, otherwise empty.
+         * Reports a term known to another controller; {@code leader} is that controller if it leads, or else an empty
+         * string.
          */
         void observeTerm(long term, String leader);
 
@@ -37,7 +38,7 @@
         /** Releases the leadership. */
         void releaseLeadership();
 
-        /** Returns by how many milliseconds timers of this process are late. */
+        /** Returns by how many milliseconds the timers of this process fire late. */
         long eventLoopLagMs();
 
         /** Returns whether this process cannot keep up with its work. */
@@ -65,7 +66,7 @@
     default void heartbeatReceived(Heartbeat heartbeat) {}
 
     /**
-     * Records that the leader processed a heartbeat and answered it.
+     * Records that the leader processed a heartbeat and responded to it.
      *
      * @param relayed whether another controller forwarded the heartbeat
      */
@@ -78,18 +79,21 @@
     default void workerRemoved(String machine) {}
 
     /**
-     * Records that this node leads from now on.
+     * Records that this controller leads from now on.
      *
      * @param changesInFlight supplies the number of transactions without a known outcome
      */
     default void elected(long term, IntSupplier changesInFlight) {}
 
-    /** Records that this node no longer leads. */
+    /** Records that this controller no longer leads. */
     default void deposed() {}
 
     // ---- announcements and views
 
-    /** Returns the controllers known to exchange views of their links, this one first; empty if this one does not. */
+    /**
+     * Returns the controllers known to exchange views of their links, this one first, or an empty list if this one does
+     * not.
+     */
     default List<String> controllersExchangingViews() {
         return List.of();
     }
@@ -97,7 +101,7 @@
     /** Processes the term announcement of another controller. */
     default void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {}
 
-    /** Processes a view and returns the reply; null if views are not exchanged or the view is malformed. */
+    /** Processes a view and returns the reply, or null if views are not exchanged or the view is malformed. */
     default PeerMessage receiveView(PeerMessage.LinkView view) {
         return null;
     }
@@ -134,7 +138,7 @@
         return false;
     }
 
-    /** Returns for how many more milliseconds this node leaves a vacant leadership to other controllers. */
+    /** Returns for how many more milliseconds this controller leaves a vacant leadership to other controllers. */
     default long electionDelayMs() {
         return 0;
     }
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -18,14 +18,15 @@
 
 /**
  * Runs {@link Connectivity} for one controller: reports events to it, exchanges its views, sends its probes, and
- * answers from it what is permitted. It starts no tasks and never concludes that a task has ended; it only releases the
- * leadership or leaves it to other controllers.
+ * reports which decisions it permits. It starts no tasks and never concludes that a task has ended; it only releases
+ * the leadership or leaves it to other controllers.
  */
 public final class LinkMonitor implements LinkHealth, LinkObservingEnvironment.Observer {
     private static final long MIN_PROBE_TIMEOUT_MS = 500;
 
     /**
-     * The key-value store answers with this HTTP status if it serves no clients, or not this node; counts as a failure.
+     * The key-value store responds with this HTTP status if it serves no clients at all or not this controller; counts
+     * as a failure.
      */
     private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
@@ -200,7 +201,7 @@
     }
 
     /**
-     * Returns whether a request was answered: whether its status is an HTTP status and not one of
+     * Returns whether a request received a response, that is, whether its status is an HTTP status and not one of
      * {@link Environment}'s.
      */
     private static boolean answered(int status) {
--- a/src/main/java/stileferry/links/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -7,7 +7,7 @@
 import stileferry.protocol.PeerMessage;
 import stileferry.protocol.Settings;
 
-/** An environment that reports the outcome of every request, so that regular traffic tells whether links work. */
+/** An environment that reports the outcome of every request, so that regular traffic shows whether links work. */
 final class LinkObservingEnvironment implements Environment {
     private final Environment delegate;
     private final Observer observer;
@@ -17,7 +17,7 @@
         /** Called with the outcome of a request to an address: an HTTP status, or one of {@link Environment}'s. */
         void requestCompleted(String address, int status);
 
-        /** Called when a message to another controller has been answered or has failed. */
+        /** Called when a message to another controller has received a reply or has failed. */
         void peerRequestCompleted(String controller, boolean answered);
     }
 
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -18,7 +18,7 @@
 import stileferry.protocol.Settings;
 import stileferry.validation.InvalidInputException;
 
-/** Exchanges views of links with those other controllers that are known to take part. */
+/** Exchanges views of links with those other controllers that are known to take part in the exchange. */
 final class ViewExchange {
     private static final Logger LOG = LoggerFactory.getLogger("links");
 
@@ -31,7 +31,7 @@
     /** The other controllers that exchange views. */
     private final Set<String> participants = new LinkedHashSet<>();
 
-    /** Controllers to which a view was sent that has neither been answered nor failed. */
+    /** Controllers to which a view was sent that has neither received a reply nor failed. */
     private final Set<String> awaitingReply = new HashSet<>();
 
     /** When a view was last sent to each controller, not counting replies. */
--- a/src/main/java/stileferry/overload/AdmissionControl.java
+++ b/src/main/java/stileferry/overload/AdmissionControl.java
@@ -5,8 +5,8 @@
 import stileferry.protocol.Settings;
 
 /**
- * Hooks through which a controller applies fair admission under overload. In {@link #NONE}, which stands for the
- * feature being off, every submission is passed on and nothing is counted.
+ * Hooks through which a controller applies fair admission under overload. In {@link #NONE}, which is used when the
+ * feature is off, every submission is passed on and nothing is counted.
  */
 public interface AdmissionControl {
     /** Fair admission is off. */
@@ -26,7 +26,10 @@
         /** Returns whether this controller, as the leader, knows a job. */
         boolean knowsJob(String id);
 
-        /** Returns the seconds that queued work needs at the key-value store's rate limits; 0 unless leading. */
+        /**
+         * Returns the seconds that queued work needs at the key-value store's rate limits, or 0 if this controller does
+         * not lead.
+         */
         double backlogS();
 
         /** Returns whether the event loop lags: there is more work than this process can do in time. */
@@ -65,7 +68,10 @@
         next.accept(reply);
     }
 
-    /** Returns the seconds after which to retry a request beyond the limit on concurrent requests; 0: it is exempt. */
+    /**
+     * Returns after how many seconds to retry a request that exceeds the limit on concurrent requests, or 0 if the
+     * request is exempt.
+     */
     default int retryAfterS(PeerMessage.RequestKind kind, byte[] body) {
         return 1;
     }
@@ -90,8 +96,8 @@
     }
 
     /**
-     * Answers an operator's request for the view of admissions; returns false, without answering, if the feature is
-     * off.
+     * Responds to an operator's request for the view of admissions; returns false, without responding, if the feature
+     * is off.
      */
     default boolean describe(Consumer<PeerMessage.Response> reply) {
         return false;
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -18,8 +18,8 @@
 import stileferry.storage.KeyValueStoreClient;
 
 /**
- * Handles users' requests about jobs in one term. Users are told that a job was accepted, cancelled or completed only
- * once that is durable.
+ * Handles users' requests about jobs in one term. Users are informed that a job was accepted, cancelled or completed
+ * only once that is durable.
  */
 public final class JobRequestHandler implements JobCompletion.Listener {
     /** Submissions are rejected while {@link #backlogS} is at least this many seconds. */
@@ -36,7 +36,7 @@
 
     /** Callbacks into the leader. */
     public interface LeaderCallbacks {
-        /** Returns whether requests may be answered now, including those that only read. */
+        /** Returns whether requests may be responded to now, including those that only read. */
         boolean mayAnswer();
 
         /** Returns whether submissions and cancellations may be accepted now. */
@@ -54,7 +54,7 @@
         /** Called once the acceptance of a job is durable. */
         void jobAccepted();
 
-        /** Cancels a job; its users are answered once that is durable. */
+        /** Cancels a job; its users receive the response once the cancellation is durable. */
         void cancel(Job job);
     }
 
@@ -76,7 +76,7 @@
         this.submissionCheck = new SubmissionCheck(cluster);
     }
 
-    /** Answers all waiting users with 503, as this handler will not learn the outcome of their requests. */
+    /** Responds with 503 to all waiting users, as this handler will not learn the outcome of their requests. */
     public void close() {
         for (Job job : cluster.jobs().values()) {
             pendingReplies.answer(job, Responses.unavailable());
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Answers users whose change is not durable in time with 503 and a retry time, as its outcome is not known yet. If
-     * the leader may no longer answer, all waiting users get this response.
+     * Responds with 503 and a retry time to users whose change is not durable in time, as its outcome is not known yet.
+     * If the leader may no longer respond, all waiting users get this response.
      */
     public void expireOverdueReplies() {
         pendingReplies.expireOverdue(leader.mayAnswer());
@@ -117,7 +117,7 @@
 
     // ---- submissions
 
-    /** Accepts a job, or answers with the state of the existing job of this id. */
+    /** Accepts a job, or responds with the state of the existing job of this id. */
     public void submit(byte[] bytes, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
@@ -149,7 +149,8 @@
     }
 
     /**
-     * Returns the seconds after which to retry a submission rejected for the backlog; 0 if the backlog is acceptable.
+     * Returns the seconds after which to retry a submission rejected for the backlog, or 0 if the backlog is
+     * acceptable.
      */
     private int retryAfterBacklogS() {
         double seconds = backlogS();
@@ -222,7 +223,7 @@
 
     // ---- status and cancellation
 
-    /** Answers with the state of a live or completed job. */
+    /** Responds with the state of a live or completed job. */
     public void status(String id, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAnswer()) {
             reply.accept(Responses.unavailable());
@@ -243,7 +244,7 @@
         });
     }
 
-    /** Cancels a job; answers once its cancellation, or its completion, is durable. */
+    /** Cancels a job; responds once its cancellation, or its completion, is durable. */
     public void cancel(String id, Consumer<PeerMessage.Response> reply) {
         if (!leader.mayAcceptChanges()) {
             reply.accept(Responses.unavailable());
@@ -272,7 +273,10 @@
 
     // ---- completed jobs
 
-    /** Answers if a job of this id has completed or if that can't be determined now, else runs {@code notCompleted}. */
+    /**
+     * Responds if a job of this id has completed or if that can't be determined now, otherwise runs
+     * {@code notCompleted}.
+     */
     private void answerIfCompleted(String id, Consumer<PeerMessage.Response> reply, Runnable notCompleted) {
         CompletedJob cached = completedJobs.get(id);
         if (cached != null) {
--- a/src/main/java/stileferry/requests/Responses.java
+++ b/src/main/java/stileferry/requests/Responses.java
@@ -17,13 +17,13 @@
         return new PeerMessage.Response(status, 0, MessageCodec.encode(body));
     }
 
-    /** Returns the 503 response to a user's request that can't be answered now. */
+    /** Returns the 503 response to a user's request that can't be processed now. */
     public static PeerMessage.Response unavailable() {
         return unavailable("not available, try again");
     }
 
     /**
-     * Returns the 503 response to an operator's request that only the leader can answer, when there is no leader or
+     * Returns the 503 response to an operator's request that only the leader can respond to, when there is no leader or
      * this controller is not certain to lead.
      */
     public static PeerMessage.Response noLeader() {
--- a/src/main/java/stileferry/standin/WorkerTask.java
+++ b/src/main/java/stileferry/standin/WorkerTask.java
@@ -18,7 +18,7 @@
     /**
      * Creates a task that begins to pull its image.
      *
-     * @param spec null if the worker does not know the job
+     * @param spec the job's spec, or null if the worker does not know the job
      */
     WorkerTask(Worker worker, String taskId, long attempt, JobSpec spec) {
         this.worker = worker;
@@ -81,7 +81,7 @@
                 || phase == TaskPhase.SAVING_CHECKPOINT;
     }
 
-    /** Returns why the task has exited; null if it has not. */
+    /** Returns why the task has exited, or null if it has not. */
     ExitReason exitReason() {
         return exitReason;
     }
