--- a/src/test/java/stileferry/admission/AdmissionControllerTest.java
+++ b/src/test/java/stileferry/admission/AdmissionControllerTest.java
@@ -46,7 +46,8 @@
     }
 
     /**
-     * A team that was idle gets its fair share at once, however many jobs of others wait, but no credit for idle time.
+     * A team that was idle gets its fair share immediately, however many jobs of others wait, but no credit for idle
+     * time.
      */
     @Test
     void anIdleTeamGetsItsFairShareAtOnceWithoutCreditForIdleTime() {
--- a/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
+++ b/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
@@ -144,7 +144,7 @@
         }
     }
 
-    /** At any speed, every job is in the window once per round, and is in it at the time it was told to retry. */
+    /** At any speed, every job is in the window once per round, and is in it at the retry time it was given. */
     @Property(tries = 500)
     void everyJobIsInTheWindowOncePerRoundAndAtItsRetryTime(
             @ForAll @DoubleRange(min = 0, max = 0.99) double position,
--- a/src/test/java/stileferry/admission/ExampleHostTest.java
+++ b/src/test/java/stileferry/admission/ExampleHostTest.java
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Sends a request to a random controller; if rejected, it is retried when told, until the client gives up. */
+    /** Sends a request to a random controller; if rejected, retries it at the retry time until the client gives up. */
     private void submit(String team, String id, long firstAttemptAt) {
         Flow flow = CONFIG.flow(team, "games", 2);
         int retryAfterS = loadShedders.get(random.nextInt(CONTROLLERS)).retryAfterS(flow, id, now);
--- a/src/test/java/stileferry/admission/LoadShedderTest.java
+++ b/src/test/java/stileferry/admission/LoadShedderTest.java
@@ -12,7 +12,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests which requests are shed, which tables are used, and when clients are told to retry. */
+/** Tests which requests are shed, which tables are used, and which retry times clients get. */
 class LoadShedderTest {
     @Test
     void nothingIsShedWithoutATable() {
--- a/src/test/java/stileferry/autoscaling/AutoscalerTest.java
+++ b/src/test/java/stileferry/autoscaling/AutoscalerTest.java
@@ -21,7 +21,7 @@
 import stileferry.protocol.JobSpecBuilder;
 import stileferry.protocol.MachineType;
 
-/** Checks when a new leader deletes machines, or presumes them lost, that it has not heard from. */
+/** Checks when a new leader deletes machines that have not reported to it, or presumes them lost. */
 class AutoscalerTest {
     private static final MachineType BOX = new MachineType("box", 8, 0, 32, 50, 1, 1, 0.4, 10, List.of("za"));
     private static final int SPOT_MACHINE_COUNT = 8;
@@ -90,7 +90,7 @@
         long leadingSince = addSpotMachines();
         simulation.runFor(7); // more than half a lease
         markHeardFrom(1);
-        assertPresumedLost(List.of(machine(0)), leadingSince, "the only machine not heard from");
+        assertPresumedLost(List.of(machine(0)), leadingSince, "the only machine that has not reported");
     }
 
     @Test
@@ -98,12 +98,12 @@
         long leadingSince = addSpotMachines();
         simulation.runFor(7);
         markHeardFrom(1);
-        assertPresumedLost(List.of(machine(0)), leadingSince, "the only machine not heard from");
+        assertPresumedLost(List.of(machine(0)), leadingSince, "the only machine that has not reported");
         simulation.runFor(7);
         assertPresumedLost(List.of(), leadingSince, "no machine reports, so the network is at fault");
     }
 
-    /** After a partition most machines reconnect by way of followers, one after the other. */
+    /** After a partition most machines reconnect through followers, one after the other. */
     @Test
     void machinesOfAPartitionedZoneArePresumedLostOnlyALeaseAfterThePartition() {
         long leadingSince = addSpotMachines();
@@ -138,7 +138,7 @@
         return cluster.getOrAddMachine("host-" + number);
     }
 
-    /** Marks the machines from this number on as heard from now. */
+    /** Records that the machines from this number on report now. */
     private void markHeardFrom(int first) {
         for (int i = first; i < SPOT_MACHINE_COUNT; i++) {
             if (machine(i).agent().heardThisTerm()) {
--- a/src/test/java/stileferry/autoscaling/LargeFleetTest.java
+++ b/src/test/java/stileferry/autoscaling/LargeFleetTest.java
@@ -34,7 +34,7 @@
                 cluster.deletedMachines().size() + " deleted machines are remembered");
     }
 
-    /** The list of a large fleet has more pages than the cloud accepts calls at once. */
+    /** The list of a large fleet has more pages than the cloud's rate limit allows calls in a burst. */
     @Test
     void listOfManyPagesIsReadCompletelyWithinTheCloudsRateLimit() {
         SimulatedCluster simulation = new SimulatedCluster(9);
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -158,7 +158,7 @@
 
     /**
      * A decision must be withheld, with a reason and a retry time, unless this controller leads, is not handing over,
-     * and has a recent answer from the key-value store. If all of this holds, only scaling out and
+     * and has a recent response from the key-value store. If all of this holds, only scaling out and
      * preempting may be withheld, while many workers are suspect and for at most four heartbeat intervals.
      */
     @Property
--- a/src/test/java/stileferry/connectivity/ExampleHost.java
+++ b/src/test/java/stileferry/connectivity/ExampleHost.java
@@ -28,7 +28,7 @@
     /** Whether messages from the first to the second endpoint arrive. */
     BiPredicate<String, String> delivers = (from, to) -> true;
 
-    /** The share of views of which a duplicate arrives one to two worker leases later. */
+    /** The share of link views of which a duplicate arrives one to two worker leases later. */
     double lateDuplicateShare;
 
     private final int workers;
@@ -145,7 +145,7 @@
             leaseEndsAt = now;
         }
 
-        /** Receives a worker's heartbeat unless it is lost; returns whether the answer reaches the worker. */
+        /** Receives a worker's heartbeat unless it is lost; returns whether the response reaches the worker. */
         private boolean receiveHeartbeat(String worker) {
             long sequence = sequences.merge(worker, 1L, Long::sum);
             if (!delivers.test(worker, name)) {
--- a/src/test/java/stileferry/coordination/AdmissionCountCheck.java
+++ b/src/test/java/stileferry/coordination/AdmissionCountCheck.java
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Counts the jobs whose users were told of acceptance at {@code from} or later, by team and minute since then.
+     * Counts the jobs whose users received an acceptance at {@code from} or later, by team and minute since then.
      *
      * @return the counts; the key is the team, a blank and the number of the minute
      */
--- a/src/test/java/stileferry/coordination/AdmissionLoad.java
+++ b/src/test/java/stileferry/coordination/AdmissionLoad.java
@@ -11,7 +11,7 @@
 final class AdmissionLoad {
     static final Features FAIR_ADMISSION = new Features(false, true);
 
-    /** The write rate of the key-value store: enough for five admissions a second if nothing else is written. */
+    /** The write rate of the key-value store: enough for five admissions per second if nothing else is written. */
     private static final double WRITES_PER_S = 12;
 
     static final List<String> TEAMS = List.of("red", "blue", "free");
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Submits fifteen jobs a second for team red and one every two seconds for each other team.
+     * Submits fifteen jobs per second for team red and one every two seconds for each other team.
      *
      * @return the number of the next job
      */
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -22,8 +22,8 @@
 
 /**
  * One run of the admission model: a key-value store, a leader, and the requests in flight between them. Leaders may
- * crash at any time. A transaction is executed and answered, executed while its response is lost, executed late, or
- * never executed.
+ * crash at any time. A transaction is executed and its response arrives, executed while its response is lost,
+ * executed late, or never executed.
  */
 final class AdmissionModel {
     private static final int MAX_JOBS = 3;
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -98,7 +98,7 @@
                 cluster.users.values().stream().filter(u -> u.accepted).count();
         assertTrue(
                 countCheck.countedAdmissions() >= toldAccepted,
-                toldAccepted + " users were told of acceptance, but only " + countCheck.countedAdmissions()
+                toldAccepted + " users received an acceptance, but only " + countCheck.countedAdmissions()
                         + " admissions are counted");
         assertTrue(countCheck.responseCount > 50, "only " + countCheck.responseCount + " responses had totals");
     }
--- a/src/test/java/stileferry/coordination/ChaosFaults.java
+++ b/src/test/java/stileferry/coordination/ChaosFaults.java
@@ -139,7 +139,7 @@
         cluster.after(4000, () -> faults.responseLossRate = 0);
     }
 
-    /** The store rejects the leader and then everybody, for up to longer than cancel_s, while jobs are cancelled. */
+    /** The store rejects the leader, then all clients, sometimes for longer than cancel_s, while jobs are cancelled. */
     private void rejectLeaderThenEverybody() {
         ControllerNode leader = cluster.leader();
         if (leader == null) {
--- a/src/test/java/stileferry/coordination/EventLoopLagTest.java
+++ b/src/test/java/stileferry/coordination/EventLoopLagTest.java
@@ -11,7 +11,7 @@
 class EventLoopLagTest {
     /**
      * A lagging leader starts tasks in the responses to the machines' next heartbeats instead of sending a direct
-     * command for each, which would increase the lag in a burst. Critical tasks still start at once.
+     * command for each, which would increase the lag in a burst. Critical tasks still start immediately.
      */
     @Test
     void aLaggingLeaderSendsFewerDirectCommands() {
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -145,7 +145,7 @@
     }
 
     /**
-     * Rejected users are told when to retry and wait until then instead of retrying every second, so they need fewer
+     * Rejected users receive a retry time and wait until then instead of retrying every second, so they need fewer
      * than half of the retries. Meanwhile at least 0.9 times as many jobs are completed as without fair admission.
      */
     @Test
--- a/src/test/java/stileferry/coordination/FaultInjection.java
+++ b/src/test/java/stileferry/coordination/FaultInjection.java
@@ -15,19 +15,22 @@
     /** The key-value store responds with 503 to all requests but watches. */
     boolean storeDown;
 
-    /** Controllers to which the key-value store responds with 503, except to watches. */
+    /** Controllers whose requests the key-value store rejects with 503, except watches. */
     final Set<String> rejectedByStore = new TreeSet<>();
 
-    /** The maximum delay of responses of the key-value store, in milliseconds; 0: none. */
+    /** The maximum delay of responses of the key-value store, in milliseconds, or 0 for no delay. */
     long storeResponseDelayMs;
 
-    /** The maximum delay of transactions before the store executes them, which may reorder them; 0: none. */
+    /**
+     * The maximum delay, in milliseconds, before the store executes a transaction, or 0 for no delay. It may reorder
+     * transactions.
+     */
     long commitDelayMs;
 
     /** The share of transactions that get no response and are executed seconds later, possibly after newer ones. */
     double lateCommitRate;
 
-    /** The share of transactions that are executed at once but get no response. */
+    /** The share of transactions that are executed immediately but get no response. */
     double unansweredCommitRate;
 
     /** The share of responses of any kind that are lost. */
@@ -68,7 +71,10 @@
     /** If not null, responds in place of the cloud to requests for the list of machines, given their path. */
     public Function<String, JsonNode> cloudListing;
 
-    /** When the last fault ended; 0: faults may go on. From then on users must get responses about every job. */
+    /**
+     * When the last fault ended, or 0 while faults may still occur. From then on users must get responses about every
+     * job.
+     */
     public long endedAt;
 
     FaultInjection(SimulatedCluster cluster) {
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -61,8 +61,9 @@
     }
 
     /**
-     * A task has failed and its peers have not noticed yet. They can't save a checkpoint without it; if they were told
-     * to, they would occupy their machines until they give up, and the restart of the gang would have to wait.
+     * A task has failed and its peers have not noticed yet. They can't save a checkpoint without it. If they were
+     * asked to, they would occupy their machines until they stop waiting for it, and the restart of the gang would have
+     * to wait.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -104,7 +105,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** If one task can't be told to stop, the others can't save a checkpoint, and stop without waiting for it. */
+    /** If the stop command can't reach one task, the others can't save a checkpoint, so they stop without waiting. */
     @Test
     void theCheckpointIsSkippedIfAStopCannotReachAllTasks() {
         SimulatedCluster cluster = runningGang(5, gang(1, JobSpec.Priority.URGENT, 6, true, 100));
--- a/src/test/java/stileferry/coordination/InvariantChecks.java
+++ b/src/test/java/stileferry/coordination/InvariantChecks.java
@@ -17,7 +17,7 @@
  *   <li>ran_cancelled: a task starts after its cancellation was confirmed, or runs for longer than cancel_s after it
  *   <li>wrong_place: a task runs in a zone or on a spot instance that its job does not allow
  *   <li>quota: a team uses more CPUs than its limit
- *   <li>forgotten: an accepted job is unknown or invalid to a controller, or its user gets no response any more
+ *   <li>forgotten: an accepted job is unknown or invalid to a controller, or its user no longer gets responses
  *   <li>went_back, not_done: the state in a response contradicts an earlier response, or the tasks that are done
  *   <li>waiting: a job has no running task long after the last fault, although a machine has capacity for one
  *   <li>late_503: a 503 response is late, or does not say when to retry
--- a/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
@@ -17,7 +17,7 @@
         ChaosRun.assertAllJobsEnded(ChaosRun.run(seed, 120));
     }
 
-    /** The same with link monitoring; for some seeds one or two controllers run an older version without it. */
+    /** Runs with link monitoring; for some seeds one or two controllers run an older version without it. */
     @ParameterizedTest
     @MethodSource("seedsWithLinkMonitoring")
     void invariantsHoldWithLinkMonitoring(long seed) {
--- a/src/test/java/stileferry/coordination/PartialPartitionMeasurement.java
+++ b/src/test/java/stileferry/coordination/PartialPartitionMeasurement.java
@@ -84,7 +84,7 @@
     /**
      * Prints the new terms, and with link monitoring the counters of suspicions, in an hour without partitions.
      *
-     * @param taskMs how long the event loops are busy with each command, in milliseconds; 0: not simulated
+     * @param taskMs how long the event loops are busy with each command, in milliseconds, or 0 to not simulate that
      */
     private static void measureHourWithoutFaults(long taskMs) {
         for (Features features : List.of(Features.NONE, new Features(true, false))) {
--- a/src/test/java/stileferry/coordination/PartialPartitionTest.java
+++ b/src/test/java/stileferry/coordination/PartialPartitionTest.java
@@ -134,7 +134,7 @@
     }
 
     /**
-     * A follower that knows that it can't forward requests to the leader rejects them at once instead of timing out.
+     * A follower that knows it can't forward requests to the leader rejects them immediately instead of timing out.
      */
     @Test
     void aFollowerThatCannotReachTheLeaderRejectsRequestsAtOnce() {
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -91,7 +91,7 @@
      *
      * @param machinesPerPool machines available in each of the two zones, as spot instances and on demand each
      * @param heartbeatIntervalS the heartbeat interval of the workers, in seconds; their lease is five times as long
-     * @param redMaxCpus the CPU limit of team red; 0: unlimited
+     * @param redMaxCpus the CPU limit of team red, or 0 if it is unlimited
      */
     public SimulatedCluster(long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus) {
         this(seed, machinesPerPool, heartbeatIntervalS, redMaxCpus, WRITES_PER_S);
--- a/src/test/java/stileferry/coordination/SimulatedEnvironment.java
+++ b/src/test/java/stileferry/coordination/SimulatedEnvironment.java
@@ -210,13 +210,13 @@
                 (status, body) -> execute(() -> reply.accept(status == 200 ? received[0] : null)));
     }
 
-    /** Whether a controller runs a version that has no optional features, such as link views. */
+    /** Returns whether a controller runs a version that has no optional features, such as link views. */
     private boolean predatesFeatures(String node) {
         return cluster.controllersWithOldMessageFormat.contains(node)
                 || cluster.controllersWithoutFeatures.contains(node);
     }
 
-    /** Whether a message is of a kind that versions without optional features can't read. */
+    /** Returns whether a message is of a kind that versions without optional features can't read. */
     private static boolean requiresFeatures(PeerMessage message) {
         return message instanceof PeerMessage.LinkView
                 || message instanceof PeerMessage.AdmissionExchange
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -16,7 +16,7 @@
 
     private final SimulatedCluster cluster;
 
-    /** By partitioned host, when the partition ends; messages from and to the host are delayed until then. */
+    /** The end of the partition of each partitioned host; messages from and to the host are delayed until then. */
     private final Map<String, Long> partitionedUntil = new HashMap<>();
 
     private final Set<FaultRule> faultRules = new LinkedHashSet<>();
@@ -80,7 +80,7 @@
         partitionedUntil.put(host, cluster.now + ms);
     }
 
-    /** Returns when neither of two hosts is partitioned any more; a time in the past or 0: neither is now. */
+    /** Returns when the last partition of two hosts ends: a time in the past, or 0, if neither is partitioned now. */
     long partitionEndsAt(String first, String second) {
         return Math.max(partitionedUntil.getOrDefault(first, 0L), partitionedUntil.getOrDefault(second, 0L));
     }
--- a/src/test/java/stileferry/coordination/SimulatedSettings.java
+++ b/src/test/java/stileferry/coordination/SimulatedSettings.java
@@ -4,8 +4,8 @@
 import stileferry.protocol.SettingsReader;
 
 /**
- * The settings of the three controllers of a simulated cluster, with two zones and three teams; lower limits of the
- * key-value store are announced.
+ * The settings of the three controllers of a simulated cluster, with two zones and three teams. They announce lower
+ * limits of the key-value store.
  */
 final class SimulatedSettings {
     /** The announced write rate of the key-value store, as a share of the present one. */
--- a/src/test/java/stileferry/coordination/SimulatedUser.java
+++ b/src/test/java/stileferry/coordination/SimulatedUser.java
@@ -4,17 +4,17 @@
 import java.util.TreeSet;
 import stileferry.protocol.JobSpec;
 
-/** A user with one job, and what the responses have told the user about it. Times are simulated milliseconds. */
+/** A user with one job, and what the responses have reported about it. Times are simulated milliseconds. */
 public final class SimulatedUser {
     public final JobSpec spec;
     public boolean accepted;
 
-    /** The final state of the job that the user was told, done or cancelled; null: none yet. */
+    /** The final state of the job, done or cancelled, or null until a response reports one to the user. */
     public String endState;
 
     boolean cancelRequested;
 
-    /** When the user was told that the job is cancelled; 0: not yet. */
+    /** When a response first reported to the user that the job is cancelled, or 0 if none has yet. */
     long cancelConfirmedAt;
 
     final Set<Integer> tasksDone = new TreeSet<>();
@@ -23,14 +23,15 @@
     int retries;
 
     long lastResponseAt;
-    /** When the user was first told of the job's end; 0: not yet. */
+    /** When a response first reported the job's end to the user, or 0 if none has yet. */
     long completedAt;
 
-    /** When the first task of the job started; 0: none has. */
+    /** When the first task of the job started, or 0 if none has. */
     long startedAt;
 
     /**
-     * Since when, after the last fault, no task of the job runs although there is capacity for one; 0: not the case.
+     * The time, after the last fault, since which no task of the job has run although there is capacity for one, or 0
+     * if this is not the case.
      */
     long unscheduledSince;
 
--- a/src/test/java/stileferry/coordination/SimulatedUsers.java
+++ b/src/test/java/stileferry/coordination/SimulatedUsers.java
@@ -14,7 +14,7 @@
     /** The longest delay before a user retries, whatever Retry-After says. */
     private static final int MAX_RETRY_DELAY_S = 30;
 
-    /** A user gives up a request that got no final response for this long. */
+    /** A user stops retrying a request that got no final response for this long. */
     private static final long GIVE_UP_AFTER_MS = 60_000;
 
     private static final long REQUEST_TIMEOUT_MS = 5000;
@@ -22,14 +22,14 @@
     private final SimulatedCluster cluster;
     private final Map<String, SimulatedUser> userByJobId = new LinkedHashMap<>();
 
-    /** The number of jobs whose users have been told of their end. */
+    /** The number of jobs whose end has been reported to their users. */
     int completedJobs;
 
     SimulatedUsers(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Returns the user of a job, or null if nobody submitted that job id. */
+    /** Returns the user of a job, or null if no user submitted that job id. */
     public SimulatedUser get(String jobId) {
         return userByJobId.get(jobId);
     }
@@ -128,7 +128,7 @@
         }
         String state = body.path("tide").asText();
         if (user.endState != null && !user.endState.equals(state) && sentAt < user.completedAt) {
-            return; // a late response to a request that was sent before the user was told of the end
+            return; // a late response to a request that was sent before the user learnt of the job's end
         }
         cluster.invariants.checkJobState(user, state, body);
         if (state.equals("cancelled") && user.cancelConfirmedAt == 0) {
@@ -156,7 +156,7 @@
     }
 
     /**
-     * Repeats the user's requests at all controllers at once, if {@link FaultInjection#usersRepeatRequests} is set.
+     * Sends the user's requests to all controllers, if {@link FaultInjection#usersRepeatRequests} is set.
      * Called when the user has learnt that the job was accepted or has ended.
      */
     private void repeatRequests(SimulatedUser user) {
--- a/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -76,8 +76,8 @@
     }
 
     /**
-     * A partitioned controller, leader or follower, starts no tasks and tells its workers so at once; they move to the
-     * next leader, and no task is lost.
+     * A partitioned controller, leader or follower, starts no tasks and reports that to its workers immediately. They
+     * move to the next leader, and no task is lost.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -120,7 +120,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A dead on-demand machine is replaced before its lease expires, too. */
+    /** A failed on-demand machine is replaced before its lease expires, too. */
     @Test
     void aDeadOnDemandMachineIsReplacedBeforeLeaseExpiry() {
         SimulatedCluster cluster = SimulatedCluster.started(42, 5, 6, 40);
--- a/src/test/java/stileferry/golden/ControllerFixture.java
+++ b/src/test/java/stileferry/golden/ControllerFixture.java
@@ -35,7 +35,7 @@
     /** The messages sent to other controllers: the name of the receiver, a blank, and the bytes in hexadecimal. */
     final List<String> sentToPeers = new ArrayList<>();
 
-    /** Returns the response of another controller to a message; null for none. */
+    /** Returns the reply of a peer to a message, or null if there is none. */
     Function<PeerMessage, PeerMessage> peerResponses = ControllerFixture::acknowledgeTerm;
 
     final Coordinator coordinator;
@@ -83,7 +83,7 @@
         return this;
     }
 
-    /** Responds as a peer that acknowledges the term of an announcement and does not answer other messages. */
+    /** Replies as a peer that acknowledges the term of an announcement; returns null, no reply, for other messages. */
     private static PeerMessage acknowledgeTerm(PeerMessage message) {
         return message instanceof PeerMessage.TermAnnouncement term
                 ? new PeerMessage.TermAnnouncement(term.term(), "", false)
@@ -200,7 +200,7 @@
     /**
      * Sends a worker's next heartbeat, and lets the worker execute the commands in the response.
      *
-     * @return the HTTP status of the response; 0 if there was none within the time that passes, 100 ms
+     * @return the HTTP status of the response, or 0 if there was none within the time that passes, 100 ms
      */
     int sendHeartbeat(FakeWorker worker) {
         workers.put(worker.address, worker);
--- a/src/test/java/stileferry/golden/FakeKeyValueStore.java
+++ b/src/test/java/stileferry/golden/FakeKeyValueStore.java
@@ -39,7 +39,7 @@
 
     private record Row(JsonNode value, long revision) {}
 
-    /** A response; the status {@link Environment#NO_ANSWER} stands for a response that was lost. */
+    /** A response; the status {@link Environment#NO_ANSWER} means that the response was lost. */
     record Response(int status, JsonNode body) {}
 
     /** Parses JSON text; throws {@link IllegalArgumentException} if it is malformed. */
--- a/src/test/java/stileferry/golden/GoldenPeerExchangeTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerExchangeTest.java
@@ -80,7 +80,7 @@
         assertEquals(
                 503,
                 fixture.sendHeartbeat(worker),
-                "the worker came back after a redirect, so its heartbeat is forwarded");
+                "the worker reports here again after a redirect, so its heartbeat is forwarded");
         assertSentToPeers("peer-forward.hex", fixture);
     }
 
--- a/src/test/java/stileferry/lifecycle/TaskEventsTest.java
+++ b/src/test/java/stileferry/lifecycle/TaskEventsTest.java
@@ -261,7 +261,7 @@
         return overflowRecords;
     }
 
-    /** The largest possible job, with all tasks assigned at once and half of them completed, fits into the ring. */
+    /** The largest possible job fits into the ring, with all tasks assigned at once and half of them completed. */
     @Test
     void ringHoldsAJobOfAHundredThousandTasks() {
         Job job = jobs(1, 100_000).get("job-0");
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -20,7 +20,7 @@
 import stileferry.protocol.MachineType;
 import stileferry.protocol.Settings;
 
-/** Which tasks are preempted for which jobs, and on which machines. */
+/** Checks which tasks are preempted for which jobs, and on which machines. */
 class PreemptionTest {
     private static final long NOW = 100_000;
 
@@ -279,7 +279,7 @@
         assertEquals(3, planPreemptions().size(), "blue keeps the 2 CPUs of its quota");
     }
 
-    /** The task would return to the head of the queue immediately, and be preempted again and again. */
+    /** Otherwise the task would return to the head of the queue immediately, and be preempted again and again. */
     @Test
     void higherPriorityTaskIsNotPreemptedForQuota() {
         Job service = addJob("blue", JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL, 1, 8);
