--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -9,8 +9,8 @@
 
 /**
  * Measures fair admission in the simulated cluster, with the feature off and on for each seed. The load is two minutes
- * of fifteen jobs a second from one team and one job every two seconds from each of two others. To run it, with JUnit's
- * API on the class path as well:
+ * of fifteen jobs per second from one team and one job every two seconds from each of two others. To run it, with
+ * JUnit's API on the class path as well:
  * {@code java -cp target/stileferry.jar:target/test-classes stileferry.coordination.AdmissionMeasurement}.
  */
 final class AdmissionMeasurement {
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -90,7 +90,7 @@
                     new TreeMap<>(java.util.Map.of(FLOW, new AdmissionWindow(0.5, 0.01)))));
         }
         int orders = 0;
-        int events = tables.size() + 2; // an arriving table, or term 1 or 2 being learnt
+        int events = tables.size() + 2; // an arriving table, or learning of term 1 or 2
         for (int code = 0; code < Math.pow(events, 5); code++) {
             LoadShedder loadShedder = new LoadShedder(AdmissionSettings.config(AdmissionModel.settings()), 10);
             long knownTerm = 0;
--- a/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionUnderFaultsTest.java
@@ -19,7 +19,7 @@
 import stileferry.coordination.SimulatedNetwork.LinkFault;
 import stileferry.protocol.Features;
 
-/** Admission while controllers, the key-value store or links fail during a burst of submissions. */
+/** Tests admission while controllers, the key-value store or links fail during a burst of submissions. */
 class AdmissionUnderFaultsTest {
     /** A fault during a burst of submissions. */
     enum Fault {
@@ -73,7 +73,7 @@
     }
 
     /**
-     * No admission is counted twice or not at all, no invariant is violated, and jobs of every team are admitted
+     * Every admission is counted exactly once, no invariant is violated, and jobs of every team are admitted
      * afterwards.
      */
     @ParameterizedTest
@@ -107,7 +107,7 @@
         return LongStream.range(0, Integer.getInteger("days", 2)).map(i -> 70 + i);
     }
 
-    /** Ten minutes of submissions at three times the admission capacity, with a random fault in most minutes. */
+    /** Submits for ten minutes at three times the admission capacity, with a random fault in most minutes. */
     @ParameterizedTest
     @MethodSource("seeds")
     void everyTeamIsAdmittedUnderTripleLoadWithFaults(long seed) {
--- a/src/test/java/stileferry/coordination/CommitRetriesTest.java
+++ b/src/test/java/stileferry/coordination/CommitRetriesTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Transactions that are executed late or whose response is lost take effect exactly once. */
+/** Checks that transactions that are executed late or whose response is lost take effect exactly once. */
 class CommitRetriesTest {
-    /** Submits four one-task jobs a second and cancels a quarter of them within 3 s. */
+    /** Submits four one-task jobs per second and cancels a quarter of them within 3 s. */
     private static void runOneTaskJobs(SimulatedCluster cluster, int firstNumber, double seconds) {
         SplittableRandom random = cluster.random.split();
         for (int i = 0; i < seconds * 4; i++) {
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Some transactions are executed late, after newer ones, or at once with their response lost, while four one-task
-     * jobs a second are submitted. Guards against a late transaction that stores a job's acceptance again after the job
-     * has ended, so that the next leader takes the job for a pending one.
+     * Some transactions are executed late, after newer ones, or immediately with their response lost, while four
+     * one-task jobs per second are submitted. Guards against a late transaction that stores a job's acceptance again
+     * after the job has ended, so that the next leader takes the job for a pending one.
      */
     @ParameterizedTest
     @CsvSource({"201,0.4,0", "202,0.4,0", "203,0.2,0.2", "204,0,0.4", "205,0.5,0"})
--- a/src/test/java/stileferry/coordination/FailoverTest.java
+++ b/src/test/java/stileferry/coordination/FailoverTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.MessageCodec;
 
-/** Leadership in a healthy cluster and after crashes, also with a stored record that the next leader can't read. */
+/** Tests leadership in a healthy cluster and after crashes, also with a record that the next leader can't read. */
 class FailoverTest {
     @Test
     void aNewLeaderIsElectedWithinSecondsOfACrash() {
--- a/src/test/java/stileferry/coordination/FairAdmissionTest.java
+++ b/src/test/java/stileferry/coordination/FairAdmissionTest.java
@@ -23,7 +23,7 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.protocol.PeerMessage;
 
-/** Admission under overload: fair shares, admission windows and the totals of admissions. */
+/** Tests admission under overload: fair shares, admission windows and the totals of admissions. */
 class FairAdmissionTest {
     private static long acceptedJobs(SimulatedCluster cluster, String team) {
         return cluster.users.values().stream()
@@ -66,7 +66,7 @@
                 "the load must exceed the admission capacity");
     }
 
-    /** Job ids that are submitted repeatedly, at every controller, are each admitted and counted once. */
+    /** A job id that is submitted repeatedly, at every controller, is admitted and counted exactly once. */
     @Test
     void concurrentSubmissionsOfOneIdAreAdmittedOnce() {
         SimulatedCluster cluster = smallCluster(4, FAIR_ADMISSION);
@@ -112,7 +112,7 @@
         assertEquals(1, countCheck.countedAdmissions());
     }
 
-    /** A burst of job arrays delays the admission of services by two heartbeat intervals at most. */
+    /** A burst of job arrays delays the admission of services by at most two heartbeat intervals. */
     @Test
     void servicesAreAdmittedBeforeArrays() {
         long[] longestWaitMs = new long[2];
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -61,9 +61,9 @@
     }
 
     /**
-     * A task has failed and its peers have not noticed yet. They can't save a checkpoint without it. If they were
-     * asked to, they would occupy their machines until they stop waiting for it, and the restart of the gang would have
-     * to wait.
+     * A task has failed and the other tasks of the gang have not noticed yet. They can't save a checkpoint without it.
+     * If they were asked to, they would occupy their machines until they stop waiting for it, and the restart of the
+     * gang would have to wait.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
--- a/src/test/java/stileferry/coordination/OperatorSettingsTest.java
+++ b/src/test/java/stileferry/coordination/OperatorSettingsTest.java
@@ -12,7 +12,7 @@
 import stileferry.protocol.OperatorSettings;
 import stileferry.protocol.PeerMessage;
 
-/** Operator settings: validation, storage and distribution to the controllers. */
+/** Tests operator settings: validation, storage and distribution to the controllers. */
 class OperatorSettingsTest {
     @Test
     void aChangeIsAtomic() throws InvalidOperatorSettingException {
@@ -44,7 +44,7 @@
         assertEquals(0.2, read.number(OperatorSettings.SPARE_SHARE));
     }
 
-    /** A change reaches every controller without a restart, and is still there after all of them have crashed. */
+    /** A change takes effect at every controller without a restart, and persists after all of them have crashed. */
     @Test
     void settingsReachAllControllersAndSurviveRestarts() {
         SimulatedCluster cluster = new SimulatedCluster(9);
--- a/src/test/java/stileferry/coordination/PartialPartitionTest.java
+++ b/src/test/java/stileferry/coordination/PartialPartitionTest.java
@@ -21,7 +21,7 @@
 import stileferry.protocol.Features;
 import stileferry.protocol.PeerMessage;
 
-/** Partial partitions: links between controllers, workers and the key-value store fail in one or both directions. */
+/** Tests partial partitions: links between controllers, workers and the store fail in one or both directions. */
 class PartialPartitionTest {
     /** Each controller may release leadership twice in a burst, and once more for every two leases of 10 s. */
     private static final long RELEASE_BURST = 2;
--- a/src/test/java/stileferry/coordination/RollingUpgradeTest.java
+++ b/src/test/java/stileferry/coordination/RollingUpgradeTest.java
@@ -15,8 +15,8 @@
 import stileferry.protocol.JobSpecBuilder;
 
 /**
- * Rolling upgrades and downgrades under load. Controllers of the older version run this version's code with the first
- * version's format of peer messages; the formats of stored data are the same.
+ * Tests rolling upgrades and downgrades under load. Controllers of the older version run this version's code with the
+ * first version's format of peer messages; the formats of stored data are the same.
  */
 class RollingUpgradeTest {
     private static final int LOWERED_TXN_OPS = 4;
@@ -80,7 +80,7 @@
                         .toList());
     }
 
-    /** Upgrades and downgrades; in between, leaders crash and restart in their present version. */
+    /** Upgrades and downgrades; in between, leaders crash and restart with their current version. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void jobsFinishWhileLeadershipAlternatesBetweenVersions(long seed) {
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -128,7 +128,7 @@
         return cluster;
     }
 
-    /** Like {@link #started(long)}, with the parameters of the constructor. */
+    /** Returns a cluster like {@link #started(long)}, with the parameters of the constructor. */
     public static SimulatedCluster started(
             long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus) {
         SimulatedCluster cluster = new SimulatedCluster(seed, machinesPerPool, heartbeatIntervalS, redMaxCpus);
--- a/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.standin.Worker;
 
-/** Machines and controllers that have crashed, are partitioned, or are reachable in one direction only. */
+/** Tests machines and controllers that have crashed, are partitioned, or are reachable in one direction only. */
 class UnreachableMachinesTest {
     /**
      * The machine's heartbeats arrive, but responses and commands don't reach it: it gets no new work, its services are
@@ -113,7 +113,7 @@
         cluster.cloud.reclaim(machine);
         int remaining = cluster.tasks.running();
         assertTrue(remaining < 12);
-        cluster.runFor(9); // the lease is 10 s, and its expiry would be noticed a little later still
+        cluster.runFor(9); // the lease is 10 s, and its expiry would be detected somewhat later
         assertFalse(cluster.cloud.runningMachines().contains(machine));
         cluster.runFor(5.5); // the replacement takes 5 s to boot
         assertEquals(12, cluster.tasks.running(), "the lost tasks must run again");
@@ -134,7 +134,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A machine that after a short partition reaches the leader through another controller is kept. */
+    /** A machine that reaches the leader through another controller after a short partition is not deleted. */
     @Test
     void aShortPartitionCostsNoMachine() {
         SimulatedCluster cluster = SimulatedCluster.started(38);
--- a/src/test/java/stileferry/golden/GoldenMessages.java
+++ b/src/test/java/stileferry/golden/GoldenMessages.java
@@ -72,7 +72,7 @@
         return message;
     }
 
-    /** Returns the body bytes of a message; empty if it has no body. */
+    /** Returns the body bytes of a message, or an empty array if it has no body. */
     byte[] body(String name) {
         return get(name).body();
     }
@@ -85,7 +85,7 @@
         assertEquals(expected.hex, toHex(body), name);
     }
 
-    /** Converts MessagePack bytes to JSON without the code under test; a hyphen if there are no bytes. */
+    /** Converts MessagePack bytes to JSON without the code under test; returns a hyphen if there are no bytes. */
     static String toJson(byte[] body) {
         if (body.length == 0) {
             return NO_BODY;
--- a/src/test/java/stileferry/golden/GoldenPeerMessagesTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerMessagesTest.java
@@ -139,7 +139,7 @@
 
     /**
      * The controllers that exchange views are encoded after the cancellations, because older versions read only up to
-     * those; so they can't be encoded without them.
+     * the cancellations. Therefore the controllers can't be encoded without the cancellations.
      */
     @Test
     void linkAwareControllersAreNotEncodedWithoutCancellations() {
