--- a/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
+++ b/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
-/** Properties that must hold for any demand, in any order. */
+/** Tests properties that must hold for any demand, in any order. */
 class AdmissionPropertiesTest {
     private static final double TOLERANCE = 1e-6;
     private static final Map<String, Double> WEIGHTS = Map.of("a", 1.0, "b", 2.0, "c", 0.25);
--- a/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
+++ b/src/test/java/stileferry/connectivity/ConnectivityPropertiesTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.constraints.Size;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Properties that must hold for any sequence of events and any state of the links. */
+/** Tests properties that must hold for any sequence of events and any state of the links. */
 class ConnectivityPropertiesTest {
     private static final ConnectivityConfig CONFIG_OF_A = new ConnectivityConfig("a", List.of("b"), 1000, 10_000, 1500);
     private static final ConnectivityConfig CONFIG_OF_B = new ConnectivityConfig("b", List.of("a"), 1000, 10_000, 1500);
@@ -158,8 +158,8 @@
 
     /**
      * A decision must be withheld, with a reason and a retry time, unless this controller leads, is not handing over,
-     * and has a recent response from the key-value store. If all of this holds, only scaling out and
-     * preempting may be withheld, while many workers are suspect and for at most four heartbeat intervals.
+     * and has a recent response from the key-value store. If all of this holds, only scaling out and preempting may be
+     * withheld, while many workers are suspect and for at most four heartbeat intervals.
      */
     @Property
     void decisionsAreWithheldOnStaleEvidence(
--- a/src/test/java/stileferry/coordination/AdmissionModelTest.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelTest.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Admission window tables of two terms arrive in every order, some repeatedly, while terms are learnt in between. A
-     * table of an earlier term than the highest known one must not be used.
+     * Admission window tables of two terms arrive in every order, some repeatedly, while the load shedder learns of new
+     * terms. A table of an earlier term than the highest known one must not be used.
      */
     @Test
     void noWindowTableOfAFormerTermIsUsedInAnyOrder() {
--- a/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/CancellationUnderFaultsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Confirmed cancellations hold through later failures of controllers and of the key-value store. */
+/** Tests that confirmed cancellations persist through later failures of controllers and of the key-value store. */
 class CancellationUnderFaultsTest {
     /** The fault that isolates the first leader, so that another one is elected. */
     enum LeaderFault {
@@ -27,7 +27,8 @@
      * The key-value store rejects the leader, or the leader reaches neither the store nor the other controllers. A new
      * leader confirms cancellations; then the store is down for longer than cancel_s, while workers still send
      * heartbeats to the same controller as before. Guards against an old leader that renews leases without knowing of
-     * the cancellations, and against a new one that sends no stop commands because it is no longer sure to lead.
+     * the cancellations, and against a new one that sends no stop commands because it can't be sure that it still
+     * leads.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/stileferry/coordination/ChaosRun.java
+++ b/src/test/java/stileferry/coordination/ChaosRun.java
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Runs a cluster with faults for some seconds, and then without until all jobs should have ended.
+     * Runs a cluster with faults for some seconds, and then without faults until all jobs should have ended.
      *
      * @param prepare is applied to the cluster before it runs
      */
--- a/src/test/java/stileferry/coordination/EventLoopLagTest.java
+++ b/src/test/java/stileferry/coordination/EventLoopLagTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A leader whose event loop lags sends fewer direct commands. */
+/** Tests that a leader whose event loop lags sends fewer direct commands. */
 class EventLoopLagTest {
     /**
      * A lagging leader starts tasks in the responses to the machines' next heartbeats instead of sending a direct
--- a/src/test/java/stileferry/coordination/GangSchedulingTest.java
+++ b/src/test/java/stileferry/coordination/GangSchedulingTest.java
@@ -18,7 +18,7 @@
 import stileferry.protocol.MessageCodec;
 import stileferry.standin.Worker;
 
-/** Gangs: jobs whose tasks run all at the same time or not at all. */
+/** Tests gangs: jobs whose tasks run either all at the same time or not at all. */
 class GangSchedulingTest {
     private static JobSpec gang(int number, JobSpec.Priority priority, int tasks, boolean oneZone, double runS) {
         return JobSpecBuilder.gang(number)
--- a/src/test/java/stileferry/coordination/InvariantChecks.java
+++ b/src/test/java/stileferry/coordination/InvariantChecks.java
@@ -20,7 +20,7 @@
  *   <li>forgotten: an accepted job is unknown or invalid to a controller, or its user no longer gets responses
  *   <li>went_back, not_done: the state in a response contradicts an earlier response, or the tasks that are done
  *   <li>waiting: a job has no running task long after the last fault, although a machine has capacity for one
- *   <li>late_503: a 503 response is late, or does not say when to retry
+ *   <li>late_503: a 503 response is late, or has no retry time
  * </ul>
  */
 final class InvariantChecks {
@@ -40,7 +40,7 @@
         this.violations = cluster.violations;
     }
 
-    /** Checks the invariants that can be violated by the passing of time; called at every tick. */
+    /** Checks the invariants that can be violated merely because time passes; called at every tick. */
     void tick() {
         cluster.gangs
                 .jobsWithConcurrentAttempts()
@@ -158,7 +158,7 @@
         }
     }
 
-    /** Checks that a 503 response is in time and says when to retry. */
+    /** Checks that a 503 response is in time and has a retry time. */
     void checkResponse(PeerMessage.RequestKind kind, PeerMessage.Response response, long waitedMs) {
         if (response.status() == 503 && (response.retryAfterS() < 1 || waitedMs > MAX_503_LATENCY_MS)) {
             violations.add(
--- a/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
+++ b/src/test/java/stileferry/coordination/InvariantsUnderFaultsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.protocol.Features;
 
-/** Seeded runs with random faults, in which all invariants are checked continuously. */
+/** Runs seeded simulations with random faults, in which all invariants are checked continuously. */
 class InvariantsUnderFaultsTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
--- a/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
+++ b/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import stileferry.protocol.JobSpec;
 
-/** Renewal of workers' leases while the key-value store is down, so that no leader can be elected. */
+/** Tests the renewal of workers' leases while the key-value store is down, so that no leader can be elected. */
 class LeaderlessLeaseRenewalTest {
     /** The controllers that crash during the outage. */
     enum Crash {
@@ -51,7 +51,7 @@
         assertEquals(
                 crash == Crash.ALL ? endsBefore + running : endsBefore + cancelledTasks,
                 cluster.tasks.ends,
-                "tasks that ended");
+                "number of tasks that ended");
         cluster.faults.endStoreOutage();
         cluster.runFor(20);
         assertEquals(running - cancelledTasks, cluster.tasks.starts - cluster.tasks.ends);
--- a/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -71,7 +71,7 @@
             cluster.runFor(1);
         }
         assertEquals(
-                2, cluster.tasks.running(), "duplicated heartbeats must not keep tasks assigned to a dead machine");
+                2, cluster.tasks.running(), "duplicated heartbeats must not keep tasks assigned to a failed machine");
         assertEquals(List.of(), cluster.violations);
     }
 
@@ -98,7 +98,7 @@
         assertTrue(newLeader != null && newLeader != node);
         cluster.submit(array(2, 6, 3));
         cluster.runFor(40);
-        assertEquals("done", cluster.users.get("job-2").endState, "the other controllers must go on serving");
+        assertEquals("done", cluster.users.get("job-2").endState, "the other controllers must keep serving requests");
         assertEquals(List.of(), cluster.violations);
     }
 
--- a/src/test/java/stileferry/golden/ProcessCluster.java
+++ b/src/test/java/stileferry/golden/ProcessCluster.java
@@ -95,7 +95,7 @@
         processes.add(builder.start());
     }
 
-    /** Starts a controller; without a features file (null) all optional features are off. */
+    /** Starts a controller; if the features file is null, all optional features are off. */
     void startController(int controller, String features) throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 MAIN_CLASS, "serve", "--config", settingsFile(controller).toString()));
@@ -167,7 +167,8 @@
     /**
      * Repeats a GET request until its response is accepted, for at most {@link #AWAIT_TIMEOUT_MS}.
      *
-     * @return the first accepted response, or the last one if none was accepted in time; status 0 if there was none
+     * @return the first accepted response, or the last one if none was accepted in time, with status 0 if
+     *     no response arrived
      */
     Response awaitResponse(int controller, String path, Predicate<Response> accepted) throws Exception {
         long deadlineMs = System.currentTimeMillis() + AWAIT_TIMEOUT_MS;
--- a/src/test/java/stileferry/scheduling/PreemptionTest.java
+++ b/src/test/java/stileferry/scheduling/PreemptionTest.java
@@ -229,7 +229,7 @@
                 planPreemptions().stream()
                         .map(Preemption.PlannedPreemption::graceS)
                         .toList(),
-                "saving takes 0.3 s");
+                "saving the checkpoint takes 0.3 s");
     }
 
     /** A requested machine would boot too late for the gang anyway. */
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -107,7 +107,7 @@
         assertServicesRun(
                 simulation,
                 (running, tasks) -> running >= tasks / 2,
-                ""); // the others were in the zone and are pending
+                ""); // the other tasks were in the partitioned zone and are pending
         simulation.faults.endedAt = simulation.now;
         simulation.runFor(20);
         assertServicesRun(simulation, (running, tasks) -> running == tasks.longValue(), " after the partition");
