--- a/src/test/java/stileferry/coordination/ControllerNode.java
+++ b/src/test/java/stileferry/coordination/ControllerNode.java
@@ -29,7 +29,7 @@
         environment.execute(coordinator::start);
     }
 
-    /** Ends the process at once, without releasing or announcing anything. */
+    /** Ends the process immediately, without releasing or announcing anything. */
     public void crash() {
         environment.crashed = true;
         coordinator = null;
--- a/src/test/java/stileferry/coordination/FairShareUnderOverloadTest.java
+++ b/src/test/java/stileferry/coordination/FairShareUnderOverloadTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.JobSpec;
 
-/** Fair shares while demand exceeds capacity. */
+/** Tests the fair shares of teams while demand exceeds capacity. */
 class FairShareUnderOverloadTest {
     /** For five minutes demand is twice the capacity, and the class of higher priority alone exceeds the capacity. */
     @Test
--- a/src/test/java/stileferry/coordination/GangStartCheck.java
+++ b/src/test/java/stileferry/coordination/GangStartCheck.java
@@ -26,7 +26,7 @@
      * gang is checked.
      *
      * @param sent the message; may be null
-     * @param violations where a violation is added
+     * @param violations the list to which violations are added
      */
     void checkStarts(JsonNode message, List<String> violations) {
         if (message == null) {
--- a/src/test/java/stileferry/coordination/HandoverTest.java
+++ b/src/test/java/stileferry/coordination/HandoverTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.coordination.SimulatedNetwork.LinkFault;
 
-/** Leadership handovers that are interrupted, delayed, or involve controllers of an older version. */
+/** Tests leadership handovers that are interrupted, delayed, or involve controllers of an older version. */
 class HandoverTest {
     /** Returns a cluster whose leader has lost its workers and has asked a nominee to take leadership over. */
     private static SimulatedCluster withHandoverInProgress(long seed) {
@@ -90,7 +90,7 @@
         assertRecovered(cluster);
     }
 
-    /** Controllers of a version without link views are sent none, and leadership is not handed over to them. */
+    /** Controllers of a version without link views receive none, and leadership is not handed over to them. */
     @Test
     void olderVersionsTakeNoPartInHandovers() {
         SimulatedCluster cluster = new SimulatedCluster(590);
--- a/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
+++ b/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.api.Test;
 import stileferry.protocol.JobSpec;
 
-/** Failovers during a partition: the last heartbeats that the former leader journalled prove that leases expired. */
+/**
+ * Tests failovers during a partition: the last heartbeats that the former leader journalled prove that leases expired.
+ */
 class LastHeartbeatJournalTest {
     /**
      * The leader crashes while a zone is partitioned. The new leader must not wait for a full lease of the zone's
@@ -110,7 +112,7 @@
         cluster.runFor(25);
         cluster.faults.partitionZone(cluster.machines.zoneOf(cluster.tasks.busyMachine()), 7000);
         cluster.runFor(4.5); // the last heartbeats are journalled by now
-        cluster.faults.storeDown = true; // so nothing can be journalled any more
+        cluster.faults.storeDown = true; // so nothing can be journalled from now on
         cluster.runFor(12);
         cluster.faults.endStoreOutage();
         cluster.runFor(20);
--- a/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
+++ b/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Scripted scenarios of overlapping faults, in which all invariants are checked continuously. */
+/** Runs scripted scenarios of overlapping faults, in which all invariants are checked continuously. */
 class OverlappingFaultsTest {
     private static final long[] SEEDS =
             LongStream.range(1, 1 + Long.getLong("meetings", 2)).toArray();
 
     /**
-     * Runs each scenario with two seeds by default; afterwards all accepted jobs have ended or are fully running
-     * services.
+     * Runs each scenario with two seeds by default; afterwards every accepted job must have ended, or be a
+     * service with all of its tasks running.
      */
     @ParameterizedTest
     @EnumSource(FaultScenario.class)
--- a/src/test/java/stileferry/coordination/ScaleInTest.java
+++ b/src/test/java/stileferry/coordination/ScaleInTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Idle machines are deleted, each with a single request. */
+/** Tests that idle machines are deleted, each with a single request. */
 class ScaleInTest {
     /** Guards against counting deleted machines as booting because the cloud's lagging list still names them. */
     @Test
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -97,7 +97,7 @@
         this(seed, machinesPerPool, heartbeatIntervalS, redMaxCpus, WRITES_PER_S);
     }
 
-    /** Creates a cluster whose key-value store accepts {@code writesPerS} writes a second. */
+    /** Creates a cluster whose key-value store accepts {@code writesPerS} writes per second. */
     SimulatedCluster(long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus, double writesPerS) {
         random = new SplittableRandom(seed);
         heartbeatIntervalMs = Math.round(heartbeatIntervalS * 1000);
--- a/src/test/java/stileferry/golden/ProcessCluster.java
+++ b/src/test/java/stileferry/golden/ProcessCluster.java
@@ -167,8 +167,8 @@
     /**
      * Repeats a GET request until its response is accepted, for at most {@link #AWAIT_TIMEOUT_MS}.
      *
-     * @return the first accepted response, or the last one if none was accepted in time, with status 0 if
-     *     no response arrived
+     * @return the first accepted response, or the last one if none was accepted in time; status 0
+     *     stands for a failed request
      */
     Response awaitResponse(int controller, String path, Predicate<Response> accepted) throws Exception {
         long deadlineMs = System.currentTimeMillis() + AWAIT_TIMEOUT_MS;
