--- a/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
+++ b/src/test/java/stileferry/admission/AdmissionPropertiesTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
-/** Properties that must hold for any demand, in any order. */
+/** Tests properties that must hold for any demand, in any order. */
 class AdmissionPropertiesTest {
     private static final double TOLERANCE = 1e-6;
     private static final Map<String, Double> WEIGHTS = Map.of("a", 1.0, "b", 2.0, "c", 0.25);
@@ -144,7 +144,7 @@
         }
     }
 
-    /** At any speed, every job is in the window once per round, and is in it at the time it was told to retry. */
+    /** At any speed, every job is in the window once per round, and is in it at the retry time it was given. */
     @Property(tries = 500)
     void everyJobIsInTheWindowOncePerRoundAndAtItsRetryTime(
             @ForAll @DoubleRange(min = 0, max = 0.99) double position,
--- a/src/test/java/stileferry/coordination/SimulatedCluster.java
+++ b/src/test/java/stileferry/coordination/SimulatedCluster.java
@@ -91,13 +91,13 @@
      *
      * @param machinesPerPool machines available in each of the two zones, as spot instances and on demand each
      * @param heartbeatIntervalS the heartbeat interval of the workers, in seconds; their lease is five times as long
-     * @param redMaxCpus the CPU limit of team red; 0: unlimited
+     * @param redMaxCpus the CPU limit of team red, or 0 if it is unlimited
      */
     public SimulatedCluster(long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus) {
         this(seed, machinesPerPool, heartbeatIntervalS, redMaxCpus, WRITES_PER_S);
     }
 
-    /** Creates a cluster whose key-value store accepts {@code writesPerS} writes a second. */
+    /** Creates a cluster whose key-value store accepts {@code writesPerS} writes per second. */
     SimulatedCluster(long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus, double writesPerS) {
         random = new SplittableRandom(seed);
         heartbeatIntervalMs = Math.round(heartbeatIntervalS * 1000);
@@ -128,7 +128,7 @@
         return cluster;
     }
 
-    /** Like {@link #started(long)}, with the parameters of the constructor. */
+    /** Returns a cluster like {@link #started(long)}, with the parameters of the constructor. */
     public static SimulatedCluster started(
             long seed, int machinesPerPool, double heartbeatIntervalS, double redMaxCpus) {
         SimulatedCluster cluster = new SimulatedCluster(seed, machinesPerPool, heartbeatIntervalS, redMaxCpus);
--- a/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
+++ b/src/test/java/stileferry/coordination/UnreachableMachinesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stileferry.standin.Worker;
 
-/** Machines and controllers that have crashed, are partitioned, or are reachable in one direction only. */
+/** Tests machines and controllers that have crashed, are partitioned, or are reachable in one direction only. */
 class UnreachableMachinesTest {
     /**
      * The machine's heartbeats arrive, but responses and commands don't reach it: it gets no new work, its services are
@@ -71,13 +71,13 @@
             cluster.runFor(1);
         }
         assertEquals(
-                2, cluster.tasks.running(), "duplicated heartbeats must not keep tasks assigned to a dead machine");
+                2, cluster.tasks.running(), "duplicated heartbeats must not keep tasks assigned to a failed machine");
         assertEquals(List.of(), cluster.violations);
     }
 
     /**
-     * A partitioned controller, leader or follower, starts no tasks and tells its workers so at once; they move to the
-     * next leader, and no task is lost.
+     * A partitioned controller, leader or follower, starts no tasks and reports that to its workers immediately. They
+     * move to the next leader, and no task is lost.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -98,7 +98,7 @@
         assertTrue(newLeader != null && newLeader != node);
         cluster.submit(array(2, 6, 3));
         cluster.runFor(40);
-        assertEquals("done", cluster.users.get("job-2").endState, "the other controllers must go on serving");
+        assertEquals("done", cluster.users.get("job-2").endState, "the other controllers must keep serving requests");
         assertEquals(List.of(), cluster.violations);
     }
 
@@ -113,14 +113,14 @@
         cluster.cloud.reclaim(machine);
         int remaining = cluster.tasks.running();
         assertTrue(remaining < 12);
-        cluster.runFor(9); // the lease is 10 s, and its expiry would be noticed a little later still
+        cluster.runFor(9); // the lease is 10 s, and its expiry would be detected somewhat later
         assertFalse(cluster.cloud.runningMachines().contains(machine));
         cluster.runFor(5.5); // the replacement takes 5 s to boot
         assertEquals(12, cluster.tasks.running(), "the lost tasks must run again");
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A dead on-demand machine is replaced before its lease expires, too. */
+    /** A failed on-demand machine is replaced before its lease expires, too. */
     @Test
     void aDeadOnDemandMachineIsReplacedBeforeLeaseExpiry() {
         SimulatedCluster cluster = SimulatedCluster.started(42, 5, 6, 40);
@@ -134,7 +134,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A machine that after a short partition reaches the leader through another controller is kept. */
+    /** A machine that reaches the leader through another controller after a short partition is not deleted. */
     @Test
     void aShortPartitionCostsNoMachine() {
         SimulatedCluster cluster = SimulatedCluster.started(38);
