--- a/src/main/java/stileferry/autoscaling/CloudInventory.java
+++ b/src/main/java/stileferry/autoscaling/CloudInventory.java
@@ -144,9 +144,9 @@
             instance.setRequestedAt(now - Math.round(listed.ageS() * 1000));
         }
         if (!machine.agent().heardThisTerm()) {
-            instance.setBooting(listed.booting());
+            instance.setBooting(listed.isBooting());
         }
-        if (listed.failed() && !instance.terminating()) {
+        if (listed.hasFailed() && !instance.terminating()) {
             LOG.info("machine failed: machine={}", machine.name());
             instance.terminate();
             cluster.freeCapacity().update(machine);
--- a/src/main/java/stileferry/autoscaling/PlannedMachine.java
+++ b/src/main/java/stileferry/autoscaling/PlannedMachine.java
@@ -23,7 +23,7 @@
     boolean fits(JobSpec spec) {
         return (spec.allowsSpot() || !pool.spot())
                 && (spec.zone() == null || spec.zone().equals(pool.zone()))
-                && spec.fitsType(pool.type())
+                && spec.fitsMachineType(pool.type())
                 && spec.cpus() <= freeCpus + ROUNDING
                 && spec.gpus() <= freeGpus + ROUNDING
                 && spec.memoryGb() <= freeMemoryGb + ROUNDING;
--- a/src/main/java/stileferry/autoscaling/ScaleInPass.java
+++ b/src/main/java/stileferry/autoscaling/ScaleInPass.java
@@ -64,7 +64,7 @@
         this.listLagMs = Math.round(cluster.settings().cloud().listLagS() * 1000);
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
         this.cancelMs =
-                Math.round(1000 * CANCEL_PART * cluster.settings().workers().cancelS());
+                Math.round(1000 * CANCEL_PART * cluster.settings().workers().cancelDeadlineS());
         this.spareCpus = settled ? spareCpus() : 0;
         this.mayDeleteIdle = settled && links.permitsScaleIn();
         this.presumedLost = settled ? new HashSet<>(failureDetector.presumedLost(leadingSince)) : Set.of();
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -98,7 +98,7 @@
         if (status == OK && body != null) {
             settle(request);
             machinesCreated(request, CloudMessages.createdMachines(body));
-        } else if (status == UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
+        } else if (status == UNAVAILABLE && body != null && CloudMessages.reportsNoCapacity(body)) {
             settle(request);
             backOff.refused(request.pool());
         } else if (status == MALFORMED) {
--- a/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOutPlan.java
@@ -76,7 +76,7 @@
     void add(Job job) {
         JobSpec spec = job.spec();
         int tasks = tasksWithinTeamLimit(job);
-        String onlyZone = spec.gang() && spec.oneZone() ? gangZone(spec, tasks) : null;
+        String onlyZone = spec.isGang() && spec.oneZone() ? gangZone(spec, tasks) : null;
         tasks -= placeOnPlanned(spec, tasks, onlyZone);
         while (tasks > 0) {
             PlannedMachine machine = cheapest(spec, onlyZone);
@@ -107,11 +107,11 @@
         Settings.Team team = cluster.settings().team(job.spec().team());
         int waiting = job.pendingCount();
         double cpusPerTask = job.spec().cpus();
-        if (team == null || team.cpusMax() == 0 || cpusPerTask == 0) {
+        if (team == null || team.maxCpus() == 0 || cpusPerTask == 0) {
             return waiting;
         }
         double cpus = cpusByTeam.getOrDefault(team.name(), cluster.cpusInUse(team.name()));
-        int tasks = (int) Math.max(0, Math.min(waiting, (team.cpusMax() - cpus + ROUNDING) / cpusPerTask));
+        int tasks = (int) Math.max(0, Math.min(waiting, (team.maxCpus() - cpus + ROUNDING) / cpusPerTask));
         cpusByTeam.put(team.name(), cpus + tasks * cpusPerTask);
         return tasks;
     }
--- a/src/main/java/stileferry/cli/AdminGet.java
+++ b/src/main/java/stileferry/cli/AdminGet.java
@@ -19,6 +19,9 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         return connection.request(
-                "GET", ApiPaths.ADMINISTRATION + "settings", ControllerConnection.NO_BODY, OperatorSettingsText::of);
+                "GET",
+                ApiPaths.ADMINISTRATION_PREFIX + "settings",
+                ControllerConnection.NO_BODY,
+                OperatorSettingsText::of);
     }
 }
--- a/src/main/java/stileferry/cli/AdminShow.java
+++ b/src/main/java/stileferry/cli/AdminShow.java
@@ -39,7 +39,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        String path = ApiPaths.ADMINISTRATION + view.name().toLowerCase(Locale.ROOT);
+        String path = ApiPaths.ADMINISTRATION_PREFIX + view.name().toLowerCase(Locale.ROOT);
         String query = from.isEmpty() ? "" : "?from=" + from;
         return connection.request("GET", path + query, ControllerConnection.NO_BODY, JsonNode::toPrettyString);
     }
--- a/src/main/java/stileferry/cli/Cancel.java
+++ b/src/main/java/stileferry/cli/Cancel.java
@@ -12,6 +12,6 @@
         footer = {"", "Example: stileferry cancel --node 127.0.0.1:7701 job-1"})
 final class Cancel extends JobCommand {
     Cancel() {
-        super("POST", ApiPaths.CANCEL);
+        super("POST", ApiPaths.CANCEL_SUFFIX);
     }
 }
--- a/src/main/java/stileferry/cli/CheckConfig.java
+++ b/src/main/java/stileferry/cli/CheckConfig.java
@@ -28,7 +28,7 @@
             return ExitCode.USAGE;
         }
         System.out.println("settings are usable");
-        List<String> on = files.features().on();
+        List<String> on = files.features().enabledNames();
         System.out.println("features on: " + (on.isEmpty() ? "none" : String.join(", ", on)));
         return ExitCode.OK;
     }
--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -89,13 +89,13 @@
         submit(user, number + 2, JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL);
         await(user, number, "done");
         await(user, number + 2, "running");
-        user.ask("POST", ApiPaths.job("job-" + (number + 2)) + ApiPaths.CANCEL, NO_BODY, CHANGE_PATIENCE_MS);
+        user.ask("POST", ApiPaths.jobPath("job-" + (number + 2)) + ApiPaths.CANCEL_SUFFIX, NO_BODY, CHANGE_PATIENCE_MS);
         await(user, number + 2, "cancelled");
         user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), PATIENCE_MS);
-        user.ask("GET", ApiPaths.job("job-99"), NO_BODY, PATIENCE_MS);
+        user.ask("GET", ApiPaths.jobPath("job-99"), NO_BODY, PATIENCE_MS);
         user.ask("GET", ApiPaths.READY, NO_BODY, PATIENCE_MS);
         user.ask("GET", "/elsewhere", NO_BODY, PATIENCE_MS);
-        user.ask("GET", ApiPaths.ADMINISTRATION + "counters", NO_BODY, PATIENCE_MS);
+        user.ask("GET", ApiPaths.ADMINISTRATION_PREFIX + "counters", NO_BODY, PATIENCE_MS);
     }
 
     private static void submit(ApiClient user, int number, JobSpec.Kind kind, JobSpec.Priority priority)
@@ -126,7 +126,7 @@
 
     private static void await(ApiClient user, int number, String state) throws InterruptedException {
         for (int i = 0; i < MAX_POLLS; i++) {
-            ApiClient.Response response = user.once("GET", ApiPaths.job("job-" + number), NO_BODY);
+            ApiClient.Response response = user.once("GET", ApiPaths.jobPath("job-" + number), NO_BODY);
             if (response.body() != null
                     && JobState.read(response.body()).state().equals(state)) {
                 return;
--- a/src/main/java/stileferry/cli/JobCommand.java
+++ b/src/main/java/stileferry/cli/JobCommand.java
@@ -25,6 +25,6 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        return connection.request(method, ApiPaths.job(id) + action, ControllerConnection.NO_BODY, JobText::of);
+        return connection.request(method, ApiPaths.jobPath(id) + action, ControllerConnection.NO_BODY, JobText::of);
     }
 }
--- a/src/main/java/stileferry/cli/JobText.java
+++ b/src/main/java/stileferry/cli/JobText.java
@@ -9,6 +9,7 @@
 
     static String of(JsonNode body) {
         JobState job = JobState.read(body);
-        return job.id() + " " + job.state() + ", " + job.done() + " tasks done, " + job.running() + " running";
+        return job.id() + " " + job.state() + ", " + job.completedTasks() + " tasks done, " + job.runningTasks()
+                + " running";
     }
 }
--- a/src/main/java/stileferry/cli/SettingsChangeCommand.java
+++ b/src/main/java/stileferry/cli/SettingsChangeCommand.java
@@ -31,6 +31,6 @@
         ObjectNode body = MessageCodec.map().put("revision", revision);
         describe(body);
         return connection.request(
-                "POST", ApiPaths.ADMINISTRATION + path, MessageCodec.encode(body), OperatorSettingsText::of);
+                "POST", ApiPaths.ADMINISTRATION_PREFIX + path, MessageCodec.encode(body), OperatorSettingsText::of);
     }
 }
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -180,18 +180,18 @@
     public boolean withinTeamLimit(Job job) {
         Settings.Team team = settings.team(job.spec().team());
         return team == null
-                || (team.cpusMax() == 0
-                                || cpusInUse(team.name()) + job.spec().cpus() <= team.cpusMax() + Resources.ROUNDING)
-                        && (team.gpusMax() == 0
-                                || gpusInUse(team.name()) + job.spec().gpus() <= team.gpusMax() + Resources.ROUNDING);
+                || (team.maxCpus() == 0
+                                || cpusInUse(team.name()) + job.spec().cpus() <= team.maxCpus() + Resources.ROUNDING)
+                        && (team.maxGpus() == 0
+                                || gpusInUse(team.name()) + job.spec().gpus() <= team.maxGpus() + Resources.ROUNDING);
     }
 
     /** Whether a team uses more than its quota, even after giving back so much. */
     public boolean exceedsQuota(String teamName, double givenBackCpus, double givenBackGpus) {
         Settings.Team team = settings.team(teamName);
         return team != null
-                && (cpusInUse(teamName) - givenBackCpus > team.cpus() + Resources.ROUNDING
-                        || gpusInUse(teamName) - givenBackGpus > team.gpus() + Resources.ROUNDING);
+                && (cpusInUse(teamName) - givenBackCpus > team.guaranteedCpus() + Resources.ROUNDING
+                        || gpusInUse(teamName) - givenBackGpus > team.guaranteedGpus() + Resources.ROUNDING);
     }
 
     public Settings settings() {
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -245,7 +245,7 @@
 
     /** The next pending task that may start now; -1: none. */
     public int nextPendingTask(long now) {
-        if (!schedulable() || spec.gang() && !gangSchedulable(now)) {
+        if (!schedulable() || spec.isGang() && !gangSchedulable(now)) {
             return -1;
         }
         for (int index = nextUnassignedTask(0); index < spec.taskCount(); index = nextUnassignedTask(index + 1)) {
--- a/src/main/java/stileferry/cluster/TaskAssignment.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -74,7 +74,7 @@
 
     /** The work that preempting it would lose, in milliseconds, and 1 for the stop: a gang stops whole. */
     public long preemptionCostMs(long now) {
-        return (1 + lostWorkMs(now)) * (job.spec().gang() ? job.assignments().size() : 1);
+        return (1 + lostWorkMs(now)) * (job.spec().isGang() ? job.assignments().size() : 1);
     }
 
     /** How long it has been seen running, in milliseconds. */
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -180,7 +180,7 @@
     private void completeBrokenGangs() {
         // an older version stored that one task of a gang was done, and might have started the others again
         cluster.jobs().values().stream()
-                .filter(job -> job.spec().gang() && job.completedCount() > 0)
+                .filter(job -> job.spec().isGang() && job.completedCount() > 0)
                 .forEach(job -> taskLifecycle.completeGang(job, null));
         cluster.jobs().values().forEach(taskLifecycle::stopIncompleteGangAttempt);
     }
--- a/src/main/java/stileferry/coordination/PeerMessageHandler.java
+++ b/src/main/java/stileferry/coordination/PeerMessageHandler.java
@@ -25,7 +25,7 @@
 
     void handle(PeerMessage message, Consumer<PeerMessage> reply) {
         if (message instanceof PeerMessage.TermAnnouncement announcement) {
-            if (announcement.leading()) {
+            if (announcement.senderLeads()) {
                 controller.links().announcementReceived(announcement.leader(), announcement);
             }
             reply.accept(controller.election().receive(announcement));
--- a/src/main/java/stileferry/heartbeat/CommandPlanner.java
+++ b/src/main/java/stileferry/heartbeat/CommandPlanner.java
@@ -32,7 +32,7 @@
         this.environment = environment;
         this.leadership = leadership;
         this.term = term;
-        this.cancelMs = Math.round(cluster.settings().workers().cancelS() * 1000);
+        this.cancelMs = Math.round(cluster.settings().workers().cancelDeadlineS() * 1000);
     }
 
     /**
--- a/src/main/java/stileferry/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/stileferry/heartbeat/ReclaimNoticeHandler.java
@@ -30,12 +30,12 @@
     private void evict(TaskAssignment assignment, double noticeS, long now) {
         JobSpec spec = assignment.job().spec();
         boolean endsTooLate = spec.estimateS() - assignment.runtimeMs(now) / 1000.0 > noticeS;
-        if (spec.gang()) {
+        if (spec.isGang()) {
             if (endsTooLate) {
                 boolean canSave = spec.checkpointSaveS() <= noticeS;
                 taskObserver.stopTaskOrGang(assignment, canSave ? spec.checkpointSaveS() : 0);
             }
-        } else if (spec.service()) {
+        } else if (spec.isService()) {
             cluster.requestStop(assignment, 0, now);
         } else if (spec.checkpointIntervalS() > 0) {
             cluster.requestStop(assignment, spec.checkpointSaveS(), now);
--- a/src/main/java/stileferry/heartbeat/TaskReconciliation.java
+++ b/src/main/java/stileferry/heartbeat/TaskReconciliation.java
@@ -108,7 +108,7 @@
                 assignment.assignedAt() == 0 ? -1 : now - assignment.assignedAt());
         job.markStarted();
         cacheImage(machine, assignment);
-        if (job.spec().gang() && job.runningCount() == job.spec().taskCount()) {
+        if (job.spec().isGang() && job.runningCount() == job.spec().taskCount()) {
             taskObserver.gangRunning(job);
         }
     }
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -53,7 +53,7 @@
         this.processId = 1 + environment.random().nextLong(Long.MAX_VALUE - 1);
         this.peers = new PeerCancellationState[settings.peers().size()];
         Arrays.setAll(peers, index -> new PeerCancellationState());
-        double lastS = settings.workers().cancelS() + settings.workers().leaseS();
+        double lastS = settings.workers().cancelDeadlineS() + settings.workers().leaseS();
         this.rememberedMs = Math.round(1000 * REMEMBERED * lastS);
     }
 
@@ -211,11 +211,11 @@
     /** What to answer to an announcement. */
     CancellationKnowledge knowledgeInReplyTo(TermAnnouncement received) {
         CancellationKnowledge theirs = received.knowledge();
-        boolean fromCompleteLeader = received.leading() && theirs != null && theirs.complete();
+        boolean fromCompleteLeader = received.senderLeads() && theirs != null && theirs.complete();
         List<String> jobIds = fromCompleteLeader ? List.of() : recentlyCancelled();
         return new CancellationKnowledge(
                 processId,
-                theirs == null ? 0 : theirs.process(),
+                theirs == null ? 0 : theirs.processId(),
                 informed && jobIds.size() <= PeerMessage.MAX_CANCELLED_JOBS,
                 false,
                 jobIds.subList(0, Math.min(jobIds.size(), PeerMessage.MAX_CANCELLED_JOBS)));
@@ -235,14 +235,17 @@
             return;
         }
         // an announcement to an earlier process of this node does not hold what was confirmed since
-        informed |= current && received.leading() && knowledge.complete() && knowledge.addressee() == processId;
+        informed |= current
+                && received.senderLeads()
+                && knowledge.complete()
+                && knowledge.recipientProcessId() == processId;
     }
 
     private void merge(TermAnnouncement received) {
         if (received.knowledge() == null) {
-            informed &= !received.leading(); // a leader of an older version confirms what nobody else knows
+            informed &= !received.senderLeads(); // a leader of an older version confirms what nobody else knows
         } else {
-            received.knowledge().cancelled().forEach(this::addCancelled);
+            received.knowledge().cancelledJobs().forEach(this::addCancelled);
         }
     }
 
@@ -258,7 +261,7 @@
             peer.knewNoHigherTermAt = Math.max(peer.knewNoHigherTermAt, sentAt);
         }
         if (peer.version == PeerCancellationState.Version.WITH_CANCELLATIONS) {
-            acknowledge(from, sent.knowledge().cancelled());
+            acknowledge(from, sent.knowledge().cancelledJobs());
         }
         confirmAllKnownToQuorum();
     }
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -62,7 +62,7 @@
         double heartbeats = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEATS * 1000;
         double ample = Math.max(SHORTEST_MS, Math.min(LONGEST_UNSCALED_MS, heartbeats));
         double longest = Math.max(ample, settings.workers().leaseS() * 1000 * DURATION_IN_WORKER_LEASES);
-        return Math.round(Math.min(longest, ample * settings.slowness()));
+        return Math.round(Math.min(longest, ample * settings.slowdownFactor()));
     }
 
     /**
@@ -70,7 +70,7 @@
      * ends, with all clocks against us, within {@code cancel_s} after that moment.
      */
     private static long workerRenewalGraceMs(Settings settings) {
-        double cancelMs = 1000 * settings.workers().cancelS();
+        double cancelMs = 1000 * settings.workers().cancelDeadlineS();
         double leaseMs = 1000 * settings.workers().leaseS();
         return Math.round(cancelMs - leaseMs - CLOCK_DRIFT * (cancelMs + leaseMs)) - WORKER_LEASE_SLACK_MS;
     }
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -71,7 +71,7 @@
         private void count(TermAnnouncement reply) {
             election.announcements().observe(reply);
             election.cancellations().receive(reply, false);
-            nobodyLeads &= !reply.leading();
+            nobodyLeads &= !reply.senderLeads();
             if (reply.knowledge() != null && reply.knowledge().informed()) {
                 informedPeers++;
             }
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -96,7 +96,7 @@
 
     private TermAnnouncement announcement(PeerMessage.CancellationKnowledge knowledge) {
         return new TermAnnouncement(election.term(), election.leader(), election.leading(), knowledge)
-                .with(links.controllersExchangingViews());
+                .withLinkViewParticipants(links.controllersExchangingViews());
     }
 
     private void announceTo(int peer) {
@@ -128,7 +128,7 @@
     TermAnnouncement receive(TermAnnouncement received) {
         observe(received);
         cancellations.receive(received, received.term() >= election.term());
-        if (!received.leading() && !election.leading()) {
+        if (!received.senderLeads() && !election.leading()) {
             consentToLeaderlessRenewal(); // a controller that does not lead announces only to ask for that
         }
         return announcement(cancellations.knowledgeInReplyTo(received));
@@ -136,7 +136,7 @@
 
     /** Takes in an announcement's term. Only a leader speaks for itself: whom others believe in may be long gone. */
     void observe(TermAnnouncement received) {
-        election.observeTerm(received.term(), received.leading() ? received.leader() : "");
+        election.observeTerm(received.term(), received.senderLeads() ? received.leader() : "");
     }
 
     /** Takes in that another controller may answer heartbeats without a leader that were sent until now. */
--- a/src/main/java/stileferry/leadership/PeerCancellationState.java
+++ b/src/main/java/stileferry/leadership/PeerCancellationState.java
@@ -29,7 +29,7 @@
     void receiveReply(CancellationKnowledge knowledge) {
         boolean known = knowledge != null;
         version = known ? Version.WITH_CANCELLATIONS : Version.WITHOUT_CANCELLATIONS;
-        processId = known ? knowledge.process() : 0;
+        processId = known ? knowledge.processId() : 0;
         informed = known && knowledge.informed();
     }
 }
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -89,7 +89,7 @@
         int index = job.nextPendingTask(now);
         long attempt = termSequence.next(); // one for all tasks of a gang, which find each other by it
         GangAttempt gangAttempt = null;
-        if (job.spec().gang()) {
+        if (job.spec().isGang()) {
             gangAttempt = new GangAttempt(machines.size());
             gangMetrics.countAttempt();
         }
@@ -164,7 +164,7 @@
      * only together, and one that is left alone loses what it did.
      */
     public void stop(TaskAssignment assignment, double graceS) {
-        if (assignment.job().spec().gang()) {
+        if (assignment.job().spec().isGang()) {
             double gangGraceS = graceS > 0 && !allReachable(assignment.job()) ? 0 : graceS;
             stopOne(assignment, gangGraceS);
             stopOthers(assignment, gangGraceS);
@@ -216,7 +216,7 @@
      * saved a checkpoint, so do the others. Otherwise none of them can: they would only wait for the missing one.
      */
     private void stopRestOfGang(TaskAssignment ended, boolean checkpointSaved) {
-        if (ended.job().spec().gang()) {
+        if (ended.job().spec().isGang()) {
             stopOthers(ended, checkpointSaved ? ended.job().spec().checkpointSaveS() : 0);
         }
     }
@@ -227,7 +227,7 @@
      * other in vain. Neither can complete or save a checkpoint; the gang starts again whole.
      */
     public void stopIncompleteGangAttempt(Job job) {
-        if (job.spec().gang() && !job.assignments().isEmpty() && !job.assignmentsFormOneAttempt()) {
+        if (job.spec().isGang() && !job.assignments().isEmpty() && !job.assignmentsFormOneAttempt()) {
             long now = environment.now();
             List.copyOf(job.assignments().values()).forEach(assignment -> cluster.requestStop(assignment, 0, now));
         }
@@ -243,8 +243,8 @@
         }
         long now = environment.now();
         boolean completed =
-                status.exitReason() == ExitReason.COMPLETED && !job.spec().service();
-        List<TaskAssignment> others = completed && job.spec().gang() ? completeGang(job, assignment) : List.of();
+                status.exitReason() == ExitReason.COMPLETED && !job.spec().isService();
+        List<TaskAssignment> others = completed && job.spec().isGang() ? completeGang(job, assignment) : List.of();
         machine.agent().awaitDurableOutcome(status.attemptId());
         if (completed || status.exitReason() == ExitReason.FAILED) {
             job.markStarted();
@@ -263,7 +263,7 @@
 
     private void recordFailure(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
         exitRecorder.recordFailure(machine, assignment, status, now);
-        if (assignment.job().spec().gang()) {
+        if (assignment.job().spec().isGang()) {
             gangMetrics.countExit(assignment, status);
         }
         stopRestOfGang(assignment, status.checkpointSaved());
@@ -306,7 +306,7 @@
         if (assignment.job().holds(assignment)) {
             logSettled(assignment, proof);
             settle(assignment, false, null);
-            if (assignment.job().spec().gang()) {
+            if (assignment.job().spec().isGang()) {
                 gangMetrics.countLost(assignment);
             }
             stopRestOfGang(assignment, false);
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -51,14 +51,14 @@
     public LinkMonitor(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
-        Settings.WorkerTimes workers = settings.workers();
+        Settings.WorkerTimings workers = settings.workers();
         ConnectivityConfig config = new ConnectivityConfig(
                 settings.controllerName(),
                 settings.peers().stream().map(Settings.Peer::name).toList(),
                 Math.round(workers.heartbeatIntervalS() * 1000),
                 Math.round(workers.leaseS() * 1000),
                 leaderLeaseMs);
-        this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
+        this.connectivity = new Connectivity(config, Math.max(1, environment.wallClockMs()), environment.now());
         this.tickMs = config.exchangeIntervalMs(true);
         long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickMs);
         long exchangeTimeoutMs = config.exchangeIntervalMs(false); // longer, as a peer that is merely slow is not lost
@@ -181,7 +181,7 @@
             connectivity.storeAnswered(now);
         } else {
             connectivity.storeFailed(
-                    status == Environment.NO_ANSWER ? FailureKind.UNANSWERED : FailureKind.REFUSED, now);
+                    status == Environment.NO_RESPONSE ? FailureKind.UNANSWERED : FailureKind.REFUSED, now);
         }
     }
 
@@ -217,7 +217,7 @@
     @Override
     public void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         viewExchange.announcementReceived(controller, announcement);
-        if (announcement.leading() && announcement.term() > exchangedTerm) {
+        if (announcement.senderLeads() && announcement.term() > exchangedTerm) {
             exchangedTerm = announcement.term();
             connectivity.leaderObserved(announcement.term(), controller, environment.now());
             viewExchange.exchangeWithAll(); // another controller may not hear the new leader
--- a/src/main/java/stileferry/links/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -32,8 +32,8 @@
     }
 
     @Override
-    public long timeOfDay() {
-        return delegate.timeOfDay();
+    public long wallClockMs() {
+        return delegate.wallClockMs();
     }
 
     @Override
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -61,11 +61,11 @@
     /** Takes in who exchanges views, as an announcement names them; followers learn of each other from the leader. */
     void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         for (Settings.Peer peer : settings.peers()) {
-            boolean senderKnows = peer.name().equals(controller) || announcement.leading();
+            boolean senderKnows = peer.name().equals(controller) || announcement.senderLeads();
             if (!senderKnows) {
                 continue;
             }
-            if (announcement.linkAware().contains(peer.name())) {
+            if (announcement.linkViewParticipants().contains(peer.name())) {
                 participants.add(peer.name());
             } else {
                 participants.remove(peer.name());
--- a/src/main/java/stileferry/overload/AdmissionSettings.java
+++ b/src/main/java/stileferry/overload/AdmissionSettings.java
@@ -42,12 +42,13 @@
 
     private static Map<String, Double> weights(Settings settings) {
         double average = settings.teams().stream()
-                .mapToDouble(Settings.Team::cpus)
+                .mapToDouble(Settings.Team::guaranteedCpus)
                 .filter(cpus -> cpus > 0)
                 .average()
                 .orElse(1);
         Map<String, Double> weights = new HashMap<>();
-        settings.teams().forEach(team -> weights.put(team.name(), team.cpus() > 0 ? team.cpus() : average));
+        settings.teams()
+                .forEach(team -> weights.put(team.name(), team.guaranteedCpus() > 0 ? team.guaranteedCpus() : average));
         return weights;
     }
 
--- a/src/main/java/stileferry/overload/RequestForwarder.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -18,7 +18,7 @@
     private static final int MAX_WAITING = 4 * PeerMessage.MAX_BATCH_REQUESTS;
 
     /** Bytes of the bodies in one batch, well below what a record may hold. */
-    private static final int MAX_BATCH_BYTES = MessageCodec.MAX_BODY;
+    private static final int MAX_BATCH_BYTES = MessageCodec.MAX_BODY_BYTES;
 
     private final Environment environment;
     private final int maxBatchesInFlight;
@@ -83,7 +83,7 @@
         environment.sendToPeer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), patienceMs, message -> {
             batchesInFlight--;
             List<PeerMessage.Response> answers =
-                    message instanceof PeerMessage.ResponseBatch batchAnswer ? batchAnswer.answers() : List.of();
+                    message instanceof PeerMessage.ResponseBatch batchAnswer ? batchAnswer.responses() : List.of();
             boolean complete = answers.size() == batch.size();
             for (int i = 0; i < batch.size(); i++) {
                 batch.get(i).reply.accept(complete ? answers.get(i) : null);
--- a/src/main/java/stileferry/protocol/ApiPaths.java
+++ b/src/main/java/stileferry/protocol/ApiPaths.java
@@ -6,13 +6,13 @@
     public static final String JOBS = "/work";
 
     /** What follows a job's path to cancel it. */
-    public static final String CANCEL = "/withdraw";
+    public static final String CANCEL_SUFFIX = "/withdraw";
 
     /** Workers' heartbeats. */
     public static final String HEARTBEATS = "/v1/report";
 
     /** The administration API. */
-    public static final String ADMINISTRATION = "/admin/";
+    public static final String ADMINISTRATION_PREFIX = "/admin/";
 
     /** Whether users should be sent to this controller. */
     public static final String READY = "/ready";
@@ -22,12 +22,12 @@
     private ApiPaths() {}
 
     /** The path of a job. */
-    public static String job(String id) {
+    public static String jobPath(String id) {
         return JOB_PREFIX + id;
     }
 
     /** What follows {@link #JOBS} and a slash in a path; null when it does not begin with them. */
-    public static String afterJobs(String path) {
+    public static String jobPathRemainder(String path) {
         return path.startsWith(JOB_PREFIX) ? path.substring(JOB_PREFIX.length()) : null;
     }
 }
--- a/src/main/java/stileferry/protocol/CloudMessages.java
+++ b/src/main/java/stileferry/protocol/CloudMessages.java
@@ -20,12 +20,12 @@
     public record ListedMachine(
             String name, String address, String type, String zone, boolean spot, String state, double ageS) {
         /** Whether the machine has not come up yet. */
-        public boolean booting() {
+        public boolean isBooting() {
             return state.equals("booting");
         }
 
         /** Whether the machine will never come up. */
-        public boolean failed() {
+        public boolean hasFailed() {
             return state.equals("failed");
         }
     }
@@ -45,7 +45,7 @@
     }
 
     /** Whether a request to scale out was refused because the cloud has no such machines now. */
-    public static boolean saysNoCapacity(JsonNode body) {
+    public static boolean reportsNoCapacity(JsonNode body) {
         return body.path(WireNames.ERROR).asText().startsWith("no");
     }
 
--- a/src/main/java/stileferry/protocol/Environment.java
+++ b/src/main/java/stileferry/protocol/Environment.java
@@ -10,7 +10,7 @@
  */
 public interface Environment {
     /** The status of a request whose outcome is unknown. */
-    int NO_ANSWER = 0;
+    int NO_RESPONSE = 0;
 
     /** The status of a request that certainly never left this process. */
     int NOT_SENT = -1;
@@ -19,7 +19,7 @@
     long now();
 
     /** The time of day in milliseconds since the epoch. */
-    long timeOfDay();
+    long wallClockMs();
 
     /** Random numbers, for jitter only. */
     RandomGenerator random();
@@ -38,7 +38,7 @@
 
     /** Takes the answer to a request; the body may be null. */
     interface ResponseHandler {
-        /** Called with an HTTP status, {@link #NO_ANSWER} or {@link #NOT_SENT}. */
+        /** Called with an HTTP status, {@link #NO_RESPONSE} or {@link #NOT_SENT}. */
         void onResponse(int status, JsonNode body);
     }
 }
--- a/src/main/java/stileferry/protocol/ExitReason.java
+++ b/src/main/java/stileferry/protocol/ExitReason.java
@@ -1,7 +1,7 @@
 package stileferry.protocol;
 
 /** Why a task has exited, as its worker tells it. */
-public enum ExitReason implements WireWord {
+public enum ExitReason implements HasWireName {
     /** Completed. */
     COMPLETED("done"),
     /** Stopped by command; its progress may have been saved. */
@@ -35,6 +35,6 @@
 
     /** The reason that a word on the wire stands for; words to come are harmless. */
     static ExitReason of(String word) {
-        return WireWord.find(values(), word, OTHER);
+        return HasWireName.byWireName(values(), word, OTHER);
     }
 }
--- a/src/main/java/stileferry/protocol/Features.java
+++ b/src/main/java/stileferry/protocol/Features.java
@@ -56,7 +56,7 @@
     }
 
     /** The names of all that is on. */
-    public List<String> on() {
+    public List<String> enabledNames() {
         List<String> names = new ArrayList<>();
         if (partialCuts) {
             names.add(PARTIAL_CUTS);
--- a/src/main/java/stileferry/protocol/Heartbeat.java
+++ b/src/main/java/stileferry/protocol/Heartbeat.java
@@ -28,7 +28,7 @@
         byte[] encodedTasks) {
 
     /** Where a task stands on its worker; a gang's task that has its image waits for the others. */
-    public enum TaskPhase implements WireWord {
+    public enum TaskPhase implements HasWireName {
         PULLING_IMAGE("pulling"),
         WAITING_FOR_GANG("waiting"),
         RUNNING("running"),
@@ -36,7 +36,7 @@
         EXITED("exited");
 
         /** Kept, as each call of values() makes a new array, and this is asked for each task of each heartbeat. */
-        private static final TaskPhase[] ALL = values();
+        private static final TaskPhase[] VALUES = values();
 
         private final String wireName;
 
@@ -52,7 +52,7 @@
 
         /** The phase that a word on the wire stands for; words to come are taken for the first phase. */
         static TaskPhase of(String word) {
-            return WireWord.find(ALL, word, PULLING_IMAGE);
+            return HasWireName.byWireName(VALUES, word, PULLING_IMAGE);
         }
     }
 
@@ -86,7 +86,7 @@
     }
 
     /** Whether the body of another heartbeat has the same tasks, and nothing else, from this position on. */
-    boolean endsLike(byte[] body, int from) {
+    boolean hasSameEncodedTasks(byte[] body, int from) {
         return encodedTasks != null && Arrays.equals(body, from, body.length, encodedTasks, 0, encodedTasks.length);
     }
 }
--- a/src/main/java/stileferry/protocol/HeartbeatReader.java
+++ b/src/main/java/stileferry/protocol/HeartbeatReader.java
@@ -20,7 +20,7 @@
 
     private final JsonParser parser;
     private final byte[] body;
-    private final Function<String, Heartbeat> last;
+    private final Function<String, Heartbeat> lastHeartbeatOf;
 
     private String machine;
     private String address = "";
@@ -37,7 +37,7 @@
     private HeartbeatReader(JsonParser parser, byte[] body, Function<String, Heartbeat> last) {
         this.parser = parser;
         this.body = body;
-        this.last = last;
+        this.lastHeartbeatOf = last;
     }
 
     static Heartbeat read(byte[] body, Function<String, Heartbeat> last) {
@@ -84,8 +84,8 @@
     private boolean readFields() throws IOException {
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
             boolean isTasks = name.equals(WireNames.TASKS);
-            int position = isTasks && body.length > 0 ? MessageCodec.position(parser) : body.length;
-            if (position < body.length && takeTasksOfLast(position)) {
+            int position = isTasks && body.length > 0 ? MessageCodec.bytesRead(parser) : body.length;
+            if (position < body.length && reuseTasksOfLastHeartbeat(position)) {
                 return true;
             }
             JsonToken value = parser.nextToken();
@@ -101,9 +101,9 @@
     }
 
     /** Takes the tasks from the last heartbeat of the machine if the rest of the body is the same. */
-    private boolean takeTasksOfLast(int position) {
-        Heartbeat known = machine == null ? null : last.apply(machine);
-        if (known == null || !known.endsLike(body, position)) {
+    private boolean reuseTasksOfLastHeartbeat(int position) {
+        Heartbeat known = machine == null ? null : lastHeartbeatOf.apply(machine);
+        if (known == null || !known.hasSameEncodedTasks(body, position)) {
             return false;
         }
         tasks = known.tasks();
@@ -118,16 +118,16 @@
             case WireNames.MACHINE_TYPE -> machineType = parser.getValueAsString("");
             case WireNames.ZONE -> zone = parser.getValueAsString("");
             case WireNames.SPOT -> spot = value == JsonToken.VALUE_TRUE;
-            case WireNames.INCARNATION -> incarnation = count(value);
-            case WireNames.SEQUENCE -> sequence = count(value);
-            case WireNames.FENCING_TOKEN -> fencingToken = count(value);
+            case WireNames.INCARNATION -> incarnation = readInteger(value);
+            case WireNames.SEQUENCE -> sequence = readInteger(value);
+            case WireNames.FENCING_TOKEN -> fencingToken = readInteger(value);
             case WireNames.RECLAIM_NOTICE_S ->
                 reclaimNoticeS = value.isNumeric() ? Math.max(0, parser.getDoubleValue()) : MISSING;
             default -> parser.skipChildren();
         }
     }
 
-    private long count(JsonToken value) throws IOException {
+    private long readInteger(JsonToken value) throws IOException {
         return value == JsonToken.VALUE_NUMBER_INT ? parser.getLongValue() : MISSING;
     }
 
--- a/src/main/java/stileferry/protocol/JobSpec.java
+++ b/src/main/java/stileferry/protocol/JobSpec.java
@@ -43,7 +43,7 @@
     private static final Pattern ID = Pattern.compile("job-[0-9]{1,18}");
 
     /** Independent tasks; replicas that run until cancelled; tasks that only run all together. */
-    public enum Kind implements WireWord {
+    public enum Kind implements HasWireName {
         ARRAY("array"),
         SERVICE("standing"),
         GANG("group");
@@ -56,7 +56,7 @@
 
         /** The kind that a word on the wire stands for; null: none. */
         static Kind of(String word) {
-            return WireWord.find(values(), word, null);
+            return HasWireName.byWireName(values(), word, null);
         }
 
         @Override
@@ -66,7 +66,7 @@
     }
 
     /** Priorities, the most urgent first. */
-    public enum Priority implements WireWord {
+    public enum Priority implements HasWireName {
         CRITICAL("critical"),
         URGENT("urgent"),
         NORMAL("normal"),
@@ -80,7 +80,7 @@
 
         /** The priority that a word on the wire stands for; null: none. */
         static Priority of(String word) {
-            return WireWord.find(values(), word, null);
+            return HasWireName.byWireName(values(), word, null);
         }
 
         /** The word that stands for it in messages and in the administration API. */
@@ -91,7 +91,7 @@
     }
 
     /** True for ids of the form that users may choose. */
-    public static boolean validId(String id) {
+    public static boolean isValidId(String id) {
         return ID.matcher(id).matches();
     }
 
@@ -131,7 +131,7 @@
     }
 
     /** True when the machine type is among the allowed ones and one task fits an empty machine of it. */
-    public boolean fitsType(MachineType type) {
+    public boolean fitsMachineType(MachineType type) {
         return (machineTypes == null || machineTypes.contains(type.name()))
                 && cpus <= type.cpus()
                 && gpus <= type.gpus()
@@ -143,11 +143,11 @@
      * False for a gang whose tasks may never all run at the same time: at most half of them may be in its only zone.
      */
     public boolean canRunTogether(List<MachineType> all) {
-        if (!gang() || !spreadAcrossZones || taskCount == 1) {
+        if (!isGang() || !spreadAcrossZones || taskCount == 1) {
             return true;
         }
         long zones = all.stream()
-                .filter(this::fitsType)
+                .filter(this::fitsMachineType)
                 .flatMap(type -> type.zones().stream())
                 .distinct()
                 .count();
@@ -155,12 +155,12 @@
     }
 
     /** True for replicas that run until their job is cancelled. */
-    public boolean service() {
+    public boolean isService() {
         return kind == Kind.SERVICE;
     }
 
     /** True when the tasks only run all together. */
-    public boolean gang() {
+    public boolean isGang() {
         return kind == Kind.GANG;
     }
 }
--- a/src/main/java/stileferry/protocol/JobSpecReader.java
+++ b/src/main/java/stileferry/protocol/JobSpecReader.java
@@ -23,35 +23,35 @@
 
     private JobSpec read() throws InvalidJobSpecException {
         String id = text(WireNames.NAME_ID);
-        if (!JobSpec.validId(id)) {
+        if (!JobSpec.isValidId(id)) {
             throw new InvalidJobSpecException(WireNames.NAME_ID + ": bad form");
         }
         // users hear of the first field that is wrong, so these come before the rest
         int taskCount = taskCount();
-        double cpus = amount(WireNames.CPUS);
-        double gpus = amount(WireNames.GPUS);
-        double memoryGb = amount(WireNames.MEMORY_GB);
+        double cpus = nonNegativeNumber(WireNames.CPUS);
+        double gpus = nonNegativeNumber(WireNames.GPUS);
+        double memoryGb = nonNegativeNumber(WireNames.MEMORY_GB);
         return new JobSpec(
                 id,
                 text(WireNames.JOB_CLASS),
                 text(WireNames.TEAM),
-                known(JobSpec.Kind.of(text(WireNames.KIND)), WireNames.KIND),
-                known(JobSpec.Priority.of(text(WireNames.PRIORITY)), WireNames.PRIORITY),
+                requireKnown(JobSpec.Kind.of(text(WireNames.KIND)), WireNames.KIND),
+                requireKnown(JobSpec.Priority.of(text(WireNames.PRIORITY)), WireNames.PRIORITY),
                 taskCount,
                 cpus,
                 gpus,
                 memoryGb,
                 text(WireNames.IMAGE),
-                amount(WireNames.IMAGE_GB),
+                nonNegativeNumber(WireNames.IMAGE_GB),
                 machineTypes(),
                 isAbsent(WireNames.ZONE) ? null : text(WireNames.ZONE),
                 flag(WireNames.ONE_ZONE),
                 flag(WireNames.SPREAD_ACROSS_ZONES),
                 flag(WireNames.SPOT),
-                amount(WireNames.ESTIMATE_S),
-                amount(WireNames.CHECKPOINT_INTERVAL_S),
-                amount(WireNames.CHECKPOINT_SAVE_S),
-                isAbsent(WireNames.DEADLINE_S) ? -1 : amount(WireNames.DEADLINE_S));
+                nonNegativeNumber(WireNames.ESTIMATE_S),
+                nonNegativeNumber(WireNames.CHECKPOINT_INTERVAL_S),
+                nonNegativeNumber(WireNames.CHECKPOINT_SAVE_S),
+                isAbsent(WireNames.DEADLINE_S) ? -1 : nonNegativeNumber(WireNames.DEADLINE_S));
     }
 
     private int taskCount() throws InvalidJobSpecException {
@@ -107,7 +107,7 @@
         return field.booleanValue();
     }
 
-    private double amount(String name) throws InvalidJobSpecException {
+    private double nonNegativeNumber(String name) throws InvalidJobSpecException {
         JsonNode field = body.path(name);
         if (!field.isNumber() || !Double.isFinite(field.doubleValue()) || field.doubleValue() < 0) {
             throw new InvalidJobSpecException(name + ": missing, negative or not a number");
@@ -115,7 +115,7 @@
         return field.doubleValue();
     }
 
-    private static <T> T known(T value, String name) throws InvalidJobSpecException {
+    private static <T> T requireKnown(T value, String name) throws InvalidJobSpecException {
         if (value == null) {
             throw new InvalidJobSpecException(name + ": unknown");
         }
--- a/src/main/java/stileferry/protocol/JsonText.java
+++ b/src/main/java/stileferry/protocol/JsonText.java
@@ -13,7 +13,7 @@
     /** Reads the first value; null when there is none. */
     static JsonNode read(String json) throws InvalidJsonException {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
-            return MessageCodec.tree(parser);
+            return MessageCodec.readTree(parser);
         } catch (IOException e) {
             String reason =
                     e instanceof JsonProcessingException problem ? problem.getOriginalMessage() : e.getMessage();
--- a/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
+++ b/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
@@ -152,9 +152,9 @@
      * One page of a scan.
      *
      * @param revision the store's revision at the time of the read
-     * @param more whether keys follow after the last row
+     * @param hasMore whether keys follow after the last row
      */
-    public record ScanPage(List<KeyValue> rows, long revision, boolean more) {}
+    public record ScanPage(List<KeyValue> rows, long revision, boolean hasMore) {}
 
     /** Reads one page of a scan; null when the read failed. */
     public static ScanPage scanPage(int status, JsonNode body) {
--- a/src/main/java/stileferry/protocol/MessageCodec.java
+++ b/src/main/java/stileferry/protocol/MessageCodec.java
@@ -19,10 +19,10 @@
  */
 public final class MessageCodec {
     /** The largest body taken or sent, on interfaces that have a limit. */
-    public static final int MAX_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
     /** No body of any interface is nested so deep; what is deeper could exhaust the stack. */
-    private static final int MAX_DEPTH = 64;
+    private static final int MAX_NESTING_DEPTH = 64;
 
     private static final MessagePackFactory FACTORY = new MessagePackFactory();
 
@@ -41,7 +41,7 @@
     /** Reads one body; null when it is not MessagePack. */
     public static JsonNode decode(byte[] bytes) {
         try (JsonParser parser = parser(bytes)) {
-            return tree(parser);
+            return readTree(parser);
         } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
             return null;
         }
@@ -54,39 +54,39 @@
 
     /** How many bytes the parser has read; the MessagePack one tells it by the older name only, as characters. */
     @SuppressWarnings("deprecation")
-    static int position(JsonParser parser) {
+    static int bytesRead(JsonParser parser) {
         return (int) parser.getCurrentLocation().getCharOffset();
     }
 
     /** Reads the next value with all that it holds; null at the end of the input. */
-    static JsonNode tree(JsonParser parser) throws IOException {
-        return parser.nextToken() == null ? null : value(parser, 0);
+    static JsonNode readTree(JsonParser parser) throws IOException {
+        return parser.nextToken() == null ? null : readValue(parser, 0);
     }
 
-    private static JsonNode value(JsonParser parser, int depth) throws IOException {
-        if (depth > MAX_DEPTH) {
-            throw new IOException("nested deeper than " + MAX_DEPTH);
+    private static JsonNode readValue(JsonParser parser, int depth) throws IOException {
+        if (depth > MAX_NESTING_DEPTH) {
+            throw new IOException("nested deeper than " + MAX_NESTING_DEPTH);
         }
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         return switch (parser.currentToken()) {
-            case START_OBJECT -> mapValue(parser, depth);
-            case START_ARRAY -> listValue(parser, depth);
+            case START_OBJECT -> readMap(parser, depth);
+            case START_ARRAY -> readList(parser, depth);
             case VALUE_STRING -> nodes.textNode(parser.getText());
             case VALUE_TRUE -> nodes.booleanNode(true);
             case VALUE_FALSE -> nodes.booleanNode(false);
             case VALUE_NULL -> nodes.nullNode();
-            case VALUE_NUMBER_INT -> integerValue(parser);
+            case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.getDoubleValue());
             case VALUE_EMBEDDED_OBJECT -> nodes.pojoNode(parser.getEmbeddedObject());
             default -> throw new IOException("unexpected " + parser.currentToken());
         };
     }
 
-    private static ObjectNode mapValue(JsonParser parser, int depth) throws IOException {
+    private static ObjectNode readMap(JsonParser parser, int depth) throws IOException {
         ObjectNode map = map();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-            next(parser);
-            if (map.replace(name, value(parser, depth + 1)) != null) {
+            nextToken(parser);
+            if (map.replace(name, readValue(parser, depth + 1)) != null) {
                 throw new IOException("field given twice: " + name);
             }
         }
@@ -96,15 +96,15 @@
         return map;
     }
 
-    private static ArrayNode listValue(JsonParser parser, int depth) throws IOException {
+    private static ArrayNode readList(JsonParser parser, int depth) throws IOException {
         ArrayNode list = list();
-        while (next(parser) != JsonToken.END_ARRAY) {
-            list.add(value(parser, depth + 1));
+        while (nextToken(parser) != JsonToken.END_ARRAY) {
+            list.add(readValue(parser, depth + 1));
         }
         return list;
     }
 
-    private static JsonNode integerValue(JsonParser parser) throws IOException {
+    private static JsonNode readInteger(JsonParser parser) throws IOException {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         return switch (parser.getNumberType()) {
             case INT -> nodes.numberNode(parser.getIntValue());
@@ -113,7 +113,7 @@
         };
     }
 
-    private static JsonToken next(JsonParser parser) throws IOException {
+    private static JsonToken nextToken(JsonParser parser) throws IOException {
         JsonToken token = parser.nextToken();
         if (token == null) {
             throw new IOException("the body ends too soon");
--- a/src/main/java/stileferry/protocol/OperatorSettingDefinition.java
+++ b/src/main/java/stileferry/protocol/OperatorSettingDefinition.java
@@ -15,7 +15,7 @@
  * @param choices what a text may be; the first is the default
  */
 record OperatorSettingDefinition(
-        String name, JsonNode defaultValue, double min, double max, List<String> choices, String meaning) {
+        String name, JsonNode defaultValue, double min, double max, List<String> choices, String description) {
 
     static OperatorSettingDefinition number(String name, double defaultValue, double min, double max, String meaning) {
         return new OperatorSettingDefinition(name, DoubleNode.valueOf(defaultValue), min, max, List.of(), meaning);
@@ -47,7 +47,7 @@
     }
 
     /** Writes the setting with its value for the administration API. */
-    void describe(JsonNode value, ObjectNode into) {
+    void writeTo(JsonNode value, ObjectNode into) {
         into.put("name", name);
         into.set("value", value);
         into.set("default", defaultValue);
@@ -56,6 +56,6 @@
         } else if (defaultValue.isTextual()) {
             choices.forEach(into.putArray("choices")::add);
         }
-        into.put("meaning", meaning);
+        into.put("meaning", description);
     }
 }
--- a/src/main/java/stileferry/protocol/OperatorSettings.java
+++ b/src/main/java/stileferry/protocol/OperatorSettings.java
@@ -73,11 +73,11 @@
     private static final String VALUES = "values";
 
     private final long revision;
-    private final Map<String, JsonNode> changed;
+    private final Map<String, JsonNode> overrides;
 
     private OperatorSettings(long revision, Map<String, JsonNode> changed) {
         this.revision = revision;
-        this.changed = changed;
+        this.overrides = changed;
     }
 
     /** Nothing changed yet. */
@@ -105,7 +105,7 @@
     /** The form in which the settings are stored. */
     public ObjectNode write() {
         ObjectNode stored = MessageCodec.map().put(REVISION, revision);
-        stored.putObject(VALUES).setAll(changed);
+        stored.putObject(VALUES).setAll(overrides);
         return stored;
     }
 
@@ -115,13 +115,13 @@
     }
 
     /** These settings with some changed: all of them or none. */
-    public OperatorSettings with(JsonNode change) throws InvalidOperatorSettingException {
+    public OperatorSettings withChanges(JsonNode change) throws InvalidOperatorSettingException {
         if (!change.isObject() || change.isEmpty()) {
             throw new InvalidOperatorSettingException("change: a map of settings is missing");
         }
-        Map<String, JsonNode> values = new TreeMap<>(changed);
+        Map<String, JsonNode> values = new TreeMap<>(overrides);
         for (Map.Entry<String, JsonNode> entry : change.properties()) {
-            definition(entry.getKey()).check(entry.getValue());
+            requireDefinition(entry.getKey()).check(entry.getValue());
             values.put(entry.getKey(), entry.getValue());
         }
         return new OperatorSettings(revision + 1, values);
@@ -134,31 +134,31 @@
             throw new InvalidOperatorSettingException("names: not a list");
         }
         if (!names.isEmpty()) {
-            values.putAll(changed);
+            values.putAll(overrides);
             for (JsonNode name : names) {
-                values.remove(definition(name.asText()).name());
+                values.remove(requireDefinition(name.asText()).name());
             }
         }
         return new OperatorSettings(revision + 1, values);
     }
 
-    private static OperatorSettingDefinition definition(String name) throws InvalidOperatorSettingException {
-        OperatorSettingDefinition definition = find(name);
+    private static OperatorSettingDefinition requireDefinition(String name) throws InvalidOperatorSettingException {
+        OperatorSettingDefinition definition = findDefinition(name);
         if (definition == null) {
             throw new InvalidOperatorSettingException(name + ": unknown setting");
         }
         return definition;
     }
 
-    private static OperatorSettingDefinition known(String name) {
-        OperatorSettingDefinition definition = find(name);
+    private static OperatorSettingDefinition definitionOf(String name) {
+        OperatorSettingDefinition definition = findDefinition(name);
         if (definition == null) {
             throw new IllegalArgumentException("no operator setting of this name: " + name);
         }
         return definition;
     }
 
-    private static OperatorSettingDefinition find(String name) {
+    private static OperatorSettingDefinition findDefinition(String name) {
         for (OperatorSettingDefinition definition : DEFINITIONS) {
             if (definition.name().equals(name)) {
                 return definition;
@@ -168,8 +168,8 @@
     }
 
     private JsonNode value(String name) {
-        JsonNode value = changed.get(name);
-        return value != null ? value : known(name).defaultValue();
+        JsonNode value = overrides.get(name);
+        return value != null ? value : definitionOf(name).defaultValue();
     }
 
     /** A number's value. */
@@ -192,7 +192,7 @@
         ObjectNode view = MessageCodec.map().put(REVISION, revision);
         ArrayNode list = view.putArray("settings");
         for (OperatorSettingDefinition definition : DEFINITIONS) {
-            definition.describe(value(definition.name()), list.addObject());
+            definition.writeTo(value(definition.name()), list.addObject());
         }
         return view;
     }
--- a/src/main/java/stileferry/protocol/PeerMessage.java
+++ b/src/main/java/stileferry/protocol/PeerMessage.java
@@ -36,7 +36,11 @@
 
     /** The highest term its sender knows, who leads in it (empty: nobody known), and whether the sender does. */
     record TermAnnouncement(
-            long term, String leader, boolean leading, CancellationKnowledge knowledge, List<String> linkAware)
+            long term,
+            String leader,
+            boolean senderLeads,
+            CancellationKnowledge knowledge,
+            List<String> linkViewParticipants)
             implements PeerMessage {
         /** A term whose sender does not watch its links. */
         public TermAnnouncement(long term, String leader, boolean leading, CancellationKnowledge knowledge) {
@@ -49,8 +53,8 @@
         }
 
         /** The same with the controllers that are known to exchange views of their links, the sender first. */
-        public TermAnnouncement with(List<String> controllers) {
-            return new TermAnnouncement(term, leader, leading, knowledge, controllers);
+        public TermAnnouncement withLinkViewParticipants(List<String> controllers) {
+            return new TermAnnouncement(term, leader, senderLeads, knowledge, controllers);
         }
     }
 
@@ -78,10 +82,10 @@
     }
 
     /** The leader's answers to a batch, in its order. */
-    record ResponseBatch(List<Response> answers) implements PeerMessage {
+    record ResponseBatch(List<Response> responses) implements PeerMessage {
         /** Copies the list. */
         public ResponseBatch {
-            answers = List.copyOf(answers);
+            responses = List.copyOf(responses);
         }
     }
 
@@ -92,14 +96,14 @@
      * What the sender of a term knows of cancelled jobs. Controllers of version 0.1 neither write this nor read it: it
      * stands behind all that they know.
      *
-     * @param process tells the sender's process from its former lives
-     * @param addressee the process that the sender takes the receiver for; 0: not known
+     * @param processId tells the sender's process from its former lives
+     * @param recipientProcessId the process that the sender takes the receiver for; 0: not known
      * @param informed whether the sender counts as informed, see {@code CancellationQuorum}
      * @param complete whether the sender leads for sure and names every cancellation that may have been confirmed
-     * @param cancelled the jobs
+     * @param cancelledJobs the jobs
      */
     record CancellationKnowledge(
-            long process, long addressee, boolean informed, boolean complete, List<String> cancelled) {}
+            long processId, long recipientProcessId, boolean informed, boolean complete, List<String> cancelledJobs) {}
 
     /** Jobs that one record may name; a complete list is no longer. */
     int MAX_CANCELLED_JOBS = 2000;
--- a/src/main/java/stileferry/protocol/PeerMessageCodec.java
+++ b/src/main/java/stileferry/protocol/PeerMessageCodec.java
@@ -32,7 +32,7 @@
     private static final int RESPONSE_BATCH = 7;
 
     private static final int INITIAL_BYTES = 128;
-    private static final int MAX_FIELD_BYTES = 2 * MessageCodec.MAX_BODY;
+    private static final int MAX_FIELD_BYTES = 2 * MessageCodec.MAX_BODY_BYTES;
 
     private PeerMessageCodec() {}
 
@@ -77,7 +77,7 @@
             writeList(out, batch.requests(), PeerMessageCodec::writeRequest);
         } else if (message instanceof ResponseBatch batch) {
             out.writeByte(RESPONSE_BATCH);
-            writeList(out, batch.answers(), PeerMessageCodec::writeResponse);
+            writeList(out, batch.responses(), PeerMessageCodec::writeResponse);
         }
     }
 
@@ -125,10 +125,10 @@
     private static void writeAnnouncement(DataOutputStream out, TermAnnouncement announcement) throws IOException {
         out.writeLong(announcement.term());
         out.writeUTF(announcement.leader());
-        out.writeBoolean(announcement.leading());
+        out.writeBoolean(announcement.senderLeads());
         if (announcement.knowledge() != null) {
             writeKnowledge(out, announcement.knowledge());
-            writeLinkAware(out, announcement.linkAware());
+            writeLinkViewParticipants(out, announcement.linkViewParticipants());
         }
     }
 
@@ -138,16 +138,16 @@
                 in.readUTF(),
                 in.readBoolean(),
                 in.available() > 0 ? readKnowledge(in) : null,
-                in.available() > 0 ? readLinkAware(in) : List.of());
+                in.available() > 0 ? readLinkViewParticipants(in) : List.of());
     }
 
     private static void writeKnowledge(DataOutputStream out, CancellationKnowledge knowledge) throws IOException {
-        out.writeLong(knowledge.process());
-        out.writeLong(knowledge.addressee());
+        out.writeLong(knowledge.processId());
+        out.writeLong(knowledge.recipientProcessId());
         out.writeBoolean(knowledge.informed());
         out.writeBoolean(knowledge.complete());
-        out.writeShort(knowledge.cancelled().size());
-        for (String id : knowledge.cancelled()) {
+        out.writeShort(knowledge.cancelledJobs().size());
+        for (String id : knowledge.cancelledJobs()) {
             out.writeUTF(id);
         }
     }
@@ -162,7 +162,7 @@
     }
 
     /** Versions before this one do not look at what stands here. */
-    private static void writeLinkAware(DataOutputStream out, List<String> names) throws IOException {
+    private static void writeLinkViewParticipants(DataOutputStream out, List<String> names) throws IOException {
         if (!names.isEmpty()) {
             out.writeByte(names.size());
             for (String name : names) {
@@ -171,7 +171,7 @@
         }
     }
 
-    private static List<String> readLinkAware(DataInputStream in) throws IOException {
+    private static List<String> readLinkViewParticipants(DataInputStream in) throws IOException {
         return List.copyOf(readStrings(in, in.readUnsignedByte()));
     }
 
--- a/src/main/java/stileferry/protocol/Settings.java
+++ b/src/main/java/stileferry/protocol/Settings.java
@@ -20,7 +20,7 @@
         List<String> zones,
         List<Team> teams,
         List<ServiceLevelObjective> objectives,
-        WorkerTimes workers,
+        WorkerTimings workers,
         KeyValueStoreLimits keyValueStore,
         CloudLimits cloud,
         double cores,
@@ -30,27 +30,27 @@
     private static final int MS_PER_S = 1000;
 
     /** Heartbeats come a quarter of their interval late at most. */
-    private static final double LATEST_HEARTBEAT = 1.25;
+    private static final double MAX_HEARTBEAT_INTERVAL_FACTOR = 1.25;
 
     private static final long HEARTBEAT_SLACK_MS = 1000;
 
     /** The share of a core that leaves room for the times which this service sets itself. */
-    private static final double AMPLE_CORES = 0.3;
+    private static final double SUFFICIENT_CORES = 0.3;
 
     /**
      * How many times as long this controller takes for its work as one with an ample share of a core; 1 at least. Times
      * that it allows itself grow with it: on a small share one collection of garbage or one page of records can take as
      * long as a lease that a larger share renews with ease.
      */
-    public double slowness() {
-        return Math.max(1, AMPLE_CORES / cores);
+    public double slowdownFactor() {
+        return Math.max(1, SUFFICIENT_CORES / cores);
     }
 
     /** Another controller. */
     public record Peer(String name, String zone, String address) {}
 
     /** A team's guaranteed and greatest use; 0 means none. */
-    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+    public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
     /** A service-level objective on starting or finishing, for one class of jobs (empty: any). */
     public record ServiceLevelObjective(String kind, String jobClass, double withinS, double share) {}
@@ -59,19 +59,23 @@
      * The workers' times in seconds.
      *
      * @param leaseS how long a worker keeps its tasks without an answer
-     * @param cancelS within what time the tasks of a cancelled job are gone
-     * @param gangWaitS how long a gang's task waits for the others; 0: nothing is said of it
-     * @param gangPeerS within what time all tasks of a gang must hear a stop; 0: nothing is said of it
+     * @param cancelDeadlineS within what time the tasks of a cancelled job are gone
+     * @param gangWaitTimeoutS how long a gang's task waits for the others; 0: nothing is said of it
+     * @param gangStopDeadlineS within what time all tasks of a gang must hear a stop; 0: nothing is said of it
      */
-    public record WorkerTimes(
-            double heartbeatIntervalS, double leaseS, double cancelS, double gangWaitS, double gangPeerS) {
+    public record WorkerTimings(
+            double heartbeatIntervalS,
+            double leaseS,
+            double cancelDeadlineS,
+            double gangWaitTimeoutS,
+            double gangStopDeadlineS) {
         /** Milliseconds after which every worker that can send a heartbeat has sent one. */
         public long heartbeatRoundMs() {
-            return Math.round(heartbeatIntervalS * MS_PER_S * LATEST_HEARTBEAT) + HEARTBEAT_SLACK_MS;
+            return Math.round(heartbeatIntervalS * MS_PER_S * MAX_HEARTBEAT_INTERVAL_FACTOR) + HEARTBEAT_SLACK_MS;
         }
 
         /** The times of a deployment without gangs. */
-        public WorkerTimes(double heartbeatIntervalS, double leaseS, double cancelS) {
+        public WorkerTimings(double heartbeatIntervalS, double leaseS, double cancelS) {
             this(heartbeatIntervalS, leaseS, cancelS, 0, 0);
         }
     }
--- a/src/main/java/stileferry/protocol/SettingsReader.java
+++ b/src/main/java/stileferry/protocol/SettingsReader.java
@@ -59,17 +59,17 @@
                 zones(cluster),
                 teams(cluster),
                 objectives(cluster),
-                new Settings.WorkerTimes(
+                new Settings.WorkerTimings(
                         positive(workers, "cluster.workers.", "report_s"),
                         positive(workers, "cluster.workers.", "lease_s"),
                         positive(workers, "cluster.workers.", "cancel_s"),
                         optional(workers, "cluster.workers.", "gang_wait_s"),
                         optional(workers, "cluster.workers.", "gang_peer_s")),
                 new Settings.KeyValueStoreLimits(
-                        lower(state, "rps", 0),
-                        lower(state, "write_rps", 0),
-                        lower(state, "value_kb", MIN_VALUE_KB),
-                        (int) lower(state, "txn_ops", MIN_TRANSACTION_OPERATIONS)),
+                        lowerOfCurrentAndNext(state, "rps", 0),
+                        lowerOfCurrentAndNext(state, "write_rps", 0),
+                        lowerOfCurrentAndNext(state, "value_kb", MIN_VALUE_KB),
+                        (int) lowerOfCurrentAndNext(state, "txn_ops", MIN_TRANSACTION_OPERATIONS)),
                 new Settings.CloudLimits(
                         positive(cloud, "cluster.cloud.", "rps"), atLeast(cloud, "cluster.cloud.", "list_lag_s", 0)),
                 limits.path("cores").isMissingNode() ? 1 : positive(limits, "cluster.machine_limits.", "cores"),
@@ -78,7 +78,7 @@
     }
 
     /** A limit of the key-value store, or the lower one that it will have at some time without notice. */
-    private double lower(JsonNode state, String name, double min) {
+    private double lowerOfCurrentAndNext(JsonNode state, String name, double min) {
         double now = limit(state, "cluster.state.", name, min);
         JsonNode next = state.path("next");
         return next.path(name).isMissingNode() ? now : Math.min(now, limit(next, "cluster.state.next.", name, min));
@@ -170,18 +170,18 @@
 
     private String hostPort(JsonNode parent, String where, String name) {
         String text = text(parent, where, name);
-        if (!text.isEmpty() && parse(text) == null) {
+        if (!text.isEmpty() && parseAddress(text) == null) {
             problems.add(where + name + ": '" + text + "' is not ADDRESS:PORT");
         }
         return text;
     }
 
     private InetSocketAddress address(JsonNode parent, String where, String name) {
-        return parse(hostPort(parent, where, name));
+        return parseAddress(hostPort(parent, where, name));
     }
 
     /** Takes "10.0.0.1:8080" apart; null when it has another form. */
-    public static InetSocketAddress parse(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
             return null;
--- a/src/main/java/stileferry/protocol/Submission.java
+++ b/src/main/java/stileferry/protocol/Submission.java
@@ -19,7 +19,7 @@
     public static Submission read(byte[] bytes) {
         JsonNode body = MessageCodec.decode(bytes);
         String id = body == null ? "" : body.path(WireNames.NAME_ID).asText("");
-        return JobSpec.validId(id) ? new Submission(id, body) : null;
+        return JobSpec.isValidId(id) ? new Submission(id, body) : null;
     }
 
     /** The id of the submitted job. */
--- a/src/main/java/stileferry/protocol/SubmissionHeader.java
+++ b/src/main/java/stileferry/protocol/SubmissionHeader.java
@@ -46,6 +46,6 @@
             }
         }
         boolean complete = id != null && team != null && jobClass != null && priority != null;
-        return complete && JobSpec.validId(id) ? new SubmissionHeader(id, team, jobClass, priority) : null;
+        return complete && JobSpec.isValidId(id) ? new SubmissionHeader(id, team, jobClass, priority) : null;
     }
 }
--- a/src/main/java/stileferry/protocol/UserMessages.java
+++ b/src/main/java/stileferry/protocol/UserMessages.java
@@ -8,7 +8,7 @@
     private UserMessages() {}
 
     /** The state of a job as its user hears it, with the numbers of its completed and running tasks. */
-    public record JobState(String id, String state, int done, int running) {
+    public record JobState(String id, String state, int completedTasks, int runningTasks) {
         /** Reads the body of an answer about a job; what is missing reads as empty or 0. */
         public static JobState read(JsonNode body) {
             return new JobState(
--- a/src/main/java/stileferry/protocol/WorkerMessages.java
+++ b/src/main/java/stileferry/protocol/WorkerMessages.java
@@ -15,7 +15,7 @@
     }
 
     /** The name of the controller that leads, in an answer that {@link #redirect} wrote; empty: none is named. */
-    public static String redirectedTo(JsonNode body) {
+    public static String redirectTarget(JsonNode body) {
         return body.path(WireNames.LEADER).asText();
     }
 
--- a/src/main/java/stileferry/requests/AdministrationViews.java
+++ b/src/main/java/stileferry/requests/AdministrationViews.java
@@ -14,7 +14,7 @@
 /** The leader's views of machines, queue and teams in the administration API. */
 public final class AdministrationViews {
     /** Answers stay well below the limit of a body; measured in characters of JSON. */
-    private static final int MAX_LIST_LENGTH = MessageCodec.MAX_BODY / 2;
+    private static final int MAX_LIST_LENGTH = MessageCodec.MAX_BODY_BYTES / 2;
 
     private static final double MS_PER_S = 1000.0;
 
@@ -87,7 +87,7 @@
         Page page = new Page("queue");
         int skip = from.matches("[0-9]{1,9}") ? Integer.parseInt(from) : 0;
         int position = 0;
-        for (Job job : placement.queue(now, environment.timeOfDay())) {
+        for (Job job : placement.queue(now, environment.wallClockMs())) {
             position++;
             if (position <= skip) {
                 continue;
@@ -120,11 +120,11 @@
         for (Settings.Team team : cluster.settings().teams()) {
             ObjectNode view = list.addObject()
                     .put("name", team.name())
-                    .put("cpus", team.cpus())
-                    .put("cpus_max", team.cpusMax())
+                    .put("cpus", team.guaranteedCpus())
+                    .put("cpus_max", team.maxCpus())
                     .put("cpus_in_use", cluster.cpusInUse(team.name()))
-                    .put("gpus", team.gpus())
-                    .put("gpus_max", team.gpusMax())
+                    .put("gpus", team.guaranteedGpus())
+                    .put("gpus_max", team.maxGpus())
                     .put("gpus_in_use", cluster.gpusInUse(team.name()));
             describeWaitingTasks(team, view.putObject("waiting"));
         }
--- a/src/main/java/stileferry/requests/OperatorSettingsHandler.java
+++ b/src/main/java/stileferry/requests/OperatorSettingsHandler.java
@@ -44,7 +44,7 @@
 
     /** Changes the settings that are named in the body. */
     void change(byte[] body, Consumer<PeerMessage.Response> reply) {
-        apply(body, request -> pending.with(request.path("change")), reply);
+        apply(body, request -> pending.withChanges(request.path("change")), reply);
     }
 
     /** Puts the settings that are named in the body, or all, back to their defaults. */
--- a/src/main/java/stileferry/requests/SubmissionCheck.java
+++ b/src/main/java/stileferry/requests/SubmissionCheck.java
@@ -29,7 +29,7 @@
         if (cluster.machineTypes().isEmpty()) {
             return Responses.unavailable();
         }
-        if (cluster.machineTypes().stream().noneMatch(spec::fitsType)) {
+        if (cluster.machineTypes().stream().noneMatch(spec::fitsMachineType)) {
             return refuse("a task fits no allowed machine type");
         }
         if (!spec.canRunTogether(cluster.machineTypes())) {
@@ -48,8 +48,8 @@
     /** Whether a job could never run under its team's limit; of an array one task has to fit, of others all. */
     private static boolean exceedsLimit(JobSpec spec, Settings.Team team) {
         double tasks = spec.kind() == JobSpec.Kind.ARRAY ? 1 : spec.taskCount();
-        return team.cpusMax() > 0 && tasks * spec.cpus() > team.cpusMax()
-                || team.gpusMax() > 0 && tasks * spec.gpus() > team.gpusMax();
+        return team.maxCpus() > 0 && tasks * spec.cpus() > team.maxCpus()
+                || team.maxGpus() > 0 && tasks * spec.gpus() > team.maxGpus();
     }
 
     private static PeerMessage.Response refuse(String reason) {
--- a/src/main/java/stileferry/scheduling/BackfillPass.java
+++ b/src/main/java/stileferry/scheduling/BackfillPass.java
@@ -123,7 +123,7 @@
             return machine -> true;
         }
         if (timeOfDay - head.acceptedAt() > protectHeadAfterMs) {
-            return machine -> !head.spec().fitsType(machine.type());
+            return machine -> !head.spec().fitsMachineType(machine.type());
         }
         if (placement.overdue(head, timeOfDay)) {
             Machine kept = machineKeptFor(head);
--- a/src/main/java/stileferry/scheduling/Consolidation.java
+++ b/src/main/java/stileferry/scheduling/Consolidation.java
@@ -157,7 +157,7 @@
     private static TaskAssignment movableTask(Machine machine, long now) {
         TaskAssignment last = null;
         for (TaskAssignment assignment : machine.assignments().values()) {
-            if (!assignment.job().spec().service()
+            if (!assignment.job().spec().isService()
                     || assignment.stopping()
                     || assignment.runningSince() == 0
                     || assignment.runtimeMs(now) < MIN_RUN_MS) {
--- a/src/main/java/stileferry/scheduling/ImageHoldBack.java
+++ b/src/main/java/stileferry/scheduling/ImageHoldBack.java
@@ -38,7 +38,7 @@
         if (!eligible(job.spec())
                 || GangPlacement.pulls(job, selected) == 0
                 || !objectives.missedByPull(
-                        job, selected.get(0).type(), job.spec().gang() ? GANG_PULL_FACTOR : 1)) {
+                        job, selected.get(0).type(), job.spec().isGang() ? GANG_PULL_FACTOR : 1)) {
             return false;
         }
         long patienceMs = Math.round(PATIENCE_MS_PER_S * objectives.startWithinS(job));
@@ -50,12 +50,12 @@
 
     private static boolean eligible(JobSpec spec) {
         return spec.priority() == JobSpec.Priority.CRITICAL
-                || spec.gang() && spec.priority() == JobSpec.Priority.URGENT;
+                || spec.isGang() && spec.priority() == JobSpec.Priority.URGENT;
     }
 
     /** Whether one task, or a whole gang, would fit on machines with its image if they ran nothing less urgent. */
     private boolean capacityCanBeFreedAtImage(Job job, long now) {
-        int wanted = job.spec().gang() ? job.spec().taskCount() : 1;
+        int wanted = job.spec().isGang() ? job.spec().taskCount() : 1;
         Map<String, Integer> fittingByZone = new HashMap<>();
         for (Machine machine : cluster.machines().values()) {
             if (machine.agent().heardThisTerm()
--- a/src/main/java/stileferry/scheduling/MachineSelector.java
+++ b/src/main/java/stileferry/scheduling/MachineSelector.java
@@ -83,7 +83,7 @@
         if (job.spec().allowsSpot() && machine.spot() != other.spot()) {
             return machine.spot() ? -1 : 1; // ordinary machines are left to work that may not use spot instances
         }
-        if (job.spec().service()) {
+        if (job.spec().isService()) {
             int byZone = Integer.compare(job.tasksInZone(machine.zone()), job.tasksInZone(other.zone()));
             if (byZone != 0) {
                 return byZone;
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -74,7 +74,7 @@
 
     /** A usable machine for the next task of a job, or one for each task of a gang; empty: there is none. */
     List<Machine> select(Job job, Predicate<Machine> usable, long now) {
-        if (job.spec().gang()) {
+        if (job.spec().isGang()) {
             return gangPlacement.select(job, usable, now);
         }
         Machine machine = selector.select(job, usable, now);
--- a/src/main/java/stileferry/scheduling/PlacementConstraints.java
+++ b/src/main/java/stileferry/scheduling/PlacementConstraints.java
@@ -23,7 +23,7 @@
     boolean allow(Job job, Machine machine, long now) {
         JobSpec spec = job.spec();
         return healthy(machine, now)
-                && spec.fitsType(machine.type())
+                && spec.fitsMachineType(machine.type())
                 && (spec.zone() == null || spec.zone().equals(machine.zone()))
                 && (spec.allowsSpot() || !machine.spot())
                 && allowZone(job, machine.zone())
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -66,7 +66,7 @@
             if (!mayPreempt(job, timeOfDay, bootMs) || !cluster.withinTeamLimit(job) || !victimSelector.anyFor(job)) {
                 continue;
             }
-            if (job.spec().gang()) {
+            if (job.spec().isGang()) {
                 plan = freeForGang(job, now, plan);
                 continue;
             }
@@ -90,7 +90,7 @@
         long waitedMs = timeOfDay - job.acceptedAt();
         // a machine to be requested boots too late for a gang that is to start soon, so it doesn't wait for one
         double patienceMs =
-                job.spec().gang() ? Math.min(bootMs, GANG_PATIENCE * 1000 * objectives.startWithinS(job)) : bootMs;
+                job.spec().isGang() ? Math.min(bootMs, GANG_PATIENCE * 1000 * objectives.startWithinS(job)) : bootMs;
         return job.spec().priority() == JobSpec.Priority.NORMAL && waitedMs > patienceMs;
     }
 
@@ -185,7 +185,7 @@
     private boolean inHurry(Job job, TaskAssignment victim) {
         double savesS = SAVES_WITHIN_START * victim.job().spec().checkpointSaveS();
         return job.spec().priority() == JobSpec.Priority.CRITICAL
-                || job.spec().gang() && objectives.startWithinS(job) < savesS
+                || job.spec().isGang() && objectives.startWithinS(job) < savesS
                 || job.withinQuota() && objectives.quotaStartsWithin(savesS);
     }
 }
--- a/src/main/java/stileferry/scheduling/PreemptionPlan.java
+++ b/src/main/java/stileferry/scheduling/PreemptionPlan.java
@@ -50,7 +50,7 @@
     void preempt(Preemption.Stop stop) {
         stops.add(stop);
         TaskAssignment victim = stop.victim();
-        if (victim.job().spec().gang()) {
+        if (victim.job().spec().isGang()) {
             victim.job().assignments().values().stream()
                     .filter(assignment -> !stopping.contains(assignment))
                     .forEach(this::markStopping);
--- a/src/main/java/stileferry/scheduling/QueueOrder.java
+++ b/src/main/java/stileferry/scheduling/QueueOrder.java
@@ -32,7 +32,8 @@
             }
             Resources requested = requestedByTeam.computeIfAbsent(team.name(), name -> new Resources());
             requested.add(job.spec(), job.unfinishedCount());
-            job.setWithinQuota(requested.cpus() <= team.cpus() && requested.gpus() <= Math.max(team.gpus(), 0));
+            job.setWithinQuota(requested.cpus() <= team.guaranteedCpus()
+                    && requested.gpus() <= Math.max(team.guaranteedGpus(), 0));
         }
     }
 
--- a/src/main/java/stileferry/scheduling/StartObjectives.java
+++ b/src/main/java/stileferry/scheduling/StartObjectives.java
@@ -44,7 +44,7 @@
 
     /** Whether the job shall start sooner than a machine of this type can pull its image. */
     boolean needsImage(Job job, MachineType type) {
-        return missedByPull(job, type, job.spec().gang() ? GANG_PULL_FACTOR : 1);
+        return missedByPull(job, type, job.spec().isGang() ? GANG_PULL_FACTOR : 1);
     }
 
     /** Whether the job shall start before a pull ends that takes so many times its nominal time. */
--- a/src/main/java/stileferry/scheduling/UnplaceableRequests.java
+++ b/src/main/java/stileferry/scheduling/UnplaceableRequests.java
@@ -15,7 +15,7 @@
     /** Takes in a job without capacity; false if that says nothing about other jobs. */
     boolean add(Job job) {
         JobSpec spec = job.spec();
-        if (spec.gang()
+        if (spec.isGang()
                 || spec.oneZone()
                 || spec.spreadAcrossZones()
                 || job.failures().failedAnywhere()) {
--- a/src/main/java/stileferry/standin/KeyValueStore.java
+++ b/src/main/java/stileferry/standin/KeyValueStore.java
@@ -233,7 +233,7 @@
     private boolean tooLarge(JsonNode body) {
         return body.path(CHANGES).size() > maxOperations
                 || body.path(CONDITIONS).size() > COMPARISONS_PER_OPERATION * maxOperations
-                || body.toString().length() > MessageCodec.MAX_BODY;
+                || body.toString().length() > MessageCodec.MAX_BODY_BYTES;
     }
 
     private static void refuse(String error, Environment.ResponseHandler reply) {
--- a/src/main/java/stileferry/standin/Worker.java
+++ b/src/main/java/stileferry/standin/Worker.java
@@ -174,7 +174,7 @@
     }
 
     private void tick(WorkerTask task) {
-        if (task.spec().gang() && task.started()) {
+        if (task.spec().isGang() && task.started()) {
             ExitReason reason = gangs.tick(task, now);
             if (reason != null) {
                 exit(task, reason);
@@ -194,10 +194,10 @@
 
     private void start(WorkerTask task) {
         JobSpec spec = task.spec();
-        if (spec.gang()) {
+        if (spec.isGang()) {
             gangs.imagePulled(task, now);
         } else {
-            long endsAt = spec.service() ? Long.MAX_VALUE : now + Math.round(spec.estimateS() * 1000);
+            long endsAt = spec.isService() ? Long.MAX_VALUE : now + Math.round(spec.estimateS() * 1000);
             task.enter(TaskPhase.RUNNING, endsAt);
         }
         watcher.started(task.taskId(), this);
@@ -223,7 +223,7 @@
         freeMemoryGb += task.spec().memoryGb();
         changed = true;
         if (started) {
-            if (task.spec().gang()) {
+            if (task.spec().isGang()) {
                 gangs.memberExited(task, now);
             }
             watcher.ended(task.taskId(), this);
@@ -292,7 +292,7 @@
         boolean saves = task.phase() == TaskPhase.RUNNING
                 && spec.checkpointIntervalS() > 0
                 && graceS >= spec.checkpointSaveS()
-                && (!spec.gang() || gangs.beginSave(task, now));
+                && (!spec.isGang() || gangs.beginSave(task, now));
         if (saves) {
             task.enter(TaskPhase.SAVING_CHECKPOINT, now + Math.round(spec.checkpointSaveS() * 1000));
         } else if (task.phase() != TaskPhase.SAVING_CHECKPOINT || graceS == 0) {
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -25,7 +25,7 @@
     private static final int BATCH_WHERE_COUNTED = 5;
 
     /** Bytes of a transaction, counted in JSON form, kept well below the store's limit. */
-    private static final int MAX_BYTES = MessageCodec.MAX_BODY * 3 / 4;
+    private static final int MAX_BYTES = MessageCodec.MAX_BODY_BYTES * 3 / 4;
 
     private static final int RADIX = 36;
 
--- a/src/main/java/stileferry/storage/KeyValueStoreClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -61,7 +61,7 @@
         this.environment = environment;
         this.address = settings.keyValueStoreAddress();
         this.limits = settings.keyValueStore();
-        this.timeoutMs = Math.round(TIMEOUT_MS * settings.slowness());
+        this.timeoutMs = Math.round(TIMEOUT_MS * settings.slowdownFactor());
         this.requestRate = new RateLimiter(environment, limits.requestsPerS() * RATE_SHARE, REQUEST_BURST_S);
         this.writeRate = new RateLimiter(environment, limits.writesPerS() * RATE_SHARE, WRITE_BURST_S);
     }
@@ -124,7 +124,7 @@
                     }
                     ScanResult result = before.with(page, after.isEmpty());
                     String last = page.rows().isEmpty() ? after : lastKey(page);
-                    if (page.more() && !last.equals(after)) {
+                    if (page.hasMore() && !last.equals(after)) {
                         scanPage(prefix, last, urgent, result, reply);
                     } else {
                         reply.accept(result);
--- a/src/main/java/stileferry/transport/ApiClient.java
+++ b/src/main/java/stileferry/transport/ApiClient.java
@@ -44,7 +44,7 @@
         try {
             return response.get(2 * RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            return new Response(Environment.NO_ANSWER, null);
+            return new Response(Environment.NO_RESPONSE, null);
         }
     }
 
--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -69,12 +69,12 @@
             post(exchange, body -> heartbeat(exchange, body));
         } else if (path.equals(ApiPaths.READY)) {
             get(exchange, () -> ready(exchange));
-        } else if (path.startsWith(ApiPaths.ADMINISTRATION)) {
-            administration(exchange, path.substring(ApiPaths.ADMINISTRATION.length()));
+        } else if (path.startsWith(ApiPaths.ADMINISTRATION_PREFIX)) {
+            administration(exchange, path.substring(ApiPaths.ADMINISTRATION_PREFIX.length()));
         } else if (path.equals(ApiPaths.JOBS)) {
             post(exchange, body -> user(exchange, RequestKind.SUBMIT, "", body));
-        } else if (ApiPaths.afterJobs(path) != null) {
-            job(exchange, ApiPaths.afterJobs(path));
+        } else if (ApiPaths.jobPathRemainder(path) != null) {
+            job(exchange, ApiPaths.jobPathRemainder(path));
         } else {
             refuse(exchange, 404, "no such path");
         }
@@ -117,8 +117,8 @@
     }
 
     private void job(HttpServerExchange exchange, String idAndAction) {
-        if (idAndAction.endsWith(ApiPaths.CANCEL)) {
-            String id = idAndAction.substring(0, idAndAction.length() - ApiPaths.CANCEL.length());
+        if (idAndAction.endsWith(ApiPaths.CANCEL_SUFFIX)) {
+            String id = idAndAction.substring(0, idAndAction.length() - ApiPaths.CANCEL_SUFFIX.length());
             post(exchange, body -> job(exchange, RequestKind.CANCEL, id));
         } else {
             get(exchange, () -> job(exchange, RequestKind.STATUS, idAndAction));
@@ -126,7 +126,7 @@
     }
 
     private void job(HttpServerExchange exchange, RequestKind kind, String id) {
-        if (JobSpec.validId(id)) {
+        if (JobSpec.isValidId(id)) {
             user(exchange, kind, id, NO_BODY);
         } else {
             refuse(exchange, 404, "no such job");
@@ -182,7 +182,7 @@
 
     private static void post(HttpServerExchange exchange, Consumer<byte[]> handler) {
         if (exchange.getRequestMethod().equals(Methods.POST)) {
-            RequestBodyReader.read(exchange, MessageCodec.MAX_BODY, handler);
+            RequestBodyReader.read(exchange, MessageCodec.MAX_BODY_BYTES, handler);
         } else {
             refuse(exchange, 405, "only POST here");
         }
--- a/src/main/java/stileferry/transport/HttpCall.java
+++ b/src/main/java/stileferry/transport/HttpCall.java
@@ -197,7 +197,7 @@
         if (state == State.OVER) {
             return;
         }
-        int status = state == State.SENT ? Environment.NO_ANSWER : Environment.NOT_SENT;
+        int status = state == State.SENT ? Environment.NO_RESPONSE : Environment.NOT_SENT;
         state = State.OVER;
         timeout.remove();
         IoUtils.safeClose(connection);
--- a/src/main/java/stileferry/transport/HttpClient.java
+++ b/src/main/java/stileferry/transport/HttpClient.java
@@ -23,7 +23,7 @@
 
     /** Takes the response to a request. */
     interface ResponseHandler {
-        /** Called once, with an HTTP status, {@link Environment#NO_ANSWER} or {@link Environment#NOT_SENT}. */
+        /** Called once, with an HTTP status, {@link Environment#NO_RESPONSE} or {@link Environment#NOT_SENT}. */
         void onResponse(int status, byte[] body);
     }
 
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public long timeOfDay() {
+    public long wallClockMs() {
         return System.currentTimeMillis();
     }
 
--- a/src/main/java/stileferry/transport/PeerServer.java
+++ b/src/main/java/stileferry/transport/PeerServer.java
@@ -24,7 +24,7 @@
             ApiServer.refuse(exchange, 404, "no such path");
             return;
         }
-        RequestBodyReader.read(exchange, 2 * MessageCodec.MAX_BODY, body -> {
+        RequestBodyReader.read(exchange, 2 * MessageCodec.MAX_BODY_BYTES, body -> {
             PeerMessage message = PeerMessageCodec.decode(body);
             if (message == null) {
                 ApiServer.refuse(exchange, 400, "not a record");
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInHost.java
@@ -125,7 +125,7 @@
     private void handle(HttpServerExchange exchange) {
         RequestBodyReader.read(
                 exchange,
-                MessageCodec.MAX_BODY,
+                MessageCodec.MAX_BODY_BYTES,
                 body -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> receive(exchange, body)));
     }
 
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -149,7 +149,7 @@
 
     /** The number of the controller that an answer names; -1: none that is known. */
     private int redirect(JsonNode body) {
-        return body == null ? -1 : config.names().indexOf(WorkerMessages.redirectedTo(body));
+        return body == null ? -1 : config.names().indexOf(WorkerMessages.redirectTarget(body));
     }
 
     private int next(int controller) {
--- a/src/test/java/stileferry/cli/LoopbackCuts.java
+++ b/src/test/java/stileferry/cli/LoopbackCuts.java
@@ -144,7 +144,7 @@
         }
         pool.shutdown();
         boolean broken = false;
-        System.out.println("features " + features.on() + ", cuts of " + CUT_MS / 1000 + " s");
+        System.out.println("features " + features.enabledNames() + ", cuts of " + CUT_MS / 1000 + " s");
         for (Future<List<Result>> future : running) {
             for (Result result : future.get()) {
                 broken |= !result.problems.isEmpty();
--- a/src/test/java/stileferry/cli/ServiceTest.java
+++ b/src/test/java/stileferry/cli/ServiceTest.java
@@ -145,7 +145,7 @@
         assertEquals(405, user.ask("POST", "/ready", NOTHING, 10_000).status());
         assertEquals(
                 413,
-                user.ask("POST", "/work", new byte[MessageCodec.MAX_BODY + 1], 10_000)
+                user.ask("POST", "/work", new byte[MessageCodec.MAX_BODY_BYTES + 1], 10_000)
                         .status());
         assertEquals(
                 400,
--- a/src/test/java/stileferry/cluster/TestSettings.java
+++ b/src/test/java/stileferry/cluster/TestSettings.java
@@ -20,7 +20,7 @@
                 List.of("za", "zb"),
                 teams,
                 List.of(objective),
-                new Settings.WorkerTimes(2, 10, 20),
+                new Settings.WorkerTimings(2, 10, 20),
                 new Settings.KeyValueStoreLimits(100, 50, 8, 12),
                 new Settings.CloudLimits(5, 3),
                 1,
--- a/src/test/java/stileferry/coordination/AdmissionMeasurement.java
+++ b/src/test/java/stileferry/coordination/AdmissionMeasurement.java
@@ -90,7 +90,7 @@
                 System.out.println(String.format(
                         Locale.ROOT,
                         "%-20s seed %d: %.2f %.2f %.2f %.0f %.2f %.1f",
-                        features.on(),
+                        features.enabledNames(),
                         300 + seed,
                         outcome.jain(),
                         outcome.changesEach(),
--- a/src/test/java/stileferry/coordination/AdmissionModel.java
+++ b/src/test/java/stileferry/coordination/AdmissionModel.java
@@ -124,7 +124,7 @@
             } else if (request.path.equals("/commit")) {
                 unanswered.add(request);
             }
-            request.reply.onResponse(Environment.NO_ANSWER, null);
+            request.reply.onResponse(Environment.NO_RESPONSE, null);
         }
     }
 
--- a/src/test/java/stileferry/coordination/AdmissionModelLeader.java
+++ b/src/test/java/stileferry/coordination/AdmissionModelLeader.java
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public long timeOfDay() {
+    public long wallClockMs() {
         return model.now;
     }
 
--- a/src/test/java/stileferry/coordination/ChaosRun.java
+++ b/src/test/java/stileferry/coordination/ChaosRun.java
@@ -30,7 +30,7 @@
         cluster.faults.endedAt = cluster.now;
         cluster.runFor(90); // until every submission has been answered or given up
         for (SimulatedUser user : List.copyOf(cluster.users.values())) {
-            if (user.spec.service() && user.accepted && !user.cancelRequested) {
+            if (user.spec.isService() && user.accepted && !user.cancelRequested) {
                 cluster.cancel(user);
             }
         }
--- a/src/test/java/stileferry/coordination/CutMeasurement.java
+++ b/src/test/java/stileferry/coordination/CutMeasurement.java
@@ -86,7 +86,7 @@
                 cluster.submit(Workloads.array(1000 + i, 1, 1));
                 cluster.runFor(10);
             }
-            System.out.println("an hour without cuts, turns of " + turnMs + " ms, features " + features.on()
+            System.out.println("an hour without cuts, turns of " + turnMs + " ms, features " + features.enabledNames()
                     + ": new terms " + (cluster.term() - terms));
             if (features.partialCuts()) {
                 cluster.controllers
--- a/src/test/java/stileferry/coordination/InvariantChecks.java
+++ b/src/test/java/stileferry/coordination/InvariantChecks.java
@@ -79,7 +79,7 @@
                 || user.endState != null
                 || user.cancelRequested
                 || cluster.tasks.running(user) > 0
-                || user.spec.gang()
+                || user.spec.isGang()
                 || !roomFor(user.spec)) {
             user.unscheduledSince = 0;
         } else if (user.unscheduledSince == 0) {
@@ -90,7 +90,7 @@
     }
 
     private boolean roomFor(JobSpec spec) {
-        double max = cluster.team(spec.team()).cpusMax();
+        double max = cluster.team(spec.team()).maxCpus();
         return (max == 0 || cluster.tasks.cpusOf(spec.team()) + spec.cpus() <= max + ROUNDING)
                 && cluster.workers.values().stream()
                         .anyMatch(worker -> (spec.allowsSpot() || !worker.spot())
@@ -146,7 +146,7 @@
     void checkQuota(String name) {
         Settings.Team team = cluster.team(name);
         double sum = cluster.tasks.cpusOf(name);
-        if (team.cpusMax() > 0 && sum > team.cpusMax() + ROUNDING) {
+        if (team.maxCpus() > 0 && sum > team.maxCpus() + ROUNDING) {
             violations.add("quota: " + name + " uses " + sum);
         }
     }
--- a/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
+++ b/src/test/java/stileferry/coordination/LastHeartbeatJournalTest.java
@@ -62,7 +62,7 @@
         cluster.runFor(8);
         for (SimulatedUser user : cluster.users.values()) {
             assertTrue(
-                    !user.spec.service() || !cluster.tasks.machinesOf(user).isEmpty(),
+                    !user.spec.isService() || !cluster.tasks.machinesOf(user).isEmpty(),
                     "services of the zone run elsewhere");
         }
         assertTrue(cluster.cloud.runningMachines().containsAll(machines), "they are there when the cut ends");
--- a/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
+++ b/src/test/java/stileferry/coordination/LeaderlessLeaseRenewalTest.java
@@ -60,7 +60,7 @@
         SplittableRandom random = cluster.random.split();
         for (int i = 0; i < 40; i++) {
             JobSpec spec = Workloads.random(i, random);
-            if (spec.service()) {
+            if (spec.isService()) {
                 cluster.submit(spec);
             }
         }
--- a/src/test/java/stileferry/coordination/OperatorSettingsTest.java
+++ b/src/test/java/stileferry/coordination/OperatorSettingsTest.java
@@ -17,12 +17,12 @@
     @Test
     void aChangeIsAtomic() throws InvalidOperatorSettingException {
         OperatorSettings changed = OperatorSettings.defaults()
-                .with(MessageCodec.map().put("spot_share", 0.5).put("preemption", false));
+                .withChanges(MessageCodec.map().put("spot_share", 0.5).put("preemption", false));
         assertEquals(1, changed.revision());
         assertEquals(0.5, changed.number(OperatorSettings.SPOT_SHARE));
         assertFalse(changed.flag(OperatorSettings.PREEMPTION));
         ObjectNode half = MessageCodec.map().put("spot_share", 0.7).put("preemption", "maybe");
-        assertTrue(assertThrows(InvalidOperatorSettingException.class, () -> changed.with(half))
+        assertTrue(assertThrows(InvalidOperatorSettingException.class, () -> changed.withChanges(half))
                 .getMessage()
                 .startsWith("preemption:"));
         assertEquals(0.5, changed.number(OperatorSettings.SPOT_SHARE));
--- a/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
+++ b/src/test/java/stileferry/coordination/OverlappingFaultsTest.java
@@ -32,7 +32,7 @@
                 assertTrue(
                         !user.accepted
                                 || user.endState != null
-                                || cluster.tasks.running(user) == user.spec.taskCount() && user.spec.service(),
+                                || cluster.tasks.running(user) == user.spec.taskCount() && user.spec.isService(),
                         user.spec + " waits after all faults with " + cluster.tasks.running(user) + " tasks, seed "
                                 + seed);
             }
--- a/src/test/java/stileferry/coordination/PartialCutsTest.java
+++ b/src/test/java/stileferry/coordination/PartialCutsTest.java
@@ -199,7 +199,7 @@
         checkRecovered(cluster);
         for (SimulatedUser user : cluster.users.values()) {
             assertTrue(
-                    user.spec.estimateS() > 1 || user.spec.service() || "done".equals(user.endState),
+                    user.spec.estimateS() > 1 || user.spec.isService() || "done".equals(user.endState),
                     user.spec.id() + " is done");
         }
     }
--- a/src/test/java/stileferry/coordination/RollingUpgradeTest.java
+++ b/src/test/java/stileferry/coordination/RollingUpgradeTest.java
@@ -69,7 +69,7 @@
     private static void finishAll(SimulatedCluster cluster) {
         cluster.faults.endedAt = cluster.now;
         cluster.runFor(60);
-        cluster.users.values().stream().filter(u -> u.spec.service()).toList().forEach(cluster::cancel);
+        cluster.users.values().stream().filter(u -> u.spec.isService()).toList().forEach(cluster::cancel);
         cluster.runFor(120);
         assertEquals(List.of(), cluster.violations);
         assertEquals(
--- a/src/test/java/stileferry/coordination/SimulatedEnvironment.java
+++ b/src/test/java/stileferry/coordination/SimulatedEnvironment.java
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public long timeOfDay() {
+    public long wallClockMs() {
         return cluster.now + clockSkewMs;
     }
 
@@ -96,7 +96,7 @@
             callCloud(method, path, sent, timeoutMs, inTurn);
         } else if (cluster.faults.workerCallsHang != null) {
             cluster.faults.workerCallsHang.accept(timeoutMs);
-            cluster.after(timeoutMs, () -> inTurn.onResponse(NO_ANSWER, null));
+            cluster.after(timeoutMs, () -> inTurn.onResponse(NO_RESPONSE, null));
         } else {
             callWorker(addr, path, sent, timeoutMs, inTurn);
         }
@@ -223,7 +223,8 @@
     private static PeerMessage carried(PeerMessage record, boolean former) {
         PeerMessage read = PeerMessageCodec.decode(PeerMessageCodec.encode(record));
         return former && read instanceof PeerMessage.TermAnnouncement announcement
-                ? new PeerMessage.TermAnnouncement(announcement.term(), announcement.leader(), announcement.leading())
+                ? new PeerMessage.TermAnnouncement(
+                        announcement.term(), announcement.leader(), announcement.senderLeads())
                 : read;
     }
 }
--- a/src/test/java/stileferry/coordination/SimulatedNetwork.java
+++ b/src/test/java/stileferry/coordination/SimulatedNetwork.java
@@ -127,7 +127,7 @@
         cluster.after(timeoutMs, () -> {
             if (!over[0]) {
                 over[0] = true;
-                reply.onResponse(Environment.NO_ANSWER, null);
+                reply.onResponse(Environment.NO_RESPONSE, null);
             }
         });
         deliver(
--- a/src/test/java/stileferry/coordination/StoredAssignments.java
+++ b/src/test/java/stileferry/coordination/StoredAssignments.java
@@ -30,7 +30,7 @@
             String task = signal.path("passenger").asText();
             long attempt = signal.path("launch").asLong();
             JobSpec spec = specs.apply(task.substring(0, task.indexOf('/')));
-            boolean starts = spec.gang() && signal.path("signal").asText().equals("run");
+            boolean starts = spec.isGang() && signal.path("signal").asText().equals("run");
             if (starts && checked.add(spec.id() + "#" + attempt)) {
                 Set<Integer> assigned = assignedTasks(spec.id(), attempt);
                 if (assigned.size() < spec.taskCount()) {
--- a/src/test/java/stileferry/golden/GoldenPeerExchangeTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerExchangeTest.java
@@ -115,7 +115,7 @@
     void withPartialCutsTermsNameWhoExchangesViewsAndViewsFollow() {
         StoredRecordsFixture fixture = new StoredRecordsFixture(new StoredKeyValues(), new Features(true, false), 8);
         fixture.peers = record -> record instanceof PeerMessage.TermAnnouncement term
-                ? ((PeerMessage.TermAnnouncement) informed(term)).with(List.of("n1", "n2"))
+                ? ((PeerMessage.TermAnnouncement) informed(term)).withLinkViewParticipants(List.of("n1", "n2"))
                 : new PeerMessage.LinkView(HexFormat.of().parseHex(VIEW_OF_ANOTHER));
         fixture.start();
         fixture.report(new StoredWorker("host-000231", "10.1.0.1:9000", "za"));
--- a/src/test/java/stileferry/golden/GoldenPeerOlderVersionsTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerOlderVersionsTest.java
@@ -69,7 +69,7 @@
                     case "forward" -> status;
                     case "answer" -> answer;
                     case "term" -> term;
-                    case "term with features" -> term.with(List.of("n1", "n0"));
+                    case "term with features" -> term.withLinkViewParticipants(List.of("n1", "n0"));
                     case "links" -> new PeerMessage.LinkView(new byte[] {1});
                     case "admission" -> new PeerMessage.AdmissionExchange(new byte[] {1});
                     case "batch" -> new PeerMessage.RequestBatch(List.of(status));
@@ -115,10 +115,10 @@
         PeerMessage.CancellationKnowledge known = term.knowledge();
         String knowledge = known == null
                 ? "null"
-                : "Knowledge[process=" + known.process() + ", addressee=" + known.addressee() + ", informed="
-                        + known.informed() + ", complete=" + known.complete() + ", cancelled=" + known.cancelled()
+                : "Knowledge[process=" + known.processId() + ", addressee=" + known.recipientProcessId() + ", informed="
+                        + known.informed() + ", complete=" + known.complete() + ", cancelled=" + known.cancelledJobs()
                         + "]";
-        return "Term[term=" + term.term() + ", leader=" + term.leader() + ", leading=" + term.leading() + ", knowledge="
-                + knowledge + ", linkAware=" + term.linkAware() + "]";
+        return "Term[term=" + term.term() + ", leader=" + term.leader() + ", leading=" + term.senderLeads()
+                + ", knowledge=" + knowledge + ", linkAware=" + term.linkViewParticipants() + "]";
     }
 }
--- a/src/test/java/stileferry/golden/GoldenPeerRecordsTest.java
+++ b/src/test/java/stileferry/golden/GoldenPeerRecordsTest.java
@@ -73,7 +73,8 @@
                                 + " 0002 0005 6a6f622d31 0005 6a6f622d32"),
                 Arguments.of(
                         "term with who exchanges views",
-                        new PeerMessage.TermAnnouncement(9, "n1", true, KNOWLEDGE).with(List.of("n1", "n0")),
+                        new PeerMessage.TermAnnouncement(9, "n1", true, KNOWLEDGE)
+                                .withLinkViewParticipants(List.of("n1", "n0")),
                         "03 0000000000000009 0002 6e31 01 1000000000000000 0000000000000005 01 00"
                                 + " 0002 0005 6a6f622d31 0005 6a6f622d32 02 0002 6e31 0002 6e30"));
     }
@@ -124,7 +125,9 @@
                     + batch.requests().stream().map(GoldenPeerRecordsTest::text).toList();
         } else if (record instanceof PeerMessage.ResponseBatch batch) {
             return "answers "
-                    + batch.answers().stream().map(GoldenPeerRecordsTest::text).toList();
+                    + batch.responses().stream()
+                            .map(GoldenPeerRecordsTest::text)
+                            .toList();
         }
         return String.valueOf(record);
     }
@@ -132,7 +135,8 @@
     /** Who exchanges views is told only behind what is known of cancellations, which older versions read first. */
     @Test
     void namesWithoutKnowledgeAreNotWritten() {
-        PeerMessage.TermAnnouncement term = new PeerMessage.TermAnnouncement(9, "n1", true).with(List.of("n1"));
+        PeerMessage.TermAnnouncement term =
+                new PeerMessage.TermAnnouncement(9, "n1", true).withLinkViewParticipants(List.of("n1"));
         assertEquals("03000000000000000900026e3101", HexFormat.of().formatHex(PeerMessageCodec.encode(term)));
     }
 
--- a/src/test/java/stileferry/golden/GoldenSettingsFields.java
+++ b/src/test/java/stileferry/golden/GoldenSettingsFields.java
@@ -24,8 +24,8 @@
         lines.add("state: " + settings.keyValueStoreAddress());
         lines.add("zones: " + settings.zones());
         settings.teams()
-                .forEach(team -> lines.add("team: " + team.name() + " cpus " + team.cpus() + " to " + team.cpusMax()
-                        + ", gpus " + team.gpus() + " to " + team.gpusMax()));
+                .forEach(team -> lines.add("team: " + team.name() + " cpus " + team.guaranteedCpus() + " to "
+                        + team.maxCpus() + ", gpus " + team.guaranteedGpus() + " to " + team.maxGpus()));
         settings.objectives()
                 .forEach(aim -> lines.add(
                         "objective: " + aim.kind() + " " + aim.jobClass() + " " + aim.withinS() + " " + aim.share()));
@@ -34,9 +34,10 @@
     }
 
     private static void addLimits(List<String> lines, Settings settings) {
-        Settings.WorkerTimes workers = settings.workers();
+        Settings.WorkerTimings workers = settings.workers();
         lines.add("workers: report " + workers.heartbeatIntervalS() + ", lease " + workers.leaseS() + ", cancel "
-                + workers.cancelS() + ", gang wait " + workers.gangWaitS() + ", gang peer " + workers.gangPeerS());
+                + workers.cancelDeadlineS() + ", gang wait " + workers.gangWaitTimeoutS() + ", gang peer "
+                + workers.gangStopDeadlineS());
         Settings.KeyValueStoreLimits state = settings.keyValueStore();
         lines.add("state limits: requests " + state.requestsPerS() + ", writes " + state.writesPerS() + ", value "
                 + state.maxValueKb() + ", transaction " + state.maxTransactionOperations());
--- a/src/test/java/stileferry/golden/RecordingEnvironment.java
+++ b/src/test/java/stileferry/golden/RecordingEnvironment.java
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public long timeOfDay() {
+    public long wallClockMs() {
         return TIME_OF_DAY_MS;
     }
 
@@ -122,7 +122,7 @@
         sent.add(new Sent(addr, line, body == null ? new byte[0] : MessageCodec.encode(body)));
         Deque<GoldenMessages.Message> answers = script.get(line);
         if (answers == null) {
-            schedule(timeoutMs, () -> reply.onResponse(Environment.NO_ANSWER, null));
+            schedule(timeoutMs, () -> reply.onResponse(Environment.NO_RESPONSE, null));
             return;
         }
         GoldenMessages.Message answer = answers.size() > 1 ? answers.poll() : answers.peek();
--- a/src/test/java/stileferry/golden/StoredKeyValues.java
+++ b/src/test/java/stileferry/golden/StoredKeyValues.java
@@ -36,7 +36,7 @@
 
     private record Row(JsonNode value, long revision) {}
 
-    /** An answer; a status of {@link Environment#NO_ANSWER} stands for a lost one. */
+    /** An answer; a status of {@link Environment#NO_RESPONSE} stands for a lost one. */
     record Answer(int status, JsonNode body) {}
 
     /** Reads JSON text. */
@@ -137,7 +137,7 @@
         }
         if (answersToLose > 0) {
             answersToLose--;
-            return new Answer(Environment.NO_ANSWER, null);
+            return new Answer(Environment.NO_RESPONSE, null);
         }
         return new Answer(200, object().put("ledger_rev", revision));
     }
--- a/src/test/java/stileferry/golden/StoredRecordsFixture.java
+++ b/src/test/java/stileferry/golden/StoredRecordsFixture.java
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public long timeOfDay() {
+    public long wallClockMs() {
         return TIME_OF_DAY + now - START;
     }
 
--- a/src/test/java/stileferry/protocol/FeaturesTest.java
+++ b/src/test/java/stileferry/protocol/FeaturesTest.java
@@ -13,16 +13,16 @@
     @Test
     void featureThatIsNotNamedIsOff() {
         assertEquals(Features.NONE, Features.read("{}").features());
-        assertEquals(List.of(), Features.NONE.on());
+        assertEquals(List.of(), Features.NONE.enabledNames());
         assertEquals(
                 List.of("partial_cuts"),
-                Features.read("{\"partial_cuts\":true}").features().on());
+                Features.read("{\"partial_cuts\":true}").features().enabledNames());
         assertEquals(Features.NONE, Features.read("{\"partial_cuts\":false}").features());
         assertEquals(
                 new Features(false, true),
                 Features.read("{\"partial_cuts\":false,\"fair_admission\":true}")
                         .features());
-        assertEquals(List.of("partial_cuts", "fair_admission"), new Features(true, true).on());
+        assertEquals(List.of("partial_cuts", "fair_admission"), new Features(true, true).enabledNames());
     }
 
     @ParameterizedTest
--- a/src/test/java/stileferry/protocol/MalformedMessagesTest.java
+++ b/src/test/java/stileferry/protocol/MalformedMessagesTest.java
@@ -33,7 +33,7 @@
     /** A body nested without end would exhaust the stack of the one thread. */
     @Test
     void bodyNestedTooDeepIsMalformed() {
-        byte[] deep = new byte[MessageCodec.MAX_BODY];
+        byte[] deep = new byte[MessageCodec.MAX_BODY_BYTES];
         Arrays.fill(deep, (byte) 0x91);
         assertNull(MessageCodec.decode(deep));
         assertNull(Heartbeat.read(deep));
--- a/src/test/java/stileferry/protocol/SettingsReaderTest.java
+++ b/src/test/java/stileferry/protocol/SettingsReaderTest.java
@@ -29,7 +29,7 @@
         assertNotNull(settings);
         assertEquals("n1", settings.peers().get(0).name());
         assertEquals(81, settings.peerListen().getPort());
-        assertEquals(2, settings.team("red").cpusMax());
+        assertEquals(2, settings.team("red").maxCpus());
         assertNull(settings.team("blue"));
     }
 
@@ -80,10 +80,10 @@
     @Test
     void smallShareOfACoreMakesTimesLonger() {
         Settings ample = SettingsReader.read(VALID).settings();
-        assertEquals(1, ample.slowness());
+        assertEquals(1, ample.slowdownFactor());
         Settings small = SettingsReader.read(VALID.replace("\"max_sockets\"", "\"cores\":0.1,\"max_sockets\""))
                 .settings();
-        assertEquals(3, small.slowness(), 1e-9);
+        assertEquals(3, small.slowdownFactor(), 1e-9);
         assertEquals(
                 List.of("cluster.machine_limits.cores: must be above 0"),
                 SettingsReader.read(VALID.replace("\"max_sockets\"", "\"cores\":0,\"max_sockets\""))
--- a/src/test/java/stileferry/scheduling/ScaleTest.java
+++ b/src/test/java/stileferry/scheduling/ScaleTest.java
@@ -67,7 +67,7 @@
     private static void assertServicesRun(SimulatedCluster world, BiPredicate<Long, Integer> enough, String when) {
         for (SimulatedUser user : world.users.values()) {
             assertTrue(
-                    !user.spec.service()
+                    !user.spec.isService()
                             || !user.accepted
                             || enough.test(world.tasks.running(user), user.spec.taskCount()),
                     user.spec.id() + " has " + world.tasks.running(user) + when);
@@ -106,7 +106,7 @@
         assertEquals(List.of(), world.violations);
         assertTrue(machines > 1000, machines + " machines are up");
         assertTrue(
-                world.users.values().stream().allMatch(user -> user.spec.service() || "done".equals(user.endState)),
+                world.users.values().stream().allMatch(user -> user.spec.isService() || "done".equals(user.endState)),
                 "work is left");
         long changes = world.store.writtenKeys() - changesBefore;
         assertTrue(changes < 213 * 50 / 2, changes + " changes in 213 s, at 50 a second");
