--- a/src/main/java/stileferry/cli/AdminCommand.java
+++ b/src/main/java/stileferry/cli/AdminCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Operators' settings and views. */
+/** The commands for operators: settings and views of the cluster. */
 @Command(
         name = "admin",
         description = "Reads and changes the operators' settings, and shows what the leader knows.",
--- a/src/main/java/stileferry/cli/AdminGet.java
+++ b/src/main/java/stileferry/cli/AdminGet.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import stileferry.protocol.ApiPaths;
 
-/** Shows the operators' settings. */
+/** Shows the operator settings. */
 @Command(
         name = "get",
         description = "Shows the settings, with defaults, limits and revision.",
--- a/src/main/java/stileferry/cli/AdminReset.java
+++ b/src/main/java/stileferry/cli/AdminReset.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Puts operators' settings back to their defaults. */
+/** Resets operator settings to their defaults. */
 @Command(
         name = "reset",
         description = "Puts settings back to their defaults; all if none is named.",
--- a/src/main/java/stileferry/cli/AdminSet.java
+++ b/src/main/java/stileferry/cli/AdminSet.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Changes the operators' settings. */
+/** Changes operator settings. */
 @Command(
         name = "set",
         description = "Changes settings, all of them or none.",
@@ -29,7 +29,7 @@
         change.forEach((name, value) -> values.set(name, parseValue(value)));
     }
 
-    /** Numbers and true or false are taken as such, everything else as text. */
+    /** Parses a value from the command line: numbers and booleans as such, everything else as text. */
     private static JsonNode parseValue(String text) {
         try {
             JsonNode node = new ObjectMapper().readTree(text);
--- a/src/main/java/stileferry/cli/AdminShow.java
+++ b/src/main/java/stileferry/cli/AdminShow.java
@@ -10,14 +10,14 @@
 import picocli.CommandLine.Parameters;
 import stileferry.protocol.ApiPaths;
 
-/** Shows a view of what the leader, or the asked controller, knows. */
+/** Shows a view of the state of the leader, or of the controller that the request is sent to. */
 @Command(
         name = "show",
         description = "Shows leader, machines, queue, teams, counters, links or admission, as JSON.",
         mixinStandardHelpOptions = true,
         footer = {"", "Example: stileferry admin show --node 127.0.0.1:7701 queue"})
 final class AdminShow implements Callable<Integer> {
-    /** What can be shown; the names in lower case are those of the API. */
+    /** The views that can be shown. Their names in lower case are the paths of the administration API. */
     enum View {
         LEADER,
         MACHINES,
--- a/src/main/java/stileferry/cli/Cancel.java
+++ b/src/main/java/stileferry/cli/Cancel.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 import stileferry.protocol.ApiPaths;
 
-/** Cancels a job; the command's older name is that of the published protocol. */
+/** Cancels a job. The alias is the command's older name, which the published protocol uses. */
 @Command(
         name = "cancel",
         aliases = "withdraw",
--- a/src/main/java/stileferry/cli/CheckConfig.java
+++ b/src/main/java/stileferry/cli/CheckConfig.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Checks a settings file without starting anything. */
+/** Validates a settings file, and optionally a features file, without starting a controller. */
 @Command(
         name = "check-config",
         description = "Checks a settings file and prints every problem found.",
--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -16,44 +16,49 @@
 import stileferry.transport.StandInHost;
 
 /**
- * Used by the build: plays a controller's life on loopback (start, follow, take over, lead), so that the classes which
- * that needs can be archived. What is not archived is read, checked and linked at every start instead.
+ * The training run with which the build creates the class data sharing archive: runs controllers on loopback through
+ * all roles (starting, following, taking over, leading), so that the classes needed are loaded and can be archived. The
+ * JVM has to read, verify and link all other classes at every start.
  */
 final class ClassArchiveTraining {
     private static final int PORT_COUNT = 7;
 
-    /** Optional parts are rehearsed too; where they are off, what is archived of them is not loaded. */
+    /** Optional features are exercised, too. Where they are disabled, their archived classes are not loaded. */
     private static final String ALL_FEATURES =
             "{\"" + Features.PARTIAL_CUTS + "\":true,\"" + Features.FAIR_ADMISSION + "\":true}";
 
     private static final int MAX_POLLS = 100;
     private static final long POLL_INTERVAL_MS = 100;
 
-    /** Until the second controller has started. */
+    /** The time given to the second controller to start. */
     private static final long SECOND_CONTROLLER_START_MS = 500;
 
-    /** For what is accepted or cancelled. */
+    /** The time limit of submissions and cancellations, including retries. */
     private static final long CHANGE_TIMEOUT_MS = 10_000;
 
-    /** For what is refused or read. */
+    /** The time limit of reads and of requests that are rejected, including retries. */
     private static final long QUERY_TIMEOUT_MS = 1000;
 
     private static final byte[] NO_BODY = new byte[0];
 
     private ClassArchiveTraining() {}
 
-    /** Plays the life and ends the process; without an archive that is whole the start is only slower. */
+    /**
+     * Runs the training and ends the process. A failure is not fatal: with an incomplete archive the start is only
+     * slower.
+     */
     public static void main(String[] args) throws Exception {
         LogLevel.start(System.getenv("LOG_LEVEL"));
         try {
             runTraining(Ports.findFreeRange(PORT_COUNT));
-        } catch (IOException | RuntimeException e) { // broad catch: the build goes on without
-            System.err.println("stileferry: the class archive will be smaller, the start slower: " + e);
+        } catch (IOException | RuntimeException e) { // broad catch: the build goes on with a smaller archive
+            System.err.println(
+                    "stileferry: training run failed, so the class archive is smaller and the start slower: " + e);
         }
-        System.exit(0); // the way out is rehearsed too; the archive is written at the end
+        System.exit(0); // includes the shutdown in the training; the JVM writes the archive at exit
     }
 
-    @SuppressWarnings("try") // the stand-ins run beside the body, and one controller is closed in its middle
+    @SuppressWarnings("try") // the stand-ins only need to run meanwhile, and one controller is closed within the body
     private static void runTraining(int port) throws Exception {
         Path dir = Files.createTempDirectory("rehearsal");
         Path features = dir.resolve("features.json");
@@ -74,7 +79,7 @@
         }
     }
 
-    /** Starts another controller as service managers do. */
+    /** Starts another controller in the same way as service managers do. */
     private static void startSecond(Path settings, Path features) {
         String[] args = {"--config", settings.toString(), "--features", features.toString()};
         Thread second = new Thread(() -> Daemon.run(args), "second");
@@ -82,15 +87,19 @@
         second.start();
     }
 
-    /** An array that ends, a gang, a service that is cancelled, and questions that are refused. */
-    private static void runJobs(ApiClient user, int number) throws InterruptedException {
-        submit(user, number, JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL);
-        submit(user, number + 1, JobSpec.Kind.GANG, JobSpec.Priority.IDLE);
-        submit(user, number + 2, JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL);
-        await(user, number, "done");
-        await(user, number + 2, "running");
-        user.ask("POST", ApiPaths.jobPath("job-" + (number + 2)) + ApiPaths.CANCEL_SUFFIX, NO_BODY, CHANGE_TIMEOUT_MS);
-        await(user, number + 2, "cancelled");
+    /** Runs an array to completion, a gang, and a service that is cancelled, and sends requests that are rejected. */
+    private static void runJobs(ApiClient user, int firstNumber) throws InterruptedException {
+        submit(user, firstNumber, JobSpec.Kind.ARRAY, JobSpec.Priority.NORMAL);
+        submit(user, firstNumber + 1, JobSpec.Kind.GANG, JobSpec.Priority.IDLE);
+        submit(user, firstNumber + 2, JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL);
+        await(user, firstNumber, "done");
+        await(user, firstNumber + 2, "running");
+        user.ask(
+                "POST",
+                ApiPaths.jobPath("job-" + (firstNumber + 2)) + ApiPaths.CANCEL_SUFFIX,
+                NO_BODY,
+                CHANGE_TIMEOUT_MS);
+        await(user, firstNumber + 2, "cancelled");
         user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), QUERY_TIMEOUT_MS);
         user.ask("GET", ApiPaths.jobPath("job-99"), NO_BODY, QUERY_TIMEOUT_MS);
         user.ask("GET", ApiPaths.READY, NO_BODY, QUERY_TIMEOUT_MS);
--- a/src/main/java/stileferry/cli/ControllerConnection.java
+++ b/src/main/java/stileferry/cli/ControllerConnection.java
@@ -10,7 +10,7 @@
 import stileferry.transport.ApiClient;
 import stileferry.transport.LogLevel;
 
-/** What all commands share that ask controllers: where they are, how long to try, and how to print the answer. */
+/** The options of all commands that send requests to controllers, with the request itself and the output. */
 final class ControllerConnection {
     static final byte[] NO_BODY = new byte[0];
 
@@ -32,10 +32,15 @@
             description = "Seconds for which a request is repeated (default ${DEFAULT-VALUE}).")
     private int patienceS;
 
-    /** Sends a request, prints the answer or a one-line error, and returns the exit code. */
+    /**
+     * Sends a request and prints the response, or an error of one line.
+     *
+     * @param text renders the body of a successful response for the user, unless JSON was asked for
+     * @return the exit code
+     */
     int request(String method, String path, byte[] body, Function<JsonNode, String> text)
             throws IOException, InterruptedException {
-        LogLevel.start("error"); // a client's own messages are its errors, one line each
+        LogLevel.start("error"); // no other log lines: a client's output is its result or an error of one line
         try (ApiClient client = new ApiClient(nodes)) {
             ApiClient.Response response = client.ask(method, path, body, TimeUnit.SECONDS.toMillis(patienceS));
             return print(response, text);
@@ -51,8 +56,8 @@
         }
         String problem = status <= 0 ? "no answer from " + nodes : "refused with " + status + reason(body);
         System.err.println("stileferry: " + problem);
-        boolean refused = status >= 400 && status < 500 && status != 429;
-        return refused ? ExitCode.REFUSED : ExitCode.FAILED;
+        boolean rejected = status >= 400 && status < 500 && status != 429;
+        return rejected ? ExitCode.REFUSED : ExitCode.FAILED;
     }
 
     private static String reason(JsonNode body) {
--- a/src/main/java/stileferry/cli/ControllerFiles.java
+++ b/src/main/java/stileferry/cli/ControllerFiles.java
@@ -7,13 +7,15 @@
 import stileferry.protocol.SettingsReader;
 
 /**
- * What a controller's files say.
+ * The contents of the files that a controller is started with.
  *
- * @param problems one line each, none when the files are usable; settings and features are null when there are some
+ * @param settings null if there are problems
+ * @param features null if there are problems
+ * @param problems the problems found, one line each; empty if the files are usable
  */
 record ControllerFiles(Settings settings, Features features, List<String> problems) {
 
-    /** Reads the settings file and the features file (null: none); the latter only if the former is usable. */
+    /** Reads the settings file and, if that is usable, the features file (null: none). */
     static ControllerFiles read(Path settingsFile, Path featuresFile) {
         SettingsReader.Result settings = SettingsFile.read(settingsFile);
         if (settings.settings() == null) {
--- a/src/main/java/stileferry/cli/Daemon.java
+++ b/src/main/java/stileferry/cli/Daemon.java
@@ -9,9 +9,9 @@
 import stileferry.transport.LogLevel;
 
 /**
- * Where service managers start a controller: the same as the command {@code serve}, without the command line around it.
- * Its options are read by Commons CLI: picocli's classes are of a form that the runtime can't archive, and setting up
- * its commands would lengthen the start on a small share of a core.
+ * The entry point with which service managers start a controller. Does the same as the command {@code serve}, but
+ * parses its options with Commons CLI instead of picocli: the JVM can't put picocli's classes into the class archive,
+ * and setting up its commands would make the start slower on a small share of a core.
  */
 public final class Daemon {
     private static final String CONFIG = "config";
@@ -19,16 +19,16 @@
 
     private Daemon() {}
 
-    /** Runs a controller until the process is killed; ends with exit code 2 for wrong usage or settings. */
+    /** Runs a controller until the process is killed. Exits with code 2 for wrong usage or settings. */
     public static void main(String[] args) {
         LogLevel.start(System.getenv("LOG_LEVEL"));
         System.exit(run(args));
     }
 
-    /** The exit code, as soon as the controller is closed or can't start. */
+    /** Runs a controller; returns the exit code as soon as the controller is closed or fails to start. */
     static int run(String[] args) {
-        // The networking library registers with the runtime's management, which nobody asks here and which lengthens
-        // the start. It goes on without when there is none.
+        // Disables JMX: the networking library would register MBeans, which nothing uses here and which makes the start
+        // slower. Without an MBean server it skips the registration.
         System.setProperty("javax.management.builder.initial", "none");
         Options options = new Options()
                 .addOption(Option.builder().longOpt(CONFIG).hasArg().required().get())
--- a/src/main/java/stileferry/cli/ExitCode.java
+++ b/src/main/java/stileferry/cli/ExitCode.java
@@ -1,16 +1,16 @@
 package stileferry.cli;
 
-/** The exit codes that the help names. */
+/** The exit codes of the commands, as documented in the help. */
 final class ExitCode {
     static final int OK = 0;
 
-    /** Failed, or no answer. */
+    /** The command failed or got no response. */
     static final int FAILED = 1;
 
-    /** Wrong usage or settings. */
+    /** The arguments or the settings are invalid. */
     static final int USAGE = 2;
 
-    /** Refused by the service. */
+    /** The service rejected the request. */
     static final int REFUSED = 3;
 
     private ExitCode() {}
--- a/src/main/java/stileferry/cli/FeaturesFile.java
+++ b/src/main/java/stileferry/cli/FeaturesFile.java
@@ -5,11 +5,11 @@
 import java.nio.file.Path;
 import stileferry.protocol.Features;
 
-/** Reads the features file for the commands that take one. */
+/** Reads the features file given on the command line. */
 final class FeaturesFile {
     private FeaturesFile() {}
 
-    /** What a file turns on; without a file everything is off. */
+    /** Reads a features file; without a file (null) all features are disabled. */
     static Features.Result read(Path file) {
         if (file == null) {
             return new Features.Result(Features.NONE, null);
--- a/src/main/java/stileferry/cli/JobCommand.java
+++ b/src/main/java/stileferry/cli/JobCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Parameters;
 import stileferry.protocol.ApiPaths;
 
-/** A command about one job, which answers with the job's state. */
+/** A command about one job that prints the job's state. */
 abstract class JobCommand implements Callable<Integer> {
     @Mixin
     private ControllerConnection connection;
@@ -15,16 +15,16 @@
     private String id;
 
     private final String method;
-    private final String action;
+    private final String pathSuffix;
 
-    /** {@code action} follows the job's path. */
-    JobCommand(String method, String action) {
+    /** Creates the command; {@code pathSuffix} is appended to the job's path. */
+    JobCommand(String method, String pathSuffix) {
         this.method = method;
-        this.action = action;
+        this.pathSuffix = pathSuffix;
     }
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        return connection.request(method, ApiPaths.jobPath(id) + action, ControllerConnection.NO_BODY, JobText::of);
+        return connection.request(method, ApiPaths.jobPath(id) + pathSuffix, ControllerConnection.NO_BODY, JobText::of);
     }
 }
--- a/src/main/java/stileferry/cli/JobText.java
+++ b/src/main/java/stileferry/cli/JobText.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import stileferry.protocol.UserMessages.JobState;
 
-/** A job's state in words. */
+/** Renders a job's state as one line of text. */
 final class JobText {
     private JobText() {}
 
--- a/src/main/java/stileferry/cli/Main.java
+++ b/src/main/java/stileferry/cli/Main.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import stileferry.transport.LogLevel;
 
-/** The command line. */
+/** The main command of the command line interface. */
 @Command(
         name = "stileferry",
         description = "A cluster scheduler.",
@@ -25,13 +25,13 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** Runs a command and ends the process with its exit code. */
+    /** Runs a command and exits with its exit code. */
     public static void main(String[] args) {
         LogLevel.start(System.getenv("LOG_LEVEL"));
         System.exit(commandLine().execute(args));
     }
 
-    /** The commands, with errors of one line. */
+    /** Creates the command line parser, which prints errors as a single line. */
     static CommandLine commandLine() {
         return new CommandLine(new Main())
                 .setCaseInsensitiveEnumValuesAllowed(true)
--- a/src/main/java/stileferry/cli/OperatorSettingsText.java
+++ b/src/main/java/stileferry/cli/OperatorSettingsText.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The operators' settings in words, one a line. */
+/** Renders the operator settings as text, one setting per line. */
 final class OperatorSettingsText {
     private OperatorSettingsText() {}
 
--- a/src/main/java/stileferry/cli/Ports.java
+++ b/src/main/java/stileferry/cli/Ports.java
@@ -5,7 +5,7 @@
 import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Finds ports for what runs on loopback and is over soon. */
+/** Finds free ports for short-lived processes and tests on loopback. */
 final class Ports {
     private static final int FIRST_PORT = 20_000;
     private static final int END_PORT = 30_000;
@@ -13,7 +13,12 @@
 
     private Ports() {}
 
-    /** The first of so many ports in a row (ten at most) that are free just now; others may look at the same time. */
+    /**
+     * Returns the first port of a range that is free at the moment. The ports are not reserved, so that concurrent
+     * callers may find the same range.
+     *
+     * @param count the length of the range, ten at most
+     */
     static int findFreeRange(int count) throws IOException {
         int from = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_PORT);
         for (int i = 0; i < END_PORT - FIRST_PORT; i += RANGE_SIZE) {
--- a/src/main/java/stileferry/cli/Serve.java
+++ b/src/main/java/stileferry/cli/Serve.java
@@ -25,7 +25,10 @@
         return run(config, features);
     }
 
-    /** Runs a controller with the settings and the features in these files (null: none) and returns the exit code. */
+    /**
+     * Runs a controller with the settings and the features from these files (features null: none); returns the exit
+     * code.
+     */
     static int run(Path config, Path featuresFile) {
         ControllerFiles files = ControllerFiles.read(config, featuresFile);
         if (!files.problems().isEmpty()) {
@@ -38,7 +41,8 @@
                     .features(files.features())
                     .build();
             controller.start();
-            controller.awaitClosed(); // this thread reads nothing any more, see ControllerServer
+            // from here on this thread only waits and reads nothing; see ControllerServer for the reason
+            controller.awaitClosed();
             return ExitCode.OK;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/stileferry/cli/SettingsChangeCommand.java
+++ b/src/main/java/stileferry/cli/SettingsChangeCommand.java
@@ -8,7 +8,7 @@
 import stileferry.protocol.ApiPaths;
 import stileferry.protocol.MessageCodec;
 
-/** A change of the operators' settings, made only if nobody else has changed them meanwhile. */
+/** A command that changes operator settings, and does so only if nobody has changed them since the given revision. */
 abstract class SettingsChangeCommand implements Callable<Integer> {
     @Mixin
     private ControllerConnection connection;
@@ -18,12 +18,12 @@
 
     private final String path;
 
-    /** {@code path}: below that of the administration API. */
+    /** Creates the command; {@code path} is relative to the administration API. */
     SettingsChangeCommand(String path) {
         this.path = path;
     }
 
-    /** Writes what is to be changed. */
+    /** Writes the requested change into the body of the request. */
     abstract void writeChange(ObjectNode body);
 
     @Override
--- a/src/main/java/stileferry/cli/SettingsFile.java
+++ b/src/main/java/stileferry/cli/SettingsFile.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import stileferry.protocol.SettingsReader;
 
-/** Reads the settings file for the commands that take one. */
+/** Reads the settings file given on the command line. */
 final class SettingsFile {
     private SettingsFile() {}
 
--- a/src/main/java/stileferry/cli/StandInSettings.java
+++ b/src/main/java/stileferry/cli/StandInSettings.java
@@ -5,8 +5,8 @@
 import stileferry.transport.StandInHost;
 
 /**
- * Settings of controllers that work with stand-ins on loopback. Of a row of ports the first is the stand-ins', the next
- * ones are the controllers' for users, and those behind for each other.
+ * The settings of controllers that run against stand-ins on loopback. Of a range of ports, the first is used by the
+ * stand-ins, the next ones are the controllers' ports for users, and the last ones their ports for each other.
  */
 final class StandInSettings {
     static final int CONTROLLERS = 3;
@@ -39,7 +39,12 @@
 
     private StandInSettings() {}
 
-    /** The settings of one controller, by its number, as JSON. */
+    /**
+     * Returns the settings of one controller as JSON.
+     *
+     * @param controller the controller's number, from 0
+     * @param port the first port of the range
+     */
     static String of(int controller, int port, StandInHost.Size size) {
         return SETTINGS.formatted(
                 name(controller),
--- a/src/main/java/stileferry/cli/StandIns.java
+++ b/src/main/java/stileferry/cli/StandIns.java
@@ -13,7 +13,7 @@
 import stileferry.standin.Worker;
 import stileferry.transport.StandInHost;
 
-/** Runs the stand-ins for key-value store, cloud and workers, for trying the service out on one computer. */
+/** Runs stand-ins for the key-value store, the cloud and the workers, to try the service out on one computer. */
 @Command(
         name = "stand-ins",
         description = "Writes settings for three controllers and runs stand-ins for all they talk to, on loopback.",
@@ -54,27 +54,27 @@
         start(port, dir, size(machines, heartbeatIntervalS));
         System.out.println("stand-ins run; start controllers with: serve --config " + dir.resolve("node-0.json")
                 + " (and node-1.json, node-2.json)");
-        new CountDownLatch(1).await(); // until the process is killed
+        new CountDownLatch(1).await(); // blocks until the process is killed
         return ExitCode.OK;
     }
 
-    /** Starts stand-ins and writes the settings files of the controllers that fit them. */
+    /** Starts a small set of stand-ins and writes settings files of controllers that use them. */
     static StandInHost start(int port, Path dir) throws IOException {
         return start(port, dir, StandInHost.Size.SMALL);
     }
 
-    /** So many machines with so long between heartbeats, and a lease of ten times that. */
+    /** Returns a size with this number of machines and this heartbeat interval; a lease is ten times the interval. */
     static StandInHost.Size size(int machines, double heartbeatIntervalS) {
         long heartbeatIntervalMs = Math.round(heartbeatIntervalS * MS_PER_S);
         return new StandInHost.Size(machines, heartbeatIntervalMs, HEARTBEAT_INTERVALS_PER_LEASE * heartbeatIntervalMs);
     }
 
-    /** The same for a fleet of another size. */
+    /** Starts stand-ins of this size and writes settings files of controllers that use them. */
     static StandInHost start(int port, Path dir, StandInHost.Size size) throws IOException {
         return start(port, dir, size, LinkFaults.NONE, Worker.Watcher.NOBODY);
     }
 
-    /** The same with links that may be broken, and somebody who watches the workers' tasks. */
+    /** Starts stand-ins with fault injection on links and a watcher that is notified of task starts and ends. */
     static StandInHost start(int port, Path dir, StandInHost.Size size, LinkFaults faults, Worker.Watcher watcher)
             throws IOException {
         List<String> addresses = new ArrayList<>();
--- a/src/main/java/stileferry/protocol/ApiPaths.java
+++ b/src/main/java/stileferry/protocol/ApiPaths.java
@@ -1,32 +1,32 @@
 package stileferry.protocol;
 
-/** The paths of a controller's interface for users, workers, operators and health checks. */
+/** The URL paths of a controller's HTTP API for users, workers, operators and health checks. */
 public final class ApiPaths {
-    /** Submissions; the other requests about jobs are below it. */
+    /** The path of job submissions; the paths of single jobs are below it. */
     public static final String JOBS = "/work";
 
-    /** What follows a job's path to cancel it. */
+    /** The suffix that turns a job's path into the path of its cancellation. */
     public static final String CANCEL_SUFFIX = "/withdraw";
 
-    /** Workers' heartbeats. */
+    /** The path to which workers send heartbeats. */
     public static final String HEARTBEATS = "/v1/report";
 
-    /** The administration API. */
+    /** The prefix of all paths of the administration API. */
     public static final String ADMINISTRATION_PREFIX = "/admin/";
 
-    /** Whether users should be sent to this controller. */
+    /** The path of the readiness check: whether users should be routed to this controller. */
     public static final String READY = "/ready";
 
     private static final String JOB_PREFIX = JOBS + "/";
 
     private ApiPaths() {}
 
-    /** The path of a job. */
+    /** Returns the path of the job with this id. */
     public static String jobPath(String id) {
         return JOB_PREFIX + id;
     }
 
-    /** What follows {@link #JOBS} and a slash in a path; null when it does not begin with them. */
+    /** Returns the part of a path after {@link #JOBS} and a slash, or null if it doesn't begin with them. */
     public static String jobPathRemainder(String path) {
         return path.startsWith(JOB_PREFIX) ? path.substring(JOB_PREFIX.length()) : null;
     }
--- a/src/main/java/stileferry/protocol/CloudMessages.java
+++ b/src/main/java/stileferry/protocol/CloudMessages.java
@@ -6,50 +6,62 @@
 import java.util.Collection;
 import java.util.List;
 
-/** The bodies of requests to the cloud, and its answers about machines; its machine types are {@link MachineType}s. */
+/**
+ * Writes the bodies of requests to the cloud and reads its responses about machines. Responses about machine types are
+ * read by {@link MachineType}.
+ */
 public final class CloudMessages {
     private CloudMessages() {}
 
-    /** Where machines are requested. */
+    /** The path of scale-out requests and of the machine list. */
     public static final String SCALE_OUT_PATH = "/hosts";
 
-    /** Where machines are deleted. */
+    /** The path of deletion requests. */
     public static final String DELETION_PATH = "/hosts/delete";
 
-    /** A machine in the cloud's list; the age is in seconds. */
+    /**
+     * A machine in the cloud's list.
+     *
+     * @param ageS seconds since the machine was created
+     */
     public record ListedMachine(
             String name, String address, String type, String zone, boolean spot, String state, double ageS) {
-        /** Whether the machine has not come up yet. */
+        /** Returns whether the machine is still booting. */
         public boolean isBooting() {
             return state.equals("booting");
         }
 
-        /** Whether the machine will never come up. */
+        /** Returns whether the machine failed to boot and will never become available. */
         public boolean hasFailed() {
             return state.equals("failed");
         }
     }
 
     /**
-     * Where a page of the list is read.
+     * Returns the path and query that read one page of the machine list.
      *
-     * @param after the last machine of the page before; empty: the first page
+     * @param maxMachines the page size
+     * @param after the name of the last machine of the previous page; empty for the first page
      */
     public static String listPath(int maxMachines, String after) {
         return "/hosts?most=" + maxMachines + (after.isEmpty() ? "" : "&from=" + after);
     }
 
-    /** Whether the list goes on after this page. */
+    /** Returns whether more pages follow this one. */
     public static boolean hasMorePages(JsonNode body) {
         return body.path("more").asBoolean();
     }
 
-    /** Whether a request to scale out was refused because the cloud has no such machines now. */
+    /** Returns whether the cloud refused a scale-out request because it has no such machines at the moment. */
     public static boolean reportsNoCapacity(JsonNode body) {
         return body.path(WireNames.ERROR).asText().startsWith("no");
     }
 
-    /** A request to scale out by some machines of one type. */
+    /**
+     * Returns the body of a request for machines of one type.
+     *
+     * @param request the id that makes the request idempotent
+     */
     public static ObjectNode scaleOutRequest(String request, String type, String zone, boolean spot, int count) {
         return MessageCodec.map()
                 .put(WireNames.SCALE_OUT_REQUEST, request)
@@ -59,21 +71,21 @@
                 .put(WireNames.COUNT, count);
     }
 
-    /** A request to delete machines. */
+    /** Returns the body of a request to delete machines. */
     public static ObjectNode deletionRequest(Collection<String> names) {
         ObjectNode body = MessageCodec.map();
         names.forEach(body.putArray(WireNames.MACHINES)::add);
         return body;
     }
 
-    /** The names in the answer to a request to scale out. */
+    /** Returns the names of the created machines from the response to a scale-out request. */
     public static List<String> createdMachines(JsonNode body) {
         List<String> names = new ArrayList<>();
         body.path(WireNames.MACHINES).forEach(name -> names.add(name.asText()));
         return names;
     }
 
-    /** The machines in one page of the cloud's list. */
+    /** Returns the machines in one page of the cloud's list. */
     public static List<ListedMachine> listedMachines(JsonNode body) {
         List<ListedMachine> machines = new ArrayList<>();
         for (JsonNode machine : body.path(WireNames.MACHINES)) {
--- a/src/main/java/stileferry/protocol/Environment.java
+++ b/src/main/java/stileferry/protocol/Environment.java
@@ -5,40 +5,45 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that the single owner of the state can see and do outside itself. Every reply comes back on the owner's
- * own turn, so whoever implements this decides what the world is: sockets, or a simulation.
+ * Everything outside the controller's state machine: clocks, timers, random numbers, and requests to other processes.
+ * All callbacks run on the one thread that owns the state. An implementation is based on sockets or on a simulation.
  */
 public interface Environment {
-    /** The status of a request whose outcome is unknown. */
+    /** The status of a request that got no response, so that its outcome is unknown. */
     int NO_RESPONSE = 0;
 
-    /** The status of a request that certainly never left this process. */
+    /** The status of a request that was certainly never sent. */
     int NOT_SENT = -1;
 
-    /** A steady clock in milliseconds. */
+    /** Returns the reading of a monotonic clock in milliseconds; its origin is arbitrary. */
     long now();
 
-    /** The time of day in milliseconds since the epoch. */
+    /** Returns the wall clock time in milliseconds since the epoch. */
     long timeOfDay();
 
-    /** Random numbers, for jitter only. */
+    /** Returns a random number generator, to be used for jitter only. */
     RandomGenerator random();
 
-    /** Sets how much is logged: error, info, debug, or default for what the process was started with. */
+    /** Sets the log level: error, info, debug, or default for the level that the process was started with. */
     void setLogLevel(String level);
 
-    /** Runs something later, on the owner's turn. */
+    /** Runs a task after a delay, on the thread that owns the state. */
     void schedule(long delayMs, Runnable task);
 
-    /** Sends a MessagePack request; a null body is an empty one. The handler is called exactly once. */
+    /** Sends an HTTP request with a MessagePack body (null: empty). The handler is called exactly once. */
     void request(String address, String method, String path, JsonNode body, long timeoutMs, ResponseHandler handler);
 
-    /** Sends a message to another controller; the reply comes exactly once, null stands for no answer. */
+    /** Sends a message to a peer. The callback is called exactly once, with null if there was no reply. */
     void sendToPeer(Settings.Peer peer, PeerMessage message, long timeoutMs, Consumer<PeerMessage> reply);
 
-    /** Takes the answer to a request; the body may be null. */
+    /** Handles the response to a request. */
     interface ResponseHandler {
-        /** Called with an HTTP status, {@link #NO_RESPONSE} or {@link #NOT_SENT}. */
+        /**
+         * Called with the outcome of the request.
+         *
+         * @param status an HTTP status, {@link #NO_RESPONSE} or {@link #NOT_SENT}
+         * @param body the decoded body, or null if there is none
+         */
         void onResponse(int status, JsonNode body);
     }
 }
--- a/src/main/java/stileferry/protocol/ExitReason.java
+++ b/src/main/java/stileferry/protocol/ExitReason.java
@@ -1,24 +1,24 @@
 package stileferry.protocol;
 
-/** Why a task has exited, as its worker tells it. */
+/** Why a task exited, as reported by its worker. */
 public enum ExitReason implements HasWireName {
-    /** Completed. */
+    /** The task completed. */
     COMPLETED("done"),
-    /** Stopped by command; its progress may have been saved. */
+    /** The task was stopped by a command; it may have saved a checkpoint. */
     STOPPED("halted"),
-    /** Failed: mostly its machine is at fault, sometimes its job. */
+    /** The task failed. The cause is mostly the machine, sometimes the job. */
     FAILED("error"),
-    /** The start was refused: the machine lacks free resources. */
+    /** The worker rejected the start because the machine lacks free resources. */
     INSUFFICIENT_RESOURCES("full"),
-    /** The start was refused: another attempt of the task is on the machine. */
+    /** The worker rejected the start because another attempt of the task is on the machine. */
     CONFLICTING_ATTEMPT("busy"),
-    /** The start was refused: the worker knows no such job. */
+    /** The worker rejected the start because it doesn't know the job. */
     UNKNOWN_JOB("unknown"),
-    /** Another task of its gang is gone. */
+    /** Another task of the gang is gone. */
     GANG_MEMBER_LOST("peers"),
-    /** Its gang was not complete in time. */
+    /** The gang's tasks were not all ready in time. */
     GANG_INCOMPLETE("incomplete"),
-    /** None that is known here. */
+    /** A reason that this version doesn't know, or none. */
     OTHER("");
 
     private final String wireName;
@@ -27,14 +27,14 @@
         this.wireName = wireName;
     }
 
-    /** The word that stands for it in heartbeats. */
+    /** Returns the name of the reason in heartbeats. */
     @Override
     public String wireName() {
         return wireName;
     }
 
-    /** The reason that a word on the wire stands for; words to come are harmless. */
-    static ExitReason of(String word) {
-        return HasWireName.byWireName(values(), word, OTHER);
+    /** Returns the reason with this wire name; names that a later version may add are read as {@link #OTHER}. */
+    static ExitReason of(String wireName) {
+        return HasWireName.byWireName(values(), wireName, OTHER);
     }
 }
--- a/src/main/java/stileferry/protocol/Features.java
+++ b/src/main/java/stileferry/protocol/Features.java
@@ -8,28 +8,30 @@
 import java.util.Set;
 
 /**
- * Which optional parts of the service are on. They are named in a file of their own, since they are chosen with a
- * version and not by the platform. What is not named is off.
+ * The optional features of the service that are enabled. They are listed in a file apart from the settings, because
+ * they are chosen with the deployed version and not by the platform. A feature that is not listed is disabled.
  *
- * @param partialCuts whether controllers watch their links and hand leadership over to one with better links
- * @param fairAdmission whether the leader divides admissions under overload and the others refuse by its word
+ * @param partialCuts handling of partial network partitions: controllers monitor their links, and the leader hands
+ *     leadership over to a controller with better links
+ * @param fairAdmission fair admission: under overload, the leader allots admissions by admission windows, and the other
+ *     controllers reject submissions by its table of these
  */
 public record Features(boolean partialCuts, boolean fairAdmission) {
-    /** Everything is off. */
+    /** All features are disabled. */
     public static final Features NONE = new Features(false, false);
 
-    /** The name of {@link #partialCuts} in a features file. */
+    /** The name of {@link #partialCuts} in the features file. */
     public static final String PARTIAL_CUTS = "partial_cuts";
 
-    /** The name of {@link #fairAdmission} in a features file. */
+    /** The name of {@link #fairAdmission} in the features file. */
     public static final String FAIR_ADMISSION = "fair_admission";
 
     private static final Set<String> NAMES = Set.of(PARTIAL_CUTS, FAIR_ADMISSION);
 
-    /** What was read, or the first problem that keeps it from being used; one of the two is null. */
+    /** The features, or the first problem found in the file; exactly one of the two is null. */
     public record Result(Features features, String problem) {}
 
-    /** Reads features from JSON text. */
+    /** Reads features from the JSON text of a features file. */
     public static Result read(String json) {
         JsonNode root;
         try {
@@ -55,7 +57,7 @@
         return new Result(new Features(on.contains(PARTIAL_CUTS), on.contains(FAIR_ADMISSION)), null);
     }
 
-    /** The names of all that is on. */
+    /** Returns the names of the enabled features. */
     public List<String> enabledNames() {
         List<String> names = new ArrayList<>();
         if (partialCuts) {
--- a/src/main/java/stileferry/protocol/HasWireName.java
+++ b/src/main/java/stileferry/protocol/HasWireName.java
@@ -1,17 +1,17 @@
 package stileferry.protocol;
 
-/** A value that a word stands for in messages. */
+/** An enum constant that has a name of its own in messages. */
 interface HasWireName {
-    /** The word. */
+    /** Returns the constant's name in messages. */
     String wireName();
 
-    /** The value that a word stands for, or another one if it stands for none. */
-    static <T extends HasWireName> T byWireName(T[] values, String word, T otherwise) {
+    /** Returns the value with this wire name, or the fallback if there is none. */
+    static <T extends HasWireName> T byWireName(T[] values, String wireName, T fallback) {
         for (T value : values) {
-            if (value.wireName().equals(word)) {
+            if (value.wireName().equals(wireName)) {
                 return value;
             }
         }
-        return otherwise;
+        return fallback;
     }
 }
--- a/src/main/java/stileferry/protocol/Heartbeat.java
+++ b/src/main/java/stileferry/protocol/Heartbeat.java
@@ -6,13 +6,13 @@
 import java.util.function.Function;
 
 /**
- * What a worker says of itself.
+ * The status of a worker and its tasks, sent by the agent on the worker's machine.
  *
  * @param incarnation the incarnation of the worker's agent
- * @param sequence the heartbeat's number in its incarnation
- * @param fencingToken the highest that the worker has accepted
- * @param reclaimNoticeS seconds until the spot instance is reclaimed; -1: no notice was given
- * @param encodedTasks the end of the body, from the list of tasks on; null when the list was not the last field
+ * @param sequence the heartbeat's sequence number within the incarnation
+ * @param fencingToken the highest fencing token that the worker has accepted
+ * @param reclaimNoticeS seconds until the spot instance is reclaimed; -1 if no notice was given
+ * @param encodedTasks the encoded body from the task list on; null if the list was not the last field
  */
 public record Heartbeat(
         String machine,
@@ -27,7 +27,7 @@
         List<TaskStatus> tasks,
         byte[] encodedTasks) {
 
-    /** Where a task stands on its worker; a gang's task that has its image waits for the others. */
+    /** The phase of a task on its worker; a gang's task that has its image waits for the other tasks of the gang. */
     public enum TaskPhase implements HasWireName {
         PULLING_IMAGE("pulling"),
         WAITING_FOR_GANG("waiting"),
@@ -35,7 +35,7 @@
         SAVING_CHECKPOINT("saving"),
         EXITED("exited");
 
-        /** Kept, as each call of values() makes a new array, and this is asked for each task of each heartbeat. */
+        /** Cached, because values() copies the array on each call and is needed for each task of each heartbeat. */
         private static final TaskPhase[] VALUES = values();
 
         private final String wireName;
@@ -44,48 +44,48 @@
             this.wireName = wireName;
         }
 
-        /** The word that stands for it in heartbeats. */
+        /** Returns the name of the phase in heartbeats. */
         @Override
         public String wireName() {
             return wireName;
         }
 
-        /** The phase that a word on the wire stands for; words to come are taken for the first phase. */
-        static TaskPhase of(String word) {
-            return HasWireName.byWireName(VALUES, word, PULLING_IMAGE);
+        /** Returns the phase with this wire name; a name that a later version may add is read as the first phase. */
+        static TaskPhase of(String wireName) {
+            return HasWireName.byWireName(VALUES, wireName, PULLING_IMAGE);
         }
     }
 
-    /** One task of a heartbeat; the reason means something only if it has exited. */
+    /** The status of one task; the exit reason is meaningful only if the task has exited. */
     public record TaskStatus(
             String taskId, long attempt, TaskPhase phase, ExitReason exitReason, boolean checkpointSaved) {
-        /** Identifies the attempt among those of all tasks. */
+        /** Returns an id that is unique among the attempts of all tasks. */
         public String attemptId() {
             return taskId + "#" + attempt;
         }
     }
 
-    /** Reads a heartbeat's body; null when it is malformed. */
+    /** Reads a heartbeat from an encoded body; returns null if it is malformed. */
     public static Heartbeat read(byte[] body) {
         return read(body, machine -> null);
     }
 
     /**
-     * Reads a heartbeat's body; null when it is malformed. Most heartbeats tell of the same tasks as the last one of
-     * their machine: a list that is the same to the byte is not read again, but taken from there.
+     * Reads a heartbeat from an encoded body; returns null if it is malformed. Most heartbeats have the same tasks as
+     * the previous one of their machine: a list that is identical to the byte is not parsed again, but reused.
      *
-     * @param last the last heartbeat of a machine, or null
+     * @param lastHeartbeatOf returns the last heartbeat of the machine with this name, or null if there is none
      */
-    public static Heartbeat read(byte[] body, Function<String, Heartbeat> last) {
-        return HeartbeatReader.read(body, last);
+    public static Heartbeat read(byte[] body, Function<String, Heartbeat> lastHeartbeatOf) {
+        return HeartbeatReader.read(body, lastHeartbeatOf);
     }
 
-    /** Reads a heartbeat that came as an answer; null when it is malformed. */
+    /** Reads a heartbeat from the decoded body of a worker's response; returns null if it is malformed. */
     public static Heartbeat read(JsonNode node) {
         return HeartbeatReader.read(node);
     }
 
-    /** Whether the body of another heartbeat has the same tasks, and nothing else, from this position on. */
+    /** Returns whether another encoded body holds the same tasks, and nothing else, from this position on. */
     boolean hasSameEncodedTasks(byte[] body, int from) {
         return encodedTasks != null && Arrays.equals(body, from, body.length, encodedTasks, 0, encodedTasks.length);
     }
--- a/src/main/java/stileferry/protocol/HeartbeatReader.java
+++ b/src/main/java/stileferry/protocol/HeartbeatReader.java
@@ -11,11 +11,11 @@
 import stileferry.protocol.Heartbeat.TaskPhase;
 import stileferry.protocol.Heartbeat.TaskStatus;
 
-/** Reads one heartbeat field by field, without building a tree: hundreds of them arrive every second. */
+/** Parses one heartbeat in streaming mode, without building a tree, as hundreds of them arrive every second. */
 final class HeartbeatReader {
     private static final byte[] NO_BODY = new byte[0];
 
-    /** The value of a number that is missing or malformed. */
+    /** Stands for a number that is missing or malformed. */
     private static final long MISSING = -1;
 
     private final JsonParser parser;
@@ -34,17 +34,17 @@
     private List<TaskStatus> tasks = List.of();
     private byte[] encodedTasks;
 
-    private HeartbeatReader(JsonParser parser, byte[] body, Function<String, Heartbeat> last) {
+    private HeartbeatReader(JsonParser parser, byte[] body, Function<String, Heartbeat> lastHeartbeatOf) {
         this.parser = parser;
         this.body = body;
-        this.lastHeartbeatOf = last;
+        this.lastHeartbeatOf = lastHeartbeatOf;
     }
 
-    static Heartbeat read(byte[] body, Function<String, Heartbeat> last) {
+    static Heartbeat read(byte[] body, Function<String, Heartbeat> lastHeartbeatOf) {
         try (JsonParser parser = MessageCodec.parser(body)) {
             boolean isMap = parser.nextToken() == JsonToken.START_OBJECT;
-            return isMap ? new HeartbeatReader(parser, body, last).read() : null;
-        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+            return isMap ? new HeartbeatReader(parser, body, lastHeartbeatOf).read() : null;
+        } catch (IOException | RuntimeException e) { // broad catch: the parser throws both for malformed input
             return null;
         }
     }
@@ -56,7 +56,7 @@
         try (JsonParser parser = node.traverse()) {
             parser.nextToken();
             return new HeartbeatReader(parser, NO_BODY, machine -> null).read();
-        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+        } catch (IOException | RuntimeException e) { // broad catch: the parser throws both for malformed input
             return null;
         }
     }
@@ -80,7 +80,7 @@
                 encodedTasks);
     }
 
-    /** False if the body ends before the map does. */
+    /** Returns false if the body ends before the end of the map. */
     private boolean readFields() throws IOException {
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
             boolean isTasks = name.equals(WireNames.TASKS);
@@ -100,14 +100,14 @@
         return parser.currentToken() == JsonToken.END_OBJECT;
     }
 
-    /** Takes the tasks from the last heartbeat of the machine if the rest of the body is the same. */
+    /** Reuses the tasks of the machine's last heartbeat if the body is the same from this position on. */
     private boolean reuseTasksOfLastHeartbeat(int position) {
-        Heartbeat known = machine == null ? null : lastHeartbeatOf.apply(machine);
-        if (known == null || !known.hasSameEncodedTasks(body, position)) {
+        Heartbeat last = machine == null ? null : lastHeartbeatOf.apply(machine);
+        if (last == null || !last.hasSameEncodedTasks(body, position)) {
             return false;
         }
-        tasks = known.tasks();
-        encodedTasks = known.encodedTasks();
+        tasks = last.tasks();
+        encodedTasks = last.encodedTasks();
         return true;
     }
 
--- a/src/main/java/stileferry/protocol/InvalidJobSpecException.java
+++ b/src/main/java/stileferry/protocol/InvalidJobSpecException.java
@@ -1,6 +1,6 @@
 package stileferry.protocol;
 
-/** A submission that is no well-formed job; the message names the field and what is wrong with it. */
+/** Thrown for an invalid job description; the message names the field and the problem. It is sent to the user. */
 public final class InvalidJobSpecException extends Exception {
     InvalidJobSpecException(String message) {
         super(message);
--- a/src/main/java/stileferry/protocol/InvalidJsonException.java
+++ b/src/main/java/stileferry/protocol/InvalidJsonException.java
@@ -1,6 +1,6 @@
 package stileferry.protocol;
 
-/** A text that is not JSON; the message says what is wrong with it. */
+/** Thrown for a file whose text is not valid JSON; the message describes the problem. */
 final class InvalidJsonException extends Exception {
     InvalidJsonException(String message) {
         super(message);
--- a/src/main/java/stileferry/protocol/InvalidOperatorSettingException.java
+++ b/src/main/java/stileferry/protocol/InvalidOperatorSettingException.java
@@ -1,6 +1,6 @@
 package stileferry.protocol;
 
-/** A change of operators' settings that can't be made; the message names the setting. */
+/** Thrown for an invalid change of the operator settings; the message names the setting and the problem. */
 public final class InvalidOperatorSettingException extends Exception {
     InvalidOperatorSettingException(String message) {
         super(message);
--- a/src/main/java/stileferry/protocol/JobSpec.java
+++ b/src/main/java/stileferry/protocol/JobSpec.java
@@ -6,14 +6,17 @@
 import java.util.regex.Pattern;
 
 /**
- * A submitted job as its user described it. Needs are those of each task; sizes are in GB, times in seconds.
+ * The description of a job as submitted by its user. Resource requirements are per task; sizes are in GB, times in
+ * seconds.
  *
- * @param machineTypes the names of the allowed ones; null: any
- * @param zone the only allowed one; null: any
+ * @param machineTypes the names of the allowed machine types; null: any
+ * @param zone the only allowed zone; null: any
  * @param oneZone whether all tasks must be in the same zone
  * @param spreadAcrossZones whether at most half of the tasks may be in one zone
- * @param checkpointIntervalS 0: the tasks save no checkpoints
- * @param deadlineS after the submission; -1: none
+ * @param estimateS the expected run time of a task
+ * @param checkpointIntervalS the time between checkpoints of a task; 0: the tasks save no checkpoints
+ * @param checkpointSaveS the time that saving a checkpoint takes
+ * @param deadlineS the deadline, counted from the submission; -1: none
  */
 public record JobSpec(
         String id,
@@ -37,12 +40,12 @@
         double checkpointSaveS,
         double deadlineS) {
 
-    /** Most tasks of one job. */
+    /** The maximum number of tasks of one job. */
     public static final int MAX_TASKS = 100_000;
 
     private static final Pattern ID = Pattern.compile("job-[0-9]{1,18}");
 
-    /** Independent tasks; replicas that run until cancelled; tasks that only run all together. */
+    /** The kinds of jobs: independent tasks, replicas that run until cancelled, or tasks that only run all together. */
     public enum Kind implements HasWireName {
         ARRAY("array"),
         SERVICE("standing"),
@@ -54,9 +57,9 @@
             this.wireName = wireName;
         }
 
-        /** The kind that a word on the wire stands for; null: none. */
-        static Kind of(String word) {
-            return HasWireName.byWireName(values(), word, null);
+        /** Returns the kind with this wire name, or null if there is none. */
+        static Kind of(String wireName) {
+            return HasWireName.byWireName(values(), wireName, null);
         }
 
         @Override
@@ -65,7 +68,7 @@
         }
     }
 
-    /** Priorities, the most urgent first. */
+    /** The priorities of jobs, the most urgent first. */
     public enum Priority implements HasWireName {
         CRITICAL("critical"),
         URGENT("urgent"),
@@ -78,29 +81,33 @@
             this.wireName = wireName;
         }
 
-        /** The priority that a word on the wire stands for; null: none. */
-        static Priority of(String word) {
-            return HasWireName.byWireName(values(), word, null);
+        /** Returns the priority with this wire name, or null if there is none. */
+        static Priority of(String wireName) {
+            return HasWireName.byWireName(values(), wireName, null);
         }
 
-        /** The word that stands for it in messages and in the administration API. */
+        /** Returns the name of the priority in messages and in the administration API. */
         @Override
         public String wireName() {
             return wireName;
         }
     }
 
-    /** True for ids of the form that users may choose. */
+    /** Returns whether an id has the form required of job ids. */
     public static boolean isValidId(String id) {
         return ID.matcher(id).matches();
     }
 
-    /** Reads and checks a submission; the first field that is wrong is named. */
+    /**
+     * Reads and validates a submission.
+     *
+     * @throws InvalidJobSpecException names the first invalid field
+     */
     public static JobSpec read(JsonNode body) throws InvalidJobSpecException {
         return JobSpecReader.read(body);
     }
 
-    /** The job in the same form as it was submitted. */
+    /** Returns the job in the form in which it is submitted and stored. */
     public ObjectNode write() {
         ObjectNode body = MessageCodec.map()
                 .put(WireNames.NAME_ID, id)
@@ -130,7 +137,7 @@
         return body;
     }
 
-    /** True when the machine type is among the allowed ones and one task fits an empty machine of it. */
+    /** Returns whether the machine type is allowed and one task fits on an empty machine of this type. */
     public boolean fitsMachineType(MachineType type) {
         return (machineTypes == null || machineTypes.contains(type.name()))
                 && cpus <= type.cpus()
@@ -140,7 +147,10 @@
     }
 
     /**
-     * False for a gang whose tasks may never all run at the same time: at most half of them may be in its only zone.
+     * Returns false for a gang whose tasks can never all run at the same time, because they must be spread across zones
+     * and only one zone is available, so that at most half of them may run.
+     *
+     * @param all all machine types of the cloud
      */
     public boolean canRunTogether(List<MachineType> all) {
         if (!isGang() || !spreadAcrossZones || taskCount == 1) {
@@ -154,12 +164,12 @@
         return !oneZone && zone == null && zones > 1;
     }
 
-    /** True for replicas that run until their job is cancelled. */
+    /** Returns whether the tasks are replicas that run until the job is cancelled. */
     public boolean isService() {
         return kind == Kind.SERVICE;
     }
 
-    /** True when the tasks only run all together. */
+    /** Returns whether the tasks only run all together. */
     public boolean isGang() {
         return kind == Kind.GANG;
     }
--- a/src/main/java/stileferry/protocol/JobSpecReader.java
+++ b/src/main/java/stileferry/protocol/JobSpecReader.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and checks one submission, field by field in the order of the published page. */
+/** Reads and validates one submission, field by field in the order of the published protocol documentation. */
 final class JobSpecReader {
     private static final int MAX_TEXT_LENGTH = 200;
 
@@ -26,7 +26,7 @@
         if (!JobSpec.isValidId(id)) {
             throw new InvalidJobSpecException(WireNames.NAME_ID + ": bad form");
         }
-        // users hear of the first field that is wrong, so these come before the rest
+        // validated before the following fields, because users are told of the first invalid field
         int taskCount = taskCount();
         double cpus = nonNegativeNumber(WireNames.CPUS);
         double gpus = nonNegativeNumber(WireNames.GPUS);
--- a/src/main/java/stileferry/protocol/JsonText.java
+++ b/src/main/java/stileferry/protocol/JsonText.java
@@ -6,11 +6,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 
-/** Reads the JSON text of files. */
+/** Parses the JSON text of settings and features files. */
 final class JsonText {
     private JsonText() {}
 
-    /** Reads the first value; null when there is none. */
+    /** Returns the first value of a JSON text, or null if there is none. */
     static JsonNode read(String json) throws InvalidJsonException {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
             return MessageCodec.readTree(parser);
--- a/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
+++ b/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
@@ -7,44 +7,44 @@
 import java.util.List;
 
 /**
- * The paths and field names of the key-value store's HTTP interface, its requests and its typed responses. No other
- * class of a controller spells them, and the stand-in takes them from here.
+ * The HTTP API of the key-value store: paths, field names, request bodies and typed responses. No other class of a
+ * controller contains these names, and the key-value store's stand-in uses them from here.
  */
 public final class KeyValueStoreProtocol {
-    /** Takes a {@link CommitRequest}. */
+    /** The path to which a {@link CommitRequest} is sent. */
     public static final String COMMIT_PATH = "/commit";
 
-    /** Grants leases. */
+    /** The path that grants leases. */
     public static final String LEASES_PATH = "/leases";
 
-    /** Reads one key, below it, or lists keys. */
+    /** The path that lists keys; below it are the paths of single keys. */
     public static final String KEYS_PATH = "/kv";
 
-    /** Waits for changes. */
+    /** The path of watches, which wait for changes. */
     public static final String WATCH_PATH = "/watch";
 
-    /** A key in a condition, a row or an answer. */
+    /** A key, in a condition of a transaction or in a row of a response. */
     public static final String KEY = "path";
 
-    /** The value of a key. */
+    /** The value of a key, in a change of a transaction or in a row of a response. */
     public static final String VALUE = "v";
 
-    /** The revision of a key. */
+    /** The revision at which a key was last changed. */
     public static final String KEY_REVISION = "entry_rev";
 
-    /** The store's revision. */
+    /** The current revision of the whole store. */
     public static final String STORE_REVISION = "ledger_rev";
 
     /** The id of a lease. */
     public static final String LEASE = "mooring";
 
-    /** The duration of a lease. */
+    /** The requested duration of a lease in milliseconds. */
     public static final String LEASE_DURATION_MS = "life_ms";
 
     /** The conditions of a transaction. */
     public static final String CONDITIONS = "if";
 
-    /** The changes of a transaction. */
+    /** The changes of a transaction, applied if all of its conditions hold. */
     public static final String CHANGES = "apply";
 
     /** The key that a change writes. */
@@ -53,25 +53,25 @@
     /** The key that a change deletes. */
     public static final String DELETE = "delete";
 
-    /** The rows of a page. */
+    /** The rows of a page of a scan. */
     public static final String ROWS = "rows";
 
-    /** Whether rows follow after a page. */
+    /** Whether more rows follow after a page. */
     public static final String MORE = "more";
 
-    /** What a watch has seen. */
+    /** The changes that a watch has seen. */
     public static final String EVENTS = "events";
 
-    /** The parameter of the prefix of keys to list or to watch. */
+    /** The query parameter for the prefix of the keys to list or watch. */
     public static final String PREFIX = "starts";
 
-    /** The parameter of the key or the revision after which a list or a watch begins. */
+    /** The query parameter for the key after which a list begins, or the revision after which a watch begins. */
     public static final String AFTER = "from";
 
-    /** The parameter of the most rows of a page. */
+    /** The query parameter for the maximum number of rows of a page. */
     public static final String LIMIT = "most";
 
-    /** The parameter of how long a watch waits. */
+    /** The query parameter for the maximum time that a watch waits, in milliseconds. */
     public static final String WAIT_MS = "block_ms";
 
     private static final int OK = 200;
@@ -85,29 +85,39 @@
 
     // ---- paths
 
-    /** The path of one key; its slashes are not escaped. */
+    /** Returns the path that reads one key; slashes in the key are not escaped. */
     public static String keyPath(String key) {
         return KEYS_PATH + "/" + key;
     }
 
-    /** The path that lists keys with a prefix, after a key (empty: from the first). */
+    /**
+     * Returns the path that lists the keys with a prefix.
+     *
+     * @param after the key after which the page begins; empty: the page begins with the first key
+     * @param limit the maximum number of rows
+     */
     public static String scanPath(String prefix, String after, int limit) {
         return KEYS_PATH + "?" + PREFIX + "=" + prefix + (after.isEmpty() ? "" : "&" + AFTER + "=" + after) + "&"
                 + LIMIT + "=" + limit;
     }
 
-    /** The path that waits for changes below a prefix after a revision. */
-    public static String watchPath(String prefix, long afterRevision, long blockMs) {
+    /**
+     * Returns the path that waits for changes of keys with a prefix.
+     *
+     * @param afterRevision the store's revision after which changes are of interest
+     * @param waitMs the maximum time that the store holds the request
+     */
+    public static String watchPath(String prefix, long afterRevision, long waitMs) {
         return WATCH_PATH + "?" + PREFIX + "=" + prefix + "&" + AFTER + "=" + afterRevision + "&" + WAIT_MS + "="
-                + blockMs;
+                + waitMs;
     }
 
-    /** The path of one lease, which deletes it. */
+    /** Returns the path of one lease, for its deletion. */
     public static String leasePath(String leaseId) {
         return LEASES_PATH + "/" + leaseId;
     }
 
-    /** The path that renews a lease. */
+    /** Returns the path that renews a lease. */
     public static String leaseRenewalPath(String leaseId) {
         return leasePath(leaseId) + "/touch";
     }
@@ -115,31 +125,31 @@
     // ---- reads
 
     /**
-     * The answer to a read of one key.
+     * The result of reading one key.
      *
-     * @param row null unless the key was found
+     * @param row the key with its value; null unless the key was found
      */
     public record ReadResult(Outcome outcome, KeyValue row) {
-        /** What became of the read. */
+        /** The outcome of the read. */
         public enum Outcome {
             FOUND,
             ABSENT,
-            /** The store could not be asked, or gave no usable answer. */
+            /** The store could not be reached or sent no usable response. */
             UNKNOWN
         }
 
-        /** Whether the key exists. */
+        /** Returns whether the key exists. */
         public boolean found() {
             return outcome == Outcome.FOUND;
         }
 
-        /** Whether the store could not be asked, or gave no usable answer. */
+        /** Returns whether the store could not be reached or sent no usable response. */
         public boolean unknown() {
             return outcome == Outcome.UNKNOWN;
         }
     }
 
-    /** Reads the answer to a read of one key. */
+    /** Reads the response to a read of one key. */
     public static ReadResult readResult(int status, JsonNode body) {
         return switch (status) {
             case OK -> new ReadResult(ReadResult.Outcome.FOUND, body == null ? null : readRow(body));
@@ -152,11 +162,11 @@
      * One page of a scan.
      *
      * @param revision the store's revision at the time of the read
-     * @param hasMore whether keys follow after the last row
+     * @param hasMore whether more keys follow after the last row
      */
     public record ScanPage(List<KeyValue> rows, long revision, boolean hasMore) {}
 
-    /** Reads one page of a scan; null when the read failed. */
+    /** Reads one page of a scan; returns null if the read failed. */
     public static ScanPage scanPage(int status, JsonNode body) {
         if (status != OK || body == null) {
             return null;
@@ -173,13 +183,14 @@
     }
 
     /**
-     * The answer to a watch.
+     * The result of a watch.
      *
-     * @param revision the store's revision up to which this is known
+     * @param changed whether any key with the prefix has changed
+     * @param revision the store's revision up to which this result is complete
      */
     public record WatchResult(boolean changed, long revision) {}
 
-    /** Reads the answer to a watch; null when it failed. */
+    /** Reads the response to a watch; returns null if the watch failed. */
     public static WatchResult watchResult(int status, JsonNode body) {
         if (status != OK || body == null) {
             return null;
@@ -190,36 +201,40 @@
 
     // ---- leases
 
-    /** A granted lease, whose id is sent back in the form in which it came. */
+    /** A granted lease. Its id is sent back to the store in the same form in which it was received. */
     public record LeaseGrant(JsonNode wireId) {
-        /** The id as text, for paths and for records. */
+        /** Returns the id as text, for paths and stored records. */
         public String id() {
             return wireId.asText();
         }
     }
 
-    /** The request of a lease. */
+    /** Returns the body of a request for a lease. */
     public static ObjectNode leaseRequest(long durationMs) {
         return MessageCodec.map().put(LEASE_DURATION_MS, durationMs);
     }
 
-    /** Reads the answer to the request of a lease; null when none was granted, as far as is known. */
+    /** Reads the response to a lease request; returns null if none was granted, or none as far as is known. */
     public static LeaseGrant leaseGrant(int status, JsonNode body) {
         return status == OK && body != null ? new LeaseGrant(body.path(LEASE)) : null;
     }
 
-    /** What became of the renewal of a lease; the status is the response's, for log lines. */
+    /**
+     * The result of renewing a lease.
+     *
+     * @param status the status of the response, for log lines
+     */
     public record LeaseRenewal(Outcome outcome, int status) {
-        /** What became of the renewal. */
+        /** The outcome of the renewal. */
         public enum Outcome {
             RENEWED,
-            /** The lease has ended, and the keys attached to it are deleted. */
+            /** The lease has expired, and the keys attached to it have been deleted. */
             EXPIRED,
             UNKNOWN
         }
     }
 
-    /** Reads the answer to the renewal of a lease. */
+    /** Reads the response to the renewal of a lease. */
     public static LeaseRenewal leaseRenewal(int status) {
         return new LeaseRenewal(
                 switch (status) {
@@ -230,27 +245,27 @@
                 status);
     }
 
-    // ---- compare-and-swap
+    // ---- transactions
 
-    /** A transaction under construction: conditions on revisions, and the changes if all of them hold. */
+    /** Builds a transaction: conditions on the revisions of keys, and changes that are applied if all of these hold. */
     public static final class CommitRequest {
         private final ObjectNode body = MessageCodec.map();
         private final ArrayNode conditions = body.putArray(CONDITIONS);
         private final ArrayNode changes = body.putArray(CHANGES);
 
-        /** Requires that a key stands at a revision; 0: that it does not exist. */
+        /** Adds the condition that a key is at this revision; 0: that the key does not exist. */
         public CommitRequest compare(String key, long revision) {
             conditions.addObject().put(KEY, key).put(KEY_REVISION, revision);
             return this;
         }
 
-        /** Writes a key without a lease. */
+        /** Adds a write of a key without a lease. */
         public CommitRequest put(String key, ObjectNode value) {
             changes.addObject().put(PUT, key).set(VALUE, value);
             return this;
         }
 
-        /** Writes a key that is deleted with its lease. */
+        /** Adds a write of a key that the store deletes when the lease ends. */
         public CommitRequest put(String key, ObjectNode value, LeaseGrant lease) {
             ObjectNode change = changes.addObject().put(PUT, key);
             change.set(VALUE, value);
@@ -258,45 +273,45 @@
             return this;
         }
 
-        /** Deletes a key. */
+        /** Adds the deletion of a key. */
         public CommitRequest delete(String key) {
             changes.addObject().put(DELETE, key);
             return this;
         }
 
-        /** Puts and deletes, which count against the store's write rate. */
+        /** Returns the number of writes and deletions, which count against the store's limit on writes per second. */
         public int changes() {
             return changes.size();
         }
 
-        /** The request's body. */
+        /** Returns the body of the request; changes added later appear in it, too. */
         public ObjectNode body() {
             return body;
         }
     }
 
     /**
-     * The answer to a transaction.
+     * The result of a transaction.
      *
-     * @param revision of all keys that it wrote; 0 unless it was applied
-     * @param detail the response as text, for log lines
+     * @param revision the new revision of all keys that the transaction wrote; 0 unless it was applied
+     * @param detail the response of an invalid transaction as text, for log lines; otherwise empty
      */
     public record CommitResult(Outcome outcome, long revision, String detail) {
-        /** What became of the transaction. */
+        /** The outcome of the transaction. */
         public enum Outcome {
             APPLIED,
             /** A condition did not hold. */
             CONFLICT,
-            /** The store can't carry it out, whatever the keys hold. */
+            /** The store rejected the request as invalid, whatever the revisions of the keys are. */
             INVALID,
-            /** Certainly not carried out; it may be sent again. */
+            /** The transaction was certainly not applied; it may be sent again. */
             NOT_APPLIED,
-            /** It may have been carried out, or may be later. */
+            /** The transaction may have been applied, or may be applied later. */
             AMBIGUOUS
         }
     }
 
-    /** Reads the answer to a transaction. */
+    /** Reads the response to a transaction. */
     public static CommitResult commitResult(int status, JsonNode body) {
         return switch (status) {
             case OK ->
--- a/src/main/java/stileferry/protocol/MachineType.java
+++ b/src/main/java/stileferry/protocol/MachineType.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * A machine type that the cloud rents.
+ * A machine type offered by the cloud.
  *
- * @param cacheGb the space for images on a machine, in GB
- * @param fetchGbPerS how fast a machine fetches images
- * @param bootS from the creation of a machine until its agent is heard
+ * @param cacheGb the disk space for cached images on a machine, in GB
+ * @param fetchGbPerS the rate at which a machine downloads images, in GB per second
+ * @param bootS seconds from the creation of a machine until the first heartbeat of its agent
+ * @param zones the zones in which the type is available
  */
 public record MachineType(
         String name,
@@ -23,12 +24,12 @@
         double bootS,
         List<String> zones) {
 
-    /** Keeps what is divided by it finite. */
+    /** Lower bound that keeps quotients by the fetch rate finite. */
     private static final double MIN_FETCH_GB_PER_S = 0.001;
 
     private static final double MIN_BOOT_S = 1;
 
-    /** Reads the cloud's answer; an empty list when it is malformed. */
+    /** Reads the machine types from the cloud's response; returns an empty list if it is malformed. */
     public static List<MachineType> readAll(JsonNode body) {
         List<MachineType> types = new ArrayList<>();
         for (JsonNode type : body.path(WireNames.MACHINE_TYPES)) {
--- a/src/main/java/stileferry/protocol/MessageCodec.java
+++ b/src/main/java/stileferry/protocol/MessageCodec.java
@@ -14,51 +14,53 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * The body format of every outside interface, MessagePack, as Jackson trees. They are built and written through
- * Jackson's streams alone: setting up its object mapper would lengthen the start on a small share of a core.
+ * Encodes and decodes MessagePack, the body format of all external interfaces, as Jackson trees. Uses only Jackson's
+ * streaming API, because initializing an object mapper would make the start slower on a small share of a core.
  */
 public final class MessageCodec {
-    /** The largest body taken or sent, on interfaces that have a limit. */
+    /** The maximum size of a body received or sent, on interfaces that have a limit. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** No body of any interface is nested so deep; what is deeper could exhaust the stack. */
+    /** Deeper than the body of any interface; decoding bodies of unlimited depth could exhaust the stack. */
     private static final int MAX_NESTING_DEPTH = 64;
 
     private static final MessagePackFactory FACTORY = new MessagePackFactory();
 
     private MessageCodec() {}
 
-    /** A new empty map. */
+    /** Returns a new empty map. */
     public static ObjectNode map() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** A new empty list. */
+    /** Returns a new empty list. */
     public static ArrayNode list() {
         return JsonNodeFactory.instance.arrayNode();
     }
 
-    /** Reads one body; null when it is not MessagePack. */
+    /** Decodes a body; returns null if it is not valid MessagePack. */
     public static JsonNode decode(byte[] bytes) {
         try (JsonParser parser = parser(bytes)) {
             return readTree(parser);
-        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+        } catch (IOException | RuntimeException e) { // broad catch: the parser throws both for malformed input
             return null;
         }
     }
 
-    /** A parser of one body, for what comes too often to build trees of it. */
+    /** Returns a streaming parser of a body, for messages that arrive too often to build trees of them. */
     static JsonParser parser(byte[] bytes) throws IOException {
         return FACTORY.createParser(bytes);
     }
 
-    /** How many bytes the parser has read; the MessagePack one tells it by the older name only, as characters. */
+    /**
+     * Returns how many bytes a parser has read. The MessagePack parser reports them as the deprecated character offset.
+     */
     @SuppressWarnings("deprecation")
     static int bytesRead(JsonParser parser) {
         return (int) parser.getCurrentLocation().getCharOffset();
     }
 
-    /** Reads the next value with all that it holds; null at the end of the input. */
+    /** Reads the next value including all nested values; returns null at the end of the input. */
     static JsonNode readTree(JsonParser parser) throws IOException {
         return parser.nextToken() == null ? null : readValue(parser, 0);
     }
@@ -121,7 +123,7 @@
         return token;
     }
 
-    /** Writes one body. */
+    /** Encodes a body. */
     public static byte[] encode(JsonNode node) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator generator = FACTORY.createGenerator(bytes)) {
--- a/src/main/java/stileferry/protocol/OperatorSettingDefinition.java
+++ b/src/main/java/stileferry/protocol/OperatorSettingDefinition.java
@@ -8,11 +8,13 @@
 import java.util.List;
 
 /**
- * One of the operators' settings; its kind is that of its default.
+ * The definition of one operator setting. The type of the default value (number, boolean or text) is the setting's
+ * type.
  *
- * @param min the least value of a number
- * @param max the greatest value of a number
- * @param choices what a text may be; the first is the default
+ * @param min the minimum of a number; unused for other types
+ * @param max the maximum of a number; unused for other types
+ * @param choices the allowed values of a text, the default first; empty for other types
+ * @param description one line that is shown to operators
  */
 record OperatorSettingDefinition(
         String name, JsonNode defaultValue, double min, double max, List<String> choices, String description) {
@@ -29,7 +31,11 @@
         return new OperatorSettingDefinition(name, TextNode.valueOf(choices.get(0)), 0, 0, choices, meaning);
     }
 
-    /** Throws if the setting can't have this value. */
+    /**
+     * Validates a value for this setting.
+     *
+     * @throws InvalidOperatorSettingException if the type is wrong or the value is not allowed
+     */
     void check(JsonNode value) throws InvalidOperatorSettingException {
         if (defaultValue.isNumber() && !inRange(value)) {
             throw new InvalidOperatorSettingException(name + ": not a number from " + min + " to " + max);
@@ -46,7 +52,7 @@
         return value.isNumber() && value.doubleValue() >= min && value.doubleValue() <= max;
     }
 
-    /** Writes the setting with its value for the administration API. */
+    /** Writes the setting with its current value in the form of the administration API. */
     void writeTo(JsonNode value, ObjectNode into) {
         into.put("name", name);
         into.set("value", value);
--- a/src/main/java/stileferry/protocol/OperatorSettings.java
+++ b/src/main/java/stileferry/protocol/OperatorSettings.java
@@ -7,33 +7,36 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The operators' own settings: changed through the administration API only, kept in the key-value store. */
+/**
+ * The settings that operators change at run time through the administration API. They are stored in the key-value
+ * store. Instances are immutable; a change results in a new instance with the next revision.
+ */
 public final class OperatorSettings {
-    /** Seconds between regular passes. */
+    /** Seconds between periodic scheduling passes. */
     public static final String PASS_INTERVAL_S = "pass_interval_s";
 
-    /** Seconds after which a waiting head is protected from later jobs. */
+    /** Seconds of waiting after which the head of the queue is protected from being delayed by later jobs. */
     public static final String HEAD_PROTECTION_S = "head_protection_s";
 
-    /** Seconds after which a job none of whose tasks has begun goes before all others. */
+    /** Seconds after which a job with no started task is scheduled before all others. */
     public static final String BEGIN_WITHIN_S = "begin_within_s";
 
-    /** Idle time before a machine is returned, in boot times of its type. */
+    /** Idle time before a machine is deleted, in multiples of the boot time of its machine type. */
     public static final String IDLE_BOOTS = "idle_boots";
 
-    /** Share of critical work's CPUs that is kept free for more of it. */
+    /** CPUs kept free for further critical jobs, as a share of the CPUs that critical jobs use. */
     public static final String SPARE_SHARE = "spare_share";
 
-    /** Share of all CPUs that must be free before a machine is emptied. */
+    /** Share of all CPUs that must be free before a machine is drained to consolidate its tasks elsewhere. */
     public static final String EMPTY_SHARE = "empty_share";
 
-    /** Greatest share of spot machines among all. */
+    /** Maximum share of spot instances among all machines. */
     public static final String SPOT_SHARE = "spot_share";
 
-    /** Whether work is stopped to make room. */
+    /** Whether tasks are preempted to make room for others. */
     public static final String PREEMPTION = "preemption";
 
-    /** How much is logged. */
+    /** The log level of all controllers. */
     public static final String LOG_LEVEL = "log_level";
 
     private static final List<OperatorSettingDefinition> DEFINITIONS = List.of(
@@ -80,12 +83,12 @@
         this.overrides = changed;
     }
 
-    /** Nothing changed yet. */
+    /** Returns the initial settings: revision 0, every setting at its default. */
     public static OperatorSettings defaults() {
         return new OperatorSettings(0, Map.of());
     }
 
-    /** Takes stored settings; what this version doesn't know or accept is left out. */
+    /** Reads stored settings; ignores settings and values that this version doesn't know or accept. */
     public static OperatorSettings read(JsonNode stored) {
         Map<String, JsonNode> values = new TreeMap<>();
         for (OperatorSettingDefinition definition : DEFINITIONS) {
@@ -96,25 +99,30 @@
                     values.put(definition.name(), value);
                 }
             } catch (InvalidOperatorSettingException e) {
-                // a version with other limits has stored it: the default stands in its place
+                // stored by a version with other limits; the default applies instead
             }
         }
         return new OperatorSettings(stored.path(REVISION).asLong(), values);
     }
 
-    /** The form in which the settings are stored. */
+    /** Returns the settings in their stored form. */
     public ObjectNode write() {
         ObjectNode stored = MessageCodec.map().put(REVISION, revision);
         stored.putObject(VALUES).setAll(overrides);
         return stored;
     }
 
-    /** Counts the changes made so far. */
+    /** Returns the number of changes made so far. */
     public long revision() {
         return revision;
     }
 
-    /** These settings with some changed: all of them or none. */
+    /**
+     * Returns these settings with some values replaced.
+     *
+     * @param change the new values by name
+     * @throws InvalidOperatorSettingException if any name or value is invalid; then none is changed
+     */
     public OperatorSettings withChanges(JsonNode change) throws InvalidOperatorSettingException {
         if (!change.isObject() || change.isEmpty()) {
             throw new InvalidOperatorSettingException("change: a map of settings is missing");
@@ -127,7 +135,11 @@
         return new OperatorSettings(revision + 1, values);
     }
 
-    /** These settings with some at their defaults again; all of them if none is named. */
+    /**
+     * Returns these settings with some reset to their defaults.
+     *
+     * @param names the list of settings to reset; missing or empty: all
+     */
     public OperatorSettings reset(JsonNode names) throws InvalidOperatorSettingException {
         Map<String, JsonNode> values = new TreeMap<>();
         if (!names.isMissingNode() && !names.isArray()) {
@@ -172,22 +184,22 @@
         return value != null ? value : definitionOf(name).defaultValue();
     }
 
-    /** A number's value. */
+    /** Returns the value of a setting that is a number. */
     public double number(String name) {
         return value(name).doubleValue();
     }
 
-    /** A flag's value. */
+    /** Returns the value of a setting that is a boolean. */
     public boolean flag(String name) {
         return value(name).booleanValue();
     }
 
-    /** A text's value. */
+    /** Returns the value of a setting that is a text. */
     public String text(String name) {
         return value(name).textValue();
     }
 
-    /** All settings with values, defaults, limits and meaning. */
+    /** Returns all settings with values, defaults, limits and descriptions, in the form of the administration API. */
     public ObjectNode describe() {
         ObjectNode view = MessageCodec.map().put(REVISION, revision);
         ArrayNode list = view.putArray("settings");
--- a/src/main/java/stileferry/protocol/PeerMessageCodec.java
+++ b/src/main/java/stileferry/protocol/PeerMessageCodec.java
@@ -19,8 +19,8 @@
 import stileferry.protocol.PeerMessage.TermAnnouncement;
 
 /**
- * The form of {@link PeerMessage}s between controllers: a byte for the kind, and the fields as {@link DataOutputStream}
- * writes them. Controllers of different versions exchange them, so fields are only ever added behind all others.
+ * Encodes and decodes {@link PeerMessage}s: one byte for the kind, then the fields as written by
+ * {@link DataOutputStream}. Controllers of different versions exchange messages, so new fields must be added at the end.
  */
 public final class PeerMessageCodec {
     private static final int FORWARDED_REQUEST = 1;
@@ -36,7 +36,7 @@
 
     private PeerMessageCodec() {}
 
-    /** Writes a message. */
+    /** Encodes a message. */
     public static byte[] encode(PeerMessage message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -47,7 +47,7 @@
         return bytes.toByteArray();
     }
 
-    /** Reads a message; null when it is malformed or of an unknown kind. */
+    /** Decodes a message; returns null if it is malformed or of an unknown kind. */
     public static PeerMessage decode(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             return read(in);
@@ -161,7 +161,7 @@
         return new CancellationKnowledge(process, addressee, informed, complete, cancelled);
     }
 
-    /** Versions before this one do not look at what stands here. */
+    /** Writes the last field of an announcement, which versions before its introduction ignore. */
     private static void writeLinkViewParticipants(DataOutputStream out, List<String> names) throws IOException {
         if (!names.isEmpty()) {
             out.writeByte(names.size());
@@ -175,7 +175,7 @@
         return List.copyOf(readStrings(in, in.readUnsignedByte()));
     }
 
-    // ---- lists and bytes
+    // ---- lists and byte arrays
 
     /** Writes one element of a list. */
     private interface ElementWriter<T> {
--- a/src/main/java/stileferry/protocol/Settings.java
+++ b/src/main/java/stileferry/protocol/Settings.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * What the platform hands over at the start; every figure has been checked by {@link SettingsReader}.
+ * The settings that the platform passes to a controller at its start, validated by {@link SettingsReader}.
  *
- * @param cores the share of a core that this controller has; 1: nothing is said of it
- * @param clockErrorMs how far the time of day may be from the true time; -1: nothing is said of it
+ * @param cores the share of a CPU core that this controller has; 1 if not specified
+ * @param clockErrorMs the maximum deviation of the wall clock from the true time, in milliseconds; -1 if not specified
  */
 public record Settings(
         String controllerName,
@@ -29,39 +29,49 @@
 
     private static final int MS_PER_S = 1000;
 
-    /** Heartbeats come a quarter of their interval late at most. */
+    /** Heartbeats are at most a quarter of their interval late. */
     private static final double MAX_HEARTBEAT_INTERVAL_FACTOR = 1.25;
 
     private static final long HEARTBEAT_SLACK_MS = 1000;
 
-    /** The share of a core that leaves room for the times which this service sets itself. */
+    /** The share of a core at which the service's own timeouts need no scaling. */
     private static final double SUFFICIENT_CORES = 0.3;
 
     /**
-     * How many times as long this controller takes for its work as one with an ample share of a core; 1 at least. Times
-     * that it allows itself grow with it: on a small share one collection of garbage or one page of records can take as
-     * long as a lease that a larger share renews with ease.
+     * Returns by what factor this controller is slower than one with a sufficient share of a core; at least 1. The
+     * controller scales its own timeouts by it: on a small share of a core, one garbage collection or the processing of
+     * one page of records can take as long as a lease that a controller with a larger share renews easily.
      */
     public double slowdownFactor() {
         return Math.max(1, SUFFICIENT_CORES / cores);
     }
 
-    /** Another controller. */
+    /**
+     * Another controller.
+     *
+     * @param address its address for messages between controllers, as host:port
+     */
     public record Peer(String name, String zone, String address) {}
 
-    /** A team's guaranteed and greatest use; 0 means none. */
+    /** A team's guaranteed and maximum use of CPUs and GPUs; 0 means no guarantee or no limit. */
     public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
-    /** A service-level objective on starting or finishing, for one class of jobs (empty: any). */
+    /**
+     * A service-level objective on the start or completion of jobs.
+     *
+     * @param jobClass the class of jobs that it applies to; empty: any
+     * @param withinS the time limit in seconds
+     * @param share the share of jobs that must meet the time limit
+     */
     public record ServiceLevelObjective(String kind, String jobClass, double withinS, double share) {}
 
     /**
-     * The workers' times in seconds.
+     * Intervals and timeouts of workers, in seconds.
      *
-     * @param leaseS how long a worker keeps its tasks without an answer
-     * @param cancelDeadlineS within what time the tasks of a cancelled job are gone
-     * @param gangWaitTimeoutS how long a gang's task waits for the others; 0: nothing is said of it
-     * @param gangStopDeadlineS within what time all tasks of a gang must hear a stop; 0: nothing is said of it
+     * @param leaseS how long a worker keeps its tasks without a response from the leader
+     * @param cancelDeadlineS the time within which the tasks of a cancelled job must be gone
+     * @param gangWaitTimeoutS how long a gang's task waits for the other tasks of the gang; 0 if not specified
+     * @param gangStopDeadlineS the time within which all tasks of a gang must learn of a stop; 0 if not specified
      */
     public record WorkerTimings(
             double heartbeatIntervalS,
@@ -69,30 +79,36 @@
             double cancelDeadlineS,
             double gangWaitTimeoutS,
             double gangStopDeadlineS) {
-        /** Milliseconds after which every worker that can send a heartbeat has sent one. */
+        /** Returns the time in milliseconds within which every worker that can send heartbeats has sent one. */
         public long heartbeatRoundMs() {
             return Math.round(heartbeatIntervalS * MS_PER_S * MAX_HEARTBEAT_INTERVAL_FACTOR) + HEARTBEAT_SLACK_MS;
         }
 
-        /** The times of a deployment without gangs. */
+        /** Creates the timings of a deployment without gangs. */
         public WorkerTimings(double heartbeatIntervalS, double leaseS, double cancelS) {
             this(heartbeatIntervalS, leaseS, cancelS, 0, 0);
         }
     }
 
-    /** The key-value store's limits; where others are announced for some time to come, the lower of both. */
+    /**
+     * The limits of the key-value store; if a change of limits has been announced, the lower of current and next limit.
+     */
     public record KeyValueStoreLimits(
             double requestsPerS, double writesPerS, double maxValueKb, int maxTransactionOperations) {}
 
-    /** The cloud's limits. */
+    /**
+     * The limits of the cloud's API.
+     *
+     * @param listLagS by how many seconds the list of machines may be outdated
+     */
     public record CloudLimits(double requestsPerS, double listLagS) {}
 
-    /** How the sockets are divided. */
+    /** Returns the division of the controller's sockets. */
     public SocketBudget socketBudget() {
         return SocketBudget.of(maxSockets);
     }
 
-    /** Finds a team by its name, or null. */
+    /** Returns the team with this name, or null if there is none. */
     public Team team(String name) {
         for (Team team : teams) {
             if (team.name().equals(name)) {
--- a/src/main/java/stileferry/protocol/SettingsReader.java
+++ b/src/main/java/stileferry/protocol/SettingsReader.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads and checks the settings file; collects every problem instead of stopping at the first. */
+/** Reads and validates the settings file; collects all problems instead of stopping at the first. */
 public final class SettingsReader {
-    /** Room for a record with one event, and for a job's record. */
+    /** The minimum size limit of values: enough for a record with one event, and for a job's record. */
     private static final double MIN_VALUE_KB = 1;
 
     private static final int MIN_TRANSACTION_OPERATIONS = 3;
@@ -21,10 +21,10 @@
 
     private SettingsReader() {}
 
-    /** The settings, or the problems that keep them from being used. */
+    /** The settings, or null and the problems found. */
     public record Result(Settings settings, List<String> problems) {}
 
-    /** Reads settings from JSON text. */
+    /** Reads settings from the JSON text of a settings file. */
     public static Result read(String json) {
         JsonNode root;
         try {
@@ -77,15 +77,17 @@
                 cluster.path("clock_off_ms").isMissingNode() ? -1 : atLeast(cluster, "cluster.", "clock_off_ms", 0));
     }
 
-    /** A limit of the key-value store, or the lower one that it will have at some time without notice. */
+    /**
+     * Reads a limit of the key-value store: the lower of the current one and the next, which applies without notice.
+     */
     private double lowerOfCurrentAndNext(JsonNode state, String name, double min) {
         double now = limit(state, "cluster.state.", name, min);
         JsonNode next = state.path("next");
         return next.path(name).isMissingNode() ? now : Math.min(now, limit(next, "cluster.state.next.", name, min));
     }
 
-    private double limit(JsonNode limits, String where, String name, double min) {
-        return min == 0 ? positive(limits, where, name) : atLeast(limits, where, name, min);
+    private double limit(JsonNode limits, String pathPrefix, String name, double min) {
+        return min == 0 ? positive(limits, pathPrefix, name) : atLeast(limits, pathPrefix, name, min);
     }
 
     private List<Settings.Peer> peers(JsonNode root, String self) {
@@ -93,12 +95,12 @@
         Set<String> names = new HashSet<>(Set.of(self));
         int index = 0;
         for (JsonNode seed : array(root, "", "seeds")) {
-            String where = "seeds[" + index++ + "].";
-            String name = text(seed, where, "host_name");
+            String pathPrefix = "seeds[" + index++ + "].";
+            String name = text(seed, pathPrefix, "host_name");
             if (!names.add(name)) {
-                problems.add(where + "host_name: '" + name + "' is named twice");
+                problems.add(pathPrefix + "host_name: '" + name + "' is named twice");
             }
-            peers.add(new Settings.Peer(name, text(seed, where, "zone"), hostPort(seed, where, "peer_addr")));
+            peers.add(new Settings.Peer(name, text(seed, pathPrefix, "zone"), hostPort(seed, pathPrefix, "peer_addr")));
         }
         return List.copyOf(peers);
     }
@@ -119,13 +121,13 @@
         List<Settings.Team> teams = new ArrayList<>();
         int index = 0;
         for (JsonNode team : array(cluster, "cluster.", "teams")) {
-            String where = "cluster.teams[" + index++ + "].";
+            String pathPrefix = "cluster.teams[" + index++ + "].";
             teams.add(new Settings.Team(
-                    text(team, where, "name"),
-                    optional(team, where, "cpus"),
-                    optional(team, where, "cpus_max"),
-                    optional(team, where, "gpus"),
-                    optional(team, where, "gpus_max")));
+                    text(team, pathPrefix, "name"),
+                    optional(team, pathPrefix, "cpus"),
+                    optional(team, pathPrefix, "cpus_max"),
+                    optional(team, pathPrefix, "gpus"),
+                    optional(team, pathPrefix, "gpus_max")));
         }
         return List.copyOf(teams);
     }
@@ -151,36 +153,36 @@
         return node;
     }
 
-    private JsonNode array(JsonNode parent, String where, String name) {
+    private JsonNode array(JsonNode parent, String pathPrefix, String name) {
         JsonNode node = parent.path(name);
         if (!node.isArray()) {
-            problems.add(where + name + ": missing or not a list");
+            problems.add(pathPrefix + name + ": missing or not a list");
         }
         return node;
     }
 
-    private String text(JsonNode parent, String where, String name) {
+    private String text(JsonNode parent, String pathPrefix, String name) {
         JsonNode node = parent.path(name);
         if (!node.isTextual() || node.textValue().isBlank()) {
-            problems.add(where + name + ": missing or not a text");
+            problems.add(pathPrefix + name + ": missing or not a text");
             return "";
         }
         return node.textValue();
     }
 
-    private String hostPort(JsonNode parent, String where, String name) {
-        String text = text(parent, where, name);
+    private String hostPort(JsonNode parent, String pathPrefix, String name) {
+        String text = text(parent, pathPrefix, name);
         if (!text.isEmpty() && parseAddress(text) == null) {
-            problems.add(where + name + ": '" + text + "' is not ADDRESS:PORT");
+            problems.add(pathPrefix + name + ": '" + text + "' is not ADDRESS:PORT");
         }
         return text;
     }
 
-    private InetSocketAddress address(JsonNode parent, String where, String name) {
-        return parseAddress(hostPort(parent, where, name));
+    private InetSocketAddress address(JsonNode parent, String pathPrefix, String name) {
+        return parseAddress(hostPort(parent, pathPrefix, name));
     }
 
-    /** Takes "10.0.0.1:8080" apart; null when it has another form. */
+    /** Parses an address such as "10.0.0.1:8080"; returns null if the text is not of this form. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
@@ -194,22 +196,22 @@
         }
     }
 
-    private double optional(JsonNode parent, String where, String name) {
-        return parent.path(name).isMissingNode() ? 0 : atLeast(parent, where, name, 0);
+    private double optional(JsonNode parent, String pathPrefix, String name) {
+        return parent.path(name).isMissingNode() ? 0 : atLeast(parent, pathPrefix, name, 0);
     }
 
-    private double positive(JsonNode parent, String where, String name) {
-        double value = atLeast(parent, where, name, 0);
+    private double positive(JsonNode parent, String pathPrefix, String name) {
+        double value = atLeast(parent, pathPrefix, name, 0);
         if (value == 0) {
-            problems.add(where + name + ": must be above 0");
+            problems.add(pathPrefix + name + ": must be above 0");
         }
         return value;
     }
 
-    private double atLeast(JsonNode parent, String where, String name, double min) {
+    private double atLeast(JsonNode parent, String pathPrefix, String name, double min) {
         JsonNode node = parent.path(name);
         if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() < min) {
-            problems.add(where + name + ": missing, or not a number of at least " + min);
+            problems.add(pathPrefix + name + ": missing, or not a number of at least " + min);
             return Math.max(1, min);
         }
         return node.doubleValue();
--- a/src/main/java/stileferry/protocol/SocketBudget.java
+++ b/src/main/java/stileferry/protocol/SocketBudget.java
@@ -1,37 +1,39 @@
 package stileferry.protocol;
 
 /**
- * How a controller divides its sockets, so that no use can starve another. The shares add up to less than the whole;
- * what is left serves the key-value store, the cloud and the servers themselves.
+ * Divides a controller's sockets among its uses, so that no use can starve another. The shares add up to less than all
+ * sockets; the rest is for connections to the key-value store and the cloud and for the servers' own sockets.
  *
- * @param incoming connections of users, workers and health checks
- * @param peers connections of the other controllers
- * @param idle connections to workers and others that are kept for the next request
- * @param commands commands to workers in progress
- * @param forwards requests passed on to one other controller in progress
+ * @param incoming the maximum number of connections from users, workers and health checks
+ * @param peers the maximum number of connections from other controllers
+ * @param idle the maximum number of idle connections to workers and others that are kept open for the next request
+ * @param commands the maximum number of commands to workers in progress
+ * @param forwards the maximum number of forwarded requests to one other controller in progress
  */
 public record SocketBudget(int incoming, int peers, int idle, int commands, int forwards) {
-    /** Of the incoming connections: above this share users' connections end with their answers. */
+    /** The share of incoming connections in use above which connections of users are closed after the response. */
     private static final double USER_CLOSE_SHARE = 0.75;
 
-    /** Above this share workers' connections do too. */
+    /** The share above which connections of workers are closed after the response, too. */
     private static final double WORKER_CLOSE_SHARE = 0.95;
 
-    /** Divides so many. */
+    /** Divides this number of sockets. */
     public static SocketBudget of(int max) {
         return new SocketBudget(max * 25 / 32, share(max, 16), share(max, 16), share(max, 16), share(max, 32));
     }
 
-    private static int share(int max, int part) {
-        return Math.max(1, max / part);
+    private static int share(int max, int divisor) {
+        return Math.max(1, max / divisor);
     }
 
-    /** Whether a user's connection has to end with its answer when so many are open. */
+    /** Returns whether a user's connection must be closed after the response, given the number of open connections. */
     public boolean closesUserConnections(long open) {
         return open > incoming * USER_CLOSE_SHARE;
     }
 
-    /** Whether a worker's connection has to end with its answer when so many are open. */
+    /**
+     * Returns whether a worker's connection must be closed after the response, given the number of open connections.
+     */
     public boolean closesWorkerConnections(long open) {
         return open > incoming * WORKER_CLOSE_SHARE;
     }
--- a/src/main/java/stileferry/protocol/Submission.java
+++ b/src/main/java/stileferry/protocol/Submission.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A submission whose job id has been read, which is enough to recognise an idempotent request. All else is read and
- * checked by {@link #jobSpec()}.
+ * A job submission of which only the job's id has been read, which is enough to recognise a repeated submission.
+ * Everything else is read and validated by {@link #jobSpec()}.
  */
 public final class Submission {
     private final String jobId;
@@ -15,19 +15,19 @@
         this.body = body;
     }
 
-    /** Reads the id of a submission's job; null when the body is not a map with a valid one. */
+    /** Reads the job's id from an encoded body; returns null if the body is not a map with a valid job id. */
     public static Submission read(byte[] bytes) {
         JsonNode body = MessageCodec.decode(bytes);
         String id = body == null ? "" : body.path(WireNames.NAME_ID).asText("");
         return JobSpec.isValidId(id) ? new Submission(id, body) : null;
     }
 
-    /** The id of the submitted job. */
+    /** Returns the id of the submitted job. */
     public String jobId() {
         return jobId;
     }
 
-    /** Reads and checks the whole of it. */
+    /** Reads and validates the whole submission. */
     public JobSpec jobSpec() throws InvalidJobSpecException {
         return JobSpec.read(body);
     }
--- a/src/main/java/stileferry/protocol/SubmissionHeader.java
+++ b/src/main/java/stileferry/protocol/SubmissionHeader.java
@@ -5,26 +5,26 @@
 import java.io.IOException;
 
 /**
- * What tells who submits a job and how urgent it is. It is read without building a tree of the body, since most
- * submissions under overload are refused by it.
+ * The fields of a submission by which load shedding decides. They are read without building a tree of the body, because
+ * under overload most submissions are rejected by these fields alone.
  *
- * @param id the job's id, of the form that users may choose
+ * @param id the job's id, which has a valid form
  * @param team the team's name
  * @param jobClass the class of the job
  * @param priority the job's priority
  */
 public record SubmissionHeader(String id, String team, String jobClass, JobSpec.Priority priority) {
 
-    /** Reads the header of a submission; null when the body is malformed, as far as it is looked at. */
+    /** Reads the header from an encoded body; returns null if the part of the body that is parsed is malformed. */
     public static SubmissionHeader read(byte[] body) {
         try (JsonParser parser = MessageCodec.parser(body)) {
             return parser.nextToken() == JsonToken.START_OBJECT ? read(parser) : null;
-        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+        } catch (IOException | RuntimeException e) { // broad catch: the parser throws both for malformed input
             return null;
         }
     }
 
-    /** Whether a submission is of the highest priority. */
+    /** Returns whether an encoded submission is valid as far as its header goes and has the highest priority. */
     public static boolean isCritical(byte[] body) {
         SubmissionHeader header = read(body);
         return header != null && header.priority() == JobSpec.Priority.CRITICAL;
--- a/src/main/java/stileferry/protocol/WorkerCommand.java
+++ b/src/main/java/stileferry/protocol/WorkerCommand.java
@@ -3,10 +3,10 @@
 /**
  * A command to a worker about one attempt of a task.
  *
- * @param graceS the grace period in seconds; means something only for {@link Kind#KILL}
+ * @param graceS the grace period in seconds; used only for {@link Kind#KILL}
  */
 public record WorkerCommand(Kind kind, String taskId, long attempt, double graceS) {
-    /** What a command asks for. */
+    /** The kinds of commands. */
     public enum Kind {
         RUN("run"),
         KILL("kill"),
@@ -18,13 +18,13 @@
             this.wireName = wireName;
         }
 
-        /** The word that stands for it in messages. */
+        /** Returns the name of the kind in messages. */
         public String wireName() {
             return wireName;
         }
     }
 
-    /** Identifies the attempt among those of all tasks. */
+    /** Returns an id that is unique among the attempts of all tasks. */
     public String attemptId() {
         return taskId + "#" + attempt;
     }
--- a/src/main/java/stileferry/protocol/WorkerMessages.java
+++ b/src/main/java/stileferry/protocol/WorkerMessages.java
@@ -5,21 +5,21 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Collection;
 
-/** The bodies of answers and direct commands to workers; what comes from them is a {@link Heartbeat}. */
+/** The bodies of responses and direct commands to workers. Messages from workers are {@link Heartbeat}s. */
 public final class WorkerMessages {
     private WorkerMessages() {}
 
-    /** The answer that sends a worker to the controller that leads. */
+    /** Returns the body of a response that redirects a worker to the leader. */
     public static ObjectNode redirect(String leader) {
         return MessageCodec.map().put(WireNames.LEADER, leader);
     }
 
-    /** The name of the controller that leads, in an answer that {@link #redirect} wrote; empty: none is named. */
+    /** Returns the leader's name from a body written by {@link #redirect}; empty if it has none. */
     public static String redirectTarget(JsonNode body) {
         return body.path(WireNames.LEADER).asText();
     }
 
-    /** The answer to a heartbeat. */
+    /** Returns the body of a response to a heartbeat. */
     public static ObjectNode heartbeatResponse(long fencingToken, Collection<WorkerCommand> commands) {
         ObjectNode body = MessageCodec.map().put(WireNames.FENCING_TOKEN, fencingToken);
         ArrayNode list = body.putArray(WireNames.COMMANDS);
@@ -29,7 +29,7 @@
         return body;
     }
 
-    /** Direct commands to one incarnation of a worker's agent. */
+    /** Returns the body of a request with commands for one incarnation of a worker's agent. */
     public static ObjectNode directCommands(long fencingToken, long incarnation, Collection<WorkerCommand> commands) {
         return heartbeatResponse(fencingToken, commands).put(WireNames.INCARNATION, incarnation);
     }
--- a/src/test/java/stileferry/protocol/FeaturesTest.java
+++ b/src/test/java/stileferry/protocol/FeaturesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is not named is off, and what is wrong is named. */
+/** Features that are not listed are disabled, and an invalid features file is reported with the first invalid field. */
 class FeaturesTest {
     @Test
     void unlistedFeatureIsOff() {
@@ -36,9 +36,9 @@
                 "''|must be a JSON object"
             })
     void invalidFieldIsNamed(String json, String problem) {
-        Features.Result read = Features.read(json);
-        assertNull(read.features());
-        assertEquals(problem, read.problem());
+        Features.Result result = Features.read(json);
+        assertNull(result.features());
+        assertEquals(problem, result.problem());
     }
 
     @Test
--- a/src/test/java/stileferry/protocol/HeartbeatTest.java
+++ b/src/test/java/stileferry/protocol/HeartbeatTest.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats are read field by field, and their tasks only when they have changed. */
+/** Heartbeats are parsed field by field, and their tasks are parsed only if they have changed. */
 class HeartbeatTest {
     private static byte[] heartbeat(long sequence, String phase, boolean tasksLast) {
         ObjectNode body = MessageCodec.map().put("vessel", "m").put("voyage", 1).put("helm", 3);
@@ -23,7 +23,7 @@
         return MessageCodec.encode(tasksLast ? body : body.put("log_seq", sequence));
     }
 
-    /** Reading the same tasks again was a good part of what a leader of many machines did. */
+    /** Parsing unchanged tasks again took a considerable part of the CPU time of a leader with many machines. */
     @Test
     void unchangedTasksAreReusedFromLastHeartbeat() {
         Heartbeat first = Heartbeat.read(heartbeat(1, "running", true));
@@ -33,12 +33,12 @@
         Heartbeat changed = Heartbeat.read(heartbeat(3, "saving", true), machine -> second);
         assertEquals(
                 Heartbeat.TaskPhase.SAVING_CHECKPOINT, changed.tasks().get(0).phase());
-        Heartbeat unknown = Heartbeat.read(heartbeat(4, "saving", true), machine -> null);
-        assertEquals(changed.tasks(), unknown.tasks());
-        Heartbeat otherOrder = Heartbeat.read(heartbeat(5, "saving", false), machine -> changed);
-        assertEquals(changed.tasks(), otherOrder.tasks());
-        assertEquals(5, otherOrder.sequence(), "fields after the list are read");
-        byte[] cut = heartbeat(6, "saving", true);
-        assertNull(Heartbeat.read(Arrays.copyOf(cut, cut.length - 1), machine -> changed));
+        Heartbeat withoutLast = Heartbeat.read(heartbeat(4, "saving", true), machine -> null);
+        assertEquals(changed.tasks(), withoutLast.tasks());
+        Heartbeat tasksNotLast = Heartbeat.read(heartbeat(5, "saving", false), machine -> changed);
+        assertEquals(changed.tasks(), tasksNotLast.tasks());
+        assertEquals(5, tasksNotLast.sequence(), "fields after the task list must be read");
+        byte[] complete = heartbeat(6, "saving", true);
+        assertNull(Heartbeat.read(Arrays.copyOf(complete, complete.length - 1), machine -> changed));
     }
 }
--- a/src/test/java/stileferry/protocol/JobSpecBuilder.java
+++ b/src/test/java/stileferry/protocol/JobSpecBuilder.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Builds jobs for tests; what a test does not set is small, of the team without a limit, and may be anywhere. */
+/**
+ * Builds jobs for tests. By default, a job has one small task, belongs to the team {@code free}, which has no limit,
+ * and may run on any machine type and in any zone.
+ */
 public final class JobSpecBuilder {
     private final String id;
     private final JobSpec.Kind kind;
@@ -29,7 +32,7 @@
         this.priority = kind == JobSpec.Kind.SERVICE ? JobSpec.Priority.CRITICAL : JobSpec.Priority.NORMAL;
     }
 
-    /** A job of this kind; a service is critical, all else has normal priority. */
+    /** Starts a job of this kind. A service is critical by default; all other kinds have normal priority. */
     public static JobSpecBuilder of(JobSpec.Kind kind, String id) {
         return new JobSpecBuilder(id, kind);
     }
@@ -46,98 +49,98 @@
         return of(JobSpec.Kind.GANG, "job-" + number);
     }
 
-    /** The job class. */
+    /** Sets the job class. */
     public JobSpecBuilder jobClass(String name) {
         jobClass = name;
         return this;
     }
 
-    /** The team. */
+    /** Sets the team. */
     public JobSpecBuilder team(String name) {
         team = name;
         return this;
     }
 
-    /** The priority. */
+    /** Sets the priority. */
     public JobSpecBuilder priority(JobSpec.Priority value) {
         priority = value;
         return this;
     }
 
-    /** How many tasks it has. */
+    /** Sets the number of tasks. */
     public JobSpecBuilder tasks(int count) {
         tasks = count;
         return this;
     }
 
-    /** What each task needs. */
+    /** Sets the CPUs that each task needs. */
     public JobSpecBuilder cpus(double count) {
         cpus = count;
         return this;
     }
 
-    /** What each task needs. */
+    /** Sets the memory that each task needs, in GB. */
     public JobSpecBuilder memoryGb(double size) {
         memoryGb = size;
         return this;
     }
 
-    /** The image. */
+    /** Sets the name of the image. */
     public JobSpecBuilder image(String name) {
         image = name;
         return this;
     }
 
-    /** The image's size in GB. */
+    /** Sets the size of the image in GB. */
     public JobSpecBuilder imageGb(double size) {
         imageGb = size;
         return this;
     }
 
-    /** The machine types that the job may be on; null: any. */
+    /** Sets the allowed machine types; null: any. */
     public JobSpecBuilder machineTypes(List<String> names) {
         machineTypes = names;
         return this;
     }
 
-    /** The only zone that the job may be in; null: any. */
+    /** Sets the only allowed zone; null: any. */
     public JobSpecBuilder zone(String name) {
         zone = name;
         return this;
     }
 
-    /** Whether all tasks must be in the same zone. */
+    /** Sets whether all tasks must be in the same zone. */
     public JobSpecBuilder oneZone(boolean value) {
         oneZone = value;
         return this;
     }
 
-    /** Whether at most half of the tasks may be in each zone. */
+    /** Sets whether at most half of the tasks may be in one zone. */
     public JobSpecBuilder spreadAcrossZones(boolean value) {
         spreadAcrossZones = value;
         return this;
     }
 
-    /** Whether it may run on spot instances. */
+    /** Sets whether the job may run on spot instances. */
     public JobSpecBuilder allowsSpot(boolean value) {
         allowsSpot = value;
         return this;
     }
 
-    /** How long each task runs. */
+    /** Sets the run time of each task, in seconds. */
     public JobSpecBuilder runS(double seconds) {
         runS = seconds;
         return this;
     }
 
-    /** How often each task saves its progress, and how long that takes. */
+    /** Sets the time between checkpoints of a task and the time that saving one takes, in seconds. */
     public JobSpecBuilder checkpoints(double intervalS, double saveS) {
         checkpointIntervalS = intervalS;
         checkpointSaveS = saveS;
         return this;
     }
 
-    /** The job as described. */
+    /** Returns the job. */
     public JobSpec build() {
         return new JobSpec(
                 id,
--- a/src/test/java/stileferry/protocol/JobSpecTest.java
+++ b/src/test/java/stileferry/protocol/JobSpecTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Submissions are read as they were written, and what is invalid is refused. */
+/** Encoding and decoding of submissions, and the rejection of invalid ones. */
 class JobSpecTest {
     private static ObjectNode validSubmission() {
         return new JobSpec(
@@ -41,10 +41,10 @@
     void jobSurvivesEncodingAndDecoding() throws InvalidJobSpecException {
         JobSpec read = JobSpec.read(MessageCodec.decode(MessageCodec.encode(validSubmission())));
         assertEquals(validSubmission(), read.write());
-        ObjectNode open = validSubmission();
-        open.putNull("hulls").putNull("moor_by_s").put("another", 1);
-        assertEquals(-1, JobSpec.read(open).deadlineS());
-        assertNull(JobSpec.read(open).machineTypes());
+        ObjectNode withoutOptionalFields = validSubmission();
+        withoutOptionalFields.putNull("hulls").putNull("moor_by_s").put("another", 1);
+        assertEquals(-1, JobSpec.read(withoutOptionalFields).deadlineS());
+        assertNull(JobSpec.read(withoutOptionalFields).machineTypes());
     }
 
     @ParameterizedTest
@@ -72,9 +72,9 @@
         ObjectNode missing = validSubmission();
         missing.remove(field);
         assertThrows(InvalidJobSpecException.class, () -> JobSpec.read(missing));
-        ObjectNode list = validSubmission();
-        list.putArray(field);
-        assertThrows(InvalidJobSpecException.class, () -> JobSpec.read(list));
+        ObjectNode mistyped = validSubmission();
+        mistyped.putArray(field);
+        assertThrows(InvalidJobSpecException.class, () -> JobSpec.read(mistyped));
     }
 
     @Test
--- a/src/test/java/stileferry/protocol/MalformedMessagesTest.java
+++ b/src/test/java/stileferry/protocol/MalformedMessagesTest.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Nothing malformed that arrives from the network gets through, and nothing of it throws. */
+/** Malformed messages from the network are recognised as such, and decoding them never throws. */
 class MalformedMessagesTest {
-    /** Anything may arrive from the network; nothing of it may throw. */
+    /** Any bytes may arrive from the network, so messages with random changes must not cause exceptions. */
     @Test
     void corruptMessagesDecodeToNullWithoutException() {
         SplittableRandom random = new SplittableRandom(4);
@@ -20,22 +20,25 @@
                 .put("helm", 1));
         byte[] peerMessage = PeerMessageCodec.encode(
                 new PeerMessage.ForwardedRequest(PeerMessage.RequestKind.SUBMIT, "job-1", heartbeat));
-        int refused = 0;
+        int malformed = 0;
         for (int i = 0; i < 5000; i++) {
             byte[] bytes = (random.nextBoolean() ? heartbeat : peerMessage).clone();
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
-            byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
-            refused += Heartbeat.read(MessageCodec.decode(cut)) == null && PeerMessageCodec.decode(cut) == null ? 1 : 0;
+            byte[] truncated = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
+            malformed +=
+                    Heartbeat.read(MessageCodec.decode(truncated)) == null && PeerMessageCodec.decode(truncated) == null
+                            ? 1
+                            : 0;
         }
-        assertTrue(refused > 2500, "too much noise was understood: " + refused);
+        assertTrue(malformed > 2500, "too few corrupt messages were recognised as malformed: " + malformed);
     }
 
-    /** A body nested without end would exhaust the stack of the one thread. */
+    /** Decoding a body of unlimited nesting depth would exhaust the stack of the controller's only thread. */
     @Test
     void tooDeeplyNestedBodyIsMalformed() {
-        byte[] deep = new byte[MessageCodec.MAX_BODY_BYTES];
-        Arrays.fill(deep, (byte) 0x91);
-        assertNull(MessageCodec.decode(deep));
-        assertNull(Heartbeat.read(deep));
+        byte[] nestedLists = new byte[MessageCodec.MAX_BODY_BYTES];
+        Arrays.fill(nestedLists, (byte) 0x91);
+        assertNull(MessageCodec.decode(nestedLists));
+        assertNull(Heartbeat.read(nestedLists));
     }
 }
--- a/src/test/java/stileferry/protocol/SettingsReaderTest.java
+++ b/src/test/java/stileferry/protocol/SettingsReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings files are checked in full, and each problem names its field. */
+/** Settings files are validated completely, and each problem names its field. */
 class SettingsReaderTest {
     private static final String VALID =
             """
@@ -54,13 +54,14 @@
                 "\"state\":\"10.2.0.1:2379\"|\"state\":null|outside.state"
             })
     void firstProblemNamesItsField(String from, String to, String field) {
-        SettingsReader.Result read = SettingsReader.read(VALID.replace(from, to));
-        assertNull(read.settings());
+        SettingsReader.Result result = SettingsReader.read(VALID.replace(from, to));
+        assertNull(result.settings());
         assertTrue(
-                read.problems().get(0).startsWith(field + ":"), read.problems().toString());
+                result.problems().get(0).startsWith(field + ":"),
+                result.problems().toString());
     }
 
-    /** Limits come without notice, so the lower of both is kept from the start. */
+    /** The next limits apply without notice, so the lower of the current and the next limit is used from the start. */
     @Test
     void lowerOfCurrentAndNextLimitApplies() {
         Settings settings = SettingsReader.read(VALID.replace(
@@ -76,14 +77,14 @@
         assertEquals(1, SettingsReader.read("[]").problems().size());
     }
 
-    /** On a tenth of a core, leaders lost their leases by being busy. */
+    /** On a tenth of a core, leaders lost their leases because they were too busy to renew them in time. */
     @Test
     void smallShareOfCoreRaisesSlowdownFactor() {
-        Settings ample = SettingsReader.read(VALID).settings();
-        assertEquals(1, ample.slowdownFactor());
-        Settings small = SettingsReader.read(VALID.replace("\"max_sockets\"", "\"cores\":0.1,\"max_sockets\""))
+        Settings fullCore = SettingsReader.read(VALID).settings();
+        assertEquals(1, fullCore.slowdownFactor());
+        Settings tenthOfCore = SettingsReader.read(VALID.replace("\"max_sockets\"", "\"cores\":0.1,\"max_sockets\""))
                 .settings();
-        assertEquals(3, small.slowdownFactor(), 1e-9);
+        assertEquals(3, tenthOfCore.slowdownFactor(), 1e-9);
         assertEquals(
                 List.of("cluster.machine_limits.cores: must be above 0"),
                 SettingsReader.read(VALID.replace("\"max_sockets\"", "\"cores\":0,\"max_sockets\""))
