--- a/src/main/java/stileferry/cli/CheckConfig.java
+++ b/src/main/java/stileferry/cli/CheckConfig.java
@@ -28,8 +28,8 @@
             return ExitCode.USAGE;
         }
         System.out.println("settings are usable");
-        List<String> on = files.features().enabledNames();
-        System.out.println("features on: " + (on.isEmpty() ? "none" : String.join(", ", on)));
+        List<String> enabled = files.features().enabledNames();
+        System.out.println("features on: " + (enabled.isEmpty() ? "none" : String.join(", ", enabled)));
         return ExitCode.OK;
     }
 }
--- a/src/main/java/stileferry/cli/ControllerConnection.java
+++ b/src/main/java/stileferry/cli/ControllerConnection.java
@@ -57,7 +57,7 @@
         String problem = status <= 0 ? "no answer from " + nodes : "refused with " + status + reason(body);
         System.err.println("stileferry: " + problem);
         boolean rejected = status >= 400 && status < 500 && status != 429;
-        return rejected ? ExitCode.REFUSED : ExitCode.FAILED;
+        return rejected ? ExitCode.REJECTED : ExitCode.FAILED;
     }
 
     private static String reason(JsonNode body) {
--- a/src/main/java/stileferry/cli/ExitCode.java
+++ b/src/main/java/stileferry/cli/ExitCode.java
@@ -11,7 +11,7 @@
     static final int USAGE = 2;
 
     /** The service rejected the request. */
-    static final int REFUSED = 3;
+    static final int REJECTED = 3;
 
     private ExitCode() {}
 }
--- a/src/main/java/stileferry/cli/StandInSettings.java
+++ b/src/main/java/stileferry/cli/StandInSettings.java
@@ -47,7 +47,7 @@
      */
     static String of(int controller, int port, StandInHost.Size size) {
         return SETTINGS.formatted(
-                name(controller),
+                controllerName(controller),
                 clientPort(port, controller),
                 peerPort(port, controller),
                 peers(port, controller),
@@ -61,7 +61,7 @@
                 Math.max(MIN_SOCKETS, SOCKETS_PER_MACHINE * size.machines()));
     }
 
-    static String name(int controller) {
+    static String controllerName(int controller) {
         return "node-" + controller;
     }
 
@@ -77,7 +77,7 @@
         List<String> peers = new ArrayList<>();
         for (int other = 0; other < CONTROLLERS; other++) {
             if (other != controller) {
-                peers.add(PEER.formatted(name(other), peerPort(port, other)));
+                peers.add(PEER.formatted(controllerName(other), peerPort(port, other)));
             }
         }
         return String.join(", ", peers);
--- a/src/main/java/stileferry/cli/StandIns.java
+++ b/src/main/java/stileferry/cli/StandIns.java
@@ -80,7 +80,7 @@
         List<String> addresses = new ArrayList<>();
         List<String> names = new ArrayList<>();
         for (int i = 0; i < StandInSettings.CONTROLLERS; i++) {
-            String name = StandInSettings.name(i);
+            String name = StandInSettings.controllerName(i);
             addresses.add("127.0.0.1:" + StandInSettings.clientPort(port, i));
             names.add(name);
             Files.writeString(dir.resolve(name + ".json"), StandInSettings.of(i, port, size));
--- a/src/main/java/stileferry/protocol/Features.java
+++ b/src/main/java/stileferry/protocol/Features.java
@@ -42,7 +42,7 @@
         if (root == null || !root.isObject()) {
             return new Result(null, "must be a JSON object");
         }
-        Set<String> on = new HashSet<>();
+        Set<String> enabled = new HashSet<>();
         for (Map.Entry<String, JsonNode> field : root.properties()) {
             if (!NAMES.contains(field.getKey())) {
                 return new Result(null, field.getKey() + ": no such feature");
@@ -51,10 +51,10 @@
                 return new Result(null, field.getKey() + ": must be true or false");
             }
             if (field.getValue().booleanValue()) {
-                on.add(field.getKey());
+                enabled.add(field.getKey());
             }
         }
-        return new Result(new Features(on.contains(PARTIAL_CUTS), on.contains(FAIR_ADMISSION)), null);
+        return new Result(new Features(enabled.contains(PARTIAL_CUTS), enabled.contains(FAIR_ADMISSION)), null);
     }
 
     /** Returns the names of the enabled features. */
--- a/src/main/java/stileferry/protocol/OperatorSettingDefinition.java
+++ b/src/main/java/stileferry/protocol/OperatorSettingDefinition.java
@@ -19,16 +19,17 @@
 record OperatorSettingDefinition(
         String name, JsonNode defaultValue, double min, double max, List<String> choices, String description) {
 
-    static OperatorSettingDefinition number(String name, double defaultValue, double min, double max, String meaning) {
-        return new OperatorSettingDefinition(name, DoubleNode.valueOf(defaultValue), min, max, List.of(), meaning);
+    static OperatorSettingDefinition number(
+            String name, double defaultValue, double min, double max, String description) {
+        return new OperatorSettingDefinition(name, DoubleNode.valueOf(defaultValue), min, max, List.of(), description);
     }
 
-    static OperatorSettingDefinition flag(String name, boolean defaultValue, String meaning) {
-        return new OperatorSettingDefinition(name, BooleanNode.valueOf(defaultValue), 0, 0, List.of(), meaning);
+    static OperatorSettingDefinition flag(String name, boolean defaultValue, String description) {
+        return new OperatorSettingDefinition(name, BooleanNode.valueOf(defaultValue), 0, 0, List.of(), description);
     }
 
-    static OperatorSettingDefinition choice(String name, List<String> choices, String meaning) {
-        return new OperatorSettingDefinition(name, TextNode.valueOf(choices.get(0)), 0, 0, choices, meaning);
+    static OperatorSettingDefinition choice(String name, List<String> choices, String description) {
+        return new OperatorSettingDefinition(name, TextNode.valueOf(choices.get(0)), 0, 0, choices, description);
     }
 
     /**
--- a/src/main/java/stileferry/protocol/OperatorSettings.java
+++ b/src/main/java/stileferry/protocol/OperatorSettings.java
@@ -78,9 +78,9 @@
     private final long revision;
     private final Map<String, JsonNode> overrides;
 
-    private OperatorSettings(long revision, Map<String, JsonNode> changed) {
+    private OperatorSettings(long revision, Map<String, JsonNode> overrides) {
         this.revision = revision;
-        this.overrides = changed;
+        this.overrides = overrides;
     }
 
     /** Returns the initial settings: revision 0, every setting at its default. */
@@ -154,6 +154,7 @@
         return new OperatorSettings(revision + 1, values);
     }
 
+    /** Returns the definition of a setting that is named in a request of an operator. */
     private static OperatorSettingDefinition requireDefinition(String name) throws InvalidOperatorSettingException {
         OperatorSettingDefinition definition = findDefinition(name);
         if (definition == null) {
@@ -162,6 +163,7 @@
         return definition;
     }
 
+    /** Returns the definition of a setting that is named by one of the constants. */
     private static OperatorSettingDefinition definitionOf(String name) {
         OperatorSettingDefinition definition = findDefinition(name);
         if (definition == null) {
--- a/src/main/java/stileferry/protocol/PeerMessage.java
+++ b/src/main/java/stileferry/protocol/PeerMessage.java
@@ -28,8 +28,8 @@
     /**
      * A request forwarded to the leader.
      *
-     * @param id the job's id, where the request is about a job; for {@link RequestKind#ADMINISTRATION} the HTTP method
-     *     and the rest of the path
+     * @param id the job's id for requests of users, the machine's name for {@link RequestKind#HEARTBEAT}, the HTTP method
+     *     and the rest of the path for {@link RequestKind#ADMINISTRATION}
      * @param body the body as received
      */
     record ForwardedRequest(RequestKind kind, String id, byte[] body) implements PeerMessage {}
@@ -38,7 +38,7 @@
      * The leader's response to a forwarded request.
      *
      * @param status the HTTP status
-     * @param retryAfterS seconds after which the client should retry; 0 if nothing is said of it
+     * @param retryAfterS seconds after which the client should retry; 0 if not specified
      */
     record Response(int status, int retryAfterS, byte[] body) implements PeerMessage {}
 
@@ -59,13 +59,13 @@
             List<String> linkViewParticipants)
             implements PeerMessage {
         /** Creates an announcement of a sender that doesn't monitor its links. */
-        public TermAnnouncement(long term, String leader, boolean leading, CancellationKnowledge knowledge) {
-            this(term, leader, leading, knowledge, List.of());
+        public TermAnnouncement(long term, String leader, boolean senderLeads, CancellationKnowledge knowledge) {
+            this(term, leader, senderLeads, knowledge, List.of());
         }
 
         /** Creates an announcement in the older form, without cancellations. */
-        public TermAnnouncement(long term, String leader, boolean leading) {
-            this(term, leader, leading, null);
+        public TermAnnouncement(long term, String leader, boolean senderLeads) {
+            this(term, leader, senderLeads, null);
         }
 
         /** Returns a copy with the controllers known to exchange views of their links, the sender first. */
--- a/src/main/java/stileferry/protocol/PeerMessageCodec.java
+++ b/src/main/java/stileferry/protocol/PeerMessageCodec.java
@@ -19,8 +19,9 @@
 import stileferry.protocol.PeerMessage.TermAnnouncement;
 
 /**
- * Encodes and decodes {@link PeerMessage}s: one byte for the kind, then the fields as written by {@link
- * DataOutputStream}. Controllers of different versions exchange messages, so new fields must be added at the end.
+ * Encodes and decodes {@link PeerMessage}s: one byte for the kind, then the fields in the format of
+ * {@link DataOutputStream}. Controllers of different versions exchange messages, so new fields are added only at the
+ * end.
  */
 public final class PeerMessageCodec {
     private static final int FORWARDED_REQUEST = 1;
--- a/src/main/java/stileferry/protocol/Settings.java
+++ b/src/main/java/stileferry/protocol/Settings.java
@@ -85,8 +85,8 @@
         }
 
         /** Creates the timings of a deployment without gangs. */
-        public WorkerTimings(double heartbeatIntervalS, double leaseS, double cancelS) {
-            this(heartbeatIntervalS, leaseS, cancelS, 0, 0);
+        public WorkerTimings(double heartbeatIntervalS, double leaseS, double cancelDeadlineS) {
+            this(heartbeatIntervalS, leaseS, cancelDeadlineS, 0, 0);
         }
     }
 
--- a/src/test/java/stileferry/cli/LoopbackCluster.java
+++ b/src/test/java/stileferry/cli/LoopbackCluster.java
@@ -80,18 +80,18 @@
         return "127.0.0." + (11 + controller);
     }
 
-    static String name(int controller) {
+    static String controllerName(int controller) {
         return "node-" + controller;
     }
 
     /** Reads the settings of a controller, after replacing the addresses of its peers by those of relays. */
     private Settings settings(Path dir, int controller) throws IOException {
-        Path file = dir.resolve(name(controller) + ".json");
+        Path file = dir.resolve(controllerName(controller) + ".json");
         String text = Files.readString(file);
         for (int other = 0; other < CONTROLLERS; other++) {
             if (other != controller) {
                 int peerPort = port + 1 + CONTROLLERS + other;
-                String to = name(other);
+                String to = controllerName(other);
                 LinkRelay relay = new LinkRelay(
                         new InetSocketAddress("127.0.0.1", peerPort), () -> of(sourceAddress(controller), to));
                 relays.add(relay);
@@ -122,7 +122,7 @@
 
     /** Matches the recipient of requests to this controller. */
     static Predicate<String> to(int controller) {
-        return name(controller)::equals;
+        return controllerName(controller)::equals;
     }
 
     /** Matches a worker, as sender or as recipient. */
@@ -155,7 +155,7 @@
             JsonNode body = client.once("GET", "/admin/counters", NO_BODY).body();
             String leaderName = body == null ? "" : body.path("leader").asText();
             for (int i = 0; i < CONTROLLERS; i++) {
-                votes[i] += name(i).equals(leaderName) ? 1 : 0;
+                votes[i] += controllerName(i).equals(leaderName) ? 1 : 0;
             }
         }
         for (int i = 0; i < CONTROLLERS; i++) {
