--- a/src/main/java/stileferry/protocol/PeerMessage.java
+++ b/src/main/java/stileferry/protocol/PeerMessage.java
@@ -28,8 +28,8 @@
     /**
      * A request forwarded to the leader.
      *
-     * @param id the job's id for requests of users, the machine's name for {@link RequestKind#HEARTBEAT}, the HTTP method
-     *     and the rest of the path for {@link RequestKind#ADMINISTRATION}
+     * @param id the job's id for requests of users, the machine's name for {@link RequestKind#HEARTBEAT}, the HTTP
+     *     method and the rest of the path for {@link RequestKind#ADMINISTRATION}
      * @param body the body as received
      */
     record ForwardedRequest(RequestKind kind, String id, byte[] body) implements PeerMessage {}
