--- a/src/main/java/stileferry/cli/Ports.java
+++ b/src/main/java/stileferry/cli/Ports.java
@@ -20,10 +20,10 @@
      * @param count the length of the range, ten at most
      */
     static int findFreeRange(int count) throws IOException {
-        int from = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_PORT);
+        int startPort = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_PORT);
         for (int i = 0; i < END_PORT - FIRST_PORT; i += RANGE_SIZE) {
             int base = FIRST_PORT
-                    + Math.floorMod(from + i - FIRST_PORT, (END_PORT - FIRST_PORT) / RANGE_SIZE * RANGE_SIZE)
+                    + Math.floorMod(startPort + i - FIRST_PORT, (END_PORT - FIRST_PORT) / RANGE_SIZE * RANGE_SIZE)
                             / RANGE_SIZE
                             * RANGE_SIZE;
             if (allFree(base, count)) {
--- a/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
+++ b/src/main/java/stileferry/protocol/KeyValueStoreProtocol.java
@@ -214,7 +214,7 @@
         return MessageCodec.map().put(LEASE_DURATION_MS, durationMs);
     }
 
-    /** Reads the response to a lease request; returns null if none was granted, or none as far as is known. */
+    /** Reads the response to a lease request; returns null if none was granted or the outcome is unknown. */
     public static LeaseGrant leaseGrant(int status, JsonNode body) {
         return status == OK && body != null ? new LeaseGrant(body.path(LEASE)) : null;
     }
--- a/src/main/java/stileferry/protocol/PeerMessageCodec.java
+++ b/src/main/java/stileferry/protocol/PeerMessageCodec.java
@@ -154,12 +154,13 @@
     }
 
     private static CancellationKnowledge readKnowledge(DataInputStream in) throws IOException {
-        long process = in.readLong();
-        long addressee = in.readLong();
+        long processId = in.readLong();
+        long recipientProcessId = in.readLong();
         boolean informed = in.readBoolean();
         boolean complete = in.readBoolean();
-        List<String> cancelled = readStrings(in, checkedSize(in.readUnsignedShort(), PeerMessage.MAX_CANCELLED_JOBS));
-        return new CancellationKnowledge(process, addressee, informed, complete, cancelled);
+        List<String> cancelledJobs =
+                readStrings(in, checkedSize(in.readUnsignedShort(), PeerMessage.MAX_CANCELLED_JOBS));
+        return new CancellationKnowledge(processId, recipientProcessId, informed, complete, cancelledJobs);
     }
 
     /** Writes the last field of an announcement, which versions before its introduction ignore. */
--- a/src/main/java/stileferry/protocol/SettingsReader.java
+++ b/src/main/java/stileferry/protocol/SettingsReader.java
@@ -78,12 +78,14 @@
     }
 
     /**
-     * Reads a limit of the key-value store: the lower of the current one and the next, which applies without notice.
+     * Reads a limit of the key-value store: the lower of the current value and the next one, which applies without notice.
      */
     private double lowerOfCurrentAndNext(JsonNode state, String name, double min) {
-        double now = limit(state, "cluster.state.", name, min);
+        double current = limit(state, "cluster.state.", name, min);
         JsonNode next = state.path("next");
-        return next.path(name).isMissingNode() ? now : Math.min(now, limit(next, "cluster.state.next.", name, min));
+        return next.path(name).isMissingNode()
+                ? current
+                : Math.min(current, limit(next, "cluster.state.next.", name, min));
     }
 
     private double limit(JsonNode limits, String pathPrefix, String name, double min) {
--- a/src/main/java/stileferry/protocol/SocketBudget.java
+++ b/src/main/java/stileferry/protocol/SocketBudget.java
@@ -17,7 +17,7 @@
     /** The share above which connections of workers are closed after the response, too. */
     private static final double WORKER_CLOSE_SHARE = 0.95;
 
-    /** Divides this number of sockets. */
+    /** Returns the division of this number of sockets. */
     public static SocketBudget of(int max) {
         return new SocketBudget(max * 25 / 32, share(max, 16), share(max, 16), share(max, 16), share(max, 32));
     }
--- a/src/test/java/stileferry/cli/LoopbackCutsTest.java
+++ b/src/test/java/stileferry/cli/LoopbackCutsTest.java
@@ -49,6 +49,6 @@
         history.add(new TaskHistory.Entry(3, "job-1/0", "host-2", true));
         List<String> violations = history.findViolations(Map.of("job-1", 2.0), 4);
         assertTrue(violations.contains("job-1/0 on host-1 and host-2"), violations.toString());
-        assertTrue(violations.stream().anyMatch(p -> p.contains("6.0 CPUs")), violations.toString());
+        assertTrue(violations.stream().anyMatch(violation -> violation.contains("6.0 CPUs")), violations.toString());
     }
 }
--- a/src/test/java/stileferry/cli/OverloadTest.java
+++ b/src/test/java/stileferry/cli/OverloadTest.java
@@ -44,7 +44,7 @@
                 .statusCode();
     }
 
-    /** Sends all requests, keeping this number of them in progress, and returns the observed responses. */
+    /** Sends all requests, at most this number of them concurrently, and returns the observed responses. */
     private List<ObservedResponse> load(URI uri, int inProgress) throws InterruptedException {
         List<ObservedResponse> seen = Collections.synchronizedList(new ArrayList<>());
         List<CompletableFuture<?>> all = new ArrayList<>();
--- a/src/test/java/stileferry/protocol/FeaturesTest.java
+++ b/src/test/java/stileferry/protocol/FeaturesTest.java
@@ -11,7 +11,7 @@
 /** Features that are not listed are disabled, and an invalid features file is reported with the first invalid field. */
 class FeaturesTest {
     @Test
-    void unlistedFeatureIsOff() {
+    void unlistedFeatureIsDisabled() {
         assertEquals(Features.NONE, Features.read("{}").features());
         assertEquals(List.of(), Features.NONE.enabledNames());
         assertEquals(
--- a/src/test/java/stileferry/protocol/JobSpecTest.java
+++ b/src/test/java/stileferry/protocol/JobSpecTest.java
@@ -39,8 +39,8 @@
 
     @Test
     void jobSurvivesEncodingAndDecoding() throws InvalidJobSpecException {
-        JobSpec read = JobSpec.read(MessageCodec.decode(MessageCodec.encode(validSubmission())));
-        assertEquals(validSubmission(), read.write());
+        JobSpec decoded = JobSpec.read(MessageCodec.decode(MessageCodec.encode(validSubmission())));
+        assertEquals(validSubmission(), decoded.write());
         ObjectNode withoutOptionalFields = validSubmission();
         withoutOptionalFields.putNull("hulls").putNull("moor_by_s").put("another", 1);
         assertEquals(-1, JobSpec.read(withoutOptionalFields).deadlineS());
