--- a/src/main/java/stileferry/protocol/MessageCodec.java
+++ b/src/main/java/stileferry/protocol/MessageCodec.java
@@ -21,7 +21,10 @@
     /** The maximum size of a body received or sent, on interfaces that have a limit. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** The limit exceeds the depth of the bodies of all interfaces; decoding bodies of unlimited depth could exhaust the stack. */
+    /**
+     * The limit exceeds the depth of the bodies of all interfaces; decoding bodies of unlimited depth could exhaust the
+     * stack.
+     */
     private static final int MAX_NESTING_DEPTH = 64;
 
     private static final MessagePackFactory FACTORY = new MessagePackFactory();
--- a/src/main/java/stileferry/protocol/SettingsReader.java
+++ b/src/main/java/stileferry/protocol/SettingsReader.java
@@ -78,7 +78,8 @@
     }
 
     /**
-     * Reads a limit of the key-value store: the lower of the current value and the next one, which applies without notice.
+     * Reads a limit of the key-value store: the lower of the current value and the next one, which applies without
+     * notice.
      */
     private double lowerOfCurrentAndNext(JsonNode state, String name, double min) {
         double current = limit(state, "cluster.state.", name, min);
--- a/src/test/java/stileferry/cli/DeployTest.java
+++ b/src/test/java/stileferry/cli/DeployTest.java
@@ -33,6 +33,6 @@
             count++;
         }
         assertEquals(4, count, "number of memory areas with a limit");
-        assertTrue(sumMb <= MAX_BOUNDED_MB, "sum of the limits: " + sumMb + " MB");
+        assertTrue(sumMb <= MAX_BOUNDED_MB, sumMb + " MB");
     }
 }
