--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -13,7 +13,7 @@
 import stileferry.protocol.UserMessages.JobState;
 import stileferry.transport.ApiClient;
 import stileferry.transport.LogLevel;
-import stileferry.transport.StandInHost;
+import stileferry.transport.StandInServer;
 
 /**
  * Used by the build: plays a controller's life on loopback (start, follow, take over, lead), so that the classes which
@@ -44,7 +44,7 @@
 
     /** Plays the life and ends the process; without an archive that is whole the start is only slower. */
     public static void main(String[] args) throws Exception {
-        LogLevel.start(System.getenv("LOG_LEVEL"));
+        LogLevel.initialize(System.getenv("LOG_LEVEL"));
         try {
             play(Ports.free(PORTS));
         } catch (IOException | RuntimeException e) { // broad catch: the build goes on without
@@ -58,7 +58,7 @@
         Path dir = Files.createTempDirectory("rehearsal");
         Path features = dir.resolve("features.json");
         Files.writeString(features, ALL_FEATURES);
-        try (StandInHost standIns = StandIns.start(port, dir);
+        try (StandInServer standIns = StandIns.start(port, dir);
                 Controller first = Controller.builder()
                         .settings(SettingsFile.read(dir.resolve("node-0.json")).settings())
                         .features(FeaturesFile.read(features).features())
@@ -89,13 +89,14 @@
         submit(user, number + 2, JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL);
         await(user, number, "done");
         await(user, number + 2, "running");
-        user.ask("POST", ApiPaths.job("job-" + (number + 2)) + ApiPaths.CANCEL, NO_BODY, CHANGE_PATIENCE_MS);
+        user.sendWithRetries(
+                "POST", ApiPaths.job("job-" + (number + 2)) + ApiPaths.CANCEL, NO_BODY, CHANGE_PATIENCE_MS);
         await(user, number + 2, "cancelled");
-        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), PATIENCE_MS);
-        user.ask("GET", ApiPaths.job("job-99"), NO_BODY, PATIENCE_MS);
-        user.ask("GET", ApiPaths.READY, NO_BODY, PATIENCE_MS);
-        user.ask("GET", "/elsewhere", NO_BODY, PATIENCE_MS);
-        user.ask("GET", ApiPaths.ADMINISTRATION + "counters", NO_BODY, PATIENCE_MS);
+        user.sendWithRetries("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), PATIENCE_MS);
+        user.sendWithRetries("GET", ApiPaths.job("job-99"), NO_BODY, PATIENCE_MS);
+        user.sendWithRetries("GET", ApiPaths.READY, NO_BODY, PATIENCE_MS);
+        user.sendWithRetries("GET", "/elsewhere", NO_BODY, PATIENCE_MS);
+        user.sendWithRetries("GET", ApiPaths.ADMINISTRATION + "counters", NO_BODY, PATIENCE_MS);
     }
 
     private static void submit(ApiClient user, int number, JobSpec.Kind kind, JobSpec.Priority priority)
@@ -121,12 +122,12 @@
                 0,
                 0,
                 -1);
-        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(job.write()), CHANGE_PATIENCE_MS);
+        user.sendWithRetries("POST", ApiPaths.JOBS, MessageCodec.encode(job.write()), CHANGE_PATIENCE_MS);
     }
 
     private static void await(ApiClient user, int number, String state) throws InterruptedException {
         for (int i = 0; i < MAX_POLLS; i++) {
-            ApiClient.Response response = user.once("GET", ApiPaths.job("job-" + number), NO_BODY);
+            ApiClient.Response response = user.sendOnce("GET", ApiPaths.job("job-" + number), NO_BODY);
             if (response.body() != null
                     && JobState.read(response.body()).state().equals(state)) {
                 return;
--- a/src/main/java/stileferry/cli/ControllerConnection.java
+++ b/src/main/java/stileferry/cli/ControllerConnection.java
@@ -35,9 +35,10 @@
     /** Sends a request, prints the answer or a one-line error, and returns the exit code. */
     int request(String method, String path, byte[] body, Function<JsonNode, String> text)
             throws IOException, InterruptedException {
-        LogLevel.start("error"); // a client's own messages are its errors, one line each
+        LogLevel.initialize("error"); // a client's own messages are its errors, one line each
         try (ApiClient client = new ApiClient(nodes)) {
-            ApiClient.Response response = client.ask(method, path, body, TimeUnit.SECONDS.toMillis(patienceS));
+            ApiClient.Response response =
+                    client.sendWithRetries(method, path, body, TimeUnit.SECONDS.toMillis(patienceS));
             return print(response, text);
         }
     }
--- a/src/main/java/stileferry/cli/Daemon.java
+++ b/src/main/java/stileferry/cli/Daemon.java
@@ -21,7 +21,7 @@
 
     /** Runs a controller until the process is killed; ends with exit code 2 for wrong usage or settings. */
     public static void main(String[] args) {
-        LogLevel.start(System.getenv("LOG_LEVEL"));
+        LogLevel.initialize(System.getenv("LOG_LEVEL"));
         System.exit(run(args));
     }
 
--- a/src/main/java/stileferry/cli/Main.java
+++ b/src/main/java/stileferry/cli/Main.java
@@ -27,7 +27,7 @@
 
     /** Runs a command and ends the process with its exit code. */
     public static void main(String[] args) {
-        LogLevel.start(System.getenv("LOG_LEVEL"));
+        LogLevel.initialize(System.getenv("LOG_LEVEL"));
         System.exit(commandLine().execute(args));
     }
 
--- a/src/main/java/stileferry/cli/StandInSettings.java
+++ b/src/main/java/stileferry/cli/StandInSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import stileferry.transport.StandInHost;
+import stileferry.transport.StandInServer;
 
 /**
  * Settings of controllers that work with stand-ins on loopback. Of a row of ports the first is the stand-ins', the next
@@ -40,7 +40,7 @@
     private StandInSettings() {}
 
     /** The settings of one controller, by its number, as JSON. */
-    static String of(int controller, int port, StandInHost.Size size) {
+    static String of(int controller, int port, StandInServer.Size size) {
         return SETTINGS.formatted(
                 name(controller),
                 clientPort(port, controller),
@@ -51,8 +51,8 @@
                 size.heartbeatIntervalMs() / MS_PER_S,
                 size.leaseMs() / MS_PER_S,
                 2 * size.leaseMs() / MS_PER_S,
-                StandInHost.GANG_WAIT_S,
-                StandInHost.GANG_PEER_S,
+                StandInServer.GANG_ASSEMBLY_TIMEOUT_S,
+                StandInServer.GANG_LOSS_DETECTION_S,
                 Math.max(MIN_SOCKETS, SOCKETS_EACH_MACHINE * size.machines()));
     }
 
--- a/src/main/java/stileferry/cli/StandIns.java
+++ b/src/main/java/stileferry/cli/StandIns.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import stileferry.standin.LinkFaults;
 import stileferry.standin.Worker;
-import stileferry.transport.StandInHost;
+import stileferry.transport.StandInServer;
 
 /** Runs the stand-ins for key-value store, cloud and workers, for trying the service out on one computer. */
 @Command(
@@ -59,23 +59,24 @@
     }
 
     /** Starts stand-ins and writes the settings files of the controllers that fit them. */
-    static StandInHost start(int port, Path dir) throws IOException {
-        return start(port, dir, StandInHost.Size.SMALL);
+    static StandInServer start(int port, Path dir) throws IOException {
+        return start(port, dir, StandInServer.Size.SMALL);
     }
 
     /** So many machines with so long between heartbeats, and a lease of ten times that. */
-    static StandInHost.Size size(int machines, double heartbeatIntervalS) {
+    static StandInServer.Size size(int machines, double heartbeatIntervalS) {
         long heartbeatIntervalMs = Math.round(heartbeatIntervalS * MS_PER_S);
-        return new StandInHost.Size(machines, heartbeatIntervalMs, LEASE_INTERVALS * heartbeatIntervalMs);
+        return new StandInServer.Size(machines, heartbeatIntervalMs, LEASE_INTERVALS * heartbeatIntervalMs);
     }
 
     /** The same for a fleet of another size. */
-    static StandInHost start(int port, Path dir, StandInHost.Size size) throws IOException {
-        return start(port, dir, size, LinkFaults.NONE, Worker.Watcher.NOBODY);
+    static StandInServer start(int port, Path dir, StandInServer.Size size) throws IOException {
+        return start(port, dir, size, LinkFaults.NONE, Worker.TaskListener.NO_OP);
     }
 
     /** The same with links that may be broken, and somebody who watches the workers' tasks. */
-    static StandInHost start(int port, Path dir, StandInHost.Size size, LinkFaults faults, Worker.Watcher watcher)
+    static StandInServer start(
+            int port, Path dir, StandInServer.Size size, LinkFaults faults, Worker.TaskListener watcher)
             throws IOException {
         List<String> addresses = new ArrayList<>();
         List<String> names = new ArrayList<>();
@@ -85,6 +86,6 @@
             names.add(name);
             Files.writeString(dir.resolve(name + ".json"), StandInSettings.of(i, port, size));
         }
-        return new StandInHost(port, addresses, names, size, faults, watcher);
+        return new StandInServer(port, addresses, names, size, faults, watcher);
     }
 }
--- a/src/main/java/stileferry/standin/LinkFaults.java
+++ b/src/main/java/stileferry/standin/LinkFaults.java
@@ -35,5 +35,5 @@
      * @param from a machine's name, or the address that a controller's connections come from
      * @param to a machine's or a controller's name, {@link #KEY_VALUE_STORE} or {@link #CLOUD}
      */
-    Effect of(String from, String to);
+    Effect effectOn(String from, String to);
 }
--- a/src/main/java/stileferry/standin/WorkerWireFormat.java
+++ b/src/main/java/stileferry/standin/WorkerWireFormat.java
@@ -24,7 +24,7 @@
         ObjectNode heartbeat = MessageCodec.map()
                 .put(WireNames.MACHINE, worker.machine())
                 .put(WireNames.ADDRESS, worker.address())
-                .put(WireNames.MACHINE_TYPE, worker.type())
+                .put(WireNames.MACHINE_TYPE, worker.machineType())
                 .put(WireNames.ZONE, worker.zone())
                 .put(WireNames.SPOT, worker.spot())
                 .put(WireNames.INCARNATION, worker.incarnation())
--- a/src/main/java/stileferry/transport/ApiClient.java
+++ b/src/main/java/stileferry/transport/ApiClient.java
@@ -13,11 +13,11 @@
 /** A client for users and operators: waits for answers, and repeats requests as the protocol asks. */
 public final class ApiClient implements AutoCloseable {
     private static final long RESPONSE_TIMEOUT_MS = 5000;
-    private static final long REPEAT_MS = 1000;
+    private static final long RETRY_INTERVAL_MS = 1000;
 
     private final EventLoop loop;
     private final List<String> addresses;
-    private int next;
+    private int nextAddress;
 
     /** A response; the body is null when it is empty or not MessagePack. */
     public record Response(int status, JsonNode body) {}
@@ -29,8 +29,8 @@
     }
 
     /** Asks one controller once; each call takes the next address. */
-    public Response once(String method, String path, byte[] body) throws InterruptedException {
-        String address = addresses.get(Math.floorMod(next++, addresses.size()));
+    public Response sendOnce(String method, String path, byte[] body) throws InterruptedException {
+        String address = addresses.get(Math.floorMod(nextAddress++, addresses.size()));
         CompletableFuture<Response> response = new CompletableFuture<>();
         loop.thread().execute(() -> loop.http()
                 .request(
@@ -49,15 +49,16 @@
     }
 
     /** Asks until there is a response other than "try again", for so long at most. */
-    public Response ask(String method, String path, byte[] body, long patienceMs) throws InterruptedException {
+    public Response sendWithRetries(String method, String path, byte[] body, long patienceMs)
+            throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
         while (true) {
-            Response response = once(method, path, body);
+            Response response = sendOnce(method, path, body);
             boolean tryAgain = response.status <= 0 || response.status == 429 || response.status >= 500;
-            if (!tryAgain || System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REPEAT_MS) > until) {
+            if (!tryAgain || System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS) > until) {
                 return response;
             }
-            Thread.sleep(REPEAT_MS);
+            Thread.sleep(RETRY_INTERVAL_MS);
         }
     }
 
--- a/src/main/java/stileferry/transport/StandInHost.java
+++ b/src/main/java/stileferry/transport/StandInServer.java
@@ -21,19 +21,19 @@
  * The stand-ins for key-value store, cloud and workers on loopback addresses, for trying the service out and for its
  * tests. Everything runs on one IO thread. The workers read job descriptions from the stand-in key-value store.
  */
-public final class StandInHost implements AutoCloseable {
+public final class StandInServer implements AutoCloseable {
     /** The machine type that the cloud stand-in rents. */
-    public static final String TYPE = "box";
+    public static final String MACHINE_TYPE = "box";
 
     /** How long a gang's task waits for the others, and within what time it notices that one is gone, in seconds. */
-    public static final double GANG_WAIT_S = 10;
+    public static final double GANG_ASSEMBLY_TIMEOUT_S = 10;
 
-    public static final double GANG_PEER_S = 2;
+    public static final double GANG_LOSS_DETECTION_S = 2;
 
     /** What a slow link adds. */
-    static final long SLOW_MS = 1500;
+    static final long SLOW_LINK_DELAY_MS = 1500;
 
-    private static final long TICK_MS = 50;
+    private static final long TICK_INTERVAL_MS = 50;
     private static final String LOOPBACK = "127.0.0.1";
     private static final byte[] NO_BODY = new byte[0];
 
@@ -70,26 +70,26 @@
     private record Request(HttpServerExchange exchange, byte[] body, Destination destination, Worker worker) {}
 
     /** Starts the stand-ins for controllers with these client addresses and names. */
-    public StandInHost(int port, List<String> controllers, List<String> names, Size size) throws IOException {
-        this(port, controllers, names, size, LinkFaults.NONE, Worker.Watcher.NOBODY);
+    public StandInServer(int port, List<String> controllers, List<String> names, Size size) throws IOException {
+        this(port, controllers, names, size, LinkFaults.NONE, Worker.TaskListener.NO_OP);
     }
 
     /** Starts them with links that may be broken, and somebody who watches the workers' tasks. */
-    public StandInHost(
+    public StandInServer(
             int port,
             List<String> controllers,
             List<String> names,
             Size size,
             LinkFaults faults,
-            Worker.Watcher watcher)
+            Worker.TaskListener watcher)
             throws IOException {
         this.port = port;
         this.faults = faults;
         this.loop = new EventLoop(size.machines());
         this.workers = new StandInWorkers(
-                loop, new StandInWorkers.Config(port, size, controllers, names), faults, watcher, this::job);
-        this.cloud =
-                new Cloud(TYPE, 8, 32, 1, List.of("a", "b"), size.machines() / 4, 500, workers::boot, workers::remove);
+                loop, new StandInWorkers.Config(port, size, controllers, names), faults, watcher, this::jobSpec);
+        this.cloud = new Cloud(
+                MACHINE_TYPE, 8, 32, 1, List.of("a", "b"), size.machines() / 4, 500, workers::boot, workers::remove);
         Undertow.Builder builder = Undertow.builder()
                 .setWorker(loop.worker())
                 .setByteBufferPool(loop.buffers())
@@ -104,7 +104,7 @@
     }
 
     /** Where the key-value store and the cloud are. */
-    public String addr() {
+    public String address() {
         return LOOPBACK + ":" + port;
     }
 
@@ -119,7 +119,7 @@
         store.tick(now());
         cloud.tick(now());
         workers.tick();
-        loop.thread().executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
+        loop.thread().executeAfter(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void handle(HttpServerExchange exchange) {
@@ -132,16 +132,16 @@
     private void receive(HttpServerExchange exchange, byte[] body) {
         Destination destination = Destination.of(exchange.getRequestPath());
         Worker worker = workers.at(exchange.getDestinationAddress().getAddress().getHostAddress());
-        carryOut(new Request(exchange, body, destination, worker));
+        applyLinkFault(new Request(exchange, body, destination, worker));
     }
 
     /** Carries a request out as far as the link lets it. */
-    private void carryOut(Request request) {
+    private void applyLinkFault(Request request) {
         HttpServerExchange exchange = request.exchange();
         String source = exchange.getSourceAddress().getAddress().getHostAddress();
         Environment.ResponseHandler reply = (status, answer) ->
                 ApiServer.send(exchange, status, 0, answer == null ? NO_BODY : MessageCodec.encode(answer));
-        switch (faults.of(source, linkEnd(request))) {
+        switch (faults.effectOn(source, linkEndpoint(request))) {
             case NONE -> serve(request, reply);
             case REFUSED -> {
                 if (request.destination() == Destination.WORKER) {
@@ -152,12 +152,13 @@
             }
             case REQUEST_LOST -> {} // its sender gives up and closes the connection
             case ANSWER_LOST -> serve(request, (status, answer) -> {});
-            case SLOW -> loop.thread().executeAfter(() -> serve(request, reply), SLOW_MS, TimeUnit.MILLISECONDS);
+            case SLOW ->
+                loop.thread().executeAfter(() -> serve(request, reply), SLOW_LINK_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** The name of a request's destination among the ends of links. */
-    private static String linkEnd(Request request) {
+    private static String linkEndpoint(Request request) {
         return switch (request.destination()) {
             case CLOUD -> LinkFaults.CLOUD;
             case STORE -> LinkFaults.KEY_VALUE_STORE;
@@ -174,8 +175,8 @@
         String method = exchange.getRequestMethod().toString();
         switch (request.destination()) {
             case WORKER -> serveWorker(request.worker(), path, body, reply);
-            case CLOUD -> cloud.request(method, pathAndQuery, body, reply);
-            case STORE -> store.request(method, pathAndQuery, body, reply);
+            case CLOUD -> cloud.handleRequest(method, pathAndQuery, body, reply);
+            case STORE -> store.handleRequest(method, pathAndQuery, body, reply);
         }
     }
 
@@ -185,12 +186,12 @@
         } else if (path.equals("/inspect")) {
             reply.onResponse(200, worker.heartbeat());
         } else {
-            int status = worker.receiveCommands(body);
+            int status = worker.handleCommands(body);
             reply.onResponse(status, status == 400 ? null : worker.heartbeat());
         }
     }
 
-    private JobSpec job(String id) {
+    private JobSpec jobSpec(String id) {
         JsonNode record = store.value("j/" + id);
         try {
             return record == null ? null : JobSpec.read(record.path("spec"));
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -33,15 +33,16 @@
     private final EventLoop loop;
     private final Config config;
     private final LinkFaults faults;
-    private final Worker.Watcher watcher;
+    private final Worker.TaskListener watcher;
     private final Function<String, JobSpec> jobs;
-    private final GangSimulation gangs = new GangSimulation(StandInHost.GANG_WAIT_S, StandInHost.GANG_PEER_S);
+    private final GangSimulation gangs =
+            new GangSimulation(StandInServer.GANG_ASSEMBLY_TIMEOUT_S, StandInServer.GANG_LOSS_DETECTION_S);
     private final Map<String, Worker> byAddress = new HashMap<>();
     private int booted;
     private volatile boolean closed;
 
     /** Where workers and controllers are: the port of all workers, and the controllers' addresses and names. */
-    record Config(int port, StandInHost.Size size, List<String> controllers, List<String> names) {
+    record Config(int port, StandInServer.Size size, List<String> controllers, List<String> names) {
         /** Copies the lists. */
         Config {
             controllers = List.copyOf(controllers);
@@ -51,7 +52,11 @@
 
     /** {@code jobs} finds a job's description by its id; null: there is none. */
     StandInWorkers(
-            EventLoop loop, Config config, LinkFaults faults, Worker.Watcher watcher, Function<String, JobSpec> jobs) {
+            EventLoop loop,
+            Config config,
+            LinkFaults faults,
+            Worker.TaskListener watcher,
+            Function<String, JobSpec> jobs) {
         this.loop = loop;
         this.config = config;
         this.faults = faults;
@@ -70,7 +75,7 @@
     }
 
     void tick() {
-        List.copyOf(byAddress.values()).forEach(worker -> worker.tick(StandInHost.now()));
+        List.copyOf(byAddress.values()).forEach(worker -> worker.tick(StandInServer.now()));
     }
 
     void close() {
@@ -83,13 +88,13 @@
         Worker worker = new Worker(
                 machine,
                 address,
-                StandInHost.TYPE,
+                StandInServer.MACHINE_TYPE,
                 zone,
                 spot,
                 CPUS,
                 MEMORY_GB,
                 config.size().leaseMs(),
-                StandInHost.now(),
+                StandInServer.now(),
                 jobs,
                 watcher,
                 gangs);
@@ -108,7 +113,8 @@
         if (closed || byAddress.get(worker.address()) != worker) {
             return;
         }
-        LinkFaults.Effect effect = faults.of(worker.machine(), config.names().get(controller));
+        LinkFaults.Effect effect =
+                faults.effectOn(worker.machine(), config.names().get(controller));
         switch (effect) {
             case NONE -> request(worker, controller, false);
             case REFUSED -> sendLater(NEXT_CONTROLLER_MS, worker, next(controller));
@@ -117,12 +123,14 @@
             case SLOW ->
                 loop.thread()
                         .executeAfter(
-                                () -> request(worker, controller, false), StandInHost.SLOW_MS, TimeUnit.MILLISECONDS);
+                                () -> request(worker, controller, false),
+                                StandInServer.SLOW_LINK_DELAY_MS,
+                                TimeUnit.MILLISECONDS);
         }
     }
 
     private void request(Worker worker, int controller, boolean answerLost) {
-        long sentAt = StandInHost.now();
+        long sentAt = StandInServer.now();
         long incarnation = worker.incarnation();
         loop.http()
                 .request(
@@ -137,7 +145,7 @@
                             if (answerLost) {
                                 sendLater(PATIENCE_MS + NEXT_CONTROLLER_MS, worker, next(controller));
                             } else if (status == 200) {
-                                worker.heartbeatAnswered(body, incarnation, sentAt);
+                                worker.handleHeartbeatResponse(body, incarnation, sentAt);
                                 sendLater(config.size().heartbeatIntervalMs(), worker, controller);
                             } else if (status == 421 && redirect >= 0 && redirect != controller) {
                                 sendLater(REDIRECT_MS, worker, redirect);
