--- a/src/main/java/stileferry/cli/AdminReset.java
+++ b/src/main/java/stileferry/cli/AdminReset.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    void describe(ObjectNode body) {
+    void writeChange(ObjectNode body) {
         if (names != null) {
             names.forEach(body.putArray("names")::add);
         }
--- a/src/main/java/stileferry/cli/AdminSet.java
+++ b/src/main/java/stileferry/cli/AdminSet.java
@@ -24,13 +24,13 @@
     }
 
     @Override
-    void describe(ObjectNode body) {
+    void writeChange(ObjectNode body) {
         ObjectNode values = body.putObject("change");
-        change.forEach((name, value) -> values.set(name, value(value)));
+        change.forEach((name, value) -> values.set(name, parseValue(value)));
     }
 
     /** Numbers and true or false are taken as such, everything else as text. */
-    private static JsonNode value(String text) {
+    private static JsonNode parseValue(String text) {
         try {
             JsonNode node = new ObjectMapper().readTree(text);
             return node.isNumber() || node.isBoolean() ? node : TextNode.valueOf(text);
--- a/src/main/java/stileferry/cli/ClassArchiveTraining.java
+++ b/src/main/java/stileferry/cli/ClassArchiveTraining.java
@@ -20,7 +20,7 @@
  * that needs can be archived. What is not archived is read, checked and linked at every start instead.
  */
 final class ClassArchiveTraining {
-    private static final int PORTS = 7;
+    private static final int PORT_COUNT = 7;
 
     /** Optional parts are rehearsed too; where they are off, what is archived of them is not loaded. */
     private static final String ALL_FEATURES =
@@ -30,13 +30,13 @@
     private static final long POLL_INTERVAL_MS = 100;
 
     /** Until the second controller has started. */
-    private static final long START_MS = 500;
+    private static final long SECOND_CONTROLLER_START_MS = 500;
 
     /** For what is accepted or cancelled. */
-    private static final long CHANGE_PATIENCE_MS = 10_000;
+    private static final long CHANGE_TIMEOUT_MS = 10_000;
 
     /** For what is refused or read. */
-    private static final long PATIENCE_MS = 1000;
+    private static final long QUERY_TIMEOUT_MS = 1000;
 
     private static final byte[] NO_BODY = new byte[0];
 
@@ -46,7 +46,7 @@
     public static void main(String[] args) throws Exception {
         LogLevel.start(System.getenv("LOG_LEVEL"));
         try {
-            play(Ports.free(PORTS));
+            runTraining(Ports.findFreeRange(PORT_COUNT));
         } catch (IOException | RuntimeException e) { // broad catch: the build goes on without
             System.err.println("stileferry: the class archive will be smaller, the start slower: " + e);
         }
@@ -54,7 +54,7 @@
     }
 
     @SuppressWarnings("try") // the stand-ins run beside the body, and one controller is closed in its middle
-    private static void play(int port) throws Exception {
+    private static void runTraining(int port) throws Exception {
         Path dir = Files.createTempDirectory("rehearsal");
         Path features = dir.resolve("features.json");
         Files.writeString(features, ALL_FEATURES);
@@ -67,7 +67,7 @@
             first.start();
             runJobs(user, 1);
             startSecond(dir.resolve("node-1.json"), features);
-            Thread.sleep(START_MS);
+            Thread.sleep(SECOND_CONTROLLER_START_MS);
             runJobs(user, 5);
             first.close();
             runJobs(user, 9);
@@ -89,13 +89,13 @@
         submit(user, number + 2, JobSpec.Kind.SERVICE, JobSpec.Priority.CRITICAL);
         await(user, number, "done");
         await(user, number + 2, "running");
-        user.ask("POST", ApiPaths.jobPath("job-" + (number + 2)) + ApiPaths.CANCEL_SUFFIX, NO_BODY, CHANGE_PATIENCE_MS);
+        user.ask("POST", ApiPaths.jobPath("job-" + (number + 2)) + ApiPaths.CANCEL_SUFFIX, NO_BODY, CHANGE_TIMEOUT_MS);
         await(user, number + 2, "cancelled");
-        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), PATIENCE_MS);
-        user.ask("GET", ApiPaths.jobPath("job-99"), NO_BODY, PATIENCE_MS);
-        user.ask("GET", ApiPaths.READY, NO_BODY, PATIENCE_MS);
-        user.ask("GET", "/elsewhere", NO_BODY, PATIENCE_MS);
-        user.ask("GET", ApiPaths.ADMINISTRATION_PREFIX + "counters", NO_BODY, PATIENCE_MS);
+        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(UserMessages.error("not a job")), QUERY_TIMEOUT_MS);
+        user.ask("GET", ApiPaths.jobPath("job-99"), NO_BODY, QUERY_TIMEOUT_MS);
+        user.ask("GET", ApiPaths.READY, NO_BODY, QUERY_TIMEOUT_MS);
+        user.ask("GET", "/elsewhere", NO_BODY, QUERY_TIMEOUT_MS);
+        user.ask("GET", ApiPaths.ADMINISTRATION_PREFIX + "counters", NO_BODY, QUERY_TIMEOUT_MS);
     }
 
     private static void submit(ApiClient user, int number, JobSpec.Kind kind, JobSpec.Priority priority)
@@ -121,7 +121,7 @@
                 0,
                 0,
                 -1);
-        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(job.write()), CHANGE_PATIENCE_MS);
+        user.ask("POST", ApiPaths.JOBS, MessageCodec.encode(job.write()), CHANGE_TIMEOUT_MS);
     }
 
     private static void await(ApiClient user, int number, String state) throws InterruptedException {
--- a/src/main/java/stileferry/cli/SettingsChangeCommand.java
+++ b/src/main/java/stileferry/cli/SettingsChangeCommand.java
@@ -24,12 +24,12 @@
     }
 
     /** Writes what is to be changed. */
-    abstract void describe(ObjectNode body);
+    abstract void writeChange(ObjectNode body);
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         ObjectNode body = MessageCodec.map().put("revision", revision);
-        describe(body);
+        writeChange(body);
         return connection.request(
                 "POST", ApiPaths.ADMINISTRATION_PREFIX + path, MessageCodec.encode(body), OperatorSettingsText::of);
     }
--- a/src/main/java/stileferry/cli/StandInSettings.java
+++ b/src/main/java/stileferry/cli/StandInSettings.java
@@ -12,7 +12,7 @@
     static final int CONTROLLERS = 3;
 
     private static final int MIN_SOCKETS = 1000;
-    private static final int SOCKETS_EACH_MACHINE = 3;
+    private static final int SOCKETS_PER_MACHINE = 3;
     private static final double MS_PER_S = 1000.0;
 
     private static final String PEER = """
@@ -53,7 +53,7 @@
                 2 * size.leaseMs() / MS_PER_S,
                 StandInHost.GANG_WAIT_S,
                 StandInHost.GANG_PEER_S,
-                Math.max(MIN_SOCKETS, SOCKETS_EACH_MACHINE * size.machines()));
+                Math.max(MIN_SOCKETS, SOCKETS_PER_MACHINE * size.machines()));
     }
 
     static String name(int controller) {
--- a/src/main/java/stileferry/cli/StandIns.java
+++ b/src/main/java/stileferry/cli/StandIns.java
@@ -21,7 +21,7 @@
         footer = {"", "Example: stileferry stand-ins --dir trial"})
 final class StandIns implements Callable<Integer> {
     private static final double MS_PER_S = 1000;
-    private static final long LEASE_INTERVALS = 10;
+    private static final long HEARTBEAT_INTERVALS_PER_LEASE = 10;
 
     @Option(names = "--dir", required = true, paramLabel = "DIR", description = "Where node-0.json and so on go.")
     private Path dir;
@@ -66,7 +66,7 @@
     /** So many machines with so long between heartbeats, and a lease of ten times that. */
     static StandInHost.Size size(int machines, double heartbeatIntervalS) {
         long heartbeatIntervalMs = Math.round(heartbeatIntervalS * MS_PER_S);
-        return new StandInHost.Size(machines, heartbeatIntervalMs, LEASE_INTERVALS * heartbeatIntervalMs);
+        return new StandInHost.Size(machines, heartbeatIntervalMs, HEARTBEAT_INTERVALS_PER_LEASE * heartbeatIntervalMs);
     }
 
     /** The same for a fleet of another size. */
--- a/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
+++ b/src/main/java/stileferry/heartbeat/LastHeartbeatJournal.java
@@ -130,7 +130,7 @@
             if (machine == null || record.term() != term - 1) {
                 continue;
             }
-            long agoMs = environment.wallClockMs() - record.answeredAt() - (long) Math.ceil(2 * clockErrorMs);
+            long agoMs = environment.timeOfDay() - record.answeredAt() - (long) Math.ceil(2 * clockErrorMs);
             long answeredAt = Math.max(environment.now() - agoMs, leadership.consentedToLeaderlessRenewalAt());
             machine.agent().recordAnsweredByPreviousLeader(record.incarnation(), answeredAt);
             restored++;
@@ -148,7 +148,7 @@
                 && agoMs > RECORD_AFTER_HEARTBEATS * heartbeatIntervalMs
                 && leadership.leaseHeld()) {
             LastHeartbeatRecord record =
-                    new LastHeartbeatRecord(machine.name(), incarnation, environment.wallClockMs() - agoMs, term);
+                    new LastHeartbeatRecord(machine.name(), incarnation, environment.timeOfDay() - agoMs, term);
             machine.agent().keepLastHeartbeatRecord(record);
             commitQueue.appendEvent(new LastHeartbeatEvent(record), null);
         }
--- a/src/main/java/stileferry/lifecycle/ExitRecorder.java
+++ b/src/main/java/stileferry/lifecycle/ExitRecorder.java
@@ -42,7 +42,7 @@
                     status.exitReason(),
                     assignment.assignedAt()
                             - now
-                            + environment.wallClockMs()
+                            + environment.timeOfDay()
                             - assignment.job().acceptedAt(),
                     assignment.runningSince() - assignment.assignedAt(),
                     now - assignment.runningSince());
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -58,7 +58,7 @@
                 Math.round(workers.heartbeatIntervalS() * 1000),
                 Math.round(workers.leaseS() * 1000),
                 leaderLeaseMs);
-        this.connectivity = new Connectivity(config, Math.max(1, environment.wallClockMs()), environment.now());
+        this.connectivity = new Connectivity(config, Math.max(1, environment.timeOfDay()), environment.now());
         this.tickMs = config.exchangeIntervalMs(true);
         long probeTimeoutMs = Math.max(MIN_PROBE_TIMEOUT_MS, tickMs);
         long exchangeTimeoutMs = config.exchangeIntervalMs(false); // longer, as a peer that is merely slow is not lost
--- a/src/main/java/stileferry/links/LinkObservingEnvironment.java
+++ b/src/main/java/stileferry/links/LinkObservingEnvironment.java
@@ -32,8 +32,8 @@
     }
 
     @Override
-    public long wallClockMs() {
-        return delegate.wallClockMs();
+    public long timeOfDay() {
+        return delegate.timeOfDay();
     }
 
     @Override
--- a/src/main/java/stileferry/protocol/Environment.java
+++ b/src/main/java/stileferry/protocol/Environment.java
@@ -19,7 +19,7 @@
     long now();
 
     /** The time of day in milliseconds since the epoch. */
-    long wallClockMs();
+    long timeOfDay();
 
     /** Random numbers, for jitter only. */
     RandomGenerator random();
--- a/src/main/java/stileferry/requests/AdministrationViews.java
+++ b/src/main/java/stileferry/requests/AdministrationViews.java
@@ -87,7 +87,7 @@
         Page page = new Page("queue");
         int skip = from.matches("[0-9]{1,9}") ? Integer.parseInt(from) : 0;
         int position = 0;
-        for (Job job : placement.queue(now, environment.wallClockMs())) {
+        for (Job job : placement.queue(now, environment.timeOfDay())) {
             position++;
             if (position <= skip) {
                 continue;
--- a/src/main/java/stileferry/requests/JobRequestHandler.java
+++ b/src/main/java/stileferry/requests/JobRequestHandler.java
@@ -180,7 +180,7 @@
             reply.accept(refusal);
             return;
         }
-        Job job = new Job(spec, leader.nextSequenceNumber(), environment.wallClockMs(), 0);
+        Job job = new Job(spec, leader.nextSequenceNumber(), environment.timeOfDay(), 0);
         PeerMessage.Response recordRefusal = submissionCheck.recordRefusal(job);
         if (recordRefusal != null) {
             reply.accept(recordRefusal);
--- a/src/main/java/stileferry/scheduling/SchedulingPass.java
+++ b/src/main/java/stileferry/scheduling/SchedulingPass.java
@@ -57,7 +57,7 @@
         long now = environment.now();
         boolean mayRearrange = settled && links.permitsPreemption();
         boolean preempts = mayRearrange && cluster.operatorSettings().flag(OperatorSettings.PREEMPTION);
-        List<Job> waiting = placement.pass(now, environment.wallClockMs(), preempts, this::start);
+        List<Job> waiting = placement.pass(now, environment.timeOfDay(), preempts, this::start);
         cluster.reservations().clear();
         if (preempts) {
             preempt(waiting, now);
@@ -72,14 +72,14 @@
     }
 
     private void start(Job job, List<Machine> machines) {
-        boolean overdue = placement.overdue(job, environment.wallClockMs());
+        boolean overdue = placement.overdue(job, environment.timeOfDay());
         cluster.reservations().remove(job);
         tasks.start(job, machines, overdue);
     }
 
     private void preempt(List<Job> waiting, long now) {
         long bootMs = Math.round(1000 * cluster.machineTypes().get(0).bootS());
-        for (Preemption.Stop stop : preemption.decide(waiting, now, bootMs, environment.wallClockMs())) {
+        for (Preemption.Stop stop : preemption.decide(waiting, now, bootMs, environment.timeOfDay())) {
             LOG.debug(
                     "task preempted: task={} for_job={}",
                     stop.victim().taskId(),
--- a/src/main/java/stileferry/transport/NetworkEnvironment.java
+++ b/src/main/java/stileferry/transport/NetworkEnvironment.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public long wallClockMs() {
+    public long timeOfDay() {
         return System.currentTimeMillis();
     }
 
