--- a/src/main/java/stileferry/autoscaling/ScaleInPass.java
+++ b/src/main/java/stileferry/autoscaling/ScaleInPass.java
@@ -74,7 +74,7 @@
         this.listLagMs = Math.round(cluster.settings().cloud().listLagS() * 1000);
         this.leaseMs = Math.round(cluster.settings().workers().leaseS() * 1000);
         this.maxCancelMs =
-                Math.round(1000 * CANCEL_SHARE * cluster.settings().workers().cancelS());
+                Math.round(1000 * CANCEL_SHARE * cluster.settings().workers().cancelDeadlineS());
         this.spareCpus = allWorkersHeard ? spareCpus() : 0;
         this.mayDeleteIdle = allWorkersHeard && links.permitsScaleIn();
         this.presumedLost = allWorkersHeard ? new HashSet<>(failureDetector.presumedLost(leadingSince)) : Set.of();
--- a/src/main/java/stileferry/autoscaling/ScaleOut.java
+++ b/src/main/java/stileferry/autoscaling/ScaleOut.java
@@ -101,7 +101,7 @@
         if (status == OK && body != null) {
             removePending(request);
             machinesCreated(request, CloudMessages.createdMachines(body));
-        } else if (status == UNAVAILABLE && body != null && CloudMessages.saysNoCapacity(body)) {
+        } else if (status == UNAVAILABLE && body != null && CloudMessages.reportsNoCapacity(body)) {
             removePending(request);
             backOff.recordRefusal(request.pool());
         } else if (status == BAD_REQUEST) {
--- a/src/main/java/stileferry/cli/AdminGet.java
+++ b/src/main/java/stileferry/cli/AdminGet.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import stileferry.protocol.ApiPaths;
 
-/** Shows the operators' settings. */
+/** Shows the operator settings. */
 @Command(
         name = "get",
         description = "Shows the settings, with defaults, limits and revision.",
@@ -19,6 +19,9 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         return connection.request(
-                "GET", ApiPaths.ADMINISTRATION + "settings", ControllerConnection.NO_BODY, OperatorSettingsText::of);
+                "GET",
+                ApiPaths.ADMINISTRATION_PREFIX + "settings",
+                ControllerConnection.NO_BODY,
+                OperatorSettingsText::of);
     }
 }
--- a/src/main/java/stileferry/cli/AdminReset.java
+++ b/src/main/java/stileferry/cli/AdminReset.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Puts operators' settings back to their defaults. */
+/** Resets operator settings to their defaults. */
 @Command(
         name = "reset",
         description = "Puts settings back to their defaults; all if none is named.",
@@ -20,7 +20,7 @@
     }
 
     @Override
-    void describe(ObjectNode body) {
+    void writeChange(ObjectNode body) {
         if (names != null) {
             names.forEach(body.putArray("names")::add);
         }
--- a/src/main/java/stileferry/cli/AdminSet.java
+++ b/src/main/java/stileferry/cli/AdminSet.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Changes the operators' settings. */
+/** Changes operator settings. */
 @Command(
         name = "set",
         description = "Changes settings, all of them or none.",
@@ -24,13 +24,13 @@
     }
 
     @Override
-    void describe(ObjectNode body) {
+    void writeChange(ObjectNode body) {
         ObjectNode values = body.putObject("change");
-        change.forEach((name, value) -> values.set(name, value(value)));
+        change.forEach((name, value) -> values.set(name, parseValue(value)));
     }
 
-    /** Numbers and true or false are taken as such, everything else as text. */
-    private static JsonNode value(String text) {
+    /** Parses a value from the command line: numbers and booleans as such, everything else as text. */
+    private static JsonNode parseValue(String text) {
         try {
             JsonNode node = new ObjectMapper().readTree(text);
             return node.isNumber() || node.isBoolean() ? node : TextNode.valueOf(text);
--- a/src/main/java/stileferry/cli/Cancel.java
+++ b/src/main/java/stileferry/cli/Cancel.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 import stileferry.protocol.ApiPaths;
 
-/** Cancels a job; the command's older name is that of the published protocol. */
+/** Cancels a job. The alias is the command's older name, which the published protocol uses. */
 @Command(
         name = "cancel",
         aliases = "withdraw",
@@ -12,6 +12,6 @@
         footer = {"", "Example: stileferry cancel --node 127.0.0.1:7701 job-1"})
 final class Cancel extends JobCommand {
     Cancel() {
-        super("POST", ApiPaths.CANCEL);
+        super("POST", ApiPaths.CANCEL_SUFFIX);
     }
 }
--- a/src/main/java/stileferry/cli/CheckConfig.java
+++ b/src/main/java/stileferry/cli/CheckConfig.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Checks a settings file without starting anything. */
+/** Validates a settings file, and optionally a features file, without starting a controller. */
 @Command(
         name = "check-config",
         description = "Checks a settings file and prints every problem found.",
@@ -28,8 +28,8 @@
             return ExitCode.USAGE;
         }
         System.out.println("settings are usable");
-        List<String> on = files.features().on();
-        System.out.println("features on: " + (on.isEmpty() ? "none" : String.join(", ", on)));
+        List<String> enabled = files.features().enabledNames();
+        System.out.println("features on: " + (enabled.isEmpty() ? "none" : String.join(", ", enabled)));
         return ExitCode.OK;
     }
 }
--- a/src/main/java/stileferry/cli/JobText.java
+++ b/src/main/java/stileferry/cli/JobText.java
@@ -3,12 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import stileferry.protocol.UserMessages.JobState;
 
-/** A job's state in words. */
+/** Renders a job's state as one line of text. */
 final class JobText {
     private JobText() {}
 
     static String of(JsonNode body) {
         JobState job = JobState.read(body);
-        return job.id() + " " + job.state() + ", " + job.done() + " tasks done, " + job.running() + " running";
+        return job.id() + " " + job.state() + ", " + job.completedTasks() + " tasks done, " + job.runningTasks()
+                + " running";
     }
 }
--- a/src/main/java/stileferry/cli/Ports.java
+++ b/src/main/java/stileferry/cli/Ports.java
@@ -5,19 +5,27 @@
 import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Finds ports for what runs on loopback and is over soon. */
+/** Finds free ports for short-lived processes and tests on loopback. */
 final class Ports {
-    private static final int FIRST = 20_000;
-    private static final int LAST = 30_000;
-    private static final int STEP = 10;
+    private static final int FIRST_PORT = 20_000;
+    private static final int END_PORT = 30_000;
+    private static final int RANGE_SIZE = 10;
 
     private Ports() {}
 
-    /** The first of so many ports in a row (ten at most) that are free just now; others may look at the same time. */
-    static int free(int count) throws IOException {
-        int from = ThreadLocalRandom.current().nextInt(FIRST, LAST);
-        for (int i = 0; i < LAST - FIRST; i += STEP) {
-            int base = FIRST + Math.floorMod(from + i - FIRST, (LAST - FIRST) / STEP * STEP) / STEP * STEP;
+    /**
+     * Returns the first port of a range that is free at the moment. The ports are not reserved, so that concurrent
+     * callers may find the same range.
+     *
+     * @param count the length of the range, ten at most
+     */
+    static int findFreeRange(int count) throws IOException {
+        int startPort = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_PORT);
+        for (int i = 0; i < END_PORT - FIRST_PORT; i += RANGE_SIZE) {
+            int base = FIRST_PORT
+                    + Math.floorMod(startPort + i - FIRST_PORT, (END_PORT - FIRST_PORT) / RANGE_SIZE * RANGE_SIZE)
+                            / RANGE_SIZE
+                            * RANGE_SIZE;
             if (allFree(base, count)) {
                 return base;
             }
--- a/src/main/java/stileferry/cli/SettingsChangeCommand.java
+++ b/src/main/java/stileferry/cli/SettingsChangeCommand.java
@@ -8,7 +8,7 @@
 import stileferry.protocol.ApiPaths;
 import stileferry.protocol.MessageCodec;
 
-/** A change of the operators' settings, made only if nobody else has changed them meanwhile. */
+/** A command that changes operator settings, and does so only if nobody has changed them since the given revision. */
 abstract class SettingsChangeCommand implements Callable<Integer> {
     @Mixin
     private ControllerConnection connection;
@@ -18,19 +18,19 @@
 
     private final String path;
 
-    /** {@code path}: below that of the administration API. */
+    /** Creates the command; {@code path} is relative to the administration API. */
     SettingsChangeCommand(String path) {
         this.path = path;
     }
 
-    /** Writes what is to be changed. */
-    abstract void describe(ObjectNode body);
+    /** Writes the requested change into the body of the request. */
+    abstract void writeChange(ObjectNode body);
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         ObjectNode body = MessageCodec.map().put("revision", revision);
-        describe(body);
+        writeChange(body);
         return connection.request(
-                "POST", ApiPaths.ADMINISTRATION + path, MessageCodec.encode(body), OperatorSettingsText::of);
+                "POST", ApiPaths.ADMINISTRATION_PREFIX + path, MessageCodec.encode(body), OperatorSettingsText::of);
     }
 }
--- a/src/main/java/stileferry/cli/StandInSettings.java
+++ b/src/main/java/stileferry/cli/StandInSettings.java
@@ -5,14 +5,14 @@
 import stileferry.transport.StandInServer;
 
 /**
- * Settings of controllers that work with stand-ins on loopback. Of a row of ports the first is the stand-ins', the next
- * ones are the controllers' for users, and those behind for each other.
+ * The settings of controllers that run against stand-ins on loopback. Of a range of ports, the first is used by the
+ * stand-ins, the next ones are the controllers' ports for users, and the last ones their ports for each other.
  */
 final class StandInSettings {
     static final int CONTROLLERS = 3;
 
     private static final int MIN_SOCKETS = 1000;
-    private static final int SOCKETS_EACH_MACHINE = 3;
+    private static final int SOCKETS_PER_MACHINE = 3;
     private static final double MS_PER_S = 1000.0;
 
     private static final String PEER = """
@@ -39,10 +39,15 @@
 
     private StandInSettings() {}
 
-    /** The settings of one controller, by its number, as JSON. */
+    /**
+     * Returns the settings of one controller as JSON.
+     *
+     * @param controller the controller's number, from 0
+     * @param port the first port of the range
+     */
     static String of(int controller, int port, StandInServer.Size size) {
         return SETTINGS.formatted(
-                name(controller),
+                controllerName(controller),
                 clientPort(port, controller),
                 peerPort(port, controller),
                 peers(port, controller),
@@ -53,10 +58,10 @@
                 2 * size.leaseMs() / MS_PER_S,
                 StandInServer.GANG_ASSEMBLY_TIMEOUT_S,
                 StandInServer.GANG_LOSS_DETECTION_S,
-                Math.max(MIN_SOCKETS, SOCKETS_EACH_MACHINE * size.machines()));
+                Math.max(MIN_SOCKETS, SOCKETS_PER_MACHINE * size.machines()));
     }
 
-    static String name(int controller) {
+    static String controllerName(int controller) {
         return "node-" + controller;
     }
 
@@ -72,7 +77,7 @@
         List<String> peers = new ArrayList<>();
         for (int other = 0; other < CONTROLLERS; other++) {
             if (other != controller) {
-                peers.add(PEER.formatted(name(other), peerPort(port, other)));
+                peers.add(PEER.formatted(controllerName(other), peerPort(port, other)));
             }
         }
         return String.join(", ", peers);
--- a/src/main/java/stileferry/cli/StandIns.java
+++ b/src/main/java/stileferry/cli/StandIns.java
@@ -13,7 +13,7 @@
 import stileferry.standin.Worker;
 import stileferry.transport.StandInServer;
 
-/** Runs the stand-ins for key-value store, cloud and workers, for trying the service out on one computer. */
+/** Runs stand-ins for the key-value store, the cloud and the workers, to try the service out on one computer. */
 @Command(
         name = "stand-ins",
         description = "Writes settings for three controllers and runs stand-ins for all they talk to, on loopback.",
@@ -21,7 +21,7 @@
         footer = {"", "Example: stileferry stand-ins --dir trial"})
 final class StandIns implements Callable<Integer> {
     private static final double MS_PER_S = 1000;
-    private static final long LEASE_INTERVALS = 10;
+    private static final long HEARTBEAT_INTERVALS_PER_LEASE = 10;
 
     @Option(names = "--dir", required = true, paramLabel = "DIR", description = "Where node-0.json and so on go.")
     private Path dir;
@@ -54,34 +54,35 @@
         start(port, dir, size(machines, heartbeatIntervalS));
         System.out.println("stand-ins run; start controllers with: serve --config " + dir.resolve("node-0.json")
                 + " (and node-1.json, node-2.json)");
-        new CountDownLatch(1).await(); // until the process is killed
+        new CountDownLatch(1).await(); // blocks until the process is killed
         return ExitCode.OK;
     }
 
-    /** Starts stand-ins and writes the settings files of the controllers that fit them. */
+    /** Starts a small set of stand-ins and writes settings files of controllers that use them. */
     static StandInServer start(int port, Path dir) throws IOException {
         return start(port, dir, StandInServer.Size.SMALL);
     }
 
-    /** So many machines with so long between heartbeats, and a lease of ten times that. */
+    /** Returns a size with this number of machines and this heartbeat interval; a lease is ten times the interval. */
     static StandInServer.Size size(int machines, double heartbeatIntervalS) {
         long heartbeatIntervalMs = Math.round(heartbeatIntervalS * MS_PER_S);
-        return new StandInServer.Size(machines, heartbeatIntervalMs, LEASE_INTERVALS * heartbeatIntervalMs);
+        return new StandInServer.Size(
+                machines, heartbeatIntervalMs, HEARTBEAT_INTERVALS_PER_LEASE * heartbeatIntervalMs);
     }
 
-    /** The same for a fleet of another size. */
+    /** Starts stand-ins of this size and writes settings files of controllers that use them. */
     static StandInServer start(int port, Path dir, StandInServer.Size size) throws IOException {
         return start(port, dir, size, LinkFaults.NONE, Worker.TaskListener.NO_OP);
     }
 
-    /** The same with links that may be broken, and somebody who watches the workers' tasks. */
+    /** Starts stand-ins with fault injection on links and a watcher that is notified of task starts and ends. */
     static StandInServer start(
             int port, Path dir, StandInServer.Size size, LinkFaults faults, Worker.TaskListener watcher)
             throws IOException {
         List<String> addresses = new ArrayList<>();
         List<String> names = new ArrayList<>();
         for (int i = 0; i < StandInSettings.CONTROLLERS; i++) {
-            String name = StandInSettings.name(i);
+            String name = StandInSettings.controllerName(i);
             addresses.add("127.0.0.1:" + StandInSettings.clientPort(port, i));
             names.add(name);
             Files.writeString(dir.resolve(name + ".json"), StandInSettings.of(i, port, size));
--- a/src/main/java/stileferry/cluster/ClusterState.java
+++ b/src/main/java/stileferry/cluster/ClusterState.java
@@ -185,20 +185,20 @@
     public boolean withinTeamLimit(Job job) {
         Settings.Team team = settings.team(job.spec().team());
         return team == null
-                || (team.cpusMax() == 0
+                || (team.maxCpus() == 0
                                 || cpusInUse(team.name()) + job.spec().cpus()
-                                        <= team.cpusMax() + Resources.ROUNDING_TOLERANCE)
-                        && (team.gpusMax() == 0
+                                        <= team.maxCpus() + Resources.ROUNDING_TOLERANCE)
+                        && (team.maxGpus() == 0
                                 || gpusInUse(team.name()) + job.spec().gpus()
-                                        <= team.gpusMax() + Resources.ROUNDING_TOLERANCE);
+                                        <= team.maxGpus() + Resources.ROUNDING_TOLERANCE);
     }
 
     /** Returns whether a team uses more than its quota, even after releasing these CPUs and GPUs. */
     public boolean exceedsQuota(String teamName, double releasedCpus, double releasedGpus) {
         Settings.Team team = settings.team(teamName);
         return team != null
-                && (cpusInUse(teamName) - releasedCpus > team.cpus() + Resources.ROUNDING_TOLERANCE
-                        || gpusInUse(teamName) - releasedGpus > team.gpus() + Resources.ROUNDING_TOLERANCE);
+                && (cpusInUse(teamName) - releasedCpus > team.guaranteedCpus() + Resources.ROUNDING_TOLERANCE
+                        || gpusInUse(teamName) - releasedGpus > team.guaranteedGpus() + Resources.ROUNDING_TOLERANCE);
     }
 
     public Settings settings() {
--- a/src/main/java/stileferry/cluster/Job.java
+++ b/src/main/java/stileferry/cluster/Job.java
@@ -247,7 +247,7 @@
 
     /** Returns the index of the next pending task that may start now, or -1 if there is none. */
     public int nextPendingTask(long now) {
-        if (!schedulable() || spec.gang() && !gangSchedulable(now)) {
+        if (!schedulable() || spec.isGang() && !gangSchedulable(now)) {
             return -1;
         }
         for (int index = nextUnassignedTask(0); index < spec.taskCount(); index = nextUnassignedTask(index + 1)) {
--- a/src/main/java/stileferry/cluster/TaskAssignment.java
+++ b/src/main/java/stileferry/cluster/TaskAssignment.java
@@ -81,7 +81,7 @@
      * For a gang this is multiplied by its assignments, because all of its tasks are stopped.
      */
     public long preemptionCostMs(long now) {
-        return (1 + lostWorkMs(now)) * (job.spec().gang() ? job.assignments().size() : 1);
+        return (1 + lostWorkMs(now)) * (job.spec().isGang() ? job.assignments().size() : 1);
     }
 
     /**
--- a/src/main/java/stileferry/coordination/Leader.java
+++ b/src/main/java/stileferry/coordination/Leader.java
@@ -189,7 +189,7 @@
         // An older version stored the completion of a single task of a gang, and might have started the other tasks
         // again.
         cluster.jobs().values().stream()
-                .filter(job -> job.spec().gang() && job.completedCount() > 0)
+                .filter(job -> job.spec().isGang() && job.completedCount() > 0)
                 .forEach(job -> taskLifecycle.completeGang(job, null));
         cluster.jobs().values().forEach(taskLifecycle::stopIncompleteGangAttempt);
     }
--- a/src/main/java/stileferry/leadership/CancellationQuorum.java
+++ b/src/main/java/stileferry/leadership/CancellationQuorum.java
@@ -57,7 +57,7 @@
         this.peers = new PeerCancellationState[settings.peers().size()];
         Arrays.setAll(peers, index -> new PeerCancellationState());
         double maxTaskRemainingS =
-                settings.workers().cancelS() + settings.workers().leaseS();
+                settings.workers().cancelDeadlineS() + settings.workers().leaseS();
         this.retentionMs = Math.round(1000 * RETENTION_FACTOR * maxTaskRemainingS);
     }
 
@@ -227,11 +227,11 @@
     /** Returns the reply to an announcement. */
     CancellationKnowledge knowledgeInReplyTo(TermAnnouncement received) {
         CancellationKnowledge theirs = received.knowledge();
-        boolean fromCompleteLeader = received.leading() && theirs != null && theirs.complete();
+        boolean fromCompleteLeader = received.senderLeads() && theirs != null && theirs.complete();
         List<String> jobIds = fromCompleteLeader ? List.of() : recentlyCancelled();
         return new CancellationKnowledge(
                 processId,
-                theirs == null ? 0 : theirs.process(),
+                theirs == null ? 0 : theirs.processId(),
                 informed && jobIds.size() <= PeerMessage.MAX_CANCELLED_JOBS,
                 false,
                 jobIds.subList(0, Math.min(jobIds.size(), PeerMessage.MAX_CANCELLED_JOBS)));
@@ -256,15 +256,18 @@
         }
         // An announcement addressed to an earlier process of this controller may lack cancellations that were confirmed
         // after the sender composed it.
-        informed |= current && received.leading() && knowledge.complete() && knowledge.addressee() == processId;
+        informed |= current
+                && received.senderLeads()
+                && knowledge.complete()
+                && knowledge.recipientProcessId() == processId;
     }
 
     private void merge(TermAnnouncement received) {
         if (received.knowledge() == null) {
             // A leader of an older version confirms cancellations that no other process knows.
-            informed &= !received.leading();
+            informed &= !received.senderLeads();
         } else {
-            received.knowledge().cancelled().forEach(this::addCancelled);
+            received.knowledge().cancelledJobs().forEach(this::addCancelled);
         }
     }
 
@@ -284,7 +287,7 @@
             peer.knewNoHigherTermAt = Math.max(peer.knewNoHigherTermAt, sentAt);
         }
         if (peer.version == PeerCancellationState.Version.WITH_CANCELLATIONS) {
-            acknowledge(from, sent.knowledge().cancelled());
+            acknowledge(from, sent.knowledge().cancelledJobs());
         }
         confirmAllKnownToQuorum();
     }
--- a/src/main/java/stileferry/leadership/LeaderLease.java
+++ b/src/main/java/stileferry/leadership/LeaderLease.java
@@ -72,7 +72,7 @@
         double preferredMs = settings.workers().heartbeatIntervalS() * DURATION_IN_HEARTBEAT_INTERVALS * 1000;
         double unscaledMs = Math.max(MIN_DURATION_MS, Math.min(MAX_UNSCALED_DURATION_MS, preferredMs));
         double maxMs = Math.max(unscaledMs, settings.workers().leaseS() * 1000 * MAX_DURATION_IN_WORKER_LEASES);
-        return Math.round(Math.min(maxMs, unscaledMs * settings.slowness()));
+        return Math.round(Math.min(maxMs, unscaledMs * settings.slowdownFactor()));
     }
 
     /**
@@ -81,7 +81,7 @@
      * of the given time.
      */
     private static long workerRenewalGraceMs(Settings settings) {
-        double cancelMs = 1000 * settings.workers().cancelS();
+        double cancelMs = 1000 * settings.workers().cancelDeadlineS();
         double leaseMs = 1000 * settings.workers().leaseS();
         return Math.round(cancelMs - leaseMs - MAX_CLOCK_DRIFT_RATIO * (cancelMs + leaseMs)) - WORKER_LEASE_SLACK_MS;
     }
--- a/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
+++ b/src/main/java/stileferry/leadership/LeaderlessLeaseRenewal.java
@@ -73,7 +73,7 @@
         private void recordReply(TermAnnouncement reply) {
             election.announcements().observe(reply);
             election.cancellations().receive(reply, false);
-            noPeerLeads &= !reply.leading();
+            noPeerLeads &= !reply.senderLeads();
             if (reply.knowledge() != null && reply.knowledge().informed()) {
                 informedPeers++;
             }
--- a/src/main/java/stileferry/leadership/PeerAnnouncements.java
+++ b/src/main/java/stileferry/leadership/PeerAnnouncements.java
@@ -102,7 +102,7 @@
 
     private TermAnnouncement announcement(PeerMessage.CancellationKnowledge knowledge) {
         return new TermAnnouncement(election.term(), election.leader(), election.leading(), knowledge)
-                .with(links.controllersExchangingViews());
+                .withLinkViewParticipants(links.controllersExchangingViews());
     }
 
     private void announceTo(int peer) {
@@ -134,7 +134,7 @@
     TermAnnouncement receive(TermAnnouncement received) {
         observe(received);
         cancellations.receive(received, received.term() >= election.term());
-        if (!received.leading() && !election.leading()) {
+        if (!received.senderLeads() && !election.leading()) {
             consentToLeaderlessRenewal(); // a follower sends an announcement only to ask for this consent
         }
         return announcement(cancellations.knowledgeInReplyTo(received));
@@ -145,7 +145,7 @@
      * because a leader that others name may have stopped leading long ago.
      */
     void observe(TermAnnouncement received) {
-        election.observeTerm(received.term(), received.leading() ? received.leader() : "");
+        election.observeTerm(received.term(), received.senderLeads() ? received.leader() : "");
     }
 
     /** Records the consent to responses without a leader for heartbeats sent up to now. */
--- a/src/main/java/stileferry/leadership/PeerCancellationState.java
+++ b/src/main/java/stileferry/leadership/PeerCancellationState.java
@@ -38,7 +38,7 @@
     void receiveReply(CancellationKnowledge knowledge) {
         boolean carriesCancellations = knowledge != null;
         version = carriesCancellations ? Version.WITH_CANCELLATIONS : Version.WITHOUT_CANCELLATIONS;
-        processId = carriesCancellations ? knowledge.process() : 0;
+        processId = carriesCancellations ? knowledge.processId() : 0;
         informed = carriesCancellations && knowledge.informed();
     }
 }
--- a/src/main/java/stileferry/lifecycle/TaskLifecycle.java
+++ b/src/main/java/stileferry/lifecycle/TaskLifecycle.java
@@ -94,7 +94,7 @@
         int index = job.nextPendingTask(now);
         long attempt = termSequence.next(); // shared by all tasks of a gang, which find each other by it
         GangAttempt gangAttempt = null;
-        if (job.spec().gang()) {
+        if (job.spec().isGang()) {
             gangAttempt = new GangAttempt(machines.size());
             gangMetrics.countAttempt();
         }
@@ -169,7 +169,7 @@
      * checkpoint only together, and a task that is left alone loses its work.
      */
     public void stop(TaskAssignment assignment, double graceS) {
-        if (assignment.job().spec().gang()) {
+        if (assignment.job().spec().isGang()) {
             double gangGraceS = graceS > 0 && !allReachable(assignment.job()) ? 0 : graceS;
             stopTask(assignment, gangGraceS);
             stopOtherTasks(assignment, gangGraceS);
@@ -223,7 +223,7 @@
      * task.
      */
     private void stopRestOfGang(TaskAssignment ended, boolean checkpointSaved) {
-        if (ended.job().spec().gang()) {
+        if (ended.job().spec().isGang()) {
             stopOtherTasks(ended, checkpointSaved ? ended.job().spec().checkpointSaveS() : 0);
         }
     }
@@ -234,7 +234,7 @@
      * for each other in vain. Neither kind can complete or save a checkpoint; the gang restarts as a whole.
      */
     public void stopIncompleteGangAttempt(Job job) {
-        if (job.spec().gang() && !job.assignments().isEmpty() && !job.allTasksAssignedInOneAttempt()) {
+        if (job.spec().isGang() && !job.assignments().isEmpty() && !job.allTasksAssignedInOneAttempt()) {
             long now = environment.now();
             List.copyOf(job.assignments().values()).forEach(assignment -> cluster.requestStop(assignment, 0, now));
         }
@@ -250,8 +250,8 @@
         }
         long now = environment.now();
         boolean completed =
-                status.exitReason() == ExitReason.COMPLETED && !job.spec().service();
-        List<TaskAssignment> others = completed && job.spec().gang() ? completeGang(job, assignment) : List.of();
+                status.exitReason() == ExitReason.COMPLETED && !job.spec().isService();
+        List<TaskAssignment> others = completed && job.spec().isGang() ? completeGang(job, assignment) : List.of();
         machine.agent().addNonDurableOutcome(status.attemptId());
         if (completed || status.exitReason() == ExitReason.FAILED) {
             job.markStarted();
@@ -270,7 +270,7 @@
 
     private void recordFailure(Machine machine, TaskAssignment assignment, Heartbeat.TaskStatus status, long now) {
         exitRecorder.recordFailure(machine, assignment, status, now);
-        if (assignment.job().spec().gang()) {
+        if (assignment.job().spec().isGang()) {
             gangMetrics.countExit(assignment, status);
         }
         stopRestOfGang(assignment, status.checkpointSaved());
@@ -314,7 +314,7 @@
         if (assignment.job().hasUnsettled(assignment)) {
             logSettled(assignment, proof);
             settle(assignment, false, null);
-            if (assignment.job().spec().gang()) {
+            if (assignment.job().spec().isGang()) {
                 gangMetrics.countLost(assignment);
             }
             stopRestOfGang(assignment, false);
--- a/src/main/java/stileferry/links/LinkMonitor.java
+++ b/src/main/java/stileferry/links/LinkMonitor.java
@@ -58,7 +58,7 @@
     public LinkMonitor(Settings settings, Environment environment, long leaderLeaseMs) {
         this.settings = settings;
         this.environment = environment;
-        Settings.WorkerTimes workers = settings.workers();
+        Settings.WorkerTimings workers = settings.workers();
         ConnectivityConfig config = new ConnectivityConfig(
                 settings.controllerName(),
                 settings.peers().stream().map(Settings.Peer::name).toList(),
@@ -188,7 +188,7 @@
             connectivity.storeAnswered(now);
         } else {
             connectivity.storeFailed(
-                    status == Environment.NO_ANSWER ? FailureKind.UNANSWERED : FailureKind.REFUSED, now);
+                    status == Environment.NO_RESPONSE ? FailureKind.UNANSWERED : FailureKind.REFUSED, now);
         }
     }
 
@@ -227,7 +227,7 @@
     @Override
     public void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         viewExchange.announcementReceived(controller, announcement);
-        if (announcement.leading() && announcement.term() > lastExchangedTerm) {
+        if (announcement.senderLeads() && announcement.term() > lastExchangedTerm) {
             lastExchangedTerm = announcement.term();
             connectivity.leaderObserved(announcement.term(), controller, environment.now());
             viewExchange.exchangeWithAll(); // another controller may not receive the new leader's announcements
--- a/src/main/java/stileferry/links/ViewExchange.java
+++ b/src/main/java/stileferry/links/ViewExchange.java
@@ -69,11 +69,11 @@
      */
     void announcementReceived(String controller, PeerMessage.TermAnnouncement announcement) {
         for (Settings.Peer peer : settings.peers()) {
-            boolean authoritative = peer.name().equals(controller) || announcement.leading();
+            boolean authoritative = peer.name().equals(controller) || announcement.senderLeads();
             if (!authoritative) {
                 continue;
             }
-            if (announcement.linkAware().contains(peer.name())) {
+            if (announcement.linkViewParticipants().contains(peer.name())) {
                 participants.add(peer.name());
             } else {
                 participants.remove(peer.name());
--- a/src/main/java/stileferry/overload/RequestForwarder.java
+++ b/src/main/java/stileferry/overload/RequestForwarder.java
@@ -18,7 +18,7 @@
     private static final int MAX_QUEUED_REQUESTS = 4 * PeerMessage.MAX_BATCH_REQUESTS;
 
     /** The maximum bytes of request bodies in one batch, well below what a message between controllers may hold. */
-    private static final int MAX_BATCH_BYTES = MessageCodec.MAX_BODY;
+    private static final int MAX_BATCH_BYTES = MessageCodec.MAX_BODY_BYTES;
 
     private final Environment environment;
     private final int maxBatchesInFlight;
@@ -84,7 +84,7 @@
         environment.sendToPeer(batch.get(0).leader, new PeerMessage.RequestBatch(requests), timeoutMs, message -> {
             batchesInFlight--;
             List<PeerMessage.Response> responses =
-                    message instanceof PeerMessage.ResponseBatch responseBatch ? responseBatch.answers() : List.of();
+                    message instanceof PeerMessage.ResponseBatch responseBatch ? responseBatch.responses() : List.of();
             boolean complete = responses.size() == batch.size();
             for (int i = 0; i < batch.size(); i++) {
                 batch.get(i).reply.accept(complete ? responses.get(i) : null);
--- a/src/main/java/stileferry/protocol/JsonText.java
+++ b/src/main/java/stileferry/protocol/JsonText.java
@@ -6,14 +6,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 
-/** Reads the JSON text of files. */
+/** Parses the JSON text of settings and features files. */
 final class JsonText {
     private JsonText() {}
 
-    /** Reads the first value; null when there is none. */
+    /** Returns the first value of a JSON text, or null if there is none. */
     static JsonNode read(String json) throws InvalidJsonException {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
-            return MessageCodec.tree(parser);
+            return MessageCodec.readTree(parser);
         } catch (IOException e) {
             String reason =
                     e instanceof JsonProcessingException problem ? problem.getOriginalMessage() : e.getMessage();
--- a/src/main/java/stileferry/protocol/MessageCodec.java
+++ b/src/main/java/stileferry/protocol/MessageCodec.java
@@ -14,79 +14,84 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * The body format of every outside interface, MessagePack, as Jackson trees. They are built and written through
- * Jackson's streams alone: setting up its object mapper would lengthen the start on a small share of a core.
+ * Encodes and decodes MessagePack, the body format of all external interfaces, as Jackson trees. Uses only Jackson's
+ * streaming API, because initializing an object mapper would make the start slower on a small share of a core.
  */
 public final class MessageCodec {
-    /** The largest body taken or sent, on interfaces that have a limit. */
-    public static final int MAX_BODY = 64 * 1024;
+    /** The maximum size of a body received or sent, on interfaces that have a limit. */
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** No body of any interface is nested so deep; what is deeper could exhaust the stack. */
-    private static final int MAX_DEPTH = 64;
+    /**
+     * The limit exceeds the depth of the bodies of all interfaces; decoding bodies of unlimited depth could exhaust the
+     * stack.
+     */
+    private static final int MAX_NESTING_DEPTH = 64;
 
     private static final MessagePackFactory FACTORY = new MessagePackFactory();
 
     private MessageCodec() {}
 
-    /** A new empty map. */
+    /** Returns a new empty map. */
     public static ObjectNode map() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** A new empty list. */
+    /** Returns a new empty list. */
     public static ArrayNode list() {
         return JsonNodeFactory.instance.arrayNode();
     }
 
-    /** Reads one body; null when it is not MessagePack. */
+    /** Decodes a body; returns null if it is not valid MessagePack. */
     public static JsonNode decode(byte[] bytes) {
         try (JsonParser parser = parser(bytes)) {
-            return tree(parser);
-        } catch (IOException | RuntimeException e) { // broad catch: thrown for malformed input
+            return readTree(parser);
+        } catch (IOException | RuntimeException e) { // broad catch: the parser throws both for malformed input
             return null;
         }
     }
 
-    /** A parser of one body, for what comes too often to build trees of it. */
+    /** Returns a streaming parser of a body, for messages that arrive too often to build trees of them. */
     static JsonParser parser(byte[] bytes) throws IOException {
         return FACTORY.createParser(bytes);
     }
 
-    /** How many bytes the parser has read; the MessagePack one tells it by the older name only, as characters. */
+    /**
+     * Returns how many bytes a parser has read. The MessagePack parser reports them as the deprecated character offset.
+     */
     @SuppressWarnings("deprecation")
-    static int position(JsonParser parser) {
+    static int bytesRead(JsonParser parser) {
         return (int) parser.getCurrentLocation().getCharOffset();
     }
 
-    /** Reads the next value with all that it holds; null at the end of the input. */
-    static JsonNode tree(JsonParser parser) throws IOException {
-        return parser.nextToken() == null ? null : value(parser, 0);
+    /** Reads the next value including all nested values; returns null at the end of the input. */
+    static JsonNode readTree(JsonParser parser) throws IOException {
+        return parser.nextToken() == null ? null : readValue(parser, 0);
     }
 
-    private static JsonNode value(JsonParser parser, int depth) throws IOException {
-        if (depth > MAX_DEPTH) {
-            throw new IOException("nested deeper than " + MAX_DEPTH);
+    private static JsonNode readValue(JsonParser parser, int depth) throws IOException {
+        if (depth > MAX_NESTING_DEPTH) {
+            throw new IOException("nested deeper than " + MAX_NESTING_DEPTH);
         }
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         return switch (parser.currentToken()) {
-            case START_OBJECT -> mapValue(parser, depth);
-            case START_ARRAY -> listValue(parser, depth);
+            case START_OBJECT -> readMap(parser, depth);
+            case START_ARRAY -> readList(parser, depth);
             case VALUE_STRING -> nodes.textNode(parser.getText());
             case VALUE_TRUE -> nodes.booleanNode(true);
             case VALUE_FALSE -> nodes.booleanNode(false);
             case VALUE_NULL -> nodes.nullNode();
-            case VALUE_NUMBER_INT -> integerValue(parser);
+            case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.getDoubleValue());
             case VALUE_EMBEDDED_OBJECT -> nodes.pojoNode(parser.getEmbeddedObject());
             default -> throw new IOException("unexpected " + parser.currentToken());
         };
     }
 
-    private static ObjectNode mapValue(JsonParser parser, int depth) throws IOException {
+    private static ObjectNode readMap(JsonParser parser, int depth) throws IOException {
         ObjectNode map = map();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-            next(parser);
-            if (map.replace(name, value(parser, depth + 1)) != null) {
+            nextToken(parser);
+            if (map.replace(name, readValue(parser, depth + 1)) != null) {
                 throw new IOException("field given twice: " + name);
             }
         }
@@ -96,15 +101,15 @@
         return map;
     }
 
-    private static ArrayNode listValue(JsonParser parser, int depth) throws IOException {
+    private static ArrayNode readList(JsonParser parser, int depth) throws IOException {
         ArrayNode list = list();
-        while (next(parser) != JsonToken.END_ARRAY) {
-            list.add(value(parser, depth + 1));
+        while (nextToken(parser) != JsonToken.END_ARRAY) {
+            list.add(readValue(parser, depth + 1));
         }
         return list;
     }
 
-    private static JsonNode integerValue(JsonParser parser) throws IOException {
+    private static JsonNode readInteger(JsonParser parser) throws IOException {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         return switch (parser.getNumberType()) {
             case INT -> nodes.numberNode(parser.getIntValue());
@@ -113,7 +118,7 @@
         };
     }
 
-    private static JsonToken next(JsonParser parser) throws IOException {
+    private static JsonToken nextToken(JsonParser parser) throws IOException {
         JsonToken token = parser.nextToken();
         if (token == null) {
             throw new IOException("the body ends too soon");
@@ -121,7 +126,7 @@
         return token;
     }
 
-    /** Writes one body. */
+    /** Encodes a body. */
     public static byte[] encode(JsonNode node) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator generator = FACTORY.createGenerator(bytes)) {
--- a/src/main/java/stileferry/protocol/PeerMessageCodec.java
+++ b/src/main/java/stileferry/protocol/PeerMessageCodec.java
@@ -19,8 +19,9 @@
 import stileferry.protocol.PeerMessage.TermAnnouncement;
 
 /**
- * The form of {@link PeerMessage}s between controllers: a byte for the kind, and the fields as {@link DataOutputStream}
- * writes them. Controllers of different versions exchange them, so fields are only ever added behind all others.
+ * Encodes and decodes {@link PeerMessage}s: one byte for the kind, then the fields in the format of
+ * {@link DataOutputStream}. Controllers of different versions exchange messages, so new fields are added only at the
+ * end.
  */
 public final class PeerMessageCodec {
     private static final int FORWARDED_REQUEST = 1;
@@ -32,11 +33,11 @@
     private static final int RESPONSE_BATCH = 7;
 
     private static final int INITIAL_BYTES = 128;
-    private static final int MAX_FIELD_BYTES = 2 * MessageCodec.MAX_BODY;
+    private static final int MAX_FIELD_BYTES = 2 * MessageCodec.MAX_BODY_BYTES;
 
     private PeerMessageCodec() {}
 
-    /** Writes a message. */
+    /** Encodes a message. */
     public static byte[] encode(PeerMessage message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -47,7 +48,7 @@
         return bytes.toByteArray();
     }
 
-    /** Reads a message; null when it is malformed or of an unknown kind. */
+    /** Decodes a message; returns null if it is malformed or of an unknown kind. */
     public static PeerMessage decode(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             return read(in);
@@ -77,7 +78,7 @@
             writeList(out, batch.requests(), PeerMessageCodec::writeRequest);
         } else if (message instanceof ResponseBatch batch) {
             out.writeByte(RESPONSE_BATCH);
-            writeList(out, batch.answers(), PeerMessageCodec::writeResponse);
+            writeList(out, batch.responses(), PeerMessageCodec::writeResponse);
         }
     }
 
@@ -125,10 +126,10 @@
     private static void writeAnnouncement(DataOutputStream out, TermAnnouncement announcement) throws IOException {
         out.writeLong(announcement.term());
         out.writeUTF(announcement.leader());
-        out.writeBoolean(announcement.leading());
+        out.writeBoolean(announcement.senderLeads());
         if (announcement.knowledge() != null) {
             writeKnowledge(out, announcement.knowledge());
-            writeLinkAware(out, announcement.linkAware());
+            writeLinkViewParticipants(out, announcement.linkViewParticipants());
         }
     }
 
@@ -138,31 +139,32 @@
                 in.readUTF(),
                 in.readBoolean(),
                 in.available() > 0 ? readKnowledge(in) : null,
-                in.available() > 0 ? readLinkAware(in) : List.of());
+                in.available() > 0 ? readLinkViewParticipants(in) : List.of());
     }
 
     private static void writeKnowledge(DataOutputStream out, CancellationKnowledge knowledge) throws IOException {
-        out.writeLong(knowledge.process());
-        out.writeLong(knowledge.addressee());
+        out.writeLong(knowledge.processId());
+        out.writeLong(knowledge.recipientProcessId());
         out.writeBoolean(knowledge.informed());
         out.writeBoolean(knowledge.complete());
-        out.writeShort(knowledge.cancelled().size());
-        for (String id : knowledge.cancelled()) {
+        out.writeShort(knowledge.cancelledJobs().size());
+        for (String id : knowledge.cancelledJobs()) {
             out.writeUTF(id);
         }
     }
 
     private static CancellationKnowledge readKnowledge(DataInputStream in) throws IOException {
-        long process = in.readLong();
-        long addressee = in.readLong();
+        long processId = in.readLong();
+        long recipientProcessId = in.readLong();
         boolean informed = in.readBoolean();
         boolean complete = in.readBoolean();
-        List<String> cancelled = readStrings(in, checkedSize(in.readUnsignedShort(), PeerMessage.MAX_CANCELLED_JOBS));
-        return new CancellationKnowledge(process, addressee, informed, complete, cancelled);
+        List<String> cancelledJobs =
+                readStrings(in, checkedSize(in.readUnsignedShort(), PeerMessage.MAX_CANCELLED_JOBS));
+        return new CancellationKnowledge(processId, recipientProcessId, informed, complete, cancelledJobs);
     }
 
-    /** Versions before this one do not look at what stands here. */
-    private static void writeLinkAware(DataOutputStream out, List<String> names) throws IOException {
+    /** Writes the last field of an announcement, which versions before its introduction ignore. */
+    private static void writeLinkViewParticipants(DataOutputStream out, List<String> names) throws IOException {
         if (!names.isEmpty()) {
             out.writeByte(names.size());
             for (String name : names) {
@@ -171,11 +173,11 @@
         }
     }
 
-    private static List<String> readLinkAware(DataInputStream in) throws IOException {
+    private static List<String> readLinkViewParticipants(DataInputStream in) throws IOException {
         return List.copyOf(readStrings(in, in.readUnsignedByte()));
     }
 
-    // ---- lists and bytes
+    // ---- lists and byte arrays
 
     /** Writes one element of a list. */
     private interface ElementWriter<T> {
--- a/src/main/java/stileferry/requests/AdministrationViews.java
+++ b/src/main/java/stileferry/requests/AdministrationViews.java
@@ -14,7 +14,7 @@
 /** Builds the leader's views of machines, queue and teams for the administration API. */
 public final class AdministrationViews {
     /** A page is full once its JSON exceeds this many characters; this keeps it well below the maximum body size. */
-    private static final int MAX_PAGE_CHARS = MessageCodec.MAX_BODY / 2;
+    private static final int MAX_PAGE_CHARS = MessageCodec.MAX_BODY_BYTES / 2;
 
     private static final double MS_PER_S = 1000.0;
 
@@ -124,11 +124,11 @@
         for (Settings.Team team : cluster.settings().teams()) {
             ObjectNode view = list.addObject()
                     .put("name", team.name())
-                    .put("cpus", team.cpus())
-                    .put("cpus_max", team.cpusMax())
+                    .put("cpus", team.guaranteedCpus())
+                    .put("cpus_max", team.maxCpus())
                     .put("cpus_in_use", cluster.cpusInUse(team.name()))
-                    .put("gpus", team.gpus())
-                    .put("gpus_max", team.gpusMax())
+                    .put("gpus", team.guaranteedGpus())
+                    .put("gpus_max", team.maxGpus())
                     .put("gpus_in_use", cluster.gpusInUse(team.name()));
             describePendingTasks(team, view.putObject("waiting"));
         }
--- a/src/main/java/stileferry/requests/OperatorSettingsHandler.java
+++ b/src/main/java/stileferry/requests/OperatorSettingsHandler.java
@@ -47,7 +47,7 @@
 
     /** Changes the settings that the body names: all of them, or none if one is invalid. */
     void change(byte[] body, Consumer<PeerMessage.Response> reply) {
-        apply(body, request -> pendingSettings.with(request.path("change")), reply);
+        apply(body, request -> pendingSettings.withChanges(request.path("change")), reply);
     }
 
     /** Resets the settings that the body names to their defaults, or all settings if it names none. */
--- a/src/main/java/stileferry/scheduling/BackfillPass.java
+++ b/src/main/java/stileferry/scheduling/BackfillPass.java
@@ -131,7 +131,7 @@
             return machine -> true;
         }
         if (timeOfDay - head.submittedAt() > headProtectionMs) {
-            return machine -> !head.spec().fitsType(machine.type());
+            return machine -> !head.spec().fitsMachineType(machine.type());
         }
         if (placement.overdue(head, timeOfDay)) {
             Machine reserved = machineReservedFor(head);
--- a/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
+++ b/src/main/java/stileferry/scheduling/ImageLocalityDelay.java
@@ -42,7 +42,7 @@
         if (!isEligible(job.spec())
                 || GangPlacement.imagePullCount(job, selected) == 0
                 || !objectives.pullMissesObjective(
-                        job, selected.get(0).type(), job.spec().gang() ? GANG_PULL_TIME_FACTOR : 1)) {
+                        job, selected.get(0).type(), job.spec().isGang() ? GANG_PULL_TIME_FACTOR : 1)) {
             return false;
         }
         long maxDelayMs = Math.round(MAX_DELAY_MS_PER_OBJECTIVE_S * objectives.startWithinS(job));
@@ -54,7 +54,7 @@
 
     private static boolean isEligible(JobSpec spec) {
         return spec.priority() == JobSpec.Priority.CRITICAL
-                || spec.gang() && spec.priority() == JobSpec.Priority.URGENT;
+                || spec.isGang() && spec.priority() == JobSpec.Priority.URGENT;
     }
 
     /**
@@ -62,7 +62,7 @@
      * priority were preempted there.
      */
     private boolean preemptionCanFreeCapacityWithImage(Job job, long now) {
-        int requiredTasks = job.spec().gang() ? job.spec().taskCount() : 1;
+        int requiredTasks = job.spec().isGang() ? job.spec().taskCount() : 1;
         Map<String, Integer> fittingTasksByZone = new HashMap<>();
         for (Machine machine : cluster.machines().values()) {
             if (machine.agent().heardThisTerm()
--- a/src/main/java/stileferry/scheduling/Placement.java
+++ b/src/main/java/stileferry/scheduling/Placement.java
@@ -77,7 +77,7 @@
      * Returns a machine for the next task of a job, or one for each task of a gang, or an empty list if they don't fit.
      */
     List<Machine> select(Job job, Predicate<Machine> usable, long now) {
-        if (job.spec().gang()) {
+        if (job.spec().isGang()) {
             return gangPlacement.select(job, usable, now);
         }
         Machine machine = selector.select(job, usable, now);
--- a/src/main/java/stileferry/scheduling/Preemption.java
+++ b/src/main/java/stileferry/scheduling/Preemption.java
@@ -75,7 +75,7 @@
                     || !victimSelector.hasCandidatesFor(job)) {
                 continue;
             }
-            if (job.spec().gang()) {
+            if (job.spec().isGang()) {
                 plan = freeCapacityForGang(job, now, plan);
                 continue;
             }
@@ -99,7 +99,7 @@
         long waitedMs = timeOfDay - job.submittedAt();
         // a gang with a short start objective doesn't wait for a requested machine, which would boot too late for it
         double maxWaitMs =
-                job.spec().gang() ? Math.min(bootMs, GANG_WAIT_SHARE * 1000 * objectives.startWithinS(job)) : bootMs;
+                job.spec().isGang() ? Math.min(bootMs, GANG_WAIT_SHARE * 1000 * objectives.startWithinS(job)) : bootMs;
         return job.spec().priority() == JobSpec.Priority.NORMAL && waitedMs > maxWaitMs;
     }
 
@@ -201,7 +201,7 @@
     private boolean mustStartBeforeCheckpoint(Job job, TaskAssignment victim) {
         double savesS = MIN_CHECKPOINT_SAVES_WITHIN_START * victim.job().spec().checkpointSaveS();
         return job.spec().priority() == JobSpec.Priority.CRITICAL
-                || job.spec().gang() && objectives.startWithinS(job) < savesS
+                || job.spec().isGang() && objectives.startWithinS(job) < savesS
                 || job.withinQuota() && objectives.hasQuotaObjectiveBelow(savesS);
     }
 }
--- a/src/main/java/stileferry/scheduling/StartObjectives.java
+++ b/src/main/java/stileferry/scheduling/StartObjectives.java
@@ -44,7 +44,7 @@
 
     /** Returns whether the job would miss its start objective if a machine of this type had to pull its image first. */
     boolean requiresCachedImage(Job job, MachineType type) {
-        return pullMissesObjective(job, type, job.spec().gang() ? GANG_PULL_TIME_FACTOR : 1);
+        return pullMissesObjective(job, type, job.spec().isGang() ? GANG_PULL_TIME_FACTOR : 1);
     }
 
     /**
--- a/src/main/java/stileferry/scheduling/UnplaceableRequests.java
+++ b/src/main/java/stileferry/scheduling/UnplaceableRequests.java
@@ -15,7 +15,7 @@
     /** Adds a job without capacity, unless the reason may not apply to other jobs; returns whether it was added. */
     boolean add(Job job) {
         JobSpec spec = job.spec();
-        if (spec.gang()
+        if (spec.isGang()
                 || spec.oneZone()
                 || spec.spreadAcrossZones()
                 || job.failureHistory().failedAnywhere()) {
--- a/src/main/java/stileferry/storage/CommitQueue.java
+++ b/src/main/java/stileferry/storage/CommitQueue.java
@@ -31,7 +31,7 @@
     private static final int COUNTED_BATCH_THRESHOLD = 5;
 
     /** Intended maximum size of a transaction in JSON form, well below the store's limit. */
-    private static final int MAX_TRANSACTION_BYTES = MessageCodec.MAX_BODY * 3 / 4;
+    private static final int MAX_TRANSACTION_BYTES = MessageCodec.MAX_BODY_BYTES * 3 / 4;
 
     private static final int TRANSACTION_ID_RADIX = 36;
 
--- a/src/main/java/stileferry/storage/KeyValueStoreClient.java
+++ b/src/main/java/stileferry/storage/KeyValueStoreClient.java
@@ -65,7 +65,7 @@
         this.environment = environment;
         this.address = settings.keyValueStoreAddress();
         this.limits = settings.keyValueStore();
-        this.timeoutMs = Math.round(BASE_TIMEOUT_MS * settings.slowness());
+        this.timeoutMs = Math.round(BASE_TIMEOUT_MS * settings.slowdownFactor());
         this.requestRate = new RateLimiter(environment, limits.requestsPerS() * RATE_SHARE, REQUEST_BURST_S);
         this.writeRate = new RateLimiter(environment, limits.writesPerS() * RATE_SHARE, WRITE_BURST_S);
     }
@@ -130,7 +130,7 @@
                     }
                     ScanResult result = previous.with(page, after.isEmpty());
                     String last = page.rows().isEmpty() ? after : lastKey(page);
-                    if (page.more() && !last.equals(after)) {
+                    if (page.hasMore() && !last.equals(after)) {
                         scanPage(prefix, last, urgent, result, reply);
                     } else {
                         reply.accept(result);
--- a/src/main/java/stileferry/transport/ApiClient.java
+++ b/src/main/java/stileferry/transport/ApiClient.java
@@ -22,7 +22,7 @@
     /**
      * A response.
      *
-     * @param status the HTTP status, {@link Environment#NO_ANSWER} or {@link Environment#NOT_SENT}
+     * @param status the HTTP status, {@link Environment#NO_RESPONSE} or {@link Environment#NOT_SENT}
      * @param body the decoded body, or null if the body is empty or not MessagePack
      */
     public record Response(int status, JsonNode body) {}
@@ -49,7 +49,7 @@
         try {
             return response.get(2 * RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            return new Response(Environment.NO_ANSWER, null);
+            return new Response(Environment.NO_RESPONSE, null);
         }
     }
 
--- a/src/main/java/stileferry/transport/ApiServer.java
+++ b/src/main/java/stileferry/transport/ApiServer.java
@@ -69,12 +69,12 @@
             acceptPost(exchange, body -> handleHeartbeat(exchange, body));
         } else if (path.equals(ApiPaths.READY)) {
             acceptGet(exchange, () -> handleReadiness(exchange));
-        } else if (path.startsWith(ApiPaths.ADMINISTRATION)) {
-            handleAdministration(exchange, path.substring(ApiPaths.ADMINISTRATION.length()));
+        } else if (path.startsWith(ApiPaths.ADMINISTRATION_PREFIX)) {
+            handleAdministration(exchange, path.substring(ApiPaths.ADMINISTRATION_PREFIX.length()));
         } else if (path.equals(ApiPaths.JOBS)) {
             acceptPost(exchange, body -> handleUserRequest(exchange, RequestKind.SUBMIT, "", body));
-        } else if (ApiPaths.afterJobs(path) != null) {
-            handleJob(exchange, ApiPaths.afterJobs(path));
+        } else if (ApiPaths.jobPathRemainder(path) != null) {
+            handleJob(exchange, ApiPaths.jobPathRemainder(path));
         } else {
             reject(exchange, 404, "no such path");
         }
@@ -117,8 +117,8 @@
     }
 
     private void handleJob(HttpServerExchange exchange, String idAndAction) {
-        if (idAndAction.endsWith(ApiPaths.CANCEL)) {
-            String id = idAndAction.substring(0, idAndAction.length() - ApiPaths.CANCEL.length());
+        if (idAndAction.endsWith(ApiPaths.CANCEL_SUFFIX)) {
+            String id = idAndAction.substring(0, idAndAction.length() - ApiPaths.CANCEL_SUFFIX.length());
             acceptPost(exchange, body -> handleJob(exchange, RequestKind.CANCEL, id));
         } else {
             acceptGet(exchange, () -> handleJob(exchange, RequestKind.STATUS, idAndAction));
@@ -126,7 +126,7 @@
     }
 
     private void handleJob(HttpServerExchange exchange, RequestKind kind, String id) {
-        if (JobSpec.validId(id)) {
+        if (JobSpec.isValidId(id)) {
             handleUserRequest(exchange, kind, id, NO_BODY);
         } else {
             reject(exchange, 404, "no such job");
@@ -182,7 +182,7 @@
 
     private static void acceptPost(HttpServerExchange exchange, Consumer<byte[]> handler) {
         if (exchange.getRequestMethod().equals(Methods.POST)) {
-            RequestBodyReader.read(exchange, MessageCodec.MAX_BODY, handler);
+            RequestBodyReader.read(exchange, MessageCodec.MAX_BODY_BYTES, handler);
         } else {
             reject(exchange, 405, "only POST here");
         }
--- a/src/main/java/stileferry/transport/StandInServer.java
+++ b/src/main/java/stileferry/transport/StandInServer.java
@@ -143,7 +143,7 @@
     private void handle(HttpServerExchange exchange) {
         RequestBodyReader.read(
                 exchange,
-                MessageCodec.MAX_BODY,
+                MessageCodec.MAX_BODY_BYTES,
                 body -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> receive(exchange, body)));
     }
 
--- a/src/main/java/stileferry/transport/StandInWorkers.java
+++ b/src/main/java/stileferry/transport/StandInWorkers.java
@@ -176,7 +176,7 @@
 
     /** Returns the index of the controller that a response redirects to, or -1 if it names none that is known. */
     private int redirectTarget(JsonNode body) {
-        return body == null ? -1 : config.controllerNames().indexOf(WorkerMessages.redirectedTo(body));
+        return body == null ? -1 : config.controllerNames().indexOf(WorkerMessages.redirectTarget(body));
     }
 
     private int nextController(int controllerIndex) {
